--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -105,7 +105,7 @@
         self.core.metrics.attempted(name);
         log!(level, request = self.request, service:% = self.service, object = self.object,
             endpoint:% = self.target.id,
-            route = self.route, known:? = self.target.known, expected_ms = self.target.expected.as_millis(),
+            route = self.route, known:? = self.target.affinity, expected_ms = self.target.expected.as_millis(),
             overhead_ms = self.target.overhead.as_millis(),
             took_ms = now.saturating_sub(self.begun).as_millis(), outcome:? = self.outcome;
             "attempt ended");
--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -34,7 +34,7 @@
 
 /// How an endpoint stands to an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acquaintance {
+pub enum Affinity {
     /// This gateway has sent the object there lately.
     Sent,
     /// Others of this region may have; it stands at this place in the object's order.
@@ -53,9 +53,9 @@
     }
 
     /// Takes in how long an answer took.
-    pub(crate) fn observe(&mut self, how: Acquaintance, concerns_object: bool, took: Duration) {
+    pub(crate) fn observe(&mut self, how: Affinity, has_object: bool, took: Duration) {
         // Nothing tells what a request without an object is to be compared with.
-        if how == Acquaintance::Stranger && !concerns_object {
+        if how == Affinity::Stranger && !has_object {
             return;
         }
         // An answer that takes far longer tells of its endpoint, not of the service; only
@@ -68,7 +68,7 @@
             &mut self.slow
         };
         *mean += NEW * (took - *mean);
-        if let Acquaintance::Perhaps(place) = how
+        if let Affinity::Perhaps(place) = how
             && let Some(known) = self.known.get_mut(place)
         {
             *known += NEW * (f64::from(u8::from(was_quick)) - *known);
@@ -76,11 +76,11 @@
     }
 
     /// Seconds that an answer takes.
-    pub(crate) fn expected(&self, how: Acquaintance) -> f64 {
+    pub(crate) fn expected(&self, how: Affinity) -> f64 {
         let known = match how {
-            Acquaintance::Sent => 1.0,
-            Acquaintance::Perhaps(place) => self.known.get(place).copied().unwrap_or(0.0),
-            Acquaintance::Stranger => 0.0,
+            Affinity::Sent => 1.0,
+            Affinity::Perhaps(place) => self.known.get(place).copied().unwrap_or(0.0),
+            Affinity::Stranger => 0.0,
         };
         known * self.quick + (1.0 - known) * self.slow.max(self.quick)
     }
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -6,7 +6,7 @@
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
 use crate::cold::Part;
-use crate::cost::{self, Acquaintance, Times};
+use crate::cost::{self, Affinity, Times};
 use crate::endpoint::State;
 use crate::plan::USED;
 use crate::shift::Shift;
@@ -45,7 +45,7 @@
     wait: f64,
     way: f64,
     answer: f64,
-    known: Acquaintance,
+    affinity: Affinity,
 }
 
 /// How the endpoints of a region are on the whole.
@@ -162,9 +162,9 @@
             incarnation: state.incarnation,
             addr: state.addr,
             expected: Duration::from_secs_f64(chosen.answer),
-            known: chosen.known,
-            concerns_object: object.is_some(),
-            way: Duration::from_secs_f64(chosen.way),
+            affinity: chosen.affinity,
+            has_object: object.is_some(),
+            rtt: Duration::from_secs_f64(chosen.way),
             overhead: Duration::from_secs_f64(chosen.way + chosen.wait),
         };
         Decision::Send(target)
@@ -316,17 +316,17 @@
         (index, around): (usize, Around),
     ) -> Candidate {
         let e = &self.endpoints[index];
-        let known = match (object, place) {
-            (Some(object), _) if e.knows(now, object) => Acquaintance::Sent,
-            (Some(_), Some(place)) => Acquaintance::Perhaps(place),
-            _ => Acquaintance::Stranger,
+        let affinity = match (object, place) {
+            (Some(object), _) if e.knows(now, object) => Affinity::Sent,
+            (Some(_), Some(place)) => Affinity::Perhaps(place),
+            _ => Affinity::Stranger,
         };
         let load = e.load(now);
         let slowness = match self.cfg.uses(Mechanism::Slowness) {
             true => e.slowness(now),
             false => 1.0,
         };
-        let answer = times.expected(known) * slowness;
+        let answer = times.expected(affinity) * slowness;
         let quick = times.quick() * slowness;
         // An object settles where all gateways will send it: its first request there is
         // slow, and all later ones are quick. Without this an endpoint that has just come
@@ -337,7 +337,7 @@
         // What others wait longer for, if this one keeps a slot busy to learn the object.
         let learning = (answer - quick).max(0.0);
         let weighed = settled + around.pressure * learning;
-        let each = times.expected(Acquaintance::Perhaps(0)) * slowness;
+        let each = times.expected(Affinity::Perhaps(0)) * slowness;
         let wait = cost::wait(load, e.slots, each);
         let failing = match self.cfg.uses(Mechanism::Failing) {
             true => (e.failing(now) - around.failing).max(0.0) * req.objective.as_secs_f64(),
@@ -356,7 +356,7 @@
             wait,
             way,
             answer,
-            known,
+            affinity,
         }
     }
 
@@ -403,7 +403,7 @@
         here.or_else(|| cheapest(best.values()))
     }
 
-    /// Whether a request goes where its object lives: as soon as the object is known
+    /// Whether a request goes where its object lives: as soon as the object is affinity
     /// there, the answer will be in time.
     fn is_worth_it(&self, req: &Request<'_>, planned: &Candidate) -> bool {
         let quick = self.times(req).quick();
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -48,7 +48,7 @@
 pub use admission::LargeShare;
 pub use balance::Balance;
 pub use budget::{Budget, BudgetConfig};
-pub use cost::Acquaintance;
+pub use cost::Affinity;
 pub use endpoint::{EndpointId, Load, Outcome};
 pub use link::Link;
 pub use mechanism::{Mechanism, UnknownMechanism};
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -8,7 +8,7 @@
 use filberthead_route::{Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-use crate::cost::{Acquaintance, Times};
+use crate::cost::{Affinity, Times};
 use crate::endpoint::State;
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
@@ -247,15 +247,15 @@
         if let Outcome::Served(took) = outcome
             && let Some(times) = self.times.get_mut(service)
         {
-            times.observe(target.known, target.concerns_object, took);
+            times.observe(target.affinity, target.has_object, took);
         }
     }
 
     /// What an answer from another region took besides work whose time is known: the way
     /// there and back. Of those with nothing to wait for, most take just that.
     fn learn_way(&mut self, service: &ServiceName, target: &Target, took: Duration) {
-        let waited = target.overhead.as_secs_f64() > target.way.as_secs_f64() + 0.001;
-        if target.known != Acquaintance::Sent || waited {
+        let waited = target.overhead.as_secs_f64() > target.rtt.as_secs_f64() + 0.001;
+        if target.affinity != Affinity::Sent || waited {
             return;
         }
         let Some(quick) = self.times.get(service).map(Times::quick) else {
@@ -269,7 +269,7 @@
             return;
         }
         let seen = (took.as_secs_f64() - quick).max(0.0);
-        let way = self.ways.entry(region).or_insert(target.way.as_secs_f64());
+        let way = self.ways.entry(region).or_insert(target.rtt.as_secs_f64());
         // One that met a queue tells little of the way.
         *way += NEW_WAY * (seen.min(2.0 * *way + 0.01) - *way);
     }
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use filberthead_types::{FailureDomain, Incarnation, NodeName, Region, ServiceName};
 
-use crate::{Acquaintance, BudgetConfig, EndpointId, Mechanism};
+use crate::{Affinity, BudgetConfig, EndpointId, Mechanism};
 
 /// Where a gateway is and what bounds it.
 #[derive(Clone, Debug)]
@@ -79,11 +79,11 @@
     /// Time that its answer should take.
     pub expected: Duration,
     /// How it stands to the object.
-    pub known: Acquaintance,
+    pub affinity: Affinity,
     /// Whether it concerns an object.
-    pub concerns_object: bool,
+    pub has_object: bool,
     /// Part of what follows that the way there and back takes.
-    pub way: Duration,
+    pub rtt: Duration,
     /// Time that goes by besides: the way there and back, and the wait for a slot.
     pub overhead: Duration,
 }
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use filberthead_place::{Acquaintance, Decision, EndpointId, Object, Outcome, Refusal, Request};
+use filberthead_place::{Affinity, Decision, EndpointId, Object, Outcome, Refusal, Request};
 
 use crate::support::{
     domain, endpoint, id, ms, named_placer, place, placer, refusal, request, served, service,
@@ -226,8 +226,8 @@
             served(&mut placer, now, &target, ms(90));
             ends.push(target);
         }
-        assert_ne!(ends[1].known, Acquaintance::Sent, "{name}");
-        assert_eq!(ends[2].known, Acquaintance::Sent, "{name}");
+        assert_ne!(ends[1].affinity, Affinity::Sent, "{name}");
+        assert_eq!(ends[2].affinity, Affinity::Sent, "{name}");
         assert_eq!(ends[2].id, ends[0].id, "{name}");
         apart += u64::from(ends[0].id != ends[1].id);
     }
--- a/crates/place/tests/all/regions.rs
+++ b/crates/place/tests/all/regions.rs
@@ -135,7 +135,7 @@
             served(&mut placer, ms(number * 50), &target, ms(100 + way));
         }
         let target = place(&mut placer, ms(30_000), "o").expect("a place");
-        let off = (target.expected + target.way).abs_diff(ms(100 + way));
+        let off = (target.expected + target.rtt).abs_diff(ms(100 + way));
         assert!(off < ms(20), "{way}: {target:?}");
     }
 }
--- a/crates/place/tests/all/restarts.rs
+++ b/crates/place/tests/all/restarts.rs
@@ -86,10 +86,10 @@
     let (mut placer, target) = with_a_request();
     served(&mut placer, ms(50), &target, ms(50));
     let known = place(&mut placer, ms(60), "o").expect("a place");
-    assert_ne!(known.known, target.known);
+    assert_ne!(known.affinity, target.affinity);
     tell(&mut placer, ms(100), started("a", 200));
     let anew = place(&mut placer, ms(101), "o").expect("a place");
-    assert_eq!(anew.known, target.known);
+    assert_eq!(anew.affinity, target.affinity);
 }
 
 /// A warm endpoint drains, ends, and starts again under its identity, cold. It must get
