--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -227,10 +227,10 @@
             }),
             large: false,
             objective: ms(kind.objective_ms),
-            left: ms(left),
-            returned: asked.returned,
+            remaining: ms(left),
+            is_caller_retry: asked.returned,
             regions: &[],
-            tried: asked.tries.avoided(),
+            excluded: asked.tries.excluded(),
         };
         match self.gateways[asked.wish.gateway].place(ms(now), wanted) {
             Decision::Refuse { retry_after, .. } => self.turn_away(request, retry_after),
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -222,10 +222,10 @@
             }),
             large: self.route.kind == Kind::Download,
             objective: self.route.objective,
-            left: self.deadline.left(),
-            returned: self.returned,
+            remaining: self.deadline.left(),
+            is_caller_retry: self.returned,
             regions: &self.route.regions,
-            tried: self.tries.avoided(),
+            excluded: self.tries.excluded(),
         };
         let now = self.core.now();
         self.core.placer.borrow_mut().place(now, wanted)
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -139,11 +139,11 @@
         if chosen.wait <= 0.0 || !self.cfg.uses(Mechanism::Refusing) {
             return false;
         }
-        let has_returned = req.returned && self.cfg.uses(Mechanism::Patience);
+        let has_returned = req.is_caller_retry && self.cfg.uses(Mechanism::Patience);
         let patience = if has_returned || is_kept {
-            req.left
+            req.remaining
         } else {
-            req.objective.min(req.left)
+            req.objective.min(req.remaining)
         };
         chosen.way + chosen.wait + chosen.answer > patience.as_secs_f64()
     }
@@ -259,7 +259,7 @@
             e.service == *req.service
                 && (e.is_usable(now) || (paused_too && e.is_usable(Moment::MAX)))
                 && !self.evacuated.contains(&e.domain)
-                && !req.tried.contains(&e.id)
+                && !req.excluded.contains(&e.id)
                 && self.may_run_in(req, e.region.as_ref())
                 && self.may_warm(now, e)
         };
@@ -407,7 +407,7 @@
     /// there, the answer will be in time.
     fn is_worth_it(&self, req: &Request<'_>, planned: &Candidate) -> bool {
         let quick = self.times(req).quick();
-        planned.way + planned.wait + quick <= req.objective.min(req.left).as_secs_f64()
+        planned.way + planned.wait + quick <= req.objective.min(req.remaining).as_secs_f64()
     }
 }
 
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -57,14 +57,14 @@
     /// Time within which its answer is worth most.
     pub objective: Duration,
     /// Time until its caller has left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether it has been refused before: then it is better served late than not at all.
-    pub returned: bool,
+    pub is_caller_retry: bool,
     /// The only regions where it may run; empty allows all.
     pub regions: &'a [Region],
     /// Endpoints that have had it. A later start of one of them counts as having had it too:
     /// it is cold, and the request may be what made it start again.
-    pub tried: &'a [EndpointId],
+    pub excluded: &'a [EndpointId],
 }
 
 /// Where a request goes.
--- a/crates/place/src/tries.rs
+++ b/crates/place/src/tries.rs
@@ -19,7 +19,7 @@
     ran: u32,
     unreached: u32,
     refused: u32,
-    avoided: Vec<EndpointId>,
+    excluded: Vec<EndpointId>,
 }
 
 /// What may follow an attempt.
@@ -40,14 +40,14 @@
             ran: 0,
             unreached: 0,
             refused: 0,
-            avoided: Vec::new(),
+            excluded: Vec::new(),
         }
     }
 
     /// Notes that the request goes to an endpoint.
     pub fn sent(&mut self, id: EndpointId) {
         self.made += 1;
-        self.avoided.push(id);
+        self.excluded.push(id);
     }
 
     /// The last one was out of reach and has got nothing.
@@ -64,7 +64,7 @@
     pub fn refused(&mut self, again: bool) -> Further {
         self.refused += 1;
         if again {
-            self.avoided.pop();
+            self.excluded.pop();
         }
         self.further()
     }
@@ -84,8 +84,8 @@
     }
 
     /// Endpoints that it isn't sent to again.
-    pub fn avoided(&self) -> &[EndpointId] {
-        &self.avoided
+    pub fn excluded(&self) -> &[EndpointId] {
+        &self.excluded
     }
 
     /// Attempts so far.
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -149,7 +149,7 @@
     assert_eq!(refused.0, Refusal::Overloaded);
     assert!(refused.1 > ms(0));
     let mut returned = request(&service, b"o");
-    returned.returned = true;
+    returned.is_caller_retry = true;
     assert_eq!(refusal(&mut gateway, ms(0), returned), None);
 }
 
--- a/crates/place/tests/all/refusals.rs
+++ b/crates/place/tests/all/refusals.rs
@@ -48,7 +48,7 @@
     let mut tries = Tries::new(3);
     loop {
         let mut req = request(&service, name.as_bytes());
-        req.tried = tries.avoided();
+        req.excluded = tries.excluded();
         let Decision::Send(target) = placer.place(ms(at), req) else {
             return None;
         };
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -118,10 +118,10 @@
         }),
         large: false,
         objective: ms(300),
-        left: ms(1000),
-        returned: false,
+        remaining: ms(1000),
+        is_caller_retry: false,
         regions: &[],
-        tried: &[],
+        excluded: &[],
     }
 }
 
