--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use filberthead_place::{
-    Decision, EndpointId, Further, Load, Mechanism, Object, Outcome, Placer, Request, Target, Tries,
+    Decision, EndpointId, NextAttempt, Load, Mechanism, Object, Outcome, Placer, Request, Target, Attempts,
 };
 use filberthead_types::{Region, ServiceName};
 use rand::rngs::StdRng;
@@ -59,7 +59,7 @@
     placed: u64,
     sent: u64,
     attempt: u32,
-    tries: Tries,
+    tries: Attempts,
     target: Option<Target>,
     over: bool,
 }
@@ -195,7 +195,7 @@
             placed: self.now,
             sent: self.now,
             attempt: 0,
-            tries: Tries::new(2),
+            tries: Attempts::new(2),
             target: None,
             over: false,
         });
@@ -243,7 +243,7 @@
         let asked = &mut self.requests[request];
         asked.attempt += 1;
         asked.sent = self.now;
-        asked.tries.sent(target.id.clone());
+        asked.tries.record_sent(target.id.clone());
         let job = Job {
             request,
             attempt: asked.attempt,
@@ -339,8 +339,8 @@
         let placer = &mut self.gateways[asked.wish.gateway];
         placer.reported(ms(self.now), &target, load);
         placer.ended(ms(self.now), &service, &target, Outcome::Full);
-        let further = asked.tries.refused(placer.may_try_again(true));
-        if further == Further::Allowed && placer.may_repeat(ms(self.now), &service) {
+        let further = asked.tries.record_refused(placer.may_try_again(true));
+        if further == NextAttempt::Allowed && placer.may_repeat(ms(self.now), &service) {
             self.place(request);
         } else {
             self.turn_away(request, SOON);
@@ -357,7 +357,7 @@
         }
         asked.returned = true;
         asked.placed = at;
-        asked.tries = Tries::new(2);
+        asked.tries = Attempts::new(2);
         self.add(at, Event::Come(request));
     }
 
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filberthead_endpoint::RequestBody;
-use filberthead_place::{Decision, EndpointId, Further, Object, Refusal, Request as Wanted, Tries};
+use filberthead_place::{Decision, EndpointId, NextAttempt, Object, Refusal, Request as Wanted, Attempts};
 use filberthead_route::{Kind, Matched, Route};
 use filberthead_types::{ResultCode, ServiceName, header};
 use http::request::Parts;
@@ -59,7 +59,7 @@
     returned: bool,
     /// Number of the routes that it was matched by.
     version: u64,
-    tries: Tries,
+    tries: Attempts,
     /// An endpoint's answer to a run with a bad end: what the caller gets if no further
     /// attempt can be made.
     failure: Option<Response<AnswerBody>>,
@@ -109,7 +109,7 @@
         deadline,
         returned: has_returned(core, &head, route),
         version: in_force.version,
-        tries: Tries::new(route.max_attempts),
+        tries: Attempts::new(route.max_attempts),
         failure: None,
     };
     let answer = carried.run(body).await;
@@ -188,7 +188,7 @@
                 };
             }
         };
-        self.tries.sent(target.id.clone());
+        self.tries.record_sent(target.id.clone());
         let again = body.again();
         let job = Job {
             route: &self.route.name,
@@ -204,7 +204,7 @@
             Attempt::Failed(answer) => self.failed(answer, again),
             Attempt::Lost => self.lost(&target.id, again),
             Attempt::Late => {
-                self.tries.ran();
+                self.tries.record_ran();
                 self.note("no answer when the time was up", &target.id);
                 Next::end(own(ResultCode::DeadlineWhileRunning, None))
             }
@@ -232,16 +232,16 @@
     }
 
     fn unreached(&mut self, body: RequestBody) -> Next {
-        match self.tries.unreached() {
-            Further::Allowed => Next::Again(body),
-            Further::Over => self.refused(ResultCode::NoEndpoint, STARTING),
+        match self.tries.record_unreachable() {
+            NextAttempt::Allowed => Next::Again(body),
+            NextAttempt::Exhausted => self.refused(ResultCode::NoEndpoint, STARTING),
         }
     }
 
     /// Sent back by an endpoint that has not run it.
     fn not_run(&mut self, load_told: bool, again: Option<RequestBody>) -> Next {
         let same = self.core.placer.borrow().may_try_again(load_told);
-        let further = self.tries.refused(same);
+        let further = self.tries.record_refused(same);
         match again.filter(|_| self.may_repeat(further)) {
             Some(body) => Next::Again(body),
             None => self.refused(ResultCode::Overloaded, SOON),
@@ -250,7 +250,7 @@
 
     /// Run, with a bad end.
     fn failed(&mut self, answer: Response<AnswerBody>, again: Option<RequestBody>) -> Next {
-        let further = self.tries.ran();
+        let further = self.tries.record_ran();
         let repeat = self.route.kind.is_idempotent();
         match again.filter(|_| repeat && self.may_repeat(further)) {
             Some(body) => {
@@ -262,7 +262,7 @@
     }
 
     fn lost(&mut self, endpoint: &EndpointId, again: Option<RequestBody>) -> Next {
-        let further = self.tries.ran();
+        let further = self.tries.record_ran();
         self.note("lost with the request at it", endpoint);
         let repeat = self.route.kind.is_idempotent();
         match again.filter(|_| repeat && self.may_repeat(further)) {
@@ -272,9 +272,9 @@
     }
 
     /// Whether another attempt is allowed, leaves enough time and is in the budget.
-    fn may_repeat(&self, further: Further) -> bool {
+    fn may_repeat(&self, further: NextAttempt) -> bool {
         let expected = self.route.objective / 4;
-        further == Further::Allowed
+        further == NextAttempt::Allowed
             && self.deadline.left() > expected
             && self
                 .core
--- a/crates/place/src/tries.rs
+++ b/crates/place/src/attempts.rs
@@ -13,7 +13,7 @@
 
 /// What has become of a request's attempts.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct Attempts {
     most: u32,
     made: u32,
     ran: u32,
@@ -24,14 +24,14 @@
 
 /// What may follow an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Further {
+pub enum NextAttempt {
     /// Another attempt, if the budget has one.
     Allowed,
     /// None: the request has had as many as it may, or found nobody.
-    Over,
+    Exhausted,
 }
 
-impl Tries {
+impl Attempts {
     /// None yet, of `most` that may reach an endpoint.
     pub fn new(most: u32) -> Self {
         Self {
@@ -45,23 +45,23 @@
     }
 
     /// Notes that the request goes to an endpoint.
-    pub fn sent(&mut self, id: EndpointId) {
+    pub fn record_sent(&mut self, id: EndpointId) {
         self.made += 1;
         self.excluded.push(id);
     }
 
     /// The last one was out of reach and has got nothing.
-    pub fn unreached(&mut self) -> Further {
+    pub fn record_unreachable(&mut self) -> NextAttempt {
         self.unreached += 1;
         if self.unreached < MAX_UNREACHED {
-            Further::Allowed
+            NextAttempt::Allowed
         } else {
-            Further::Over
+            NextAttempt::Exhausted
         }
     }
 
     /// The last one refused it, and may be sent it again or not.
-    pub fn refused(&mut self, again: bool) -> Further {
+    pub fn record_refused(&mut self, again: bool) -> NextAttempt {
         self.refused += 1;
         if again {
             self.excluded.pop();
@@ -70,16 +70,16 @@
     }
 
     /// The last one may have run it.
-    pub fn ran(&mut self) -> Further {
+    pub fn record_ran(&mut self) -> NextAttempt {
         self.ran += 1;
         self.further()
     }
 
-    fn further(&self) -> Further {
+    fn further(&self) -> NextAttempt {
         if self.made - self.unreached < self.most {
-            Further::Allowed
+            NextAttempt::Allowed
         } else {
-            Further::Over
+            NextAttempt::Exhausted
         }
     }
 
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -23,7 +23,7 @@
 //! - *Admission* (`admission`): beyond a part of the link, large answers are refused.
 //! - *Connections* (`balance`): a gateway with more of them than its neighbours ends some,
 //!   so that their callers choose anew.
-//! - *Refusals* (`tries`): a request that was refused by an endpoint with room may go there
+//! - *Refusals* (`attempts`): a request that was refused by an endpoint with room may go there
 //!   again, where its object is known.
 //! - *Retries* (`budget`): further attempts stay within a part of first ones, over all
 //!   gateways, without their talking.
@@ -43,7 +43,7 @@
 mod rank;
 mod request;
 mod shift;
-mod tries;
+mod attempts;
 
 pub use admission::LargeShare;
 pub use balance::Balance;
@@ -55,4 +55,4 @@
 pub use placer::Placer;
 pub use planning::Belief;
 pub use request::{Config, Decision, Object, Refusal, Request, Target};
-pub use tries::{Further, Tries};
+pub use attempts::{NextAttempt, Attempts};
--- a/crates/place/tests/all/refusals.rs
+++ b/crates/place/tests/all/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use filberthead_place::{Decision, EndpointId, Further, Load, Outcome, Placer, Tries};
+use filberthead_place::{Decision, EndpointId, NextAttempt, Load, Outcome, Placer, Attempts};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -45,14 +45,14 @@
     mut refuse: impl FnMut() -> bool,
 ) -> Option<EndpointId> {
     let service = service();
-    let mut tries = Tries::new(3);
+    let mut attempts = Attempts::new(3);
     loop {
         let mut req = request(&service, name.as_bytes());
-        req.excluded = tries.excluded();
+        req.excluded = attempts.excluded();
         let Decision::Send(target) = placer.place(ms(at), req) else {
             return None;
         };
-        tries.sent(target.id.clone());
+        attempts.record_sent(target.id.clone());
         if !refuse() {
             served(placer, ms(at), &target, ms(90));
             return Some(target.id);
@@ -61,7 +61,7 @@
             placer.reported(ms(at), &target, idle());
         }
         placer.ended(ms(at), &service, &target, Outcome::Full);
-        if tries.refused(load_told) == Further::Over {
+        if attempts.record_refused(load_told) == NextAttempt::Exhausted {
             return None;
         }
     }
