--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use filberthead_fleet::{Endpoint, EndpointState};
-use filberthead_place::{BudgetConfig, Config};
+use filberthead_place::{RetryBudgetConfig, Config};
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table, Target};
 use filberthead_types::{FailureDomain, Region, ServiceName};
 
@@ -165,7 +165,7 @@
         region: regions[domain].clone(),
         domain: domain.clone(),
         regions,
-        budget: BudgetConfig {
+        retry_budget: RetryBudgetConfig {
             ratio: 0.2,
             floor: 60.0,
             window: Duration::from_secs(10),
--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -339,8 +339,8 @@
         let placer = &mut self.gateways[asked.wish.gateway];
         placer.reported(ms(self.now), &target, load);
         placer.ended(ms(self.now), &service, &target, Outcome::Full);
-        let further = asked.tries.record_refused(placer.may_try_again(true));
-        if further == NextAttempt::Allowed && placer.may_repeat(ms(self.now), &service) {
+        let further = asked.tries.record_refused(placer.may_retry_same_endpoint(true));
+        if further == NextAttempt::Allowed && placer.try_spend_retry(ms(self.now), &service) {
             self.place(request);
         } else {
             self.turn_away(request, SOON);
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -240,7 +240,7 @@
 
     /// Sent back by an endpoint that has not run it.
     fn not_run(&mut self, load_told: bool, again: Option<RequestBody>) -> Next {
-        let same = self.core.placer.borrow().may_try_again(load_told);
+        let same = self.core.placer.borrow().may_retry_same_endpoint(load_told);
         let further = self.tries.record_refused(same);
         match again.filter(|_| self.may_repeat(further)) {
             Some(body) => Next::Again(body),
@@ -280,7 +280,7 @@
                 .core
                 .placer
                 .borrow_mut()
-                .may_repeat(self.core.now(), self.service)
+                .try_spend_retry(self.core.now(), self.service)
     }
 
     fn refused(&mut self, code: ResultCode, retry_after: Duration) -> Next {
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 use filberthead_fleet::{GatewayInfo, Member, Message};
 use filberthead_observe::GatewayMetrics;
 use filberthead_peer::{Body, Deliver, Origin, Transport, TransportError, cluster_id};
-use filberthead_place::{BudgetConfig, Config, LargeShare, Link, Placer};
+use filberthead_place::{RetryBudgetConfig, Config, LargeShare, Link, Placer};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_settings::GatewaySettings;
 use filberthead_types::Incarnation;
@@ -268,7 +268,7 @@
         region: cfg.region.clone(),
         domain: cfg.failure_domain.clone(),
         regions: cfg.regions.clone(),
-        budget: BudgetConfig {
+        retry_budget: RetryBudgetConfig {
             ratio: cfg.budgets.retry_ratio,
             floor: cfg.budgets.retry_floor,
             window: cfg.budgets.retry_window,
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -25,12 +25,12 @@
 //!   so that their callers choose anew.
 //! - *Refusals* (`attempts`): a request that was refused by an endpoint with room may go there
 //!   again, where its object is known.
-//! - *Retries* (`budget`): further attempts stay within a part of first ones, over all
+//! - *Retries* (`retry_budget`): further attempts stay within a part of first ones, over all
 //!   gateways, without their talking.
 
 mod admission;
 mod balance;
-mod budget;
+mod retry_budget;
 mod cold;
 mod cost;
 mod decide;
@@ -47,7 +47,7 @@
 
 pub use admission::LargeShare;
 pub use balance::Balance;
-pub use budget::{Budget, BudgetConfig};
+pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use cost::Affinity;
 pub use endpoint::{EndpointId, Load, Outcome};
 pub use link::Link;
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -13,7 +13,7 @@
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
 use crate::shift::Shift;
-use crate::{Budget, Config, Load, Mechanism, Outcome, Target, rank};
+use crate::{RetryBudget, Config, Load, Mechanism, Outcome, Target, rank};
 
 /// Weight of a new observation of a way: about the last fifty count, and half of a change
 /// is learned within as many answers.
@@ -45,7 +45,7 @@
     pub(crate) turns: u64,
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     pub(crate) gateways: BTreeMap<FailureDomain, u32>,
-    pub(crate) budget: Budget,
+    pub(crate) retry_budget: RetryBudget,
     /// Learned ways to other regions and back, in seconds.
     pub(crate) ways: HashMap<Region, f64>,
 }
@@ -68,7 +68,7 @@
             turns: rank::name(cfg.gateway.as_str().as_bytes()),
             evacuated: BTreeSet::new(),
             gateways: BTreeMap::new(),
-            budget: Budget::new(cfg.budget),
+            retry_budget: RetryBudget::new(cfg.retry_budget),
             ways: HashMap::new(),
             cfg,
         }
@@ -194,7 +194,7 @@
 
     /// Notes a request of a caller.
     pub fn arrived(&mut self, now: Moment, service: &ServiceName) {
-        self.budget.first(now, service);
+        self.retry_budget.record_first(now, service);
         self.first_arrival.get_or_insert(now);
         if !self.own_demand.contains_key(service) {
             self.own_demand.insert(service.clone(), OwnDemand::new(now));
@@ -205,13 +205,13 @@
     }
 
     /// Takes a further attempt out of the budget, if there is one left.
-    pub fn may_repeat(&mut self, now: Moment, service: &ServiceName) -> bool {
+    pub fn try_spend_retry(&mut self, now: Moment, service: &ServiceName) -> bool {
         let gateways = self.gateways.values().sum::<u32>().max(1);
-        self.budget.spend(now, service, gateways)
+        self.retry_budget.try_spend(now, service, gateways)
     }
 
     /// Whether an endpoint that has refused a request may be sent it again.
-    pub fn may_try_again(&self, load_told: bool) -> bool {
+    pub fn may_retry_same_endpoint(&self, load_told: bool) -> bool {
         load_told && self.cfg.uses(Mechanism::SameAgain)
     }
 
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use filberthead_types::{FailureDomain, Incarnation, NodeName, Region, ServiceName};
 
-use crate::{Affinity, BudgetConfig, EndpointId, Mechanism};
+use crate::{Affinity, RetryBudgetConfig, EndpointId, Mechanism};
 
 /// Where a gateway is and what bounds it.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// Region of each failure domain.
     pub regions: BTreeMap<FailureDomain, Region>,
     /// Bounds on further attempts.
-    pub budget: BudgetConfig,
+    pub retry_budget: RetryBudgetConfig,
     /// Part of a region's requests that may change regions from one window to the next.
     pub max_shift: f64,
     /// Parts of the decision that are left out, in measurements.
--- a/crates/place/src/budget.rs
+++ b/crates/place/src/retry_budget.rs
@@ -19,7 +19,7 @@
 
 /// What bounds further attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetConfig {
+pub struct RetryBudgetConfig {
     /// Further attempts as a part of first ones.
     pub ratio: f64,
     /// Further attempts allowed besides in each window, over all gateways.
@@ -37,14 +37,14 @@
 
 /// Counts first and further attempts of each service.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    cfg: BudgetConfig,
+pub struct RetryBudget {
+    cfg: RetryBudgetConfig,
     services: HashMap<ServiceName, [Part; PARTS]>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// An unspent budget.
-    pub fn new(cfg: BudgetConfig) -> Self {
+    pub fn new(cfg: RetryBudgetConfig) -> Self {
         Self {
             cfg,
             services: HashMap::new(),
@@ -52,12 +52,12 @@
     }
 
     /// Notes a request of a caller.
-    pub fn first(&mut self, now: Moment, service: &ServiceName) {
+    pub fn record_first(&mut self, now: Moment, service: &ServiceName) {
         self.part(now, service).first += 1;
     }
 
     /// Spends a further attempt, if there is one left for this gateway, one of `gateways`.
-    pub fn spend(&mut self, now: Moment, service: &ServiceName, gateways: u32) -> bool {
+    pub fn try_spend(&mut self, now: Moment, service: &ServiceName, gateways: u32) -> bool {
         let oldest = self.number(now).saturating_sub(PARTS as u64 - 1);
         let (mut first, mut further) = (0, 0);
         if let Some(parts) = self.services.get(service) {
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -113,7 +113,7 @@
             let gateway = rng.random_range(0..gateways.len());
             gateways[gateway].arrived(ms(at), &service);
             first.push(at);
-            while gateways[gateway].may_repeat(ms(at), &service) {
+            while gateways[gateway].try_spend_retry(ms(at), &service) {
                 further.push(at);
             }
         }
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -7,7 +7,7 @@
 
 use filberthead_fleet::{Endpoint, EndpointState};
 use filberthead_place::{
-    BudgetConfig, Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, Target,
+    RetryBudgetConfig, Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, Target,
 };
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
@@ -96,7 +96,7 @@
         region: regions[&domain(at)].clone(),
         domain: domain(at),
         regions,
-        budget: BudgetConfig {
+        retry_budget: RetryBudgetConfig {
             ratio: 0.2,
             floor: 56.0,
             window: Duration::from_secs(10),
