--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -12,7 +12,7 @@
 use filberthead_fleet::{Delay, Load, Member, Outbound, Stamp, Update};
 use filberthead_observe::{GatewayMetrics, LineAllowance};
 use filberthead_peer::Body;
-use filberthead_place::{Balance, LargeShare, Link, Placer};
+use filberthead_place::{ConnectionBalancer, LargeShare, Link, Placer};
 use filberthead_ring::Sender;
 use filberthead_route::{CallerBounds, Matcher};
 use filberthead_types::{Moment, ResultCode};
@@ -86,7 +86,7 @@
     /// The VM's link, if its rate is known.
     link: Option<RefCell<Link>>,
     large: Option<RefCell<LargeShare>>,
-    balance: RefCell<Balance>,
+    balance: RefCell<ConnectionBalancer>,
     member: RefCell<Member>,
     in_force: RefCell<Option<Rc<InForce>>>,
     bounds: watch::Sender<Option<CallerBounds>>,
@@ -190,13 +190,13 @@
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
         let used = link.map_or(0.0, |link| link.borrow_mut().used(now));
-        self.balance.borrow_mut().set_own(used);
+        self.balance.borrow_mut().set_utilisation(used);
         (used * 1000.0) as u32
     }
 
     /// Whether a caller that has its answer is to connect anew.
     pub(crate) fn ends_connection(&self) -> bool {
-        self.is_leaving() || self.balance.borrow_mut().is_to_end(self.now())
+        self.is_leaving() || self.balance.borrow_mut().should_close(self.now())
     }
 
     /// Bytes of a large answer that go out at once, at most.
@@ -359,7 +359,7 @@
             Update::Demand(demand) => placer.set_demand(now, &demand),
             Update::Links(milli) => {
                 let mean = milli.map(|milli| f64::from(milli) / 1000.0);
-                self.balance.borrow_mut().set_mean(now, mean);
+                self.balance.borrow_mut().set_mean_utilisation(now, mean);
             }
         }
     }
--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -27,27 +27,27 @@
 
 /// Compares a gateway with its neighbours.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Balance {
+pub struct ConnectionBalancer {
     own: f64,
     mean: Option<(f64, Moment)>,
     /// Part of an end that is due.
     due: f64,
 }
 
-impl Balance {
+impl ConnectionBalancer {
     /// Takes in how much of its own link is used.
-    pub fn set_own(&mut self, used: f64) {
+    pub fn set_utilisation(&mut self, used: f64) {
         self.own = used;
     }
 
     /// Takes in how much of their links the gateways of its failure domain use on average,
     /// if anybody knows.
-    pub fn set_mean(&mut self, now: Moment, used: Option<f64>) {
+    pub fn set_mean_utilisation(&mut self, now: Moment, used: Option<f64>) {
         self.mean = used.map(|used| (used, now));
     }
 
     /// Whether the connection of this answer is to end.
-    pub fn is_to_end(&mut self, now: Moment) -> bool {
+    pub fn should_close(&mut self, now: Moment) -> bool {
         let told = self.mean.filter(|(_, at)| now < *at + MEAN_KEPT);
         let Some((mean, _)) = told else {
             return false;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -46,7 +46,7 @@
 mod attempts;
 
 pub use admission::LargeShare;
-pub use balance::Balance;
+pub use balance::ConnectionBalancer;
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use cost::Affinity;
 pub use endpoint::{EndpointId, Load, Outcome};
--- a/crates/place/tests/all/balance.rs
+++ b/crates/place/tests/all/balance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_place::Balance;
+use filberthead_place::ConnectionBalancer;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -26,20 +26,20 @@
     for number in 0..CONNECTIONS {
         open[number % (GATEWAYS / 2)] += 1;
     }
-    let mut balances = [Balance::default(); GATEWAYS];
+    let mut balances = [ConnectionBalancer::default(); GATEWAYS];
     for step in 0..(seconds / STEP_S) as usize {
         let now = Duration::from_secs_f64(step as f64 * STEP_S);
         if step % REPORT == 0 {
             let mean = USE * CONNECTIONS as f64 / GATEWAYS as f64;
             for (balance, open) in balances.iter_mut().zip(open) {
-                balance.set_own(USE * open as f64);
-                balance.set_mean(now, balanced.then_some(mean));
+                balance.set_utilisation(USE * open as f64);
+                balance.set_mean_utilisation(now, balanced.then_some(mean));
             }
         }
         for gateway in 0..GATEWAYS {
             let requests = (open[gateway] as f64 * RATE * STEP_S).round() as usize;
             for _ in 0..requests {
-                if balances[gateway].is_to_end(now) {
+                if balances[gateway].should_close(now) {
                     open[gateway] -= 1;
                     open[rng.random_range(0..GATEWAYS)] += 1;
                 }
@@ -64,21 +64,21 @@
 /// A few callers on links that are nearly empty. Nobody waits, so nobody is to move.
 #[test]
 fn nobody_moves_where_links_are_free() {
-    let mut balance = Balance::default();
-    balance.set_own(0.1);
-    balance.set_mean(ms(0), Some(0.01));
-    assert!(!(0..1000).any(|_| balance.is_to_end(ms(1))));
+    let mut balance = ConnectionBalancer::default();
+    balance.set_utilisation(0.1);
+    balance.set_mean_utilisation(ms(0), Some(0.01));
+    assert!(!(0..1000).any(|_| balance.should_close(ms(1))));
 }
 
 /// All of control is down, and a crowd comes. Each gateway has more to do than all had when
 /// the mean was last told; none may take itself for the only one.
 #[test]
 fn nobody_moves_by_an_old_mean() {
-    let mut balance = Balance::default();
-    balance.set_own(0.5);
-    balance.set_mean(ms(0), Some(0.3));
-    assert!((0..1000).any(|_| balance.is_to_end(ms(500))));
-    assert!(!(0..1000).any(|_| balance.is_to_end(ms(3000))));
-    balance.set_mean(ms(3000), None);
-    assert!(!(0..1000).any(|_| balance.is_to_end(ms(3001))));
+    let mut balance = ConnectionBalancer::default();
+    balance.set_utilisation(0.5);
+    balance.set_mean_utilisation(ms(0), Some(0.3));
+    assert!((0..1000).any(|_| balance.should_close(ms(500))));
+    assert!(!(0..1000).any(|_| balance.should_close(ms(3000))));
+    balance.set_mean_utilisation(ms(3000), None);
+    assert!(!(0..1000).any(|_| balance.should_close(ms(3001))));
 }
