--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -12,7 +12,7 @@
 use filberthead_fleet::{Delay, Load, Member, Outbound, Stamp, Update};
 use filberthead_observe::{GatewayMetrics, LineAllowance};
 use filberthead_peer::Body;
-use filberthead_place::{ConnectionBalancer, LargeShare, Link, Placer};
+use filberthead_place::{ConnectionBalancer, LargeResponseAdmission, Link, Placer};
 use filberthead_ring::Sender;
 use filberthead_route::{CallerBounds, Matcher};
 use filberthead_types::{Moment, ResultCode};
@@ -45,7 +45,7 @@
     /// The VM's link, if its rate is known.
     pub(crate) link: Option<Link>,
     /// What large answers may take of it.
-    pub(crate) large: Option<LargeShare>,
+    pub(crate) large: Option<LargeResponseAdmission>,
     /// Callers' connections that are open.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -85,7 +85,7 @@
     pub(crate) metrics: Arc<GatewayMetrics>,
     /// The VM's link, if its rate is known.
     link: Option<RefCell<Link>>,
-    large: Option<RefCell<LargeShare>>,
+    large: Option<RefCell<LargeResponseAdmission>>,
     balance: RefCell<ConnectionBalancer>,
     member: RefCell<Member>,
     in_force: RefCell<Option<Rc<InForce>>>,
@@ -152,7 +152,7 @@
     /// Notes bytes of a short message that go out.
     pub(crate) fn sends(&self, bytes: usize) {
         if let Some(large) = &self.large {
-            large.borrow_mut().sent_short(bytes);
+            large.borrow_mut().record_short(bytes);
         }
         self.sends_piece(bytes);
     }
@@ -175,7 +175,7 @@
     /// Notes the length of a large answer.
     pub(crate) fn observe_large(&self, bytes: u64) {
         if let Some(large) = &self.large {
-            large.borrow_mut().observe(bytes);
+            large.borrow_mut().record_large(bytes);
         }
     }
 
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 use filberthead_fleet::{GatewayInfo, Member, Message};
 use filberthead_observe::GatewayMetrics;
 use filberthead_peer::{Body, Deliver, Origin, Transport, TransportError, cluster_id};
-use filberthead_place::{RetryBudgetConfig, Config, LargeShare, Link, Placer};
+use filberthead_place::{RetryBudgetConfig, Config, LargeResponseAdmission, Link, Placer};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_settings::GatewaySettings;
 use filberthead_types::Incarnation;
@@ -244,7 +244,7 @@
         link: cfg.link_rate.map(|rate| Link::new(rate * BITS_PER_MBIT)),
         large: cfg
             .link_rate
-            .map(|rate| LargeShare::new(rate * BITS_PER_MBIT)),
+            .map(|rate| LargeResponseAdmission::new(rate * BITS_PER_MBIT)),
         metrics,
         seeds: seeded.subscribe(),
     };
--- a/crates/place/src/admission.rs
+++ b/crates/place/src/admission.rs
@@ -28,7 +28,7 @@
 
 /// The part of a link that large answers may take.
 #[derive(Clone, Copy, Debug)]
-pub struct LargeShare {
+pub struct LargeResponseAdmission {
     bytes_per_s: f64,
     /// Bytes that large answers may take now; below zero by what was taken on in advance.
     budget: f64,
@@ -40,7 +40,7 @@
     size: f64,
 }
 
-impl LargeShare {
+impl LargeResponseAdmission {
     /// The share of a link of so many bits a second.
     pub fn new(bits_per_s: f64) -> Self {
         let bytes_per_s = bits_per_s / 8.0;
@@ -55,12 +55,12 @@
     }
 
     /// Notes bytes of a short message.
-    pub fn sent_short(&mut self, bytes: usize) {
+    pub fn record_short(&mut self, bytes: usize) {
         self.short += bytes as f64;
     }
 
     /// Notes the length of a large answer.
-    pub fn observe(&mut self, bytes: u64) {
+    pub fn record_large(&mut self, bytes: u64) {
         self.size += NEW_SIZE * (bytes as f64 - self.size);
     }
 
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -45,7 +45,7 @@
 mod shift;
 mod attempts;
 
-pub use admission::LargeShare;
+pub use admission::LargeResponseAdmission;
 pub use balance::ConnectionBalancer;
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use cost::Affinity;
--- a/crates/place/tests/all/link.rs
+++ b/crates/place/tests/all/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_place::{LargeShare, Link};
+use filberthead_place::{LargeResponseAdmission, Link};
 use filberthead_types::Moment;
 
 use crate::support::ms;
@@ -78,15 +78,15 @@
 fn peak(short_per_s: u64, large_per_s: u64) -> (f64, f64) {
     const BITS: f64 = 4_000_000.0;
     const SECONDS: u64 = 20;
-    let mut share = LargeShare::new(BITS);
+    let mut share = LargeResponseAdmission::new(BITS);
     let (mut bytes, mut taken) = (0, 0);
     for at in 0..SECONDS * 1000 {
         if at % (1000 / short_per_s) == 0 {
-            share.sent_short(SHORT);
+            share.record_short(SHORT);
             bytes += SHORT;
         }
         if at % (1000 / large_per_s) == 0 && share.admit(ms(at), false).is_ok() {
-            share.observe(DOWNLOAD as u64);
+            share.record_large(DOWNLOAD as u64);
             bytes += DOWNLOAD;
             taken += 1;
         }
@@ -115,7 +115,7 @@
 /// callers that come back for nothing.
 #[test]
 fn a_download_that_comes_back_is_taken_on_first() {
-    let mut share = LargeShare::new(4_000_000.0);
+    let mut share = LargeResponseAdmission::new(4_000_000.0);
     let refused = (0..100).find_map(|_| share.admit(ms(10), false).err());
     let room_in = refused.expect("a hundred at once don't fit");
     assert!(room_in >= Duration::from_millis(100), "{room_in:?}");
