--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -160,7 +160,7 @@
     /// Notes bytes of a large answer that go out.
     pub(crate) fn sends_piece(&self, bytes: usize) {
         if let Some(link) = &self.link {
-            link.borrow_mut().sent(self.now(), bytes);
+            link.borrow_mut().record_sent(self.now(), bytes);
         }
     }
 
@@ -182,14 +182,14 @@
     /// How much longer the link has other things to send than large answers.
     pub(crate) fn link_busy_for(&self) -> Option<Duration> {
         let now = self.now();
-        let at = self.link.as_ref()?.borrow().next_piece(now)?;
+        let at = self.link.as_ref()?.borrow().next_chunk_at(now)?;
         Some(at.saturating_sub(now))
     }
 
     /// Thousandths of the link that are in use.
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
-        let used = link.map_or(0.0, |link| link.borrow_mut().used(now));
+        let used = link.map_or(0.0, |link| link.borrow_mut().utilisation(now));
         self.balance.borrow_mut().set_utilisation(used);
         (used * 1000.0) as u32
     }
@@ -202,7 +202,7 @@
     /// Bytes of a large answer that go out at once, at most.
     pub(crate) fn piece(&self) -> usize {
         let link = self.link.as_ref();
-        link.map_or(usize::MAX, |link| link.borrow().piece())
+        link.map_or(usize::MAX, |link| link.borrow().max_chunk())
     }
 
     /// The routes in force, if any are known.
--- a/crates/place/src/link.rs
+++ b/crates/place/src/link.rs
@@ -14,11 +14,11 @@
 use filberthead_types::Moment;
 
 /// Time that a piece takes on the link: what a short message may wait for one.
-const PIECE: Duration = Duration::from_millis(8);
+const CHUNK: Duration = Duration::from_millis(8);
 /// Smallest piece: below it a wake-up costs more than it saves.
-const MIN_PIECE: usize = 4 * 1024;
+const MIN_CHUNK: usize = 4 * 1024;
 /// Largest piece: all that is at hand of an answer at once.
-const MAX_PIECE: usize = 64 * 1024;
+const MAX_CHUNK: usize = 64 * 1024;
 /// Reckoned queue up to which another piece is sent, so that a timer that fires late
 /// doesn't leave the link idle.
 const AHEAD: Duration = Duration::from_millis(6);
@@ -37,7 +37,7 @@
     /// Bytes since its use was last averaged.
     since: f64,
     averaged: Moment,
-    used: f64,
+    utilisation: f64,
 }
 
 impl Link {
@@ -48,39 +48,39 @@
             free_at: Moment::ZERO,
             since: 0.0,
             averaged: Moment::ZERO,
-            used: 0.0,
+            utilisation: 0.0,
         }
     }
 
     /// Notes bytes that are sent now.
-    pub fn sent(&mut self, now: Moment, bytes: usize) {
+    pub fn record_sent(&mut self, now: Moment, bytes: usize) {
         let takes = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
         self.free_at = self.free_at.max(now) + takes;
         self.since += bytes as f64;
     }
 
     /// Part of the link that was used lately. Is to be asked regularly.
-    pub fn used(&mut self, now: Moment) -> f64 {
+    pub fn utilisation(&mut self, now: Moment) -> f64 {
         let passed = now.saturating_sub(self.averaged).as_secs_f64();
         if passed > 0.0 {
             let weight = (passed / USE_OVER.as_secs_f64()).min(1.0);
             let lately = self.since / passed / self.bytes_per_s;
-            self.used += weight * (lately - self.used);
+            self.utilisation += weight * (lately - self.utilisation);
             self.since = 0.0;
             self.averaged = now;
         }
-        self.used
+        self.utilisation
     }
 
     /// When the next piece of a large answer may be sent; `None` at once.
-    pub fn next_piece(&self, now: Moment) -> Option<Moment> {
+    pub fn next_chunk_at(&self, now: Moment) -> Option<Moment> {
         let at = self.free_at.saturating_sub(AHEAD);
         (at > now).then_some(at)
     }
 
     /// Bytes of a piece, at most.
-    pub fn piece(&self) -> usize {
-        let bytes = (self.bytes_per_s * PIECE.as_secs_f64()) as usize;
-        bytes.clamp(MIN_PIECE, MAX_PIECE)
+    pub fn max_chunk(&self) -> usize {
+        let bytes = (self.bytes_per_s * CHUNK.as_secs_f64()) as usize;
+        bytes.clamp(MIN_CHUNK, MAX_CHUNK)
     }
 }
--- a/crates/place/tests/all/link.rs
+++ b/crates/place/tests/all/link.rs
@@ -27,7 +27,7 @@
 
     /// Sends bytes; returns when the last of them is there.
     fn send(&mut self, now: Moment, bytes: usize) -> Moment {
-        self.link.sent(now, bytes);
+        self.link.record_sent(now, bytes);
         let takes = Duration::from_secs_f64(bytes as f64 * 8.0 / BITS_PER_S);
         self.free_at = self.free_at.max(now) + takes;
         self.free_at
@@ -48,8 +48,8 @@
             worst = worst.max(there - now);
         }
         for rest in &mut left {
-            if *rest > 0 && wire.link.next_piece(now).is_none() {
-                let piece = wire.link.piece().min(*rest);
+            if *rest > 0 && wire.link.next_chunk_at(now).is_none() {
+                let piece = wire.link.max_chunk().min(*rest);
                 done = done.max(wire.send(now, piece));
                 *rest -= piece;
             }
@@ -67,8 +67,8 @@
 fn a_fast_link_sends_at_once() {
     let mut link = Link::new(1_000_000_000.0);
     for now in (0..100).map(ms) {
-        assert_eq!(link.next_piece(now), None);
-        link.sent(now, link.piece());
+        assert_eq!(link.next_chunk_at(now), None);
+        link.record_sent(now, link.max_chunk());
     }
 }
 
