--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -143,7 +143,7 @@
             placer.set_routes(&site::table());
             placer.set_endpoints(ms(self.now), site::endpoints());
             placer.set_gateways(&counts);
-            placer.plan(ms(self.now));
+            placer.update_plans(ms(self.now));
             self.gateways.push(placer);
         }
     }
@@ -206,7 +206,7 @@
     fn come(&mut self, request: usize) {
         let asked = &self.requests[request];
         let service = asked.wish.kind.service();
-        self.gateways[asked.wish.gateway].arrived(ms(self.now), &service);
+        self.gateways[asked.wish.gateway].record_request(ms(self.now), &service);
         self.place(request);
     }
 
@@ -323,9 +323,9 @@
         let asked = &self.requests[request];
         let took = ms(self.now - asked.sent);
         let placer = &mut self.gateways[asked.wish.gateway];
-        placer.reported(ms(self.now), &target, load);
+        placer.record_load(ms(self.now), &target, load);
         let service = asked.wish.kind.service();
-        placer.ended(ms(self.now), &service, &target, Outcome::Served(took));
+        placer.record_outcome(ms(self.now), &service, &target, Outcome::Served(took));
         let in_time = self.now - asked.came + CALLER_MS <= asked.wish.kind.objective_ms;
         self.finish(request, if in_time { End::InTime } else { End::Late });
     }
@@ -337,8 +337,8 @@
         let asked = &mut self.requests[request];
         let service = asked.wish.kind.service();
         let placer = &mut self.gateways[asked.wish.gateway];
-        placer.reported(ms(self.now), &target, load);
-        placer.ended(ms(self.now), &service, &target, Outcome::Full);
+        placer.record_load(ms(self.now), &target, load);
+        placer.record_outcome(ms(self.now), &service, &target, Outcome::Full);
         let further = asked.tries.record_refused(placer.may_retry_same_endpoint(true));
         if further == NextAttempt::Allowed && placer.try_spend_retry(ms(self.now), &service) {
             self.place(request);
@@ -372,7 +372,7 @@
         let asked = &self.requests[request];
         let outcome = Outcome::Abandoned(ms(self.now - asked.sent));
         let service = asked.wish.kind.service();
-        self.gateways[asked.wish.gateway].ended(ms(self.now), &service, &target, outcome);
+        self.gateways[asked.wish.gateway].record_outcome(ms(self.now), &service, &target, outcome);
         self.finish(request, End::Lost);
     }
 
@@ -393,9 +393,9 @@
             if !self.told.is_empty() {
                 placer.set_demand(ms(self.now), &self.told);
             }
-            placer.plan(ms(self.now));
+            placer.update_plans(ms(self.now));
             let region = &regions[&domains[number / each]];
-            let demand = placer.demand(ms(self.now)).into_iter();
+            let demand = placer.take_demand(ms(self.now)).into_iter();
             told.extend(demand.map(|d| (region.clone(), d.service, d.busy_milli)));
         }
         self.told = told;
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -110,7 +110,7 @@
             took_ms = now.saturating_sub(self.begun).as_millis(), outcome:? = self.outcome;
             "attempt ended");
         let mut placer = self.core.placer.borrow_mut();
-        placer.ended(now, self.service, self.target, self.outcome);
+        placer.record_outcome(now, self.service, self.target, self.outcome);
     }
 }
 
@@ -273,11 +273,11 @@
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
     if let Some(load) = load(text(headers, &core.dialect.load)) {
-        placer.reported(now, target, load);
+        placer.record_load(now, target, load);
     }
     let cold = text(headers, &core.dialect.cold_ms).parse::<u64>();
     if let Some(ms) = cold.ok().filter(|ms| *ms > 0) {
-        placer.is_cold(now, target, Duration::from_millis(ms));
+        placer.record_cold(now, target, Duration::from_millis(ms));
     }
 }
 
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -99,7 +99,7 @@
     };
     core.placer
         .borrow_mut()
-        .arrived(core.now(), &target.service);
+        .record_request(core.now(), &target.service);
     let kind = route.kind.as_str();
     let carried = Carried {
         core,
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -353,7 +353,7 @@
                     "list of endpoints changed");
                 let left = placer.change_endpoints(now, change);
                 self.leave(&left);
-                self.metrics.endpoints(placer.endpoints());
+                self.metrics.endpoints(placer.endpoint_count());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
             Update::Demand(demand) => placer.set_demand(now, &demand),
@@ -390,18 +390,18 @@
         let placer = &self.placer;
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
-            placer.plan(now);
+            placer.update_plans(now);
             // Working out what is believed costs more than the line itself.
             let beliefs = match log_enabled!(Level::Debug) {
-                true => placer.beliefs(now),
+                true => placer.estimates(now),
                 false => Vec::new(),
             };
             for belief in beliefs {
-                debug!(service:% = belief.service, away:? = belief.away, times:? = belief.times,
+                debug!(service:% = belief.service, away:? = belief.remote_shares, times:? = belief.response_times,
                     demand:? = belief.demand, capacity:? = belief.capacity; "plan");
             }
             Load {
-                demand: placer.demand(now),
+                demand: placer.take_demand(now),
                 link_milli: self.link_milli(now),
             }
         });
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -53,6 +53,6 @@
 pub use link::Link;
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use placer::Placer;
-pub use planning::Belief;
+pub use planning::ServiceEstimate;
 pub use request::{Config, Decision, Object, Refusal, Request, Target};
 pub use attempts::{NextAttempt, Attempts};
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -155,7 +155,7 @@
     }
 
     /// How many endpoints are listed.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Notes a request of a caller.
-    pub fn arrived(&mut self, now: Moment, service: &ServiceName) {
+    pub fn record_request(&mut self, now: Moment, service: &ServiceName) {
         self.retry_budget.record_first(now, service);
         self.first_arrival.get_or_insert(now);
         if !self.own_demand.contains_key(service) {
@@ -216,21 +216,21 @@
     }
 
     /// Notes the load that an endpoint has reported with an answer.
-    pub fn reported(&mut self, now: Moment, target: &Target, load: Load) {
+    pub fn record_load(&mut self, now: Moment, target: &Target, load: Load) {
         if let Some(state) = self.state(target) {
             state.reported(now, load);
         }
     }
 
     /// Notes that an endpoint says that it is cold for so much longer.
-    pub fn is_cold(&mut self, now: Moment, target: &Target, left: Duration) {
+    pub fn record_cold(&mut self, now: Moment, target: &Target, left: Duration) {
         if let Some(state) = self.state(target) {
             state.cold.cold_until(now, now + left);
         }
     }
 
     /// Notes how a request that was placed has ended.
-    pub fn ended(&mut self, now: Moment, service: &ServiceName, target: &Target, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Moment, service: &ServiceName, target: &Target, outcome: Outcome) {
         if let Outcome::Served(took) = outcome {
             self.learn_way(service, target, took);
         }
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -99,13 +99,13 @@
 
 /// What a placer believes of a service, for logs.
 #[derive(Clone, Debug)]
-pub struct Belief {
+pub struct ServiceEstimate {
     /// The service.
     pub service: ServiceName,
     /// Time of an answer where the object is known, and where it isn't.
-    pub times: (Duration, Duration),
+    pub response_times: (Duration, Duration),
     /// Parts of its requests that run in other regions.
-    pub away: BTreeMap<Region, f64>,
+    pub remote_shares: BTreeMap<Region, f64>,
     /// Busy slots that each region is asked for, as told.
     pub demand: BTreeMap<Region, f64>,
     /// Slots that each region has.
@@ -114,7 +114,7 @@
 
 impl Placer {
     /// What this gateway was asked to carry lately, for its report.
-    pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
+    pub fn take_demand(&mut self, now: Moment) -> Vec<Demand> {
         let times = &self.times;
         let of = |(service, own): (&ServiceName, &mut OwnDemand)| {
             let per_s = own.take(now);
@@ -128,7 +128,7 @@
     }
 
     /// Moves the plan of each service towards what demand and capacity ask for.
-    pub fn plan(&mut self, now: Moment) {
+    pub fn update_plans(&mut self, now: Moment) {
         let stage = self.stage(now);
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
@@ -246,11 +246,11 @@
     }
 
     /// What is believed of each service of the routes.
-    pub fn beliefs(&self, now: Moment) -> Vec<Belief> {
-        let belief = |service: &ServiceName| Belief {
+    pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
+        let belief = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
-            times: self.times.get(service).map(Times::both).unwrap_or_default(),
-            away: self.plans.get(service).map(Plan::parts).unwrap_or_default(),
+            response_times: self.times.get(service).map(Times::both).unwrap_or_default(),
+            remote_shares: self.plans.get(service).map(Plan::parts).unwrap_or_default(),
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
         };
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -111,7 +111,7 @@
                 continue;
             }
             let gateway = rng.random_range(0..gateways.len());
-            gateways[gateway].arrived(ms(at), &service);
+            gateways[gateway].record_request(ms(at), &service);
             first.push(at);
             while gateways[gateway].try_spend_retry(ms(at), &service) {
                 further.push(at);
@@ -180,11 +180,11 @@
                     3 => Outcome::Broken,
                     _ => Outcome::Abandoned(ms(50)),
                 };
-                gateway.ended(ms(at), &service, &target, outcome);
+                gateway.record_outcome(ms(at), &service, &target, outcome);
             }
         }
         for target in &running {
-            gateway.ended(ms(100), &service, target, Outcome::Abandoned(ms(50)));
+            gateway.record_outcome(ms(100), &service, target, Outcome::Abandoned(ms(50)));
         }
         let later = ms(60_000);
         let three: Vec<_> = (0..3)
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -112,10 +112,10 @@
     );
     let service = service();
     let broken = place(&mut placer, ms(0), "o").expect("a place");
-    placer.ended(ms(1), &service, &broken, Outcome::Broken);
+    placer.record_outcome(ms(1), &service, &broken, Outcome::Broken);
     let other = place(&mut placer, ms(2), "o").expect("a place");
     assert_ne!(other.id, broken.id);
-    placer.ended(ms(3), &service, &other, Outcome::Broken);
+    placer.record_outcome(ms(3), &service, &other, Outcome::Broken);
     assert!(place(&mut placer, ms(4), "o").is_some());
 }
 
@@ -158,7 +158,7 @@
         let target = place(&mut placer, ms(number), "o").expect("a place");
         if target.id == first.id {
             silent += 1;
-            placer.ended(
+            placer.record_outcome(
                 ms(number),
                 &service(),
                 &target,
@@ -190,7 +190,7 @@
         assert_ne!(other.id, first.id, "at {at}");
         served(&mut placer, ms(at), &other, ms(100));
     }
-    placer.ended(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
+    placer.record_outcome(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
     let after = place(&mut placer, ms(1110), "o").expect("a place");
     assert_ne!(
         after.id, first.id,
@@ -315,7 +315,7 @@
             panic!("both endpoints are idle");
         };
         if failed.is_none() {
-            placer.ended(now, &service, &target, Outcome::Failed);
+            placer.record_outcome(now, &service, &target, Outcome::Failed);
             failed = Some(target.id);
         } else {
             came_back |= failed.as_ref() == Some(&target.id);
--- a/crates/place/tests/all/refusals.rs
+++ b/crates/place/tests/all/refusals.rs
@@ -58,9 +58,9 @@
             return Some(target.id);
         }
         if load_told {
-            placer.reported(ms(at), &target, idle());
+            placer.record_load(ms(at), &target, idle());
         }
-        placer.ended(ms(at), &service, &target, Outcome::Full);
+        placer.record_outcome(ms(at), &service, &target, Outcome::Full);
         if attempts.record_refused(load_told) == NextAttempt::Exhausted {
             return None;
         }
@@ -103,8 +103,8 @@
         };
         if target.id == id("a") {
             late += u32::from(number >= 200);
-            placer.reported(now, &target, idle());
-            placer.ended(now, &service, &target, Outcome::Full);
+            placer.record_load(now, &target, idle());
+            placer.record_outcome(now, &service, &target, Outcome::Full);
         } else {
             served(&mut placer, now, &target, ms(90));
         }
@@ -119,7 +119,7 @@
 fn an_endpoint_that_refuses_with_slots_free_is_not_full() {
     let mut placer = placer("north-1", vec![endpoint("a", "north-1")]);
     let target = place(&mut placer, ms(0), "o").expect("a place");
-    placer.reported(ms(10), &target, idle());
-    placer.ended(ms(10), &service(), &target, Outcome::Full);
+    placer.record_load(ms(10), &target, idle());
+    placer.record_outcome(ms(10), &service(), &target, Outcome::Full);
     assert!(place(&mut placer, ms(11), "o").is_some());
 }
--- a/crates/place/tests/all/regions.rs
+++ b/crates/place/tests/all/regions.rs
@@ -23,12 +23,12 @@
     let mut south = 0;
     for number in 0..per_s {
         let now = from + ms(1000 * number / per_s);
-        placer.arrived(now, &service());
+        placer.record_request(now, &service());
         let target = place(placer, now, &format!("o-{}", number % 40)).expect("a place");
         south += u64::from(target.id.starts_with('s'));
         served(placer, now, &target, ms(100) + target.overhead);
         if number % (per_s / 2) == 0 {
-            placer.plan(now);
+            placer.update_plans(now);
         }
     }
     south
@@ -48,7 +48,7 @@
 fn a_region_with_too_few_endpoints_has_objects_elsewhere() {
     let mut placer = placer("north-1", lopsided());
     gateways(&mut placer);
-    placer.plan(ms(0));
+    placer.update_plans(ms(0));
     for number in 0..30 {
         told(&mut placer, ms(1000 * number), 9000, 4000);
         second(&mut placer, ms(1000 * number), 80);
@@ -80,7 +80,7 @@
 fn the_part_that_runs_elsewhere_changes_slowly() {
     let mut placer = placer("north-1", lopsided());
     gateways(&mut placer);
-    placer.plan(ms(0));
+    placer.update_plans(ms(0));
     let mut before: Option<f64> = None;
     for window in 0..30 {
         let busy = if (window / 5) % 2 == 0 { 1000 } else { 12_000 };
@@ -119,7 +119,7 @@
     let mut placer = placer("north-1", lopsided());
     gateways(&mut placer);
     told(&mut placer, ms(0), 9000, 4000);
-    placer.plan(ms(0));
+    placer.update_plans(ms(0));
     let south = second(&mut placer, ms(100), 80);
     assert!((32..=64).contains(&south), "{south} of 80");
 }
@@ -189,7 +189,7 @@
     placer.set_evacuated(ms(0), [domain("north-1")].into());
     for number in 0..400 {
         let now = ms(number * 20);
-        placer.arrived(now, &service());
+        placer.record_request(now, &service());
         let target = place(placer, now, "o").expect("a place");
         served(placer, now, &target, ms(100 + way));
     }
@@ -228,10 +228,10 @@
     let mut placer = placer("north-1", lopsided());
     let begun = ms(8000);
     for number in 0..50 {
-        placer.arrived(begun + ms(number * 10), &service());
+        placer.record_request(begun + ms(number * 10), &service());
     }
-    let told = placer.demand(begun + ms(500));
-    let work = placer.beliefs(begun)[0].times.0;
+    let told = placer.take_demand(begun + ms(500));
+    let work = placer.estimates(begun)[0].response_times.0;
     let busy = f64::from(told[0].busy_milli) / 1000.0;
     let wanted = 100.0 * work.as_secs_f64();
     assert!((busy - wanted).abs() < 0.1 * wanted, "{busy} of {wanted}");
@@ -272,9 +272,9 @@
             let now = ms(2000 * window + 5 * number);
             if number % 100 == 0 {
                 told(&mut placer, now, 9000, 4000);
-                placer.plan(now);
+                placer.update_plans(now);
             }
-            placer.arrived(now, &service());
+            placer.record_request(now, &service());
             let object = format!("o-{}", number % 40);
             // What is refused runs nowhere.
             let Some(target) = place(&mut placer, now, &object) else {
@@ -284,7 +284,7 @@
             if target.id.starts_with('s') {
                 south += 1;
                 if window >= 5 {
-                    placer.reported(now, &target, full);
+                    placer.record_load(now, &target, full);
                 }
             }
             served(&mut placer, now, &target, ms(100) + target.overhead);
--- a/crates/place/tests/all/restarts.rs
+++ b/crates/place/tests/all/restarts.rs
@@ -29,7 +29,7 @@
 }
 
 fn ended(placer: &mut Placer, now: Moment, target: &Target, outcome: Outcome) {
-    placer.ended(now, &service(), target, outcome);
+    placer.record_outcome(now, &service(), target, outcome);
 }
 
 /// A gateway whose one endpoint holds a request, and the request's place.
@@ -149,8 +149,8 @@
             running: 30,
             waiting: 30,
         };
-        placer.reported(ms(110), &earlier, load);
-        placer.is_cold(ms(110), &earlier, ms(60_000));
+        placer.record_load(ms(110), &earlier, load);
+        placer.record_cold(ms(110), &earlier, ms(60_000));
         ended(&mut placer, ms(110), &earlier, outcome);
         let own = place(&mut placer, ms(111), "o").expect("a place");
         // Its own request is silent for too long now, also if another's end came meanwhile.
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -143,7 +143,7 @@
 }
 
 pub(crate) fn served(placer: &mut Placer, now: Moment, target: &Target, took: Duration) {
-    placer.ended(now, &service(), target, Outcome::Served(took));
+    placer.record_outcome(now, &service(), target, Outcome::Served(took));
 }
 
 pub(crate) fn id(name: &str) -> EndpointId {
--- a/crates/place/tests/all/surge.rs
+++ b/crates/place/tests/all/surge.rs
@@ -94,8 +94,8 @@
                     waiting: server.waiting.len() as u32,
                 };
                 let placer = &mut gateways[work.gateway];
-                placer.ended(ms(now), &service, &work.target, Outcome::Served(ms(took)));
-                placer.reported(ms(now), &work.target, load);
+                placer.record_outcome(ms(now), &service, &work.target, Outcome::Served(ms(took)));
+                placer.record_load(ms(now), &work.target, load);
                 let came = (work.came / 1000) as usize;
                 counts[came].1 += u32::from(took <= OBJECTIVE);
             }
