--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -171,6 +171,6 @@
             window: Duration::from_secs(10),
         },
         max_shift: 0.15,
-        without: Default::default(),
+        disabled: Default::default(),
     }
 }
--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -138,7 +138,7 @@
         self.gateways.clear();
         for number in 0..domains.len() * each {
             let mut cfg = site::config(number, &domains[number / each]);
-            cfg.without = self.without.clone();
+            cfg.disabled = self.without.clone();
             let mut placer = Placer::new(cfg);
             placer.set_routes(&site::table());
             placer.set_endpoints(ms(self.now), site::endpoints());
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -177,8 +177,8 @@
         let decision = self.place();
         let target = match decision {
             Decision::Send(target) => target,
-            Decision::Refuse { why, retry_after } => {
-                return match why {
+            Decision::Refuse { reason, retry_after } => {
+                return match reason {
                     // Those that there are have sent it back.
                     Refusal::NoEndpoint if self.tries.was_refused() => {
                         self.refused(ResultCode::Overloaded, SOON)
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -274,6 +274,6 @@
             window: cfg.budgets.retry_window,
         },
         max_shift: cfg.budgets.max_shift,
-        without: BTreeSet::new(),
+        disabled: BTreeSet::new(),
     }
 }
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -69,14 +69,14 @@
         let is_kept = planned.as_ref().is_some_and(|r| !self.may_fall(&req, r));
         let Some(chosen) = self.choose(&req, planned.as_ref(), &best, is_kept) else {
             return Decision::Refuse {
-                why: Refusal::NoEndpoint,
+                reason: Refusal::NoEndpoint,
                 retry_after: self.come_back(req.objective),
             };
         };
         if self.is_hopeless(&req, &chosen, is_kept) {
             let wait = Duration::from_secs_f64(chosen.wait);
             return Decision::Refuse {
-                why: Refusal::Overloaded,
+                reason: Refusal::Overloaded,
                 retry_after: self.come_back(wait),
             };
         }
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -24,12 +24,12 @@
     /// Part of a region's requests that may change regions from one window to the next.
     pub max_shift: f64,
     /// Parts of the decision that are left out, in measurements.
-    pub without: BTreeSet<Mechanism>,
+    pub disabled: BTreeSet<Mechanism>,
 }
 
 impl Config {
     pub(crate) fn uses(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
 
@@ -105,7 +105,7 @@
     /// Refuse it; nothing has run.
     Refuse {
         /// Why.
-        why: Refusal,
+        reason: Refusal,
         /// When the caller may come back.
         retry_after: Duration,
     },
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -102,7 +102,7 @@
             window: Duration::from_secs(10),
         },
         max_shift: 0.15,
-        without: BTreeSet::new(),
+        disabled: BTreeSet::new(),
     });
     placer.set_routes(&table());
     placer.set_endpoints(ms(0), endpoints);
@@ -138,7 +138,7 @@
 pub(crate) fn refusal(placer: &mut Placer, now: Moment, req: Request<'_>) -> Option<Refusal> {
     match placer.place(now, req) {
         Decision::Send(_) => None,
-        Decision::Refuse { why, .. } => Some(why),
+        Decision::Refuse { reason, .. } => Some(reason),
     }
 }
 
