--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -12,7 +12,7 @@
 
 use filberthead_fleet::Order;
 use filberthead_ledger::{Claim, Verdict, Verdicts};
-use filberthead_route::{Held, Offered};
+use filberthead_route::{LatestChange, OfferResult};
 use filberthead_table::{Command, Outcome, Table};
 use filberthead_types::{FailureDomain, ReplicaId};
 use serde::{Deserialize, Serialize};
@@ -56,7 +56,7 @@
     /// Who went on, by home and config.
     pub(crate) verdicts: Verdicts,
     /// The routes in force.
-    pub(crate) routes: Held,
+    pub(crate) routes: LatestChange,
     /// Index of the entry that put them in force; 0 for none.
     pub(crate) routes_at: u64,
     /// Failure domains whose endpoints are to get nothing.
@@ -91,7 +91,7 @@
     fn order(&mut self, index: u64, order: &Order) {
         match order {
             Order::Routes(change) => {
-                if self.routes.offer(change) == Offered::Taken {
+                if self.routes.offer(change) == OfferResult::Accepted {
                     self.routes_at = index;
                 }
             }
--- a/crates/route/src/change.rs
+++ b/crates/route/src/change.rs
@@ -21,33 +21,33 @@
 
 /// What came of a change that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferResult {
     /// It is in force.
-    Taken,
+    Accepted,
     /// One with this number or a higher one is in force already; nothing has changed.
-    Overtaken,
+    Superseded,
 }
 
 /// The change in force, if there has been any.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Held {
+pub struct LatestChange {
     newest: Option<Arc<Change>>,
 }
 
-impl Held {
+impl LatestChange {
     /// Takes a change if its number is higher than that of the one in force. Under an
     /// equal number the first content stays: somebody may act on it already.
-    pub fn offer(&mut self, change: &Change) -> Offered {
+    pub fn offer(&mut self, change: &Change) -> OfferResult {
         if self
             .newest
             .as_ref()
             .is_some_and(|held| held.version >= change.version)
         {
-            return Offered::Overtaken;
+            return OfferResult::Superseded;
         }
         self.newest = Some(Arc::new(change.clone()));
-        Offered::Taken
+        OfferResult::Accepted
     }
 
     /// The change in force.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Table`] is one whole configuration of routes. Operators replace it as a whole, as
 //! a numbered [`Change`]; of two changes the one with the higher number is in force,
-//! whatever the order in which they arrive ([`Held::offer`]). So a change that is sent
+//! whatever the order in which they arrive ([`LatestChange::offer`]). So a change that is sent
 //! again, or delivered late, can't take back a newer one.
 //!
 //! Invariants relied on elsewhere:
@@ -18,7 +18,7 @@
 mod split;
 mod table;
 
-pub use change::{Change, Held, Offered};
+pub use change::{Change, LatestChange, OfferResult};
 pub use delta::Delta;
 pub use matcher::{Matched, Matcher};
 pub use split::Split;
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filberthead_route::{
-    CallerBounds, Change, Delta, Held, InvalidTable, Kind, Matcher, Offered, Route, Service, Table,
+    CallerBounds, Change, Delta, LatestChange, InvalidTable, Kind, Matcher, OfferResult, Route, Service, Table,
     Target,
 };
 
@@ -108,13 +108,13 @@
 /// must stay what the first holder of the highest number made it.
 #[test]
 fn only_a_higher_number_takes_effect() {
-    let mut held = Held::default();
+    let mut held = LatestChange::default();
     let first = change(7, vec![route("a", "/", vec![target("orders", 1)])]);
-    assert_eq!(held.offer(&first), Offered::Taken);
-    assert_eq!(held.offer(&change(7, Vec::new())), Offered::Overtaken);
-    assert_eq!(held.offer(&change(6, Vec::new())), Offered::Overtaken);
+    assert_eq!(held.offer(&first), OfferResult::Accepted);
+    assert_eq!(held.offer(&change(7, Vec::new())), OfferResult::Superseded);
+    assert_eq!(held.offer(&change(6, Vec::new())), OfferResult::Superseded);
     assert_eq!(held.newest().map(|c| c.table.routes.len()), Some(1));
-    assert_eq!(held.offer(&change(9, Vec::new())), Offered::Taken);
+    assert_eq!(held.offer(&change(9, Vec::new())), OfferResult::Accepted);
     assert_eq!(held.newest().map(|c| c.version), Some(9));
 }
 
