--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -87,7 +87,7 @@
     let route = &matched.route;
     arrival.route = Some(route);
     let deadline = Deadline::new(begun, &head.headers, &core.dialect.deadline_ms, route);
-    let Some(target) = route.targets.get(matched.split.deal()) else {
+    let Some(target) = route.targets.get(matched.split.pick()) else {
         return arrival.turn_away(ResultCode::NoEndpoint, Some(STARTING));
     };
     if body.size_hint().lower() > in_force.bounds.body_bytes {
--- a/crates/route/src/split.rs
+++ b/crates/route/src/split.rs
@@ -14,7 +14,7 @@
 pub struct Split {
     /// Sums of the weights up to and including each target.
     bounds: Vec<u64>,
-    dealt: AtomicU64,
+    picks: AtomicU64,
 }
 
 impl Split {
@@ -26,12 +26,12 @@
         });
         Self {
             bounds: bounds.collect(),
-            dealt: AtomicU64::new(0),
+            picks: AtomicU64::new(0),
         }
     }
 
     /// Index of the target that the next request goes to.
-    pub fn deal(&self) -> usize {
+    pub fn pick(&self) -> usize {
         let Some(total) = self
             .bounds
             .last()
@@ -40,7 +40,7 @@
         else {
             return 0;
         };
-        let turn = self.dealt.fetch_add(1, Ordering::Relaxed);
+        let turn = self.picks.fetch_add(1, Ordering::Relaxed);
         // The upper half of the sequence's value as a fraction of 2^32, times the total.
         let part = ((turn.wrapping_mul(STEP) >> 32) * total) >> 32;
         self.bounds.partition_point(|bound| *bound <= part)
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -169,9 +169,9 @@
             let matcher = Matcher::new(&table(routes));
             let matched = matcher.find("a", "/").expect("a route");
             (0..*skip).for_each(|_| {
-                matched.split.deal();
+                matched.split.pick();
             });
-            let first = (0..100).filter(|_| matched.split.deal() == 0).count() as f64;
+            let first = (0..100).filter(|_| matched.split.pick() == 0).count() as f64;
             let part = 100.0 * f64::from(a) / f64::from(a + b);
             assert!((first - part).abs() <= 3.0, "{first} of 100, not {part}");
         });
