--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use filberthead_fleet::{Endpoint, EndpointState};
-use filberthead_place::{RetryBudgetConfig, Config};
+use filberthead_place::{Config, RetryBudgetConfig};
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table, Target};
 use filberthead_types::{FailureDomain, Region, ServiceName};
 
--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use filberthead_place::{
-    Decision, EndpointId, NextAttempt, Load, Mechanism, Object, Outcome, Placer, Request, Target, Attempts,
+    Attempts, Decision, EndpointId, Load, Mechanism, NextAttempt, Object, Outcome, Placer, Request,
+    Target,
 };
 use filberthead_types::{Region, ServiceName};
 use rand::rngs::StdRng;
@@ -339,7 +340,9 @@
         let placer = &mut self.gateways[asked.wish.gateway];
         placer.record_load(ms(self.now), &target, load);
         placer.record_outcome(ms(self.now), &service, &target, Outcome::Full);
-        let further = asked.tries.record_refused(placer.may_retry_same_endpoint(true));
+        let further = asked
+            .tries
+            .record_refused(placer.may_retry_same_endpoint(true));
         if further == NextAttempt::Allowed && placer.try_spend_retry(ms(self.now), &service) {
             self.place(request);
         } else {
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use filberthead_endpoint::RequestBody;
-use filberthead_place::{Decision, EndpointId, NextAttempt, Object, Refusal, Request as Wanted, Attempts};
+use filberthead_place::{
+    Attempts, Decision, EndpointId, NextAttempt, Object, Refusal, Request as Wanted,
+};
 use filberthead_route::{Kind, Matched, Route};
 use filberthead_types::{ResultCode, ServiceName, header};
 use http::request::Parts;
@@ -177,7 +179,10 @@
         let decision = self.place();
         let target = match decision {
             Decision::Send(target) => target,
-            Decision::Refuse { reason, retry_after } => {
+            Decision::Refuse {
+                reason,
+                retry_after,
+            } => {
                 return match reason {
                     // Those that there are have sent it back.
                     Refusal::NoEndpoint if self.tries.was_refused() => {
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 use filberthead_fleet::{GatewayInfo, Member, Message};
 use filberthead_observe::GatewayMetrics;
 use filberthead_peer::{Body, Deliver, Origin, Transport, TransportError, cluster_id};
-use filberthead_place::{RetryBudgetConfig, Config, LargeResponseAdmission, Link, Placer};
+use filberthead_place::{Config, LargeResponseAdmission, Link, Placer, RetryBudgetConfig};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_settings::GatewaySettings;
 use filberthead_types::Incarnation;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -29,8 +29,8 @@
 //!   gateways, without their talking.
 
 mod admission;
+mod attempts;
 mod balance;
-mod retry_budget;
 mod cold;
 mod cost;
 mod decide;
@@ -42,12 +42,12 @@
 mod planning;
 mod rank;
 mod request;
+mod retry_budget;
 mod shift;
-mod attempts;
 
 pub use admission::LargeResponseAdmission;
+pub use attempts::{Attempts, NextAttempt};
 pub use balance::ConnectionBalancer;
-pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use cost::Affinity;
 pub use endpoint::{EndpointId, Load, Outcome};
 pub use link::Link;
@@ -55,4 +55,4 @@
 pub use placer::Placer;
 pub use planning::ServiceEstimate;
 pub use request::{Config, Decision, Object, Refusal, Request, Target};
-pub use attempts::{NextAttempt, Attempts};
+pub use retry_budget::{RetryBudget, RetryBudgetConfig};
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -13,7 +13,7 @@
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
 use crate::shift::Shift;
-use crate::{RetryBudget, Config, Load, Mechanism, Outcome, Target, rank};
+use crate::{Config, Load, Mechanism, Outcome, RetryBudget, Target, rank};
 
 /// Weight of a new observation of a way: about the last fifty count, and half of a change
 /// is learned within as many answers.
@@ -230,7 +230,13 @@
     }
 
     /// Notes how a request that was placed has ended.
-    pub fn record_outcome(&mut self, now: Moment, service: &ServiceName, target: &Target, outcome: Outcome) {
+    pub fn record_outcome(
+        &mut self,
+        now: Moment,
+        service: &ServiceName,
+        target: &Target,
+        outcome: Outcome,
+    ) {
         if let Outcome::Served(took) = outcome {
             self.learn_way(service, target, took);
         }
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -6,7 +6,7 @@
 
 use filberthead_types::{FailureDomain, Incarnation, NodeName, Region, ServiceName};
 
-use crate::{Affinity, RetryBudgetConfig, EndpointId, Mechanism};
+use crate::{Affinity, EndpointId, Mechanism, RetryBudgetConfig};
 
 /// Where a gateway is and what bounds it.
 #[derive(Clone, Debug)]
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -141,7 +141,10 @@
     let refused = loop {
         match gateway.place(ms(0), request(&service, b"o")) {
             Decision::Send(_) => placed += 1,
-            Decision::Refuse { reason, retry_after } => break (reason, retry_after),
+            Decision::Refuse {
+                reason,
+                retry_after,
+            } => break (reason, retry_after),
         }
         assert!(placed < 100, "nothing is ever refused");
     };
--- a/crates/place/tests/all/refusals.rs
+++ b/crates/place/tests/all/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use filberthead_place::{Decision, EndpointId, NextAttempt, Load, Outcome, Placer, Attempts};
+use filberthead_place::{Attempts, Decision, EndpointId, Load, NextAttempt, Outcome, Placer};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -7,7 +7,8 @@
 
 use filberthead_fleet::{Endpoint, EndpointState};
 use filberthead_place::{
-    RetryBudgetConfig, Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, Target,
+    Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, RetryBudgetConfig,
+    Target,
 };
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use filberthead_route::{
-    CallerBounds, Change, Delta, LatestChange, InvalidTable, Kind, Matcher, OfferResult, Route, Service, Table,
-    Target,
+    CallerBounds, Change, Delta, InvalidTable, Kind, LatestChange, Matcher, OfferResult, Route,
+    Service, Table, Target,
 };
 
 fn target(service: &str, weight: u32) -> Target {
