--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -105,9 +105,9 @@
     fn object(&self, req: &Request<'_>) -> Option<u64> {
         let object = req.object.filter(|_| self.cfg.uses(Mechanism::Objects))?;
         if self.cfg.uses(Mechanism::Routes) {
-            Some(rank::object(object))
+            Some(rank::hash_object(object))
         } else {
-            Some(rank::name(object.name))
+            Some(rank::hash_name(object.name))
         }
     }
 
@@ -118,11 +118,11 @@
             return None;
         }
         let plan = self.plans.get(req.service)?;
-        let turn = rank::place(rank::turn(self.turns));
+        let turn = rank::unit_position(rank::spread_sequence(self.turns));
         let place = match object {
             // Requests for an object near the edge of a part are divided, so that a few
             // objects that stand close together don't move at the same moment.
-            Some(object) => (rank::place(object) + EDGE * (turn - 0.5)).clamp(0.0, 1.0),
+            Some(object) => (rank::unit_position(object) + EDGE * (turn - 0.5)).clamp(0.0, 1.0),
             None => turn,
         };
         plan.region(place).cloned()
@@ -187,7 +187,7 @@
         let times = self.times(req);
         // Requests that concern no object go round, or all gateways would send them to the
         // first of the idle endpoints on the list.
-        let key = object.unwrap_or_else(|| rank::turn(self.turns));
+        let key = object.unwrap_or_else(|| rank::spread_sequence(self.turns));
         let mut best: BTreeMap<Region, Candidate> = BTreeMap::new();
         for (region, indices) in by_region(&self.endpoints, &open) {
             // Where all gateways of this region send the object.
@@ -281,8 +281,8 @@
         let service = self.services.get(&e.service);
         let per_s = service.map_or(1.0, |service| service.cold_per_s);
         let sharers = sharers(&self.gateways, &self.cfg.regions, e.region.as_ref());
-        let own = rank::name(self.cfg.gateway.as_str().as_bytes());
-        let phase = rank::place(rank::preference(own, &e.id));
+        let own = rank::hash_name(self.cfg.gateway.as_str().as_bytes());
+        let phase = rank::unit_position(rank::score(own, &e.id));
         Part::new(per_s, sharers, phase)
     }
 
@@ -300,7 +300,7 @@
         let preference = |i: &usize| {
             let e = &self.endpoints[*i];
             let is_near = large && e.domain == self.cfg.domain;
-            std::cmp::Reverse((is_near, rank::preference(key, &e.id)))
+            std::cmp::Reverse((is_near, rank::score(key, &e.id)))
         };
         order.sort_by_cached_key(preference);
         order
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -65,7 +65,7 @@
             informed: None,
             found_callers: None,
             first_arrival: None,
-            turns: rank::name(cfg.gateway.as_str().as_bytes()),
+            turns: rank::hash_name(cfg.gateway.as_str().as_bytes()),
             evacuated: BTreeSet::new(),
             gateways: BTreeMap::new(),
             retry_budget: RetryBudget::new(cfg.retry_budget),
--- a/crates/place/src/rank.rs
+++ b/crates/place/src/rank.rs
@@ -8,26 +8,26 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// The number that stands for a name.
-pub(crate) fn name(name: &[u8]) -> u64 {
+pub(crate) fn hash_name(name: &[u8]) -> u64 {
     xxh3_64(name)
 }
 
 /// The number that stands for an object.
-pub(crate) fn object(object: Object<'_>) -> u64 {
-    xxh3_64_with_seed(object.name, name(object.prefix.as_bytes()))
+pub(crate) fn hash_object(object: Object<'_>) -> u64 {
+    xxh3_64_with_seed(object.name, hash_name(object.prefix.as_bytes()))
 }
 
 /// An even sequence for requests that concern no object.
-pub(crate) fn turn(number: u64) -> u64 {
+pub(crate) fn spread_sequence(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
 /// Where an object stands between 0 and 1, independent of its order of endpoints.
-pub(crate) fn place(object: u64) -> f64 {
-    (object >> 11) as f64 / (1_u64 << 53) as f64
+pub(crate) fn unit_position(hash: u64) -> f64 {
+    (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 /// How much an object prefers an endpoint.
-pub(crate) fn preference(object: u64, endpoint: &str) -> u64 {
-    xxh3_64_with_seed(endpoint.as_bytes(), object)
+pub(crate) fn score(key: u64, endpoint: &str) -> u64 {
+    xxh3_64_with_seed(endpoint.as_bytes(), key)
 }
