--- a/crates/place/src/cold.rs
+++ b/crates/place/src/cold.rs
@@ -16,68 +16,68 @@
 
 /// Part of the rate that is used: a gateway that the others don't count yet has a part
 /// as well, and requests sent in different seconds may arrive in the same one.
-const USED: f64 = 0.8;
+const USED_SHARE: f64 = 0.8;
 /// The least that a gateway's part is, in requests a second: with less an endpoint might
 /// stay without any request for as long as it is cold.
-const LEAST: f64 = 0.01;
+const MIN_RATE_PER_S: f64 = 0.01;
 
 /// When the next request may go to an endpoint while it is cold.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ColdGate {
-    since: Moment,
-    until: Moment,
+pub(crate) struct ColdLimiter {
+    cold_since: Moment,
+    cold_until: Moment,
     /// `None` until the first one has gone.
-    next: Option<Moment>,
+    next_at: Option<Moment>,
 }
 
 /// A gateway's part of what a cold endpoint bears.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
+pub(crate) struct ColdShare {
     interval: Duration,
     /// Where in its first interval this gateway begins, from 0 to 1.
     phase: f64,
 }
 
-impl Part {
+impl ColdShare {
     /// The part of one of `gateways` of a rate of `per_s`.
     pub(crate) fn new(per_s: f64, gateways: u32, phase: f64) -> Self {
-        let share = USED * per_s / f64::from(gateways.max(1));
+        let rate = USED_SHARE * per_s / f64::from(gateways.max(1));
         Self {
-            interval: Duration::from_secs_f64(1.0 / share.max(LEAST)),
+            interval: Duration::from_secs_f64(1.0 / rate.max(MIN_RATE_PER_S)),
             phase,
         }
     }
 }
 
-impl ColdGate {
+impl ColdLimiter {
     /// Notes that the endpoint is cold until then, at least.
-    pub(crate) fn cold_until(&mut self, now: Moment, until: Moment) {
-        self.set(now, self.until.max(until));
+    pub(crate) fn extend(&mut self, now: Moment, until: Moment) {
+        self.set_cold_until(now, self.cold_until.max(until));
     }
 
     /// Notes the platform's word on when its cold time ends.
-    pub(crate) fn set(&mut self, now: Moment, until: Moment) {
+    pub(crate) fn set_cold_until(&mut self, now: Moment, until: Moment) {
         if !self.is_cold(now) {
-            self.since = now;
-            self.next = None;
+            self.cold_since = now;
+            self.next_at = None;
         }
-        self.until = until;
+        self.cold_until = until;
     }
 
     pub(crate) fn is_cold(&self, now: Moment) -> bool {
-        now < self.until
+        now < self.cold_until
     }
 
     /// Whether a request may go there now.
-    pub(crate) fn is_open(&self, now: Moment, part: Part) -> bool {
-        let first = || self.since + part.interval.mul_f64(part.phase);
-        !self.is_cold(now) || now >= self.next.unwrap_or_else(first)
+    pub(crate) fn is_open(&self, now: Moment, share: ColdShare) -> bool {
+        let first_at = || self.cold_since + share.interval.mul_f64(share.phase);
+        !self.is_cold(now) || now >= self.next_at.unwrap_or_else(first_at)
     }
 
     /// Notes that one has gone there.
-    pub(crate) fn sent(&mut self, now: Moment, part: Part) {
+    pub(crate) fn record_sent(&mut self, now: Moment, share: ColdShare) {
         if self.is_cold(now) {
-            self.next = Some(now + part.interval);
+            self.next_at = Some(now + share.interval);
         }
     }
 }
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -5,7 +5,7 @@
 
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-use crate::cold::Part;
+use crate::cold::ColdShare;
 use crate::cost::{self, Affinity, Times};
 use crate::endpoint::State;
 use crate::plan::USED;
@@ -149,14 +149,14 @@
     }
 
     fn send(&mut self, now: Moment, object: Option<u64>, chosen: &Candidate) -> Decision {
-        let part = self.part(&self.endpoints[chosen.index]);
+        let share = self.cold_share(&self.endpoints[chosen.index]);
         let state = &mut self.endpoints[chosen.index];
         state.sent(
             now,
             object,
             Duration::from_secs_f64(chosen.answer + chosen.wait),
         );
-        state.cold.sent(now, part);
+        state.cold.record_sent(now, share);
         let target = Target {
             id: state.id.clone(),
             incarnation: state.incarnation,
@@ -273,17 +273,17 @@
 
     fn may_warm(&self, now: Moment, e: &State) -> bool {
         let near = e.region.as_ref() == Some(&self.cfg.region);
-        !e.cold.is_cold(now) || (near && e.cold.is_open(now, self.part(e)))
+        !e.cold.is_cold(now) || (near && e.cold.is_open(now, self.cold_share(e)))
     }
 
     /// This gateway's part of what an endpoint bears while it is cold.
-    fn part(&self, e: &State) -> Part {
+    fn cold_share(&self, e: &State) -> ColdShare {
         let service = self.services.get(&e.service);
         let per_s = service.map_or(1.0, |service| service.cold_per_s);
         let sharers = sharers(&self.gateways, &self.cfg.regions, e.region.as_ref());
         let own = rank::hash_name(self.cfg.gateway.as_str().as_bytes());
         let phase = rank::unit_position(rank::score(own, &e.id));
-        Part::new(per_s, sharers, phase)
+        ColdShare::new(per_s, sharers, phase)
     }
 
     fn times(&self, req: &Request<'_>) -> Times {
--- a/crates/place/src/endpoint.rs
+++ b/crates/place/src/endpoint.rs
@@ -9,7 +9,7 @@
 use filberthead_types::{FailureDomain, Incarnation, Moment, Region, ServiceName};
 
 use crate::Target;
-use crate::cold::ColdGate;
+use crate::cold::ColdLimiter;
 
 /// Identity of an endpoint; several starts may have it.
 pub type EndpointId = Arc<str>;
@@ -77,7 +77,7 @@
     pub(crate) region: Option<Region>,
     pub(crate) slots: u32,
     pub(crate) draining: bool,
-    pub(crate) cold: ColdGate,
+    pub(crate) cold: ColdLimiter,
     /// Requests of this gateway that are there.
     pub(crate) own: u32,
     /// Requests of others, as last reported, and when.
@@ -113,7 +113,7 @@
             region,
             slots: 1,
             draining: false,
-            cold: ColdGate::default(),
+            cold: ColdLimiter::default(),
             own: 0,
             others: 0.0,
             others_at: now,
@@ -153,7 +153,7 @@
         self.slots = listed.slots.max(1);
         self.draining = listed.state == EndpointState::Draining;
         if listed.cold_left > Duration::ZERO {
-            self.cold.set(now, now + listed.cold_left);
+            self.cold.set_cold_until(now, now + listed.cold_left);
         }
     }
 
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -169,7 +169,7 @@
             .filter(|e| back.contains(&e.domain))
         {
             if let Some(service) = self.services.get(&endpoint.service) {
-                endpoint.cold.cold_until(now, now + service.cold_for);
+                endpoint.cold.extend(now, now + service.cold_for);
             }
         }
         self.evacuated = domains;
@@ -225,7 +225,7 @@
     /// Notes that an endpoint says that it is cold for so much longer.
     pub fn record_cold(&mut self, now: Moment, target: &Target, left: Duration) {
         if let Some(state) = self.state(target) {
-            state.cold.cold_until(now, now + left);
+            state.cold.extend(now, now + left);
         }
     }
 
