--- a/crates/place/src/admission.rs
+++ b/crates/place/src/admission.rs
@@ -13,18 +13,18 @@
 
 /// Part of the link up to which large answers are taken on: at half of a link's rate what
 /// waits takes twice the time that it takes on an idle one.
-const USED: f64 = 0.5;
+const MAX_LINK_SHARE: f64 = 0.5;
 /// Part of the link that large answers get however many short messages there are.
-const LEAST: f64 = 0.1;
+const MIN_LARGE_SHARE: f64 = 0.1;
 /// Time over which short messages are averaged.
-const SHORT_OVER: Duration = Duration::from_secs(2);
+const SHORT_AVERAGING: Duration = Duration::from_secs(2);
 /// Large answers that may come at once, by the time that the link takes for them.
-const AT_ONCE: Duration = Duration::from_secs(1);
+const BURST: Duration = Duration::from_secs(1);
 /// Bytes of a large answer before one was seen, and weight of each that is.
 const SIZE_PRIOR: f64 = 64.0 * 1024.0;
-const NEW_SIZE: f64 = 0.1;
+const SIZE_WEIGHT: f64 = 0.1;
 /// Shortest time after which a caller is told to come back.
-const COME_BACK: Duration = Duration::from_millis(100);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 
 /// The part of a link that large answers may take.
 #[derive(Clone, Copy, Debug)]
@@ -34,10 +34,10 @@
     budget: f64,
     /// Bytes of short messages a second, averaged, and since they were.
     short_per_s: f64,
-    short: f64,
-    at: Moment,
+    short_bytes: f64,
+    refilled_at: Moment,
     /// Bytes of a large answer, on average.
-    size: f64,
+    mean_size: f64,
 }
 
 impl LargeResponseAdmission {
@@ -46,55 +46,55 @@
         let bytes_per_s = bits_per_s / 8.0;
         Self {
             bytes_per_s,
-            budget: USED * bytes_per_s * AT_ONCE.as_secs_f64(),
+            budget: MAX_LINK_SHARE * bytes_per_s * BURST.as_secs_f64(),
             short_per_s: 0.0,
-            short: 0.0,
-            at: Moment::ZERO,
-            size: SIZE_PRIOR,
+            short_bytes: 0.0,
+            refilled_at: Moment::ZERO,
+            mean_size: SIZE_PRIOR,
         }
     }
 
     /// Notes bytes of a short message.
     pub fn record_short(&mut self, bytes: usize) {
-        self.short += bytes as f64;
+        self.short_bytes += bytes as f64;
     }
 
     /// Notes the length of a large answer.
     pub fn record_large(&mut self, bytes: u64) {
-        self.size += NEW_SIZE * (bytes as f64 - self.size);
+        self.mean_size += SIZE_WEIGHT * (bytes as f64 - self.mean_size);
     }
 
     /// Takes on a large answer, or tells after which time there is room for it. One whose
     /// caller has come back may use what is there for the next second.
-    pub fn admit(&mut self, now: Moment, returned: bool) -> Result<(), Duration> {
+    pub fn admit(&mut self, now: Moment, is_caller_retry: bool) -> Result<(), Duration> {
         self.refill(now);
-        let least = if returned { -self.most() } else { 0.0 };
-        if self.budget >= least {
-            self.budget -= self.size;
+        let min_budget = if is_caller_retry { -self.burst_bytes() } else { 0.0 };
+        if self.budget >= min_budget {
+            self.budget -= self.mean_size;
             return Ok(());
         }
-        let wait = Duration::from_secs_f64((least - self.budget) / self.per_s());
-        Err(wait.max(COME_BACK))
+        let wait = Duration::from_secs_f64((min_budget - self.budget) / self.large_per_s());
+        Err(wait.max(RETRY_AFTER_MIN))
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        if passed <= 0.0 {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        if elapsed <= 0.0 {
             return;
         }
-        self.at = now;
-        let weight = (passed / SHORT_OVER.as_secs_f64()).min(1.0);
-        self.short_per_s += weight * (self.short / passed - self.short_per_s);
-        self.short = 0.0;
-        self.budget = (self.budget + passed * self.per_s()).min(self.most());
+        self.refilled_at = now;
+        let weight = (elapsed / SHORT_AVERAGING.as_secs_f64()).min(1.0);
+        self.short_per_s += weight * (self.short_bytes / elapsed - self.short_per_s);
+        self.short_bytes = 0.0;
+        self.budget = (self.budget + elapsed * self.large_per_s()).min(self.burst_bytes());
     }
 
     /// Bytes a second that large answers may take.
-    fn per_s(&self) -> f64 {
-        (USED * self.bytes_per_s - self.short_per_s).max(LEAST * self.bytes_per_s)
+    fn large_per_s(&self) -> f64 {
+        (MAX_LINK_SHARE * self.bytes_per_s - self.short_per_s).max(MIN_LARGE_SHARE * self.bytes_per_s)
     }
 
-    fn most(&self) -> f64 {
-        self.per_s() * AT_ONCE.as_secs_f64()
+    fn burst_bytes(&self) -> f64 {
+        self.large_per_s() * BURST.as_secs_f64()
     }
 }
--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -15,51 +15,51 @@
 use filberthead_types::Moment;
 
 /// Use of a link below which nobody waits for it, however uneven.
-const BUSY: f64 = 0.2;
+const MIN_UTILISATION: f64 = 0.2;
 /// Use over the mean that is left alone: what chance makes of a few connections.
-const UNEVEN: f64 = 1.15;
+const MIN_IMBALANCE: f64 = 1.15;
 /// Time for which the mean is believed: some reports. Without control nobody knows it, and
 /// everybody who has more to do than before would end connections for nothing.
-const MEAN_KEPT: Duration = Duration::from_secs(2);
+const MEAN_TTL: Duration = Duration::from_secs(2);
 /// Part of the answers that end a surplus connection: with two requests a second on each,
 /// half of a surplus goes within two to three seconds.
-const PART: f64 = 0.25;
+const CLOSE_RATIO: f64 = 0.25;
 
 /// Compares a gateway with its neighbours.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionBalancer {
-    own: f64,
+    utilisation: f64,
     mean: Option<(f64, Moment)>,
     /// Part of an end that is due.
-    due: f64,
+    pending: f64,
 }
 
 impl ConnectionBalancer {
     /// Takes in how much of its own link is used.
-    pub fn set_utilisation(&mut self, used: f64) {
-        self.own = used;
+    pub fn set_utilisation(&mut self, utilisation: f64) {
+        self.utilisation = utilisation;
     }
 
     /// Takes in how much of their links the gateways of its failure domain use on average,
     /// if anybody knows.
-    pub fn set_mean_utilisation(&mut self, now: Moment, used: Option<f64>) {
-        self.mean = used.map(|used| (used, now));
+    pub fn set_mean_utilisation(&mut self, now: Moment, utilisation: Option<f64>) {
+        self.mean = utilisation.map(|utilisation| (utilisation, now));
     }
 
     /// Whether the connection of this answer is to end.
     pub fn should_close(&mut self, now: Moment) -> bool {
-        let told = self.mean.filter(|(_, at)| now < *at + MEAN_KEPT);
-        let Some((mean, _)) = told else {
+        let current = self.mean.filter(|(_, at)| now < *at + MEAN_TTL);
+        let Some((mean, _)) = current else {
             return false;
         };
-        if self.own < BUSY || self.own < UNEVEN * mean {
+        if self.utilisation < MIN_UTILISATION || self.utilisation < MIN_IMBALANCE * mean {
             return false;
         }
-        self.due += PART * (1.0 - mean / self.own);
-        let ends = self.due >= 1.0;
-        if ends {
-            self.due -= 1.0;
+        self.pending += CLOSE_RATIO * (1.0 - mean / self.utilisation);
+        let closes = self.pending >= 1.0;
+        if closes {
+            self.pending -= 1.0;
         }
-        ends
+        closes
     }
 }
--- a/crates/place/src/link.rs
+++ b/crates/place/src/link.rs
@@ -21,12 +21,12 @@
 const MAX_CHUNK: usize = 64 * 1024;
 /// Reckoned queue up to which another piece is sent, so that a timer that fires late
 /// doesn't leave the link idle.
-const AHEAD: Duration = Duration::from_millis(6);
+const MAX_QUEUE: Duration = Duration::from_millis(6);
 /// Time over which the link's use is averaged: some downloads, and well below the time in
 /// which callers come and go.
-const USE_OVER: Duration = Duration::from_secs(2);
+const UTILISATION_AVERAGING: Duration = Duration::from_secs(2);
 /// Part of the rate that is reckoned with: headers of packets take the rest.
-const USED: f64 = 0.95;
+const PAYLOAD_SHARE: f64 = 0.95;
 
 /// A VM's link, in the direction away from it.
 #[derive(Clone, Copy, Debug)]
@@ -35,8 +35,8 @@
     /// When it will have sent all that was handed to it.
     free_at: Moment,
     /// Bytes since its use was last averaged.
-    since: f64,
-    averaged: Moment,
+    bytes_since: f64,
+    averaged_at: Moment,
     utilisation: f64,
 }
 
@@ -44,37 +44,37 @@
     /// A link of so many bits a second that has nothing to send.
     pub fn new(bits_per_s: f64) -> Self {
         Self {
-            bytes_per_s: (USED * bits_per_s / 8.0).max(1.0),
+            bytes_per_s: (PAYLOAD_SHARE * bits_per_s / 8.0).max(1.0),
             free_at: Moment::ZERO,
-            since: 0.0,
-            averaged: Moment::ZERO,
+            bytes_since: 0.0,
+            averaged_at: Moment::ZERO,
             utilisation: 0.0,
         }
     }
 
     /// Notes bytes that are sent now.
     pub fn record_sent(&mut self, now: Moment, bytes: usize) {
-        let takes = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
-        self.free_at = self.free_at.max(now) + takes;
-        self.since += bytes as f64;
+        let transmission = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
+        self.free_at = self.free_at.max(now) + transmission;
+        self.bytes_since += bytes as f64;
     }
 
     /// Part of the link that was used lately. Is to be asked regularly.
     pub fn utilisation(&mut self, now: Moment) -> f64 {
-        let passed = now.saturating_sub(self.averaged).as_secs_f64();
-        if passed > 0.0 {
-            let weight = (passed / USE_OVER.as_secs_f64()).min(1.0);
-            let lately = self.since / passed / self.bytes_per_s;
-            self.utilisation += weight * (lately - self.utilisation);
-            self.since = 0.0;
-            self.averaged = now;
+        let elapsed = now.saturating_sub(self.averaged_at).as_secs_f64();
+        if elapsed > 0.0 {
+            let weight = (elapsed / UTILISATION_AVERAGING.as_secs_f64()).min(1.0);
+            let recent = self.bytes_since / elapsed / self.bytes_per_s;
+            self.utilisation += weight * (recent - self.utilisation);
+            self.bytes_since = 0.0;
+            self.averaged_at = now;
         }
         self.utilisation
     }
 
     /// When the next piece of a large answer may be sent; `None` at once.
     pub fn next_chunk_at(&self, now: Moment) -> Option<Moment> {
-        let at = self.free_at.saturating_sub(AHEAD);
+        let at = self.free_at.saturating_sub(MAX_QUEUE);
         (at > now).then_some(at)
     }
 
