--- a/crates/place/src/attempts.rs
+++ b/crates/place/src/attempts.rs
@@ -9,15 +9,15 @@
 use crate::EndpointId;
 
 /// Endpoints that may turn out to be out of reach before the caller is told to come back.
-const MAX_UNREACHED: u32 = 3;
+const MAX_UNREACHABLE: u32 = 3;
 
 /// What has become of a request's attempts.
 #[derive(Clone, Debug)]
 pub struct Attempts {
-    most: u32,
+    max: u32,
     made: u32,
     ran: u32,
-    unreached: u32,
+    unreachable: u32,
     refused: u32,
     excluded: Vec<EndpointId>,
 }
@@ -33,12 +33,12 @@
 
 impl Attempts {
     /// None yet, of `most` that may reach an endpoint.
-    pub fn new(most: u32) -> Self {
+    pub fn new(max: u32) -> Self {
         Self {
-            most,
+            max,
             made: 0,
             ran: 0,
-            unreached: 0,
+            unreachable: 0,
             refused: 0,
             excluded: Vec::new(),
         }
@@ -52,8 +52,8 @@
 
     /// The last one was out of reach and has got nothing.
     pub fn record_unreachable(&mut self) -> NextAttempt {
-        self.unreached += 1;
-        if self.unreached < MAX_UNREACHED {
+        self.unreachable += 1;
+        if self.unreachable < MAX_UNREACHABLE {
             NextAttempt::Allowed
         } else {
             NextAttempt::Exhausted
@@ -61,22 +61,22 @@
     }
 
     /// The last one refused it, and may be sent it again or not.
-    pub fn record_refused(&mut self, again: bool) -> NextAttempt {
+    pub fn record_refused(&mut self, allow_same_endpoint: bool) -> NextAttempt {
         self.refused += 1;
-        if again {
+        if allow_same_endpoint {
             self.excluded.pop();
         }
-        self.further()
+        self.next_attempt()
     }
 
     /// The last one may have run it.
     pub fn record_ran(&mut self) -> NextAttempt {
         self.ran += 1;
-        self.further()
+        self.next_attempt()
     }
 
-    fn further(&self) -> NextAttempt {
-        if self.made - self.unreached < self.most {
+    fn next_attempt(&self) -> NextAttempt {
+        if self.made - self.unreachable < self.max {
             NextAttempt::Allowed
         } else {
             NextAttempt::Exhausted
--- a/crates/place/src/retry_budget.rs
+++ b/crates/place/src/retry_budget.rs
@@ -11,11 +11,11 @@
 use filberthead_types::{Moment, ServiceName};
 
 /// Parts that the window is counted in.
-const PARTS: usize = 10;
+const BUCKETS: usize = 10;
 /// Part of the ratio and floor that is spent: attempts are counted when they are made
 /// here and judged when they arrive, and a gateway that starts doesn't know yet how many
 /// share the floor.
-const SPENT: f64 = 0.85;
+const SAFETY_FACTOR: f64 = 0.85;
 
 /// What bounds further attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,17 +29,17 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     number: u64,
     first: u32,
-    further: u32,
+    retries: u32,
 }
 
 /// Counts first and further attempts of each service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
-    services: HashMap<ServiceName, [Part; PARTS]>,
+    services: HashMap<ServiceName, [Bucket; BUCKETS]>,
 }
 
 impl RetryBudget {
@@ -53,46 +53,46 @@
 
     /// Notes a request of a caller.
     pub fn record_first(&mut self, now: Moment, service: &ServiceName) {
-        self.part(now, service).first += 1;
+        self.bucket(now, service).first += 1;
     }
 
     /// Spends a further attempt, if there is one left for this gateway, one of `gateways`.
     pub fn try_spend(&mut self, now: Moment, service: &ServiceName, gateways: u32) -> bool {
-        let oldest = self.number(now).saturating_sub(PARTS as u64 - 1);
-        let (mut first, mut further) = (0, 0);
-        if let Some(parts) = self.services.get(service) {
-            for part in parts.iter().filter(|part| part.number >= oldest) {
-                first += part.first;
-                further += part.further;
+        let oldest = self.bucket_number(now).saturating_sub(BUCKETS as u64 - 1);
+        let (mut first, mut retries) = (0, 0);
+        if let Some(buckets) = self.services.get(service) {
+            for bucket in buckets.iter().filter(|bucket| bucket.number >= oldest) {
+                first += bucket.first;
+                retries += bucket.retries;
             }
         }
         let floor = self.cfg.floor / f64::from(gateways.max(1));
-        let allowed = SPENT * (self.cfg.ratio * f64::from(first) + floor);
-        if f64::from(further) + 1.0 > allowed {
+        let allowed = SAFETY_FACTOR * (self.cfg.ratio * f64::from(first) + floor);
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.part(now, service).further += 1;
+        self.bucket(now, service).retries += 1;
         true
     }
 
-    fn number(&self, now: Moment) -> u64 {
-        let part = self.cfg.window.as_millis().max(PARTS as u128) / PARTS as u128;
-        (now.as_millis() / part) as u64
+    fn bucket_number(&self, now: Moment) -> u64 {
+        let width = self.cfg.window.as_millis().max(BUCKETS as u128) / BUCKETS as u128;
+        (now.as_millis() / width) as u64
     }
 
-    fn part(&mut self, now: Moment, service: &ServiceName) -> &mut Part {
-        let number = self.number(now);
+    fn bucket(&mut self, now: Moment, service: &ServiceName) -> &mut Bucket {
+        let number = self.bucket_number(now);
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Default::default());
         }
-        let parts = self.services.entry(service.clone()).or_default();
-        let part = &mut parts[(number % PARTS as u64) as usize];
-        if part.number != number {
-            *part = Part {
+        let buckets = self.services.entry(service.clone()).or_default();
+        let bucket = &mut buckets[(number % BUCKETS as u64) as usize];
+        if bucket.number != number {
+            *bucket = Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             };
         }
-        part
+        bucket
     }
 }
