--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -7,7 +7,7 @@
 
 use crate::cold::ColdShare;
 use crate::cost::{self, Affinity, Times};
-use crate::endpoint::State;
+use crate::endpoint::TrackedEndpoint;
 use crate::plan::USED;
 use crate::shift::Shift;
 use crate::{Decision, Mechanism, Placer, Refusal, Request, Target, rank};
@@ -151,7 +151,7 @@
     fn send(&mut self, now: Moment, object: Option<u64>, chosen: &Candidate) -> Decision {
         let share = self.cold_share(&self.endpoints[chosen.index]);
         let state = &mut self.endpoints[chosen.index];
-        state.sent(
+        state.record_sent(
             now,
             object,
             Duration::from_secs_f64(chosen.answer + chosen.wait),
@@ -250,12 +250,12 @@
         }
         let all = indices
             .iter()
-            .map(|index| self.endpoints[*index].failing(now));
+            .map(|index| self.endpoints[*index].failure_rate(now));
         all.sum::<f64>() / indices.len().max(1) as f64
     }
 
     fn open(&self, now: Moment, req: &Request<'_>, paused_too: bool) -> Vec<usize> {
-        let open = |e: &State| {
+        let open = |e: &TrackedEndpoint| {
             e.service == *req.service
                 && (e.is_usable(now) || (paused_too && e.is_usable(Moment::MAX)))
                 && !self.evacuated.contains(&e.domain)
@@ -271,13 +271,13 @@
         req.regions.is_empty() || region.is_some_and(|region| req.regions.contains(region))
     }
 
-    fn may_warm(&self, now: Moment, e: &State) -> bool {
+    fn may_warm(&self, now: Moment, e: &TrackedEndpoint) -> bool {
         let near = e.region.as_ref() == Some(&self.cfg.region);
         !e.cold.is_cold(now) || (near && e.cold.is_open(now, self.cold_share(e)))
     }
 
     /// This gateway's part of what an endpoint bears while it is cold.
-    fn cold_share(&self, e: &State) -> ColdShare {
+    fn cold_share(&self, e: &TrackedEndpoint) -> ColdShare {
         let service = self.services.get(&e.service);
         let per_s = service.map_or(1.0, |service| service.cold_per_s);
         let sharers = sharers(&self.gateways, &self.cfg.regions, e.region.as_ref());
@@ -317,7 +317,7 @@
     ) -> Candidate {
         let e = &self.endpoints[index];
         let affinity = match (object, place) {
-            (Some(object), _) if e.knows(now, object) => Affinity::Sent,
+            (Some(object), _) if e.was_recently_sent(now, object) => Affinity::Sent,
             (Some(_), Some(place)) => Affinity::Perhaps(place),
             _ => Affinity::Stranger,
         };
@@ -340,7 +340,7 @@
         let each = times.expected(Affinity::Perhaps(0)) * slowness;
         let wait = cost::wait(load, e.slots, each);
         let failing = match self.cfg.uses(Mechanism::Failing) {
-            true => (e.failing(now) - around.failing).max(0.0) * req.objective.as_secs_f64(),
+            true => (e.failure_rate(now) - around.failing).max(0.0) * req.objective.as_secs_f64(),
             false => 0.0,
         };
         let way = self.way(e);
@@ -361,7 +361,7 @@
     }
 
     /// Seconds that the way there and back takes.
-    fn way(&self, e: &State) -> f64 {
+    fn way(&self, e: &TrackedEndpoint) -> f64 {
         if e.domain == self.cfg.domain {
             0.0
         } else if e.region.as_ref() == Some(&self.cfg.region) {
@@ -373,7 +373,7 @@
     }
 
     /// What the bytes of a large answer are worth, in seconds.
-    fn crossing(&self, e: &State, large: bool) -> f64 {
+    fn crossing(&self, e: &TrackedEndpoint, large: bool) -> f64 {
         if !large || e.domain == self.cfg.domain {
             0.0
         } else if e.region.as_ref() == Some(&self.cfg.region) {
@@ -417,7 +417,7 @@
         .copied()
 }
 
-fn by_region(endpoints: &[State], open: &[usize]) -> BTreeMap<Region, Vec<usize>> {
+fn by_region(endpoints: &[TrackedEndpoint], open: &[usize]) -> BTreeMap<Region, Vec<usize>> {
     let mut regions: BTreeMap<Region, Vec<usize>> = BTreeMap::new();
     for index in open {
         if let Some(region) = &endpoints[*index].region {
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -9,7 +9,7 @@
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
 use crate::cost::{Affinity, Times};
-use crate::endpoint::State;
+use crate::endpoint::TrackedEndpoint;
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
 use crate::shift::Shift;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Placer {
     pub(crate) cfg: Config,
-    pub(crate) endpoints: Vec<State>,
+    pub(crate) endpoints: Vec<TrackedEndpoint>,
     pub(crate) services: HashMap<ServiceName, Service>,
     pub(crate) times: HashMap<ServiceName, Times>,
     pub(crate) plans: HashMap<ServiceName, Plan>,
@@ -136,12 +136,12 @@
     fn follow(
         &self,
         now: Moment,
-        mut state: State,
+        mut state: TrackedEndpoint,
         listed: Endpoint,
         left: &mut Vec<SocketAddr>,
-    ) -> State {
-        if state.is_start(&listed) {
-            state.listed(now, &listed);
+    ) -> TrackedEndpoint {
+        if state.is_same_start(&listed) {
+            state.update(now, &listed);
             return state;
         }
         left.push(state.addr);
@@ -149,9 +149,9 @@
     }
 
     /// What is known of an endpoint that is listed for the first time.
-    fn begin(&self, now: Moment, listed: Endpoint) -> State {
+    fn begin(&self, now: Moment, listed: Endpoint) -> TrackedEndpoint {
         let region = self.cfg.regions.get(&listed.domain).cloned();
-        State::new(now, listed, region)
+        TrackedEndpoint::new(now, listed, region)
     }
 
     /// How many endpoints are listed.
@@ -211,20 +211,20 @@
     }
 
     /// Whether an endpoint that has refused a request may be sent it again.
-    pub fn may_retry_same_endpoint(&self, load_told: bool) -> bool {
-        load_told && self.cfg.uses(Mechanism::SameAgain)
+    pub fn may_retry_same_endpoint(&self, load_reported: bool) -> bool {
+        load_reported && self.cfg.uses(Mechanism::SameAgain)
     }
 
     /// Notes the load that an endpoint has reported with an answer.
     pub fn record_load(&mut self, now: Moment, target: &Target, load: Load) {
-        if let Some(state) = self.state(target) {
-            state.reported(now, load);
+        if let Some(state) = self.tracked_mut(target) {
+            state.record_load(now, load);
         }
     }
 
     /// Notes that an endpoint says that it is cold for so much longer.
     pub fn record_cold(&mut self, now: Moment, target: &Target, left: Duration) {
-        if let Some(state) = self.state(target) {
+        if let Some(state) = self.tracked_mut(target) {
             state.cold.extend(now, now + left);
         }
     }
@@ -247,8 +247,8 @@
             }
             other => other,
         };
-        if let Some(state) = self.state(target) {
-            state.ended(now, outcome, target.expected);
+        if let Some(state) = self.tracked_mut(target) {
+            state.record_outcome(now, outcome, target.expected);
         }
         if let Outcome::Served(took) = outcome
             && let Some(times) = self.times.get_mut(service)
@@ -267,7 +267,7 @@
         let Some(quick) = self.times.get(service).map(Times::quick) else {
             return;
         };
-        let endpoint = self.endpoints.iter().find(|e| e.is_at(target));
+        let endpoint = self.endpoints.iter().find(|e| e.is_target(target));
         let Some(region) = endpoint.and_then(|e| e.region.clone()) else {
             return;
         };
@@ -282,8 +282,8 @@
 
     /// What is known of the start that a request was sent to; none if it is there no more.
     /// What comes late of an earlier start tells nothing about the one that followed.
-    fn state(&mut self, target: &Target) -> Option<&mut State> {
-        self.endpoints.iter_mut().find(|e| e.is_at(target))
+    fn tracked_mut(&mut self, target: &Target) -> Option<&mut TrackedEndpoint> {
+        self.endpoints.iter_mut().find(|e| e.is_target(target))
     }
 }
 
