--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -6,7 +6,7 @@
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
 use crate::cold::ColdShare;
-use crate::cost::{self, Affinity, Times};
+use crate::cost::{self, Affinity, ResponseTimes};
 use crate::endpoint::TrackedEndpoint;
 use crate::plan::USED;
 use crate::shift::Shift;
@@ -184,7 +184,7 @@
             // better than certain failure.
             open = self.open(now, req, true);
         }
-        let times = self.times(req);
+        let times = self.response_times(req);
         // Requests that concern no object go round, or all gateways would send them to the
         // first of the idle endpoints on the list.
         let key = object.unwrap_or_else(|| rank::spread_sequence(self.turns));
@@ -286,10 +286,10 @@
         ColdShare::new(per_s, sharers, phase)
     }
 
-    fn times(&self, req: &Request<'_>) -> Times {
-        let learned = self.times.get(req.service).copied();
+    fn response_times(&self, req: &Request<'_>) -> ResponseTimes {
+        let learned = self.response_times.get(req.service).copied();
         // Its route has just gone.
-        learned.unwrap_or_else(|| Times::new(req.objective))
+        learned.unwrap_or_else(|| ResponseTimes::new(req.objective))
     }
 
     /// Endpoints in the order in which an object prefers them, or whatever the key stands for.
@@ -311,7 +311,7 @@
         now: Moment,
         req: &Request<'_>,
         object: Option<u64>,
-        times: &Times,
+        times: &ResponseTimes,
         place: Option<usize>,
         (index, around): (usize, Around),
     ) -> Candidate {
@@ -327,18 +327,18 @@
             false => 1.0,
         };
         let answer = times.expected(affinity) * slowness;
-        let quick = times.quick() * slowness;
+        let cached = times.cached() * slowness;
         // An object settles where all gateways will send it: its first request there is
         // slow, and all later ones are quick. Without this an endpoint that has just come
         // would get nothing as long as the others have room.
         let settles =
             place == Some(0) && load < f64::from(e.slots) && self.cfg.uses(Mechanism::Settling);
-        let settled = if settles { quick } else { answer };
+        let settled = if settles { cached } else { answer };
         // What others wait longer for, if this one keeps a slot busy to learn the object.
-        let learning = (answer - quick).max(0.0);
+        let learning = (answer - cached).max(0.0);
         let weighed = settled + around.pressure * learning;
         let each = times.expected(Affinity::Perhaps(0)) * slowness;
-        let wait = cost::wait(load, e.slots, each);
+        let wait = cost::slot_wait(load, e.slots, each);
         let failing = match self.cfg.uses(Mechanism::Failing) {
             true => (e.failure_rate(now) - around.failing).max(0.0) * req.objective.as_secs_f64(),
             false => 0.0,
@@ -406,8 +406,8 @@
     /// Whether a request goes where its object lives: as soon as the object is affinity
     /// there, the answer will be in time.
     fn is_worth_it(&self, req: &Request<'_>, planned: &Candidate) -> bool {
-        let quick = self.times(req).quick();
-        planned.way + planned.wait + quick <= req.objective.min(req.remaining).as_secs_f64()
+        let cached = self.response_times(req).cached();
+        planned.way + planned.wait + cached <= req.objective.min(req.remaining).as_secs_f64()
     }
 }
 
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -8,7 +8,7 @@
 use filberthead_route::{Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-use crate::cost::{Affinity, Times};
+use crate::cost::{Affinity, ResponseTimes};
 use crate::endpoint::TrackedEndpoint;
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
@@ -25,7 +25,7 @@
     pub(crate) cfg: Config,
     pub(crate) endpoints: Vec<TrackedEndpoint>,
     pub(crate) services: HashMap<ServiceName, Service>,
-    pub(crate) times: HashMap<ServiceName, Times>,
+    pub(crate) response_times: HashMap<ServiceName, ResponseTimes>,
     pub(crate) plans: HashMap<ServiceName, Plan>,
     /// Where requests of each service run.
     pub(crate) shifts: HashMap<ServiceName, Shift>,
@@ -56,7 +56,7 @@
         Self {
             endpoints: Vec::new(),
             services: HashMap::new(),
-            times: HashMap::new(),
+            response_times: HashMap::new(),
             plans: HashMap::new(),
             shifts: HashMap::new(),
             demand: BTreeMap::new(),
@@ -78,13 +78,13 @@
     pub fn set_routes(&mut self, table: &Table) {
         let services = table.services.iter();
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
-        self.times
+        self.response_times
             .retain(|service, _| self.services.contains_key(service));
         self.shifts
             .retain(|service, _| self.services.contains_key(service));
         for (service, objective) in objectives(table) {
-            let times = self.times.entry(service.clone());
-            times.or_insert_with(|| Times::new(objective));
+            let times = self.response_times.entry(service.clone());
+            times.or_insert_with(|| ResponseTimes::new(objective));
         }
     }
 
@@ -251,9 +251,9 @@
             state.record_outcome(now, outcome, target.expected);
         }
         if let Outcome::Served(took) = outcome
-            && let Some(times) = self.times.get_mut(service)
+            && let Some(times) = self.response_times.get_mut(service)
         {
-            times.observe(target.affinity, target.has_object, took);
+            times.record(target.affinity, target.has_object, took);
         }
     }
 
@@ -264,7 +264,7 @@
         if target.affinity != Affinity::Sent || waited {
             return;
         }
-        let Some(quick) = self.times.get(service).map(Times::quick) else {
+        let Some(cached) = self.response_times.get(service).map(ResponseTimes::cached) else {
             return;
         };
         let endpoint = self.endpoints.iter().find(|e| e.is_target(target));
@@ -274,7 +274,7 @@
         if region == self.cfg.region {
             return;
         }
-        let seen = (took.as_secs_f64() - quick).max(0.0);
+        let seen = (took.as_secs_f64() - cached).max(0.0);
         let way = self.ways.entry(region).or_insert(target.rtt.as_secs_f64());
         // One that met a queue tells little of the way.
         *way += NEW_WAY * (seen.min(2.0 * *way + 0.01) - *way);
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -140,7 +140,7 @@
     /// Requests for a few objects don't spread evenly, so some endpoints are busier than
     /// others and the wait is averaged over them.
     fn wait(&self, utilisation: f64) -> f64 {
-        let at = |part: f64| part * cost::queue(part * utilisation, self.slots, self.work);
+        let at = |part: f64| part * cost::mean_queue_wait(part * utilisation, self.slots, self.work);
         (at(1.0 - UNEVEN) + 2.0 * at(1.0) + at(1.0 + UNEVEN)) / 4.0
     }
 
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -9,7 +9,7 @@
 use filberthead_fleet::Demand;
 use filberthead_types::{Moment, Region, ServiceName};
 
-use crate::cost::Times;
+use crate::cost::ResponseTimes;
 use crate::decide::FAR;
 use crate::plan::{self, Outlook, Pace, Plan, Slots};
 use crate::{Mechanism, Placer};
@@ -115,13 +115,13 @@
 impl Placer {
     /// What this gateway was asked to carry lately, for its report.
     pub fn take_demand(&mut self, now: Moment) -> Vec<Demand> {
-        let times = &self.times;
+        let times = &self.response_times;
         let of = |(service, own): (&ServiceName, &mut OwnDemand)| {
             let per_s = own.take(now);
-            let quick = times.get(service).map(Times::quick)?;
+            let cached = times.get(service).map(ResponseTimes::cached)?;
             Some(Demand {
                 service: service.clone(),
-                busy_milli: (per_s * quick * 1000.0).round() as u32,
+                busy_milli: (per_s * cached * 1000.0).round() as u32,
             })
         };
         self.own_demand.iter_mut().filter_map(of).collect()
@@ -190,7 +190,7 @@
             demand,
             capacity,
             slots: self.slots_each(service),
-            work: self.times.get(service).map_or(0.0, Times::quick),
+            work: self.response_times.get(service).map_or(0.0, ResponseTimes::cached),
             way: self.way_out(),
         }
     }
@@ -249,7 +249,7 @@
     pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
         let belief = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
-            response_times: self.times.get(service).map(Times::both).unwrap_or_default(),
+            response_times: self.response_times.get(service).map(ResponseTimes::both).unwrap_or_default(),
             remote_shares: self.plans.get(service).map(Plan::parts).unwrap_or_default(),
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
