--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -9,7 +9,7 @@
 use crate::cost::{self, Affinity, ResponseTimes};
 use crate::endpoint::TrackedEndpoint;
 use crate::plan::USED;
-use crate::shift::Shift;
+use crate::shift::RegionShares;
 use crate::{Decision, Mechanism, Placer, Refusal, Request, Target, rank};
 
 /// Cost in seconds of each further place in the order, between endpoints that are alike
@@ -66,7 +66,7 @@
         let object = self.object(&req);
         let planned = self.planned(&req, object);
         let best = self.best_by_region(now, &req, object, planned.as_ref());
-        let is_kept = planned.as_ref().is_some_and(|r| !self.may_fall(&req, r));
+        let is_kept = planned.as_ref().is_some_and(|r| !self.may_decrease(&req, r));
         let Some(chosen) = self.choose(&req, planned.as_ref(), &best, is_kept) else {
             return Decision::Refuse {
                 reason: Refusal::NoEndpoint,
@@ -80,25 +80,25 @@
                 retry_after: self.come_back(wait),
             };
         }
-        self.note_region(now, req.service, &chosen);
+        self.record_region(now, req.service, &chosen);
         self.send(now, object, &chosen)
     }
 
     /// Whether fewer requests may run in this region than did.
-    fn may_fall(&self, req: &Request<'_>, region: &Region) -> bool {
-        let shift = self.shifts.get(req.service);
-        shift.is_none_or(|shift| shift.may_fall(region))
+    fn may_decrease(&self, req: &Request<'_>, region: &Region) -> bool {
+        let shares = self.region_shares.get(req.service);
+        shares.is_none_or(|shares| shares.may_decrease(region))
     }
 
-    fn note_region(&mut self, now: Moment, service: &ServiceName, chosen: &Candidate) {
+    fn record_region(&mut self, now: Moment, service: &ServiceName, chosen: &Candidate) {
         let Some(region) = &self.endpoints[chosen.index].region else {
             return;
         };
-        if !self.shifts.contains_key(service) {
-            self.shifts.insert(service.clone(), Shift::default());
+        if !self.region_shares.contains_key(service) {
+            self.region_shares.insert(service.clone(), RegionShares::default());
         }
-        if let Some(shift) = self.shifts.get_mut(service) {
-            shift.sent(now, region, USED * self.cfg.max_shift);
+        if let Some(shares) = self.region_shares.get_mut(service) {
+            shares.record_sent(now, region, USED * self.cfg.max_shift);
         }
     }
 
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::TrackedEndpoint;
 use crate::plan::{Plan, Slots};
 use crate::planning::OwnDemand;
-use crate::shift::Shift;
+use crate::shift::RegionShares;
 use crate::{Config, Load, Mechanism, Outcome, RetryBudget, Target, rank};
 
 /// Weight of a new observation of a way: about the last fifty count, and half of a change
@@ -28,7 +28,7 @@
     pub(crate) response_times: HashMap<ServiceName, ResponseTimes>,
     pub(crate) plans: HashMap<ServiceName, Plan>,
     /// Where requests of each service run.
-    pub(crate) shifts: HashMap<ServiceName, Shift>,
+    pub(crate) region_shares: HashMap<ServiceName, RegionShares>,
     /// What gateways of each region were asked to carry, as control sums it up.
     pub(crate) demand: BTreeMap<ServiceName, Slots>,
     /// When that was last told.
@@ -58,7 +58,7 @@
             services: HashMap::new(),
             response_times: HashMap::new(),
             plans: HashMap::new(),
-            shifts: HashMap::new(),
+            region_shares: HashMap::new(),
             demand: BTreeMap::new(),
             demand_at: Moment::ZERO,
             own_demand: HashMap::new(),
@@ -80,7 +80,7 @@
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
         self.response_times
             .retain(|service, _| self.services.contains_key(service));
-        self.shifts
+        self.region_shares
             .retain(|service, _| self.services.contains_key(service));
         for (service, objective) in objectives(table) {
             let times = self.response_times.entry(service.clone());
--- a/crates/place/src/shift.rs
+++ b/crates/place/src/shift.rs
@@ -15,52 +15,52 @@
 
 /// Time over which the part that runs in a region is averaged: half a window, so that the
 /// mean follows within the window over which change is bounded.
-const AVERAGED_OVER: Duration = Duration::from_secs(1);
+const AVERAGING: Duration = Duration::from_secs(1);
 
 /// Requests that stand for what isn't known yet: of a gateway that sends a few in a second,
 /// one more or less says little about the part that runs elsewhere.
-const UNKNOWN: f64 = 5.0;
+const PRIOR_REQUESTS: f64 = 5.0;
 
 /// Requests of one service that run in each region, and how few may run there next.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Shift {
+pub(crate) struct RegionShares {
     /// Requests that ran lately, older ones counting for less.
-    all: f64,
-    regions: BTreeMap<Region, Part>,
-    at: Moment,
+    total: f64,
+    regions: BTreeMap<Region, RegionShare>,
+    updated_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct RegionShare {
     /// Requests that ran there lately, on the scale of `Shift::all`.
-    ran: f64,
+    recent: f64,
     /// The least part of all requests that is to run there.
-    floor: f64,
+    min_share: f64,
 }
 
-impl Shift {
+impl RegionShares {
     /// Notes a request that is sent to a region. `per_window` is the part of requests that
     /// may move from one window to the next.
-    pub(crate) fn sent(&mut self, now: Moment, to: &Region, per_window: f64) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        let kept = (-passed / AVERAGED_OVER.as_secs_f64()).exp();
-        let fallen = per_window * passed / WINDOW.as_secs_f64();
+    pub(crate) fn record_sent(&mut self, now: Moment, to: &Region, max_change: f64) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let decay = (-elapsed / AVERAGING.as_secs_f64()).exp();
+        let decrease = max_change * elapsed / WINDOW.as_secs_f64();
         if !self.regions.contains_key(to) {
-            self.regions.insert(to.clone(), Part::default());
+            self.regions.insert(to.clone(), RegionShare::default());
         }
-        self.all = self.all * kept + 1.0;
-        for (region, part) in &mut self.regions {
-            part.ran = part.ran * kept + f64::from(u8::from(region == to));
-            part.floor = (part.floor - fallen).max(part.ran / (self.all + UNKNOWN));
+        self.total = self.total * decay + 1.0;
+        for (region, share) in &mut self.regions {
+            share.recent = share.recent * decay + f64::from(u8::from(region == to));
+            share.min_share = (share.min_share - decrease).max(share.recent / (self.total + PRIOR_REQUESTS));
         }
     }
 
     /// Whether requests that the plan sends to a region may run elsewhere, or not at all.
-    pub(crate) fn may_fall(&self, region: &Region) -> bool {
-        let Some(part) = self.regions.get(region) else {
+    pub(crate) fn may_decrease(&self, region: &Region) -> bool {
+        let Some(share) = self.regions.get(region) else {
             return true;
         };
-        part.ran > part.floor * self.all
+        share.recent > share.min_share * self.total
     }
 }
