--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -8,7 +8,7 @@
 use crate::cold::ColdShare;
 use crate::cost::{self, Affinity, ResponseTimes};
 use crate::endpoint::TrackedEndpoint;
-use crate::plan::USED;
+use crate::plan::SHIFT_FRACTION;
 use crate::shift::RegionShares;
 use crate::{Decision, Mechanism, Placer, Refusal, Request, Target, rank};
 
@@ -98,7 +98,7 @@
             self.region_shares.insert(service.clone(), RegionShares::default());
         }
         if let Some(shares) = self.region_shares.get_mut(service) {
-            shares.record_sent(now, region, USED * self.cfg.max_shift);
+            shares.record_sent(now, region, SHIFT_FRACTION * self.cfg.max_shift);
         }
     }
 
@@ -125,7 +125,7 @@
             Some(object) => (rank::unit_position(object) + EDGE * (turn - 0.5)).clamp(0.0, 1.0),
             None => turn,
         };
-        plan.region(place).cloned()
+        plan.region_at(place).cloned()
     }
 
     fn come_back(&self, after: Duration) -> Duration {
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -10,14 +10,14 @@
 
 use crate::cost::{Affinity, ResponseTimes};
 use crate::endpoint::TrackedEndpoint;
-use crate::plan::{Plan, Slots};
+use crate::plan::{Plan, SlotsByRegion};
 use crate::planning::OwnDemand;
 use crate::shift::RegionShares;
 use crate::{Config, Load, Mechanism, Outcome, RetryBudget, Target, rank};
 
 /// Weight of a new observation of a way: about the last fifty count, and half of a change
 /// is learned within as many answers.
-const NEW_WAY: f64 = 0.02;
+const RTT_EWMA_WEIGHT: f64 = 0.02;
 
 /// What a gateway knows of endpoints.
 #[derive(Clone, Debug)]
@@ -30,24 +30,24 @@
     /// Where requests of each service run.
     pub(crate) region_shares: HashMap<ServiceName, RegionShares>,
     /// What gateways of each region were asked to carry, as control sums it up.
-    pub(crate) demand: BTreeMap<ServiceName, Slots>,
+    pub(crate) demand: BTreeMap<ServiceName, SlotsByRegion>,
     /// When that was last told.
     pub(crate) demand_at: Moment,
     /// What this gateway was asked to carry since the last report.
     pub(crate) own_demand: HashMap<ServiceName, OwnDemand>,
     /// When endpoints were first known.
-    pub(crate) informed: Option<Moment>,
+    pub(crate) endpoints_known_at: Option<Moment>,
     /// Whether others were serving when this gateway first heard of them.
-    pub(crate) found_callers: Option<bool>,
+    pub(crate) found_demand: Option<bool>,
     /// When callers first came.
-    pub(crate) first_arrival: Option<Moment>,
+    pub(crate) first_request_at: Option<Moment>,
     /// Turns of requests, for those that concern no object; each gateway begins elsewhere.
-    pub(crate) turns: u64,
+    pub(crate) request_counter: u64,
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     pub(crate) gateways: BTreeMap<FailureDomain, u32>,
     pub(crate) retry_budget: RetryBudget,
     /// Learned ways to other regions and back, in seconds.
-    pub(crate) ways: HashMap<Region, f64>,
+    pub(crate) rtts: HashMap<Region, f64>,
 }
 
 impl Placer {
@@ -62,14 +62,14 @@
             demand: BTreeMap::new(),
             demand_at: Moment::ZERO,
             own_demand: HashMap::new(),
-            informed: None,
-            found_callers: None,
-            first_arrival: None,
-            turns: rank::hash_name(cfg.gateway.as_str().as_bytes()),
+            endpoints_known_at: None,
+            found_demand: None,
+            first_request_at: None,
+            request_counter: rank::hash_name(cfg.gateway.as_str().as_bytes()),
             evacuated: BTreeSet::new(),
             gateways: BTreeMap::new(),
             retry_budget: RetryBudget::new(cfg.retry_budget),
-            ways: HashMap::new(),
+            rtts: HashMap::new(),
             cfg,
         }
     }
@@ -93,63 +93,63 @@
     /// Returns the addresses of starts that others have followed: connections to them are
     /// of no use.
     pub fn set_endpoints(&mut self, now: Moment, list: Vec<Endpoint>) -> Vec<SocketAddr> {
-        self.informed.get_or_insert(now);
-        let held = std::mem::take(&mut self.endpoints);
-        let mut held: HashMap<_, _> = held.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let mut left = Vec::new();
+        self.endpoints_known_at.get_or_insert(now);
+        let previous = std::mem::take(&mut self.endpoints);
+        let mut previous: HashMap<_, _> = previous.into_iter().map(|e| (e.id.clone(), e)).collect();
+        let mut replaced = Vec::new();
         for listed in list {
-            let state = match held.remove(listed.id.as_str()) {
-                Some(state) => self.follow(now, state, listed, &mut left),
-                None => self.begin(now, listed),
+            let state = match previous.remove(listed.id.as_str()) {
+                Some(state) => self.update_or_replace(now, state, listed, &mut replaced),
+                None => self.track(now, listed),
             };
             self.endpoints.push(state);
         }
         // A request may still be at an endpoint that has left the list; it isn't counted
         // for anything any more.
-        left
+        replaced
     }
 
     /// Takes in what has changed on the platform's list, and returns as
     /// [`Self::set_endpoints`] does.
     pub fn change_endpoints(&mut self, now: Moment, change: EndpointChange) -> Vec<SocketAddr> {
-        self.informed.get_or_insert(now);
+        self.endpoints_known_at.get_or_insert(now);
         let gone: BTreeSet<&str> = change.gone.iter().map(String::as_str).collect();
         self.endpoints.retain(|e| !gone.contains(&*e.id));
-        let mut left = Vec::new();
+        let mut replaced = Vec::new();
         for listed in change.changed {
             match self.endpoints.iter().position(|e| *e.id == *listed.id) {
                 Some(index) => {
                     let state = self.endpoints[index].clone();
-                    self.endpoints[index] = self.follow(now, state, listed, &mut left);
+                    self.endpoints[index] = self.update_or_replace(now, state, listed, &mut replaced);
                 }
                 None => {
-                    let state = self.begin(now, listed);
+                    let state = self.track(now, listed);
                     self.endpoints.push(state);
                 }
             }
         }
-        left
+        replaced
     }
 
     /// What is known of an endpoint that was listed before. If it has started anew, that is
     /// nothing, and the earlier start has left.
-    fn follow(
+    fn update_or_replace(
         &self,
         now: Moment,
         mut state: TrackedEndpoint,
         listed: Endpoint,
-        left: &mut Vec<SocketAddr>,
+        replaced: &mut Vec<SocketAddr>,
     ) -> TrackedEndpoint {
         if state.is_same_start(&listed) {
             state.update(now, &listed);
             return state;
         }
-        left.push(state.addr);
-        self.begin(now, listed)
+        replaced.push(state.addr);
+        self.track(now, listed)
     }
 
     /// What is known of an endpoint that is listed for the first time.
-    fn begin(&self, now: Moment, listed: Endpoint) -> TrackedEndpoint {
+    fn track(&self, now: Moment, listed: Endpoint) -> TrackedEndpoint {
         let region = self.cfg.regions.get(&listed.domain).cloned();
         TrackedEndpoint::new(now, listed, region)
     }
@@ -162,11 +162,11 @@
     /// Takes in the evacuated failure domains. Endpoints of one that comes back may have
     /// become cold meanwhile.
     pub fn set_evacuated(&mut self, now: Moment, domains: BTreeSet<FailureDomain>) {
-        let back: BTreeSet<_> = self.evacuated.difference(&domains).cloned().collect();
+        let restored: BTreeSet<_> = self.evacuated.difference(&domains).cloned().collect();
         for endpoint in self
             .endpoints
             .iter_mut()
-            .filter(|e| back.contains(&e.domain))
+            .filter(|e| restored.contains(&e.domain))
         {
             if let Some(service) = self.services.get(&endpoint.service) {
                 endpoint.cold.extend(now, now + service.cold_for);
@@ -184,7 +184,7 @@
     /// busy slots.
     pub fn set_demand(&mut self, now: Moment, demand: &[(Region, ServiceName, u32)]) {
         self.demand_at = now;
-        self.found_callers.get_or_insert(!demand.is_empty());
+        self.found_demand.get_or_insert(!demand.is_empty());
         self.demand.clear();
         for (region, service, busy_milli) in demand {
             let slots = self.demand.entry(service.clone()).or_default();
@@ -195,12 +195,12 @@
     /// Notes a request of a caller.
     pub fn record_request(&mut self, now: Moment, service: &ServiceName) {
         self.retry_budget.record_first(now, service);
-        self.first_arrival.get_or_insert(now);
+        self.first_request_at.get_or_insert(now);
         if !self.own_demand.contains_key(service) {
             self.own_demand.insert(service.clone(), OwnDemand::new(now));
         }
         if let Some(own) = self.own_demand.get_mut(service) {
-            own.since += 1;
+            own.requests += 1;
         }
     }
 
@@ -223,9 +223,9 @@
     }
 
     /// Notes that an endpoint says that it is cold for so much longer.
-    pub fn record_cold(&mut self, now: Moment, target: &Target, left: Duration) {
+    pub fn record_cold(&mut self, now: Moment, target: &Target, remaining: Duration) {
         if let Some(state) = self.tracked_mut(target) {
-            state.cold.extend(now, now + left);
+            state.cold.extend(now, now + remaining);
         }
     }
 
@@ -238,7 +238,7 @@
         outcome: Outcome,
     ) {
         if let Outcome::Served(took) = outcome {
-            self.learn_way(service, target, took);
+            self.learn_rtt(service, target, took);
         }
         let outcome = match outcome {
             Outcome::Served(took) => Outcome::Served(took.saturating_sub(target.overhead)),
@@ -259,7 +259,7 @@
 
     /// What an answer from another region took besides work whose time is known: the way
     /// there and back. Of those with nothing to wait for, most take just that.
-    fn learn_way(&mut self, service: &ServiceName, target: &Target, took: Duration) {
+    fn learn_rtt(&mut self, service: &ServiceName, target: &Target, took: Duration) {
         let waited = target.overhead.as_secs_f64() > target.rtt.as_secs_f64() + 0.001;
         if target.affinity != Affinity::Sent || waited {
             return;
@@ -274,10 +274,10 @@
         if region == self.cfg.region {
             return;
         }
-        let seen = (took.as_secs_f64() - cached).max(0.0);
-        let way = self.ways.entry(region).or_insert(target.rtt.as_secs_f64());
+        let observed = (took.as_secs_f64() - cached).max(0.0);
+        let rtt = self.rtts.entry(region).or_insert(target.rtt.as_secs_f64());
         // One that met a queue tells little of the way.
-        *way += NEW_WAY * (seen.min(2.0 * *way + 0.01) - *way);
+        *rtt += RTT_EWMA_WEIGHT * (observed.min(2.0 * *rtt + 0.01) - *rtt);
     }
 
     /// What is known of the start that a request was sent to; none if it is there no more.
@@ -293,8 +293,8 @@
     let mut shortest = HashMap::new();
     for route in &table.routes {
         for target in &route.targets {
-            let held = shortest.entry(&target.service).or_insert(route.objective);
-            *held = route.objective.min(*held);
+            let previous = shortest.entry(&target.service).or_insert(route.objective);
+            *previous = route.objective.min(*previous);
         }
     }
     shortest
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -18,20 +18,20 @@
 use crate::cost;
 
 /// Utilisation of all regions that is assumed before anybody has reported demand.
-const ASSUMED: f64 = 0.4;
+const ASSUMED_UTILISATION: f64 = 0.4;
 /// How far the busier endpoints of a region are above its utilisation, and the others below,
 /// as a part of it: objects have one endpoint each, so that arrivals spread unevenly.
-const UNEVEN: f64 = 0.4;
+const ENDPOINT_SPREAD: f64 = 0.4;
 /// Step of utilisation over which a marginal wait is taken.
-const STEP: f64 = 0.01;
+const UTILISATION_STEP: f64 = 0.01;
 /// Parts that all demand is moved in: finer than what a plan follows.
 const QUANTA: f64 = 128.0;
 /// Part of the allowed change between windows that the plan takes.
-pub(crate) const USED: f64 = 0.3;
+pub(crate) const SHIFT_FRACTION: f64 = 0.3;
 /// The same for requests that come home, more slowly than they leave: demand that has fallen
 /// may rise again faster than a bounded step can follow, and a region that is short of slots
 /// then queues for seconds, while what stays away needs the way and no more.
-const RETURN: f64 = 0.075;
+const RETURN_FRACTION: f64 = 0.075;
 /// The window over which change is bounded.
 pub(crate) const WINDOW: Duration = Duration::from_secs(2);
 /// A smaller difference between plan and aim is left alone: moving objects costs each its
@@ -39,7 +39,7 @@
 const DEAD_BAND: f64 = 0.04;
 
 /// Slots that requests of a region keep busy, or that a region has.
-pub(crate) type Slots = BTreeMap<Region, f64>;
+pub(crate) type SlotsByRegion = BTreeMap<Region, f64>;
 
 /// How fast requests come home.
 #[derive(Clone, Copy, Debug)]
@@ -54,134 +54,134 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Plan {
     /// Parts that run in other regions.
-    away: BTreeMap<Region, f64>,
-    updated: Option<Moment>,
+    remote_shares: BTreeMap<Region, f64>,
+    updated_at: Option<Moment>,
 }
 
 impl Plan {
     /// Sets parts at once: nothing has moved by the plan before.
-    pub(crate) fn begin(&mut self, now: Moment, aim: Slots) {
-        self.away = aim;
-        self.updated = Some(now);
+    pub(crate) fn set(&mut self, now: Moment, target: SlotsByRegion) {
+        self.remote_shares = target;
+        self.updated_at = Some(now);
     }
 
     /// Keeps the parts as they are.
     pub(crate) fn hold(&mut self, now: Moment) {
-        self.updated = Some(now);
+        self.updated_at = Some(now);
     }
 
     /// Moves towards what demand and capacity ask for.
-    pub(crate) fn update(
+    pub(crate) fn move_towards(
         &mut self,
         now: Moment,
         max_shift: f64,
         pace: Pace,
         own: &Region,
-        aim: &Slots,
+        target: &SlotsByRegion,
     ) {
-        let before = self.updated.replace(now).unwrap_or(now);
+        let before = self.updated_at.replace(now).unwrap_or(now);
         let windows = now.saturating_sub(before).as_secs_f64() / WINDOW.as_secs_f64();
-        let leaves = aim.values().sum::<f64>() >= self.away.values().sum();
+        let is_growing = target.values().sum::<f64>() >= self.remote_shares.values().sum();
         let pace = match pace {
-            Pace::SlowReturn if !leaves => RETURN,
-            Pace::SlowReturn | Pace::Even => USED,
+            Pace::SlowReturn if !is_growing => RETURN_FRACTION,
+            Pace::SlowReturn | Pace::Even => SHIFT_FRACTION,
         };
         let step = pace * max_shift * windows.min(1.0);
-        let part = |parts: &Slots, region: &Region| parts.get(region).copied().unwrap_or(0.0);
-        let regions: Vec<Region> = self.away.keys().chain(aim.keys()).cloned().collect();
+        let share = |shares: &SlotsByRegion, region: &Region| shares.get(region).copied().unwrap_or(0.0);
+        let regions: Vec<Region> = self.remote_shares.keys().chain(target.keys()).cloned().collect();
         let change: f64 = regions
             .iter()
             .filter(|region| *region != own)
-            .map(|region| (part(aim, region) - part(&self.away, region)).abs())
+            .map(|region| (share(target, region) - share(&self.remote_shares, region)).abs())
             .fold(0.0, f64::max);
         if change < DEAD_BAND {
             return;
         }
         let scale = (step / change).min(1.0);
         for region in regions {
-            let held = part(&self.away, &region);
-            let next = held + scale * (part(aim, &region) - held);
-            self.away.insert(region, next);
+            let held = share(&self.remote_shares, &region);
+            let next = held + scale * (share(target, &region) - held);
+            self.remote_shares.insert(region, next);
         }
     }
 
     /// Where an object lives that stands at this place between 0 and 1; `None` at home.
-    pub(crate) fn region(&self, place: f64) -> Option<&Region> {
+    pub(crate) fn region_at(&self, position: f64) -> Option<&Region> {
         let mut bound = 0.0;
-        self.away.iter().find_map(|(region, part)| {
-            bound += part;
-            (place < bound).then_some(region)
+        self.remote_shares.iter().find_map(|(region, share)| {
+            bound += share;
+            (position < bound).then_some(region)
         })
     }
 
     /// The parts that run elsewhere.
-    pub(crate) fn parts(&self) -> Slots {
-        self.away.clone()
+    pub(crate) fn remote_shares(&self) -> SlotsByRegion {
+        self.remote_shares.clone()
     }
 }
 
 /// What a service's regions are like, as far as a plan goes.
-pub(crate) struct Outlook<'a> {
+pub(crate) struct ServiceModel<'a> {
     /// Busy slots that each region's callers ask for.
-    pub(crate) demand: &'a Slots,
+    pub(crate) demand: &'a SlotsByRegion,
     /// Slots that each region has.
-    pub(crate) capacity: &'a Slots,
+    pub(crate) capacity: &'a SlotsByRegion,
     /// Slots of one endpoint, on average.
-    pub(crate) slots: f64,
+    pub(crate) slots_per_endpoint: f64,
     /// Seconds that an answer takes where the object is known.
-    pub(crate) work: f64,
+    pub(crate) service_time: f64,
     /// Seconds to another region and back.
-    pub(crate) way: f64,
+    pub(crate) rtt: f64,
 }
 
-impl Outlook<'_> {
+impl ServiceModel<'_> {
     /// Seconds that requests of a region wait for a slot at this utilisation, on average.
     ///
     /// Requests for a few objects don't spread evenly, so some endpoints are busier than
     /// others and the wait is averaged over them.
-    fn wait(&self, utilisation: f64) -> f64 {
-        let at = |part: f64| part * cost::mean_queue_wait(part * utilisation, self.slots, self.work);
-        (at(1.0 - UNEVEN) + 2.0 * at(1.0) + at(1.0 + UNEVEN)) / 4.0
+    fn mean_wait(&self, utilisation: f64) -> f64 {
+        let at = |part: f64| part * cost::mean_queue_wait(part * utilisation, self.slots_per_endpoint, self.service_time);
+        (at(1.0 - ENDPOINT_SPREAD) + 2.0 * at(1.0) + at(1.0 + ENDPOINT_SPREAD)) / 4.0
     }
 
     /// Seconds by which one more request makes all requests of a region wait longer.
-    fn marginal(&self, utilisation: f64) -> f64 {
-        let all = |utilisation: f64| utilisation * self.wait(utilisation);
-        (all(utilisation + STEP) - all(utilisation)) / STEP
+    fn marginal_wait(&self, utilisation: f64) -> f64 {
+        let all = |utilisation: f64| utilisation * self.mean_wait(utilisation);
+        (all(utilisation + UTILISATION_STEP) - all(utilisation)) / UTILISATION_STEP
     }
 
     /// Demand by region once no request gains any more by going elsewhere.
-    fn balanced(&self) -> Slots {
-        let mut load: Slots = self.capacity.keys().map(|r| (r.clone(), 0.0)).collect();
+    fn balanced(&self) -> SlotsByRegion {
+        let mut load: SlotsByRegion = self.capacity.keys().map(|r| (r.clone(), 0.0)).collect();
         load.extend(self.demand.iter().map(|(r, d)| (r.clone(), *d)));
         let quantum = self.demand.values().sum::<f64>() / QUANTA;
         for _ in 0..QUANTA as usize {
-            let Some((giver, taker)) = self.exchange(&load, quantum) else {
+            let Some((source, destination)) = self.best_move(&load, quantum) else {
                 break;
             };
-            *load.entry(giver).or_default() -= quantum;
-            *load.entry(taker).or_default() += quantum;
+            *load.entry(source).or_default() -= quantum;
+            *load.entry(destination).or_default() += quantum;
         }
         load
     }
 
     /// From which region to which a quantum of demand gains most by moving; `None` if it
     /// gains nothing.
-    fn exchange(&self, load: &Slots, quantum: f64) -> Option<(Region, Region)> {
+    fn best_move(&self, load: &SlotsByRegion, quantum: f64) -> Option<(Region, Region)> {
         let marginal = |region: &Region, load: f64| {
             let slots = self.capacity.get(region).copied().unwrap_or(0.0);
-            self.marginal(load / slots.max(0.01))
+            self.marginal_wait(load / slots.max(0.01))
         };
-        let (giver, gained) = load
+        let (source, gained) = load
             .iter()
             .filter(|(_, load)| **load >= quantum)
             .map(|(region, load)| (region, marginal(region, *load)))
             .max_by(|a, b| a.1.total_cmp(&b.1))?;
-        let (taker, lost) = load
+        let (destination, lost) = load
             .iter()
             .map(|(region, load)| (region, marginal(region, load + quantum)))
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        (gained > lost + self.way).then(|| (giver.clone(), taker.clone()))
+        (gained > lost + self.rtt).then(|| (source.clone(), destination.clone()))
     }
 }
 
@@ -189,38 +189,38 @@
 ///
 /// A region keeps requests until the wait that one more of them causes to all is longer
 /// than the way to where it would cause less.
-pub(crate) fn aim(own: &Region, outlook: &Outlook<'_>) -> Slots {
-    let here = outlook.demand.get(own).copied().unwrap_or(0.0);
+pub(crate) fn target_shares(own: &Region, model: &ServiceModel<'_>) -> SlotsByRegion {
+    let here = model.demand.get(own).copied().unwrap_or(0.0);
     if here <= 0.0 {
-        return Slots::new();
+        return SlotsByRegion::new();
     }
-    let balanced = outlook.balanced();
+    let balanced = model.balanced();
     let gain = |region: &Region| {
-        let held = outlook.demand.get(region).copied().unwrap_or(0.0);
+        let held = model.demand.get(region).copied().unwrap_or(0.0);
         balanced.get(region).copied().unwrap_or(0.0) - held
     };
-    let out = (-gain(own)).max(0.0) / here;
+    let leaving = (-gain(own)).max(0.0) / here;
     let others = balanced.keys().filter(|region| *region != own);
-    let rooms: Slots = others
+    let gains: SlotsByRegion = others
         .map(|region| (region.clone(), gain(region).max(0.0)))
         .collect();
-    let total: f64 = rooms.values().sum();
-    if out <= 0.0 || total <= 0.0 {
-        return Slots::new();
+    let total: f64 = gains.values().sum();
+    if leaving <= 0.0 || total <= 0.0 {
+        return SlotsByRegion::new();
     }
     // Whoever gives, gives to all in proportion to what they take, so that a small change
     // of demand moves few objects.
-    rooms
+    gains
         .into_iter()
-        .map(|(region, room)| (region, out * room / total))
+        .map(|(region, gained)| (region, leaving * gained / total))
         .collect()
 }
 
 /// Demand as it is assumed before anybody has reported any: in proportion to gateways.
-pub(crate) fn assumed(gateways: &BTreeMap<Region, u32>, capacity: &Slots) -> Slots {
+pub(crate) fn assumed_demand(gateways: &BTreeMap<Region, u32>, capacity: &SlotsByRegion) -> SlotsByRegion {
     let all: f64 = capacity.values().sum();
     let count: u32 = gateways.values().sum();
-    let each = ASSUMED * all / f64::from(count.max(1));
-    let of = |(region, n): (&Region, &u32)| (region.clone(), each * f64::from(*n));
-    gateways.iter().map(of).collect()
+    let each = ASSUMED_UTILISATION * all / f64::from(count.max(1));
+    let demand_of = |(region, n): (&Region, &u32)| (region.clone(), each * f64::from(*n));
+    gateways.iter().map(demand_of).collect()
 }
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -10,17 +10,17 @@
 use filberthead_types::{Moment, Region, ServiceName};
 
 use crate::cost::ResponseTimes;
-use crate::decide::FAR;
-use crate::plan::{self, Outlook, Pace, Plan, Slots};
+use crate::decide::DEFAULT_INTER_REGION_RTT;
+use crate::plan::{self, ServiceModel, Pace, Plan, SlotsByRegion};
 use crate::{Mechanism, Placer};
 
 /// Time over which demand is averaged: several reports, and well below the time in which
 /// demand changes by itself.
-const DEMAND_OVER: Duration = Duration::from_secs(2);
+const DEMAND_AVERAGING: Duration = Duration::from_secs(2);
 /// Time for which demand that was told is believed: some reports. With all of control down
 /// nobody tells it any more; a plan that went on following what it was, in the first second
 /// of a day for one, would bring all requests home to a region that can't bear them.
-const DEMAND_KEPT: Duration = Duration::from_secs(2);
+const DEMAND_TTL: Duration = Duration::from_secs(2);
 /// Callers that come this soon after a gateway knows endpoints were there before it.
 const JOINED_WITHIN: Duration = Duration::from_secs(3);
 /// Time after which all gateways that have started together are counted: two reports.
@@ -50,49 +50,49 @@
 }
 
 /// What a plan does next.
-enum Step {
+enum PlanStep {
     /// Nothing is known to go by.
     Stay,
     /// Its parts are as they should be.
     Hold,
     /// It takes these parts up at once.
-    Begin(Slots),
+    Set(SlotsByRegion),
     /// It moves towards these parts.
-    Towards(Slots),
+    MoveTowards(SlotsByRegion),
 }
 
 /// Requests of a service at this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnDemand {
-    pub(crate) since: u32,
+    pub(crate) requests: u32,
     per_s: f64,
     /// When the first of them came.
-    begun: Moment,
-    at: Moment,
+    first_at: Moment,
+    averaged_at: Moment,
 }
 
 impl OwnDemand {
     pub(crate) fn new(now: Moment) -> Self {
         Self {
-            since: 0,
+            requests: 0,
             per_s: 0.0,
-            begun: now,
-            at: now,
+            first_at: now,
+            averaged_at: now,
         }
     }
 
     /// Requests a second, averaged; counts anew from now.
     fn take(&mut self, now: Moment) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.averaged_at).as_secs_f64();
         // A mean over what there is until there is enough: begun at nothing, it would tell
         // half of the demand for seconds after callers have come, and bring requests home.
-        let age = now.saturating_sub(self.begun);
-        let over = age.clamp(Duration::from_millis(1), DEMAND_OVER);
-        let weight = (passed / over.as_secs_f64()).min(1.0);
-        let per_s = f64::from(self.since) / passed.max(0.001);
+        let age = now.saturating_sub(self.first_at);
+        let averaging = age.clamp(Duration::from_millis(1), DEMAND_AVERAGING);
+        let weight = (elapsed / averaging.as_secs_f64()).min(1.0);
+        let per_s = f64::from(self.requests) / elapsed.max(0.001);
         self.per_s += weight * (per_s - self.per_s);
-        self.since = 0;
-        self.at = now;
+        self.requests = 0;
+        self.averaged_at = now;
         self.per_s
     }
 }
@@ -116,7 +116,7 @@
     /// What this gateway was asked to carry lately, for its report.
     pub fn take_demand(&mut self, now: Moment) -> Vec<Demand> {
         let times = &self.response_times;
-        let of = |(service, own): (&ServiceName, &mut OwnDemand)| {
+        let demand_of = |(service, own): (&ServiceName, &mut OwnDemand)| {
             let per_s = own.take(now);
             let cached = times.get(service).map(ResponseTimes::cached)?;
             Some(Demand {
@@ -124,7 +124,7 @@
                 busy_milli: (per_s * cached * 1000.0).round() as u32,
             })
         };
-        self.own_demand.iter_mut().filter_map(of).collect()
+        self.own_demand.iter_mut().filter_map(demand_of).collect()
     }
 
     /// Moves the plan of each service towards what demand and capacity ask for.
@@ -132,41 +132,41 @@
         let stage = self.stage(now);
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
-            let step = self.step(now, stage, &service);
+            let step = self.plan_step(now, stage, &service);
             let plan = self.plans.entry(service).or_default();
             match step {
-                Step::Stay => {}
-                Step::Hold => plan.hold(now),
-                Step::Begin(parts) => plan.begin(now, parts),
-                Step::Towards(aim) => {
+                PlanStep::Stay => {}
+                PlanStep::Hold => plan.hold(now),
+                PlanStep::Set(shares) => plan.set(now, shares),
+                PlanStep::MoveTowards(target) => {
                     let pace = match self.cfg.uses(Mechanism::SlowReturn) {
                         true => Pace::SlowReturn,
                         false => Pace::Even,
                     };
-                    plan.update(now, self.cfg.max_shift, pace, &self.cfg.region, &aim);
+                    plan.move_towards(now, self.cfg.max_shift, pace, &self.cfg.region, &target);
                 }
             }
         }
     }
 
     /// What the plan of a service does next.
-    fn step(&self, now: Moment, stage: Stage, service: &ServiceName) -> Step {
+    fn plan_step(&self, now: Moment, stage: Stage, service: &ServiceName) -> PlanStep {
         let capacity = self.capacity(now, service);
         if capacity.is_empty() {
-            return Step::Stay;
+            return PlanStep::Stay;
         }
-        let aim =
-            |demand: &Slots| plan::aim(&self.cfg.region, &self.outlook(service, demand, &capacity));
-        let told = self.demand.get(service).filter(|demand| !demand.is_empty());
-        match (stage, told) {
+        let target =
+            |demand: &SlotsByRegion| plan::target_shares(&self.cfg.region, &self.service_model(service, demand, &capacity));
+        let reported = self.demand.get(service).filter(|demand| !demand.is_empty());
+        match (stage, reported) {
             (Stage::Waiting, None) | (Stage::Beginning, _) => {
-                Step::Begin(aim(&plan::assumed(&self.gateways_by_region(), &capacity)))
+                PlanStep::Set(target(&plan::assumed_demand(&self.gateways_by_region(), &capacity)))
             }
-            (Stage::Waiting | Stage::Joining, Some(demand)) => Step::Begin(aim(demand)),
-            (Stage::Running, Some(demand)) if now < self.demand_at + DEMAND_KEPT => {
-                Step::Towards(aim(demand))
+            (Stage::Waiting | Stage::Joining, Some(demand)) => PlanStep::Set(target(demand)),
+            (Stage::Running, Some(demand)) if now < self.demand_at + DEMAND_TTL => {
+                PlanStep::MoveTowards(target(demand))
             }
-            (Stage::Joining | Stage::Settling | Stage::Running, _) => Step::Hold,
+            (Stage::Joining | Stage::Settling | Stage::Running, _) => PlanStep::Hold,
         }
     }
 
@@ -180,37 +180,37 @@
         gateways
     }
 
-    fn outlook<'a>(
+    fn service_model<'a>(
         &self,
         service: &ServiceName,
-        demand: &'a Slots,
-        capacity: &'a Slots,
-    ) -> Outlook<'a> {
-        Outlook {
+        demand: &'a SlotsByRegion,
+        capacity: &'a SlotsByRegion,
+    ) -> ServiceModel<'a> {
+        ServiceModel {
             demand,
             capacity,
-            slots: self.slots_each(service),
-            work: self.response_times.get(service).map_or(0.0, ResponseTimes::cached),
-            way: self.way_out(),
+            slots_per_endpoint: self.slots_per_endpoint(service),
+            service_time: self.response_times.get(service).map_or(0.0, ResponseTimes::cached),
+            rtt: self.mean_rtt(),
         }
     }
 
     /// How far this gateway is in its life, as plans go.
     fn stage(&self, now: Moment) -> Stage {
-        let Some(first) = self.first_arrival else {
+        let Some(first) = self.first_request_at else {
             return Stage::Waiting;
         };
-        let informed = self.informed.unwrap_or(first);
-        if self.found_callers == Some(true) {
-            return Stage::Joining.until(now < first + 3 * DEMAND_OVER);
+        let endpoints_known_at = self.endpoints_known_at.unwrap_or(first);
+        if self.found_demand == Some(true) {
+            return Stage::Joining.until(now < first + 3 * DEMAND_AVERAGING);
         }
-        let joined = first < informed + JOINED_WITHIN;
+        let joined = first < endpoints_known_at + JOINED_WITHIN;
         let age = now.saturating_sub(first);
         if age < COUNTED_AFTER && joined {
             Stage::Beginning
-        } else if age < 3 * DEMAND_OVER && joined {
+        } else if age < 3 * DEMAND_AVERAGING && joined {
             Stage::Joining
-        } else if age < 2 * DEMAND_OVER {
+        } else if age < 2 * DEMAND_AVERAGING {
             Stage::Settling
         } else {
             Stage::Running
@@ -218,11 +218,11 @@
     }
 
     /// Slots of a service in each region that requests may be sent to.
-    fn capacity(&self, now: Moment, service: &ServiceName) -> Slots {
-        let mut capacity = Slots::new();
+    fn capacity(&self, now: Moment, service: &ServiceName) -> SlotsByRegion {
+        let mut capacity = SlotsByRegion::new();
         for e in self.endpoints.iter().filter(|e| e.service == *service) {
-            let there = e.is_usable(now) && !self.evacuated.contains(&e.domain);
-            if let Some(region) = e.region.as_ref().filter(|_| there) {
+            let is_usable = e.is_usable(now) && !self.evacuated.contains(&e.domain);
+            if let Some(region) = e.region.as_ref().filter(|_| is_usable) {
                 *capacity.entry(region.clone()).or_default() += f64::from(e.slots);
             }
         }
@@ -230,17 +230,17 @@
     }
 
     /// Slots of one endpoint of a service, on average.
-    fn slots_each(&self, service: &ServiceName) -> f64 {
-        let of = self.endpoints.iter().filter(|e| e.service == *service);
-        let (count, slots) = of.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
+    fn slots_per_endpoint(&self, service: &ServiceName) -> f64 {
+        let endpoints = self.endpoints.iter().filter(|e| e.service == *service);
+        let (count, slots) = endpoints.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
         f64::from(slots) / f64::from(count.max(1))
     }
 
     /// Seconds to another region and back, on average.
-    fn way_out(&self) -> f64 {
-        let learned: f64 = self.ways.values().sum();
-        match self.ways.len() {
-            0 => FAR,
+    fn mean_rtt(&self) -> f64 {
+        let learned: f64 = self.rtts.values().sum();
+        match self.rtts.len() {
+            0 => DEFAULT_INTER_REGION_RTT,
             count => learned / count as f64,
         }
     }
@@ -250,7 +250,7 @@
         let belief = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
             response_times: self.response_times.get(service).map(ResponseTimes::both).unwrap_or_default(),
-            remote_shares: self.plans.get(service).map(Plan::parts).unwrap_or_default(),
+            remote_shares: self.plans.get(service).map(Plan::remote_shares).unwrap_or_default(),
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
         };
