--- a/crates/place/src/admission.rs
+++ b/crates/place/src/admission.rs
@@ -68,7 +68,11 @@
     /// caller has come back may use what is there for the next second.
     pub fn admit(&mut self, now: Moment, is_caller_retry: bool) -> Result<(), Duration> {
         self.refill(now);
-        let min_budget = if is_caller_retry { -self.burst_bytes() } else { 0.0 };
+        let min_budget = if is_caller_retry {
+            -self.burst_bytes()
+        } else {
+            0.0
+        };
         if self.budget >= min_budget {
             self.budget -= self.mean_size;
             return Ok(());
@@ -91,7 +95,8 @@
 
     /// Bytes a second that large answers may take.
     fn large_per_s(&self) -> f64 {
-        (MAX_LINK_SHARE * self.bytes_per_s - self.short_per_s).max(MIN_LARGE_SHARE * self.bytes_per_s)
+        (MAX_LINK_SHARE * self.bytes_per_s - self.short_per_s)
+            .max(MIN_LARGE_SHARE * self.bytes_per_s)
     }
 
     fn burst_bytes(&self) -> f64 {
--- a/crates/place/src/cold.rs
+++ b/crates/place/src/cold.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether a request may go there now.
-    pub(crate) fn is_open(&self, now: Moment, share: ColdShare) -> bool {
+    pub(crate) fn allows(&self, now: Moment, share: ColdShare) -> bool {
         let first_at = || self.cold_since + share.interval.mul_f64(share.phase);
         !self.is_cold(now) || now >= self.next_at.unwrap_or_else(first_at)
     }
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -66,7 +66,9 @@
         let object = self.object_key(&req);
         let planned = self.planned_region(&req, object);
         let best = self.best_by_region(now, &req, object, planned.as_ref());
-        let is_pinned = planned.as_ref().is_some_and(|r| !self.may_decrease(&req, r));
+        let is_pinned = planned
+            .as_ref()
+            .is_some_and(|r| !self.may_decrease(&req, r));
         let Some(chosen) = self.choose(&req, planned.as_ref(), &best, is_pinned) else {
             return Decision::Refuse {
                 reason: Refusal::NoEndpoint,
@@ -95,7 +97,8 @@
             return;
         };
         if !self.region_shares.contains_key(service) {
-            self.region_shares.insert(service.clone(), RegionShares::default());
+            self.region_shares
+                .insert(service.clone(), RegionShares::default());
         }
         if let Some(shares) = self.region_shares.get_mut(service) {
             shares.record_sent(now, region, SHIFT_FRACTION * self.cfg.max_shift);
@@ -122,7 +125,9 @@
         let position = match object {
             // Requests for an object near the edge of a part are divided, so that a few
             // objects that stand close together don't move at the same moment.
-            Some(object) => (rank::unit_position(object) + EDGE_WIDTH * (fraction - 0.5)).clamp(0.0, 1.0),
+            Some(object) => {
+                (rank::unit_position(object) + EDGE_WIDTH * (fraction - 0.5)).clamp(0.0, 1.0)
+            }
             None => fraction,
         };
         plan.region_at(position).cloned()
@@ -241,7 +246,8 @@
         if utilisation >= MAX_UTILISATION {
             return MAX_PRESSURE;
         }
-        ((utilisation - MIN_UTILISATION).max(0.0) / (MAX_UTILISATION - utilisation)).min(MAX_PRESSURE)
+        ((utilisation - MIN_UTILISATION).max(0.0) / (MAX_UTILISATION - utilisation))
+            .min(MAX_PRESSURE)
     }
 
     fn mean_failure_rate(&self, now: Moment, indices: &[usize]) -> f64 {
@@ -264,7 +270,9 @@
                 && self.cold_limit_allows(now, e)
         };
         let all = self.endpoints.iter().enumerate();
-        all.filter(|(_, e)| is_eligible(e)).map(|(i, _)| i).collect()
+        all.filter(|(_, e)| is_eligible(e))
+            .map(|(i, _)| i)
+            .collect()
     }
 
     fn may_run_in(&self, req: &Request<'_>, region: Option<&Region>) -> bool {
@@ -273,7 +281,7 @@
 
     fn cold_limit_allows(&self, now: Moment, e: &TrackedEndpoint) -> bool {
         let in_region = e.region.as_ref() == Some(&self.cfg.region);
-        !e.cold.is_cold(now) || (in_region && e.cold.is_open(now, self.cold_share(e)))
+        !e.cold.is_cold(now) || (in_region && e.cold.allows(now, self.cold_share(e)))
     }
 
     /// This gateway's part of what an endpoint bears while it is cold.
@@ -340,7 +348,9 @@
         let service_time = times.expected(Affinity::Perhaps(0)) * slowness;
         let wait = cost::slot_wait(load, e.slots, service_time);
         let failure_cost = match self.cfg.uses(Mechanism::Failing) {
-            true => (e.failure_rate(now) - region.failure_rate).max(0.0) * req.objective.as_secs_f64(),
+            true => {
+                (e.failure_rate(now) - region.failure_rate).max(0.0) * req.objective.as_secs_f64()
+            }
             false => 0.0,
         };
         let rtt = self.rtt(e);
@@ -412,9 +422,7 @@
 }
 
 fn cheapest<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<Candidate> {
-    candidates
-        .min_by(|a, b| a.cost.total_cmp(&b.cost))
-        .copied()
+    candidates.min_by(|a, b| a.cost.total_cmp(&b.cost)).copied()
 }
 
 fn by_region(endpoints: &[TrackedEndpoint], eligible: &[usize]) -> BTreeMap<Region, Vec<usize>> {
--- a/crates/place/src/endpoint.rs
+++ b/crates/place/src/endpoint.rs
@@ -185,7 +185,11 @@
     /// How much longer than others' its answers take, as far as that is still believed.
     pub(crate) fn slowness(&self, now: Moment) -> f64 {
         let slowness = self.decayed_slowness(now);
-        if slowness < SLOWNESS_THRESHOLD { 1.0 } else { slowness }
+        if slowness < SLOWNESS_THRESHOLD {
+            1.0
+        } else {
+            slowness
+        }
     }
 
     fn decayed_slowness(&self, now: Moment) -> f64 {
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -120,7 +120,8 @@
             match self.endpoints.iter().position(|e| *e.id == *listed.id) {
                 Some(index) => {
                     let state = self.endpoints[index].clone();
-                    self.endpoints[index] = self.update_or_replace(now, state, listed, &mut replaced);
+                    self.endpoints[index] =
+                        self.update_or_replace(now, state, listed, &mut replaced);
                 }
                 None => {
                     let state = self.track(now, listed);
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -87,8 +87,14 @@
             Pace::SlowReturn | Pace::Even => SHIFT_FRACTION,
         };
         let step = pace * max_shift * windows.min(1.0);
-        let share = |shares: &SlotsByRegion, region: &Region| shares.get(region).copied().unwrap_or(0.0);
-        let regions: Vec<Region> = self.remote_shares.keys().chain(target.keys()).cloned().collect();
+        let share =
+            |shares: &SlotsByRegion, region: &Region| shares.get(region).copied().unwrap_or(0.0);
+        let regions: Vec<Region> = self
+            .remote_shares
+            .keys()
+            .chain(target.keys())
+            .cloned()
+            .collect();
         let change: f64 = regions
             .iter()
             .filter(|region| *region != own)
@@ -99,8 +105,8 @@
         }
         let scale = (step / change).min(1.0);
         for region in regions {
-            let held = share(&self.remote_shares, &region);
-            let next = held + scale * (share(target, &region) - held);
+            let current = share(&self.remote_shares, &region);
+            let next = current + scale * (share(target, &region) - current);
             self.remote_shares.insert(region, next);
         }
     }
@@ -140,14 +146,20 @@
     /// Requests for a few objects don't spread evenly, so some endpoints are busier than
     /// others and the wait is averaged over them.
     fn mean_wait(&self, utilisation: f64) -> f64 {
-        let at = |part: f64| part * cost::mean_queue_wait(part * utilisation, self.slots_per_endpoint, self.service_time);
+        let at = |part: f64| {
+            part * cost::mean_queue_wait(
+                part * utilisation,
+                self.slots_per_endpoint,
+                self.service_time,
+            )
+        };
         (at(1.0 - ENDPOINT_SPREAD) + 2.0 * at(1.0) + at(1.0 + ENDPOINT_SPREAD)) / 4.0
     }
 
     /// Seconds by which one more request makes all requests of a region wait longer.
     fn marginal_wait(&self, utilisation: f64) -> f64 {
-        let all = |utilisation: f64| utilisation * self.mean_wait(utilisation);
-        (all(utilisation + UTILISATION_STEP) - all(utilisation)) / UTILISATION_STEP
+        let total_wait = |utilisation: f64| utilisation * self.mean_wait(utilisation);
+        (total_wait(utilisation + UTILISATION_STEP) - total_wait(utilisation)) / UTILISATION_STEP
     }
 
     /// Demand by region once no request gains any more by going elsewhere.
@@ -190,16 +202,16 @@
 /// A region keeps requests until the wait that one more of them causes to all is longer
 /// than the way to where it would cause less.
 pub(crate) fn target_shares(own: &Region, model: &ServiceModel<'_>) -> SlotsByRegion {
-    let here = model.demand.get(own).copied().unwrap_or(0.0);
-    if here <= 0.0 {
+    let local_demand = model.demand.get(own).copied().unwrap_or(0.0);
+    if local_demand <= 0.0 {
         return SlotsByRegion::new();
     }
     let balanced = model.balanced();
     let gain = |region: &Region| {
-        let held = model.demand.get(region).copied().unwrap_or(0.0);
-        balanced.get(region).copied().unwrap_or(0.0) - held
+        let demand = model.demand.get(region).copied().unwrap_or(0.0);
+        balanced.get(region).copied().unwrap_or(0.0) - demand
     };
-    let leaving = (-gain(own)).max(0.0) / here;
+    let leaving = (-gain(own)).max(0.0) / local_demand;
     let others = balanced.keys().filter(|region| *region != own);
     let gains: SlotsByRegion = others
         .map(|region| (region.clone(), gain(region).max(0.0)))
@@ -217,10 +229,14 @@
 }
 
 /// Demand as it is assumed before anybody has reported any: in proportion to gateways.
-pub(crate) fn assumed_demand(gateways: &BTreeMap<Region, u32>, capacity: &SlotsByRegion) -> SlotsByRegion {
-    let all: f64 = capacity.values().sum();
+pub(crate) fn assumed_demand(
+    gateways: &BTreeMap<Region, u32>,
+    capacity: &SlotsByRegion,
+) -> SlotsByRegion {
+    let slots: f64 = capacity.values().sum();
     let count: u32 = gateways.values().sum();
-    let each = ASSUMED_UTILISATION * all / f64::from(count.max(1));
-    let demand_of = |(region, n): (&Region, &u32)| (region.clone(), each * f64::from(*n));
+    let per_gateway = ASSUMED_UTILISATION * slots / f64::from(count.max(1));
+    let demand_of =
+        |(region, count): (&Region, &u32)| (region.clone(), per_gateway * f64::from(*count));
     gateways.iter().map(demand_of).collect()
 }
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -11,7 +11,7 @@
 
 use crate::cost::ResponseTimes;
 use crate::decide::DEFAULT_INTER_REGION_RTT;
-use crate::plan::{self, ServiceModel, Pace, Plan, SlotsByRegion};
+use crate::plan::{self, Pace, Plan, ServiceModel, SlotsByRegion};
 use crate::{Mechanism, Placer};
 
 /// Time over which demand is averaged: several reports, and well below the time in which
@@ -155,13 +155,17 @@
         if capacity.is_empty() {
             return PlanStep::Stay;
         }
-        let target =
-            |demand: &SlotsByRegion| plan::target_shares(&self.cfg.region, &self.service_model(service, demand, &capacity));
+        let target = |demand: &SlotsByRegion| {
+            plan::target_shares(
+                &self.cfg.region,
+                &self.service_model(service, demand, &capacity),
+            )
+        };
         let reported = self.demand.get(service).filter(|demand| !demand.is_empty());
         match (stage, reported) {
-            (Stage::Waiting, None) | (Stage::Beginning, _) => {
-                PlanStep::Set(target(&plan::assumed_demand(&self.gateways_by_region(), &capacity)))
-            }
+            (Stage::Waiting, None) | (Stage::Beginning, _) => PlanStep::Set(target(
+                &plan::assumed_demand(&self.gateways_by_region(), &capacity),
+            )),
             (Stage::Waiting | Stage::Joining, Some(demand)) => PlanStep::Set(target(demand)),
             (Stage::Running, Some(demand)) if now < self.demand_at + DEMAND_TTL => {
                 PlanStep::MoveTowards(target(demand))
@@ -190,7 +194,10 @@
             demand,
             capacity,
             slots_per_endpoint: self.slots_per_endpoint(service),
-            service_time: self.response_times.get(service).map_or(0.0, ResponseTimes::cached),
+            service_time: self
+                .response_times
+                .get(service)
+                .map_or(0.0, ResponseTimes::cached),
             rtt: self.mean_rtt(),
         }
     }
@@ -232,7 +239,8 @@
     /// Slots of one endpoint of a service, on average.
     fn slots_per_endpoint(&self, service: &ServiceName) -> f64 {
         let endpoints = self.endpoints.iter().filter(|e| e.service == *service);
-        let (count, slots) = endpoints.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
+        let (count, slots) =
+            endpoints.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
         f64::from(slots) / f64::from(count.max(1))
     }
 
@@ -249,8 +257,16 @@
     pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
         let belief = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
-            response_times: self.response_times.get(service).map(ResponseTimes::both).unwrap_or_default(),
-            remote_shares: self.plans.get(service).map(Plan::remote_shares).unwrap_or_default(),
+            response_times: self
+                .response_times
+                .get(service)
+                .map(ResponseTimes::both)
+                .unwrap_or_default(),
+            remote_shares: self
+                .plans
+                .get(service)
+                .map(Plan::remote_shares)
+                .unwrap_or_default(),
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
         };
--- a/crates/place/src/shift.rs
+++ b/crates/place/src/shift.rs
@@ -52,7 +52,8 @@
         self.total = self.total * decay + 1.0;
         for (region, share) in &mut self.regions {
             share.recent = share.recent * decay + f64::from(u8::from(region == to));
-            share.min_share = (share.min_share - decrease).max(share.recent / (self.total + PRIOR_REQUESTS));
+            share.min_share =
+                (share.min_share - decrease).max(share.recent / (self.total + PRIOR_REQUESTS));
         }
     }
 
