--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,32 +1,34 @@
-//! Where a request runs: decisions of a gateway, free of I/O.
+//! Chooses the endpoint that each request of a gateway runs on, without I/O.
 //!
-//! A [`Placer`] is told which endpoints there are, what was sent to them and how it ended,
-//! and says where the next request goes. It reads no clock and opens no connection, so the
-//! same code runs in the gateway, under a paused clock and in the experiments.
+//! A [`Placer`] receives the list of endpoints, the routes, the requests and their outcomes,
+//! and decides where the next request goes. It reads no clock and opens no connection, so the
+//! same code runs in the gateway, under a paused clock and in the placement experiments.
 //!
-//! How it decides, and the load that each part answers:
+//! An endpoint that has handled an object recently is several times faster with it. These docs
+//! call such an object *cached* there, and a region other than the gateway's own *remote*.
 //!
-//! - *By object* (`rank`): an endpoint that has handled an object lately is several times
-//!   faster with it, so requests for one object go to the same endpoints, in an order that
-//!   every gateway computes alike without talking.
-//! - *By expected time* (`cost`): of the endpoints that may run a request the one goes
-//!   first that should answer soonest, counting what waits there, how far it is, whether it
-//!   knows the object, and how slow it has been.
-//! - *Across regions* (`plan`): where a region has too few endpoints, some of its
-//!   objects live in another one; the part of requests that run elsewhere changes only
-//!   slowly, so that no region is met by a step of load.
-//! - *Return* (`shift`): the part that really runs elsewhere falls as slowly, also when the
-//!   other region is full.
-//! - *Cold endpoints* (`cold`): each gets no more requests a second than it bears, from
-//!   all gateways together, without their talking.
-//! - *Large answers* (`link`): they give way to short messages on a VM's own link.
-//! - *Admission* (`admission`): beyond a part of the link, large answers are refused.
-//! - *Connections* (`balance`): a gateway with more of them than its neighbours ends some,
-//!   so that their callers choose anew.
-//! - *Refusals* (`attempts`): a request that was refused by an endpoint with room may go there
-//!   again, where its object is known.
-//! - *Retries* (`retry_budget`): further attempts stay within a part of first ones, over all
-//!   gateways, without their talking.
+//! The parts of a decision, and the problem that each solves:
+//!
+//! - *Order by object* (`rank`): requests for one object go to the same endpoints, where it is
+//!   cached. Every gateway computes the same order without communication.
+//! - *Expected time* (`cost`): of the endpoints that may run a request, the one that should
+//!   respond first is chosen, counting its queue, the round trip to it, whether it has the
+//!   object cached, and how slow it has been.
+//! - *Other regions* (`plan`): where a region has too few endpoints, some of its objects are
+//!   placed in another region. The share of requests that run there changes only slowly, so
+//!   that no region receives a step of load.
+//! - *Rebalancing back* (`shift`): the share that actually runs in another region falls as
+//!   slowly, also when that region is overloaded.
+//! - *Cold endpoints* (`cold`): each receives no more requests per second than it can handle,
+//!   summed over all gateways, without communication between them.
+//! - *Large responses* (`link`): they yield to short messages on a VM's own link.
+//! - *Admission* (`admission`): large responses beyond a share of the link are rejected.
+//! - *Connections* (`balance`): a gateway whose link is busier than those of its neighbours
+//!   closes some connections, so that their callers choose a gateway again.
+//! - *Rejections* (`attempts`): a request that an endpoint rejected although it had free slots
+//!   may go there again, because its object is cached there.
+//! - *Retries* (`retry_budget`): they stay within a ratio of first attempts, summed over all
+//!   gateways, without communication between them.
 
 mod admission;
 mod attempts;
--- a/crates/place/src/mechanism.rs
+++ b/crates/place/src/mechanism.rs
@@ -1,43 +1,43 @@
-//! Parts of the decision that can be left out, to measure what each is worth.
+//! Mechanisms of the decision that can be switched off, to measure what each of them gains.
 //!
-//! What keeps a promise (the cold gate, the retry budget, the bound on shifts) has no switch:
-//! without it the promise is broken, whatever the figures say.
+//! Those that guarantee a limit (of cold endpoints, retries and shifts) have no switch: the
+//! guarantee wouldn't hold without them.
 
 use std::str::FromStr;
 
 use snafu::Snafu;
 
-/// A part of the decision.
+/// A mechanism of the decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Endpoints are preferred in an order by object.
+    /// Endpoints are preferred in an order that depends on the object.
     Objects,
-    /// Names on different routes are different objects.
+    /// The same name on different routes is different objects.
     Routes,
     /// An object goes to its first endpoint whenever that has a free slot.
     Settling,
-    /// Under pressure objects stay where they are known.
+    /// At high utilisation, objects stay where they are cached.
     Pressure,
-    /// A part of a region's objects lives in other regions.
+    /// A share of a region's objects is placed in other regions.
     Plan,
-    /// Requests come home more slowly than they leave.
+    /// Requests move back to their own region more slowly than they left it.
     SlowReturn,
     /// Slow endpoints are avoided.
     Slowness,
     /// Failing endpoints are avoided.
     Failing,
-    /// Failures that all endpoints of a region share speak against none.
+    /// Failures that all endpoints of a region share are counted against none of them.
     SharedFailing,
-    /// What would be late is told to come back.
+    /// Requests that would be late are rejected with a time to retry after.
     Refusing,
-    /// Callers that have come back are kept until their deadline.
+    /// Retries of rejected callers may wait until their deadline.
     Patience,
-    /// A refused request may go to the same endpoint again.
+    /// A rejected request may go to the same endpoint again.
     SameAgain,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 12] = [
         Self::Objects,
         Self::Routes,
@@ -53,7 +53,7 @@
         Self::SameAgain,
     ];
 
-    /// Its name in reports and options.
+    /// Name in reports and options.
     pub fn name(self) -> &'static str {
         match self {
             Self::Objects => "objects",
@@ -72,7 +72,7 @@
     }
 }
 
-/// No mechanism has this name.
+/// The name isn't that of a mechanism.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(display("`{name}` is no mechanism"))]
--- a/crates/place/src/request.rs
+++ b/crates/place/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a placer, and what it answers.
+//! Input and output of a placement decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,22 +8,23 @@
 
 use crate::{Affinity, EndpointId, Mechanism, RetryBudgetConfig};
 
-/// Where a gateway is and what bounds it.
+/// Where a gateway runs, and the limits of its decisions.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the gateway.
     pub gateway: NodeName,
-    /// Its region.
+    /// Region of the gateway.
     pub region: Region,
-    /// Its failure domain.
+    /// Failure domain of the gateway.
     pub domain: FailureDomain,
     /// Region of each failure domain.
     pub regions: BTreeMap<FailureDomain, Region>,
-    /// Bounds on further attempts.
+    /// Limits of retries.
     pub retry_budget: RetryBudgetConfig,
-    /// Part of a region's requests that may change regions from one window to the next.
+    /// Share of a region's requests that may move to other regions between two consecutive
+    /// windows.
     pub max_shift: f64,
-    /// Parts of the decision that are left out, in measurements.
+    /// Mechanisms that are switched off, for measurements only.
     pub disabled: BTreeSet<Mechanism>,
 }
 
@@ -33,80 +34,83 @@
     }
 }
 
-/// What endpoints remember: an endpoint that knows an object by one route is as slow as a
-/// stranger when the same name comes by another route. Taking the two for one object sent
-/// 129 first requests to where they were believed to be known, and 117 of them were slow
-/// (calm day of 5,500 requests, answers over 0.55 s counted as slow).
+/// The unit that endpoints cache: a name together with the route's prefix. An endpoint that
+/// has a name cached for one route is slow when the same name arrives by another route. With
+/// both counted as one object, 129 first requests went to endpoints assumed to have the object
+/// cached, and 117 of them were slow (a day of 5,500 requests without incidents; responses
+/// over 0.55 s counted as slow).
 #[derive(Clone, Copy, Debug)]
 pub struct Object<'a> {
-    /// The prefix of the route, which stays when routes are renamed or moved to services.
+    /// Prefix of the route. It stays the same when the route is renamed or moved to another
+    /// service.
     pub prefix: &'a str,
-    /// Its name there.
+    /// Name of the object under that prefix.
     pub name: &'a [u8],
 }
 
-/// What the decision needs to know of a request.
+/// The properties of a request that a decision depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Service that its route sends it to.
+    /// Service that the request's route selects.
     pub service: &'a ServiceName,
-    /// The object that it concerns, if endpoints remember objects.
+    /// The object that the request is for; `None` if endpoints cache nothing for it.
     pub object: Option<Object<'a>>,
-    /// Whether its answer is large.
+    /// Whether a large response is expected.
     pub large: bool,
-    /// Time within which its answer is worth most.
+    /// Latency objective of the route.
     pub objective: Duration,
-    /// Time until its caller has left.
+    /// Time until the caller's deadline.
     pub remaining: Duration,
-    /// Whether it has been refused before: then it is better served late than not at all.
+    /// Whether the caller repeats a request that was rejected before. It is then better served
+    /// late than rejected again.
     pub is_caller_retry: bool,
-    /// The only regions where it may run; empty allows all.
+    /// The only regions where the request may run; empty allows all.
     pub regions: &'a [Region],
-    /// Endpoints that have had it. A later start of one of them counts as having had it too:
-    /// it is cold, and the request may be what made it start again.
+    /// Endpoints that the request isn't sent to again. A later start of one of them is
+    /// excluded too: it is cold, and the request may be what made the endpoint restart.
     pub excluded: &'a [EndpointId],
 }
 
-/// Where a request goes.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Identity that the endpoint must have.
     pub id: EndpointId,
-    /// Which of its starts the request was placed at.
+    /// Start of the endpoint that was chosen; `None` if the platform reports no starts.
     pub incarnation: Option<Incarnation>,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// Time that its answer should take.
+    /// Expected processing time, without `overhead`.
     pub expected: Duration,
-    /// How it stands to the object.
+    /// Whether the endpoint is expected to have the object cached.
     pub affinity: Affinity,
-    /// Whether it concerns an object.
+    /// Whether the request is for an object.
     pub has_object: bool,
-    /// Part of what follows that the way there and back takes.
+    /// Network round trip, a part of `overhead`.
     pub rtt: Duration,
-    /// Time that goes by besides: the way there and back, and the wait for a slot.
+    /// Network round trip and wait for a free slot.
     pub overhead: Duration,
 }
 
-/// Why a request has no place.
+/// Why a request isn't sent to any endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No endpoint of the service may get it.
+    /// No endpoint of the service is eligible.
     NoEndpoint,
-    /// Every endpoint has so much to do that it would answer too late.
+    /// Every eligible endpoint has so much work queued that it would respond too late.
     Overloaded,
 }
 
-/// What to do with a request.
+/// The outcome of a placement decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Send(Target),
-    /// Refuse it; nothing has run.
+    /// Reject the request; it hasn't run.
     Refuse {
-        /// Why.
+        /// The cause.
         reason: Refusal,
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
