--- a/crates/place/src/admission.rs
+++ b/crates/place/src/admission.rs
@@ -1,47 +1,49 @@
-//! How many large answers a VM's link takes on.
+//! Limits the large responses on a VM's link.
 //!
-//! The load it answers: callers at their peak ask a small VM for as many downloads as its
-//! link carries, or more. What waits on a link grows without bound as that fills up, in both
-//! directions: requests that come in, short answers of endpoints and the downloads
-//! themselves all are late then, for the sake of a tenth of the requests that takes two
-//! thirds of the bytes. So large answers get what short messages leave of a part of the
-//! link, and are refused at once beyond it.
+//! At peak load, callers request as many downloads from a small VM as its link carries, or
+//! more. The queue of a link grows without bound as it fills up, in both directions: incoming
+//! requests, short responses of endpoints and the downloads are then all late, because of a
+//! tenth of the requests that takes two thirds of the bytes. So large responses may use what
+//! short messages leave of a share of the link, and are rejected immediately beyond it.
 
 use std::time::Duration;
 
 use filberthead_types::Moment;
 
-/// Part of the link up to which large answers are taken on: at half of a link's rate what
-/// waits takes twice the time that it takes on an idle one.
+/// Share of the link up to which large responses are admitted. At half of a link's rate,
+/// queued messages take twice as long as on an idle link.
 const MAX_LINK_SHARE: f64 = 0.5;
-/// Part of the link that large answers get however many short messages there are.
+/// Share of the link that large responses get regardless of the volume of short messages.
 const MIN_LARGE_SHARE: f64 = 0.1;
-/// Time over which short messages are averaged.
+/// Time over which the rate of short messages is averaged.
 const SHORT_AVERAGING: Duration = Duration::from_secs(2);
-/// Large answers that may come at once, by the time that the link takes for them.
+/// Large responses that may be admitted at once, as time of the link.
 const BURST: Duration = Duration::from_secs(1);
-/// Bytes of a large answer before one was seen, and weight of each that is.
+/// Assumed bytes of a large response before the first one was observed, and the weight of each
+/// observation in the moving average.
 const SIZE_PRIOR: f64 = 64.0 * 1024.0;
 const SIZE_WEIGHT: f64 = 0.1;
-/// Shortest time after which a caller is told to come back.
+/// Shortest time that a rejected caller is asked to wait.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 
-/// The part of a link that large answers may take.
+/// Admission control of large responses: a token bucket over a share of the link.
 #[derive(Clone, Copy, Debug)]
 pub struct LargeResponseAdmission {
     bytes_per_s: f64,
-    /// Bytes that large answers may take now; below zero by what was taken on in advance.
+    /// Bytes that large responses may use now. Negative after a response was admitted in
+    /// advance.
     budget: f64,
-    /// Bytes of short messages a second, averaged, and since they were.
+    /// Moving average of the bytes per second of short messages, and their bytes since it was
+    /// last updated.
     short_per_s: f64,
     short_bytes: f64,
     refilled_at: Moment,
-    /// Bytes of a large answer, on average.
+    /// Moving average of the bytes of a large response.
     mean_size: f64,
 }
 
 impl LargeResponseAdmission {
-    /// The share of a link of so many bits a second.
+    /// Admission for a link of `bits_per_s`.
     pub fn new(bits_per_s: f64) -> Self {
         let bytes_per_s = bits_per_s / 8.0;
         Self {
@@ -54,18 +56,18 @@
         }
     }
 
-    /// Notes bytes of a short message.
+    /// Records the bytes of a short message.
     pub fn record_short(&mut self, bytes: usize) {
         self.short_bytes += bytes as f64;
     }
 
-    /// Notes the length of a large answer.
+    /// Records the length of a large response.
     pub fn record_large(&mut self, bytes: u64) {
         self.mean_size += SIZE_WEIGHT * (bytes as f64 - self.mean_size);
     }
 
-    /// Takes on a large answer, or tells after which time there is room for it. One whose
-    /// caller has come back may use what is there for the next second.
+    /// Admits a large response, or returns the time after which there will be capacity for it.
+    /// A caller's retry may also use the capacity of the next second.
     pub fn admit(&mut self, now: Moment, is_caller_retry: bool) -> Result<(), Duration> {
         self.refill(now);
         let min_budget = if is_caller_retry {
@@ -93,7 +95,7 @@
         self.budget = (self.budget + elapsed * self.large_per_s()).min(self.burst_bytes());
     }
 
-    /// Bytes a second that large answers may take.
+    /// Bytes per second that large responses may use.
     fn large_per_s(&self) -> f64 {
         (MAX_LINK_SHARE * self.bytes_per_s - self.short_per_s)
             .max(MIN_LARGE_SHARE * self.bytes_per_s)
--- a/crates/place/src/attempts.rs
+++ b/crates/place/src/attempts.rs
@@ -1,17 +1,18 @@
-//! The attempts of one request: how many there were, and which endpoints not to try again.
+//! The attempts of one request: how many were made, and which endpoints are excluded from the
+//! next one.
 //!
-//! The load it answers: endpoints refuse a part of what they get, though they have slots
-//! free. A request that goes to another endpoint for it meets one that doesn't know its
-//! object; with all endpoints of a service refusing half, each object ends up with many of
-//! them, and is as good as unknown everywhere. So a request that was refused may go to the
-//! same endpoint again, if that has told how full it is: its price says whether it should.
+//! Endpoints may reject a part of their requests although they have free slots. If such a
+//! request goes to another endpoint, that one doesn't have its object cached. With all
+//! endpoints of a service rejecting half of their requests, each object is spread over many of
+//! them, and is in effect cached nowhere. So a rejected request may go to the same endpoint
+//! again if that has reported its load; the endpoint's cost decides whether it does.
 
 use crate::EndpointId;
 
-/// Endpoints that may turn out to be out of reach before the caller is told to come back.
+/// Endpoints that may be unreachable before the request is rejected.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// What has become of a request's attempts.
+/// The attempts of one request.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     max: u32,
@@ -22,17 +23,17 @@
     excluded: Vec<EndpointId>,
 }
 
-/// What may follow an attempt.
+/// Whether another attempt is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAttempt {
-    /// Another attempt, if the budget has one.
+    /// Another attempt may be made if the retry budget permits.
     Allowed,
-    /// None: the request has had as many as it may, or found nobody.
+    /// No further attempt: the maximum is reached, or too many endpoints were unreachable.
     Exhausted,
 }
 
 impl Attempts {
-    /// None yet, of `most` that may reach an endpoint.
+    /// No attempts yet; at most `max` may reach an endpoint.
     pub fn new(max: u32) -> Self {
         Self {
             max,
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Notes that the request goes to an endpoint.
+    /// Records that the request is sent to an endpoint.
     pub fn record_sent(&mut self, id: EndpointId) {
         self.made += 1;
         self.excluded.push(id);
     }
 
-    /// The last one was out of reach and has got nothing.
+    /// Records that the last endpoint was unreachable and has received nothing.
     pub fn record_unreachable(&mut self) -> NextAttempt {
         self.unreachable += 1;
         if self.unreachable < MAX_UNREACHABLE {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// The last one refused it, and may be sent it again or not.
+    /// Records that the last endpoint rejected the request. `allow_same_endpoint`: the request
+    /// may be sent to it again.
     pub fn record_refused(&mut self, allow_same_endpoint: bool) -> NextAttempt {
         self.refused += 1;
         if allow_same_endpoint {
@@ -69,7 +71,7 @@
         self.next_attempt()
     }
 
-    /// The last one may have run it.
+    /// Records that the last endpoint may have run the request.
     pub fn record_ran(&mut self) -> NextAttempt {
         self.ran += 1;
         self.next_attempt()
@@ -83,22 +85,22 @@
         }
     }
 
-    /// Endpoints that it isn't sent to again.
+    /// Endpoints that the request isn't sent to again.
     pub fn excluded(&self) -> &[EndpointId] {
         &self.excluded
     }
 
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub fn may_have_run(&self) -> u32 {
         self.ran
     }
 
-    /// Whether an endpoint has refused it.
+    /// Whether an endpoint has rejected the request.
     pub fn was_refused(&self) -> bool {
         self.refused > 0
     }
--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -1,52 +1,52 @@
-//! Which callers are asked to connect anew.
+//! Chooses the connections that are closed so that their callers reconnect elsewhere.
 //!
-//! The load it answers: callers choose a gateway at random for each connection and keep it
-//! for many requests. After some gateways were down, or a crowd has moved, one of them has
-//! five times the requests of its neighbours for as long as its connections last; its link
-//! is full while theirs are empty. A gateway whose link is used more than its neighbours'
-//! ends some connections after their answers. Their callers choose anew, so the surplus
-//! goes to all evenly.
+//! Callers choose a gateway at random for each connection and keep the connection for many
+//! requests. After some gateways were down, or many callers moved, one gateway can have five
+//! times the requests of its neighbours for as long as its connections last; its link is full
+//! while theirs are empty. A gateway whose link is busier than those of its neighbours closes
+//! some connections after their responses. Their callers choose a gateway again, which spreads
+//! the surplus evenly.
 //!
-//! It can't go back and forth: each gateway only ever gives away a part of its surplus over
-//! the mean, far less than all of it within the time in which the mean is told.
+//! This doesn't oscillate: each gateway only sheds a part of its surplus over the mean, far
+//! less than all of it within the interval in which the mean is reported.
 
 use std::time::Duration;
 
 use filberthead_types::Moment;
 
-/// Use of a link below which nobody waits for it, however uneven.
+/// Link utilisation below which there is no queueing, however uneven the load.
 const MIN_UTILISATION: f64 = 0.2;
-/// Use over the mean that is left alone: what chance makes of a few connections.
+/// Ratio to the mean up to which nothing is closed: random variation of a few connections.
 const MIN_IMBALANCE: f64 = 1.15;
-/// Time for which the mean is believed: some reports. Without control nobody knows it, and
-/// everybody who has more to do than before would end connections for nothing.
+/// Time after which a reported mean expires: several report intervals. Without control there
+/// is no mean, and every gateway whose load has grown would close connections for nothing.
 const MEAN_TTL: Duration = Duration::from_secs(2);
-/// Part of the answers that end a surplus connection: with two requests a second on each,
-/// half of a surplus goes within two to three seconds.
+/// Share of responses that close a surplus connection. With two requests per second on each
+/// connection, half of a surplus is gone within two to three seconds.
 const CLOSE_RATIO: f64 = 0.25;
 
-/// Compares a gateway with its neighbours.
+/// Compares the link utilisation of a gateway with that of its neighbours.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionBalancer {
     utilisation: f64,
     mean: Option<(f64, Moment)>,
-    /// Part of an end that is due.
+    /// Connections that are due to be closed; one is closed when it reaches 1.
     pending: f64,
 }
 
 impl ConnectionBalancer {
-    /// Takes in how much of its own link is used.
+    /// Sets the utilisation of this gateway's link, from 0 to 1.
     pub fn set_utilisation(&mut self, utilisation: f64) {
         self.utilisation = utilisation;
     }
 
-    /// Takes in how much of their links the gateways of its failure domain use on average,
-    /// if anybody knows.
+    /// Sets the mean link utilisation of the gateways in the failure domain; `None` if it is
+    /// unknown.
     pub fn set_mean_utilisation(&mut self, now: Moment, utilisation: Option<f64>) {
         self.mean = utilisation.map(|utilisation| (utilisation, now));
     }
 
-    /// Whether the connection of this answer is to end.
+    /// Whether to close the connection after the response that is being sent.
     pub fn should_close(&mut self, now: Moment) -> bool {
         let current = self.mean.filter(|(_, at)| now < *at + MEAN_TTL);
         let Some((mean, _)) = current else {
--- a/crates/place/src/retry_budget.rs
+++ b/crates/place/src/retry_budget.rs
@@ -1,28 +1,28 @@
-//! The budget for further attempts.
+//! The budget for retries.
 //!
-//! The load it answers: an endpoint or a whole service in trouble, where each failure is
-//! tried again and the tries are what keeps it in trouble. The bound holds for the sum
-//! over all gateways: each spends only in proportion to its own requests, and its part of
-//! the floor, so no message is needed and a gateway that is cut off keeps to it as well.
+//! When an endpoint or a whole service is failing, retrying each failure can be what keeps it
+//! overloaded. The limit holds for the sum over all gateways: each spends only in proportion
+//! to its own requests, plus its share of the floor. So no communication is needed, and a
+//! gateway that is partitioned from the others keeps to it as well.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use filberthead_types::{Moment, ServiceName};
 
-/// Parts that the window is counted in.
+/// Buckets that the window is divided into.
 const BUCKETS: usize = 10;
-/// Part of the ratio and floor that is spent: attempts are counted when they are made
-/// here and judged when they arrive, and a gateway that starts doesn't know yet how many
-/// share the floor.
+/// Share of the ratio and the floor that is spent. Attempts are counted here when they are
+/// sent but observed when they arrive, and a gateway that starts doesn't know yet how many
+/// gateways share the floor.
 const SAFETY_FACTOR: f64 = 0.85;
 
-/// What bounds further attempts.
+/// Limits of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Further attempts as a part of first ones.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Further attempts allowed besides in each window, over all gateways.
+    /// Retries allowed in each window in addition to `ratio`, over all gateways.
     pub floor: f64,
     /// The window.
     pub window: Duration,
@@ -35,7 +35,7 @@
     retries: u32,
 }
 
-/// Counts first and further attempts of each service.
+/// Counts first attempts and retries of each service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Notes a request of a caller.
+    /// Records the first attempt of a request.
     pub fn record_first(&mut self, now: Moment, service: &ServiceName) {
         self.bucket(now, service).first += 1;
     }
 
-    /// Spends a further attempt, if there is one left for this gateway, one of `gateways`.
+    /// Spends a retry if this gateway, one of `gateways`, has one left.
     pub fn try_spend(&mut self, now: Moment, service: &ServiceName, gateways: u32) -> bool {
         let oldest = self.bucket_number(now).saturating_sub(BUCKETS as u64 - 1);
         let (mut first, mut retries) = (0, 0);
