--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -1,30 +1,33 @@
-//! The time after which an endpoint should have answered.
+//! Estimates the time after which an endpoint responds.
 //!
-//! An answer is quick if the endpoint knows the object and slow if it doesn't, several
-//! times over, and the difference is what placement by object is worth. Both times are
-//! learned from answers, each counted for the one that it is nearer to; and so is how often
-//! an endpoint turns out to know an object that this gateway hasn't sent there.
+//! A response is fast if the endpoint has the object cached and several times slower if it
+//! hasn't; the difference is what placement by object gains. Both times are learned from
+//! responses, each counted for the time that it is nearer to. So is the rate at which an
+//! endpoint turns out to have an object cached that this gateway hasn't sent there.
 
 use std::time::Duration;
 
 /// Weight of a new observation: about the last twenty count.
 const EWMA_WEIGHT: f64 = 0.05;
-/// What is believed before the first answer, as parts of the objective: a service whose
-/// objective can be met at all answers within it, and knowing an object saves most of it.
+/// Assumed response times before the first response, as parts of the objective: a service
+/// whose objective is achievable responds within it, and a cached object saves most of the
+/// time.
 const UNCACHED_PRIOR: f64 = 0.9;
 const CACHED_PRIOR: f64 = 0.35;
-/// The most that an answer counts as, in parts of the time of an unknown object.
+/// Upper limit of an observed response time, as a multiple of the time of an object that isn't
+/// cached.
 const MAX_OBSERVATION: f64 = 1.25;
-/// Places in an object's order that are told apart.
+/// Leading ranks of an object's order of endpoints whose hit rates are learned separately.
 const RANKS: usize = 3;
-/// What is believed at first of an endpoint of this region that others may have sent the
-/// object to: the first place gets it as long as it has room.
+/// Initial hit rates of endpoints in this region that other gateways may have sent the object
+/// to: the first one in the order receives it as long as it has free slots.
 const HIT_RATE_PRIOR: [f64; RANKS] = [0.5, 0.2, 0.1];
 
-/// Free part of an endpoint below which a wait is no longer reckoned to grow without bound.
+/// Free share of an endpoint below which the estimated wait stops growing without bound.
 const MIN_FREE: f64 = 0.02;
 
-/// Learned times of a service's answers, without the way there and the wait for a slot.
+/// Learned response times of a service in seconds, without the network round trip and the wait
+/// for a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseTimes {
     cached: f64,
@@ -32,14 +35,15 @@
     hit_rates: [f64; RANKS],
 }
 
-/// How an endpoint stands to an object.
+/// Whether an endpoint is expected to have an object cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Affinity {
-    /// This gateway has sent the object there lately.
+    /// This gateway has sent the object there recently.
     Sent,
-    /// Others of this region may have; it stands at this place in the object's order.
+    /// Other gateways of the region may have; the endpoint has this rank in the object's
+    /// order.
     Perhaps(usize),
-    /// Nobody is likely to have.
+    /// Probably no gateway has.
     Stranger,
 }
 
@@ -52,14 +56,14 @@
         }
     }
 
-    /// Takes in how long an answer took.
+    /// Records a response time.
     pub(crate) fn record(&mut self, affinity: Affinity, has_object: bool, took: Duration) {
-        // Nothing tells what a request without an object is to be compared with.
+        // Without an object, there is no expectation to compare the time with.
         if affinity == Affinity::Stranger && !has_object {
             return;
         }
-        // An answer that takes far longer tells of its endpoint, not of the service; only
-        // if most do, the time grows step by step.
+        // A much longer response time is due to its endpoint, not to the service. If most
+        // responses take that long, the estimate rises step by step.
         let took = took.as_secs_f64().min(MAX_OBSERVATION * self.uncached);
         let was_cached = (took - self.cached).abs() < (took - self.uncached).abs();
         let mean = if was_cached {
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Seconds that an answer takes.
+    /// Expected response time in seconds.
     pub(crate) fn expected(&self, affinity: Affinity) -> f64 {
         let hit_rate = match affinity {
             Affinity::Sent => 1.0,
@@ -85,29 +89,29 @@
         hit_rate * self.cached + (1.0 - hit_rate) * self.uncached.max(self.cached)
     }
 
-    /// Times of answers where the object is known, and where it isn't.
+    /// Response times with the object cached and not cached.
     pub(crate) fn both(&self) -> (Duration, Duration) {
         let duration = Duration::from_secs_f64;
         (duration(self.cached), duration(self.uncached))
     }
 
-    /// Seconds that an answer takes where the object is known.
+    /// Response time in seconds with the object cached.
     pub(crate) fn cached(&self) -> f64 {
         self.cached
     }
 }
 
-/// Seconds until a slot is free, with `load` requests at `slots` slots that take `each`
-/// seconds.
+/// Seconds until a slot is free, with `load` requests that take `service_time` seconds each at
+/// `slots` slots.
 pub(crate) fn slot_wait(load: f64, slots: u32, service_time: f64) -> f64 {
     let slots = f64::from(slots);
     let ahead = (load + 1.0 - slots).max(0.0);
     ahead / slots * service_time
 }
 
-/// Seconds that a request waits on average at an endpoint of so many slots that is busy for
-/// this part of its time, by Sakasegawa's approximation for several servers. Near
-/// saturation, where it has no bound, it grows on in proportion.
+/// Mean wait in seconds at an endpoint with `slots` slots and this utilisation, by
+/// Sakasegawa's approximation for multiple servers. Near saturation, where the formula is
+/// unbounded, the wait keeps growing in proportion.
 pub(crate) fn mean_queue_wait(utilisation: f64, slots: f64, service_time: f64) -> f64 {
     let exponent = (2.0 * (slots + 1.0)).sqrt() - 1.0;
     let free = (1.0 - utilisation).max(MIN_FREE);
--- a/crates/place/src/endpoint.rs
+++ b/crates/place/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of an endpoint.
+//! A gateway's view of one endpoint: load, speed, failures and recent objects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,59 +11,59 @@
 use crate::Target;
 use crate::cold::ColdLimiter;
 
-/// Identity of an endpoint; several starts may have it.
+/// Identity of an endpoint. It may be reused by a later start of the endpoint.
 pub type EndpointId = Arc<str>;
 
-/// First pause after a failure to reach an endpoint, doubled with each further one.
+/// First backoff after an endpoint couldn't be reached; doubled with each further failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(300);
-/// Longest pause: the platform's list shows a lost endpoint by then.
+/// Longest backoff: by then the platform's list shows that an endpoint is lost.
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
-/// Silence with a request there after which an endpoint counts as stalled: so many times
-/// what an answer takes, and no less than this, which a lost packet may cost.
+/// An endpoint with requests counts as stalled after this multiple of the expected response
+/// time without a response, but not before `STALL_MIN`, the delay that a lost packet may
+/// cause.
 const STALL_FACTOR: u32 = 5;
 const STALL_MIN: Duration = Duration::from_millis(400);
-/// How long an endpoint counts as full that refused a request and didn't tell its load.
+/// How long an endpoint counts as full after it rejected a request without reporting its load.
 const FULL_DURATION: Duration = Duration::from_millis(120);
-/// Time after which half of what was reported of others' requests is believed still:
-/// about the time that a request runs.
+/// Half-life of the reported number of requests of other gateways: about the time that a
+/// request runs.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(200);
-/// Time after which half of what was learned about slowness and failures is forgotten:
-/// an endpoint that is avoided for them shows nothing new, and must be tried again.
+/// Half-life of slowness and failure rate. An endpoint that is avoided for them receives no
+/// requests that could improve them, so they have to decay for it to be tried again.
 const SCORE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Answers that take less than so many times what is expected are as quick as others: kinds
-/// of requests of one service differ by as much, and objects that leave an endpoint for it
-/// have to be learned elsewhere.
+/// Slowness below which an endpoint counts as normal. Kinds of requests of one service differ
+/// by as much, and objects that move to another endpoint have to be loaded there.
 const SLOWNESS_THRESHOLD: f64 = 1.5;
-/// Weight of a new observation in running means: about the last ten count.
+/// Weight of a new observation in moving averages: about the last ten count.
 const EWMA_WEIGHT: f64 = 0.1;
-/// Objects remembered for each endpoint, the oldest forgotten first.
+/// Objects recorded for each endpoint; the oldest is dropped first.
 const MAX_OBJECTS: usize = 64;
-/// How long an object that was sent to an endpoint counts as known there.
+/// How long an object that was sent to an endpoint is expected to be cached there.
 const OBJECT_TTL: Duration = Duration::from_secs(30);
 
-/// What an endpoint says about its load.
+/// Load that an endpoint reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in the endpoint's queue.
     pub waiting: u32,
 }
 
-/// How a request to an endpoint ended.
+/// The outcome of a request to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran to a good end, in this time.
+    /// It succeeded, in this time.
     Served(Duration),
-    /// It ran to a bad end.
+    /// It ran and failed.
     Failed,
-    /// The endpoint refused it.
+    /// The endpoint rejected it.
     Full,
-    /// Another start of the endpoint, or another endpoint, has the address.
+    /// The address belongs to another start of the endpoint, or to another endpoint.
     Gone,
-    /// It couldn't be reached, or broke off.
+    /// The endpoint couldn't be reached, or the connection broke.
     Broken,
-    /// The caller left, or the time was up, after this time without an answer.
+    /// The caller disconnected or the deadline passed after this time without a response.
     Abandoned(Duration),
 }
 
@@ -78,26 +78,27 @@
     pub(crate) slots: u32,
     pub(crate) draining: bool,
     pub(crate) cold: ColdLimiter,
-    /// Requests of this gateway that are there.
+    /// In-flight requests of this gateway.
     pub(crate) own_in_flight: u32,
-    /// Requests of others, as last reported, and when.
+    /// In-flight requests of other gateways, as last reported, and when that was.
     others_in_flight: f64,
     load_reported_at: Moment,
     full_until: Moment,
     backoff_until: Moment,
     next_backoff: Duration,
     gone: bool,
-    /// When a request was sent to it while it had none, or it last answered.
+    /// Time of the last response, or of the first request that was sent while none was in
+    /// flight.
     progress_at: Moment,
-    /// Silence from then on that counts as a stall.
+    /// Time after `progress_at` without a response that counts as a stall.
     stall_timeout: Duration,
-    /// Whether requests waited there when it last reported.
+    /// Whether the last reported load had queued requests.
     has_queue: bool,
-    /// How much longer than expected its answers take; 1 is as expected.
+    /// Moving average of actual by expected response time; 1 is as expected.
     slowness: f64,
-    /// Part of its requests that end badly.
+    /// Moving average of the share of requests that fail.
     failure_rate: f64,
-    /// When either was last learned.
+    /// When `slowness` and `failure_rate` were last updated.
     scored_at: Moment,
     objects: HashMap<u64, Moment>,
 }
@@ -133,9 +134,9 @@
         state
     }
 
-    /// Whether an entry of the list is about this start. An endpoint that starts again under
-    /// its identity holds and knows nothing of before. One that is at another place or runs
-    /// another service has started anew, also where the platform doesn't tell starts.
+    /// Whether an entry of the list describes this start. An endpoint that starts again under
+    /// its identity has no requests and nothing cached. One whose address, service or failure
+    /// domain changed has started again, also where the platform doesn't report starts.
     pub(crate) fn is_same_start(&self, listed: &Endpoint) -> bool {
         self.incarnation == listed.incarnation
             && self.addr == listed.addr
@@ -148,7 +149,7 @@
         self.id == target.id && self.incarnation == target.incarnation && self.addr == target.addr
     }
 
-    /// Takes in what the platform's list says by now.
+    /// Applies an entry of the platform's list.
     pub(crate) fn update(&mut self, now: Moment, listed: &Endpoint) {
         self.slots = listed.slots.max(1);
         self.draining = listed.state == EndpointState::Draining;
@@ -157,19 +158,19 @@
         }
     }
 
-    /// Whether requests may go there at all.
+    /// Whether requests may be sent to the endpoint at all.
     pub(crate) fn is_usable(&self, now: Moment) -> bool {
         !self.gone && !self.draining && now >= self.backoff_until && !self.is_stalled(now)
     }
 
-    /// Whether it has requests and has said nothing for too long. A VM without power, or
-    /// behind a cut, resets no connection: kept ones take requests and stay silent, and
-    /// each request would find that out only at its deadline.
+    /// Whether it has requests in flight and hasn't responded for too long. A VM without
+    /// power, or behind a network partition, resets no connection: kept connections accept
+    /// requests without a response, and each request would find that out only at its deadline.
     fn is_stalled(&self, now: Moment) -> bool {
         self.own_in_flight > 0 && now >= self.progress_at + self.stall_timeout
     }
 
-    /// Requests there, by the best guess.
+    /// Estimated number of requests at the endpoint, running and queued.
     pub(crate) fn load(&self, now: Moment) -> f64 {
         let age = now.saturating_sub(self.load_reported_at);
         let half_lives = age.as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
@@ -182,7 +183,8 @@
         (f64::from(self.own_in_flight) + others).max(min_load)
     }
 
-    /// How much longer than others' its answers take, as far as that is still believed.
+    /// How much longer than expected its responses take, decayed by age; 1 below the
+    /// threshold.
     pub(crate) fn slowness(&self, now: Moment) -> f64 {
         let slowness = self.decayed_slowness(now);
         if slowness < SLOWNESS_THRESHOLD {
@@ -196,7 +198,7 @@
         1.0 + (self.slowness - 1.0) * self.decay(now)
     }
 
-    /// Part of its requests that end badly, as far as that is still believed.
+    /// Share of its requests that fail, decayed by age.
     pub(crate) fn failure_rate(&self, now: Moment) -> f64 {
         self.failure_rate * self.decay(now)
     }
@@ -208,7 +210,7 @@
 
     pub(crate) fn record_load(&mut self, now: Moment, load: Load) {
         let total = f64::from(load.running + load.waiting);
-        // The answer's own request may or may not be counted any more.
+        // The request that this response belongs to may or may not be included in the load.
         self.others_in_flight = (total - f64::from(self.own_in_flight)).max(0.0);
         self.load_reported_at = now;
         self.has_queue = load.waiting > 0;
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Leaves it alone for a while, for longer with each time.
+    /// Avoids the endpoint for a time that doubles with each call.
     fn back_off(&mut self, now: Moment) {
         if now < self.backoff_until {
             return;
@@ -246,7 +248,7 @@
         self.next_backoff = (self.next_backoff * 2).min(BACKOFF_MAX);
     }
 
-    /// Notes how a request ended; `expected` is how long it should have taken.
+    /// Records the outcome of a request; `expected` is the response time that was expected.
     pub(crate) fn record_outcome(&mut self, now: Moment, outcome: Outcome, expected: Duration) {
         self.own_in_flight = self.own_in_flight.saturating_sub(1);
         self.slowness = self.decayed_slowness(now);
@@ -260,8 +262,8 @@
                 self.next_backoff = BACKOFF_MIN;
                 self.failure_rate *= 1.0 - EWMA_WEIGHT;
                 let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
-                // What waited in a queue says nothing about the endpoint's own speed, and
-                // one answer that took extremely long must not outweigh many.
+                // Time spent in a queue says nothing about the endpoint's own speed, and one
+                // extremely slow response must not outweigh many others.
                 if !self.has_queue {
                     self.slowness += EWMA_WEIGHT * (ratio.clamp(0.5, 10.0) - self.slowness);
                 }
@@ -269,8 +271,9 @@
             Outcome::Failed => self.failure_rate += EWMA_WEIGHT * (1.0 - self.failure_rate),
             Outcome::Full => {
                 self.failure_rate += EWMA_WEIGHT * (1.0 - self.failure_rate);
-                // One that has told its load with the refusal is as full as that: with slots
-                // free it refuses some requests for reasons of its own, and may take the next.
+                // An endpoint that reported its load with the rejection is as full as that:
+                // with free slots, it rejects some requests for other reasons and may accept
+                // the next one.
                 let load_reported = self.load_reported_at == now;
                 if !load_reported {
                     self.full_until = now + FULL_DURATION;
@@ -282,7 +285,7 @@
                 self.back_off(now);
             }
             Outcome::Abandoned(waited) => {
-                // It would have taken longer still.
+                // The response would have taken even longer.
                 let ratio = waited.as_secs_f64() / expected.as_secs_f64().max(0.001);
                 if ratio > self.slowness && !self.has_queue {
                     self.slowness += EWMA_WEIGHT * (ratio.min(10.0) - self.slowness);
