--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -1,4 +1,4 @@
-//! The decision: which endpoint a request goes to, or that it goes to none.
+//! The decision which endpoint a request is sent to, if any.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,32 +12,33 @@
 use crate::shift::RegionShares;
 use crate::{Decision, Mechanism, Placer, Refusal, Request, Target, rank};
 
-/// Cost in seconds of each further place in the order, between endpoints that are alike
-/// otherwise: less than any difference that a caller would notice.
+/// Cost in seconds of each further rank in the order, between endpoints that are otherwise
+/// alike: less than any difference that a caller would notice.
 const RANK_COST: f64 = 0.0005;
-/// Cost of crossing to another failure domain for a large answer, in seconds: what a slot
-/// must be worth before a download leaves its failure domain.
+/// Cost in seconds of sending a large response to another failure domain: the time that has to
+/// be saved before a download leaves its failure domain.
 const LARGE_CROSSING_COST: f64 = 0.05;
-/// Way to another failure domain of the region and back, in seconds: regions are places
-/// that such a way is short in.
+/// Round trip to another failure domain of the region in seconds: within a region, it is
+/// short.
 const DEFAULT_INTRA_REGION_RTT: f64 = 0.003;
-/// Way to another region and back, in seconds, until answers from there have been seen: a
-/// usual distance on a continent.
+/// Round trip to another region in seconds until it was observed: a usual distance on a
+/// continent.
 pub(crate) const DEFAULT_INTER_REGION_RTT: f64 = 0.06;
-/// Width of the edge between two parts of a plan, within which objects are divided.
+/// Width of the range between two shares of a plan within which requests for one object are
+/// divided between both.
 const EDGE_WIDTH: f64 = 0.05;
-/// Utilisation of a region's endpoints below which a slot is worth nothing to others, and
-/// above which it is worth the most.
+/// Utilisation of a region's endpoints below which the time of a slot costs nothing, and above
+/// which it costs `MAX_PRESSURE`.
 const MIN_UTILISATION: f64 = 0.5;
 const MAX_UTILISATION: f64 = 1.05;
-/// The most that a second of a slot counts.
+/// Upper limit of the cost of a second of a slot, in seconds.
 const MAX_PRESSURE: f64 = 4.0;
-/// Gateways that share a cold endpoint as long as nobody has said how many there are.
+/// Gateways that share a cold endpoint until their number was reported.
 const DEFAULT_GATEWAY_COUNT: u32 = 4;
-/// Shortest and longest time that a refused caller is told to stay away.
+/// Shortest and longest time after which a rejected caller is asked to retry.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_secs(2));
 
-/// A candidate and its price in seconds.
+/// An endpoint that a request may be sent to, and its cost. Times are in seconds.
 #[derive(Clone, Copy)]
 struct Candidate {
     index: usize,
@@ -48,19 +49,19 @@
     affinity: Affinity,
 }
 
-/// How the endpoints of a region are on the whole.
+/// Means over the endpoints of a region.
 #[derive(Clone, Copy)]
 struct RegionState {
-    /// What a second of a slot is worth to others.
+    /// Cost of a second of a slot for other requests, in seconds.
     pressure: f64,
-    /// Part of requests that end badly. Only what an endpoint fails beyond it speaks against
-    /// it: where all refuse a part of their requests, leaving one for another gains nothing,
-    /// and the object has to be learned there.
+    /// Share of requests that fail. Only an endpoint's failures beyond it count against it:
+    /// where all endpoints reject a part of their requests, moving to another one gains
+    /// nothing, and the object has to be loaded there.
     failure_rate: f64,
 }
 
 impl Placer {
-    /// Decides where a request goes, and counts it as sent there.
+    /// Decides where a request is sent, and counts it as sent there.
     pub fn place(&mut self, now: Moment, req: Request<'_>) -> Decision {
         self.request_counter = self.request_counter.wrapping_add(1);
         let object = self.object_key(&req);
@@ -86,7 +87,7 @@
         self.send(now, object, &chosen)
     }
 
-    /// Whether fewer requests may run in this region than did.
+    /// Whether the share of requests that run in this region may decrease.
     fn may_decrease(&self, req: &Request<'_>, region: &Region) -> bool {
         let shares = self.region_shares.get(req.service);
         shares.is_none_or(|shares| shares.may_decrease(region))
@@ -114,17 +115,18 @@
         }
     }
 
-    /// The region where the object lives, or whose turn it is.
+    /// The region that the plan places the request in; `None` is the gateway's own region.
     fn planned_region(&mut self, req: &Request<'_>, object: Option<u64>) -> Option<Region> {
-        // A large answer takes many round trips and many bytes between regions.
+        // A large response takes many round trips and many bytes between regions.
         if req.large || !self.cfg.uses(Mechanism::Plan) {
             return None;
         }
         let plan = self.plans.get(req.service)?;
         let fraction = rank::unit_position(rank::spread_sequence(self.request_counter));
         let position = match object {
-            // Requests for an object near the edge of a part are divided, so that a few
-            // objects that stand close together don't move at the same moment.
+            // Requests for an object near the boundary between two shares are divided between
+            // both, so that a few objects with adjacent positions don't move at the same
+            // moment.
             Some(object) => {
                 (rank::unit_position(object) + EDGE_WIDTH * (fraction - 0.5)).clamp(0.0, 1.0)
             }
@@ -137,9 +139,9 @@
         after.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
     }
 
-    /// Whether sending it would only take room from others. With a slot free it is sent
-    /// in any case; otherwise a first try must still meet its objective, and one that has
-    /// come back, or is kept where the plan has it, its caller's deadline.
+    /// Whether sending the request would only take capacity from others. With a free slot it
+    /// is always sent. Otherwise a first attempt has to meet its objective; a caller's retry,
+    /// or a request that is pinned to its planned region, only its caller's deadline.
     fn is_too_late(&self, req: &Request<'_>, chosen: &Candidate, is_pinned: bool) -> bool {
         if chosen.wait <= 0.0 || !self.cfg.uses(Mechanism::Refusing) {
             return false;
@@ -175,7 +177,7 @@
         Decision::Send(target)
     }
 
-    /// The cheapest candidate of each region.
+    /// The candidate with the lowest cost in each region.
     fn best_by_region(
         &self,
         now: Moment,
@@ -185,13 +187,13 @@
     ) -> BTreeMap<Region, Candidate> {
         let mut eligible = self.eligible(now, req, false);
         if eligible.is_empty() {
-            // Everything that could run it has failed lately. Trying one of those is
-            // better than certain failure.
+            // Every endpoint that could run the request has failed recently. Trying one of
+            // them is better than certain failure.
             eligible = self.eligible(now, req, true);
         }
         let times = self.response_times(req);
-        // Requests that concern no object go round, or all gateways would send them to the
-        // first of the idle endpoints on the list.
+        // Requests without an object use a different key each, or all gateways would send them
+        // to the first idle endpoint on the list.
         let key = object.unwrap_or_else(|| rank::spread_sequence(self.request_counter));
         let mut best: BTreeMap<Region, Candidate> = BTreeMap::new();
         for (region, indices) in by_region(&self.endpoints, &eligible) {
@@ -213,8 +215,8 @@
                     is_ordered.then_some(rank),
                     (index, state),
                 );
-                // The emptiest goes first, and of those that are alike whichever it is the
-                // turn of, or one that has failed once would be avoided for good.
+                // Of endpoints with the same load, each has its turn; otherwise one that has
+                // failed once would be avoided forever.
                 let tie_break = match object {
                     Some(_) => 0.0,
                     None => RANK_COST * rank as f64 / count,
@@ -230,10 +232,10 @@
         best
     }
 
-    /// What a second of a slot is worth to others: nothing while half of the slots are
-    /// free, and several seconds of waiting when all are taken. Under pressure objects stay
-    /// where they are known; if they moved to wherever a slot is free, each would cost
-    /// several times the work, and a short surge would become a lasting overload.
+    /// Cost of a second of a slot for other requests: zero while half of the slots are free,
+    /// and several seconds of waiting when all are busy. Under pressure, objects stay where
+    /// they are cached. If they moved to wherever a slot is free, each would cost several
+    /// times the work, and a short surge would become a lasting overload.
     fn pressure(&self, now: Moment, indices: &[usize]) -> f64 {
         if !self.cfg.uses(Mechanism::Pressure) {
             return 0.0;
@@ -284,7 +286,7 @@
         !e.cold.is_cold(now) || (in_region && e.cold.allows(now, self.cold_share(e)))
     }
 
-    /// This gateway's part of what an endpoint bears while it is cold.
+    /// This gateway's share of the rate that a cold endpoint can handle.
     fn cold_share(&self, e: &TrackedEndpoint) -> ColdShare {
         let service = self.services.get(&e.service);
         let per_s = service.map_or(1.0, |service| service.cold_per_s);
@@ -296,13 +298,13 @@
 
     fn response_times(&self, req: &Request<'_>) -> ResponseTimes {
         let learned = self.response_times.get(req.service).copied();
-        // Its route has just gone.
+        // The service was removed by a change of the routes.
         learned.unwrap_or_else(|| ResponseTimes::new(req.objective))
     }
 
-    /// Endpoints in the order in which an object prefers them, or whatever the key stands for.
-    /// For a large answer those of this failure domain come first: its callers connect here,
-    /// and each answer from elsewhere takes its bytes between failure domains.
+    /// Sorts endpoints by an object's preference, or by that of another key. For a large
+    /// response, those of this failure domain come first: its callers connect here, and each
+    /// response from elsewhere sends its bytes between failure domains.
     fn by_preference(&self, indices: &[usize], key: u64, large: bool) -> Vec<usize> {
         let mut order = indices.to_vec();
         let preference = |i: &usize| {
@@ -336,13 +338,14 @@
         };
         let response_time = times.expected(affinity) * slowness;
         let cached = times.cached() * slowness;
-        // An object settles where all gateways will send it: its first request there is
-        // slow, and all later ones are quick. Without this an endpoint that has just come
-        // would get nothing as long as the others have room.
+        // An object settles where all gateways will send it: its first request there is slow,
+        // and all later ones are fast. Otherwise a new endpoint would receive nothing as long
+        // as the others have capacity.
         let is_settling =
             rank == Some(0) && load < f64::from(e.slots) && self.cfg.uses(Mechanism::Settling);
         let expected = if is_settling { cached } else { response_time };
-        // What others wait longer for, if this one keeps a slot busy to learn the object.
+        // Additional time that a slot is busy while the endpoint loads the object; it delays
+        // others.
         let learning = (response_time - cached).max(0.0);
         let weighted = expected + region.pressure * learning;
         let service_time = times.expected(Affinity::Perhaps(0)) * slowness;
@@ -357,7 +360,7 @@
         let crossing_cost = self.crossing_cost(e, req.large);
         let preference = match object {
             Some(_) => RANK_COST * rank.unwrap_or(0) as f64,
-            // Without an object the emptiest goes first.
+            // Without an object, the endpoint with the lowest load comes first.
             None => RANK_COST * load,
         };
         Candidate {
@@ -370,7 +373,7 @@
         }
     }
 
-    /// Seconds that the way there and back takes.
+    /// Network round trip to an endpoint in seconds.
     fn rtt(&self, e: &TrackedEndpoint) -> f64 {
         if e.domain == self.cfg.domain {
             0.0
@@ -382,7 +385,7 @@
         }
     }
 
-    /// What the bytes of a large answer are worth, in seconds.
+    /// Cost in seconds of sending the bytes of a large response.
     fn crossing_cost(&self, e: &TrackedEndpoint, large: bool) -> f64 {
         if !large || e.domain == self.cfg.domain {
             0.0
@@ -406,15 +409,15 @@
         if let Some(planned) = planned.filter(is_allowed) {
             return Some(planned);
         }
-        // Whatever the plan leaves here stays here, also where another region seems to have
-        // room: nobody there knows its object, so it takes three times the work, and under an
-        // overload of all regions each would send its own to the others. Only if nothing of
-        // this region may run it any other region is better than none.
+        // Requests that the plan places here stay here, even if another region appears to have
+        // capacity. Their objects aren't cached there, so they take three times the work, and
+        // in an overload of all regions each region would send its own requests to the others.
+        // Another region is used only if no endpoint of this one may run the request.
         local.or_else(|| cheapest(best.values()))
     }
 
-    /// Whether a request goes where its object lives: as soon as the object is affinity
-    /// there, the answer will be in time.
+    /// Whether a request goes to its planned region: once the object is cached there,
+    /// responses will be in time.
     fn is_in_time(&self, req: &Request<'_>, planned: &Candidate) -> bool {
         let cached = self.response_times(req).cached();
         planned.rtt + planned.wait + cached <= req.objective.min(req.remaining).as_secs_f64()
@@ -435,7 +438,7 @@
     regions
 }
 
-/// How many gateways share the cold endpoints of a region: all of that region.
+/// Number of gateways that share the cold endpoints of a region: all gateways of that region.
 fn gateways_in(
     gateways: &BTreeMap<FailureDomain, u32>,
     regions: &BTreeMap<FailureDomain, Region>,
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -1,4 +1,4 @@
-//! The placer: what a gateway knows of all endpoints, and what it is told.
+//! The state of a gateway's placement, and the methods that update it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 use crate::shift::RegionShares;
 use crate::{Config, Load, Mechanism, Outcome, RetryBudget, Target, rank};
 
-/// Weight of a new observation of a way: about the last fifty count, and half of a change
-/// is learned within as many answers.
+/// Weight of a new observation of a round trip: about the last fifty count, and half of a
+/// change is learned within as many responses.
 const RTT_EWMA_WEIGHT: f64 = 0.02;
 
-/// What a gateway knows of endpoints.
+/// Places the requests of a gateway on endpoints.
 #[derive(Clone, Debug)]
 pub struct Placer {
     pub(crate) cfg: Config,
@@ -27,31 +27,33 @@
     pub(crate) services: HashMap<ServiceName, Service>,
     pub(crate) response_times: HashMap<ServiceName, ResponseTimes>,
     pub(crate) plans: HashMap<ServiceName, Plan>,
-    /// Where requests of each service run.
+    /// The regions where each service's requests run.
     pub(crate) region_shares: HashMap<ServiceName, RegionShares>,
-    /// What gateways of each region were asked to carry, as control sums it up.
+    /// Busy slots that the callers of each region need, as summed up by control.
     pub(crate) demand: BTreeMap<ServiceName, SlotsByRegion>,
-    /// When that was last told.
+    /// When `demand` was last received.
     pub(crate) demand_at: Moment,
-    /// What this gateway was asked to carry since the last report.
+    /// Requests at this gateway since the last report.
     pub(crate) own_demand: HashMap<ServiceName, OwnDemand>,
-    /// When endpoints were first known.
+    /// When endpoints were first received.
     pub(crate) endpoints_known_at: Option<Moment>,
-    /// Whether others were serving when this gateway first heard of them.
+    /// Whether the first demand that was received wasn't empty, that is, other gateways were
+    /// already serving. `None` until then.
     pub(crate) found_demand: Option<bool>,
-    /// When callers first came.
+    /// When the first request of a caller arrived.
     pub(crate) first_request_at: Option<Moment>,
-    /// Turns of requests, for those that concern no object; each gateway begins elsewhere.
+    /// Counts requests, to spread those without an object. Each gateway starts at a different
+    /// value.
     pub(crate) request_counter: u64,
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     pub(crate) gateways: BTreeMap<FailureDomain, u32>,
     pub(crate) retry_budget: RetryBudget,
-    /// Learned ways to other regions and back, in seconds.
+    /// Learned round trips to other regions, in seconds.
     pub(crate) rtts: HashMap<Region, f64>,
 }
 
 impl Placer {
-    /// A placer that knows no endpoint.
+    /// A placer without endpoints.
     pub fn new(cfg: Config) -> Self {
         Self {
             endpoints: Vec::new(),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes in the routes in force. What is known of services that stay stays.
+    /// Applies the routes in force. What was learned about services that remain is kept.
     pub fn set_routes(&mut self, table: &Table) {
         let services = table.services.iter();
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
@@ -88,10 +90,10 @@
         }
     }
 
-    /// Takes in the platform's list. What is known of endpoints that are still on it stays.
+    /// Replaces the list of endpoints. What was learned about endpoints that remain is kept.
     ///
-    /// Returns the addresses of starts that others have followed: connections to them are
-    /// of no use.
+    /// Returns the addresses of starts that were replaced by later ones: connections to them
+    /// are of no use.
     pub fn set_endpoints(&mut self, now: Moment, list: Vec<Endpoint>) -> Vec<SocketAddr> {
         self.endpoints_known_at.get_or_insert(now);
         let previous = std::mem::take(&mut self.endpoints);
@@ -104,13 +106,12 @@
             };
             self.endpoints.push(state);
         }
-        // A request may still be at an endpoint that has left the list; it isn't counted
-        // for anything any more.
+        // A request may still be running at an endpoint that is no longer listed; its outcome
+        // is ignored.
         replaced
     }
 
-    /// Takes in what has changed on the platform's list, and returns as
-    /// [`Self::set_endpoints`] does.
+    /// Applies a change of the list of endpoints. Returns the same as [`Self::set_endpoints`].
     pub fn change_endpoints(&mut self, now: Moment, change: EndpointChange) -> Vec<SocketAddr> {
         self.endpoints_known_at.get_or_insert(now);
         let gone: BTreeSet<&str> = change.gone.iter().map(String::as_str).collect();
@@ -132,8 +133,8 @@
         replaced
     }
 
-    /// What is known of an endpoint that was listed before. If it has started anew, that is
-    /// nothing, and the earlier start has left.
+    /// Updates an endpoint that was listed before. If it has started again, what was learned
+    /// about the earlier start is dropped, and its address is added to `replaced`.
     fn update_or_replace(
         &self,
         now: Moment,
@@ -149,19 +150,19 @@
         self.track(now, listed)
     }
 
-    /// What is known of an endpoint that is listed for the first time.
+    /// State of an endpoint that is listed for the first time.
     fn track(&self, now: Moment, listed: Endpoint) -> TrackedEndpoint {
         let region = self.cfg.regions.get(&listed.domain).cloned();
         TrackedEndpoint::new(now, listed, region)
     }
 
-    /// How many endpoints are listed.
+    /// Number of listed endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Takes in the evacuated failure domains. Endpoints of one that comes back may have
-    /// become cold meanwhile.
+    /// Sets the evacuated failure domains. Endpoints of a domain that is no longer evacuated
+    /// may have become cold in the meantime.
     pub fn set_evacuated(&mut self, now: Moment, domains: BTreeSet<FailureDomain>) {
         let restored: BTreeSet<_> = self.evacuated.difference(&domains).cloned().collect();
         for endpoint in self
@@ -176,13 +177,12 @@
         self.evacuated = domains;
     }
 
-    /// Takes in how many gateways there are in each failure domain.
+    /// Sets the number of gateways in each failure domain.
     pub fn set_gateways(&mut self, counts: &[(FailureDomain, u32)]) {
         self.gateways = counts.iter().cloned().collect();
     }
 
-    /// Takes in what the gateways of each region were asked to carry, in thousandths of
-    /// busy slots.
+    /// Sets the demand of each region, in thousandths of busy slots.
     pub fn set_demand(&mut self, now: Moment, demand: &[(Region, ServiceName, u32)]) {
         self.demand_at = now;
         self.found_demand.get_or_insert(!demand.is_empty());
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Notes a request of a caller.
+    /// Records the arrival of a caller's request.
     pub fn record_request(&mut self, now: Moment, service: &ServiceName) {
         self.retry_budget.record_first(now, service);
         self.first_request_at.get_or_insert(now);
@@ -205,32 +205,32 @@
         }
     }
 
-    /// Takes a further attempt out of the budget, if there is one left.
+    /// Takes a retry from the budget if there is one left.
     pub fn try_spend_retry(&mut self, now: Moment, service: &ServiceName) -> bool {
         let gateways = self.gateways.values().sum::<u32>().max(1);
         self.retry_budget.try_spend(now, service, gateways)
     }
 
-    /// Whether an endpoint that has refused a request may be sent it again.
+    /// Whether a request may be sent again to an endpoint that rejected it.
     pub fn may_retry_same_endpoint(&self, load_reported: bool) -> bool {
         load_reported && self.cfg.uses(Mechanism::SameAgain)
     }
 
-    /// Notes the load that an endpoint has reported with an answer.
+    /// Records the load that an endpoint reported with a response.
     pub fn record_load(&mut self, now: Moment, target: &Target, load: Load) {
         if let Some(state) = self.tracked_mut(target) {
             state.record_load(now, load);
         }
     }
 
-    /// Notes that an endpoint says that it is cold for so much longer.
+    /// Records that an endpoint reported to be cold for this much longer.
     pub fn record_cold(&mut self, now: Moment, target: &Target, remaining: Duration) {
         if let Some(state) = self.tracked_mut(target) {
             state.cold.extend(now, now + remaining);
         }
     }
 
-    /// Notes how a request that was placed has ended.
+    /// Records the outcome of a request that was placed.
     pub fn record_outcome(
         &mut self,
         now: Moment,
@@ -258,8 +258,9 @@
         }
     }
 
-    /// What an answer from another region took besides work whose time is known: the way
-    /// there and back. Of those with nothing to wait for, most take just that.
+    /// Updates the round trip to another region by the time that a response took beyond its
+    /// known processing time. Only responses without a queue count; most of them take just
+    /// that.
     fn learn_rtt(&mut self, service: &ServiceName, target: &Target, took: Duration) {
         let waited = target.overhead.as_secs_f64() > target.rtt.as_secs_f64() + 0.001;
         if target.affinity != Affinity::Sent || waited {
@@ -277,19 +278,19 @@
         }
         let observed = (took.as_secs_f64() - cached).max(0.0);
         let rtt = self.rtts.entry(region).or_insert(target.rtt.as_secs_f64());
-        // One that met a queue tells little of the way.
+        // A response that was queued says little about the round trip.
         *rtt += RTT_EWMA_WEIGHT * (observed.min(2.0 * *rtt + 0.01) - *rtt);
     }
 
-    /// What is known of the start that a request was sent to; none if it is there no more.
-    /// What comes late of an earlier start tells nothing about the one that followed.
+    /// The start of the endpoint that a request was sent to; `None` if it is no longer listed.
+    /// Late outcomes of an earlier start say nothing about its successor.
     fn tracked_mut(&mut self, target: &Target) -> Option<&mut TrackedEndpoint> {
         self.endpoints.iter_mut().find(|e| e.is_target(target))
     }
 }
 
-/// The shortest objective of each service's routes: routes that hardly anybody uses may
-/// name any, and would set a wrong beginning.
+/// The shortest objective of each service's routes. Rarely used routes may have any objective,
+/// and would give a wrong initial estimate.
 fn objectives(table: &Table) -> HashMap<&ServiceName, Duration> {
     let mut shortest = HashMap::new();
     for route in &table.routes {
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,14 +1,14 @@
-//! Which part of a region's requests runs in which region.
+//! Computes which share of a region's requests runs in which region.
 //!
-//! The load it answers: one region has far fewer endpoints than its callers need while
-//! others have room. Sending each request away only when its own region happens to be full
-//! would meet endpoints that don't know its object, every time anew. So a part of the
-//! *objects* lives elsewhere, and always the same ones: their first request there is slow,
-//! all others are as quick as at home but for the way.
+//! One region may have far fewer endpoints than its callers need while others have capacity.
+//! If requests were sent away individually whenever their region is full, they would arrive at
+//! endpoints that don't have their object cached, each time anew. So a share of the *objects*
+//! is placed in other regions, and always the same ones: their first request there is slow,
+//! all others are as fast as in the own region except for the round trip.
 //!
-//! All gateways of a region compute the plan from the same sums, and an object's place in
-//! it from its name, so they agree without talking. Parts change by a bounded step only,
-//! so that a region that takes over is met by a ramp.
+//! All gateways of a region compute the plan from the same sums, and an object's position in
+//! it from its name, so they agree without communication. Shares change by a bounded step
+//! only, so that the load of the region that takes over ramps up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,60 +17,61 @@
 
 use crate::cost;
 
-/// Utilisation of all regions that is assumed before anybody has reported demand.
+/// Utilisation of all regions that is assumed until demand was reported.
 const ASSUMED_UTILISATION: f64 = 0.4;
-/// How far the busier endpoints of a region are above its utilisation, and the others below,
-/// as a part of it: objects have one endpoint each, so that arrivals spread unevenly.
+/// How far the busier endpoints of a region are above its utilisation, and the others below
+/// it, relative to it: each object has one endpoint, so arrivals spread unevenly.
 const ENDPOINT_SPREAD: f64 = 0.4;
-/// Step of utilisation over which a marginal wait is taken.
+/// Step of utilisation over which the marginal wait is computed.
 const UTILISATION_STEP: f64 = 0.01;
-/// Parts that all demand is moved in: finer than what a plan follows.
+/// Number of quanta in which demand is moved: finer than what a plan follows.
 const QUANTA: f64 = 128.0;
-/// Part of the allowed change between windows that the plan takes.
+/// Share of the permitted change between windows that the plan uses.
 pub(crate) const SHIFT_FRACTION: f64 = 0.3;
-/// The same for requests that come home, more slowly than they leave: demand that has fallen
-/// may rise again faster than a bounded step can follow, and a region that is short of slots
-/// then queues for seconds, while what stays away needs the way and no more.
+/// The same for requests that move back to their own region, more slowly than they left it.
+/// Demand that has decreased may increase again faster than a bounded step can follow, and a
+/// region that is short of slots then queues for seconds, while requests that stay in another
+/// region only cost the round trip.
 const RETURN_FRACTION: f64 = 0.075;
-/// The window over which change is bounded.
+/// The window over which change is limited.
 pub(crate) const WINDOW: Duration = Duration::from_secs(2);
-/// A smaller difference between plan and aim is left alone: moving objects costs each its
-/// first request.
+/// A smaller difference between plan and target is ignored (hysteresis): moving an object
+/// costs it a slow first request.
 const DEAD_BAND: f64 = 0.04;
 
-/// Slots that requests of a region keep busy, or that a region has.
+/// Busy or available slots of each region.
 pub(crate) type SlotsByRegion = BTreeMap<Region, f64>;
 
-/// How fast requests come home.
+/// How fast requests move back to their own region.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Pace {
-    /// More slowly than they leave.
+    /// More slowly than they left it.
     SlowReturn,
-    /// As they leave.
+    /// As fast as they left it.
     Even,
 }
 
-/// Parts of one service's requests, from one region.
+/// Where the requests of one service run that one region receives.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Plan {
-    /// Parts that run in other regions.
+    /// Share of the requests that run in each other region.
     remote_shares: BTreeMap<Region, f64>,
     updated_at: Option<Moment>,
 }
 
 impl Plan {
-    /// Sets parts at once: nothing has moved by the plan before.
+    /// Sets the shares in one step; for the start, when no requests have moved yet.
     pub(crate) fn set(&mut self, now: Moment, target: SlotsByRegion) {
         self.remote_shares = target;
         self.updated_at = Some(now);
     }
 
-    /// Keeps the parts as they are.
+    /// Keeps the shares.
     pub(crate) fn hold(&mut self, now: Moment) {
         self.updated_at = Some(now);
     }
 
-    /// Moves towards what demand and capacity ask for.
+    /// Moves the shares towards a target by a bounded step.
     pub(crate) fn move_towards(
         &mut self,
         now: Moment,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Where an object lives that stands at this place between 0 and 1; `None` at home.
+    /// Region of an object at a position between 0 and 1; `None` is the own region.
     pub(crate) fn region_at(&self, position: f64) -> Option<&Region> {
         let mut bound = 0.0;
         self.remote_shares.iter().find_map(|(region, share)| {
@@ -120,31 +121,31 @@
         })
     }
 
-    /// The parts that run elsewhere.
+    /// Share of the requests that run in each other region.
     pub(crate) fn remote_shares(&self) -> SlotsByRegion {
         self.remote_shares.clone()
     }
 }
 
-/// What a service's regions are like, as far as a plan goes.
+/// What a plan assumes about the regions of a service.
 pub(crate) struct ServiceModel<'a> {
-    /// Busy slots that each region's callers ask for.
+    /// Busy slots that the callers of each region need.
     pub(crate) demand: &'a SlotsByRegion,
     /// Slots that each region has.
     pub(crate) capacity: &'a SlotsByRegion,
-    /// Slots of one endpoint, on average.
+    /// Mean number of slots of an endpoint.
     pub(crate) slots_per_endpoint: f64,
-    /// Seconds that an answer takes where the object is known.
+    /// Seconds that a response takes with the object cached.
     pub(crate) service_time: f64,
-    /// Seconds to another region and back.
+    /// Round trip to another region in seconds.
     pub(crate) rtt: f64,
 }
 
 impl ServiceModel<'_> {
-    /// Seconds that requests of a region wait for a slot at this utilisation, on average.
+    /// Mean time in seconds that requests of a region wait for a slot at this utilisation.
     ///
     /// Requests for a few objects don't spread evenly, so some endpoints are busier than
-    /// others and the wait is averaged over them.
+    /// others, and the wait is averaged over them.
     fn mean_wait(&self, utilisation: f64) -> f64 {
         let at = |part: f64| {
             part * cost::mean_queue_wait(
@@ -156,13 +157,14 @@
         (at(1.0 - ENDPOINT_SPREAD) + 2.0 * at(1.0) + at(1.0 + ENDPOINT_SPREAD)) / 4.0
     }
 
-    /// Seconds by which one more request makes all requests of a region wait longer.
+    /// Increase of the total wait of a region's requests, in seconds, for each additional
+    /// request.
     fn marginal_wait(&self, utilisation: f64) -> f64 {
         let total_wait = |utilisation: f64| utilisation * self.mean_wait(utilisation);
         (total_wait(utilisation + UTILISATION_STEP) - total_wait(utilisation)) / UTILISATION_STEP
     }
 
-    /// Demand by region once no request gains any more by going elsewhere.
+    /// Demand of each region once no request gains by moving to another one.
     fn balanced(&self) -> SlotsByRegion {
         let mut load: SlotsByRegion = self.capacity.keys().map(|r| (r.clone(), 0.0)).collect();
         load.extend(self.demand.iter().map(|(r, d)| (r.clone(), *d)));
@@ -177,8 +179,8 @@
         load
     }
 
-    /// From which region to which a quantum of demand gains most by moving; `None` if it
-    /// gains nothing.
+    /// Source and destination of the move of one quantum of demand that gains most; `None` if
+    /// no move gains anything.
     fn best_move(&self, load: &SlotsByRegion, quantum: f64) -> Option<(Region, Region)> {
         let marginal = |region: &Region, load: f64| {
             let slots = self.capacity.get(region).copied().unwrap_or(0.0);
@@ -197,10 +199,10 @@
     }
 }
 
-/// The parts of `own`'s requests that should run in other regions.
+/// The shares of `own`'s requests that should run in other regions.
 ///
-/// A region keeps requests until the wait that one more of them causes to all is longer
-/// than the way to where it would cause less.
+/// A region keeps its requests until the wait that one more of them adds to all others is
+/// longer than the round trip to a region where it would add less.
 pub(crate) fn target_shares(own: &Region, model: &ServiceModel<'_>) -> SlotsByRegion {
     let local_demand = model.demand.get(own).copied().unwrap_or(0.0);
     if local_demand <= 0.0 {
@@ -220,15 +222,15 @@
     if leaving <= 0.0 || total <= 0.0 {
         return SlotsByRegion::new();
     }
-    // Whoever gives, gives to all in proportion to what they take, so that a small change
-    // of demand moves few objects.
+    // Requests are moved to all destinations in proportion to their gain, so that a small
+    // change of demand moves few objects.
     gains
         .into_iter()
         .map(|(region, gained)| (region, leaving * gained / total))
         .collect()
 }
 
-/// Demand as it is assumed before anybody has reported any: in proportion to gateways.
+/// Demand that is assumed until it was reported: in proportion to the gateways of each region.
 pub(crate) fn assumed_demand(
     gateways: &BTreeMap<Region, u32>,
     capacity: &SlotsByRegion,
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -1,7 +1,7 @@
-//! The plan of each service, kept from what control tells of demand.
+//! Updates the plan of each service from the demand that control reports.
 //!
-//! A plan may only change slowly once callers have seen it; before, or when this gateway
-//! joins others that serve, it is taken up at once ([`Stage`]).
+//! A plan may only change slowly once requests have followed it. Before that, or when this
+//! gateway joins others that already serve, it is set in one step ([`Stage`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,58 +15,60 @@
 use crate::{Mechanism, Placer};
 
 /// Time over which demand is averaged: several reports, and well below the time in which
-/// demand changes by itself.
+/// demand itself changes.
 const DEMAND_AVERAGING: Duration = Duration::from_secs(2);
-/// Time for which demand that was told is believed: some reports. With all of control down
-/// nobody tells it any more; a plan that went on following what it was, in the first second
-/// of a day for one, would bring all requests home to a region that can't bear them.
+/// Time after which reported demand expires: several report intervals. With all of control
+/// down there are no reports. A plan that kept following the last one, for example that of the
+/// first second of a day, would bring all requests back to a region that can't handle them.
 const DEMAND_TTL: Duration = Duration::from_secs(2);
-/// Callers that come this soon after a gateway knows endpoints were there before it.
+/// Requests that arrive within this time after the gateway received its first list of
+/// endpoints come from callers that were active before it started.
 const JOINED_WITHIN: Duration = Duration::from_secs(3);
-/// Time after which all gateways that have started together are counted: two reports.
+/// Time after which all gateways that started together are counted: two reports.
 const COUNTED_AFTER: Duration = Duration::from_millis(1000);
 
-/// How far a gateway is in its life.
+/// How far the start of this gateway has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No caller has come yet: whatever the plan says moves nothing.
+    /// No request has arrived yet, so setting the plan moves nothing.
     Waiting,
-    /// Callers were there already when it started, and not all gateways are counted yet.
+    /// Callers were already active when the gateway started, and not all gateways are counted
+    /// yet.
     Beginning,
-    /// It has just joined gateways that serve, or all have started anew: it takes up the
-    /// plan that demand asks for, as the others have it.
+    /// It has joined gateways that serve, or all gateways have restarted. It sets the plan
+    /// that the demand asks for, as the other gateways have it.
     Joining,
-    /// Callers have just begun to come to all gateways; demand isn't summed up yet.
+    /// Callers have just become active at all gateways; the demand isn't summed up yet.
     Settling,
-    /// It follows demand in bounded steps.
+    /// It follows the demand in bounded steps.
     Running,
 }
 
 impl Stage {
-    /// This stage while `holds`, and the last one afterwards.
+    /// This stage while `holds`, and `Running` afterwards.
     fn until(self, holds: bool) -> Self {
         if holds { self } else { Self::Running }
     }
 }
 
-/// What a plan does next.
+/// What happens to a plan in one update.
 enum PlanStep {
-    /// Nothing is known to go by.
+    /// Nothing: there is no information to base it on.
     Stay,
-    /// Its parts are as they should be.
+    /// Its shares are kept.
     Hold,
-    /// It takes these parts up at once.
+    /// It is set to these shares in one step.
     Set(SlotsByRegion),
-    /// It moves towards these parts.
+    /// It moves towards these shares by a bounded step.
     MoveTowards(SlotsByRegion),
 }
 
-/// Requests of a service at this gateway.
+/// Rate of a service's requests at this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnDemand {
     pub(crate) requests: u32,
     per_s: f64,
-    /// When the first of them came.
+    /// When the first request arrived.
     first_at: Moment,
     averaged_at: Moment,
 }
@@ -81,11 +83,12 @@
         }
     }
 
-    /// Requests a second, averaged; counts anew from now.
+    /// Returns the moving average of requests per second, and restarts the count.
     fn take(&mut self, now: Moment) -> f64 {
         let elapsed = now.saturating_sub(self.averaged_at).as_secs_f64();
-        // A mean over what there is until there is enough: begun at nothing, it would tell
-        // half of the demand for seconds after callers have come, and bring requests home.
+        // Averages over the time since the first request until that is long enough. Starting
+        // from zero would report half of the demand for seconds after callers became active,
+        // and move requests back to their own region.
         let age = now.saturating_sub(self.first_at);
         let averaging = age.clamp(Duration::from_millis(1), DEMAND_AVERAGING);
         let weight = (elapsed / averaging.as_secs_f64()).min(1.0);
@@ -97,23 +100,23 @@
     }
 }
 
-/// What a placer believes of a service, for logs.
+/// What a placer has learned and planned for a service, for logs.
 #[derive(Clone, Debug)]
 pub struct ServiceEstimate {
     /// The service.
     pub service: ServiceName,
-    /// Time of an answer where the object is known, and where it isn't.
+    /// Response times with the object cached and not cached.
     pub response_times: (Duration, Duration),
-    /// Parts of its requests that run in other regions.
+    /// Share of this region's requests that run in each other region.
     pub remote_shares: BTreeMap<Region, f64>,
-    /// Busy slots that each region is asked for, as told.
+    /// Busy slots that the callers of each region need, as reported by control.
     pub demand: BTreeMap<Region, f64>,
     /// Slots that each region has.
     pub capacity: BTreeMap<Region, f64>,
 }
 
 impl Placer {
-    /// What this gateway was asked to carry lately, for its report.
+    /// Demand at this gateway since the last call, for its report to control.
     pub fn take_demand(&mut self, now: Moment) -> Vec<Demand> {
         let times = &self.response_times;
         let demand_of = |(service, own): (&ServiceName, &mut OwnDemand)| {
@@ -149,7 +152,7 @@
         }
     }
 
-    /// What the plan of a service does next.
+    /// The next step of a service's plan.
     fn plan_step(&self, now: Moment, stage: Stage, service: &ServiceName) -> PlanStep {
         let capacity = self.capacity(now, service);
         if capacity.is_empty() {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// How far this gateway is in its life, as plans go.
+    /// The stage that this gateway is in.
     fn stage(&self, now: Moment) -> Stage {
         let Some(first) = self.first_request_at else {
             return Stage::Waiting;
@@ -236,7 +239,7 @@
         capacity
     }
 
-    /// Slots of one endpoint of a service, on average.
+    /// Mean number of slots of a service's endpoints.
     fn slots_per_endpoint(&self, service: &ServiceName) -> f64 {
         let endpoints = self.endpoints.iter().filter(|e| e.service == *service);
         let (count, slots) =
@@ -244,7 +247,7 @@
         f64::from(slots) / f64::from(count.max(1))
     }
 
-    /// Seconds to another region and back, on average.
+    /// Mean round trip to other regions in seconds.
     fn mean_rtt(&self) -> f64 {
         let learned: f64 = self.rtts.values().sum();
         match self.rtts.len() {
@@ -253,7 +256,7 @@
         }
     }
 
-    /// What is believed of each service of the routes.
+    /// Estimates for all services of the routes, for logs.
     pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
         let belief = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
--- a/crates/place/src/shift.rs
+++ b/crates/place/src/shift.rs
@@ -1,10 +1,10 @@
-//! How fast requests may stop running in another region.
+//! Limits how fast requests stop running in another region.
 //!
-//! The load it answers: an overload of all regions. Endpoints elsewhere queue for longer
-//! than objectives allow, so every request that the plan sends there would do better at
-//! home, all at the same moment; home is the region that is short of slots. The plan moves
-//! slowly, but what runs would not follow it. So the part that really runs elsewhere is
-//! measured, and may fall only as fast as the plan itself moves.
+//! During an overload of all regions, endpoints elsewhere queue for longer than objectives
+//! allow, so every request that the plan sends there would be faster in its own region, all at
+//! the same moment; and that region is the one that is short of slots. The plan moves slowly,
+//! but the requests wouldn't follow it. So the share that actually runs in another region is
+//! measured, and may decrease only as fast as the plan itself moves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 
 use crate::plan::WINDOW;
 
-/// Time over which the part that runs in a region is averaged: half a window, so that the
-/// mean follows within the window over which change is bounded.
+/// Time over which a region's share is averaged: half a window, so that the average follows
+/// within the window over which the change is limited.
 const AVERAGING: Duration = Duration::from_secs(1);
 
-/// Requests that stand for what isn't known yet: of a gateway that sends a few in a second,
-/// one more or less says little about the part that runs elsewhere.
+/// Weight of the prior, in requests: for a gateway that sends a few per second, one more or
+/// less says little about the share that runs elsewhere.
 const PRIOR_REQUESTS: f64 = 5.0;
 
-/// Requests of one service that run in each region, and how few may run there next.
+/// Where the requests of one service run, and the lowest share that each region may have next.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RegionShares {
-    /// Requests that ran lately, older ones counting for less.
+    /// Recent requests, weighted by an exponential decay.
     total: f64,
     regions: BTreeMap<Region, RegionShare>,
     updated_at: Moment,
@@ -32,15 +32,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct RegionShare {
-    /// Requests that ran there lately, on the scale of `Shift::all`.
+    /// Recent requests that ran there, weighted as `RegionShares::total`.
     recent: f64,
-    /// The least part of all requests that is to run there.
+    /// The lowest share of all requests that has to run there.
     min_share: f64,
 }
 
 impl RegionShares {
-    /// Notes a request that is sent to a region. `per_window` is the part of requests that
-    /// may move from one window to the next.
+    /// Records a request that is sent to a region. `max_change` is the share of requests that
+    /// may move between two consecutive windows.
     pub(crate) fn record_sent(&mut self, now: Moment, to: &Region, max_change: f64) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether requests that the plan sends to a region may run elsewhere, or not at all.
+    /// Whether requests that the plan sends to a region may run elsewhere or be rejected.
     pub(crate) fn may_decrease(&self, region: &Region) -> bool {
         let Some(share) = self.regions.get(region) else {
             return true;
