--- a/crates/place/tests/all/balance.rs
+++ b/crates/place/tests/all/balance.rs
@@ -13,41 +13,41 @@
 /// Requests a second of each connection.
 const RATE: f64 = 1.0;
 /// Use of a link that one connection makes.
-const USE: f64 = 0.015;
+const UTILISATION: f64 = 0.015;
 /// Steps of a tenth of a second; reports come each fifth of them.
 const STEP_S: f64 = 0.1;
-const REPORT: usize = 5;
+const STEPS_PER_REPORT: usize = 5;
 
 /// Most connections of a gateway, as a multiple of the mean, after so many seconds. At first
 /// half of the gateways have them all, as when the others were down.
-fn uneven_after(seconds: f64, balanced: bool) -> f64 {
+fn max_imbalance_after(seconds: f64, balanced: bool) -> f64 {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut open = [0_usize; GATEWAYS];
+    let mut connections = [0_usize; GATEWAYS];
     for number in 0..CONNECTIONS {
-        open[number % (GATEWAYS / 2)] += 1;
+        connections[number % (GATEWAYS / 2)] += 1;
     }
     let mut balances = [ConnectionBalancer::default(); GATEWAYS];
     for step in 0..(seconds / STEP_S) as usize {
         let now = Duration::from_secs_f64(step as f64 * STEP_S);
-        if step % REPORT == 0 {
-            let mean = USE * CONNECTIONS as f64 / GATEWAYS as f64;
-            for (balance, open) in balances.iter_mut().zip(open) {
-                balance.set_utilisation(USE * open as f64);
+        if step % STEPS_PER_REPORT == 0 {
+            let mean = UTILISATION * CONNECTIONS as f64 / GATEWAYS as f64;
+            for (balance, connections) in balances.iter_mut().zip(connections) {
+                balance.set_utilisation(UTILISATION * connections as f64);
                 balance.set_mean_utilisation(now, balanced.then_some(mean));
             }
         }
         for gateway in 0..GATEWAYS {
-            let requests = (open[gateway] as f64 * RATE * STEP_S).round() as usize;
+            let requests = (connections[gateway] as f64 * RATE * STEP_S).round() as usize;
             for _ in 0..requests {
                 if balances[gateway].should_close(now) {
-                    open[gateway] -= 1;
-                    open[rng.random_range(0..GATEWAYS)] += 1;
+                    connections[gateway] -= 1;
+                    connections[rng.random_range(0..GATEWAYS)] += 1;
                 }
             }
         }
     }
-    let most = open.iter().max().copied().unwrap_or_default();
-    most as f64 * GATEWAYS as f64 / CONNECTIONS as f64
+    let max = connections.iter().max().copied().unwrap_or_default();
+    max as f64 * GATEWAYS as f64 / CONNECTIONS as f64
 }
 
 /// Half of the gateways of a failure domain were down for some seconds. Their callers have
@@ -55,15 +55,18 @@
 /// while those that came back have next to nothing to do.
 #[test]
 fn callers_spread_again_after_gateways_were_down() {
-    assert!(uneven_after(20.0, false) >= 2.0);
-    let (soon, later) = (uneven_after(8.0, true), uneven_after(20.0, true));
+    assert!(max_imbalance_after(20.0, false) >= 2.0);
+    let (soon, later) = (
+        max_imbalance_after(8.0, true),
+        max_imbalance_after(20.0, true),
+    );
     assert!(soon < 1.6, "{soon}");
     assert!(later < 1.4, "{later}");
 }
 
 /// A few callers on links that are nearly empty. Nobody waits, so nobody is to move.
 #[test]
-fn nobody_moves_where_links_are_free() {
+fn no_connection_is_closed_while_links_are_idle() {
     let mut balance = ConnectionBalancer::default();
     balance.set_utilisation(0.1);
     balance.set_mean_utilisation(ms(0), Some(0.01));
@@ -73,7 +76,7 @@
 /// All of control is down, and a crowd comes. Each gateway has more to do than all had when
 /// the mean was last told; none may take itself for the only one.
 #[test]
-fn nobody_moves_by_an_old_mean() {
+fn an_expired_mean_closes_no_connection() {
     let mut balance = ConnectionBalancer::default();
     balance.set_utilisation(0.5);
     balance.set_mean_utilisation(ms(0), Some(0.3));
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -9,7 +9,7 @@
 use rand::{Rng as _, SeedableRng};
 
 use crate::support::{
-    COLD_PER_S, domain, endpoint, ms, named_placer, place, placer, refusal, request, served,
+    COLD_PER_S, domain, endpoint, ms, named_placer, place, placer, record_served, refusal, request,
     service,
 };
 
@@ -17,13 +17,10 @@
 /// fast as they can. In no second may it get more than it bears, whatever their number's
 /// latest count says: one of them isn't counted yet.
 #[test]
-fn a_cold_endpoint_gets_no_more_than_it_bears_from_all_gateways() {
+fn all_gateways_together_keep_the_limit_of_a_cold_endpoint() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
-    assert!(
-        most_in_a_second(&cold, 4, 3) > 0,
-        "or it would never warm up"
-    );
+    assert!(max_per_second(&cold, 4, 3) > 0, "or it would never warm up");
 }
 
 /// A region has grown to thirty gateways, and each sees the cold endpoint for the first
@@ -33,26 +30,26 @@
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     assert!(
-        most_in_a_second(&cold, 30, 30) > 0,
+        max_per_second(&cold, 30, 30) > 0,
         "or it would never warm up"
     );
 }
 
 /// Lets gateways press requests on a cold endpoint, each of which has been told that there
 /// are `counted` of them, and returns the most that it got in a second.
-fn most_in_a_second(cold: &Endpoint, gateways: usize, counted: u32) -> usize {
+fn max_per_second(cold: &Endpoint, gateways: usize, counted: u32) -> usize {
     let gateway = |number| named_placer(&format!("g-{number}"), "north-1", vec![cold.clone()]);
     let mut gateways: Vec<Placer> = (0..gateways).map(gateway).collect();
     for gateway in &mut gateways {
         gateway.set_gateways(&[(domain("north-1"), counted)]);
     }
-    let mut most = 0;
+    let mut max = 0;
     let mut sent = VecDeque::new();
     let bound = COLD_PER_S * 1.5 + 5.0;
     for at in 0..3000 {
         for gateway in &mut gateways {
             if let Some(target) = place(gateway, ms(at), "o") {
-                served(gateway, ms(at), &target, ms(1));
+                record_served(gateway, ms(at), &target, ms(1));
                 sent.push_back(at);
             }
         }
@@ -60,9 +57,9 @@
             sent.pop_front();
         }
         assert!(sent.len() as f64 <= bound, "{} in a second", sent.len());
-        most = most.max(sent.len());
+        max = max.max(sent.len());
     }
-    most
+    max
 }
 
 /// A gateway of another region sees a cold endpoint with free slots while its own are
@@ -81,7 +78,7 @@
 /// A failure domain is taken back after an evacuation. Its endpoints may have been idle
 /// and cold all the while, and must not be met by everything at once.
 #[test]
-fn endpoints_of_a_domain_that_returns_are_taken_for_cold() {
+fn endpoints_count_as_cold_after_an_evacuation() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
     gateway.set_evacuated(ms(0), [domain("north-1")].into());
     gateway.set_evacuated(ms(100), [].into());
@@ -93,7 +90,7 @@
 /// eleven gateways at random times. Over any window the further attempts must stay within
 /// a fifth of the requests and the floor.
 #[test]
-fn further_attempts_of_all_gateways_stay_within_the_budget() {
+fn retries_of_all_gateways_stay_within_the_budget() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut gateways: Vec<Placer> = (0..11)
@@ -103,7 +100,7 @@
             gateway.set_gateways(&[(domain("north-1"), 11)]);
         }
         let service = service();
-        let (mut first, mut further) = (Vec::new(), Vec::new());
+        let (mut first, mut retries) = (Vec::new(), Vec::new());
         for at in (0..30_000).step_by(10) {
             // Quiet and busy stretches by turns.
             let busy = (at / 7000) % 2 == 0;
@@ -114,7 +111,7 @@
             gateways[gateway].record_request(ms(at), &service);
             first.push(at);
             while gateways[gateway].try_spend_retry(ms(at), &service) {
-                further.push(at);
+                retries.push(at);
             }
         }
         let within = |times: &[u64], from: u64| {
@@ -124,8 +121,11 @@
         for from in (0..20_000).step_by(100) {
             let requests = within(&first, from).max(within(&first, from.saturating_sub(10_000)));
             let bound = 0.2 * requests + 56.0;
-            let made = within(&further, from);
-            assert!(made <= bound, "seed {seed}, from {from}: {made} of {bound}");
+            let spent = within(&retries, from);
+            assert!(
+                spent <= bound,
+                "seed {seed}, from {from}: {spent} of {bound}"
+            );
         }
     }
 }
@@ -134,7 +134,7 @@
 /// refused at once, with a time to come back; what has come back is kept if its caller
 /// still waits long enough.
 #[test]
-fn what_would_be_late_is_refused_at_once_unless_it_has_come_back() {
+fn requests_that_would_be_late_are_rejected_unless_the_caller_retries() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
     let service = service();
     let mut placed = 0;
@@ -151,15 +151,15 @@
     assert!(placed >= 3, "slots that are free are used");
     assert_eq!(refused.0, Refusal::Overloaded);
     assert!(refused.1 > ms(0));
-    let mut returned = request(&service, b"o");
-    returned.is_caller_retry = true;
-    assert_eq!(refusal(&mut gateway, ms(0), returned), None);
+    let mut retry = request(&service, b"o");
+    retry.is_caller_retry = true;
+    assert_eq!(refusal(&mut gateway, ms(0), retry), None);
 }
 
 /// Whatever happens in whatever order, counts of requests never run off: once all that was
 /// placed has ended, an endpoint takes three at once without a wait again.
 #[test]
-fn counts_come_back_to_nothing() {
+fn in_flight_counts_return_to_zero() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut bytes = Rng::new(StdRng::seed_from_u64(seed), &Options::default());
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -5,10 +5,10 @@
 use filberthead_place::{Affinity, Decision, EndpointId, Object, Outcome, Refusal, Request};
 
 use crate::support::{
-    domain, endpoint, id, ms, named_placer, place, placer, refusal, request, served, service,
+    domain, endpoint, id, ms, named_placer, place, placer, record_served, refusal, request, service,
 };
 
-fn four() -> Vec<filberthead_fleet::Endpoint> {
+fn four_endpoints() -> Vec<filberthead_fleet::Endpoint> {
     ["a", "b", "c", "d"]
         .map(|id| endpoint(id, "north-1"))
         .into()
@@ -18,45 +18,45 @@
 /// endpoint that gets one has to learn the object first, which is slow: all must go to the
 /// same one.
 #[test]
-fn gateways_agree_on_an_objects_endpoint_without_talking() {
-    let mut first = placer("north-1", four());
-    let mut second = placer("north-2", four());
+fn gateways_agree_on_an_objects_endpoint_without_communication() {
+    let mut first = placer("north-1", four_endpoints());
+    let mut second = placer("north-2", four_endpoints());
     for number in 0..50 {
         let object = format!("object-{number}");
         let here = place(&mut first, ms(number), &object).expect("a place");
         let there = place(&mut second, ms(number), &object).expect("a place");
         assert_eq!(here.id, there.id);
-        served(&mut first, ms(number), &here, ms(100));
-        served(&mut second, ms(number), &there, ms(100));
+        record_served(&mut first, ms(number), &here, ms(100));
+        record_served(&mut second, ms(number), &there, ms(100));
     }
 }
 
 /// The list names an endpoint of a service that no route names, with the fewest requests of
 /// all. It is nothing that a request of another service may go to.
 #[test]
-fn an_endpoint_of_an_unknown_service_gets_nothing() {
-    let mut stranger = endpoint("a", "north-1");
-    stranger.service = "nobody-routes-this".parse().expect("a name");
-    let mut alone = placer("north-1", vec![stranger.clone()]);
+fn an_endpoint_of_an_unknown_service_gets_no_requests() {
+    let mut unrouted = endpoint("a", "north-1");
+    unrouted.service = "nobody-routes-this".parse().expect("a name");
+    let mut alone = placer("north-1", vec![unrouted.clone()]);
     let service = service();
     let refused = refusal(&mut alone, ms(0), request(&service, b"o"));
     assert_eq!(refused, Some(Refusal::NoEndpoint));
-    let mut placer = placer("north-1", vec![stranger, endpoint("b", "north-1")]);
+    let mut placer = placer("north-1", vec![unrouted, endpoint("b", "north-1")]);
     for number in 0..30 {
         let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
         assert_eq!(&*target.id, "b");
-        served(&mut placer, ms(number), &target, ms(1));
+        record_served(&mut placer, ms(number), &target, ms(1));
     }
 }
 
 #[test]
 fn objects_are_spread_over_all_endpoints() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..400 {
         let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
         *counts.entry(target.id.clone()).or_insert(0) += 1;
-        served(&mut placer, ms(number), &target, ms(100));
+        record_served(&mut placer, ms(number), &target, ms(100));
     }
     assert_eq!(counts.len(), 4);
     assert!(
@@ -69,7 +69,7 @@
 /// the rest must go to others instead of waiting there.
 #[test]
 fn a_hot_object_overflows_to_other_endpoints() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let targets: Vec<_> = (0..6)
         .filter_map(|_| place(&mut placer, ms(0), "hot"))
         .collect();
@@ -83,7 +83,7 @@
 /// An endpoint has left, or an operator has evacuated where it runs: nothing more goes
 /// there, and what can't go anywhere is refused and not sent.
 #[test]
-fn endpoints_that_leave_get_nothing() {
+fn draining_and_evacuated_endpoints_get_no_requests() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-2")],
@@ -94,7 +94,7 @@
     for number in 0..20 {
         let target = place(&mut placer, ms(2), &format!("o-{number}")).expect("a place");
         assert_eq!(target.id, id("b"));
-        served(&mut placer, ms(2), &target, ms(100));
+        record_served(&mut placer, ms(2), &target, ms(100));
     }
     placer.set_evacuated(ms(3), [domain("north-2")].into());
     let service = service();
@@ -105,7 +105,7 @@
 /// An endpoint's connections break. Requests must go elsewhere at once, come back when it
 /// may work again, and be tried there rather than refused if there is nobody else.
 #[test]
-fn an_endpoint_that_breaks_is_left_alone_for_a_while() {
+fn an_endpoint_is_avoided_after_a_broken_connection() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
@@ -128,14 +128,14 @@
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
     let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(0), &first, ms(100));
+    record_served(&mut placer, ms(0), &first, ms(100));
     let mut moved = false;
     for number in 1..60 {
         let target = place(&mut placer, ms(number), "o").expect("a place");
         let slow = target.id == first.id;
         moved |= !slow;
         let took = if slow { ms(1500) } else { ms(100) };
-        served(&mut placer, ms(number), &target, took);
+        record_served(&mut placer, ms(number), &target, took);
     }
     assert!(moved, "a slow endpoint is avoided");
     let now = place(&mut placer, ms(60_000), "o").expect("a place");
@@ -152,7 +152,7 @@
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
     let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(0), &first, ms(100));
+    record_served(&mut placer, ms(0), &first, ms(100));
     let mut silent = 0;
     for number in 1..30 {
         let target = place(&mut placer, ms(number), "o").expect("a place");
@@ -165,7 +165,7 @@
                 Outcome::Abandoned(ms(1000)),
             );
         } else {
-            served(&mut placer, ms(number), &target, ms(100));
+            record_served(&mut placer, ms(number), &target, ms(100));
         }
     }
     assert!(silent <= 6, "{silent} of 29 requests met silence");
@@ -175,20 +175,20 @@
 /// without an answer until their deadlines, a second later; long before that, others must
 /// go elsewhere. Once it is back it is used again.
 #[test]
-fn an_endpoint_that_falls_silent_is_avoided_before_the_first_deadline() {
+fn a_stalled_endpoint_is_avoided_before_the_first_deadline() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
     let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(50), &first, ms(50));
+    record_served(&mut placer, ms(50), &first, ms(50));
     let silent = place(&mut placer, ms(100), "o").expect("a place");
     assert_eq!(silent.id, first.id);
     // Its one request has no answer yet at 900 ms, long after it should have come.
     for at in (900..1100).step_by(20) {
         let other = place(&mut placer, ms(at), "o").expect("a place");
         assert_ne!(other.id, first.id, "at {at}");
-        served(&mut placer, ms(at), &other, ms(100));
+        record_served(&mut placer, ms(at), &other, ms(100));
     }
     placer.record_outcome(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
     let after = place(&mut placer, ms(1110), "o").expect("a place");
@@ -196,7 +196,7 @@
         after.id, first.id,
         "one answer that never came is reason for a pause"
     );
-    served(&mut placer, ms(1110), &after, ms(100));
+    record_served(&mut placer, ms(1110), &after, ms(100));
     let back = place(&mut placer, ms(30_000), "o").expect("a place");
     assert_eq!(back.id, first.id);
 }
@@ -207,12 +207,12 @@
 /// endpoint of its own.
 #[test]
 fn a_name_on_two_routes_is_two_objects() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let service = service();
     let mut apart = 0;
     for number in 0..40 {
         let name = format!("o-{number}");
-        let mut ends = Vec::new();
+        let mut targets = Vec::new();
         for (at, prefix) in [(0, "/view/"), (100, "/lock/"), (200, "/view/")] {
             let now = ms(number * 1000 + at);
             let mut req = request(&service, name.as_bytes());
@@ -223,13 +223,13 @@
             let Decision::Send(target) = placer.place(now, req) else {
                 panic!("{name} is refused");
             };
-            served(&mut placer, now, &target, ms(90));
-            ends.push(target);
+            record_served(&mut placer, now, &target, ms(90));
+            targets.push(target);
         }
-        assert_ne!(ends[1].affinity, Affinity::Sent, "{name}");
-        assert_eq!(ends[2].affinity, Affinity::Sent, "{name}");
-        assert_eq!(ends[2].id, ends[0].id, "{name}");
-        apart += u64::from(ends[0].id != ends[1].id);
+        assert_ne!(targets[1].affinity, Affinity::Sent, "{name}");
+        assert_eq!(targets[2].affinity, Affinity::Sent, "{name}");
+        assert_eq!(targets[2].id, targets[0].id, "{name}");
+        apart += u64::from(targets[0].id != targets[1].id);
     }
     // Four endpoints: three of four names have two of them.
     assert!(apart >= 20, "{apart} of 40");
@@ -257,7 +257,7 @@
             let Decision::Send(target) = placer.place(now, req) else {
                 panic!("all endpoints are idle");
             };
-            served(&mut placer, now, &target, ms(100));
+            record_served(&mut placer, now, &target, ms(100));
             *counts.entry(target.id).or_default() += 1;
         }
     }
@@ -276,7 +276,7 @@
         near.chain(far).collect()
     };
     let service = service();
-    let mut homes: BTreeMap<String, BTreeSet<EndpointId>> = BTreeMap::new();
+    let mut endpoints_by_object: BTreeMap<String, BTreeSet<EndpointId>> = BTreeMap::new();
     for gateway in 0..10 {
         let mut placer = named_placer(&format!("gateway-{gateway}"), "north-1", endpoints());
         for number in 0..40 {
@@ -289,11 +289,17 @@
                 panic!("all endpoints are idle");
             };
             assert!(target.id.starts_with("near"), "{target:?}");
-            served(&mut placer, ms(1000 * number), &target, ms(100));
-            homes.entry(object).or_default().insert(target.id);
+            record_served(&mut placer, ms(1000 * number), &target, ms(100));
+            endpoints_by_object
+                .entry(object)
+                .or_default()
+                .insert(target.id);
         }
     }
-    assert!(homes.values().all(|ids| ids.len() == 1), "{homes:?}");
+    assert!(
+        endpoints_by_object.values().all(|ids| ids.len() == 1),
+        "{endpoints_by_object:?}"
+    );
 }
 
 /// Guards against an endpoint that has failed once and gets no request without an object ever
@@ -304,7 +310,7 @@
     let mut placer = placer("north-1", endpoints);
     let service = service();
     let mut failed = None;
-    let mut came_back = false;
+    let mut was_used_again = false;
     for number in 0..400 {
         let now = ms(100 * number);
         let req = Request {
@@ -318,9 +324,9 @@
             placer.record_outcome(now, &service, &target, Outcome::Failed);
             failed = Some(target.id);
         } else {
-            came_back |= failed.as_ref() == Some(&target.id);
-            served(&mut placer, now, &target, ms(100));
+            was_used_again |= failed.as_ref() == Some(&target.id);
+            record_served(&mut placer, now, &target, ms(100));
         }
     }
-    assert!(came_back, "not within 40 s");
+    assert!(was_used_again, "not within 40 s");
 }
--- a/crates/place/tests/all/regions.rs
+++ b/crates/place/tests/all/regions.rs
@@ -5,28 +5,28 @@
 use filberthead_place::Placer;
 use filberthead_types::Moment;
 
-use crate::support::{domain, endpoint, ms, place, placer, region, served, service};
+use crate::support::{domain, endpoint, ms, place, placer, record_served, region, service};
 
 /// Two endpoints in the north, eight in the south.
-fn lopsided() -> Vec<filberthead_fleet::Endpoint> {
+fn uneven_endpoints() -> Vec<filberthead_fleet::Endpoint> {
     let north = (0..2).map(|n| endpoint(&format!("n-{n}"), "north-1"));
     let south = (0..8).map(|n| endpoint(&format!("s-{n}"), "south-1"));
     north.chain(south).collect()
 }
 
-fn gateways(placer: &mut Placer) {
+fn set_gateways(placer: &mut Placer) {
     placer.set_gateways(&[(domain("north-1"), 1), (domain("south-1"), 1)]);
 }
 
 /// Requests of one second, each over before the next. Returns how many went south.
-fn second(placer: &mut Placer, from: Moment, per_s: u64) -> u64 {
+fn run_second(placer: &mut Placer, from: Moment, per_s: u64) -> u64 {
     let mut south = 0;
     for number in 0..per_s {
         let now = from + ms(1000 * number / per_s);
         placer.record_request(now, &service());
         let target = place(placer, now, &format!("o-{}", number % 40)).expect("a place");
         south += u64::from(target.id.starts_with('s'));
-        served(placer, now, &target, ms(100) + target.overhead);
+        record_served(placer, now, &target, ms(100) + target.overhead);
         if number % (per_s / 2) == 0 {
             placer.update_plans(now);
         }
@@ -34,7 +34,7 @@
     south
 }
 
-fn told(placer: &mut Placer, now: Moment, north: u32, south: u32) {
+fn set_demand(placer: &mut Placer, now: Moment, north: u32, south: u32) {
     let demand = [
         (region("north"), service(), north),
         (region("south"), service(), south),
@@ -45,41 +45,44 @@
 /// The north has 6 slots and its callers keep 9 busy, the south has 24 and room. A part of
 /// the north's objects must live in the south from then on, always the same ones.
 #[test]
-fn a_region_with_too_few_endpoints_has_objects_elsewhere() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+fn a_region_with_too_few_endpoints_places_objects_elsewhere() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     placer.update_plans(ms(0));
     for number in 0..30 {
-        told(&mut placer, ms(1000 * number), 9000, 4000);
-        second(&mut placer, ms(1000 * number), 80);
+        set_demand(&mut placer, ms(1000 * number), 9000, 4000);
+        run_second(&mut placer, ms(1000 * number), 80);
     }
-    let mut homes: BTreeMap<String, BTreeSet<bool>> = BTreeMap::new();
+    let mut placements: BTreeMap<String, BTreeSet<bool>> = BTreeMap::new();
     for number in 0..200 {
         let object = format!("o-{}", number % 40);
         let target = place(&mut placer, ms(30_000 + number), &object).expect("a place");
-        let away = target.id.starts_with('s');
-        homes.entry(object).or_default().insert(away);
-        served(&mut placer, ms(30_000 + number), &target, ms(100));
+        let is_remote = target.id.starts_with('s');
+        placements.entry(object).or_default().insert(is_remote);
+        record_served(&mut placer, ms(30_000 + number), &target, ms(100));
     }
     // Objects at the edge of the part are divided, on purpose; that is 2 of 40 on average.
-    let divided = homes.values().filter(|places| places.len() > 1).count();
-    assert!(divided <= 4, "{homes:?}");
-    let away = homes
+    let divided = placements
         .values()
-        .filter(|places| places.contains(&true))
+        .filter(|regions| regions.len() > 1)
+        .count();
+    assert!(divided <= 4, "{placements:?}");
+    let remote = placements
+        .values()
+        .filter(|regions| regions.contains(&true))
         .count();
     // Enough that 9 busy slots leave the 6 of the north below 0.6: 60 of 100, of which 40
     // objects are a sample.
-    assert!((18..=30).contains(&away), "{away} of 40 objects");
+    assert!((18..=30).contains(&remote), "{remote} of 40 objects");
 }
 
 /// Demand falls to nothing and comes back tenfold within a second. The part that runs in
 /// the other region must not change by more than 0.15 from one window to the next, although
 /// objects don't stand evenly in the plan.
 #[test]
-fn the_part_that_runs_elsewhere_changes_slowly() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+fn the_remote_share_changes_slowly() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     placer.update_plans(ms(0));
     let mut before: Option<f64> = None;
     for window in 0..30 {
@@ -87,17 +90,17 @@
         let mut south = 0;
         for half in 0..2 {
             let now = ms(2000 * window + 1000 * half);
-            told(&mut placer, now, busy, 2000);
-            south += second(&mut placer, now, 200);
+            set_demand(&mut placer, now, busy, 2000);
+            south += run_second(&mut placer, now, 200);
         }
-        let part = south as f64 / 400.0;
+        let share = south as f64 / 400.0;
         if let Some(before) = before {
             assert!(
-                (part - before).abs() <= 0.15,
-                "window {window}: {before} to {part}"
+                (share - before).abs() <= 0.15,
+                "window {window}: {before} to {share}"
             );
         }
-        before = Some(part);
+        before = Some(share);
     }
 }
 
@@ -105,38 +108,38 @@
 /// once, ramp or not.
 #[test]
 fn a_region_without_endpoints_is_served_elsewhere_at_once() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     placer.set_evacuated(ms(0), [domain("north-1")].into());
-    assert_eq!(second(&mut placer, ms(0), 40), 40);
+    assert_eq!(run_second(&mut placer, ms(0), 40), 40);
 }
 
 /// A gateway starts among others that serve. It must take up the plan that they follow at
 /// once: from a beginning of its own it would fill its region's few endpoints for as long
 /// as the ramp takes.
 #[test]
-fn a_gateway_that_joins_takes_up_the_plan_at_once() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
-    told(&mut placer, ms(0), 9000, 4000);
+fn a_joining_gateway_sets_its_plan_in_one_step() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
+    set_demand(&mut placer, ms(0), 9000, 4000);
     placer.update_plans(ms(0));
-    let south = second(&mut placer, ms(100), 80);
+    let south = run_second(&mut placer, ms(100), 80);
     assert!((32..=64).contains(&south), "{south} of 80");
 }
 
 /// The other region is nearer, or farther, than is assumed at first. What is expected of it
 /// must come to what its answers take.
 #[test]
-fn the_way_to_another_region_is_learned() {
-    for way in [10, 200] {
+fn the_round_trip_to_another_region_is_learned() {
+    for rtt_ms in [10, 200] {
         let mut placer = placer("north-1", vec![endpoint("s", "south-1")]);
         for number in 0..400 {
             let target = place(&mut placer, ms(number * 50), "o").expect("a place");
-            served(&mut placer, ms(number * 50), &target, ms(100 + way));
+            record_served(&mut placer, ms(number * 50), &target, ms(100 + rtt_ms));
         }
         let target = place(&mut placer, ms(30_000), "o").expect("a place");
-        let off = (target.expected + target.rtt).abs_diff(ms(100 + way));
-        assert!(off < ms(20), "{way}: {target:?}");
+        let off = (target.expected + target.rtt).abs_diff(ms(100 + rtt_ms));
+        assert!(off < ms(20), "{rtt_ms}: {target:?}");
     }
 }
 
@@ -144,20 +147,20 @@
 /// stays down. Callers of a region with too few endpoints must go on being served where the
 /// plan has their objects: what was told of demand says nothing of what it is.
 #[test]
-fn a_plan_does_not_follow_demand_that_nobody_tells_any_more() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+fn a_plan_does_not_follow_expired_demand() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     for number in 0..8 {
-        told(&mut placer, ms(1000 * number), 9000, 4000);
-        second(&mut placer, ms(1000 * number), 80);
+        set_demand(&mut placer, ms(1000 * number), 9000, 4000);
+        run_second(&mut placer, ms(1000 * number), 80);
     }
-    let before = second(&mut placer, ms(8000), 80);
+    let before = run_second(&mut placer, ms(8000), 80);
     assert!(before >= 32, "{before} of 80");
-    told(&mut placer, ms(9000), 100, 100);
+    set_demand(&mut placer, ms(9000), 100, 100);
     for number in 9..40 {
-        second(&mut placer, ms(1000 * number), 80);
+        run_second(&mut placer, ms(1000 * number), 80);
     }
-    let after = second(&mut placer, ms(40_000), 80);
+    let after = run_second(&mut placer, ms(40_000), 80);
     assert!(after + 16 >= before, "{before}, later {after} of 80");
 }
 
@@ -166,32 +169,32 @@
 /// the north is often full and its requests wait for tens of milliseconds. With the south
 /// 10 ms away a part of them must go there; with the south a second away none must.
 #[test]
-fn a_region_gives_away_what_would_wait_longer_than_the_way() {
-    for (way, expected) in [(10, 16..=64), (1000, 0..=0)] {
-        let mut placer = placer("north-1", lopsided());
-        gateways(&mut placer);
-        told(&mut placer, ms(0), 3400, 3000);
-        learn_way(&mut placer, way);
+fn a_region_sends_away_requests_that_would_wait_longer_than_the_round_trip() {
+    for (rtt_ms, expected) in [(10, 16..=64), (1000, 0..=0)] {
+        let mut placer = placer("north-1", uneven_endpoints());
+        set_gateways(&mut placer);
+        set_demand(&mut placer, ms(0), 3400, 3000);
+        learn_rtt(&mut placer, rtt_ms);
         for number in 10..40 {
-            told(&mut placer, ms(1000 * number), 3400, 3000);
-            second(&mut placer, ms(1000 * number), 80);
+            set_demand(&mut placer, ms(1000 * number), 3400, 3000);
+            run_second(&mut placer, ms(1000 * number), 80);
         }
-        let south = second(&mut placer, ms(40_000), 80);
+        let south = run_second(&mut placer, ms(40_000), 80);
         assert!(
             expected.contains(&south),
-            "{south} of 80 at a way of {way} ms"
+            "{south} of 80 at a way of {rtt_ms} ms"
         );
     }
 }
 
 /// The north is evacuated for a while, so that its callers learn how far the south is.
-fn learn_way(placer: &mut Placer, way: u64) {
+fn learn_rtt(placer: &mut Placer, rtt_ms: u64) {
     placer.set_evacuated(ms(0), [domain("north-1")].into());
     for number in 0..400 {
         let now = ms(number * 20);
         placer.record_request(now, &service());
         let target = place(placer, now, "o").expect("a place");
-        served(placer, now, &target, ms(100 + way));
+        record_served(placer, now, &target, ms(100 + rtt_ms));
     }
     placer.set_evacuated(ms(8000), [].into());
 }
@@ -201,19 +204,19 @@
 /// north has 6. A plan may only move in small steps. If it has brought requests home by the
 /// time when callers come back, the north's few endpoints are full for seconds.
 #[test]
-fn a_region_short_of_slots_is_not_filled_by_callers_that_come_back() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+fn a_region_short_of_slots_is_not_filled_by_returning_callers() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     let mut fullest: f64 = 0.0;
     for number in 0..70 {
         let busy = if number % 14 < 7 { 9.0 } else { 4.5 };
-        told(&mut placer, ms(1000 * number), (busy * 1000.0) as u32, 4000);
+        set_demand(&mut placer, ms(1000 * number), (busy * 1000.0) as u32, 4000);
         let per_s = 200;
-        let south = second(&mut placer, ms(1000 * number), per_s);
-        let kept = busy * (1.0 - south as f64 / per_s as f64);
+        let south = run_second(&mut placer, ms(1000 * number), per_s);
+        let local = busy * (1.0 - south as f64 / per_s as f64);
         // Once the plan has found its place.
         if number >= 14 {
-            fullest = fullest.max(kept / 6.0);
+            fullest = fullest.max(local / 6.0);
         }
     }
     // Objects aren't spread evenly: the busier endpoints stand 0.4 above their region's
@@ -224,17 +227,20 @@
 /// Callers have just come, in full number. What is told of their demand after half a second
 /// must be what it is, or the plans of their region are made for a fraction of it.
 #[test]
-fn demand_is_told_in_full_from_the_beginning() {
-    let mut placer = placer("north-1", lopsided());
-    let begun = ms(8000);
+fn demand_is_reported_in_full_from_the_start() {
+    let mut placer = placer("north-1", uneven_endpoints());
+    let started_at = ms(8000);
     for number in 0..50 {
-        placer.record_request(begun + ms(number * 10), &service());
+        placer.record_request(started_at + ms(number * 10), &service());
     }
-    let told = placer.take_demand(begun + ms(500));
-    let work = placer.estimates(begun)[0].response_times.0;
-    let busy = f64::from(told[0].busy_milli) / 1000.0;
-    let wanted = 100.0 * work.as_secs_f64();
-    assert!((busy - wanted).abs() < 0.1 * wanted, "{busy} of {wanted}");
+    let reported = placer.take_demand(started_at + ms(500));
+    let work = placer.estimates(started_at)[0].response_times.0;
+    let busy = f64::from(reported[0].busy_milli) / 1000.0;
+    let expected = 100.0 * work.as_secs_f64();
+    assert!(
+        (busy - expected).abs() < 0.1 * expected,
+        "{busy} of {expected}"
+    );
 }
 
 /// Every region is asked for more than it has slots for, and gateways hear too seldom of
@@ -243,7 +249,7 @@
 /// back from there. Requests must stay, and those that would be late be told to come back.
 #[test]
 fn a_full_region_does_not_send_its_overload_to_others() {
-    let mut placer = placer("north-1", lopsided());
+    let mut placer = placer("north-1", uneven_endpoints());
     let mut refused = 0;
     for number in 0..60 {
         let now = ms(number * 5);
@@ -259,8 +265,8 @@
 /// the region that runs them is overloaded.
 #[test]
 fn requests_return_from_an_overloaded_region_at_a_bounded_rate() {
-    let mut placer = placer("north-1", lopsided());
-    gateways(&mut placer);
+    let mut placer = placer("north-1", uneven_endpoints());
+    set_gateways(&mut placer);
     let full = filberthead_place::Load {
         running: 3,
         waiting: 30,
@@ -271,7 +277,7 @@
         for number in 0..400 {
             let now = ms(2000 * window + 5 * number);
             if number % 100 == 0 {
-                told(&mut placer, now, 9000, 4000);
+                set_demand(&mut placer, now, 9000, 4000);
                 placer.update_plans(now);
             }
             placer.record_request(now, &service());
@@ -287,13 +293,13 @@
                     placer.record_load(now, &target, full);
                 }
             }
-            served(&mut placer, now, &target, ms(100) + target.overhead);
+            record_served(&mut placer, now, &target, ms(100) + target.overhead);
         }
-        let part = f64::from(south) / f64::from(ran);
+        let share = f64::from(south) / f64::from(ran);
         if let Some(before) = before {
-            let change: f64 = part - before;
-            assert!(change.abs() <= 0.15, "window {window}: {before} to {part}");
+            let change: f64 = share - before;
+            assert!(change.abs() <= 0.15, "window {window}: {before} to {share}");
         }
-        before = Some(part);
+        before = Some(share);
     }
 }
--- a/crates/place/tests/all/restarts.rs
+++ b/crates/place/tests/all/restarts.rs
@@ -4,10 +4,12 @@
 use filberthead_place::{Load, Outcome, Placer, Refusal, Target};
 use filberthead_types::{Incarnation, Moment};
 
-use crate::support::{COLD_PER_S, endpoint, ms, place, placer, refusal, request, served, service};
+use crate::support::{
+    COLD_PER_S, endpoint, ms, place, placer, record_served, refusal, request, service,
+};
 
 /// An endpoint of the gateway's failure domain, as of its start at this moment.
-fn started(id: &str, at: u64) -> Endpoint {
+fn started_at(id: &str, at: u64) -> Endpoint {
     Endpoint {
         incarnation: Some(Incarnation(at)),
         ..endpoint(id, "north-1")
@@ -15,7 +17,7 @@
 }
 
 /// Tells a placer of one entry that isn't as it was.
-fn tell(placer: &mut Placer, now: Moment, endpoint: Endpoint) {
+fn change_entry(placer: &mut Placer, now: Moment, endpoint: Endpoint) {
     let change = EndpointChange {
         changed: vec![endpoint],
         ..EndpointChange::default()
@@ -23,18 +25,18 @@
     placer.change_endpoints(now, change);
 }
 
-fn refused(placer: &mut Placer, now: Moment) -> Option<Refusal> {
+fn rejection(placer: &mut Placer, now: Moment) -> Option<Refusal> {
     let service = service();
     refusal(placer, now, request(&service, b"o"))
 }
 
-fn ended(placer: &mut Placer, now: Moment, target: &Target, outcome: Outcome) {
+fn record_outcome(placer: &mut Placer, now: Moment, target: &Target, outcome: Outcome) {
     placer.record_outcome(now, &service(), target, outcome);
 }
 
 /// A gateway whose one endpoint holds a request, and the request's place.
-fn with_a_request() -> (Placer, Target) {
-    let mut placer = placer("north-1", vec![started("a", 100)]);
+fn with_request_in_flight() -> (Placer, Target) {
+    let mut placer = placer("north-1", vec![started_at("a", 100)]);
     let target = place(&mut placer, ms(0), "o").expect("a place");
     (placer, target)
 }
@@ -43,10 +45,10 @@
 /// found to have lost power. It starts again under its identity. The request is gone with
 /// the earlier start, and the new one must get requests at once.
 #[test]
-fn a_stall_of_the_earlier_start_is_forgotten() {
-    let (mut placer, _) = with_a_request();
-    assert_eq!(refused(&mut placer, ms(5000)), Some(Refusal::NoEndpoint));
-    tell(&mut placer, ms(5000), started("a", 4900));
+fn a_stall_of_the_earlier_start_is_dropped() {
+    let (mut placer, _) = with_request_in_flight();
+    assert_eq!(rejection(&mut placer, ms(5000)), Some(Refusal::NoEndpoint));
+    change_entry(&mut placer, ms(5000), started_at("a", 4900));
     assert!(place(&mut placer, ms(5001), "o").is_some());
 }
 
@@ -54,27 +56,27 @@
 /// sent to the one that was there. That one comes back, at an address of its own.
 #[test]
 fn an_endpoint_that_was_gone_is_used_when_it_starts_again() {
-    let (mut placer, target) = with_a_request();
-    ended(&mut placer, ms(1), &target, Outcome::Gone);
-    assert_eq!(refused(&mut placer, ms(2)), Some(Refusal::NoEndpoint));
-    let mut back = started("a", 200);
-    back.addr.set_port(81);
-    tell(&mut placer, ms(3), back.clone());
+    let (mut placer, target) = with_request_in_flight();
+    record_outcome(&mut placer, ms(1), &target, Outcome::Gone);
+    assert_eq!(rejection(&mut placer, ms(2)), Some(Refusal::NoEndpoint));
+    let mut restarted = started_at("a", 200);
+    restarted.addr.set_port(81);
+    change_entry(&mut placer, ms(3), restarted.clone());
     let target = place(&mut placer, ms(4), "o").expect("a place");
-    assert_eq!(target.addr, back.addr);
+    assert_eq!(target.addr, restarted.addr);
 }
 
 /// Two endpoints are alike but that one broke off its requests lately and is left alone. It
 /// starts again. It must be chosen for its objects as if it had never failed.
 #[test]
-fn a_pause_of_the_earlier_start_is_forgotten() {
-    let mut placer = placer("north-1", vec![started("a", 100), started("b", 100)]);
+fn a_backoff_of_the_earlier_start_is_dropped() {
+    let mut placer = placer("north-1", vec![started_at("a", 100), started_at("b", 100)]);
     let first = place(&mut placer, ms(0), "o").expect("a place");
-    ended(&mut placer, ms(1), &first, Outcome::Broken);
+    record_outcome(&mut placer, ms(1), &first, Outcome::Broken);
     let second = place(&mut placer, ms(2), "o").expect("a place");
     assert_ne!(second.id, first.id);
-    ended(&mut placer, ms(2), &second, Outcome::Abandoned(ms(0)));
-    tell(&mut placer, ms(3), started(&first.id, 200));
+    record_outcome(&mut placer, ms(2), &second, Outcome::Abandoned(ms(0)));
+    change_entry(&mut placer, ms(3), started_at(&first.id, 200));
     let third = place(&mut placer, ms(4), "o").expect("a place");
     assert_eq!(third.id, first.id);
 }
@@ -82,50 +84,50 @@
 /// An endpoint that has handled an object is fast with it. Its next start has never seen
 /// it, and a gateway that goes on counting on it promises answers that come too late.
 #[test]
-fn objects_of_the_earlier_start_are_forgotten() {
-    let (mut placer, target) = with_a_request();
-    served(&mut placer, ms(50), &target, ms(50));
+fn objects_of_the_earlier_start_are_dropped() {
+    let (mut placer, target) = with_request_in_flight();
+    record_served(&mut placer, ms(50), &target, ms(50));
     let known = place(&mut placer, ms(60), "o").expect("a place");
     assert_ne!(known.affinity, target.affinity);
-    tell(&mut placer, ms(100), started("a", 200));
-    let anew = place(&mut placer, ms(101), "o").expect("a place");
-    assert_eq!(anew.affinity, target.affinity);
+    change_entry(&mut placer, ms(100), started_at("a", 200));
+    let after = place(&mut placer, ms(101), "o").expect("a place");
+    assert_eq!(after.affinity, target.affinity);
 }
 
 /// A warm endpoint drains, ends, and starts again under its identity, cold. It must get
 /// requests, but no more in a second than it bears.
 #[test]
-fn a_drained_endpoint_comes_back_cold() {
-    let mut placer = placer("north-1", vec![started("a", 100)]);
-    let mut leaving = started("a", 100);
+fn a_drained_endpoint_restarts_cold() {
+    let mut placer = placer("north-1", vec![started_at("a", 100)]);
+    let mut leaving = started_at("a", 100);
     leaving.state = EndpointState::Draining;
-    tell(&mut placer, ms(0), leaving);
-    assert_eq!(refused(&mut placer, ms(1)), Some(Refusal::NoEndpoint));
-    let mut back = started("a", 200);
-    back.cold_left = ms(3000);
-    tell(&mut placer, ms(2), back);
-    let mut got = 0;
+    change_entry(&mut placer, ms(0), leaving);
+    assert_eq!(rejection(&mut placer, ms(1)), Some(Refusal::NoEndpoint));
+    let mut restarted = started_at("a", 200);
+    restarted.cold_left = ms(3000);
+    change_entry(&mut placer, ms(2), restarted);
+    let mut sent = 0;
     for now in 2..1002 {
         if let Some(target) = place(&mut placer, ms(now), "o") {
-            served(&mut placer, ms(now), &target, ms(1));
-            got += 1;
+            record_served(&mut placer, ms(now), &target, ms(1));
+            sent += 1;
         }
     }
-    assert!(got > 0, "or it would never warm up");
-    assert!(f64::from(got) <= COLD_PER_S, "{got} in a second");
+    assert!(sent > 0, "or it would never warm up");
+    assert!(f64::from(sent) <= COLD_PER_S, "{sent} in a second");
 }
 
 /// The list says that an endpoint stays cold for seconds, and it starts again as a warm one,
 /// as those do that start before callers come. Nothing of the earlier coldness may hold.
 #[test]
-fn coldness_of_the_earlier_start_is_forgotten() {
-    let mut cold = started("a", 100);
+fn coldness_of_the_earlier_start_is_dropped() {
+    let mut cold = started_at("a", 100);
     cold.cold_left = ms(60_000);
     let mut placer = placer("north-1", vec![cold]);
-    tell(&mut placer, ms(0), started("a", 200));
+    change_entry(&mut placer, ms(0), started_at("a", 200));
     for now in 1..10 {
         let target = place(&mut placer, ms(now), "o").expect("a place");
-        served(&mut placer, ms(now), &target, ms(1));
+        record_served(&mut placer, ms(now), &target, ms(1));
     }
 }
 
@@ -133,7 +135,7 @@
 /// way come, another endpoint's word that it has the address. None of it tells anything
 /// about the start that is there now, whose own request it must not end either.
 #[test]
-fn what_comes_late_of_an_earlier_start_changes_nothing() {
+fn late_outcomes_of_an_earlier_start_change_nothing() {
     let outcomes = [
         Outcome::Served(ms(10)),
         Outcome::Failed,
@@ -143,21 +145,21 @@
         Outcome::Abandoned(ms(4000)),
     ];
     for outcome in outcomes {
-        let (mut placer, earlier) = with_a_request();
-        tell(&mut placer, ms(100), started("a", 200));
+        let (mut placer, earlier) = with_request_in_flight();
+        change_entry(&mut placer, ms(100), started_at("a", 200));
         let load = Load {
             running: 30,
             waiting: 30,
         };
         placer.record_load(ms(110), &earlier, load);
         placer.record_cold(ms(110), &earlier, ms(60_000));
-        ended(&mut placer, ms(110), &earlier, outcome);
+        record_outcome(&mut placer, ms(110), &earlier, outcome);
         let own = place(&mut placer, ms(111), "o").expect("a place");
         // Its own request is silent for too long now, also if another's end came meanwhile.
-        ended(&mut placer, ms(4000), &earlier, outcome);
-        let stalled = refused(&mut placer, ms(4001));
+        record_outcome(&mut placer, ms(4000), &earlier, outcome);
+        let stalled = rejection(&mut placer, ms(4001));
         assert_eq!(stalled, Some(Refusal::NoEndpoint), "{outcome:?}");
-        served(&mut placer, ms(4002), &own, ms(3891));
+        record_served(&mut placer, ms(4002), &own, ms(3891));
         assert!(place(&mut placer, ms(4003), "o").is_some(), "{outcome:?}");
     }
 }
@@ -165,41 +167,41 @@
 /// The whole list is told anew instead of what has changed, as to a gateway that was away
 /// for long. Starts must be told apart there as well.
 #[test]
-fn starts_are_told_apart_in_a_whole_list() {
-    let (mut placer, target) = with_a_request();
-    ended(&mut placer, ms(1), &target, Outcome::Gone);
-    placer.set_endpoints(ms(2), vec![started("a", 100)]);
-    assert_eq!(refused(&mut placer, ms(3)), Some(Refusal::NoEndpoint));
-    placer.set_endpoints(ms(4), vec![started("a", 200)]);
+fn a_full_list_distinguishes_starts() {
+    let (mut placer, target) = with_request_in_flight();
+    record_outcome(&mut placer, ms(1), &target, Outcome::Gone);
+    placer.set_endpoints(ms(2), vec![started_at("a", 100)]);
+    assert_eq!(rejection(&mut placer, ms(3)), Some(Refusal::NoEndpoint));
+    placer.set_endpoints(ms(4), vec![started_at("a", 200)]);
     assert!(place(&mut placer, ms(5), "o").is_some());
 }
 
 /// On a platform that doesn't tell starts, each has another identity. An entry that is told
 /// again changes nothing of what is known.
 #[test]
-fn untold_starts_are_one() {
+fn an_entry_without_a_start_is_the_same_endpoint() {
     let mut placer = placer("north-1", vec![endpoint("a", "north-1")]);
     let target = place(&mut placer, ms(0), "o").expect("a place");
-    ended(&mut placer, ms(1), &target, Outcome::Gone);
-    tell(&mut placer, ms(2), endpoint("a", "north-1"));
-    assert_eq!(refused(&mut placer, ms(3)), Some(Refusal::NoEndpoint));
+    record_outcome(&mut placer, ms(1), &target, Outcome::Gone);
+    change_entry(&mut placer, ms(2), endpoint("a", "north-1"));
+    assert_eq!(rejection(&mut placer, ms(3)), Some(Refusal::NoEndpoint));
 }
 
 /// Connections to the earlier start are of no use: a request that is sent on one of them is
 /// lost, and one that may run only once can't be sent again. The gateway is told where to
 /// close them.
 #[test]
-fn the_address_of_an_earlier_start_is_given_back() {
-    let mut placer = placer("north-1", vec![started("a", 100), started("b", 100)]);
-    let mut back = started("a", 200);
-    back.addr.set_port(81);
+fn the_address_of_a_replaced_start_is_returned() {
+    let mut placer = placer("north-1", vec![started_at("a", 100), started_at("b", 100)]);
+    let mut restarted = started_at("a", 200);
+    restarted.addr.set_port(81);
     let change = EndpointChange {
-        changed: vec![back.clone()],
+        changed: vec![restarted.clone()],
         ..EndpointChange::default()
     };
-    let earlier = started("a", 100).addr;
+    let earlier = started_at("a", 100).addr;
     assert_eq!(placer.change_endpoints(ms(1), change), [earlier]);
-    let list = vec![back, started("b", 200)];
+    let list = vec![restarted, started_at("b", 200)];
     assert_eq!(placer.set_endpoints(ms(2), list.clone()), [earlier]);
     assert_eq!(placer.set_endpoints(ms(3), list), []);
 }
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -33,21 +33,21 @@
 }
 
 /// A domain `x-1` lies in region `x`.
-fn regions() -> BTreeMap<FailureDomain, Region> {
-    let of = |name: &str| (domain(name), region(&name[..name.len() - 2]));
+fn region_by_domain() -> BTreeMap<FailureDomain, Region> {
+    let entry = |name: &str| (domain(name), region(&name[..name.len() - 2]));
     ["north-1", "north-2", "south-1", "south-2"]
-        .map(of)
+        .map(entry)
         .into_iter()
         .collect()
 }
 
-pub(crate) fn endpoint(id: &str, at: &str) -> Endpoint {
+pub(crate) fn endpoint(id: &str, domain_name: &str) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
         incarnation: None,
         service: service(),
         addr: SocketAddr::from(([127, 0, 0, 1], 80)),
-        domain: domain(at),
+        domain: domain(domain_name),
         slots: 3,
         state: EndpointState::Ready,
         cold_left: Duration::ZERO,
@@ -85,17 +85,17 @@
 }
 
 /// A gateway in a failure domain that knows these endpoints.
-pub(crate) fn placer(at: &str, endpoints: Vec<Endpoint>) -> Placer {
-    named_placer("gateway-1", at, endpoints)
+pub(crate) fn placer(domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
+    named_placer("gateway-1", domain_name, endpoints)
 }
 
 /// The same, of a name that tells it from others.
-pub(crate) fn named_placer(name: &str, at: &str, endpoints: Vec<Endpoint>) -> Placer {
-    let regions = regions();
+pub(crate) fn named_placer(name: &str, domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
+    let regions = region_by_domain();
     let mut placer = Placer::new(Config {
         gateway: name.parse().expect("a name"),
-        region: regions[&domain(at)].clone(),
-        domain: domain(at),
+        region: regions[&domain(domain_name)].clone(),
+        domain: domain(domain_name),
         regions,
         retry_budget: RetryBudgetConfig {
             ratio: 0.2,
@@ -143,7 +143,7 @@
     }
 }
 
-pub(crate) fn served(placer: &mut Placer, now: Moment, target: &Target, took: Duration) {
+pub(crate) fn record_served(placer: &mut Placer, now: Moment, target: &Target, took: Duration) {
     placer.record_outcome(now, &service(), target, Outcome::Served(took));
 }
 
--- a/crates/place/tests/all/surge.rs
+++ b/crates/place/tests/all/surge.rs
@@ -9,62 +9,62 @@
 use crate::support::{endpoint, ms, placer, request, service};
 
 /// Milliseconds that work takes where the object is known, and where it isn't.
-const QUICK: u64 = 75;
-const SLOW: u64 = 240;
-const OBJECTIVE: u64 = 300;
+const CACHED_MS: u64 = 75;
+const UNCACHED_MS: u64 = 240;
+const OBJECTIVE_MS: u64 = 300;
 const SLOTS: usize = 3;
 /// Objects that an endpoint remembers, of those that there are.
-const KEPT: usize = 20;
+const CACHE_SIZE: usize = 20;
 const OBJECTS: u32 = 60;
 
-struct Work {
+struct Job {
     gateway: usize,
     object: u32,
     target: Target,
-    came: u64,
+    arrived_at: u64,
 }
 
 #[derive(Default)]
-struct Server {
-    running: Vec<(u64, Work)>,
-    waiting: VecDeque<Work>,
-    known: VecDeque<u32>,
+struct SimulatedEndpoint {
+    running: Vec<(u64, Job)>,
+    waiting: VecDeque<Job>,
+    cache: VecDeque<u32>,
 }
 
-impl Server {
+impl SimulatedEndpoint {
     /// Takes in work, and gives back what is done at `now`.
-    fn step(&mut self, now: u64) -> Vec<Work> {
+    fn advance(&mut self, now: u64) -> Vec<Job> {
         let running = std::mem::take(&mut self.running);
         let (done, running): (Vec<_>, Vec<_>) =
             running.into_iter().partition(|(end, _)| *end <= now);
         self.running = running;
         while self.running.len() < SLOTS {
-            let Some(work) = self.waiting.pop_front() else {
+            let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            let takes = if self.known.contains(&work.object) {
-                QUICK
+            let duration = if self.cache.contains(&job.object) {
+                CACHED_MS
             } else {
-                SLOW
+                UNCACHED_MS
             };
-            self.known.retain(|object| *object != work.object);
-            self.known.push_back(work.object);
-            if self.known.len() > KEPT {
-                self.known.pop_front();
+            self.cache.retain(|object| *object != job.object);
+            self.cache.push_back(job.object);
+            if self.cache.len() > CACHE_SIZE {
+                self.cache.pop_front();
             }
-            self.running.push((now + takes, work));
+            self.running.push((now + duration, job));
         }
-        done.into_iter().map(|(_, work)| work).collect()
+        done.into_iter().map(|(_, job)| job).collect()
     }
 }
 
 /// Plays `seconds` of requests at `per_s(second)` at two gateways over four endpoints, and
 /// returns the part of requests of each second that was answered within the objective.
-fn play(seed: u64, seconds: u64, per_s: impl Fn(u64) -> f64) -> Vec<f64> {
+fn simulate(seed: u64, seconds: u64, per_s: impl Fn(u64) -> f64) -> Vec<f64> {
     let names = ["a", "b", "c", "d"];
     let list = || names.map(|name| endpoint(name, "north-1")).into();
     let mut gateways: Vec<Placer> = (0..2).map(|_| placer("north-1", list())).collect();
-    let mut servers: BTreeMap<EndpointId, Server> = BTreeMap::new();
+    let mut endpoints: BTreeMap<EndpointId, SimulatedEndpoint> = BTreeMap::new();
     let mut rng = StdRng::seed_from_u64(seed);
     let mut counts = vec![(0, 0); seconds as usize + 1];
     let service = service();
@@ -77,32 +77,32 @@
             let name = object.to_string();
             let decision = gateways[gateway].place(ms(now), request(&service, name.as_bytes()));
             if let Decision::Send(target) = decision {
-                let server = servers.entry(target.id.clone()).or_default();
-                server.waiting.push_back(Work {
+                let endpoint = endpoints.entry(target.id.clone()).or_default();
+                endpoint.waiting.push_back(Job {
                     gateway,
                     object,
                     target,
-                    came: now,
+                    arrived_at: now,
                 });
             }
         }
-        for server in servers.values_mut() {
-            for work in server.step(now) {
-                let took = now - work.came;
+        for endpoint in endpoints.values_mut() {
+            for job in endpoint.advance(now) {
+                let took = now - job.arrived_at;
                 let load = Load {
-                    running: server.running.len() as u32,
-                    waiting: server.waiting.len() as u32,
+                    running: endpoint.running.len() as u32,
+                    waiting: endpoint.waiting.len() as u32,
                 };
-                let placer = &mut gateways[work.gateway];
-                placer.record_outcome(ms(now), &service, &work.target, Outcome::Served(ms(took)));
-                placer.record_load(ms(now), &work.target, load);
-                let came = (work.came / 1000) as usize;
-                counts[came].1 += u32::from(took <= OBJECTIVE);
+                let placer = &mut gateways[job.gateway];
+                placer.record_outcome(ms(now), &service, &job.target, Outcome::Served(ms(took)));
+                placer.record_load(ms(now), &job.target, load);
+                let arrival_second = (job.arrived_at / 1000) as usize;
+                counts[arrival_second].1 += u32::from(took <= OBJECTIVE_MS);
             }
         }
     }
-    let part = |(all, good): &(u32, u32)| f64::from(*good) / f64::from((*all).max(1));
-    counts.iter().take(seconds as usize).map(part).collect()
+    let share = |(all, good): &(u32, u32)| f64::from(*good) / f64::from((*all).max(1));
+    counts.iter().take(seconds as usize).map(share).collect()
 }
 
 /// Clerks come back from their break and ask at three times the usual rate for three
@@ -112,17 +112,17 @@
 /// too much for good.
 #[test]
 fn a_surge_does_not_become_a_lasting_overload() {
-    let usual = 0.7 * 12.0 * 1000.0 / QUICK as f64;
+    let usual = 0.7 * 12.0 * 1000.0 / CACHED_MS as f64;
     for seed in 0..5 {
-        let parts = play(seed, 30, |second| match second {
+        let shares = simulate(seed, 30, |second| match second {
             10..13 => 3.0 * usual,
             _ => usual,
         });
         let mean = |range: std::ops::Range<usize>| {
-            parts[range.clone()].iter().sum::<f64>() / range.len() as f64
+            shares[range.clone()].iter().sum::<f64>() / range.len() as f64
         };
         let (before, after) = (mean(5..10), mean(18..30));
-        assert!(before > 0.85, "seed {seed}: {before} before, {parts:?}");
-        assert!(after > 0.85, "seed {seed}: {after} after, {parts:?}");
+        assert!(before > 0.85, "seed {seed}: {before} before, {shares:?}");
+        assert!(after > 0.85, "seed {seed}: {after} after, {shares:?}");
     }
 }
