--- a/crates/place/tests/all/balance.rs
+++ b/crates/place/tests/all/balance.rs
@@ -10,16 +10,17 @@
 
 const GATEWAYS: usize = 12;
 const CONNECTIONS: usize = 360;
-/// Requests a second of each connection.
+/// Requests per second of each connection.
 const RATE: f64 = 1.0;
-/// Use of a link that one connection makes.
+/// Link utilisation that one connection causes.
 const UTILISATION: f64 = 0.015;
-/// Steps of a tenth of a second; reports come each fifth of them.
+/// Seconds per step, and steps per report.
 const STEP_S: f64 = 0.1;
 const STEPS_PER_REPORT: usize = 5;
 
-/// Most connections of a gateway, as a multiple of the mean, after so many seconds. At first
-/// half of the gateways have them all, as when the others were down.
+/// Simulates gateways of which half have all connections at first, as if the others had been
+/// down. Returns the largest number of connections of a gateway after `seconds`, as a multiple
+/// of the mean.
 fn max_imbalance_after(seconds: f64, balanced: bool) -> f64 {
     let mut rng = StdRng::seed_from_u64(7);
     let mut connections = [0_usize; GATEWAYS];
@@ -50,9 +51,9 @@
     max as f64 * GATEWAYS as f64 / CONNECTIONS as f64
 }
 
-/// Half of the gateways of a failure domain were down for some seconds. Their callers have
-/// gone to the others and stay there, so that links of these are full and answers late,
-/// while those that came back have next to nothing to do.
+/// Half of the gateways of a failure domain were down for several seconds. Their callers have
+/// reconnected to the others and stay there, so that the links of these are full and their
+/// responses late, while the restarted gateways are almost idle.
 #[test]
 fn callers_spread_again_after_gateways_were_down() {
     assert!(max_imbalance_after(20.0, false) >= 2.0);
@@ -64,7 +65,8 @@
     assert!(later < 1.4, "{later}");
 }
 
-/// A few callers on links that are nearly empty. Nobody waits, so nobody is to move.
+/// A few callers on links that are nearly idle: nothing is queued, so no connection has to be
+/// closed.
 #[test]
 fn no_connection_is_closed_while_links_are_idle() {
     let mut balance = ConnectionBalancer::default();
@@ -73,8 +75,8 @@
     assert!(!(0..1000).any(|_| balance.should_close(ms(1))));
 }
 
-/// All of control is down, and a crowd comes. Each gateway has more to do than all had when
-/// the mean was last told; none may take itself for the only one.
+/// All of control is down when many callers arrive. Each gateway has more load than the last
+/// reported mean, and none may conclude that it alone is overloaded.
 #[test]
 fn an_expired_mean_closes_no_connection() {
     let mut balance = ConnectionBalancer::default();
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold over all gateways although these don't talk.
+//! Limits that hold for the sum over all gateways, without communication between them.
 
 use std::collections::VecDeque;
 
@@ -13,30 +13,33 @@
     service,
 };
 
-/// An endpoint comes back cold, and four gateways of its region press requests on it as
-/// fast as they can. In no second may it get more than it bears, whatever their number's
-/// latest count says: one of them isn't counted yet.
+/// An endpoint starts cold, and four gateways of its region send it as many requests as they
+/// can. In no second may it receive more than it can handle, although the number of gateways
+/// that each has received is too low: one of them isn't counted yet.
 #[test]
 fn all_gateways_together_keep_the_limit_of_a_cold_endpoint() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
-    assert!(max_per_second(&cold, 4, 3) > 0, "or it would never warm up");
+    assert!(
+        max_per_second(&cold, 4, 3) > 0,
+        "the endpoint never warms up"
+    );
 }
 
-/// A region has grown to thirty gateways, and each sees the cold endpoint for the first
-/// time at the same moment. Their first requests together are more than it bears.
+/// A region has thirty gateways, and each sees the cold endpoint for the first time at the
+/// same moment. Their first requests together are more than it can handle.
 #[test]
 fn many_gateways_do_not_all_begin_with_a_cold_endpoint_at_once() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     assert!(
         max_per_second(&cold, 30, 30) > 0,
-        "or it would never warm up"
+        "the endpoint never warms up"
     );
 }
 
-/// Lets gateways press requests on a cold endpoint, each of which has been told that there
-/// are `counted` of them, and returns the most that it got in a second.
+/// Lets gateways, each of which was given `counted` as their number, send as many requests as
+/// they can to a cold endpoint. Returns the most that it received within a second.
 fn max_per_second(cold: &Endpoint, gateways: usize, counted: u32) -> usize {
     let gateway = |number| named_placer(&format!("g-{number}"), "north-1", vec![cold.clone()]);
     let mut gateways: Vec<Placer> = (0..gateways).map(gateway).collect();
@@ -62,8 +65,8 @@
     max
 }
 
-/// A gateway of another region sees a cold endpoint with free slots while its own are
-/// full. It has no part of what that one bears.
+/// A gateway of another region sees a cold endpoint with free slots while its own endpoints
+/// are full. It has no share of the rate that the cold endpoint can handle.
 #[test]
 fn a_cold_endpoint_gets_nothing_from_other_regions() {
     let mut cold = endpoint("a", "north-1");
@@ -75,8 +78,8 @@
     assert!(place(&mut gateway, ms(3001), "o").is_some());
 }
 
-/// A failure domain is taken back after an evacuation. Its endpoints may have been idle
-/// and cold all the while, and must not be met by everything at once.
+/// An evacuation of a failure domain ends. Its endpoints may have been idle and become cold
+/// during it, and must not receive the full load at once.
 #[test]
 fn endpoints_count_as_cold_after_an_evacuation() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
@@ -86,9 +89,9 @@
     assert!(sent.count() as f64 <= COLD_PER_S);
 }
 
-/// Everything fails, and every failure is tried again as often as the budget lets it, at
-/// eleven gateways at random times. Over any window the further attempts must stay within
-/// a fifth of the requests and the floor.
+/// Every request fails, and every failure is retried as often as the budget permits, at eleven
+/// gateways at random times. In any window, the retries must stay within a fifth of the
+/// requests plus the floor.
 #[test]
 fn retries_of_all_gateways_stay_within_the_budget() {
     for seed in 0..20 {
@@ -102,7 +105,7 @@
         let service = service();
         let (mut first, mut retries) = (Vec::new(), Vec::new());
         for at in (0..30_000).step_by(10) {
-            // Quiet and busy stretches by turns.
+            // Quiet and busy periods alternate.
             let busy = (at / 7000) % 2 == 0;
             if !busy && rng.random::<f64>() < 0.95 {
                 continue;
@@ -130,9 +133,8 @@
     }
 }
 
-/// All slots are taken by requests that run for long. What could only answer too late is
-/// refused at once, with a time to come back; what has come back is kept if its caller
-/// still waits long enough.
+/// All slots are taken by long requests. A request that would be late is rejected immediately,
+/// with a time to retry after; the caller's retry is accepted if its deadline permits.
 #[test]
 fn requests_that_would_be_late_are_rejected_unless_the_caller_retries() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
@@ -146,9 +148,9 @@
                 retry_after,
             } => break (reason, retry_after),
         }
-        assert!(placed < 100, "nothing is ever refused");
+        assert!(placed < 100, "no request is rejected");
     };
-    assert!(placed >= 3, "slots that are free are used");
+    assert!(placed >= 3, "free slots are not used");
     assert_eq!(refused.0, Refusal::Overloaded);
     assert!(refused.1 > ms(0));
     let mut retry = request(&service, b"o");
@@ -156,8 +158,8 @@
     assert_eq!(refusal(&mut gateway, ms(0), retry), None);
 }
 
-/// Whatever happens in whatever order, counts of requests never run off: once all that was
-/// placed has ended, an endpoint takes three at once without a wait again.
+/// After any sequence of outcomes, the counts of in-flight requests are correct: once every
+/// request has ended, an endpoint accepts three at once without a wait.
 #[test]
 fn in_flight_counts_return_to_zero() {
     for seed in 0..200 {
--- a/crates/place/tests/all/link.rs
+++ b/crates/place/tests/all/link.rs
@@ -1,4 +1,4 @@
-//! Short messages and large answers on one link.
+//! Short messages and large responses on one link.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const DOWNLOAD_BYTES: usize = 90_000;
 const SHORT_BYTES: usize = 5_000;
 
-/// A link that sends in order, as VMs' links do, and what its sender reckons.
+/// A link that sends in order, as the links of VMs do, and its sender's estimate of it.
 struct SimulatedLink {
     link: Link,
     free_at: Moment,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Sends bytes; returns when the last of them is there.
+    /// Sends bytes; returns when the last of them arrives.
     fn send(&mut self, now: Moment, bytes: usize) -> Moment {
         self.link.record_sent(now, bytes);
         let transmission = Duration::from_secs_f64(bytes as f64 * 8.0 / BITS_PER_S);
@@ -34,8 +34,9 @@
     }
 }
 
-/// Two lessons of 90 kB go out while a stock look-up is answered every 20 ms. Handed over
-/// whole, the lessons hold the link for 215 ms, and look-ups wait that long behind them.
+/// Two downloads of 90 kB are sent while a short response is sent every 20 ms. Written in one
+/// piece, the downloads occupy the link for 215 ms, and short responses wait that long behind
+/// them.
 #[test]
 fn short_responses_wait_for_a_chunk_and_not_for_a_download() {
     let mut simulated = SimulatedLink::new();
@@ -58,11 +59,11 @@
     let own = Duration::from_secs_f64(SHORT_BYTES as f64 * 8.0 / BITS_PER_S);
     assert!(worst < own + ms(20), "{worst:?}");
     assert_eq!(remaining, [0, 0]);
-    // Short answers take a third of the link, so the downloads take half as long again.
+    // Short responses take a third of the link, so the downloads take half as long again.
     assert!(done < ms(360), "{done:?}");
 }
 
-/// On a fast link nothing is worth waiting for.
+/// On a fast link, no chunk has to wait.
 #[test]
 fn a_fast_link_sends_at_once() {
     let mut link = Link::new(1_000_000_000.0);
@@ -72,9 +73,9 @@
     }
 }
 
-/// Plays callers at their peak on a link of 4 Mbit/s: so many short messages of 5 kB and
-/// downloads of 90 kB a second. Returns which part of the link was used, and which part of
-/// downloads was taken on.
+/// Simulates peak load on a link of 4 Mbit/s: the given numbers per second of short messages
+/// of 5 kB and downloads of 90 kB. Returns the share of the link that was used, and the share
+/// of downloads that were admitted.
 fn simulate_peak(short_per_s: u64, large_per_s: u64) -> (f64, f64) {
     const PEAK_BITS_PER_S: f64 = 4_000_000.0;
     const SECONDS: u64 = 20;
@@ -95,8 +96,8 @@
     (used, f64::from(admitted) / (SECONDS * large_per_s) as f64)
 }
 
-/// Guards against short messages that are late because downloads fill the link: at the peak
-/// of a day all requests of a region waited for longer than their objectives.
+/// Guards against short messages that are late because downloads fill the link: at the peak of
+/// a day, all requests of a region waited for longer than their objectives.
 #[test]
 fn downloads_leave_capacity_for_short_messages_at_peak_load() {
     let (used, admitted) = simulate_peak(25, 4);
@@ -107,7 +108,7 @@
     );
 }
 
-/// Guards against downloads that are refused while the link has room.
+/// Guards against downloads that are rejected while the link has capacity.
 #[test]
 fn no_download_is_rejected_at_usual_load() {
     let (_, admitted) = simulate_peak(12, 2);
@@ -115,7 +116,7 @@
 }
 
 /// Guards against downloads that get nothing where short messages fill the link, and against
-/// callers that come back for nothing.
+/// retries that are rejected again.
 #[test]
 fn a_retried_download_is_admitted_first() {
     let mut share = LargeResponseAdmission::new(4_000_000.0);
--- a/crates/place/tests/all/main.rs
+++ b/crates/place/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Placement: each module replays one pattern of load.
+//! Tests of placement; each module simulates one load pattern.
 
 mod balance;
 mod bounds;
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -1,4 +1,4 @@
-//! Requests for one object go where it is known.
+//! Requests for one object go where it is cached.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,25 +14,25 @@
         .into()
 }
 
-/// Requests for one object come one after the other to two gateways that don't talk. Each
-/// endpoint that gets one has to learn the object first, which is slow: all must go to the
-/// same one.
+/// Two gateways without communication receive requests for one object in turn. Each endpoint
+/// that receives one has to load the object first, which is slow: all must go to the same
+/// endpoint.
 #[test]
 fn gateways_agree_on_an_objects_endpoint_without_communication() {
     let mut first = placer("north-1", four_endpoints());
     let mut second = placer("north-2", four_endpoints());
     for number in 0..50 {
         let object = format!("object-{number}");
-        let here = place(&mut first, ms(number), &object).expect("a place");
-        let there = place(&mut second, ms(number), &object).expect("a place");
+        let here = place(&mut first, ms(number), &object).expect("an endpoint");
+        let there = place(&mut second, ms(number), &object).expect("an endpoint");
         assert_eq!(here.id, there.id);
         record_served(&mut first, ms(number), &here, ms(100));
         record_served(&mut second, ms(number), &there, ms(100));
     }
 }
 
-/// The list names an endpoint of a service that no route names, with the fewest requests of
-/// all. It is nothing that a request of another service may go to.
+/// The list has an endpoint of a service that no route names, with the fewest requests of all.
+/// No request of another service may go there.
 #[test]
 fn an_endpoint_of_an_unknown_service_gets_no_requests() {
     let mut unrouted = endpoint("a", "north-1");
@@ -43,7 +43,7 @@
     assert_eq!(refused, Some(Refusal::NoEndpoint));
     let mut placer = placer("north-1", vec![unrouted, endpoint("b", "north-1")]);
     for number in 0..30 {
-        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("an endpoint");
         assert_eq!(&*target.id, "b");
         record_served(&mut placer, ms(number), &target, ms(1));
     }
@@ -54,7 +54,7 @@
     let mut placer = placer("north-1", four_endpoints());
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..400 {
-        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("an endpoint");
         *counts.entry(target.id.clone()).or_insert(0) += 1;
         record_served(&mut placer, ms(number), &target, ms(100));
     }
@@ -65,8 +65,8 @@
     );
 }
 
-/// One object is asked for by everybody at the same moment. Its endpoint has three slots;
-/// the rest must go to others instead of waiting there.
+/// Many callers request one object at the same moment. Its endpoint has three slots; the rest
+/// must go to other endpoints instead of waiting there.
 #[test]
 fn a_hot_object_overflows_to_other_endpoints() {
     let mut placer = placer("north-1", four_endpoints());
@@ -80,8 +80,8 @@
     );
 }
 
-/// An endpoint has left, or an operator has evacuated where it runs: nothing more goes
-/// there, and what can't go anywhere is refused and not sent.
+/// An endpoint drains, or an operator has evacuated its failure domain: it receives no more
+/// requests, and a request that has no other endpoint is rejected and not sent.
 #[test]
 fn draining_and_evacuated_endpoints_get_no_requests() {
     let mut placer = placer(
@@ -92,7 +92,7 @@
     leaving.state = filberthead_fleet::EndpointState::Draining;
     placer.set_endpoints(ms(1), vec![leaving, endpoint("b", "north-2")]);
     for number in 0..20 {
-        let target = place(&mut placer, ms(2), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(2), &format!("o-{number}")).expect("an endpoint");
         assert_eq!(target.id, id("b"));
         record_served(&mut placer, ms(2), &target, ms(100));
     }
@@ -102,8 +102,8 @@
     assert_eq!(refused, Some(Refusal::NoEndpoint));
 }
 
-/// An endpoint's connections break. Requests must go elsewhere at once, come back when it
-/// may work again, and be tried there rather than refused if there is nobody else.
+/// An endpoint's connections break. Requests must go elsewhere at once, return after the
+/// backoff, and be sent there rather than rejected if there is no other endpoint.
 #[test]
 fn an_endpoint_is_avoided_after_a_broken_connection() {
     let mut placer = placer(
@@ -111,51 +111,52 @@
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
     let service = service();
-    let broken = place(&mut placer, ms(0), "o").expect("a place");
+    let broken = place(&mut placer, ms(0), "o").expect("an endpoint");
     placer.record_outcome(ms(1), &service, &broken, Outcome::Broken);
-    let other = place(&mut placer, ms(2), "o").expect("a place");
+    let other = place(&mut placer, ms(2), "o").expect("an endpoint");
     assert_ne!(other.id, broken.id);
     placer.record_outcome(ms(3), &service, &other, Outcome::Broken);
     assert!(place(&mut placer, ms(4), "o").is_some());
 }
 
-/// An endpoint is slow for a while, and its objects move to another one. Once it is as
-/// quick as before they must come back: it is avoided, so it shows nothing new by itself.
+/// An endpoint is slow for a while, and its objects move to another one. Once it is as fast as
+/// before, they must move back, although an avoided endpoint receives no requests that would
+/// show its speed.
 #[test]
 fn an_endpoint_that_was_slow_is_tried_again() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
     record_served(&mut placer, ms(0), &first, ms(100));
     let mut moved = false;
     for number in 1..60 {
-        let target = place(&mut placer, ms(number), "o").expect("a place");
+        let target = place(&mut placer, ms(number), "o").expect("an endpoint");
         let slow = target.id == first.id;
         moved |= !slow;
         let took = if slow { ms(1500) } else { ms(100) };
         record_served(&mut placer, ms(number), &target, took);
     }
     assert!(moved, "a slow endpoint is avoided");
-    let now = place(&mut placer, ms(60_000), "o").expect("a place");
+    let now = place(&mut placer, ms(60_000), "o").expect("an endpoint");
     assert_eq!(now.id, first.id);
 }
 
-/// An endpoint takes requests and never answers. Each of them is given up only when its
-/// time is up, and nothing else ever tells about the endpoint; after a few of them its
-/// objects must go elsewhere.
+/// An endpoint accepts requests and never responds. Each of them ends only at its deadline,
+/// and there is no other signal; after a few of them, the endpoint's objects must go
+/// elsewhere.
 #[test]
 fn an_endpoint_that_never_answers_is_avoided() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
     record_served(&mut placer, ms(0), &first, ms(100));
     let mut silent = 0;
     for number in 1..30 {
-        let target = place(&mut placer, ms(number), "o").expect("a place");
+        let target = place(&mut placer, ms(number), "o").expect("an endpoint");
         if target.id == first.id {
             silent += 1;
             placer.record_outcome(
@@ -168,43 +169,40 @@
             record_served(&mut placer, ms(number), &target, ms(100));
         }
     }
-    assert!(silent <= 6, "{silent} of 29 requests met silence");
+    assert!(silent <= 6, "{silent} of 29 requests got no response");
 }
 
-/// An endpoint loses power with kept connections to it. Requests that are sent there stay
-/// without an answer until their deadlines, a second later; long before that, others must
-/// go elsewhere. Once it is back it is used again.
+/// An endpoint loses power while connections to it are kept. Requests sent there have no
+/// response until their deadlines, a second later; long before that, others must go elsewhere.
+/// Once the endpoint has recovered, it is used again.
 #[test]
 fn a_stalled_endpoint_is_avoided_before_the_first_deadline() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
     record_served(&mut placer, ms(50), &first, ms(50));
-    let silent = place(&mut placer, ms(100), "o").expect("a place");
+    let silent = place(&mut placer, ms(100), "o").expect("an endpoint");
     assert_eq!(silent.id, first.id);
-    // Its one request has no answer yet at 900 ms, long after it should have come.
+    // Its one request has no response at 900 ms, long after it was expected.
     for at in (900..1100).step_by(20) {
-        let other = place(&mut placer, ms(at), "o").expect("a place");
+        let other = place(&mut placer, ms(at), "o").expect("an endpoint");
         assert_ne!(other.id, first.id, "at {at}");
         record_served(&mut placer, ms(at), &other, ms(100));
     }
     placer.record_outcome(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
-    let after = place(&mut placer, ms(1110), "o").expect("a place");
-    assert_ne!(
-        after.id, first.id,
-        "one answer that never came is reason for a pause"
-    );
+    let after = place(&mut placer, ms(1110), "o").expect("an endpoint");
+    assert_ne!(after.id, first.id, "one missing response causes a backoff");
     record_served(&mut placer, ms(1110), &after, ms(100));
-    let back = place(&mut placer, ms(30_000), "o").expect("a place");
+    let back = place(&mut placer, ms(30_000), "o").expect("an endpoint");
     assert_eq!(back.id, first.id);
 }
 
-/// Viewing and locking are two routes of one service, and a name means one thing here and
-/// another there. An endpoint that has viewed `17` is as slow with the first lock of `17` as
-/// any other. It must not be taken for one that knows it, and both must settle each on an
-/// endpoint of its own.
+/// Two routes of one service use the same names for different objects. An endpoint that has
+/// handled `17` on one route is as slow with the first `17` of the other route as any other
+/// endpoint. It must not be expected to have it cached, and each of the two objects must
+/// settle on an endpoint of its own.
 #[test]
 fn a_name_on_two_routes_is_two_objects() {
     let mut placer = placer("north-1", four_endpoints());
@@ -221,7 +219,7 @@
                 name: name.as_bytes(),
             });
             let Decision::Send(target) = placer.place(now, req) else {
-                panic!("{name} is refused");
+                panic!("{name} is rejected");
             };
             record_served(&mut placer, now, &target, ms(90));
             targets.push(target);
@@ -231,12 +229,12 @@
         assert_eq!(targets[2].id, targets[0].id, "{name}");
         apart += u64::from(targets[0].id != targets[1].id);
     }
-    // Four endpoints: three of four names have two of them.
+    // With four endpoints, three of four names have two different ones.
     assert!(apart >= 20, "{apart} of 40");
 }
 
-/// Guards against one endpoint that gets all requests without an object: every gateway sent
-/// them to the first of the idle ones on the list.
+/// Guards against one endpoint that receives all requests without an object: every gateway
+/// sent them to the first idle one on the list.
 #[test]
 fn requests_without_an_object_are_spread_over_endpoints() {
     let endpoints = || {
@@ -261,13 +259,13 @@
             *counts.entry(target.id).or_default() += 1;
         }
     }
-    // 400 requests over 20 endpoints; by chance 20 each, give or take 4.5.
+    // 400 requests over 20 endpoints: 20 each, with a standard deviation of about 4.5.
     let most = counts.values().max().copied().unwrap_or(0);
     assert!(counts.len() == 20 && most < 40, "{counts:?}");
 }
 
-/// Guards against large answers that take their bytes between failure domains though their
-/// own has room: an object's first endpoint was any of the region.
+/// Guards against large responses that send their bytes between failure domains although their
+/// own has capacity: an object's first endpoint was any of the region.
 #[test]
 fn large_answers_come_from_the_gateways_failure_domain() {
     let endpoints = || {
@@ -302,8 +300,8 @@
     );
 }
 
-/// Guards against an endpoint that has failed once and gets no request without an object ever
-/// again while its neighbour is idle.
+/// Guards against an endpoint that never receives another request without an object after one
+/// failure, while the other one is idle.
 #[test]
 fn an_endpoint_that_has_failed_gets_requests_without_an_object_again() {
     let endpoints = ["a", "b"].map(|id| endpoint(id, "north-1")).into();
@@ -328,5 +326,5 @@
             record_served(&mut placer, now, &target, ms(100));
         }
     }
-    assert!(was_used_again, "not within 40 s");
+    assert!(was_used_again, "not used again within 40 s");
 }
--- a/crates/place/tests/all/refusals.rs
+++ b/crates/place/tests/all/refusals.rs
@@ -1,4 +1,4 @@
-//! Endpoints that refuse.
+//! Endpoints that reject requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,8 +18,8 @@
     }
 }
 
-/// For each object the endpoints that have run requests for it, after `requests` of which
-/// each endpoint refuses a part, although it has slots free.
+/// Sends `requests` requests of which each endpoint rejects a part although it has free slots.
+/// Returns the endpoints that ran requests for each object.
 fn endpoints_by_object(
     reject_rate: f64,
     load_reported: bool,
@@ -40,7 +40,7 @@
     endpoints
 }
 
-/// Carries one request as far as its tries go, and returns the endpoint that ran it.
+/// Makes the attempts of one request, and returns the endpoint that ran it.
 fn run_request(
     placer: &mut Placer,
     at: u64,
@@ -71,10 +71,10 @@
     }
 }
 
-/// All endpoints of a service refuse half of what they get, with slots free, and say so.
-/// Requests that go on to another endpoint each time teach every object to every endpoint,
-/// three times the work, and callers of all objects wait. Each object must stay where it is
-/// known; the seed of the refusals is fixed.
+/// All endpoints of a service reject half of their requests with free slots, and report their
+/// load. If each request went on to another endpoint, every endpoint would have to load every
+/// object: three times the work, and callers of all objects would wait. Each object must stay
+/// where it is cached. The seed of the rejections is fixed.
 #[test]
 fn objects_stay_where_they_are_while_endpoints_reject_requests() {
     let endpoints = endpoints_by_object(0.5, true, 2000);
@@ -85,7 +85,7 @@
     );
 }
 
-/// The same by endpoints that don't say how full they are. They may have no room at all, so
+/// The same with endpoints that don't report their load. They may have no capacity at all, so
 /// another one is tried.
 #[test]
 fn an_endpoint_that_rejects_without_reporting_load_is_not_retried() {
@@ -94,8 +94,9 @@
     assert!(spread > OBJECTS / 2, "{spread} of {OBJECTS}");
 }
 
-/// One of four endpoints refuses nearly all that it gets, the others nothing. Its objects
-/// must go to the others, told load or not: what counts is how much worse it is than they.
+/// One of four endpoints rejects nearly all of its requests, the others none. Its objects must
+/// go to the others, whether it reports its load or not: its failure rate relative to theirs
+/// decides.
 #[test]
 fn the_only_endpoint_that_rejects_is_avoided() {
     let list = ["a", "b", "c", "d"].map(|name| endpoint(name, "north-1"));
@@ -116,16 +117,18 @@
             record_served(&mut placer, now, &target, ms(90));
         }
     }
-    // A quarter of the objects have it first; it is tried again now and then.
+    // It is the first endpoint of a quarter of the objects, and is tried again from time to
+    // time.
     assert!(late <= 20, "{late} of 200");
 }
 
-/// An endpoint refuses a request and tells that two of its three slots are free. It must not
-/// count as full: its objects' next requests would be refused here, or learned elsewhere.
+/// An endpoint rejects a request and reports that two of its three slots are free. It must not
+/// count as full: the next requests for its objects would be rejected by the gateway, or have
+/// to be loaded elsewhere.
 #[test]
 fn an_endpoint_that_rejects_with_free_slots_is_not_full() {
     let mut placer = placer("north-1", vec![endpoint("a", "north-1")]);
-    let target = place(&mut placer, ms(0), "o").expect("a place");
+    let target = place(&mut placer, ms(0), "o").expect("an endpoint");
     placer.record_load(ms(10), &target, idle_load());
     placer.record_outcome(ms(10), &service(), &target, Outcome::Full);
     assert!(place(&mut placer, ms(11), "o").is_some());
--- a/crates/place/tests/all/regions.rs
+++ b/crates/place/tests/all/regions.rs
@@ -1,4 +1,4 @@
-//! What runs in which region.
+//! The region that requests run in.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,13 +18,14 @@
     placer.set_gateways(&[(domain("north-1"), 1), (domain("south-1"), 1)]);
 }
 
-/// Requests of one second, each over before the next. Returns how many went south.
+/// Runs the requests of one second, each of which ends before the next one. Returns how many
+/// ran in the south.
 fn run_second(placer: &mut Placer, from: Moment, per_s: u64) -> u64 {
     let mut south = 0;
     for number in 0..per_s {
         let now = from + ms(1000 * number / per_s);
         placer.record_request(now, &service());
-        let target = place(placer, now, &format!("o-{}", number % 40)).expect("a place");
+        let target = place(placer, now, &format!("o-{}", number % 40)).expect("an endpoint");
         south += u64::from(target.id.starts_with('s'));
         record_served(placer, now, &target, ms(100) + target.overhead);
         if number % (per_s / 2) == 0 {
@@ -42,8 +43,8 @@
     placer.set_demand(now, &demand);
 }
 
-/// The north has 6 slots and its callers keep 9 busy, the south has 24 and room. A part of
-/// the north's objects must live in the south from then on, always the same ones.
+/// The north has 6 slots and its callers need 9; the south has 24 and spare capacity. A share
+/// of the north's objects must be placed in the south from then on, and always the same ones.
 #[test]
 fn a_region_with_too_few_endpoints_places_objects_elsewhere() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -56,12 +57,13 @@
     let mut placements: BTreeMap<String, BTreeSet<bool>> = BTreeMap::new();
     for number in 0..200 {
         let object = format!("o-{}", number % 40);
-        let target = place(&mut placer, ms(30_000 + number), &object).expect("a place");
+        let target = place(&mut placer, ms(30_000 + number), &object).expect("an endpoint");
         let is_remote = target.id.starts_with('s');
         placements.entry(object).or_default().insert(is_remote);
         record_served(&mut placer, ms(30_000 + number), &target, ms(100));
     }
-    // Objects at the edge of the part are divided, on purpose; that is 2 of 40 on average.
+    // Requests for objects at the boundary of a share are divided between the regions by
+    // design: 2 of 40 objects on average.
     let divided = placements
         .values()
         .filter(|regions| regions.len() > 1)
@@ -71,14 +73,14 @@
         .values()
         .filter(|regions| regions.contains(&true))
         .count();
-    // Enough that 9 busy slots leave the 6 of the north below 0.6: 60 of 100, of which 40
+    // Enough that 9 busy slots use less than 0.6 of the 6 in the north: 60 of 100, of which 40
     // objects are a sample.
     assert!((18..=30).contains(&remote), "{remote} of 40 objects");
 }
 
-/// Demand falls to nothing and comes back tenfold within a second. The part that runs in
+/// Demand drops to almost nothing and increases again within a second. The share that runs in
 /// the other region must not change by more than 0.15 from one window to the next, although
-/// objects don't stand evenly in the plan.
+/// objects aren't spread evenly over the plan.
 #[test]
 fn the_remote_share_changes_slowly() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -104,8 +106,8 @@
     }
 }
 
-/// All endpoints of a region are lost at once. Its callers must be served elsewhere at
-/// once, ramp or not.
+/// All endpoints of a region are lost at the same time. Its callers must be served elsewhere
+/// at once, without a ramp.
 #[test]
 fn a_region_without_endpoints_is_served_elsewhere_at_once() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -114,9 +116,9 @@
     assert_eq!(run_second(&mut placer, ms(0), 40), 40);
 }
 
-/// A gateway starts among others that serve. It must take up the plan that they follow at
-/// once: from a beginning of its own it would fill its region's few endpoints for as long
-/// as the ramp takes.
+/// A gateway starts while others serve. It must set the plan that they follow in one step:
+/// starting from no shares, it would overload its region's few endpoints for as long as the
+/// ramp takes.
 #[test]
 fn a_joining_gateway_sets_its_plan_in_one_step() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -127,25 +129,25 @@
     assert!((32..=64).contains(&south), "{south} of 80");
 }
 
-/// The other region is nearer, or farther, than is assumed at first. What is expected of it
-/// must come to what its answers take.
+/// The other region is nearer, or farther, than assumed initially. The expected time must
+/// converge to that of its responses.
 #[test]
 fn the_round_trip_to_another_region_is_learned() {
     for rtt_ms in [10, 200] {
         let mut placer = placer("north-1", vec![endpoint("s", "south-1")]);
         for number in 0..400 {
-            let target = place(&mut placer, ms(number * 50), "o").expect("a place");
+            let target = place(&mut placer, ms(number * 50), "o").expect("an endpoint");
             record_served(&mut placer, ms(number * 50), &target, ms(100 + rtt_ms));
         }
-        let target = place(&mut placer, ms(30_000), "o").expect("a place");
+        let target = place(&mut placer, ms(30_000), "o").expect("an endpoint");
         let off = (target.expected + target.rtt).abs_diff(ms(100 + rtt_ms));
         assert!(off < ms(20), "{rtt_ms}: {target:?}");
     }
 }
 
-/// All of control dies in the first second of a day, when hardly anybody has come yet, and
-/// stays down. Callers of a region with too few endpoints must go on being served where the
-/// plan has their objects: what was told of demand says nothing of what it is.
+/// All of control fails in the first second of a day, before most callers have become active,
+/// and stays down. Callers of a region with too few endpoints must still be served where the
+/// plan places their objects: the last reported demand is no longer valid.
 #[test]
 fn a_plan_does_not_follow_expired_demand() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -164,10 +166,10 @@
     assert!(after + 16 >= before, "{before}, later {after} of 80");
 }
 
-/// The north has two endpoints of three slots and its callers keep 3.4 of the 6 busy; the
-/// south has 24 and hardly any callers. Objects have one endpoint each, so the busier one of
-/// the north is often full and its requests wait for tens of milliseconds. With the south
-/// 10 ms away a part of them must go there; with the south a second away none must.
+/// The north has two endpoints of three slots, and its callers need 3.4 of the 6; the south
+/// has 24 and hardly any callers. Each object has one endpoint, so the busier one of the north
+/// is often full, and its requests wait for tens of milliseconds. With a round trip of 10 ms
+/// to the south, a share of them must go there; with a second, none must.
 #[test]
 fn a_region_sends_away_requests_that_would_wait_longer_than_the_round_trip() {
     for (rtt_ms, expected) in [(10, 16..=64), (1000, 0..=0)] {
@@ -182,27 +184,28 @@
         let south = run_second(&mut placer, ms(40_000), 80);
         assert!(
             expected.contains(&south),
-            "{south} of 80 at a way of {rtt_ms} ms"
+            "{south} of 80 at a round trip of {rtt_ms} ms"
         );
     }
 }
 
-/// The north is evacuated for a while, so that its callers learn how far the south is.
+/// Evacuates the north for a while, so that its gateway measures the round trip to the south.
 fn learn_rtt(placer: &mut Placer, rtt_ms: u64) {
     placer.set_evacuated(ms(0), [domain("north-1")].into());
     for number in 0..400 {
         let now = ms(number * 20);
         placer.record_request(now, &service());
-        let target = place(placer, now, "o").expect("a place");
+        let target = place(placer, now, "o").expect("an endpoint");
         record_served(placer, now, &target, ms(100 + rtt_ms));
     }
     placer.set_evacuated(ms(8000), [].into());
 }
 
-/// Half of the north's callers connect elsewhere for 7 s, as when a failure domain's gateways
-/// are out of reach, and come back at once; and so on. Demand is 9 busy slots or 4.5, and the
-/// north has 6. A plan may only move in small steps. If it has brought requests home by the
-/// time when callers come back, the north's few endpoints are full for seconds.
+/// Half of the north's callers connect elsewhere for 7 s, as if the gateways of a failure
+/// domain were unreachable, and return at once; this repeats. The demand is 9 or 4.5 busy
+/// slots, and the north has 6. A plan may only move in small steps. If it has moved requests
+/// back by the time that the callers return, the few endpoints of the north are full for
+/// seconds.
 #[test]
 fn a_region_short_of_slots_is_not_filled_by_returning_callers() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -214,18 +217,18 @@
         let per_s = 200;
         let south = run_second(&mut placer, ms(1000 * number), per_s);
         let local = busy * (1.0 - south as f64 / per_s as f64);
-        // Once the plan has found its place.
+        // After the plan has converged.
         if number >= 14 {
             fullest = fullest.max(local / 6.0);
         }
     }
-    // Objects aren't spread evenly: the busier endpoints stand 0.4 above their region's
-    // utilisation, and are full from here on.
+    // Objects aren't spread evenly: the utilisation of the busier endpoints is 0.4 above that
+    // of their region, and they are full beyond this.
     assert!(fullest <= 1.0 / 1.4, "{fullest}");
 }
 
-/// Callers have just come, in full number. What is told of their demand after half a second
-/// must be what it is, or the plans of their region are made for a fraction of it.
+/// All callers have just become active. The demand that is reported after half a second must
+/// be complete, or the plans of their region are made for a fraction of it.
 #[test]
 fn demand_is_reported_in_full_from_the_start() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -243,10 +246,11 @@
     );
 }
 
-/// Every region is asked for more than it has slots for, and gateways hear too seldom of
-/// endpoints elsewhere to know that they are full too. What goes there without a plan meets
-/// endpoints that don't know its object and takes three times as long, and the same comes
-/// back from there. Requests must stay, and those that would be late be told to come back.
+/// Every region needs more slots than it has, and gateways receive too few responses from
+/// endpoints of other regions to detect that they are full too. A request that goes there
+/// without a plan arrives at an endpoint that doesn't have its object cached, and takes three
+/// times as long; the other regions do the same in return. Requests must stay in their region,
+/// and those that would be late must be rejected.
 #[test]
 fn a_full_region_does_not_send_its_overload_to_others() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -261,8 +265,8 @@
     assert!(refused > 0);
 }
 
-/// Guards against all requests of a plan returning to their region within one window when
-/// the region that runs them is overloaded.
+/// Guards against all requests of a plan returning to their region within one window when the
+/// region that runs them is overloaded.
 #[test]
 fn requests_return_from_an_overloaded_region_at_a_bounded_rate() {
     let mut placer = placer("north-1", uneven_endpoints());
@@ -282,7 +286,7 @@
             }
             placer.record_request(now, &service());
             let object = format!("o-{}", number % 40);
-            // What is refused runs nowhere.
+            // A rejected request runs nowhere.
             let Some(target) = place(&mut placer, now, &object) else {
                 continue;
             };
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Endpoints and requests of the tests.
+//! Endpoints and requests for the tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-/// Requests a second that a cold endpoint bears.
+/// Requests per second that a cold endpoint can handle.
 pub(crate) const COLD_PER_S: f64 = 6.2;
 
 pub(crate) fn ms(ms: u64) -> Moment {
@@ -32,7 +32,7 @@
     name.parse().expect("a name")
 }
 
-/// A domain `x-1` lies in region `x`.
+/// A domain `x-1` is in region `x`.
 fn region_by_domain() -> BTreeMap<FailureDomain, Region> {
     let entry = |name: &str| (domain(name), region(&name[..name.len() - 2]));
     ["north-1", "north-2", "south-1", "south-2"]
@@ -84,12 +84,12 @@
     }
 }
 
-/// A gateway in a failure domain that knows these endpoints.
+/// A gateway in a failure domain, with these endpoints.
 pub(crate) fn placer(domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
     named_placer("gateway-1", domain_name, endpoints)
 }
 
-/// The same, of a name that tells it from others.
+/// The same with a name, for tests with several gateways.
 pub(crate) fn named_placer(name: &str, domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
     let regions = region_by_domain();
     let mut placer = Placer::new(Config {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Places a request for an object; `None` if it is refused.
+/// Places a request for an object; `None` if it is rejected.
 pub(crate) fn place(placer: &mut Placer, now: Moment, object: &str) -> Option<Target> {
     let service = service();
     match placer.place(now, request(&service, object.as_bytes())) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Why a request is refused.
+/// Why a request is rejected; `None` if it is sent.
 pub(crate) fn refusal(placer: &mut Placer, now: Moment, req: Request<'_>) -> Option<Refusal> {
     match placer.place(now, req) {
         Decision::Send(_) => None,
--- a/crates/place/tests/all/surge.rs
+++ b/crates/place/tests/all/surge.rs
@@ -1,4 +1,4 @@
-//! A surge that ends, against endpoints that remember a few objects each.
+//! A short surge of load on endpoints that cache a few objects each.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,12 +8,12 @@
 
 use crate::support::{endpoint, ms, placer, request, service};
 
-/// Milliseconds that work takes where the object is known, and where it isn't.
+/// Milliseconds that a request takes with its object cached, and without.
 const CACHED_MS: u64 = 75;
 const UNCACHED_MS: u64 = 240;
 const OBJECTIVE_MS: u64 = 300;
 const SLOTS: usize = 3;
-/// Objects that an endpoint remembers, of those that there are.
+/// Objects that an endpoint caches, and objects that there are.
 const CACHE_SIZE: usize = 20;
 const OBJECTS: u32 = 60;
 
@@ -32,7 +32,7 @@
 }
 
 impl SimulatedEndpoint {
-    /// Takes in work, and gives back what is done at `now`.
+    /// Starts waiting jobs, and returns those that are finished at `now`.
     fn advance(&mut self, now: u64) -> Vec<Job> {
         let running = std::mem::take(&mut self.running);
         let (done, running): (Vec<_>, Vec<_>) =
@@ -58,8 +58,8 @@
     }
 }
 
-/// Plays `seconds` of requests at `per_s(second)` at two gateways over four endpoints, and
-/// returns the part of requests of each second that was answered within the objective.
+/// Simulates `seconds` of requests at `per_s(second)` through two gateways on four endpoints.
+/// Returns the share of each second's requests that met the objective.
 fn simulate(seed: u64, seconds: u64, per_s: impl Fn(u64) -> f64) -> Vec<f64> {
     let names = ["a", "b", "c", "d"];
     let list = || names.map(|name| endpoint(name, "north-1")).into();
@@ -105,11 +105,10 @@
     counts.iter().take(seconds as usize).map(share).collect()
 }
 
-/// Clerks come back from their break and ask at three times the usual rate for three
-/// seconds, more than the endpoints can do. Once they are done, answers must be in time
-/// again within seconds. Where a surge may push objects to whatever slot is free, endpoints
-/// forget what they knew, every request costs three times the work, and the usual rate is
-/// too much for good.
+/// Callers send three times the usual rate for three seconds, more than the endpoints can
+/// handle. Within seconds after that, responses must be in time again. If a surge could move
+/// objects to whatever slot is free, endpoints would drop the objects they have cached, every
+/// request would cost three times the work, and the usual rate would be too much permanently.
 #[test]
 fn a_surge_does_not_become_a_lasting_overload() {
     let usual = 0.7 * 12.0 * 1000.0 / CACHED_MS as f64;
