--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -146,8 +146,8 @@
         if chosen.wait <= 0.0 || !self.cfg.uses(Mechanism::Refusing) {
             return false;
         }
-        let is_patient = req.is_caller_retry && self.cfg.uses(Mechanism::Patience);
-        let limit = if is_patient || is_pinned {
+        let waits_for_deadline = req.is_caller_retry && self.cfg.uses(Mechanism::Patience);
+        let limit = if waits_for_deadline || is_pinned {
             req.remaining
         } else {
             req.objective.min(req.remaining)
@@ -346,8 +346,8 @@
         let expected = if is_settling { cached } else { response_time };
         // Additional time that a slot is busy while the endpoint loads the object; it delays
         // others.
-        let learning = (response_time - cached).max(0.0);
-        let weighted = expected + region.pressure * learning;
+        let loading = (response_time - cached).max(0.0);
+        let weighted = expected + region.pressure * loading;
         let service_time = times.expected(Affinity::Perhaps(0)) * slowness;
         let wait = cost::slot_wait(load, e.slots, service_time);
         let failure_cost = match self.cfg.uses(Mechanism::Failing) {
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -68,7 +68,7 @@
 /// A gateway of another region sees a cold endpoint with free slots while its own endpoints
 /// are full. It has no share of the rate that the cold endpoint can handle.
 #[test]
-fn a_cold_endpoint_gets_nothing_from_other_regions() {
+fn a_cold_endpoint_gets_no_requests_from_other_regions() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     let mut gateway = placer("south-1", vec![cold]);
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -147,7 +147,7 @@
 /// and there is no other signal; after a few of them, the endpoint's objects must go
 /// elsewhere.
 #[test]
-fn an_endpoint_that_never_answers_is_avoided() {
+fn an_endpoint_that_never_responds_is_avoided() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
@@ -267,7 +267,7 @@
 /// Guards against large responses that send their bytes between failure domains although their
 /// own has capacity: an object's first endpoint was any of the region.
 #[test]
-fn large_answers_come_from_the_gateways_failure_domain() {
+fn large_responses_come_from_the_gateways_failure_domain() {
     let endpoints = || {
         let near = (0..4).map(|n| endpoint(&format!("near-{n}"), "north-1"));
         let far = (0..8).map(|n| endpoint(&format!("far-{n}"), "north-2"));
--- a/crates/place/tests/all/restarts.rs
+++ b/crates/place/tests/all/restarts.rs
@@ -87,8 +87,8 @@
 fn objects_of_the_earlier_start_are_dropped() {
     let (mut placer, target) = with_request_in_flight();
     record_served(&mut placer, ms(50), &target, ms(50));
-    let known = place(&mut placer, ms(60), "o").expect("an endpoint");
-    assert_ne!(known.affinity, target.affinity);
+    let again = place(&mut placer, ms(60), "o").expect("an endpoint");
+    assert_ne!(again.affinity, target.affinity);
     change_entry(&mut placer, ms(100), started_at("a", 200));
     let after = place(&mut placer, ms(101), "o").expect("an endpoint");
     assert_eq!(after.affinity, target.affinity);
