--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -147,14 +147,15 @@
     /// Requests for a few objects don't spread evenly, so some endpoints are busier than
     /// others, and the wait is averaged over them.
     fn mean_wait(&self, utilisation: f64) -> f64 {
-        let at = |part: f64| {
-            part * cost::mean_queue_wait(
-                part * utilisation,
-                self.slots_per_endpoint,
-                self.service_time,
-            )
+        let wait_at = |relative_load: f64| {
+            relative_load
+                * cost::mean_queue_wait(
+                    relative_load * utilisation,
+                    self.slots_per_endpoint,
+                    self.service_time,
+                )
         };
-        (at(1.0 - ENDPOINT_SPREAD) + 2.0 * at(1.0) + at(1.0 + ENDPOINT_SPREAD)) / 4.0
+        (wait_at(1.0 - ENDPOINT_SPREAD) + 2.0 * wait_at(1.0) + wait_at(1.0 + ENDPOINT_SPREAD)) / 4.0
     }
 
     /// Increase of the total wait of a region's requests, in seconds, for each additional
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -258,7 +258,7 @@
 
     /// Estimates for all services of the routes, for logs.
     pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
-        let belief = |service: &ServiceName| ServiceEstimate {
+        let estimate = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
             response_times: self
                 .response_times
@@ -273,6 +273,6 @@
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
         };
-        self.services.keys().map(belief).collect()
+        self.services.keys().map(estimate).collect()
     }
 }
