--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -93,6 +93,7 @@
         shares.is_none_or(|shares| shares.may_decrease(region))
     }
 
+    /// Counts a request for the share of the region that it is sent to.
     fn record_region(&mut self, now: Moment, service: &ServiceName, chosen: &Candidate) {
         let Some(region) = &self.endpoints[chosen.index].region else {
             return;
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Hash of the request's object; `None` if it has none.
     fn object_key(&self, req: &Request<'_>) -> Option<u64> {
         let object = req.object.filter(|_| self.cfg.uses(Mechanism::Objects))?;
         if self.cfg.uses(Mechanism::Routes) {
@@ -155,6 +157,7 @@
         chosen.rtt + chosen.wait + chosen.response_time > limit.as_secs_f64()
     }
 
+    /// Counts the request at its endpoint, and returns the target.
     fn send(&mut self, now: Moment, object: Option<u64>, chosen: &Candidate) -> Decision {
         let share = self.cold_share(&self.endpoints[chosen.index]);
         let state = &mut self.endpoints[chosen.index];
@@ -252,6 +255,7 @@
             .min(MAX_PRESSURE)
     }
 
+    /// Mean share of requests that fail, over these endpoints.
     fn mean_failure_rate(&self, now: Moment, indices: &[usize]) -> f64 {
         if !self.cfg.uses(Mechanism::SharedFailing) {
             return 0.0;
@@ -262,6 +266,7 @@
         rates.sum::<f64>() / indices.len().max(1) as f64
     }
 
+    /// Indices of the endpoints that may run the request.
     fn eligible(&self, now: Moment, req: &Request<'_>, include_backed_off: bool) -> Vec<usize> {
         let is_eligible = |e: &TrackedEndpoint| {
             e.service == *req.service
@@ -281,6 +286,7 @@
         req.regions.is_empty() || region.is_some_and(|region| req.regions.contains(region))
     }
 
+    /// Whether the endpoint is warm, or this gateway may send it another request while it is cold.
     fn cold_limit_allows(&self, now: Moment, e: &TrackedEndpoint) -> bool {
         let in_region = e.region.as_ref() == Some(&self.cfg.region);
         !e.cold.is_cold(now) || (in_region && e.cold.allows(now, self.cold_share(e)))
@@ -316,6 +322,8 @@
         order
     }
 
+    /// An endpoint with the cost of sending the request there. `rank` is its rank in the object's
+    /// order; `None` if gateways of this region don't send the object by that order.
     fn candidate(
         &self,
         now: Moment,
@@ -396,6 +404,8 @@
         }
     }
 
+    /// The best endpoint in the planned region if requests may or have to go there, or else in
+    /// this region.
     fn choose(
         &self,
         req: &Request<'_>,
--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -36,7 +36,7 @@
 #[test]
 fn an_endpoint_of_an_unknown_service_gets_no_requests() {
     let mut unrouted = endpoint("a", "north-1");
-    unrouted.service = "nobody-routes-this".parse().expect("a name");
+    unrouted.service = "unrouted".parse().expect("a name");
     let mut alone = placer("north-1", vec![unrouted.clone()]);
     let service = service();
     let refused = refusal(&mut alone, ms(0), request(&service, b"o"));
