--- a/crates/route/src/change.rs
+++ b/crates/route/src/change.rs
@@ -42,7 +42,7 @@
         if self
             .newest
             .as_ref()
-            .is_some_and(|held| held.version >= change.version)
+            .is_some_and(|newest| newest.version >= change.version)
         {
             return OfferResult::Superseded;
         }
--- a/crates/route/src/delta.rs
+++ b/crates/route/src/delta.rs
@@ -37,20 +37,23 @@
 impl Delta {
     /// What makes `newer` of `older`.
     pub fn between(older: &Table, newer: &Table) -> Self {
-        let places = older.routes.iter().enumerate();
-        let places: HashMap<&str, usize> = places.map(|(i, r)| (r.name.as_str(), i)).collect();
-        let is_at = |place: usize, route: &Route| {
-            older.routes.get(place).is_some_and(|held| **held == *route)
+        let indices = older.routes.iter().enumerate();
+        let indices: HashMap<&str, usize> = indices.map(|(i, r)| (r.name.as_str(), i)).collect();
+        let is_at_index = |index: usize, route: &Route| {
+            older.routes.get(index).is_some_and(|old| **old == *route)
         };
         let mut runs = Vec::new();
         for route in &newer.routes {
-            let next = match runs.last() {
+            let following = match runs.last() {
                 Some(Run::Kept { first, count }) => Some((*first + *count) as usize),
                 _ => None,
             };
-            let named = places.get(route.name.as_str()).copied();
-            let place = next.into_iter().chain(named).find(|at| is_at(*at, route));
-            extend(&mut runs, place, route);
+            let same_name = indices.get(route.name.as_str()).copied();
+            let index = following
+                .into_iter()
+                .chain(same_name)
+                .find(|at| is_at_index(*at, route));
+            append(&mut runs, index, route);
         }
         Self {
             runs,
@@ -83,19 +86,19 @@
 
     /// How many routes are new or not as they were.
     pub fn new_routes(&self) -> usize {
-        let new = self.runs.iter().map(|run| match run {
+        let counts = self.runs.iter().map(|run| match run {
             Run::Kept { .. } => 0,
             Run::New(new) => new.len(),
         });
-        new.sum()
+        counts.sum()
     }
 }
 
 /// Adds a route to the runs, which stands at `place` in the older table or isn't there.
-fn extend(runs: &mut Vec<Run>, place: Option<usize>, route: &Arc<Route>) {
-    let place = place.and_then(|place| u32::try_from(place).ok());
-    match (runs.last_mut(), place) {
-        (Some(Run::Kept { first, count }), Some(place)) if *first + *count == place => *count += 1,
+fn append(runs: &mut Vec<Run>, index: Option<usize>, route: &Arc<Route>) {
+    let index = index.and_then(|index| u32::try_from(index).ok());
+    match (runs.last_mut(), index) {
+        (Some(Run::Kept { first, count }), Some(index)) if *first + *count == index => *count += 1,
         (_, Some(first)) => runs.push(Run::Kept { first, count: 1 }),
         (Some(Run::New(new)), None) => new.push(Arc::clone(route)),
         (_, None) => runs.push(Run::New(vec![Arc::clone(route)])),
--- a/crates/route/src/matcher.rs
+++ b/crates/route/src/matcher.rs
@@ -32,7 +32,7 @@
                 route: Arc::clone(route),
             };
             hosts
-                .entry(name(&route.host).to_ascii_lowercase())
+                .entry(host_name(&route.host).to_ascii_lowercase())
                 .or_default()
                 .push(Arc::new(matched));
         }
@@ -45,7 +45,7 @@
     /// The route of that host with the longest prefix that begins `path`. A port, a dot at
     /// the end and the case of letters don't count, in `host` as in the table.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Matched>> {
-        let name = name(host);
+        let name = host_name(host);
         let routes = match self.hosts.get(name) {
             Some(routes) => routes,
             None => self.hosts.get(&name.to_ascii_lowercase())?,
@@ -57,7 +57,7 @@
 }
 
 /// A host without its port and without the dot that makes it absolute.
-fn name(host: &str) -> &str {
+fn host_name(host: &str) -> &str {
     // An address in brackets has colons of its own.
     let port = host.rfind(':').filter(|at| !host[*at..].contains(']'));
     let name = &host[..port.unwrap_or(host.len())];
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -142,13 +142,13 @@
     },
     /// A route lets callers wait for no time at all.
     #[snafu(display("route `{route}` has a timeout of 0"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
     /// A prefix that no path begins with.
     #[snafu(display("route `{route}` has the prefix `{prefix}`, which begins with no slash"))]
-    BarePrefix {
+    PrefixWithoutSlash {
         /// The route.
         route: String,
         /// Its prefix.
@@ -156,7 +156,7 @@
     },
     /// A route without a host.
     #[snafu(display("route `{route}` has an empty host"))]
-    NoHost {
+    EmptyHost {
         /// The route.
         route: String,
     },
@@ -176,10 +176,10 @@
     /// Each fault has a variant of its own in [`InvalidTable`].
     pub fn check(&self) -> Result<(), InvalidTable> {
         let services: BTreeSet<_> = self.services.iter().map(|service| &service.name).collect();
-        let known = |service: &ServiceName| services.contains(service);
+        let has_service = |service: &ServiceName| services.contains(service);
         self.routes
             .iter()
-            .try_for_each(|route| check_route(route, known))
+            .try_for_each(|route| check_route(route, has_service))
     }
 
     /// The service of that name.
@@ -188,19 +188,26 @@
     }
 }
 
-fn check_route(route: &Route, known: impl Fn(&ServiceName) -> bool) -> Result<(), InvalidTable> {
+fn check_route(
+    route: &Route,
+    has_service: impl Fn(&ServiceName) -> bool,
+) -> Result<(), InvalidTable> {
     let name = &route.name;
     let prefix = &route.prefix;
-    ensure!(!route.host.is_empty(), NoHostSnafu { route: name });
+    ensure!(!route.host.is_empty(), EmptyHostSnafu { route: name });
     ensure!(
         prefix.starts_with('/'),
-        BarePrefixSnafu {
+        PrefixWithoutSlashSnafu {
             route: name,
             prefix
         }
     );
-    ensure!(!route.timeout.is_zero(), NoTimeoutSnafu { route: name });
-    if let Some(target) = route.targets.iter().find(|target| !known(&target.service)) {
+    ensure!(!route.timeout.is_zero(), ZeroTimeoutSnafu { route: name });
+    if let Some(target) = route
+        .targets
+        .iter()
+        .find(|target| !has_service(&target.service))
+    {
         let service = target.service.clone();
         return UnknownServiceSnafu {
             route: name,
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -75,15 +75,15 @@
 /// One host can be written in several ways, in a request as in a table. A route whose host was
 /// written in another way than its requests' was never found, as if it weren't there.
 #[test]
-fn one_host_is_found_however_it_is_written() {
-    let to = || vec![target("one", 1)];
-    let written = [
+fn a_host_is_found_in_all_its_spellings() {
+    let targets = || vec![target("one", 1)];
+    let spellings = [
         "Shop.Example",
         "cards.example.",
         "books.example:8080",
         "[::1]",
     ];
-    let routes = written.iter().map(|host| route(host, "/", to()));
+    let routes = spellings.iter().map(|host| route(host, "/", targets()));
     let matcher = Matcher::new(&table(routes.collect()));
     for host in [
         "shop.example",
@@ -107,37 +107,43 @@
 /// Two operators draw the same number, and an older change comes late: the table in force
 /// must stay what the first holder of the highest number made it.
 #[test]
-fn only_a_higher_number_takes_effect() {
-    let mut held = LatestChange::default();
+fn only_a_higher_version_takes_effect() {
+    let mut latest = LatestChange::default();
     let first = change(7, vec![route("a", "/", vec![target("orders", 1)])]);
-    assert_eq!(held.offer(&first), OfferResult::Accepted);
-    assert_eq!(held.offer(&change(7, Vec::new())), OfferResult::Superseded);
-    assert_eq!(held.offer(&change(6, Vec::new())), OfferResult::Superseded);
-    assert_eq!(held.newest().map(|c| c.table.routes.len()), Some(1));
-    assert_eq!(held.offer(&change(9, Vec::new())), OfferResult::Accepted);
-    assert_eq!(held.newest().map(|c| c.version), Some(9));
+    assert_eq!(latest.offer(&first), OfferResult::Accepted);
+    assert_eq!(
+        latest.offer(&change(7, Vec::new())),
+        OfferResult::Superseded
+    );
+    assert_eq!(
+        latest.offer(&change(6, Vec::new())),
+        OfferResult::Superseded
+    );
+    assert_eq!(latest.newest().map(|c| c.table.routes.len()), Some(1));
+    assert_eq!(latest.offer(&change(9, Vec::new())), OfferResult::Accepted);
+    assert_eq!(latest.newest().map(|c| c.version), Some(9));
 }
 
 #[test]
-fn each_fault_of_a_table_is_named() {
-    let good = route("a", "/x/", vec![target("orders", 1)]);
+fn each_error_of_a_table_has_its_variant() {
+    let valid = route("a", "/x/", vec![target("orders", 1)]);
     let check = |edit: fn(&mut Route)| {
-        let mut bad = good.clone();
-        edit(&mut bad);
-        table(vec![good.clone(), bad]).check()
+        let mut invalid = valid.clone();
+        edit(&mut invalid);
+        table(vec![valid.clone(), invalid]).check()
     };
     assert_eq!(check(|_| {}), Ok(()));
     assert!(matches!(
         check(|r| r.host.clear()),
-        Err(InvalidTable::NoHost { .. })
+        Err(InvalidTable::EmptyHost { .. })
     ));
     assert!(matches!(
         check(|r| r.prefix = "x/".to_owned()),
-        Err(InvalidTable::BarePrefix { .. })
+        Err(InvalidTable::PrefixWithoutSlash { .. })
     ));
     assert!(matches!(
         check(|r| r.timeout = Duration::ZERO),
-        Err(InvalidTable::NoTimeout { .. })
+        Err(InvalidTable::ZeroTimeout { .. })
     ));
     assert!(matches!(
         check(|r| r.targets[0].service = "nobody".parse().expect("a valid name")),
@@ -156,7 +162,7 @@
 /// Weights hold in each short stretch: of any 100 requests in a row, no target is more
 /// than 3 off its part.
 #[test]
-fn requests_are_dealt_by_weight_in_any_short_run() {
+fn requests_are_split_by_weight_in_any_short_run() {
     bolero::check!()
         .with_type::<(u8, u8, u8)>()
         .for_each(|(a, b, skip)| {
@@ -172,8 +178,11 @@
                 matched.split.pick();
             });
             let first = (0..100).filter(|_| matched.split.pick() == 0).count() as f64;
-            let part = 100.0 * f64::from(a) / f64::from(a + b);
-            assert!((first - part).abs() <= 3.0, "{first} of 100, not {part}");
+            let expected = 100.0 * f64::from(a) / f64::from(a + b);
+            assert!(
+                (first - expected).abs() <= 3.0,
+                "{first} of 100, not {expected}"
+            );
         });
 }
 
@@ -187,7 +196,7 @@
 
 /// Guards against routes that are lost, doubled or out of order after a change.
 #[test]
-fn a_delta_makes_the_newer_table() {
+fn a_delta_produces_the_newer_table() {
     let host = |name: &str| route(name, "/", vec![target("catalogue", 1)]);
     let older = table(["a", "b", "c", "d", "e"].map(host).into());
     let mut moved = host("b");
@@ -201,14 +210,14 @@
         host("d"),
     ]);
     let delta = Delta::between(&older, &newer);
-    let made = delta.apply(&older).expect("a change of that table");
-    assert_eq!(made, newer);
-    assert_eq!(names(&made), ["e/", "a/", "b/", "x/", "c/", "d/"]);
+    let applied = delta.apply(&older).expect("a change of that table");
+    assert_eq!(applied, newer);
+    assert_eq!(names(&applied), ["e/", "a/", "b/", "x/", "c/", "d/"]);
     assert_eq!(delta.new_routes(), 2);
 }
 
 #[test]
-fn a_delta_of_another_table_is_refused() {
+fn a_delta_is_rejected_for_another_table() {
     let host = |name: &str| route(name, "/", vec![target("catalogue", 1)]);
     let older = table(["a", "b", "c"].map(host).into());
     let newer = table(["a", "b", "c", "d"].map(host).into());
@@ -219,7 +228,7 @@
 /// Whatever two tables are, routes of the same name among them, the delta makes one of the
 /// other.
 #[test]
-fn a_delta_makes_any_table_of_any_other() {
+fn a_delta_produces_any_table_from_any_other() {
     bolero::check!()
         .with_type::<(Vec<u8>, Vec<u8>)>()
         .for_each(|(older, newer)| {
