--- a/crates/route/src/change.rs
+++ b/crates/route/src/change.rs
@@ -1,4 +1,4 @@
-//! Numbered changes of the table.
+//! Versioned changes of the route table.
 
 use std::sync::Arc;
 
@@ -6,29 +6,29 @@
 
 use crate::Table;
 
-/// A whole table under the number that its operator gave it.
+/// A complete table and the version that its operator assigned to it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Change {
-    /// Its number. Operators leave gaps, and two of them may draw the same one.
+    /// Version of the change. Operators leave gaps, and two operators may assign the same one.
     pub version: u64,
     /// The table.
     pub table: Table,
-    /// The text that the operator sent. It is handed back as it came, since an operator
-    /// compares what is in force with what was sent; nothing here reads it.
+    /// The text that the operator sent, which isn't parsed here. It is returned unmodified,
+    /// since an operator compares the table in force with what was sent.
     pub text: String,
 }
 
-/// What came of a change that was offered.
+/// The result of offering a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// It is in force.
+    /// The change is in force.
     Accepted,
-    /// One with this number or a higher one is in force already; nothing has changed.
+    /// A change with this version or a higher one is already in force; nothing has changed.
     Superseded,
 }
 
-/// The change in force, if there has been any.
+/// The change in force, if there is one: the one with the highest version so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LatestChange {
@@ -36,8 +36,8 @@
 }
 
 impl LatestChange {
-    /// Takes a change if its number is higher than that of the one in force. Under an
-    /// equal number the first content stays: somebody may act on it already.
+    /// Applies a change if its version is higher than that of the one in force. With equal
+    /// versions the first change stays, because other processes may already use it.
     pub fn offer(&mut self, change: &Change) -> OfferResult {
         if self
             .newest
@@ -50,7 +50,7 @@
         OfferResult::Accepted
     }
 
-    /// The change in force.
+    /// The change in force; `None` if there was no change yet.
     pub fn newest(&self) -> Option<&Arc<Change>> {
         self.newest.as_ref()
     }
--- a/crates/route/src/delta.rs
+++ b/crates/route/src/delta.rs
@@ -1,7 +1,7 @@
-//! How one table differs from another.
+//! The difference between two tables.
 //!
-//! The load it answers: tables of thousands of routes of which a change touches a few. Sent
-//! whole, each change takes the link of every gateway for as long as the table is long.
+//! A change usually affects a few routes of a table that has thousands. Sent in full, each
+//! change would occupy the link of every gateway for the transmission of the whole table.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 
 use crate::{CallerBounds, Route, Service, Table};
 
-/// Routes that follow one another in the newer table.
+/// Consecutive routes of the newer table.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 enum Run {
-    /// They follow one another in the older table too.
+    /// Routes that are also consecutive, and equal, in the older table.
     Kept {
-        /// Place of the first one there.
+        /// Index of the first one in the older table.
         first: u32,
-        /// How many there are.
+        /// Number of routes.
         count: u32,
     },
-    /// They aren't in the older table as they are now.
+    /// Routes that the older table doesn't have, or not with the same content.
     New(Vec<Arc<Route>>),
 }
 
-/// What makes one table of another.
+/// Turns one table into another.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Delta {
@@ -35,7 +35,7 @@
 }
 
 impl Delta {
-    /// What makes `newer` of `older`.
+    /// The delta that turns `older` into `newer`.
     pub fn between(older: &Table, newer: &Table) -> Self {
         let indices = older.routes.iter().enumerate();
         let indices: HashMap<&str, usize> = indices.map(|(i, r)| (r.name.as_str(), i)).collect();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The newer table; `None` if this isn't a change of the older one.
+    /// The newer table; `None` if the delta doesn't fit `older`.
     pub fn apply(&self, older: &Table) -> Option<Table> {
         let mut routes = Vec::new();
         for run in &self.runs {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// How many routes are new or not as they were.
+    /// Number of routes that are new or changed.
     pub fn new_routes(&self) -> usize {
         let counts = self.runs.iter().map(|run| match run {
             Run::Kept { .. } => 0,
@@ -94,7 +94,8 @@
     }
 }
 
-/// Adds a route to the runs, which stands at `place` in the older table or isn't there.
+/// Appends a route to the runs. `index` is its index in the older table; `None` if that
+/// doesn't have it.
 fn append(runs: &mut Vec<Run>, index: Option<usize>, route: &Arc<Route>) {
     let index = index.and_then(|index| u32::try_from(index).ok());
     match (runs.last_mut(), index) {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,16 +1,16 @@
-//! Routes: which requests go to which services, and within which bounds.
+//! The route table: which requests go to which services, and within which limits.
 //!
-//! A [`Table`] is one whole configuration of routes. Operators replace it as a whole, as
-//! a numbered [`Change`]; of two changes the one with the higher number is in force,
-//! whatever the order in which they arrive ([`LatestChange::offer`]). So a change that is sent
-//! again, or delivered late, can't take back a newer one.
+//! A [`Table`] is a complete configuration of routes. Operators replace it as a whole by a
+//! [`Change`] with a version; of two changes the one with the higher version is in force,
+//! regardless of the order in which they arrive ([`LatestChange::offer`]). So a change that is
+//! sent again or delivered late can't undo a newer one.
 //!
-//! Invariants relied on elsewhere:
+//! Invariants that other crates rely on:
 //!
-//! - a table that [`Table::check`] accepts has a service and a positive weight for each
-//!   route, so that a matched route always names somewhere to go;
-//! - [`Matcher::find`] depends on host and path only, so every process that holds the
-//!   same table routes a request alike.
+//! - a table that [`Table::check`] accepts has a service and a positive weight for each route,
+//!   so that a matched route always has a target;
+//! - [`Matcher::find`] depends on host and path only, so every process with the same table
+//!   routes a request alike.
 
 mod change;
 mod delta;
--- a/crates/route/src/matcher.rs
+++ b/crates/route/src/matcher.rs
@@ -6,24 +6,24 @@
 use crate::split::Split;
 use crate::{Route, Table};
 
-/// A table prepared for matching.
+/// A table that is indexed for matching.
 #[derive(Clone, Debug, Default)]
 pub struct Matcher {
-    /// Routes by host, those with the longest prefix first.
+    /// Routes by host, sorted by descending length of the prefix.
     hosts: HashMap<String, Vec<Arc<Matched>>>,
 }
 
-/// A route with what matching prepared for it.
+/// A route and the split of its requests.
 #[derive(Debug)]
 pub struct Matched {
     /// The route.
     pub route: Arc<Route>,
-    /// Deals its requests out to its targets.
+    /// Distributes the route's requests over its targets.
     pub split: Split,
 }
 
 impl Matcher {
-    /// Prepares a table.
+    /// Indexes a table.
     pub fn new(table: &Table) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Matched>>> = HashMap::new();
         for route in &table.routes {
@@ -42,8 +42,8 @@
         Self { hosts }
     }
 
-    /// The route of that host with the longest prefix that begins `path`. A port, a dot at
-    /// the end and the case of letters don't count, in `host` as in the table.
+    /// The route of `host` with the longest prefix that `path` starts with. A port, a trailing
+    /// dot and the case of letters are ignored, in `host` as in the table.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Matched>> {
         let name = host_name(host);
         let routes = match self.hosts.get(name) {
@@ -56,9 +56,9 @@
     }
 }
 
-/// A host without its port and without the dot that makes it absolute.
+/// A host without its port and without the trailing dot of an absolute name.
 fn host_name(host: &str) -> &str {
-    // An address in brackets has colons of its own.
+    // An IPv6 address in brackets contains colons itself.
     let port = host.rfind(':').filter(|at| !host[*at..].contains(']'));
     let name = &host[..port.unwrap_or(host.len())];
     name.strip_suffix('.').unwrap_or(name)
--- a/crates/route/src/split.rs
+++ b/crates/route/src/split.rs
@@ -1,15 +1,15 @@
-//! Deals the requests of a route out to its targets.
+//! Distributes the requests of a route over its targets.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::Target;
 
-/// Odd multiplier of a full-period sequence over 64 bits: the golden ratio's fraction,
-/// whose multiples are spread evenly, so that each target gets its part in any short run
+/// Odd multiplier of a full-period sequence over 64 bits: the fraction of the golden ratio,
+/// whose multiples are spread evenly, so that each target gets its share in any short sequence
 /// of requests and not only in the long run.
 const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Deals requests out in the proportions of weights.
+/// Distributes requests in proportion to the weights of the targets.
 #[derive(Debug, Default)]
 pub struct Split {
     /// Sums of the weights up to and including each target.
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of routes, and what makes one valid.
+//! The table of routes and its validation.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-/// What may be repeated.
+/// Whether requests of a route may be repeated, and how large their responses are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Kind {
@@ -16,12 +16,12 @@
     Safe,
     /// Not idempotent; runs at most once.
     Unsafe,
-    /// Idempotent, with a large answer.
+    /// Idempotent, with a large response.
     Download,
 }
 
 impl Kind {
-    /// A word for it, in logs and metrics.
+    /// Name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -42,55 +42,55 @@
 pub struct Target {
     /// The service.
     pub service: ServiceName,
-    /// Its part of the requests, in relation to the other targets' weights.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// A route: a host and a path prefix, and what is promised to requests on it.
+/// A route: a host and a path prefix, and the properties of the requests that match them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name in logs.
     pub name: String,
-    /// Host that a request names, without port, in lower case.
+    /// Host of a request, without port, in lower case.
     pub host: String,
-    /// What the path of a request begins with.
+    /// Prefix of a request's path.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time until a caller receives a response.
     pub timeout: Duration,
-    /// Time within which an answer is worth most to its caller.
+    /// Latency objective: the time within which a response should arrive.
     pub objective: Duration,
-    /// Rank among the routes of a service; 0 goes first.
+    /// Priority among the routes of a service; 0 is the highest.
     pub priority: u8,
-    /// Where requests go. Not empty in a valid table.
+    /// The targets of requests. Not empty in a valid table.
     pub targets: Vec<Target>,
-    /// Endpoints that one request may be sent to, at most.
+    /// Maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests for one object are best sent to one endpoint.
+    /// Whether requests for one object should go to the same endpoint.
     pub sticky: bool,
     /// The only regions where requests may run; empty allows all.
     pub regions: Vec<Region>,
 }
 
-/// A service as its endpoints have it.
+/// Properties of a service's endpoints.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path that tells an endpoint's health.
+    /// Path of the health check.
     pub health_path: String,
-    /// Connections that an endpoint accepts from all callers together.
+    /// Connections that an endpoint accepts from all clients together.
     pub max_connections: u32,
     /// How long an endpoint is cold after its start.
     pub cold_for: Duration,
-    /// Requests a second that a cold endpoint bears.
+    /// Requests per second that a cold endpoint can handle.
     pub cold_per_s: f64,
 }
 
-/// What a caller may send, and how long it may take or stay idle.
+/// Limits for the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallerBounds {
@@ -98,14 +98,14 @@
     pub header_bytes: usize,
     /// Bytes of a request's body.
     pub body_bytes: u64,
-    /// Time for a request's head to come in.
+    /// Time within which a request's head has to arrive.
     pub header_timeout: Duration,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerBounds {
-    /// What applies until a table names bounds: enough for any usual client.
+    /// Limits until a table sets them: enough for any usual client.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -116,23 +116,23 @@
     }
 }
 
-/// One whole configuration of routes.
+/// A complete configuration of routes.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    /// The routes. Tables that follow one another share those that stay.
+    /// The routes. Consecutive tables share the routes that are unchanged.
     pub routes: Vec<Arc<Route>>,
-    /// The services that they may name.
+    /// The services that routes may name.
     pub services: Vec<Service>,
-    /// Bounds for callers.
+    /// Limits for callers.
     pub bounds: CallerBounds,
 }
 
-/// Why a table isn't valid. Names the first route at fault.
+/// Why a table isn't valid. Names the first invalid route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum InvalidTable {
-    /// A route names a service that the table lacks.
+    /// A route names a service that isn't in the table.
     #[snafu(display("route `{route}` names the unknown service `{service}`"))]
     UnknownService {
         /// The route.
@@ -140,13 +140,13 @@
         /// The service.
         service: ServiceName,
     },
-    /// A route lets callers wait for no time at all.
+    /// A route has a timeout of zero.
     #[snafu(display("route `{route}` has a timeout of 0"))]
     ZeroTimeout {
         /// The route.
         route: String,
     },
-    /// A prefix that no path begins with.
+    /// A prefix that matches no path, because it doesn't start with a slash.
     #[snafu(display("route `{route}` has the prefix `{prefix}`, which begins with no slash"))]
     PrefixWithoutSlash {
         /// The route.
@@ -169,11 +169,12 @@
 }
 
 impl Table {
-    /// Finds the first fault of the table.
+    /// Validates the table.
     ///
     /// # Errors
     ///
-    /// Each fault has a variant of its own in [`InvalidTable`].
+    /// Returns the first error that is found, each kind as its own variant of
+    /// [`InvalidTable`].
     pub fn check(&self) -> Result<(), InvalidTable> {
         let services: BTreeSet<_> = self.services.iter().map(|service| &service.name).collect();
         let has_service = |service: &ServiceName| services.contains(service);
@@ -182,7 +183,7 @@
             .try_for_each(|route| check_route(route, has_service))
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables, changes and matching.
+//! Tests of tables, changes, deltas and matching.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -72,8 +72,8 @@
     assert_eq!(prefix("nowhere.example", "/a/"), None);
 }
 
-/// One host can be written in several ways, in a request as in a table. A route whose host was
-/// written in another way than its requests' was never found, as if it weren't there.
+/// A host has several spellings, in a request as in a table. A route whose host was spelled
+/// differently from that of its requests was never found.
 #[test]
 fn a_host_is_found_in_all_its_spellings() {
     let targets = || vec![target("one", 1)];
@@ -104,8 +104,8 @@
     }
 }
 
-/// Two operators draw the same number, and an older change comes late: the table in force
-/// must stay what the first holder of the highest number made it.
+/// Two operators assign the same version, and an older change arrives late: the table in force
+/// must stay that of the first change with the highest version.
 #[test]
 fn only_a_higher_version_takes_effect() {
     let mut latest = LatestChange::default();
@@ -146,7 +146,7 @@
         Err(InvalidTable::ZeroTimeout { .. })
     ));
     assert!(matches!(
-        check(|r| r.targets[0].service = "nobody".parse().expect("a valid name")),
+        check(|r| r.targets[0].service = "unlisted".parse().expect("a valid name")),
         Err(InvalidTable::UnknownService { .. })
     ));
     assert!(matches!(
@@ -159,8 +159,8 @@
     ));
 }
 
-/// Weights hold in each short stretch: of any 100 requests in a row, no target is more
-/// than 3 off its part.
+/// The split follows the weights in each short sequence: of any 100 consecutive requests, no
+/// target is more than 3 off its share.
 #[test]
 fn requests_are_split_by_weight_in_any_short_run() {
     bolero::check!()
@@ -194,7 +194,7 @@
         .collect()
 }
 
-/// Guards against routes that are lost, doubled or out of order after a change.
+/// Guards against routes that are lost, duplicated or out of order after a change.
 #[test]
 fn a_delta_produces_the_newer_table() {
     let host = |name: &str| route(name, "/", vec![target("catalogue", 1)]);
@@ -210,7 +210,7 @@
         host("d"),
     ]);
     let delta = Delta::between(&older, &newer);
-    let applied = delta.apply(&older).expect("a change of that table");
+    let applied = delta.apply(&older).expect("a delta for that table");
     assert_eq!(applied, newer);
     assert_eq!(names(&applied), ["e/", "a/", "b/", "x/", "c/", "d/"]);
     assert_eq!(delta.new_routes(), 2);
@@ -225,7 +225,7 @@
     assert_eq!(delta.apply(&table(Vec::new())), None);
 }
 
-/// Whatever two tables are, routes of the same name among them, the delta makes one of the
+/// For any two tables, with routes of the same name among them, the delta turns one into the
 /// other.
 #[test]
 fn a_delta_produces_any_table_from_any_other() {
