--- a/crates/place/src/endpoint.rs
+++ b/crates/place/src/endpoint.rs
@@ -67,6 +67,7 @@
     Abandoned(Duration),
 }
 
+/// What a gateway has learned about one start of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedEndpoint {
     pub(crate) id: EndpointId,
@@ -83,9 +84,11 @@
     /// In-flight requests of other gateways, as last reported, and when that was.
     others_in_flight: f64,
     load_reported_at: Moment,
+    /// Until when it counts as full.
     full_until: Moment,
     backoff_until: Moment,
     next_backoff: Duration,
+    /// Whether the address belongs to another start or endpoint.
     gone: bool,
     /// Time of the last response, or of the first request that was sent while none was in
     /// flight.
@@ -100,6 +103,7 @@
     failure_rate: f64,
     /// When `slowness` and `failure_rate` were last updated.
     scored_at: Moment,
+    /// When each object, by its hash, was last sent there.
     objects: HashMap<u64, Moment>,
 }
 
@@ -208,6 +212,7 @@
         0.5_f64.powf(age.as_secs_f64() / SCORE_HALF_LIFE.as_secs_f64())
     }
 
+    /// Records the load that the endpoint reported with a response.
     pub(crate) fn record_load(&mut self, now: Moment, load: Load) {
         let total = f64::from(load.running + load.waiting);
         // The request that this response belongs to may or may not be included in the load.
@@ -216,11 +221,13 @@
         self.has_queue = load.waiting > 0;
     }
 
+    /// Whether this gateway has sent the object there recently.
     pub(crate) fn was_recently_sent(&self, now: Moment, object: u64) -> bool {
         let sent = self.objects.get(&object);
         sent.is_some_and(|at| now < *at + OBJECT_TTL)
     }
 
+    /// Records that a request is sent; `expected` is the time until its response.
     pub(crate) fn record_sent(&mut self, now: Moment, object: Option<u64>, expected: Duration) {
         if self.own_in_flight == 0 {
             self.progress_at = now;
@@ -239,7 +246,7 @@
         }
     }
 
-    /// Avoids the endpoint for a time that doubles with each call.
+    /// Starts a backoff that is twice as long as the previous one, unless one is in progress.
     fn back_off(&mut self, now: Moment) {
         if now < self.backoff_until {
             return;
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -259,8 +259,8 @@
     }
 
     /// Updates the round trip to another region by the time that a response took beyond its
-    /// known processing time. Only responses without a queue count; most of them take just
-    /// that.
+    /// known processing time. Only responses for which no wait was expected count; most of them
+    /// take just that.
     fn learn_rtt(&mut self, service: &ServiceName, target: &Target, took: Duration) {
         let waited = target.overhead.as_secs_f64() > target.rtt.as_secs_f64() + 0.001;
         if target.affinity != Affinity::Sent || waited {
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,10 +1,10 @@
 //! Computes which share of a region's requests runs in which region.
 //!
 //! One region may have far fewer endpoints than its callers need while others have capacity.
-//! If requests were sent away individually whenever their region is full, they would arrive at
-//! endpoints that don't have their object cached, each time anew. So a share of the *objects*
-//! is placed in other regions, and always the same ones: their first request there is slow,
-//! all others are as fast as in the own region except for the round trip.
+//! If requests were sent away individually whenever their region is full, they would arrive,
+//! every time, at endpoints that don't have their object cached. So a share of the *objects* is
+//! placed in other regions, and always the same ones: their first request there is slow, all
+//! others are as fast as in the own region except for the round trip.
 //!
 //! All gateways of a region compute the plan from the same sums, and an object's position in
 //! it from its name, so they agree without communication. Shares change by a bounded step
