--- a/crates/place/src/rank.rs
+++ b/crates/place/src/rank.rs
@@ -27,7 +27,7 @@
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Rank of an endpoint for a key; the highest one is preferred.
+/// Score of an endpoint for a key; the endpoint with the highest one is preferred.
 pub(crate) fn score(key: u64, endpoint: &str) -> u64 {
     xxh3_64_with_seed(endpoint.as_bytes(), key)
 }
--- a/crates/place/src/retry_budget.rs
+++ b/crates/place/src/retry_budget.rs
@@ -28,8 +28,10 @@
     pub window: Duration,
 }
 
+/// Attempts in one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
+    /// Index of the slice since time zero.
     number: u64,
     first: u32,
     retries: u32,
