--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -105,12 +105,12 @@
         self.core.metrics.attempted(name);
         log!(level, request = self.request, service:% = self.service, object = self.object,
             endpoint:% = self.target.id,
-            route = self.route, known:? = self.target.known, expected_ms = self.target.expected.as_millis(),
+            route = self.route, known:? = self.target.affinity, expected_ms = self.target.expected.as_millis(),
             overhead_ms = self.target.overhead.as_millis(),
             took_ms = now.saturating_sub(self.begun).as_millis(), outcome:? = self.outcome;
             "attempt ended");
         let mut placer = self.core.placer.borrow_mut();
-        placer.ended(now, self.service, self.target, self.outcome);
+        placer.record_outcome(now, self.service, self.target, self.outcome);
     }
 }
 
@@ -273,11 +273,11 @@
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
     if let Some(load) = load(text(headers, &core.dialect.load)) {
-        placer.reported(now, target, load);
+        placer.record_load(now, target, load);
     }
     let cold = text(headers, &core.dialect.cold_ms).parse::<u64>();
     if let Some(ms) = cold.ok().filter(|ms| *ms > 0) {
-        placer.is_cold(now, target, Duration::from_millis(ms));
+        placer.record_cold(now, target, Duration::from_millis(ms));
     }
 }
 
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use filberthead_endpoint::RequestBody;
-use filberthead_place::{Decision, EndpointId, Further, Object, Refusal, Request as Wanted, Tries};
+use filberthead_place::{
+    Attempts, Decision, EndpointId, NextAttempt, Object, Refusal, Request as Wanted,
+};
 use filberthead_route::{Kind, Matched, Route};
 use filberthead_types::{ResultCode, ServiceName, header};
 use http::request::Parts;
@@ -59,7 +61,7 @@
     returned: bool,
     /// Number of the routes that it was matched by.
     version: u64,
-    tries: Tries,
+    tries: Attempts,
     /// An endpoint's answer to a run with a bad end: what the caller gets if no further
     /// attempt can be made.
     failure: Option<Response<AnswerBody>>,
@@ -87,7 +89,7 @@
     let route = &matched.route;
     arrival.route = Some(route);
     let deadline = Deadline::new(begun, &head.headers, &core.dialect.deadline_ms, route);
-    let Some(target) = route.targets.get(matched.split.deal()) else {
+    let Some(target) = route.targets.get(matched.split.pick()) else {
         return arrival.turn_away(ResultCode::NoEndpoint, Some(STARTING));
     };
     if body.size_hint().lower() > in_force.bounds.body_bytes {
@@ -99,7 +101,7 @@
     };
     core.placer
         .borrow_mut()
-        .arrived(core.now(), &target.service);
+        .record_request(core.now(), &target.service);
     let kind = route.kind.as_str();
     let carried = Carried {
         core,
@@ -109,7 +111,7 @@
         deadline,
         returned: has_returned(core, &head, route),
         version: in_force.version,
-        tries: Tries::new(route.max_attempts),
+        tries: Attempts::new(route.max_attempts),
         failure: None,
     };
     let answer = carried.run(body).await;
@@ -177,8 +179,11 @@
         let decision = self.place();
         let target = match decision {
             Decision::Send(target) => target,
-            Decision::Refuse { why, retry_after } => {
-                return match why {
+            Decision::Refuse {
+                reason,
+                retry_after,
+            } => {
+                return match reason {
                     // Those that there are have sent it back.
                     Refusal::NoEndpoint if self.tries.was_refused() => {
                         self.refused(ResultCode::Overloaded, SOON)
@@ -188,7 +193,7 @@
                 };
             }
         };
-        self.tries.sent(target.id.clone());
+        self.tries.record_sent(target.id.clone());
         let again = body.again();
         let job = Job {
             route: &self.route.name,
@@ -204,7 +209,7 @@
             Attempt::Failed(answer) => self.failed(answer, again),
             Attempt::Lost => self.lost(&target.id, again),
             Attempt::Late => {
-                self.tries.ran();
+                self.tries.record_ran();
                 self.note("no answer when the time was up", &target.id);
                 Next::end(own(ResultCode::DeadlineWhileRunning, None))
             }
@@ -222,26 +227,26 @@
             }),
             large: self.route.kind == Kind::Download,
             objective: self.route.objective,
-            left: self.deadline.left(),
-            returned: self.returned,
+            remaining: self.deadline.left(),
+            is_caller_retry: self.returned,
             regions: &self.route.regions,
-            tried: self.tries.avoided(),
+            excluded: self.tries.excluded(),
         };
         let now = self.core.now();
         self.core.placer.borrow_mut().place(now, wanted)
     }
 
     fn unreached(&mut self, body: RequestBody) -> Next {
-        match self.tries.unreached() {
-            Further::Allowed => Next::Again(body),
-            Further::Over => self.refused(ResultCode::NoEndpoint, STARTING),
+        match self.tries.record_unreachable() {
+            NextAttempt::Allowed => Next::Again(body),
+            NextAttempt::Exhausted => self.refused(ResultCode::NoEndpoint, STARTING),
         }
     }
 
     /// Sent back by an endpoint that has not run it.
     fn not_run(&mut self, load_told: bool, again: Option<RequestBody>) -> Next {
-        let same = self.core.placer.borrow().may_try_again(load_told);
-        let further = self.tries.refused(same);
+        let same = self.core.placer.borrow().may_retry_same_endpoint(load_told);
+        let further = self.tries.record_refused(same);
         match again.filter(|_| self.may_repeat(further)) {
             Some(body) => Next::Again(body),
             None => self.refused(ResultCode::Overloaded, SOON),
@@ -250,7 +255,7 @@
 
     /// Run, with a bad end.
     fn failed(&mut self, answer: Response<AnswerBody>, again: Option<RequestBody>) -> Next {
-        let further = self.tries.ran();
+        let further = self.tries.record_ran();
         let repeat = self.route.kind.is_idempotent();
         match again.filter(|_| repeat && self.may_repeat(further)) {
             Some(body) => {
@@ -262,7 +267,7 @@
     }
 
     fn lost(&mut self, endpoint: &EndpointId, again: Option<RequestBody>) -> Next {
-        let further = self.tries.ran();
+        let further = self.tries.record_ran();
         self.note("lost with the request at it", endpoint);
         let repeat = self.route.kind.is_idempotent();
         match again.filter(|_| repeat && self.may_repeat(further)) {
@@ -272,15 +277,15 @@
     }
 
     /// Whether another attempt is allowed, leaves enough time and is in the budget.
-    fn may_repeat(&self, further: Further) -> bool {
+    fn may_repeat(&self, further: NextAttempt) -> bool {
         let expected = self.route.objective / 4;
-        further == Further::Allowed
+        further == NextAttempt::Allowed
             && self.deadline.left() > expected
             && self
                 .core
                 .placer
                 .borrow_mut()
-                .may_repeat(self.core.now(), self.service)
+                .try_spend_retry(self.core.now(), self.service)
     }
 
     fn refused(&mut self, code: ResultCode, retry_after: Duration) -> Next {
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -12,7 +12,7 @@
 use filberthead_fleet::{Delay, Load, Member, Outbound, Stamp, Update};
 use filberthead_observe::{GatewayMetrics, LineAllowance};
 use filberthead_peer::Body;
-use filberthead_place::{Balance, LargeShare, Link, Placer};
+use filberthead_place::{ConnectionBalancer, LargeResponseAdmission, Link, Placer};
 use filberthead_ring::Sender;
 use filberthead_route::{CallerBounds, Matcher};
 use filberthead_types::{Moment, ResultCode};
@@ -45,7 +45,7 @@
     /// The VM's link, if its rate is known.
     pub(crate) link: Option<Link>,
     /// What large answers may take of it.
-    pub(crate) large: Option<LargeShare>,
+    pub(crate) large: Option<LargeResponseAdmission>,
     /// Callers' connections that are open.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -85,8 +85,8 @@
     pub(crate) metrics: Arc<GatewayMetrics>,
     /// The VM's link, if its rate is known.
     link: Option<RefCell<Link>>,
-    large: Option<RefCell<LargeShare>>,
-    balance: RefCell<Balance>,
+    large: Option<RefCell<LargeResponseAdmission>>,
+    balance: RefCell<ConnectionBalancer>,
     member: RefCell<Member>,
     in_force: RefCell<Option<Rc<InForce>>>,
     bounds: watch::Sender<Option<CallerBounds>>,
@@ -152,7 +152,7 @@
     /// Notes bytes of a short message that go out.
     pub(crate) fn sends(&self, bytes: usize) {
         if let Some(large) = &self.large {
-            large.borrow_mut().sent_short(bytes);
+            large.borrow_mut().record_short(bytes);
         }
         self.sends_piece(bytes);
     }
@@ -160,7 +160,7 @@
     /// Notes bytes of a large answer that go out.
     pub(crate) fn sends_piece(&self, bytes: usize) {
         if let Some(link) = &self.link {
-            link.borrow_mut().sent(self.now(), bytes);
+            link.borrow_mut().record_sent(self.now(), bytes);
         }
     }
 
@@ -175,34 +175,34 @@
     /// Notes the length of a large answer.
     pub(crate) fn observe_large(&self, bytes: u64) {
         if let Some(large) = &self.large {
-            large.borrow_mut().observe(bytes);
+            large.borrow_mut().record_large(bytes);
         }
     }
 
     /// How much longer the link has other things to send than large answers.
     pub(crate) fn link_busy_for(&self) -> Option<Duration> {
         let now = self.now();
-        let at = self.link.as_ref()?.borrow().next_piece(now)?;
+        let at = self.link.as_ref()?.borrow().next_chunk_at(now)?;
         Some(at.saturating_sub(now))
     }
 
     /// Thousandths of the link that are in use.
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
-        let used = link.map_or(0.0, |link| link.borrow_mut().used(now));
-        self.balance.borrow_mut().set_own(used);
+        let used = link.map_or(0.0, |link| link.borrow_mut().utilisation(now));
+        self.balance.borrow_mut().set_utilisation(used);
         (used * 1000.0) as u32
     }
 
     /// Whether a caller that has its answer is to connect anew.
     pub(crate) fn ends_connection(&self) -> bool {
-        self.is_leaving() || self.balance.borrow_mut().is_to_end(self.now())
+        self.is_leaving() || self.balance.borrow_mut().should_close(self.now())
     }
 
     /// Bytes of a large answer that go out at once, at most.
     pub(crate) fn piece(&self) -> usize {
         let link = self.link.as_ref();
-        link.map_or(usize::MAX, |link| link.borrow().piece())
+        link.map_or(usize::MAX, |link| link.borrow().max_chunk())
     }
 
     /// The routes in force, if any are known.
@@ -353,13 +353,13 @@
                     "list of endpoints changed");
                 let left = placer.change_endpoints(now, change);
                 self.leave(&left);
-                self.metrics.endpoints(placer.endpoints());
+                self.metrics.endpoints(placer.endpoint_count());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
             Update::Demand(demand) => placer.set_demand(now, &demand),
             Update::Links(milli) => {
                 let mean = milli.map(|milli| f64::from(milli) / 1000.0);
-                self.balance.borrow_mut().set_mean(now, mean);
+                self.balance.borrow_mut().set_mean_utilisation(now, mean);
             }
         }
     }
@@ -390,18 +390,18 @@
         let placer = &self.placer;
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
-            placer.plan(now);
+            placer.update_plans(now);
             // Working out what is believed costs more than the line itself.
             let beliefs = match log_enabled!(Level::Debug) {
-                true => placer.beliefs(now),
+                true => placer.estimates(now),
                 false => Vec::new(),
             };
             for belief in beliefs {
-                debug!(service:% = belief.service, away:? = belief.away, times:? = belief.times,
+                debug!(service:% = belief.service, away:? = belief.remote_shares, times:? = belief.response_times,
                     demand:? = belief.demand, capacity:? = belief.capacity; "plan");
             }
             Load {
-                demand: placer.demand(now),
+                demand: placer.take_demand(now),
                 link_milli: self.link_milli(now),
             }
         });
--- /dev/null
+++ b/crates/place/src/attempts.rs
@@ -0,0 +1,107 @@
+//! The attempts of one request: how many were made, and which endpoints are excluded from the
+//! next one.
+//!
+//! Endpoints may reject a part of their requests although they have free slots. If such a
+//! request goes to another endpoint, that one doesn't have its object cached. With all
+//! endpoints of a service rejecting half of their requests, each object is spread over many of
+//! them, and is in effect cached nowhere. So a rejected request may go to the same endpoint
+//! again if that has reported its load; the endpoint's cost decides whether it does.
+
+use crate::EndpointId;
+
+/// Endpoints that may be unreachable before the request is rejected.
+const MAX_UNREACHABLE: u32 = 3;
+
+/// The attempts of one request.
+#[derive(Clone, Debug)]
+pub struct Attempts {
+    max: u32,
+    made: u32,
+    ran: u32,
+    unreachable: u32,
+    refused: u32,
+    excluded: Vec<EndpointId>,
+}
+
+/// Whether another attempt is allowed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NextAttempt {
+    /// Another attempt may be made if the retry budget permits.
+    Allowed,
+    /// No further attempt: the maximum is reached, or too many endpoints were unreachable.
+    Exhausted,
+}
+
+impl Attempts {
+    /// No attempts yet; at most `max` may reach an endpoint.
+    pub fn new(max: u32) -> Self {
+        Self {
+            max,
+            made: 0,
+            ran: 0,
+            unreachable: 0,
+            refused: 0,
+            excluded: Vec::new(),
+        }
+    }
+
+    /// Records that the request is sent to an endpoint.
+    pub fn record_sent(&mut self, id: EndpointId) {
+        self.made += 1;
+        self.excluded.push(id);
+    }
+
+    /// Records that the last endpoint was unreachable and has received nothing.
+    pub fn record_unreachable(&mut self) -> NextAttempt {
+        self.unreachable += 1;
+        if self.unreachable < MAX_UNREACHABLE {
+            NextAttempt::Allowed
+        } else {
+            NextAttempt::Exhausted
+        }
+    }
+
+    /// Records that the last endpoint rejected the request. `allow_same_endpoint`: the request
+    /// may be sent to it again.
+    pub fn record_refused(&mut self, allow_same_endpoint: bool) -> NextAttempt {
+        self.refused += 1;
+        if allow_same_endpoint {
+            self.excluded.pop();
+        }
+        self.next_attempt()
+    }
+
+    /// Records that the last endpoint may have run the request.
+    pub fn record_ran(&mut self) -> NextAttempt {
+        self.ran += 1;
+        self.next_attempt()
+    }
+
+    fn next_attempt(&self) -> NextAttempt {
+        if self.made - self.unreachable < self.max {
+            NextAttempt::Allowed
+        } else {
+            NextAttempt::Exhausted
+        }
+    }
+
+    /// Endpoints that the request isn't sent to again.
+    pub fn excluded(&self) -> &[EndpointId] {
+        &self.excluded
+    }
+
+    /// Number of attempts so far.
+    pub fn made(&self) -> u32 {
+        self.made
+    }
+
+    /// Number of attempts that may have run.
+    pub fn may_have_run(&self) -> u32 {
+        self.ran
+    }
+
+    /// Whether an endpoint has rejected the request.
+    pub fn was_refused(&self) -> bool {
+        self.refused > 0
+    }
+}
--- a/crates/place/tests/all/support.rs
+++ b/crates/place/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Endpoints and requests of the tests.
+//! Endpoints and requests for the tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,12 +7,13 @@
 
 use filberthead_fleet::{Endpoint, EndpointState};
 use filberthead_place::{
-    BudgetConfig, Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, Target,
+    Config, Decision, EndpointId, Object, Outcome, Placer, Refusal, Request, RetryBudgetConfig,
+    Target,
 };
 use filberthead_route::{CallerBounds, Kind, Route, Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-/// Requests a second that a cold endpoint bears.
+/// Requests per second that a cold endpoint can handle.
 pub(crate) const COLD_PER_S: f64 = 6.2;
 
 pub(crate) fn ms(ms: u64) -> Moment {
@@ -31,22 +32,22 @@
     name.parse().expect("a name")
 }
 
-/// A domain `x-1` lies in region `x`.
-fn regions() -> BTreeMap<FailureDomain, Region> {
-    let of = |name: &str| (domain(name), region(&name[..name.len() - 2]));
+/// A domain `x-1` is in region `x`.
+fn region_by_domain() -> BTreeMap<FailureDomain, Region> {
+    let entry = |name: &str| (domain(name), region(&name[..name.len() - 2]));
     ["north-1", "north-2", "south-1", "south-2"]
-        .map(of)
+        .map(entry)
         .into_iter()
         .collect()
 }
 
-pub(crate) fn endpoint(id: &str, at: &str) -> Endpoint {
+pub(crate) fn endpoint(id: &str, domain_name: &str) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
         incarnation: None,
         service: service(),
         addr: SocketAddr::from(([127, 0, 0, 1], 80)),
-        domain: domain(at),
+        domain: domain(domain_name),
         slots: 3,
         state: EndpointState::Ready,
         cold_left: Duration::ZERO,
@@ -83,26 +84,26 @@
     }
 }
 
-/// A gateway in a failure domain that knows these endpoints.
-pub(crate) fn placer(at: &str, endpoints: Vec<Endpoint>) -> Placer {
-    named_placer("gateway-1", at, endpoints)
+/// A gateway in a failure domain, with these endpoints.
+pub(crate) fn placer(domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
+    named_placer("gateway-1", domain_name, endpoints)
 }
 
-/// The same, of a name that tells it from others.
-pub(crate) fn named_placer(name: &str, at: &str, endpoints: Vec<Endpoint>) -> Placer {
-    let regions = regions();
+/// The same with a name, for tests with several gateways.
+pub(crate) fn named_placer(name: &str, domain_name: &str, endpoints: Vec<Endpoint>) -> Placer {
+    let regions = region_by_domain();
     let mut placer = Placer::new(Config {
         gateway: name.parse().expect("a name"),
-        region: regions[&domain(at)].clone(),
-        domain: domain(at),
+        region: regions[&domain(domain_name)].clone(),
+        domain: domain(domain_name),
         regions,
-        budget: BudgetConfig {
+        retry_budget: RetryBudgetConfig {
             ratio: 0.2,
             floor: 56.0,
             window: Duration::from_secs(10),
         },
         max_shift: 0.15,
-        without: BTreeSet::new(),
+        disabled: BTreeSet::new(),
     });
     placer.set_routes(&table());
     placer.set_endpoints(ms(0), endpoints);
@@ -118,14 +119,14 @@
         }),
         large: false,
         objective: ms(300),
-        left: ms(1000),
-        returned: false,
+        remaining: ms(1000),
+        is_caller_retry: false,
         regions: &[],
-        tried: &[],
+        excluded: &[],
     }
 }
 
-/// Places a request for an object; `None` if it is refused.
+/// Places a request for an object; `None` if it is rejected.
 pub(crate) fn place(placer: &mut Placer, now: Moment, object: &str) -> Option<Target> {
     let service = service();
     match placer.place(now, request(&service, object.as_bytes())) {
@@ -134,16 +135,16 @@
     }
 }
 
-/// Why a request is refused.
+/// Why a request is rejected; `None` if it is sent.
 pub(crate) fn refusal(placer: &mut Placer, now: Moment, req: Request<'_>) -> Option<Refusal> {
     match placer.place(now, req) {
         Decision::Send(_) => None,
-        Decision::Refuse { why, .. } => Some(why),
+        Decision::Refuse { reason, .. } => Some(reason),
     }
 }
 
-pub(crate) fn served(placer: &mut Placer, now: Moment, target: &Target, took: Duration) {
-    placer.ended(now, &service(), target, Outcome::Served(took));
+pub(crate) fn record_served(placer: &mut Placer, now: Moment, target: &Target, took: Duration) {
+    placer.record_outcome(now, &service(), target, Outcome::Served(took));
 }
 
 pub(crate) fn id(name: &str) -> EndpointId {
