--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -129,7 +129,7 @@
         let (Some(disk), Some(note)) = (&mut self.disk, self.note.take()) else {
             return;
         };
-        if let Err(e) = disk.remember(&note) {
+        if let Err(e) = disk.write_note(&note) {
             self.fail(&e).await;
         }
     }
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -149,7 +149,7 @@
         cluster: cfg.cluster.clone(),
     };
     let durable = disk.load().context(StorageSnafu)?;
-    let note = disk.remembered().context(StorageSnafu)?;
+    let note = disk.read_note().context(StorageSnafu)?;
     let id = disk.replica();
     let cluster = cluster_id(&cfg.cluster);
 
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// As [`Self::persist`].
-    pub fn remember(&mut self, note: &[u8]) -> Result<(), StorageError> {
+    pub fn write_note(&mut self, note: &[u8]) -> Result<(), StorageError> {
         self.check_open()?;
         let buf = record::encode(0, &note)?;
         self.closing(|disk| disk.folder.write(NOTE, &buf).map(drop))
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// Fails if the system refuses.
-    pub fn remembered(&self) -> Result<Option<Vec<u8>>, StorageError> {
+    pub fn read_note(&self) -> Result<Option<Vec<u8>>, StorageError> {
         let buf = self.folder.read(NOTE)?.unwrap_or_default();
         Ok(match record::decode::<Vec<u8>>(&buf, 0) {
             Found::Record { value, .. } => Some(value),
--- a/crates/storage/tests/all/folder.rs
+++ b/crates/storage/tests/all/folder.rs
@@ -172,17 +172,17 @@
 fn a_note_is_kept_beside_the_log() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = Disk::open(folder.path(), CLUSTER).expect("a new folder");
-    assert_eq!(disk.remembered().expect("a folder"), None);
-    disk.remember(b"first").expect("a working disk");
-    disk.remember(b"second").expect("a working disk");
+    assert_eq!(disk.read_note().expect("a folder"), None);
+    disk.write_note(b"first").expect("a working disk");
+    disk.write_note(b"second").expect("a working disk");
     drop(disk);
     let disk = Disk::open(folder.path(), CLUSTER).expect("a known folder");
     assert_eq!(
-        disk.remembered().expect("a folder").as_deref(),
+        disk.read_note().expect("a folder").as_deref(),
         Some(&b"second"[..])
     );
     drop(disk);
     std::fs::write(folder.path().join("note"), b"torn").expect("a file");
     let disk = Disk::open(folder.path(), CLUSTER).expect("a known folder");
-    assert_eq!(disk.remembered().expect("a folder"), None);
+    assert_eq!(disk.read_note().expect("a folder"), None);
 }
