--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -146,13 +146,13 @@
     /// only; the explorer does without it to reach further.
     pub pre_vote: bool,
     /// Votes and acknowledgements leave only once they are synced.
-    pub sync_before_promise: bool,
+    pub sync_before_send: bool,
     /// The lease counts from the moment the heartbeat was sent, not acknowledged.
     pub lease_from_send: bool,
     /// The lease is compared with the clock before each answer.
     pub lease_expires: bool,
     /// No vote while a leader was heard within the election timeout.
-    pub refuse_votes_while_led: bool,
+    pub refuse_votes_while_leader_is_live: bool,
     /// No vote within one election timeout of a restart.
     pub wait_after_restart: bool,
     /// Learners don't count towards a majority.
@@ -171,10 +171,10 @@
     fn default() -> Self {
         Self {
             pre_vote: true,
-            sync_before_promise: true,
+            sync_before_send: true,
             lease_from_send: true,
             lease_expires: true,
-            refuse_votes_while_led: true,
+            refuse_votes_while_leader_is_live: true,
             wait_after_restart: true,
             learners_do_not_count: true,
             commit_own_term_only: true,
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -18,20 +18,20 @@
 
 impl Replica {
     /// Opens an election if this replica may be elected.
-    pub(crate) fn ask_for_pre_votes(&mut self, now: Moment) {
-        self.reset_election_try(now);
+    pub(crate) fn start_pre_vote(&mut self, now: Moment) {
+        self.reset_retry_timer(now);
         self.leader = None;
         if !self.is_voter() {
             self.state = State::Follower;
             return;
         }
         if !self.cfg.guards.pre_vote {
-            self.ask_for_votes(now);
+            self.start_election(now);
             return;
         }
         self.state = State::PreCandidate(BTreeSet::new());
         let (last_term, last_index) = self.log_end();
-        self.ask_voters(&Message::PreVote {
+        self.send_to_voters(&Message::PreVote {
             term: self.term.next(),
             last_index,
             last_term,
@@ -39,13 +39,13 @@
         self.on_pre_vote_reply(now, self.id, self.term.next(), true);
     }
 
-    fn ask_for_votes(&mut self, now: Moment) {
+    fn start_election(&mut self, now: Moment) {
         self.set_term(self.term.next());
         self.vote = Some(self.id);
-        self.reset_election_try(now);
+        self.reset_retry_timer(now);
         self.state = State::Candidate(BTreeSet::new());
         let (last_term, last_index) = self.log_end();
-        self.ask_voters(&Message::Vote {
+        self.send_to_voters(&Message::Vote {
             term: self.term,
             last_index,
             last_term,
@@ -54,16 +54,16 @@
             term: self.term,
             granted: true,
         };
-        self.promise(now, self.id, own);
+        self.send_after_sync(now, self.id, own);
     }
 
-    fn ask_voters(&mut self, message: &Message) {
+    fn send_to_voters(&mut self, message: &Message) {
         let members = self.log.members();
-        let asked = members
+        let recipients = members
             .all()
-            .filter(|id| self.counts(*id) && *id != self.id);
-        let asked: Vec<_> = asked.collect();
-        for id in asked {
+            .filter(|id| self.vote_counts(*id) && *id != self.id);
+        let recipients: Vec<_> = recipients.collect();
+        for id in recipients {
             self.send(id, message.clone());
         }
     }
@@ -72,10 +72,10 @@
         let granted = term > self.term
             && self.may_vote(now)
             && self.is_new_enough(end)
-            && !self.goes_first(from, end);
+            && !self.takes_precedence(from, end);
         if granted {
             // Gives the other time to win, or both would ask for votes and neither win.
-            self.reset_election_try(now);
+            self.reset_retry_timer(now);
         }
         let term = if granted { term } else { self.term };
         self.send(from, Message::PreVoteReply { term, granted });
@@ -83,7 +83,7 @@
 
     /// Whether this replica asks for votes itself and takes precedence: of two that ask
     /// at once with equal logs only one goes on, so that they don't split the votes.
-    fn goes_first(&self, other: ReplicaId, end: LogEnd) -> bool {
+    fn takes_precedence(&self, other: ReplicaId, end: LogEnd) -> bool {
         let asks = !matches!(self.state, State::Follower);
         asks && end == self.log_end() && self.id > other
     }
@@ -96,7 +96,7 @@
         granted: bool,
     ) {
         if !granted {
-            self.meet_term(now, term);
+            self.observe_term(now, term);
             return;
         }
         let State::PreCandidate(votes) = &mut self.state else {
@@ -108,7 +108,7 @@
         votes.insert(from);
         let votes = votes.clone();
         if self.is_majority(&votes) {
-            self.ask_for_votes(now);
+            self.start_election(now);
         }
     }
 
@@ -118,7 +118,7 @@
         // Refusing without a look at the term keeps the lease of the leader that this
         // replica answered: shows as two leaders that both answer, if it is left out.
         if self.may_vote(now) {
-            self.meet_term(now, term);
+            self.observe_term(now, term);
         }
         let granted = term == self.term
             && self.may_vote(now)
@@ -136,8 +136,8 @@
             self.vote = Some(from);
             self.sync.hard_state_changed();
         }
-        self.reset_election(now);
-        self.promise(now, from, reply);
+        self.reset_election_timer(now);
+        self.send_after_sync(now, from, reply);
     }
 
     pub(crate) fn on_vote_reply(
@@ -147,7 +147,7 @@
         term: Epoch,
         granted: bool,
     ) {
-        self.meet_term(now, term);
+        self.observe_term(now, term);
         let State::Candidate(votes) = &mut self.state else {
             return;
         };
@@ -157,19 +157,19 @@
         votes.insert(from);
         let votes = votes.clone();
         if self.is_majority(&votes) {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: Moment) {
+    fn become_leader(&mut self, now: Moment) {
         let noop_index = self.log.last_index() + 1;
         self.state = State::Leader(Leadership::new(now, noop_index));
         self.leader = Some(self.id);
-        self.open_term(now);
+        self.start_term(now);
     }
 
     /// Follows the terms of others. A leader or candidate of an older term gives up.
-    pub(crate) fn meet_term(&mut self, now: Moment, term: Epoch) {
+    pub(crate) fn observe_term(&mut self, now: Moment, term: Epoch) {
         if term <= self.term {
             return;
         }
@@ -182,11 +182,11 @@
     pub(crate) fn step_down(&mut self, now: Moment) {
         self.leader = None;
         let state = std::mem::replace(&mut self.state, State::Follower);
-        let State::Leader(lead) = state else {
+        let State::Leader(leadership) = state else {
             return;
         };
-        self.reset_election(now);
-        for token in lead.pending.into_values() {
+        self.reset_election_timer(now);
+        for token in leadership.pending.into_values() {
             let result = Err(ProposeError::OutcomeUnknown);
             self.push(Action::Proposed { token, result });
         }
@@ -195,11 +195,13 @@
     /// A leader that no majority answered within an election timeout stops leading,
     /// so that its callers go elsewhere and a majority beyond its reach isn't refused.
     pub(crate) fn check_quorum(&mut self, now: Moment) {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return;
         };
-        let heard_at = self.quorum_heard_at(now).unwrap_or(lead.elected_at);
-        if now >= heard_at.max(lead.elected_at) + self.cfg.election_timeout {
+        let acked_sent_at = self
+            .quorum_acked_sent_at(now)
+            .unwrap_or(leadership.elected_at);
+        if now >= acked_sent_at.max(leadership.elected_at) + self.cfg.election_timeout {
             self.step_down(now);
         }
     }
@@ -208,20 +210,20 @@
         if self.log.members().voters.is_empty() {
             return false;
         }
-        if !self.cfg.guards.refuse_votes_while_led {
+        if !self.cfg.guards.refuse_votes_while_leader_is_live {
             return now >= self.no_vote_until;
         }
         !matches!(self.state, State::Leader(_)) && now >= self.no_vote_until
     }
 
     fn is_majority(&self, votes: &BTreeSet<ReplicaId>) -> bool {
-        let counted = votes.iter().filter(|id| self.counts(**id)).count();
+        let counted = votes.iter().filter(|id| self.vote_counts(**id)).count();
         counted >= self.log.members().majority()
     }
 
     /// Whether a replica's vote counts. A learner's doesn't: it may not hold what is
     /// committed yet, and a candidate that lacks it as well would win.
-    fn counts(&self, id: ReplicaId) -> bool {
+    fn vote_counts(&self, id: ReplicaId) -> bool {
         let members = self.log.members();
         let learner = !self.cfg.guards.learners_do_not_count && members.learners.contains(&id);
         members.voters.contains(&id) || learner
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -17,30 +17,30 @@
         entries: Vec<Entry>,
         commit: u64,
     ) {
-        if !self.follow(now, sender) {
+        if !self.accept_leader(now, sender) {
             return;
         }
-        if !continues(prev_index, &entries) {
+        if !is_contiguous(prev_index, &entries) {
             return;
         }
         // What is committed here is in the leader's log as well.
         let matches = prev_index <= self.commit || self.log.term_at(prev_index) == Some(prev_term);
         if !matches {
-            let hint = self.hint(prev_index);
+            let hint = self.next_index_hint(prev_index);
             self.reply(now, sender, hint, false);
             return;
         }
         let empty = entries.is_empty();
         let matched = (prev_index + entries.len() as u64).max(self.commit);
         for entry in entries {
-            self.store(entry);
+            self.store_entry(entry);
         }
         self.commit_to(commit.min(matched));
         self.acknowledge(now, sender, matched, empty);
     }
 
     /// Takes an entry over unless it is there. Entries at or below the commit index are.
-    fn store(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
             return;
         }
@@ -77,12 +77,12 @@
             success,
             round,
         };
-        self.promise(now, to, reply);
+        self.send_after_sync(now, to, reply);
     }
 
     /// Where the leader should try next, after an entry that did not match: before the
     /// whole run of that term, so that a long false tail costs one round trip a term.
-    fn hint(&self, prev_index: u64) -> u64 {
+    fn next_index_hint(&self, prev_index: u64) -> u64 {
         if prev_index > self.log.last_index() {
             return self.log.last_index();
         }
@@ -91,7 +91,7 @@
     }
 
     pub(crate) fn on_install(&mut self, now: Moment, sender: Sender, snapshot: Snapshot) {
-        if !self.follow(now, sender) {
+        if !self.accept_leader(now, sender) {
             return;
         }
         let index = snapshot.index;
@@ -110,7 +110,7 @@
     }
 
     /// Accepts the sender as leader of its term, unless the term is over.
-    fn follow(&mut self, now: Moment, (from, term, round): Sender) -> bool {
+    fn accept_leader(&mut self, now: Moment, (from, term, round): Sender) -> bool {
         if term < self.term {
             let reply = Message::AppendReply {
                 term: self.term,
@@ -121,25 +121,25 @@
             self.send(from, reply);
             return false;
         }
-        self.meet_term(now, term);
+        self.observe_term(now, term);
         if matches!(self.state, State::Leader(_)) {
             return false;
         }
         self.state = State::Follower;
         self.leader = Some(from);
-        self.reset_election(now);
+        self.reset_election_timer(now);
         // The leader may count a lease on the answer. Until it has run out, a vote for
         // another would let two leaders answer at once.
-        if self.cfg.guards.refuse_votes_while_led {
-            let bound_until = now + self.cfg.election_timeout;
-            self.no_vote_until = self.no_vote_until.max(bound_until);
+        if self.cfg.guards.refuse_votes_while_leader_is_live {
+            let lease_may_last_until = now + self.cfg.election_timeout;
+            self.no_vote_until = self.no_vote_until.max(lease_may_last_until);
         }
         true
     }
 }
 
 /// Whether the entries follow each other and `prev_index` without a gap.
-fn continues(prev_index: u64, entries: &[Entry]) -> bool {
+fn is_contiguous(prev_index: u64, entries: &[Entry]) -> bool {
     let expected = prev_index + 1..;
     entries.iter().zip(expected).all(|(e, i)| e.index == i)
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -7,18 +7,18 @@
 use crate::replica::{Replica, State};
 
 /// Election timeouts after which a snapshot without an answer is sent again.
-const INSTALL_RETRY: u32 = 5;
+const INSTALL_RETRY_TIMEOUTS: u32 = 5;
 
 /// What to send to a follower next.
-enum Next {
-    Nothing,
+enum Outgoing {
+    None,
     Entries(Vec<Entry>),
     Snapshot,
 }
 
 impl Replica {
     /// Puts the opening entry of the term into the log and lets all know.
-    pub(crate) fn open_term(&mut self, now: Moment) {
+    pub(crate) fn start_term(&mut self, now: Moment) {
         self.append(Payload::Noop);
         self.track_members();
         self.heartbeat(now);
@@ -26,18 +26,18 @@
 
     pub(crate) fn heartbeat(&mut self, now: Moment) {
         let period = self.cfg.heartbeat;
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        lead.open_round(now);
-        lead.heartbeat_at = now + period;
+        leadership.start_round(now);
+        leadership.heartbeat_at = now + period;
         self.send_to_all(now, true);
         self.advance_commit(now);
     }
 
     pub(crate) fn on_propose(&mut self, now: Moment, token: Token, proposal: Proposal) {
-        let result = match self.payload_of(now, proposal) {
-            Ok(payload) => self.accept(now, token, payload),
+        let result = match self.build_payload(now, proposal) {
+            Ok(payload) => self.append_proposal(now, token, payload),
             Err(e) => Err(e),
         };
         if let Err(e) = result {
@@ -46,28 +46,35 @@
         }
     }
 
-    fn payload_of(&self, now: Moment, proposal: Proposal) -> Result<Payload, ProposeError> {
+    fn build_payload(&self, now: Moment, proposal: Proposal) -> Result<Payload, ProposeError> {
         if !self.holds_lease(now) {
             let leader = self.known_leader();
             return Err(ProposeError::NotLeader { leader });
         }
         match proposal {
             Proposal::Command(command) => Ok(Payload::Command(command)),
-            change => self.members_after(now, &change).map(Payload::Members),
+            change => self
+                .members_after_change(now, &change)
+                .map(Payload::Members),
         }
     }
 
-    fn accept(&mut self, now: Moment, token: Token, payload: Payload) -> Result<(), ProposeError> {
+    fn append_proposal(
+        &mut self,
+        now: Moment,
+        token: Token,
+        payload: Payload,
+    ) -> Result<(), ProposeError> {
         let leader = self.known_leader();
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return Err(ProposeError::NotLeader { leader });
         };
-        let bytes = lead.uncommitted_bytes + payload.size();
-        if bytes > self.cfg.max_uncommitted_bytes && lead.uncommitted_bytes > 0 {
+        let bytes = leadership.uncommitted_bytes + payload.size();
+        if bytes > self.cfg.max_uncommitted_bytes && leadership.uncommitted_bytes > 0 {
             return Err(ProposeError::Overloaded);
         }
-        lead.uncommitted_bytes = bytes;
-        lead.pending.insert(self.log.last_index() + 1, token);
+        leadership.uncommitted_bytes = bytes;
+        leadership.pending.insert(self.log.last_index() + 1, token);
         let new_members = matches!(payload, Payload::Members(_));
         self.append(payload);
         if new_members {
@@ -90,19 +97,19 @@
     }
 
     fn track_members(&mut self) {
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
         let next = self.log.last_index();
         let others = self.log.members().all().filter(|id| *id != self.id);
-        lead.track(others, next);
+        leadership.track(others, next);
     }
 
     fn send_to_all(&mut self, now: Moment, heartbeat: bool) {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return;
         };
-        let peers: Vec<_> = lead.peers.keys().copied().collect();
+        let peers: Vec<_> = leadership.peers.keys().copied().collect();
         for to in peers {
             self.send_append(now, to, heartbeat);
         }
@@ -111,18 +118,18 @@
     /// Sends what `to` lacks, as far as its flow allows. A heartbeat goes out in any
     /// case: the lease hangs on its answer.
     fn send_append(&mut self, now: Moment, to: ReplicaId, heartbeat: bool) {
-        let next = self.next_for(now, to, heartbeat);
+        let outgoing = self.next_outgoing(now, to, heartbeat);
         let term = self.term;
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        let round = lead.round();
-        let Some(peer) = lead.peers.get_mut(&to) else {
+        let round = leadership.round();
+        let Some(peer) = leadership.peers.get_mut(&to) else {
             return;
         };
-        let message = match next {
-            Next::Nothing => return,
-            Next::Snapshot => {
+        let message = match outgoing {
+            Outgoing::None => return,
+            Outgoing::Snapshot => {
                 let index = self.snapshot.index;
                 peer.next = index + 1;
                 peer.flow = Flow::Install {
@@ -136,7 +143,7 @@
                     round,
                 }
             }
-            Next::Entries(entries) => {
+            Outgoing::Entries(entries) => {
                 // Below the first entry still held, any known place serves to get an
                 // answer; the follower's reply tells whether it needs the snapshot.
                 let prev_index = (peer.next - 1).max(self.log.base_index());
@@ -164,22 +171,22 @@
         self.send(to, message);
     }
 
-    fn next_for(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Next {
-        let State::Leader(lead) = &self.state else {
-            return Next::Nothing;
+    fn next_outgoing(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Outgoing {
+        let State::Leader(leadership) = &self.state else {
+            return Outgoing::None;
         };
-        let Some(peer) = lead.peers.get(&to) else {
-            return Next::Nothing;
+        let Some(peer) = leadership.peers.get(&to) else {
+            return Outgoing::None;
         };
         let timeout = self.cfg.election_timeout;
-        let active = peer.acked_at.is_some_and(|at| now < at + timeout);
+        let active = peer.acked_sent_at.is_some_and(|at| now < at + timeout);
         let may_send = match &peer.flow {
             Flow::Probe { sent } => !sent,
             Flow::Stream(batches) => batches.len() < MAX_BATCHES_IN_FLIGHT,
-            Flow::Install { sent_at, .. } => now >= *sent_at + timeout * INSTALL_RETRY,
+            Flow::Install { sent_at, .. } => now >= *sent_at + timeout * INSTALL_RETRY_TIMEOUTS,
         };
         if may_send && active && self.needs_snapshot(peer.next, &peer.flow) {
-            return Next::Snapshot;
+            return Outgoing::Snapshot;
         }
         let entries = if may_send && peer.next > self.log.base_index() {
             self.log.batch(peer.next, self.cfg.max_batch_bytes).to_vec()
@@ -187,9 +194,9 @@
             Vec::new()
         };
         if entries.is_empty() && !heartbeat {
-            return Next::Nothing;
+            return Outgoing::None;
         }
-        Next::Entries(entries)
+        Outgoing::Entries(entries)
     }
 
     fn needs_snapshot(&self, next: u64, flow: &Flow) -> bool {
@@ -203,21 +210,21 @@
         index: u64,
         success: bool,
     ) {
-        self.meet_term(now, term);
+        self.observe_term(now, term);
         if term != self.term {
             return;
         }
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        let sent_at = lead.sent_at(round);
-        let Some(peer) = lead.peers.get_mut(&from) else {
+        let sent_at = leadership.sent_at(round);
+        let Some(peer) = leadership.peers.get_mut(&from) else {
             return;
         };
         if let Some(sent_at) = sent_at {
             let from_send = self.cfg.guards.lease_from_send;
             let counted_from = if from_send { sent_at } else { now };
-            peer.acked_at = peer.acked_at.max(Some(counted_from));
+            peer.acked_sent_at = peer.acked_sent_at.max(Some(counted_from));
         }
         if success && index <= self.log.last_index() {
             peer.accepted(index, self.log.base_index());
@@ -230,12 +237,12 @@
 
     /// Commits what a majority of voters has on disk.
     pub(crate) fn advance_commit(&mut self, now: Moment) {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return;
         };
-        let own = self.own_synced();
-        let matched = |id: ReplicaId| lead.peers.get(&id).map_or(0, |peer| peer.matched);
-        let Some(index) = self.majority_of(own, matched) else {
+        let own = self.own_synced_index();
+        let matched = |id: ReplicaId| leadership.peers.get(&id).map_or(0, |peer| peer.matched);
+        let Some(index) = self.quorum_value(own, matched) else {
             return;
         };
         let own_term = self.log.term_at(index) == Some(self.term);
@@ -246,29 +253,29 @@
         // candidate with a newer last entry; one of this term on a majority can't.
         let first = self.commit + 1;
         self.commit_to(index);
-        self.answer_proposals(first, index);
+        self.complete_proposals(first, index);
         if !self.is_voter() {
-            self.leave_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
-    fn own_synced(&self) -> u64 {
-        if self.cfg.guards.sync_before_promise {
+    fn own_synced_index(&self) -> u64 {
+        if self.cfg.guards.sync_before_send {
             self.sync.synced_index()
         } else {
             self.log.last_index()
         }
     }
 
-    fn answer_proposals(&mut self, first: u64, last: u64) {
-        let State::Leader(lead) = &mut self.state else {
+    fn complete_proposals(&mut self, first: u64, last: u64) {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
         let committed = self.log.range(first, last);
         let bytes: usize = committed.iter().map(|e| e.payload.size()).sum();
-        lead.uncommitted_bytes = lead.uncommitted_bytes.saturating_sub(bytes);
-        let rest = lead.pending.split_off(&(last + 1));
-        let done = std::mem::replace(&mut lead.pending, rest);
+        leadership.uncommitted_bytes = leadership.uncommitted_bytes.saturating_sub(bytes);
+        let rest = leadership.pending.split_off(&(last + 1));
+        let done = std::mem::replace(&mut leadership.pending, rest);
         for (index, token) in done {
             let result = Ok(index);
             self.push(Action::Proposed { token, result });
@@ -276,7 +283,7 @@
     }
 
     /// A leader that removed itself leads until the change is committed.
-    fn leave_if_removed(&mut self, now: Moment) {
+    fn step_down_if_removed(&mut self, now: Moment) {
         if self.log.members_index() > self.commit {
             return;
         }
@@ -286,16 +293,21 @@
     }
 
     /// When the newest heartbeat was sent that a majority of voters has answered.
-    pub(crate) fn quorum_heard_at(&self, now: Moment) -> Option<Moment> {
-        let State::Leader(lead) = &self.state else {
+    pub(crate) fn quorum_acked_sent_at(&self, now: Moment) -> Option<Moment> {
+        let State::Leader(leadership) = &self.state else {
             return None;
         };
-        let acked_at = |id: ReplicaId| lead.peers.get(&id).and_then(|peer| peer.acked_at);
-        self.majority_of(Some(now), acked_at).flatten()
+        let acked_sent_at = |id: ReplicaId| {
+            leadership
+                .peers
+                .get(&id)
+                .and_then(|peer| peer.acked_sent_at)
+        };
+        self.quorum_value(Some(now), acked_sent_at).flatten()
     }
 
     /// The highest value that a majority of voters has reached.
-    fn majority_of<T: Ord>(&self, own: T, other: impl Fn(ReplicaId) -> T) -> Option<T> {
+    fn quorum_value<T: Ord>(&self, own: T, other: impl Fn(ReplicaId) -> T) -> Option<T> {
         let members = self.log.members();
         let mut own = Some(own);
         let value = |id: &ReplicaId| match *id {
@@ -313,21 +325,21 @@
 
     /// When the lease runs out, or has run out, unless no majority has answered yet.
     pub(crate) fn lease_end(&self, now: Moment) -> Option<Moment> {
-        let heard_at = self.quorum_heard_at(now)?;
+        let acked_sent_at = self.quorum_acked_sent_at(now)?;
         if !self.cfg.guards.lease_expires {
             return Some(Moment::MAX);
         }
-        Some(heard_at + self.cfg.lease)
+        Some(acked_sent_at + self.cfg.lease)
     }
 
     /// Whether the state machine may be answered from: with a lease nobody else can
     /// have committed anything, and with the opening entry committed this leader knows
     /// all that was committed before its term.
-    pub(crate) fn may_answer(&self, now: Moment) -> bool {
-        let State::Leader(lead) = &self.state else {
+    pub(crate) fn can_serve_reads(&self, now: Moment) -> bool {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let caught_up = self.commit >= lead.noop_index || !self.cfg.guards.noop_before_read;
+        let caught_up = self.commit >= leadership.noop_index || !self.cfg.guards.noop_before_read;
         caught_up && self.holds_lease(now)
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -68,13 +68,13 @@
 
     /// Membership in effect at `index`, which is at or after the snapshot.
     pub(crate) fn members_at(&self, index: u64) -> &Members {
-        let mut found = &self.members[0].1;
+        let mut current = &self.members[0].1;
         for (at, members) in &self.members {
             if *at <= index {
-                found = members;
+                current = members;
             }
         }
-        found
+        current
     }
 
     pub(crate) fn push(&mut self, entry: Entry) {
@@ -130,15 +130,15 @@
 
     /// Forgets entries up to `index`, after a snapshot there, but for the last `margin` as far
     /// as they take no more than `margin_bytes`.
-    pub(crate) fn compact(&mut self, index: u64, margin: u64, margin_bytes: usize) {
+    pub(crate) fn compact(&mut self, index: u64, retained_entries: u64, retained_bytes: usize) {
         let members = self.members_at(index).clone();
         self.members.retain(|(at, _)| *at > index);
         self.members.insert(0, (index, members));
-        let oldest = index.saturating_sub(margin);
+        let oldest = index.saturating_sub(retained_entries);
         let mut bytes = 0;
         let fits = |entry: &&Entry| {
             bytes += entry.payload.size();
-            bytes <= margin_bytes
+            bytes <= retained_bytes
         };
         let kept = self.range(oldest + 1, index).iter().rev();
         let base = index - kept.take_while(fits).count() as u64;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -12,21 +12,22 @@
 
 impl Replica {
     /// The membership that `change` leads to, if it may begin now.
-    pub(crate) fn members_after(
+    pub(crate) fn members_after_change(
         &self,
         now: Moment,
         change: &Proposal,
     ) -> Result<Members, ProposeError> {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             let leader = self.known_leader();
             return Err(ProposeError::NotLeader { leader });
         };
-        let under_way = self.log.members_index() > self.commit || self.commit < lead.noop_index;
-        if under_way && self.cfg.guards.one_change_at_a_time {
+        let change_pending =
+            self.log.members_index() > self.commit || self.commit < leadership.noop_index;
+        if change_pending && self.cfg.guards.one_change_at_a_time {
             return Err(ProposeError::MembershipRefused);
         }
         let mut members = self.log.members().clone();
-        let changed = match change {
+        let is_valid = match change {
             Proposal::Command(_) => false,
             Proposal::AddLearner(id) => {
                 !members.voters.contains(id) && members.learners.insert(*id)
@@ -40,7 +41,7 @@
             }
             Proposal::Remove(id) => members.learners.remove(id) || members.voters.remove(id),
         };
-        if !changed || !self.majority_answers(now, &members) {
+        if !is_valid || !self.has_active_majority(now, &members) {
             return Err(ProposeError::MembershipRefused);
         }
         Ok(members)
@@ -50,28 +51,34 @@
     /// stands in for a lost one: a second loss right after the repair loses nothing
     /// and finds a majority.
     fn is_caught_up(&self, now: Moment, id: ReplicaId) -> bool {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let matched = lead.peers.get(&id).map_or(0, |peer| peer.matched);
-        matched >= self.commit && self.answers(now, id)
+        let matched = leadership.peers.get(&id).map_or(0, |peer| peer.matched);
+        matched >= self.commit && self.has_acked_recently(now, id)
     }
 
     /// Whether the change would leave a majority of voters that answer now; without
     /// one, it could never be committed nor taken back.
-    fn majority_answers(&self, now: Moment, members: &Members) -> bool {
-        let answering = members.voters.iter().filter(|id| self.answers(now, **id));
-        !members.voters.is_empty() && answering.count() >= members.majority()
+    fn has_active_majority(&self, now: Moment, members: &Members) -> bool {
+        let active = members
+            .voters
+            .iter()
+            .filter(|id| self.has_acked_recently(now, **id));
+        !members.voters.is_empty() && active.count() >= members.majority()
     }
 
-    fn answers(&self, now: Moment, id: ReplicaId) -> bool {
+    fn has_acked_recently(&self, now: Moment, id: ReplicaId) -> bool {
         if id == self.id {
             return true;
         }
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let acked_at = lead.peers.get(&id).and_then(|peer| peer.acked_at);
-        acked_at.is_some_and(|at| now < at + self.cfg.election_timeout)
+        let acked_sent_at = leadership
+            .peers
+            .get(&id)
+            .and_then(|peer| peer.acked_sent_at);
+        acked_sent_at.is_some_and(|at| now < at + self.cfg.election_timeout)
     }
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -33,7 +33,7 @@
     /// Next entry to send.
     pub(crate) next: u64,
     /// When the newest heartbeat that it answered was sent.
-    pub(crate) acked_at: Option<Moment>,
+    pub(crate) acked_sent_at: Option<Moment>,
     pub(crate) flow: Flow,
 }
 
@@ -42,7 +42,7 @@
         Self {
             matched: 0,
             next,
-            acked_at: None,
+            acked_sent_at: None,
             flow: Flow::Probe { sent: false },
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Opens a heartbeat round: its messages leave at `now`.
-    pub(crate) fn open_round(&mut self, now: Moment) {
+    pub(crate) fn start_round(&mut self, now: Moment) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
         if self.rounds.len() > MAX_ROUNDS {
@@ -123,8 +123,8 @@
     pub(crate) fn track(&mut self, ids: impl Iterator<Item = ReplicaId>, next: u64) {
         let mut peers = BTreeMap::new();
         for id in ids {
-            let known = self.peers.remove(&id);
-            peers.insert(id, known.unwrap_or_else(|| Progress::new(next)));
+            let existing = self.peers.remove(&id);
+            peers.insert(id, existing.unwrap_or_else(|| Progress::new(next)));
         }
         self.peers = peers;
     }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -25,10 +25,10 @@
 use crate::config::Config;
 use crate::log::Log;
 use crate::progress::Leadership;
-use crate::sync::{Release, Sync};
+use crate::sync::{SendDecision, SyncTracker};
 
 /// A part of the snapshot interval for which entries stay in memory after a snapshot.
-const KEPT_PART: u64 = 4;
+const RETAINED_ENTRIES_DIVISOR: u64 = 4;
 
 /// One replica of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -42,14 +42,14 @@
     pub(crate) commit: u64,
     pub(crate) state: State,
     pub(crate) leader: Option<ReplicaId>,
-    pub(crate) sync: Sync,
+    pub(crate) sync: SyncTracker,
     /// Until then this replica may be bound by what it answered to a leader.
     pub(crate) no_vote_until: Moment,
     /// When to ask for votes if no leader is heard.
     pub(crate) election_at: Moment,
-    draws: u64,
-    snapshot_asked: bool,
-    out: Vec<Action>,
+    election_draws: u64,
+    snapshot_requested: bool,
+    actions: Vec<Action>,
 }
 
 /// What the replica is doing. Learners are followers that the membership names so.
@@ -77,12 +77,12 @@
             commit: durable.snapshot.index,
             state: State::Follower,
             leader: None,
-            sync: Sync::new(log.last_index()),
+            sync: SyncTracker::new(log.last_index()),
             no_vote_until: Moment::ZERO,
             election_at: Moment::ZERO,
-            draws: 0,
-            snapshot_asked: false,
-            out: Vec::new(),
+            election_draws: 0,
+            snapshot_requested: false,
+            actions: Vec::new(),
             snapshot: durable.snapshot,
             log,
             cfg,
@@ -97,7 +97,7 @@
         if replica.cfg.guards.wait_after_restart {
             replica.no_vote_until = now + replica.cfg.election_timeout;
         }
-        replica.reset_election(now);
+        replica.reset_election_timer(now);
         replica
     }
 
@@ -116,13 +116,17 @@
             Event::SnapshotTaken { index, data } => self.on_snapshot_taken(index, data),
         }
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// What this replica takes itself for at `now`.
     pub fn status(&self, now: Moment) -> Status {
         let progress = match &self.state {
-            State::Leader(lead) => lead.peers.iter().map(|(id, p)| (*id, p.matched)).collect(),
+            State::Leader(leadership) => leadership
+                .peers
+                .iter()
+                .map(|(id, p)| (*id, p.matched))
+                .collect(),
             _ => Vec::new(),
         };
         Status {
@@ -130,7 +134,7 @@
             role: self.role(),
             term: self.term,
             leader: self.leader,
-            holds_lease: self.may_answer(now),
+            holds_lease: self.can_serve_reads(now),
             last_index: self.log.last_index(),
             commit: self.commit,
             members: self.log.members().clone(),
@@ -141,7 +145,7 @@
     /// End of the lease, while this replica holds one and may answer from its state
     /// machine. For what is done on the strength of the lease without asking again.
     pub fn lease_until(&self, now: Moment) -> Option<Moment> {
-        self.lease_end(now).filter(|_| self.may_answer(now))
+        self.lease_end(now).filter(|_| self.can_serve_reads(now))
     }
 
     fn role(&self) -> Role {
@@ -156,9 +160,9 @@
 
     fn on_tick(&mut self, now: Moment) {
         match &self.state {
-            State::Leader(lead) if now >= lead.heartbeat_at => self.heartbeat(now),
+            State::Leader(leadership) if now >= leadership.heartbeat_at => self.heartbeat(now),
             State::Leader(_) => {}
-            _ if now >= self.election_at => self.ask_for_pre_votes(now),
+            _ if now >= self.election_at => self.start_pre_vote(now),
             _ => {}
         }
     }
@@ -205,7 +209,7 @@
     }
 
     fn on_read(&mut self, now: Moment, token: Token) {
-        let action = if self.may_answer(now) {
+        let action = if self.can_serve_reads(now) {
             Action::ReadReady { token }
         } else {
             Action::ReadRefused {
@@ -213,7 +217,7 @@
                 leader: self.known_leader(),
             }
         };
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     fn on_persisted(&mut self, now: Moment, seq: u64) {
@@ -225,7 +229,7 @@
     }
 
     fn on_snapshot_taken(&mut self, index: u64, data: Vec<u8>) {
-        self.snapshot_asked = false;
+        self.snapshot_requested = false;
         let Some(term) = self.log.term_at(index) else {
             return;
         };
@@ -238,9 +242,9 @@
             members: self.log.members_at(index).clone(),
             data,
         };
-        let margin = self.cfg.snapshot_after / KEPT_PART;
+        let retained_entries = self.cfg.snapshot_after / RETAINED_ENTRIES_DIVISOR;
         self.log
-            .compact(index, margin, self.cfg.snapshot_after_bytes);
+            .compact(index, retained_entries, self.cfg.snapshot_after_bytes);
         self.sync.snapshot_changed();
     }
 
@@ -251,10 +255,10 @@
         }
         let entries = self.log.range(self.commit + 1, index).to_vec();
         self.commit = index;
-        self.out.push(Action::Apply(entries));
-        if !self.snapshot_asked && self.is_snapshot_due() {
-            self.snapshot_asked = true;
-            self.out.push(Action::TakeSnapshot);
+        self.actions.push(Action::Apply(entries));
+        if !self.snapshot_requested && self.is_snapshot_due() {
+            self.snapshot_requested = true;
+            self.actions.push(Action::TakeSnapshot);
         }
     }
 
@@ -262,12 +266,12 @@
     /// would be behind for long. Counted by bytes too: a few large commands take as long as
     /// a thousand small ones.
     fn is_snapshot_due(&self) -> bool {
-        let begin = self.snapshot.index;
-        if self.commit - begin >= self.cfg.snapshot_after {
+        let snapshot_index = self.snapshot.index;
+        if self.commit - snapshot_index >= self.cfg.snapshot_after {
             return true;
         }
-        let worth = (2 * self.snapshot.data.len()).max(self.cfg.snapshot_after_bytes);
-        self.log.bytes(begin + 1, self.commit) >= worth
+        let min_bytes = (2 * self.snapshot.data.len()).max(self.cfg.snapshot_after_bytes);
+        self.log.bytes(snapshot_index + 1, self.commit) >= min_bytes
     }
 
     /// Enters a newer term, in which this replica has not voted.
@@ -278,26 +282,26 @@
     }
 
     /// Draws the moment at which to ask for votes if no leader is heard until then.
-    pub(crate) fn reset_election(&mut self, now: Moment) {
+    pub(crate) fn reset_election_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout;
-        self.draw_election(now, wait);
+        self.schedule_election(now, wait);
     }
 
     /// Draws the moment at which to ask again if this try fails: with no leader to be
     /// heard there is nothing to wait for but the answers.
-    pub(crate) fn reset_election_try(&mut self, now: Moment) {
+    pub(crate) fn reset_retry_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout / 2;
-        self.draw_election(now, wait);
+        self.schedule_election(now, wait);
     }
 
-    fn draw_election(&mut self, now: Moment, wait: Duration) {
+    fn schedule_election(&mut self, now: Moment, wait: Duration) {
         let jitter = self.cfg.election_jitter;
         self.election_at = now + wait;
         if jitter.is_zero() {
             return;
         }
-        let seed = self.cfg.seed ^ self.id.0.rotate_left(32) ^ self.draws;
-        self.draws += 1;
+        let seed = self.cfg.seed ^ self.id.0.rotate_left(32) ^ self.election_draws;
+        self.election_draws += 1;
         self.election_at += jitter.mul_f64(StdRng::seed_from_u64(seed).random::<f64>());
     }
 
@@ -311,23 +315,23 @@
     }
 
     pub(crate) fn send(&mut self, to: ReplicaId, message: Message) {
-        self.out.push(Action::Send { to, message });
+        self.actions.push(Action::Send { to, message });
     }
 
     pub(crate) fn push(&mut self, action: Action) {
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     /// Sends a message that others will count on, once all it speaks of is synced. A
     /// promise to itself, its own vote, is counted only then as well.
-    pub(crate) fn promise(&mut self, now: Moment, to: ReplicaId, message: Message) {
-        if !self.cfg.guards.sync_before_promise {
+    pub(crate) fn send_after_sync(&mut self, now: Moment, to: ReplicaId, message: Message) {
+        if !self.cfg.guards.sync_before_send {
             self.deliver(now, to, message);
             return;
         }
-        match self.sync.promise(to, message) {
-            Release::Now(message) => self.deliver(now, to, message),
-            Release::Later => {}
+        match self.sync.send_after_sync(to, message) {
+            SendDecision::Now(message) => self.deliver(now, to, message),
+            SendDecision::AfterSync => {}
         }
     }
 
@@ -345,6 +349,6 @@
             vote: self.vote,
         };
         let persist: Option<Persist> = self.sync.next(hard_state, &self.snapshot, &self.log);
-        self.out.extend(persist.map(Action::Persist));
+        self.actions.extend(persist.map(Action::Persist));
     }
 }
--- a/crates/consensus/src/sync.rs
+++ b/crates/consensus/src/sync.rs
@@ -14,13 +14,13 @@
 
 /// State on its way to the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Sync {
+pub(crate) struct SyncTracker {
     next_seq: u64,
-    hard_state: bool,
-    snapshot: bool,
-    from: Option<u64>,
+    hard_state_dirty: bool,
+    snapshot_dirty: bool,
+    unsynced_from: Option<u64>,
     in_flight: Option<InFlight>,
-    promises: Vec<Promise>,
+    pending_replies: Vec<PendingReply>,
     synced_index: u64,
 }
 
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Promise {
+struct PendingReply {
     seq: u64,
     to: ReplicaId,
     message: Message,
@@ -41,12 +41,12 @@
 
 /// Whether a message may go out now or has to wait for the disk.
 #[derive(Debug)]
-pub(crate) enum Release {
+pub(crate) enum SendDecision {
     Now(Message),
-    Later,
+    AfterSync,
 }
 
-impl Sync {
+impl SyncTracker {
     /// All entries up to `last_index` were read from the disk.
     pub(crate) fn new(last_index: u64) -> Self {
         Self {
@@ -61,22 +61,22 @@
     }
 
     pub(crate) fn hard_state_changed(&mut self) {
-        self.hard_state = true;
+        self.hard_state_dirty = true;
     }
 
     /// Promises of an earlier term are dropped: the entries they speak of may be
     /// overwritten before the sync that they wait for.
     pub(crate) fn term_changed(&mut self) {
-        self.hard_state = true;
-        self.promises.clear();
+        self.hard_state_dirty = true;
+        self.pending_replies.clear();
     }
 
     pub(crate) fn snapshot_changed(&mut self) {
-        self.snapshot = true;
+        self.snapshot_dirty = true;
     }
 
     pub(crate) fn appended(&mut self, index: u64) {
-        self.from = Some(self.from.map_or(index, |from| from.min(index)));
+        self.unsynced_from = Some(self.unsynced_from.map_or(index, |from| from.min(index)));
     }
 
     /// Entries from `index` on were dropped from memory.
@@ -87,28 +87,28 @@
     /// The whole log was replaced by a snapshot that isn't on disk yet.
     pub(crate) fn replaced(&mut self) {
         self.synced_index = 0;
-        self.from = None;
+        self.unsynced_from = None;
     }
 
     /// Whether the newest term and vote are on disk.
     pub(crate) fn hard_state_synced(&self) -> bool {
-        !self.hard_state && !self.in_flight.as_ref().is_some_and(|f| f.hard_state)
+        !self.hard_state_dirty && !self.in_flight.as_ref().is_some_and(|f| f.hard_state)
     }
 
     /// Holds `message` back until all that is known now is on disk.
-    pub(crate) fn promise(&mut self, to: ReplicaId, message: Message) -> Release {
+    pub(crate) fn send_after_sync(&mut self, to: ReplicaId, message: Message) -> SendDecision {
         let seq = match &self.in_flight {
             _ if self.is_dirty() => self.next_seq,
             Some(in_flight) => in_flight.seq,
-            None => return Release::Now(message),
+            None => return SendDecision::Now(message),
         };
         // A later acknowledgement says all that an earlier one says.
         if matches!(message, Message::AppendReply { .. }) {
-            self.promises
+            self.pending_replies
                 .retain(|p| p.to != to || !matches!(p.message, Message::AppendReply { .. }));
         }
-        self.promises.push(Promise { seq, to, message });
-        Release::Later
+        self.pending_replies.push(PendingReply { seq, to, message });
+        SendDecision::AfterSync
     }
 
     /// The next thing to sync, unless one is under way or nothing changed.
@@ -121,25 +121,25 @@
         if self.in_flight.is_some() || !self.is_dirty() {
             return None;
         }
-        let entries = self.from.map_or(&[][..], |from| {
+        let entries = self.unsynced_from.map_or(&[][..], |from| {
             log.range(from.max(snapshot.index + 1), log.last_index())
         });
         let persist = Persist {
             seq: self.next_seq,
-            hard_state: self.hard_state.then_some(hard_state),
-            snapshot: self.snapshot.then(|| snapshot.clone()),
+            hard_state: self.hard_state_dirty.then_some(hard_state),
+            snapshot: self.snapshot_dirty.then(|| snapshot.clone()),
             entries: entries.to_vec(),
         };
         self.in_flight = Some(InFlight {
             seq: self.next_seq,
-            hard_state: self.hard_state,
+            hard_state: self.hard_state_dirty,
             last_index: log.last_index(),
             last_term: log.last_term(),
         });
         self.next_seq += 1;
-        self.hard_state = false;
-        self.snapshot = false;
-        self.from = None;
+        self.hard_state_dirty = false;
+        self.snapshot_dirty = false;
+        self.unsynced_from = None;
         Some(persist)
     }
 
@@ -152,13 +152,13 @@
         if log.term_at(done.last_index) == Some(done.last_term) {
             self.synced_index = self.synced_index.max(done.last_index);
         }
-        self.promises
+        self.pending_replies
             .extract_if(.., |p| p.seq <= done.seq)
             .map(|p| (p.to, p.message))
             .collect()
     }
 
     fn is_dirty(&self) -> bool {
-        self.hard_state || self.snapshot || self.from.is_some()
+        self.hard_state_dirty || self.snapshot_dirty || self.unsynced_from.is_some()
     }
 }
--- a/crates/consensus/tests/all/random.rs
+++ b/crates/consensus/tests/all/random.rs
@@ -245,5 +245,5 @@
 
 #[test]
 fn schedules_notice_votes_while_a_leader_is_heard() {
-    breaks(|g| g.refuse_votes_while_led = false);
+    breaks(|g| g.refuse_votes_while_leader_is_live = false);
 }
--- a/crates/consensus/tests/all/scenes.rs
+++ b/crates/consensus/tests/all/scenes.rs
@@ -169,7 +169,7 @@
         asking,
         9,
         budget,
-        |g| g.sync_before_promise = false,
+        |g| g.sync_before_send = false,
         |v| matches!(v, Violation::TwoLeaders(_)),
     );
 }
@@ -222,7 +222,7 @@
         led,
         10,
         budget,
-        |g| g.refuse_votes_while_led = false,
+        |g| g.refuse_votes_while_leader_is_live = false,
         |v| matches!(v, Violation::TwoLeases),
     );
 }
