--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -11,7 +11,7 @@
 
 /// What to send to a follower next.
 enum Outgoing {
-    None,
+    Nothing,
     Entries(Vec<Entry>),
     Snapshot,
 }
@@ -128,7 +128,7 @@
             return;
         };
         let message = match outgoing {
-            Outgoing::None => return,
+            Outgoing::Nothing => return,
             Outgoing::Snapshot => {
                 let index = self.snapshot.index;
                 peer.next = index + 1;
@@ -173,10 +173,10 @@
 
     fn next_outgoing(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Outgoing {
         let State::Leader(leadership) = &self.state else {
-            return Outgoing::None;
+            return Outgoing::Nothing;
         };
         let Some(peer) = leadership.peers.get(&to) else {
-            return Outgoing::None;
+            return Outgoing::Nothing;
         };
         let timeout = self.cfg.election_timeout;
         let active = peer.acked_sent_at.is_some_and(|at| now < at + timeout);
@@ -194,7 +194,7 @@
             Vec::new()
         };
         if entries.is_empty() && !heartbeat {
-            return Outgoing::None;
+            return Outgoing::Nothing;
         }
         Outgoing::Entries(entries)
     }
--- a/crates/consensus/tests/all/world.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -40,7 +40,7 @@
 
 /// What the cluster has promised so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Record {
+pub(crate) struct History {
     pub(crate) leaders: BTreeMap<Epoch, ReplicaId>,
     /// Entries that some replica applied.
     pub(crate) committed: BTreeMap<u64, Entry>,
@@ -50,13 +50,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub(crate) cfg: Config,
     pub(crate) now: Moment,
     pub(crate) nodes: BTreeMap<ReplicaId, Rc<Node>>,
     pub(crate) net: Vec<Envelope>,
-    pub(crate) cut: BTreeSet<(ReplicaId, ReplicaId)>,
-    pub(crate) record: Record,
+    pub(crate) cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
+    pub(crate) history: History,
     pub(crate) proposed: BTreeMap<u64, Result<u64, ProposeError>>,
     pub(crate) reads: BTreeMap<u64, bool>,
     next_token: u64,
@@ -86,23 +86,23 @@
     }
 }
 
-impl World {
+impl Cluster {
     pub(crate) fn new(n: u64, cfg: Config) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             cfg,
             now: Moment::ZERO,
             nodes: BTreeMap::new(),
             net: Vec::new(),
-            cut: BTreeSet::new(),
-            record: Record::default(),
+            cut_links: BTreeSet::new(),
+            history: History::default(),
             proposed: BTreeMap::new(),
             reads: BTreeMap::new(),
             next_token: 0,
         };
         for i in 1..=n {
-            world.add(id(i), bootstrap(voters(n)));
+            cluster.add(id(i), bootstrap(voters(n)));
         }
-        world
+        cluster
     }
 
     pub(crate) fn add(&mut self, id: ReplicaId, disk: Durable) {
@@ -133,7 +133,7 @@
         };
         node.replica = None;
         if let Some(persist) = node.unsynced.take().filter(|_| synced) {
-            store(&mut node.disk, persist);
+            apply_persist(&mut node.disk, persist);
         }
     }
 
@@ -145,7 +145,7 @@
         };
         let actions = replica.step(now, event);
         for action in actions {
-            self.act(id, action);
+            self.perform(id, action);
         }
         self.check();
     }
@@ -167,7 +167,7 @@
             return;
         };
         let seq = persist.seq;
-        store(&mut node.disk, persist);
+        apply_persist(&mut node.disk, persist);
         self.step(id, Event::Persisted { seq });
     }
 
@@ -188,14 +188,14 @@
     }
 
     /// Whether `id` answers a read now.
-    pub(crate) fn reads(&mut self, id: ReplicaId) -> bool {
+    pub(crate) fn read_is_served(&mut self, id: ReplicaId) -> bool {
         self.next_token += 1;
         let token = Token(self.next_token);
         self.step(id, Event::Read { token });
         self.reads.remove(&token.0).unwrap_or(false)
     }
 
-    fn act(&mut self, id: ReplicaId, action: Action) {
+    fn perform(&mut self, id: ReplicaId, action: Action) {
         match action {
             Action::Send { to, message } => self.send(id, to, message),
             Action::Persist(persist) => {
@@ -209,14 +209,14 @@
             }
             Action::Proposed { token, result } => {
                 if let Ok(index) = result {
-                    self.record.accepted = self.record.accepted.max(index);
+                    self.history.accepted = self.history.accepted.max(index);
                 }
                 self.proposed.insert(token.0, result);
             }
             Action::ReadReady { token } => {
                 let applied = self.nodes[&id].applied;
-                if applied < self.record.accepted {
-                    self.violate(Violation::StaleAnswer);
+                if applied < self.history.accepted {
+                    self.report_violation(Violation::StaleAnswer);
                 }
                 self.reads.insert(token.0, true);
             }
@@ -232,7 +232,7 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
-        if !self.cut.contains(&(from, to)) {
+        if !self.cut_links.contains(&(from, to)) {
             self.net.push(Envelope { from, to, message });
         }
     }
@@ -242,14 +242,14 @@
         assert_eq!(entry.index, node.applied + 1, "applied in order");
         node.applied = entry.index;
         let index = entry.index;
-        let known = self.record.committed.entry(index).or_insert(entry.clone());
-        if *known != entry {
-            self.violate(Violation::CommittedChanged(index));
+        let first_applied = self.history.committed.entry(index).or_insert(entry.clone());
+        if *first_applied != entry {
+            self.report_violation(Violation::CommittedChanged(index));
         }
     }
 
-    fn violate(&mut self, violation: Violation) {
-        self.record.violation.get_or_insert(violation);
+    fn report_violation(&mut self, violation: Violation) {
+        self.history.violation.get_or_insert(violation);
     }
 
     /// Checks what must hold in every state.
@@ -265,26 +265,26 @@
             }
             if status.holds_lease {
                 leases += 1;
-                if self.nodes[&id].applied < self.record.accepted {
-                    self.violate(Violation::StaleAnswer);
+                if self.nodes[&id].applied < self.history.accepted {
+                    self.report_violation(Violation::StaleAnswer);
                 }
             }
         }
         if leases > 1 {
-            self.violate(Violation::TwoLeases);
+            self.report_violation(Violation::TwoLeases);
         }
     }
 
     fn check_leader(&mut self, status: &Status) {
-        let first = *self.record.leaders.entry(status.term).or_insert(status.id);
+        let first = *self.history.leaders.entry(status.term).or_insert(status.id);
         if first != status.id {
-            self.violate(Violation::TwoLeaders(status.term));
+            self.report_violation(Violation::TwoLeaders(status.term));
         }
         // A leader of an older term need not know what a newer one committed.
-        if self.record.leaders.keys().next_back() != Some(&status.term) {
+        if self.history.leaders.keys().next_back() != Some(&status.term) {
             return;
         }
-        let Some((last, entry)) = self.record.committed.last_key_value() else {
+        let Some((last, entry)) = self.history.committed.last_key_value() else {
             return;
         };
         if self
@@ -292,7 +292,7 @@
             .is_some_and(|term| term != entry.term)
         {
             let last = *last;
-            self.violate(Violation::LeaderLacks(last));
+            self.report_violation(Violation::LeaderLacks(last));
         }
     }
 
@@ -303,8 +303,8 @@
         let last_index = self.status(id)?.last_index;
         let unsynced = node.unsynced.iter().flat_map(|p| &p.entries);
         let stored = unsynced.chain(&node.disk.entries);
-        let found = stored.filter(|e| e.index == index).map(|e| e.term).next();
-        found.or((index > last_index).then_some(Epoch(0)))
+        let term = stored.filter(|e| e.index == index).map(|e| e.term).next();
+        term.or((index > last_index).then_some(Epoch(0)))
     }
 
     pub(crate) fn status(&self, id: ReplicaId) -> Option<Status> {
@@ -321,7 +321,7 @@
     /// Lets everything but the disks and messages of `stopped` go on for `ms`.
     pub(crate) fn run_without(&mut self, ms: u64, stopped: &[ReplicaId]) {
         self.advance(ms, stopped);
-        assert_eq!(self.record.violation, None);
+        assert_eq!(self.history.violation, None);
     }
 
     pub(crate) fn advance(&mut self, ms: u64, stopped: &[ReplicaId]) {
@@ -348,19 +348,19 @@
     /// Cuts `one` off from all others, both ways.
     pub(crate) fn isolate(&mut self, one: ReplicaId) {
         for other in self.nodes.keys().copied() {
-            self.cut.insert((one, other));
-            self.cut.insert((other, one));
+            self.cut_links.insert((one, other));
+            self.cut_links.insert((other, one));
         }
         self.net.retain(|e| e.from != one && e.to != one);
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 }
 
 /// What a disk holds after a sync.
-pub(crate) fn store(disk: &mut Durable, persist: Persist) {
+pub(crate) fn apply_persist(disk: &mut Durable, persist: Persist) {
     if let Some(hard_state) = persist.hard_state {
         disk.hard_state = hard_state;
     }
--- a/crates/consensus/tests/all/explore.rs
+++ b/crates/consensus/tests/all/explore.rs
@@ -13,10 +13,10 @@
 use filberthead_types::{Moment, ReplicaId};
 use pathfinding::directed::bfs::bfs_reach;
 
-use crate::world::{Violation, World, bootstrap, id, voters};
+use crate::cluster::{Cluster, Violation, bootstrap, id, voters};
 
 /// Messages of one link that can still arrive; older ones are lost.
-const LATE_MESSAGES: usize = 2;
+const MAX_MESSAGES_PER_LINK: usize = 2;
 
 /// What the environment may still do.
 #[derive(Clone, Copy, Debug, Hash)]
@@ -45,8 +45,8 @@
 }
 
 /// A beginning, what may happen after it, and how far to look.
-pub(crate) struct Scene {
-    pub(crate) world: World,
+pub(crate) struct Scenario {
+    pub(crate) cluster: Cluster,
     pub(crate) budget: Budget,
     pub(crate) depth: u8,
     /// Whether a wiped replica comes back under the identity that it had.
@@ -55,8 +55,8 @@
 
 /// What happens next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Move {
-    Second,
+pub(crate) enum Transition {
+    AdvanceSecond,
     Tick(ReplicaId),
     Deliver(usize),
     DeliverTwice(usize),
@@ -70,17 +70,17 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    world: World,
+    cluster: Cluster,
     budget: Budget,
     depth: u8,
-    trace: Option<Rc<Step>>,
+    trace: Option<Rc<TraceStep>>,
 }
 
 /// The way to a state, last move first.
 #[derive(Debug)]
-struct Step {
-    last: Move,
-    before: Option<Rc<Step>>,
+struct TraceStep {
+    last: Transition,
+    previous: Option<Rc<TraceStep>>,
 }
 
 /// A state by its digest of 64 bits: among a million states, two share one with a chance
@@ -88,10 +88,10 @@
 #[derive(Clone)]
 struct Node {
     /// Of the cluster alone, without what may still happen to it.
-    cluster: u64,
+    cluster_digest: u64,
     digest: u64,
     state: Rc<RefCell<Option<State>>>,
-    violation: Option<Rc<(Violation, Vec<Move>)>>,
+    violation: Option<Rc<(Violation, Vec<Transition>)>>,
 }
 
 impl PartialEq for Node {
@@ -110,15 +110,15 @@
 
 impl Node {
     fn new(mut state: State) -> Self {
-        limit_net(&mut state.world);
+        normalize_network(&mut state.cluster);
         let mut hasher = DefaultHasher::new();
-        let world = &state.world;
-        (world.now, &world.nodes, &world.net, &world.record).hash(&mut hasher);
-        let cluster = hasher.finish();
+        let cluster = &state.cluster;
+        (cluster.now, &cluster.nodes, &cluster.net, &cluster.history).hash(&mut hasher);
+        let cluster_digest = hasher.finish();
         state.budget.hash(&mut hasher);
-        let violation = state.world.record.violation.clone();
+        let violation = state.cluster.history.violation.clone();
         Self {
-            cluster,
+            cluster_digest,
             digest: hasher.finish(),
             violation: violation.map(|v| Rc::new((v, state.trace()))),
             state: Rc::new(RefCell::new(Some(state))),
@@ -128,52 +128,54 @@
 
 /// Orders messages by link, so that states which differ only in the order of sending
 /// over different links are one, and loses the oldest of a link.
-fn limit_net(world: &mut World) {
-    world.net.sort_by_key(|e| (e.from, e.to));
-    let net = std::mem::take(&mut world.net);
+fn normalize_network(cluster: &mut Cluster) {
+    cluster.net.sort_by_key(|e| (e.from, e.to));
+    let net = std::mem::take(&mut cluster.net);
     for (at, envelope) in net.iter().enumerate() {
         let link = |other: &&_| same_link(envelope, other);
-        if net[at + 1..].iter().filter(link).count() < LATE_MESSAGES {
-            world.net.push(envelope.clone());
+        if net[at + 1..].iter().filter(link).count() < MAX_MESSAGES_PER_LINK {
+            cluster.net.push(envelope.clone());
         }
     }
 }
 
-fn same_link(one: &crate::world::Envelope, other: &crate::world::Envelope) -> bool {
+fn same_link(one: &crate::cluster::Envelope, other: &crate::cluster::Envelope) -> bool {
     (one.from, one.to) == (other.from, other.to)
 }
 
 /// What an exploration came to.
 #[derive(Debug)]
-pub(crate) struct Found {
+pub(crate) struct Exploration {
     pub(crate) states: usize,
-    pub(crate) violation: Option<(Violation, Vec<Move>)>,
+    pub(crate) violation: Option<(Violation, Vec<Transition>)>,
 }
 
 /// Looks at every state of the scene, nearest first, until a rule is broken.
-pub(crate) fn explore(scene: Scene) -> Found {
-    let depth = scene.depth;
-    let keeps = scene.wiped_keeps_identity;
+pub(crate) fn explore(scenario: Scenario) -> Exploration {
+    let depth = scenario.depth;
+    let wiped_keeps_identity = scenario.wiped_keeps_identity;
     let start = State {
-        world: scene.world,
-        budget: scene.budget,
+        cluster: scenario.cluster,
+        budget: scenario.budget,
         depth: 0,
         trace: None,
     };
     let successors = |node: &Node| {
         let state = node.state.borrow_mut().take();
         let state = state.filter(|s| s.depth < depth);
-        state.map_or_else(Vec::new, |state| state.successors(node.cluster, keeps))
+        state.map_or_else(Vec::new, |state| {
+            state.successors(node.cluster_digest, wiped_keeps_identity)
+        })
     };
     let mut states = 0;
     for node in bfs_reach(Node::new(start), successors) {
         states += 1;
         if let Some(violation) = node.violation.as_deref().cloned() {
             let violation = Some(violation);
-            return Found { states, violation };
+            return Exploration { states, violation };
         }
     }
-    Found {
+    Exploration {
         states,
         violation: None,
     }
@@ -181,76 +183,83 @@
 
 impl State {
     /// Moves that change nothing are left out: they only spend the budget.
-    fn successors(&self, cluster: u64, wiped_keeps_identity: bool) -> Vec<Node> {
-        let next = |m: Move| self.after(m, wiped_keeps_identity);
-        let nodes = self.moves().into_iter().filter_map(next);
-        nodes.filter(|node| node.cluster != cluster).collect()
+    fn successors(&self, cluster_digest: u64, wiped_keeps_identity: bool) -> Vec<Node> {
+        let next = |transition: Transition| self.after(transition, wiped_keeps_identity);
+        let nodes = self.transitions().into_iter().filter_map(next);
+        nodes
+            .filter(|node| node.cluster_digest != cluster_digest)
+            .collect()
     }
 
-    fn trace(&self) -> Vec<Move> {
-        let mut moves = Vec::new();
+    fn trace(&self) -> Vec<Transition> {
+        let mut transitions = Vec::new();
         let mut at = self.trace.as_ref();
         while let Some(step) = at {
-            moves.push(step.last);
-            at = step.before.as_ref();
+            transitions.push(step.last);
+            at = step.previous.as_ref();
         }
-        moves.reverse();
-        moves
+        transitions.reverse();
+        transitions
     }
 
-    fn moves(&self) -> Vec<Move> {
-        let mut moves = vec![Move::Second];
-        for at in 0..self.world.net.len() {
-            moves.push(Move::Deliver(at));
-            moves.push(Move::DeliverTwice(at));
-            moves.push(Move::DeliverUnsynced(at));
+    fn transitions(&self) -> Vec<Transition> {
+        let mut transitions = vec![Transition::AdvanceSecond];
+        for at in 0..self.cluster.net.len() {
+            transitions.push(Transition::Deliver(at));
+            transitions.push(Transition::DeliverTwice(at));
+            transitions.push(Transition::DeliverUnsynced(at));
         }
-        for (id, node) in &self.world.nodes {
-            moves.push(Move::Tick(*id));
-            moves.push(Move::Propose(*id));
-            moves.push(Move::Wipe(*id));
-            moves.push(Move::Crash(*id, false));
-            let others = self.world.nodes.keys().filter(|other| *other != id);
-            moves.extend(others.map(|other| Move::Remove(*id, *other)));
+        for (id, node) in &self.cluster.nodes {
+            transitions.push(Transition::Tick(*id));
+            transitions.push(Transition::Propose(*id));
+            transitions.push(Transition::Wipe(*id));
+            transitions.push(Transition::Crash(*id, false));
+            let others = self.cluster.nodes.keys().filter(|other| *other != id);
+            transitions.extend(others.map(|other| Transition::Remove(*id, *other)));
             if node.unsynced.is_some() {
-                moves.push(Move::Sync(*id));
-                moves.push(Move::Crash(*id, true));
+                transitions.push(Transition::Sync(*id));
+                transitions.push(Transition::Crash(*id, true));
             }
         }
-        moves
+        transitions
     }
 
     /// The state after a move, if the budget allows it.
-    fn after(&self, m: Move, wiped_keeps_identity: bool) -> Option<Node> {
-        let budget = self.budget.spend(m, &self.world)?;
-        let mut world = self.world.clone();
-        match m {
-            Move::Second => world.now += Moment::from_secs(1),
-            Move::Tick(id) => world.tick(id),
-            Move::Deliver(at) | Move::DeliverUnsynced(at) => {
-                let envelope = world.net.remove(at);
-                world.deliver(envelope);
+    fn after(&self, transition: Transition, wiped_keeps_identity: bool) -> Option<Node> {
+        let budget = self.budget.spend(transition, &self.cluster)?;
+        let mut cluster = self.cluster.clone();
+        match transition {
+            Transition::AdvanceSecond => cluster.now += Moment::from_secs(1),
+            Transition::Tick(id) => cluster.tick(id),
+            Transition::Deliver(at) | Transition::DeliverUnsynced(at) => {
+                let envelope = cluster.net.remove(at);
+                cluster.deliver(envelope);
             }
-            Move::DeliverTwice(at) => world.deliver(world.net[at].clone()),
-            Move::Sync(id) => world.sync(id),
-            Move::Crash(id, synced) => {
-                world.crash(id, synced);
-                world.restart(id);
+            Transition::DeliverTwice(at) => cluster.deliver(cluster.net[at].clone()),
+            Transition::Sync(id) => cluster.sync(id),
+            Transition::Crash(id, synced) => {
+                cluster.crash(id, synced);
+                cluster.restart(id);
             }
-            Move::Wipe(id) => wipe(&mut world, id, wiped_keeps_identity),
-            Move::Propose(id) => drop(world.command(id, 1)),
-            Move::Remove(id, other) => drop(world.propose(id, Proposal::Remove(other))),
+            Transition::Wipe(id) => wipe(&mut cluster, id, wiped_keeps_identity),
+            Transition::Propose(id) => drop(cluster.command(id, 1)),
+            Transition::Remove(id, other) => drop(cluster.propose(id, Proposal::Remove(other))),
         }
-        match m {
-            Move::DeliverUnsynced(_) if !began_sync(&world, &self.world) => return None,
-            Move::DeliverUnsynced(_) => {}
-            _ => sync_new(&mut world, &self.world),
+        match transition {
+            Transition::DeliverUnsynced(_) if !started_sync(&cluster, &self.cluster) => {
+                return None;
+            }
+            Transition::DeliverUnsynced(_) => {}
+            _ => finish_new_syncs(&mut cluster, &self.cluster),
         }
-        let before = self.trace.clone();
-        let trace = Some(Rc::new(Step { last: m, before }));
+        let previous = self.trace.clone();
+        let trace = Some(Rc::new(TraceStep {
+            last: transition,
+            previous,
+        }));
         let depth = self.depth + 1;
         Some(Node::new(State {
-            world,
+            cluster,
             budget,
             depth,
             trace,
@@ -259,58 +268,61 @@
 }
 
 impl Budget {
-    fn spend(mut self, m: Move, world: &World) -> Option<Self> {
-        let none = &mut u8::MAX.clone();
-        let leads = |id: ReplicaId| world.status(id).is_some_and(|s| s.holds_lease);
-        let part = match m {
-            Move::Second => &mut self.seconds,
-            Move::Tick(id) if !is_leader(world, id) => &mut self.elections,
-            Move::DeliverTwice(_) => &mut self.duplicates,
-            Move::DeliverUnsynced(_) => &mut self.slow_syncs,
-            Move::Crash(..) => &mut self.crashes,
-            Move::Wipe(_) => &mut self.wipes,
-            Move::Propose(id) if leads(id) => &mut self.proposals,
-            Move::Remove(id, _) if leads(id) => &mut self.removals,
-            Move::Propose(_) | Move::Remove(..) => return None,
-            _ => none,
+    fn spend(mut self, transition: Transition, cluster: &Cluster) -> Option<Self> {
+        let unlimited = &mut u8::MAX.clone();
+        let holds_lease = |id: ReplicaId| cluster.status(id).is_some_and(|s| s.holds_lease);
+        let allowance = match transition {
+            Transition::AdvanceSecond => &mut self.seconds,
+            Transition::Tick(id) if !is_leader(cluster, id) => &mut self.elections,
+            Transition::DeliverTwice(_) => &mut self.duplicates,
+            Transition::DeliverUnsynced(_) => &mut self.slow_syncs,
+            Transition::Crash(..) => &mut self.crashes,
+            Transition::Wipe(_) => &mut self.wipes,
+            Transition::Propose(id) if holds_lease(id) => &mut self.proposals,
+            Transition::Remove(id, _) if holds_lease(id) => &mut self.removals,
+            Transition::Propose(_) | Transition::Remove(..) => return None,
+            _ => unlimited,
         };
-        *part = part.checked_sub(1)?;
+        *allowance = allowance.checked_sub(1)?;
         Some(self)
     }
 }
 
-fn is_leader(world: &World, id: ReplicaId) -> bool {
-    let role = world.status(id).map(|s| s.role);
+fn is_leader(cluster: &Cluster, id: ReplicaId) -> bool {
+    let role = cluster.status(id).map(|s| s.role);
     role == Some(filberthead_consensus::Role::Leader)
 }
 
-fn began_sync(world: &World, before: &World) -> bool {
-    let syncs = |w: &World| w.nodes.values().filter(|n| n.unsynced.is_some()).count();
-    syncs(world) > syncs(before)
+fn started_sync(cluster: &Cluster, previous: &Cluster) -> bool {
+    let syncs = |w: &Cluster| w.nodes.values().filter(|n| n.unsynced.is_some()).count();
+    syncs(cluster) > syncs(previous)
 }
 
 /// Finishes syncs that this move began; one that was left unsynced before stays so.
-fn sync_new(world: &mut World, before: &World) {
-    let ids: Vec<_> = world.nodes.keys().copied().collect();
+fn finish_new_syncs(cluster: &mut Cluster, previous: &Cluster) {
+    let ids: Vec<_> = cluster.nodes.keys().copied().collect();
     for id in ids {
-        let waits = before.nodes.get(&id).is_some_and(|n| n.unsynced.is_some());
-        while !waits && world.nodes[&id].unsynced.is_some() {
-            world.sync(id);
+        let was_unsynced = previous
+            .nodes
+            .get(&id)
+            .is_some_and(|n| n.unsynced.is_some());
+        while !was_unsynced && cluster.nodes[&id].unsynced.is_some() {
+            cluster.sync(id);
         }
     }
 }
 
 /// Wipes a disk. The replica comes back with what a new cluster begins with, as if its
 /// VM were set up again from the same settings.
-fn wipe(world: &mut World, wiped: ReplicaId, keeps_identity: bool) {
+fn wipe(cluster: &mut Cluster, wiped: ReplicaId, wiped_keeps_identity: bool) {
     let members = voters(3);
-    world.nodes.remove(&wiped);
-    let id = if keeps_identity {
+    cluster.nodes.remove(&wiped);
+    let id = if wiped_keeps_identity {
         wiped
     } else {
         id(wiped.0 + 10)
     };
-    world.add(id, bootstrap(members));
+    cluster.add(id, bootstrap(members));
 }
 
 /// Times in seconds, one entry a message, no random waits.
@@ -327,7 +339,7 @@
 }
 
 /// All rules but the pre-vote, which is not for safety.
-pub(crate) fn rules() -> Guards {
+pub(crate) fn all_safety_rules() -> Guards {
     Guards {
         pre_vote: false,
         ..Guards::default()
--- a/crates/consensus/tests/all/main.rs
+++ b/crates/consensus/tests/all/main.rs
@@ -1,9 +1,9 @@
 //! Tests of the replicated log: cases, exhaustive exploration, random schedules.
 
+mod cluster;
 mod explore;
 mod lease;
 mod membership;
 mod random;
 mod replication;
-mod scenes;
-mod world;
+mod safety_rules;
--- a/crates/consensus/tests/all/random.rs
+++ b/crates/consensus/tests/all/random.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::world::{Violation, World, id};
+use crate::cluster::{Cluster, Violation, id};
 
 const SCHEDULES: u64 = 400;
 const STEPS: usize = 150;
@@ -22,7 +22,7 @@
     /// All but one replica go on; it wakes with its messages waiting.
     Suspend(u8, u8),
     /// The clock moves on and nothing else happens.
-    Jump(u8),
+    AdvanceClock(u8),
     Tick(u8),
     Deliver(u8),
     Duplicate(u8),
@@ -31,7 +31,7 @@
     Crash(u8, bool),
     Restart,
     Wipe(u8),
-    Cut(u8),
+    Isolate(u8),
     Heal,
     Command(u8),
     AddLearner(u8),
@@ -40,54 +40,54 @@
 }
 
 struct Schedule {
-    world: World,
+    cluster: Cluster,
     next_id: u64,
 }
 
 impl Schedule {
     fn new(voters: u64, guards: Guards) -> Self {
         let cfg = Config::builder().snapshot_after(6).guards(guards).build();
-        let mut world = World::new(voters, cfg);
-        world.advance(3000, &[]);
+        let mut cluster = Cluster::new(voters, cfg);
+        cluster.advance(3000, &[]);
         Self {
-            world,
+            cluster,
             next_id: voters + 1,
         }
     }
 
     /// Whether a step is left out, so that faults which last don't end all progress.
-    fn is_left_out(step: &Step) -> bool {
+    fn is_skipped(step: &Step) -> bool {
         match step {
             Step::Wipe(n) => *n >= 20,
-            Step::Remove(n) | Step::Cut(n) => *n >= 80,
+            Step::Remove(n) | Step::Isolate(n) => *n >= 80,
             Step::Crash(n, _) => *n >= 128,
             _ => false,
         }
     }
 
     fn step(&mut self, step: Step) {
-        let world = &mut self.world;
+        let cluster = &mut self.cluster;
         match step {
-            Step::Run(n) => world.advance(u64::from(n) * 10, &[]),
+            Step::Run(n) => cluster.advance(u64::from(n) * 10, &[]),
             Step::Suspend(one, n) => {
-                let one = self.replica(one);
-                self.world.advance(u64::from(n) * 20, &[one]);
+                let one = self.replica_at(one);
+                self.cluster.advance(u64::from(n) * 20, &[one]);
             }
-            Step::Jump(n) => world.now += Moment::from_millis(u64::from(n) * 10),
+            Step::AdvanceClock(n) => cluster.now += Moment::from_millis(u64::from(n) * 10),
             Step::Tick(one) => {
-                let one = self.replica(one);
-                self.world.tick(one);
+                let one = self.replica_at(one);
+                self.cluster.tick(one);
             }
-            Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => self.message(step),
+            Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => self.network_step(step),
             Step::Command(_) | Step::AddLearner(_) | Step::Promote(_) | Step::Remove(_) => {
-                self.propose(step);
+                self.proposal_step(step);
             }
-            _ => self.fault(step),
+            _ => self.fault_step(step),
         }
     }
 
-    fn message(&mut self, step: Step) {
-        let net = &mut self.world.net;
+    fn network_step(&mut self, step: Step) {
+        let net = &mut self.cluster.net;
         let (Step::Deliver(n) | Step::Duplicate(n) | Step::Lose(n)) = step else {
             return;
         };
@@ -100,84 +100,84 @@
             _ => net.swap_remove(at),
         };
         if !matches!(step, Step::Lose(_)) {
-            self.world.deliver(envelope);
+            self.cluster.deliver(envelope);
         }
     }
 
-    fn fault(&mut self, step: Step) {
+    fn fault_step(&mut self, step: Step) {
         match step {
-            Step::Sync(n) => self.world.sync(self.replica(n)),
-            Step::Crash(n, synced) => self.world.crash(self.replica(n), synced),
+            Step::Sync(n) => self.cluster.sync(self.replica_at(n)),
+            Step::Crash(n, synced) => self.cluster.crash(self.replica_at(n), synced),
             Step::Restart => self.restart_all(),
             Step::Wipe(n) => {
-                let one = self.replica(n);
-                self.world.nodes.remove(&one);
-                self.world.add(id(self.next_id), Durable::default());
+                let one = self.replica_at(n);
+                self.cluster.nodes.remove(&one);
+                self.cluster.add(id(self.next_id), Durable::default());
                 self.next_id += 1;
             }
-            Step::Cut(n) => self.world.isolate(self.replica(n)),
-            Step::Heal => self.world.heal(),
+            Step::Isolate(n) => self.cluster.isolate(self.replica_at(n)),
+            Step::Heal => self.cluster.heal(),
             _ => {}
         }
     }
 
-    fn propose(&mut self, step: Step) {
+    fn proposal_step(&mut self, step: Step) {
         // Half of the proposals go to the leader, the others to whoever comes first.
         let (Step::Command(n) | Step::AddLearner(n) | Step::Promote(n) | Step::Remove(n)) = step
         else {
             return;
         };
-        let leader = self.world.leader().filter(|_| n % 2 == 0);
-        let to = leader.unwrap_or_else(|| self.replica(n));
-        let target = self.replica(n / 2);
+        let leader = self.cluster.leader().filter(|_| n % 2 == 0);
+        let to = leader.unwrap_or_else(|| self.replica_at(n));
+        let target = self.replica_at(n / 2);
         let proposal = match step {
             Step::AddLearner(_) => Proposal::AddLearner(target),
             Step::Promote(_) => Proposal::Promote(target),
             Step::Remove(_) => Proposal::Remove(target),
             _ => Proposal::Command(vec![n]),
         };
-        self.world.propose(to, proposal);
-        self.world.reads(to);
+        self.cluster.propose(to, proposal);
+        self.cluster.read_is_served(to);
     }
 
     fn restart_all(&mut self) {
-        let ids: Vec<_> = self.world.nodes.keys().copied().collect();
+        let ids: Vec<_> = self.cluster.nodes.keys().copied().collect();
         for id in ids {
-            if self.world.status(id).is_none() {
-                self.world.restart(id);
+            if self.cluster.status(id).is_none() {
+                self.cluster.restart(id);
             }
         }
     }
 
-    fn replica(&self, n: u8) -> ReplicaId {
-        let mut ids = self.world.nodes.keys();
-        let at = usize::from(n) % self.world.nodes.len();
+    fn replica_at(&self, n: u8) -> ReplicaId {
+        let mut ids = self.cluster.nodes.keys();
+        let at = usize::from(n) % self.cluster.nodes.len();
         ids.nth(at).copied().unwrap_or_default()
     }
 
     /// Ends all faults. Unless disks were lost, the cluster must accept changes again.
     fn recover(&mut self) {
-        self.world.heal();
+        self.cluster.heal();
         self.restart_all();
-        self.world.advance(8000, &[]);
-        let leader = self.world.leader().expect("a leader after all faults");
-        let token = self.world.command(leader, 1);
-        self.world.advance(2000, &[]);
-        assert!(self.world.proposed[&token].is_ok());
+        self.cluster.advance(8000, &[]);
+        let leader = self.cluster.leader().expect("a leader after all faults");
+        let token = self.cluster.command(leader, 1);
+        self.cluster.advance(2000, &[]);
+        assert!(self.cluster.proposed[&token].is_ok());
     }
 }
 
 /// Runs the schedule of a seed. bolero's own loop draws new seeds in each run, and a
 /// test is to give the same verdict in every one.
-fn run(seed: u64, guards: Guards, allowed: fn(&Step) -> bool) -> Schedule {
+fn run_schedule(seed: u64, guards: Guards, allowed: fn(&Step) -> bool) -> Schedule {
     let options = Options::default().with_max_len(1 << 16);
     let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
     let mut schedule = Schedule::new(3 + seed % 3, guards);
     for _ in 0..STEPS {
         let step = Step::generate(&mut driver).expect("the driver has bytes left");
         if allowed(&step)
-            && !Schedule::is_left_out(&step)
-            && schedule.world.record.violation.is_none()
+            && !Schedule::is_skipped(&step)
+            && schedule.cluster.history.violation.is_none()
         {
             schedule.step(step);
         }
@@ -186,17 +186,17 @@
 }
 
 #[test]
-fn random_schedules_keep_every_promise() {
+fn random_schedules_break_no_rule() {
     let mut accepted = 0;
     let mut snapshots = 0;
     let mut changes = 0;
     for seed in 0..SCHEDULES {
-        let world = run(seed, Guards::default(), |_| true).world;
-        assert_eq!(world.record.violation, None, "seed {seed}");
-        accepted += world.record.accepted;
-        let nodes = world.nodes.values();
+        let cluster = run_schedule(seed, Guards::default(), |_| true).cluster;
+        assert_eq!(cluster.history.violation, None, "seed {seed}");
+        accepted += cluster.history.accepted;
+        let nodes = cluster.nodes.values();
         snapshots += nodes.filter(|n| n.disk.snapshot.index > 1).count();
-        let committed = world.record.committed.values();
+        let committed = cluster.history.committed.values();
         changes += committed.filter(|e| is_membership(e)).count();
     }
     println!("{accepted} accepted, {snapshots} replicas with snapshots, {changes} changes");
@@ -213,37 +213,40 @@
 fn cluster_recovers_when_faults_end() {
     let keeps_majority = |step: &Step| !matches!(step, Step::Wipe(_) | Step::Remove(_));
     for seed in 0..SCHEDULES / 2 {
-        let mut schedule = run(seed, Guards::default(), keeps_majority);
+        let mut schedule = run_schedule(seed, Guards::default(), keeps_majority);
         schedule.recover();
-        assert_eq!(schedule.world.record.violation, None, "seed {seed}");
+        assert_eq!(schedule.cluster.history.violation, None, "seed {seed}");
     }
 }
 
 /// Without a rule, one of the schedules must break a promise. The explorer does this for
 /// every rule; here a few show that the schedules reach far enough.
 #[track_caller]
-fn breaks(remove: fn(&mut Guards)) -> (u64, Violation) {
+fn assert_violates(remove: fn(&mut Guards)) -> (u64, Violation) {
     let mut guards = Guards::default();
     remove(&mut guards);
-    let broken = (0..SCHEDULES).find_map(|seed| {
-        let violation = run(seed, guards, |_| true).world.record.violation;
+    let first_violation = (0..SCHEDULES).find_map(|seed| {
+        let violation = run_schedule(seed, guards, |_| true)
+            .cluster
+            .history
+            .violation;
         violation.map(|violation| (seed, violation))
     });
-    println!("{broken:?}");
-    broken.expect("the twin must break")
+    println!("{first_violation:?}");
+    first_violation.expect("no schedule broke a rule")
 }
 
 #[test]
-fn schedules_notice_a_lease_that_never_ends() {
-    breaks(|g| g.lease_expires = false);
+fn schedules_detect_a_lease_that_never_expires() {
+    assert_violates(|g| g.lease_expires = false);
 }
 
 #[test]
-fn schedules_notice_votes_for_old_logs() {
-    breaks(|g| g.compare_logs = false);
+fn schedules_detect_votes_for_outdated_logs() {
+    assert_violates(|g| g.compare_logs = false);
 }
 
 #[test]
-fn schedules_notice_votes_while_a_leader_is_heard() {
-    breaks(|g| g.refuse_votes_while_leader_is_live = false);
+fn schedules_detect_votes_while_a_leader_is_live() {
+    assert_violates(|g| g.refuse_votes_while_leader_is_live = false);
 }
--- a/crates/consensus/tests/all/scenes.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -3,101 +3,103 @@
 use filberthead_consensus::{Durable, Entry, Guards, HardState, Payload, Proposal};
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
-use crate::explore::{Budget, Scene, config, explore, rules};
-use crate::world::{Violation, World, bootstrap, id, voters};
+use crate::cluster::{Cluster, Violation, bootstrap, id, voters};
+use crate::explore::{Budget, Scenario, all_safety_rules, config, explore};
 
 /// Delivers and syncs until nothing is under way; messages of `cut` are lost.
-fn settle(world: &mut World, cut: &[u64]) {
-    let is_cut = |id: &ReplicaId| cut.contains(&id.0);
+fn deliver_and_sync_all(cluster: &mut Cluster, unreachable: &[u64]) {
+    let is_unreachable = |id: &ReplicaId| unreachable.contains(&id.0);
     loop {
-        let ids: Vec<_> = world.nodes.keys().copied().collect();
-        ids.into_iter().for_each(|id| world.sync(id));
-        world.net.retain(|e| !is_cut(&e.from) && !is_cut(&e.to));
-        if world.net.is_empty() && world.nodes.values().all(|n| n.unsynced.is_none()) {
+        let ids: Vec<_> = cluster.nodes.keys().copied().collect();
+        ids.into_iter().for_each(|id| cluster.sync(id));
+        cluster
+            .net
+            .retain(|e| !is_unreachable(&e.from) && !is_unreachable(&e.to));
+        if cluster.net.is_empty() && cluster.nodes.values().all(|n| n.unsynced.is_none()) {
             return;
         }
-        let due = std::mem::take(&mut world.net);
-        due.into_iter().for_each(|e| world.deliver(e));
+        let due = std::mem::take(&mut cluster.net);
+        due.into_iter().for_each(|e| cluster.deliver(e));
     }
 }
 
 /// Lets `leader` send a heartbeat a second later.
-fn heartbeat(world: &mut World, leader: u64, cut: &[u64]) {
-    world.now += Moment::from_secs(1);
-    world.tick(id(leader));
-    settle(world, cut);
+fn heartbeat(cluster: &mut Cluster, leader: u64, unreachable: &[u64]) {
+    cluster.now += Moment::from_secs(1);
+    cluster.tick(id(leader));
+    deliver_and_sync_all(cluster, unreachable);
 }
 
 /// Three new replicas that may vote by now.
-fn begin(guards: Guards) -> World {
-    let mut world = World::new(3, config(guards));
-    world.now = Moment::from_secs(3);
-    world
+fn three_replicas(guards: Guards) -> Cluster {
+    let mut cluster = Cluster::new(3, config(guards));
+    cluster.now = Moment::from_secs(3);
+    cluster
 }
 
 /// 1 asks for votes; only 2 can hear it.
-fn asking(guards: Guards) -> World {
-    let mut world = begin(guards);
-    world.tick(id(1));
-    world.sync(id(1));
-    world.net.retain(|e| e.to == id(2));
-    world
+fn vote_requested(guards: Guards) -> Cluster {
+    let mut cluster = three_replicas(guards);
+    cluster.tick(id(1));
+    cluster.sync(id(1));
+    cluster.net.retain(|e| e.to == id(2));
+    cluster
 }
 
 /// 1 leads, all have its opening entry; 3 has missed the last heartbeat.
-fn led(guards: Guards) -> World {
-    let mut world = begin(guards);
-    world.tick(id(1));
-    settle(&mut world, &[]);
-    heartbeat(&mut world, 1, &[]);
-    heartbeat(&mut world, 1, &[3]);
-    world
+fn leader_elected(guards: Guards) -> Cluster {
+    let mut cluster = three_replicas(guards);
+    cluster.tick(id(1));
+    deliver_and_sync_all(&mut cluster, &[]);
+    heartbeat(&mut cluster, 1, &[]);
+    heartbeat(&mut cluster, 1, &[3]);
+    cluster
 }
 
 /// 1 leads; a command is accepted that only 1 and 2 have.
-fn lagging(guards: Guards) -> World {
-    let mut world = led(guards);
-    world.command(id(1), 9);
-    settle(&mut world, &[3]);
-    assert_eq!(world.record.accepted, 3);
-    world
+fn follower_lagging(guards: Guards) -> Cluster {
+    let mut cluster = leader_elected(guards);
+    cluster.command(id(1), 9);
+    deliver_and_sync_all(&mut cluster, &[3]);
+    assert_eq!(cluster.history.accepted, 3);
+    cluster
 }
 
 /// 1 leads; 3 has answered its last heartbeat, the answer of 2 is still under way.
-fn answer_under_way(guards: Guards) -> World {
-    let mut world = led(guards);
-    world.now += Moment::from_secs(1);
-    world.tick(id(1));
-    let heartbeats = std::mem::take(&mut world.net);
-    heartbeats.into_iter().for_each(|e| world.deliver(e));
-    let at = world.net.iter().position(|e| e.from == id(3));
-    let answer = world.net.remove(at.expect("an answer"));
-    world.deliver(answer);
-    world
+fn reply_in_flight(guards: Guards) -> Cluster {
+    let mut cluster = leader_elected(guards);
+    cluster.now += Moment::from_secs(1);
+    cluster.tick(id(1));
+    let heartbeats = std::mem::take(&mut cluster.net);
+    heartbeats.into_iter().for_each(|e| cluster.deliver(e));
+    let at = cluster.net.iter().position(|e| e.from == id(3));
+    let reply = cluster.net.remove(at.expect("a reply"));
+    cluster.deliver(reply);
+    cluster
 }
 
 /// 1 leads; 4 is a learner and holds only the beginning; a command is accepted that
 /// only 1 and 2 have.
-fn with_learner(guards: Guards) -> World {
-    let mut world = led(guards);
-    world.propose(id(1), Proposal::AddLearner(id(4)));
-    world.add(id(4), bootstrap(voters(3)));
-    settle(&mut world, &[4]);
+fn learner_added(guards: Guards) -> Cluster {
+    let mut cluster = leader_elected(guards);
+    cluster.propose(id(1), Proposal::AddLearner(id(4)));
+    cluster.add(id(4), bootstrap(voters(3)));
+    deliver_and_sync_all(&mut cluster, &[4]);
     for _ in 0..3 {
-        heartbeat(&mut world, 1, &[4]);
+        heartbeat(&mut cluster, 1, &[4]);
     }
-    world.command(id(1), 9);
-    settle(&mut world, &[3, 4]);
-    assert_eq!(world.record.accepted, 4);
-    world
+    cluster.command(id(1), 9);
+    deliver_and_sync_all(&mut cluster, &[3, 4]);
+    assert_eq!(cluster.history.accepted, 4);
+    cluster
 }
 
 /// 1 and 3 each led once and have an entry that nobody else has; 2 has neither, and has
 /// just elected 1 again and told it how far its log goes.
-fn two_tails(guards: Guards) -> World {
-    let mut world = World::new(3, config(guards));
+fn conflicting_tails(guards: Guards) -> Cluster {
+    let mut cluster = Cluster::new(3, config(guards));
     for (replica, term) in [(1, 1), (2, 0), (3, 2)] {
-        world.crash(id(replica), false);
+        cluster.crash(id(replica), false);
         let mut disk: Durable = bootstrap(voters(3));
         disk.hard_state = HardState {
             term: Epoch(2),
@@ -110,25 +112,25 @@
                 payload: Payload::Command(vec![term as u8]),
             });
         }
-        world.add(id(replica), disk);
+        cluster.add(id(replica), disk);
     }
-    world.now = Moment::from_secs(3);
-    world.tick(id(1));
-    world.sync(id(1));
-    world.net.retain(|e| e.to == id(2));
+    cluster.now = Moment::from_secs(3);
+    cluster.tick(id(1));
+    cluster.sync(id(1));
+    cluster.net.retain(|e| e.to == id(2));
     // The vote, its answer, the opening entry, and the answer that it does not fit.
     for _ in 0..4 {
-        let envelope = world.net.remove(0);
+        let envelope = cluster.net.remove(0);
         let to = envelope.to;
-        world.deliver(envelope);
-        world.sync(to);
+        cluster.deliver(envelope);
+        cluster.sync(to);
     }
-    world
+    cluster
 }
 
-fn scene(world: World, depth: u8, budget: Budget) -> Scene {
-    Scene {
-        world,
+fn scenario(cluster: Cluster, depth: u8, budget: Budget) -> Scenario {
+    Scenario {
+        cluster,
         budget,
         depth,
         wiped_keeps_identity: false,
@@ -137,27 +139,32 @@
 
 /// With all rules nothing breaks, without `remove` something does, both within `depth`.
 #[track_caller]
-fn rule_is_needed(
-    world: fn(Guards) -> World,
+fn assert_rule_is_needed(
+    setup: fn(Guards) -> Cluster,
     depth: u8,
     budget: Budget,
     remove: fn(&mut Guards),
     expected: fn(&Violation) -> bool,
 ) {
-    let whole = explore(scene(world(rules()), depth, budget));
-    assert_eq!(whole.violation.as_ref(), None);
-    let mut broken = rules();
+    let with_rule = explore(scenario(setup(all_safety_rules()), depth, budget));
+    assert_eq!(with_rule.violation.as_ref(), None);
+    let mut broken = all_safety_rules();
     remove(&mut broken);
-    let twin = explore(scene(world(broken), depth, budget));
-    println!("whole {} twin {:?}", whole.states, twin);
-    let (violation, _) = twin.violation.expect("the twin must break");
+    let without_rule = explore(scenario(setup(broken), depth, budget));
+    println!(
+        "{} states with the rule; without it {:?}",
+        with_rule.states, without_rule
+    );
+    let (violation, _) = without_rule
+        .violation
+        .expect("a rule must break without it");
     assert!(expected(&violation), "{violation:?}");
 }
 
 /// A voter votes, crashes before the vote is on its disk, and votes for another in the
 /// same term: two leaders accept different changes at one place of the log.
 #[test]
-fn promises_wait_for_the_disk() {
+fn replies_wait_for_the_sync() {
     let budget = Budget {
         seconds: 3,
         elections: 1,
@@ -165,8 +172,8 @@
         crashes: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        asking,
+    assert_rule_is_needed(
+        vote_requested,
         9,
         budget,
         |g| g.sync_before_send = false,
@@ -177,14 +184,14 @@
 /// An answer to a heartbeat is late by almost an election timeout. Counted from its
 /// arrival, the lease would outlive the answerer's own promise not to vote.
 #[test]
-fn lease_counts_from_sending() {
+fn lease_counts_from_the_send_time() {
     let budget = Budget {
         seconds: 3,
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        answer_under_way,
+    assert_rule_is_needed(
+        reply_in_flight,
         10,
         budget,
         |g| g.lease_from_send = false,
@@ -200,8 +207,8 @@
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        led,
+    assert_rule_is_needed(
+        leader_elected,
         10,
         budget,
         |g| g.lease_expires = false,
@@ -212,14 +219,14 @@
 /// A replica that missed heartbeats asks another for its vote, which has just answered
 /// the leader: its vote would end a lease that the leader counts on.
 #[test]
-fn no_vote_while_a_leader_is_heard() {
+fn no_vote_while_a_leader_is_live() {
     let budget = Budget {
         seconds: 2,
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        led,
+    assert_rule_is_needed(
+        leader_elected,
         10,
         budget,
         |g| g.refuse_votes_while_leader_is_live = false,
@@ -236,8 +243,8 @@
         crashes: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        led,
+    assert_rule_is_needed(
+        leader_elected,
         11,
         budget,
         |g| g.wait_after_restart = false,
@@ -247,14 +254,14 @@
 
 /// A new leader has what was accepted before its term, but hasn't applied it yet.
 #[test]
-fn no_read_before_the_opening_entry_is_committed() {
+fn no_read_before_the_noop_is_committed() {
     let budget = Budget {
         seconds: 3,
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        lagging,
+    assert_rule_is_needed(
+        follower_lagging,
         9,
         budget,
         |g| g.noop_before_read = false,
@@ -269,8 +276,8 @@
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        lagging,
+    assert_rule_is_needed(
+        follower_lagging,
         9,
         budget,
         |g| g.compare_logs = false,
@@ -286,8 +293,8 @@
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        with_learner,
+    assert_rule_is_needed(
+        learner_added,
         9,
         budget,
         |g| g.learners_do_not_count = false,
@@ -298,14 +305,14 @@
 /// A leader finds an entry of an earlier term on a majority and calls it committed;
 /// a candidate with a newer last entry overwrites it.
 #[test]
-fn only_the_own_term_is_committed_by_counting() {
+fn only_the_leaders_own_term_is_committed_by_counting() {
     let budget = Budget {
         seconds: 3,
         elections: 1,
         ..Budget::NONE
     };
-    rule_is_needed(
-        two_tails,
+    assert_rule_is_needed(
+        conflicting_tails,
         9,
         budget,
         |g| g.commit_own_term_only = false,
@@ -323,8 +330,8 @@
         removals: 2,
         ..Budget::NONE
     };
-    rule_is_needed(
-        led,
+    assert_rule_is_needed(
+        leader_elected,
         9,
         budget,
         |g| g.one_change_at_a_time = false,
@@ -342,27 +349,32 @@
         wipes: 1,
         ..Budget::NONE
     };
-    let whole = explore(scene(lagging(rules()), 9, budget));
-    assert_eq!(whole.violation.as_ref(), None);
-    let mut twin = scene(lagging(rules()), 9, budget);
-    twin.wiped_keeps_identity = true;
-    let twin = explore(twin);
-    println!("whole {} twin {:?}", whole.states, twin);
-    let (violation, _) = twin.violation.expect("the twin must break");
+    let with_rule = explore(scenario(follower_lagging(all_safety_rules()), 9, budget));
+    assert_eq!(with_rule.violation.as_ref(), None);
+    let mut without_rule = scenario(follower_lagging(all_safety_rules()), 9, budget);
+    without_rule.wiped_keeps_identity = true;
+    let without_rule = explore(without_rule);
+    println!(
+        "{} states with the rule; without it {:?}",
+        with_rule.states, without_rule
+    );
+    let (violation, _) = without_rule
+        .violation
+        .expect("a rule must break without it");
     assert!(matches!(violation, Violation::LeaderLacks(_)));
 }
 
 /// Nothing breaks within `depth`, and at least `states` states were looked at.
 #[track_caller]
-fn holds(world: World, depth: u8, budget: Budget, states: usize) {
-    let found = explore(scene(world, depth, budget));
-    assert_eq!(found.violation, None);
-    println!("{} states to depth {depth}", found.states);
-    assert!(found.states >= states, "{found:?}");
+fn assert_no_violation(cluster: Cluster, depth: u8, budget: Budget, states: usize) {
+    let result = explore(scenario(cluster, depth, budget));
+    assert_eq!(result.violation, None);
+    println!("{} states to depth {depth}", result.states);
+    assert!(result.states >= states, "{result:?}");
 }
 
 #[test]
-fn elections_hold_with_pre_vote() {
+fn elections_with_pre_vote_break_no_rule() {
     let budget = Budget {
         seconds: 1,
         elections: 2,
@@ -371,11 +383,11 @@
         crashes: 1,
         ..Budget::NONE
     };
-    holds(begin(Guards::default()), 8, budget, 300_000);
+    assert_no_violation(three_replicas(Guards::default()), 8, budget, 300_000);
 }
 
 #[test]
-fn all_faults_at_once_hold_after_an_accepted_change() {
+fn all_faults_at_once_break_no_rule() {
     let budget = Budget {
         seconds: 4,
         elections: 2,
@@ -386,15 +398,15 @@
         proposals: 1,
         removals: 1,
     };
-    holds(lagging(rules()), 7, budget, 200_000);
+    assert_no_violation(follower_lagging(all_safety_rules()), 7, budget, 200_000);
 }
 
 #[test]
-fn late_answers_and_elections_hold() {
+fn late_replies_and_elections_break_no_rule() {
     let budget = Budget {
         seconds: 5,
         elections: 2,
         ..Budget::NONE
     };
-    holds(answer_under_way(rules()), 11, budget, 80_000);
+    assert_no_violation(reply_in_flight(all_safety_rules()), 11, budget, 80_000);
 }
