--- a/crates/consensus/examples/failover.rs
+++ b/crates/consensus/examples/failover.rs
@@ -1,5 +1,6 @@
-//! Prints how long a cluster has no leader after its leader stopped, a line each:
-//! `name: value unit`. Time is simulated, so the figures don't depend on the machine.
+//! Prints the time to the first leader and to a new one after the leader stopped, one
+//! `name: value unit` per line. Time is simulated, so the results don't depend on the
+//! machine.
 //!
 //! `cargo run --release -p filberthead-consensus --example failover`
 
@@ -86,7 +87,7 @@
         all.find(|status| status.holds_lease).map(|s| s.id)
     }
 
-    /// Runs until somebody may answer, and returns how long that took.
+    /// Runs until a replica holds the lease, and returns how long that took.
     fn run_until_led(&mut self) -> Duration {
         let began = self.now;
         while self.leader().is_none() {
--- a/crates/consensus/src/api.rs
+++ b/crates/consensus/src/api.rs
@@ -1,15 +1,15 @@
-//! What goes into a replica and what comes out of it.
+//! Events, actions, messages and state that a replica exchanges with its owner.
 
 use std::collections::BTreeSet;
 
 use filberthead_types::{Epoch, ReplicaId};
 use serde::{Deserialize, Serialize};
 
-/// Ties a proposal or read to its answer; chosen by the owner of the replica.
+/// Correlates a proposal or read with its result; chosen by the owner of the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Who votes and who only learns.
+/// The membership of a cluster: its voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Members {
@@ -20,26 +20,27 @@
 }
 
 impl Members {
-    /// How many voters make a majority.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Every replica that receives the log.
+    /// All replicas that receive the log: voters and learners.
     pub fn all(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.voters.union(&self.learners).copied()
     }
 }
 
-/// What a log entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Payload {
-    /// Opening entry of a leader's term; commits what earlier terms left behind.
+    /// First entry of a leader's term; committing it commits the entries of earlier
+    /// terms.
     Noop,
-    /// A command of the state machine, opaque here.
+    /// A command for the state machine, opaque here.
     Command(Vec<u8>),
-    /// New membership; in effect from the moment it is in the log.
+    /// New membership; in effect as soon as it is in the log, committed or not.
     Members(Members),
 }
 
@@ -47,21 +48,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that created it.
     pub term: Epoch,
-    /// Place in the log, from 1.
+    /// Position in the log, from 1.
     pub index: u64,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
-/// What must be synced besides entries before a promise leaves the replica.
+/// Term and vote, which must be synced before a reply that depends on them is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term seen.
+    /// Highest term that this replica has entered.
     pub term: Epoch,
-    /// Whom this replica voted for in that term.
+    /// Candidate that this replica voted for in that term, if any.
     pub vote: Option<ReplicaId>,
 }
 
@@ -73,13 +74,13 @@
     pub index: u64,
     /// Its term.
     pub term: Epoch,
-    /// Membership after it.
+    /// Membership in effect at `index`.
     pub members: Members,
     /// The state machine, opaque here.
     pub data: Vec<u8>,
 }
 
-/// What a replica finds in its data folder at start.
+/// The stored state that a replica starts from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Durable {
     /// Last synced term and vote.
@@ -94,7 +95,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a vote would be granted, without raising anybody's term.
+    /// Asks whether a vote would be granted, without raising any replica's term.
     PreVote {
         /// Term that the sender would campaign in.
         term: Epoch,
@@ -105,13 +106,13 @@
     },
     /// Answer to [`Message::PreVote`].
     PreVoteReply {
-        /// Term that was asked about if granted, else the voter's own term, so that a
-        /// replica that slept through elections catches up on terms.
+        /// The requested term if granted, else the voter's own term, so that a replica
+        /// that missed elections learns the current term.
         term: Epoch,
         /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// Term that the sender campaigns in.
         term: Epoch,
@@ -124,182 +125,185 @@
     VoteReply {
         /// The voter's term.
         term: Epoch,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
     /// Entries, or a heartbeat if there are none.
     Append {
         /// The leader's term.
         term: Epoch,
-        /// Entry before the first one sent.
+        /// Index of the entry before the first one sent.
         prev_index: u64,
         /// Its term.
         prev_term: Epoch,
-        /// The entries.
+        /// Consecutive entries that start at `prev_index + 1`.
         entries: Vec<Entry>,
-        /// How far the leader knows the log to be committed.
+        /// The leader's commit index.
         commit: u64,
-        /// Number of this heartbeat round; the reply carries it back for the lease.
+        /// Current heartbeat round; echoed in the reply, from which the leader
+        /// computes its lease.
         round: u64,
     },
     /// Answer to [`Message::Append`], sent once the entries are synced.
     AppendReply {
         /// The follower's term.
         term: Epoch,
-        /// Last entry known to match the leader's log, or where to try next.
+        /// If `success`, the last index that matches the leader's log; else the index
+        /// after which the leader should try next.
         index: u64,
-        /// Whether the entries fitted.
+        /// Whether the log matched at `prev_index`.
         success: bool,
-        /// Round of the message answered.
+        /// `round` of the message that this answers.
         round: u64,
     },
-    /// A whole snapshot, for a follower behind the leader's log.
+    /// A snapshot, for a follower that needs entries that the leader has discarded.
     Install {
         /// The leader's term.
         term: Epoch,
         /// The snapshot.
         snapshot: Snapshot,
-        /// Round, as in [`Message::Append`].
+        /// As in [`Message::Append`].
         round: u64,
     },
 }
 
-/// What happened.
+/// Input to [`Replica::step`](crate::Replica::step).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed. Sent at least every quarter heartbeat.
+    /// Time has passed. The owner sends this at least every quarter of a heartbeat
+    /// period.
     Tick,
-    /// A message came in.
+    /// A message arrived.
     Received {
-        /// Who sent it.
+        /// The sender.
         from: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// The owner wants a command in the log.
+    /// The owner proposes an entry for the log.
     Propose {
-        /// Comes back in [`Action::Proposed`].
+        /// Returned in [`Action::Proposed`].
         token: Token,
-        /// What to put into the log.
+        /// Content of the entry.
         proposal: Proposal,
     },
-    /// The owner wants to answer from its state machine.
+    /// The owner requests a linearizable read of its state machine.
     Read {
-        /// Comes back in [`Action::ReadReady`] or [`Action::ReadRefused`].
+        /// Returned in [`Action::ReadReady`] or [`Action::ReadRefused`].
         token: Token,
     },
-    /// The [`Persist`] of this sequence number, and all before it, are synced.
+    /// The [`Persist`] with this sequence number and all earlier ones are synced.
     Persisted {
         /// Its sequence number.
         seq: u64,
     },
-    /// The owner's state machine stands at `index` as `data`; older entries may go.
+    /// The owner has encoded its state machine as of `index`; entries up to there may
+    /// be discarded.
     SnapshotTaken {
         /// Last entry included.
         index: u64,
-        /// The state machine, opaque here.
+        /// The encoded state machine, opaque here.
         data: Vec<u8>,
     },
 }
 
-/// What may be proposed.
+/// Content of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Proposal {
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command(Vec<u8>),
-    /// A new replica that is to receive the log.
+    /// Adds a replica as a learner.
     AddLearner(ReplicaId),
-    /// A learner that has caught up is to vote.
+    /// Makes a learner that has caught up a voter.
     Promote(ReplicaId),
-    /// A replica is to leave.
+    /// Removes a voter or learner.
     Remove(ReplicaId),
 }
 
-/// Why a proposal did not enter the log, or may not have stayed in it.
+/// Why a proposal was rejected, or why its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProposeError {
-    /// This replica holds no valid lease; nothing entered the log.
+    /// This replica holds no valid lease; nothing was appended.
     NotLeader {
-        /// The leader as far as known.
+        /// The current leader, if another replica is known to lead.
         leader: Option<ReplicaId>,
     },
-    /// A membership change is under way, or this one breaks a rule, or it would leave
-    /// no majority of voters that answer; nothing entered the log.
+    /// Another membership change is not committed yet, or this one changes nothing or
+    /// would leave no majority of responsive voters; nothing was appended.
     MembershipRefused,
-    /// The learner's log is too far behind to vote; nothing entered the log.
+    /// The learner's log is too far behind for it to vote; nothing was appended.
     LearnerBehind,
-    /// Too much is waiting for a majority already; nothing entered the log.
+    /// The limit on uncommitted bytes is reached; nothing was appended.
     Overloaded,
-    /// Leadership was lost with the entry in the log: it may yet be committed.
+    /// Leadership was lost after the entry was appended: it may yet be committed.
     OutcomeUnknown,
 }
 
-/// What has to be synced, in the order of `seq`.
+/// Changes to write and sync, in the order of `seq`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Persist {
     /// Number to report back in [`Event::Persisted`].
     pub seq: u64,
     /// New term and vote, if changed.
     pub hard_state: Option<HardState>,
-    /// New snapshot; entries up to its index may go. Unless the stored entry at its
-    /// index has its term, all stored entries go. Written before `entries`.
+    /// New snapshot, written before `entries`. If the stored entry at its index has its
+    /// term, entries up to that index may be discarded; else all stored entries must be.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append; any entry already stored at or after the first one's index goes.
+    /// Entries to append; they replace all stored entries from the first one's index on.
     pub entries: Vec<Entry>,
 }
 
-/// What to do next.
+/// Output of [`Replica::step`](crate::Replica::step), to be performed by the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// The recipient.
         to: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Sync this, then report [`Event::Persisted`].
+    /// Write and sync this, then report [`Event::Persisted`].
     Persist(Persist),
-    /// These entries are committed; apply them in order.
+    /// Apply these committed entries in order.
     Apply(Vec<Entry>),
-    /// Replace the state machine by this committed snapshot.
+    /// Replace the state machine with this committed snapshot.
     Restore(Snapshot),
-    /// The proposal is committed at `index` and was handed to [`Action::Apply`], or failed.
+    /// A proposal was committed and passed to [`Action::Apply`], or it failed.
     Proposed {
         /// Token of the proposal.
         token: Token,
-        /// Index of the committed entry.
+        /// Index of the committed entry, or why it failed.
         result: Result<u64, ProposeError>,
     },
-    /// The state machine, as applied so far, may be answered from at this moment.
+    /// The read may be served now from the state machine as applied so far.
     ReadReady {
         /// Token of the read.
         token: Token,
     },
-    /// This replica can't prove that it leads.
+    /// The read was rejected: this replica can't prove that it is the leader.
     ReadRefused {
         /// Token of the read.
         token: Token,
-        /// The leader as far as known.
+        /// The current leader, if another replica is known to lead.
         leader: Option<ReplicaId>,
     },
-    /// Enough entries are applied that a snapshot is due; answer with
-    /// [`Event::SnapshotTaken`] at any later time.
+    /// Take a snapshot and report it with [`Event::SnapshotTaken`] at any later time.
     TakeSnapshot,
 }
 
-/// What a replica takes itself for.
+/// Role of a replica, by its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Receives the log; no vote.
     Learner,
-    /// Follows a leader, or waits for one.
+    /// A voter that follows a leader or waits for one.
     Follower,
-    /// Asks whether it would get votes.
+    /// Asks the voters whether they would grant their votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads, for as long as its lease is valid.
+    /// Won an election. It may serve reads and proposals only while its lease is valid.
     Leader,
 }
 
@@ -312,9 +316,9 @@
     pub role: Role,
     /// Its term.
     pub term: Epoch,
-    /// The leader as far as known.
+    /// The leader of its term, if it knows one; may be itself.
     pub leader: Option<ReplicaId>,
-    /// Whether it is leader with a valid lease at this moment.
+    /// Whether it is a leader that may serve reads at this moment.
     pub holds_lease: bool,
     /// Last entry in its log.
     pub last_index: u64,
@@ -322,6 +326,6 @@
     pub commit: u64,
     /// Membership in effect.
     pub members: Members,
-    /// For a leader: last matching index of each other replica.
+    /// On a leader, the last matching index of each other replica; else empty.
     pub progress: Vec<(ReplicaId, u64)>,
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,8 +1,8 @@
-//! Times and bounds of a replica.
+//! Configuration of a replica.
 
 use std::time::Duration;
 
-/// Times and bounds of a replica.
+/// Timing and limits of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     pub(crate) heartbeat: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl Config {
-    /// Starts from the defaults that each method names.
+    /// Returns a builder with the defaults that its methods document.
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             cfg: Self {
@@ -53,35 +53,36 @@
         self
     }
 
-    /// Shortest silence of a leader after which a replica asks for votes, and the time
-    /// for which it refuses its own vote after it heard from a leader or started. A
-    /// try that fails is repeated after half of it, which two round trips have to fit
-    /// in. Default 800 ms.
+    /// Minimum time without a message from the leader before a replica starts an
+    /// election, and the time for which it grants no vote after a leader's message or
+    /// after its start. A failed election is retried after half of it, which must cover
+    /// two round trips. Default 800 ms.
     #[must_use]
     pub fn election_timeout(mut self, timeout: Duration) -> Self {
         self.cfg.election_timeout = timeout;
         self
     }
 
-    /// Most that is added at random to the silence before a replica asks for votes, so
-    /// that two replicas seldom ask at once. Default: half of the election timeout.
+    /// Maximum random addition to the time before an election, so that two replicas
+    /// seldom start one at once. Default: half of the election timeout.
     #[must_use]
     pub fn election_jitter(mut self, jitter: Duration) -> Self {
         self.jitter = Some(jitter);
         self
     }
 
-    /// How long a majority's answers to a heartbeat let a leader answer for the table,
-    /// counted from the moment the heartbeat was sent. Must be shorter than the
-    /// election timeout by more than clocks of two machines drift apart in that time;
-    /// [`Self::build`] cuts it to nine tenths of the election timeout. Default 700 ms.
+    /// Time for which a leader may serve reads and proposals after a majority has
+    /// acknowledged a heartbeat, counted from the moment the heartbeat was sent. Must be
+    /// shorter than the election timeout by more than two clocks drift apart in that
+    /// time; [`Self::build`] limits it to nine tenths of the election timeout.
+    /// Default 700 ms.
     #[must_use]
     pub fn lease(mut self, lease: Duration) -> Self {
         self.cfg.lease = lease;
         self
     }
 
-    /// Most bytes of entries in one message; a single larger entry still goes out.
+    /// Maximum bytes of entries in one message; a single larger entry is still sent.
     /// Default 256 KiB.
     #[must_use]
     pub fn max_batch_bytes(mut self, bytes: usize) -> Self {
@@ -89,38 +90,39 @@
         self
     }
 
-    /// Bytes of commands that may wait for a majority; a proposal beyond them is
-    /// refused, so that a leader whose followers are slow doesn't grow. Default 8 MiB.
+    /// Maximum bytes of uncommitted entries; further proposals are rejected, so that
+    /// slow followers don't make the leader's memory grow. A single larger proposal is
+    /// still accepted. Default 8 MiB.
     #[must_use]
     pub fn max_uncommitted_bytes(mut self, bytes: usize) -> Self {
         self.cfg.max_uncommitted_bytes = bytes;
         self
     }
 
-    /// Applied entries after which a snapshot is asked for. Default 1024.
+    /// Number of applied entries after which a snapshot is requested. Default 1024.
     #[must_use]
     pub fn snapshot_after(mut self, entries: u64) -> Self {
         self.cfg.snapshot_after = entries;
         self
     }
 
-    /// Bytes of applied entries after which a snapshot is asked for, if they are twice what
-    /// the last one takes. A newcomer has to take in the snapshot and what follows before it
-    /// votes, and disks and memory are small. Default 4 MiB.
+    /// Bytes of applied entries after which a snapshot is requested, provided they are also
+    /// twice the size of the last snapshot. A new replica has to receive the snapshot and all
+    /// later entries before it votes, and disks and memory are small. Default 4 MiB.
     #[must_use]
     pub fn snapshot_after_bytes(mut self, bytes: usize) -> Self {
         self.cfg.snapshot_after_bytes = bytes;
         self
     }
 
-    /// Seed of the random part of election timeouts. Default 0; daemons draw one.
+    /// Seed of the election jitter. Default 0; a daemon sets a random one.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.cfg.seed = seed;
         self
     }
 
-    /// Removes guards, for tests that prove that a checker notices.
+    /// Disables safety rules, for tests which prove that a checker detects it.
     #[doc(hidden)]
     #[must_use]
     pub fn guards(mut self, guards: Guards) -> Self {
@@ -128,7 +130,7 @@
         self
     }
 
-    /// The finished settings.
+    /// Returns the configuration, with the lease limited as [`Self::lease`] states.
     pub fn build(self) -> Config {
         let mut cfg = self.cfg;
         cfg.election_jitter = self.jitter.unwrap_or(cfg.election_timeout / 2);
@@ -137,21 +139,21 @@
     }
 }
 
-/// Rules that keep a replica safe. All hold by default; a test takes one away to
-/// prove that its checker would notice.
+/// Safety rules of the protocol. All are on by default; a test disables one to prove
+/// that its checker detects the violation.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Ask whether votes would be granted before raising the term. For availability
-    /// only; the explorer does without it to reach further.
+    /// Run a pre-vote before raising the term. For availability only; the explorer
+    /// disables it to reach further.
     pub pre_vote: bool,
-    /// Votes and acknowledgements leave only once they are synced.
+    /// Votes and acknowledgements are sent only after what they state is synced.
     pub sync_before_send: bool,
-    /// The lease counts from the moment the heartbeat was sent, not acknowledged.
+    /// The lease starts when the heartbeat is sent, not when it is acknowledged.
     pub lease_from_send: bool,
-    /// The lease is compared with the clock before each answer.
+    /// The lease is compared with the clock before each read or proposal.
     pub lease_expires: bool,
-    /// No vote while a leader was heard within the election timeout.
+    /// No vote within one election timeout of a leader's message.
     pub refuse_votes_while_leader_is_live: bool,
     /// No vote within one election timeout of a restart.
     pub wait_after_restart: bool,
@@ -159,11 +161,11 @@
     pub learners_do_not_count: bool,
     /// Only entries of the leader's own term are committed by counting replicas.
     pub commit_own_term_only: bool,
-    /// No read before the opening entry of the term is committed.
+    /// No read before the first entry of the leader's term is committed.
     pub noop_before_read: bool,
-    /// Votes go only to candidates whose log is at least as new.
+    /// Votes are granted only to candidates whose log is at least as up to date.
     pub compare_logs: bool,
-    /// No membership change before the last one is committed.
+    /// No membership change before the previous one is committed.
     pub one_change_at_a_time: bool,
 }
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,9 +1,9 @@
-//! How a leader is elected, and how it gives up.
+//! Elections, votes and stepping down.
 //!
 //! A replica first asks whether it would get votes (pre-vote), without raising its
-//! term: one that was cut off or suspended comes back without deposing a leader that
-//! the others still hear. A leader that hears no majority for an election timeout
-//! stops leading by itself (check-quorum).
+//! term, so that one that was partitioned or suspended does not depose a live leader on
+//! its return. A leader steps down if no majority acknowledges its heartbeats for an
+//! election timeout (check-quorum).
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,11 @@
 use crate::progress::Leadership;
 use crate::replica::{Replica, State};
 
-/// Term and index of a last entry: the order in which logs are newer.
+/// Term and index of a log's last entry; the greater one is the more up-to-date log.
 type LogEnd = (Epoch, u64);
 
 impl Replica {
-    /// Opens an election if this replica may be elected.
+    /// Starts a pre-vote if this replica is a voter.
     pub(crate) fn start_pre_vote(&mut self, now: Moment) {
         self.reset_retry_timer(now);
         self.leader = None;
@@ -39,6 +39,7 @@
         self.on_pre_vote_reply(now, self.id, self.term.next(), true);
     }
 
+    /// Enters the next term and requests votes in it.
     fn start_election(&mut self, now: Moment) {
         self.set_term(self.term.next());
         self.vote = Some(self.id);
@@ -74,15 +75,15 @@
             && self.is_new_enough(end)
             && !self.takes_precedence(from, end);
         if granted {
-            // Gives the other time to win, or both would ask for votes and neither win.
+            // Gives the other time to win; if both started an election, neither might win.
             self.reset_retry_timer(now);
         }
         let term = if granted { term } else { self.term };
         self.send(from, Message::PreVoteReply { term, granted });
     }
 
-    /// Whether this replica asks for votes itself and takes precedence: of two that ask
-    /// at once with equal logs only one goes on, so that they don't split the votes.
+    /// Whether this replica is a candidate too and takes precedence: of two concurrent ones
+    /// with equal logs, only the higher id continues, so that they don't split the votes.
     fn takes_precedence(&self, other: ReplicaId, end: LogEnd) -> bool {
         let asks = !matches!(self.state, State::Follower);
         asks && end == self.log_end() && self.id > other
@@ -112,11 +113,11 @@
         }
     }
 
-    /// A vote counts only where the candidate's newest membership has the voter, so a
-    /// learner may answer: it may have been promoted by an entry that it doesn't have.
+    /// Learners may vote too, as one may have been promoted by an entry that it doesn't
+    /// have yet. The candidate counts only votes of voters in its own newest membership.
     pub(crate) fn on_vote(&mut self, now: Moment, from: ReplicaId, term: Epoch, end: LogEnd) {
-        // Refusing without a look at the term keeps the lease of the leader that this
-        // replica answered: shows as two leaders that both answer, if it is left out.
+        // Ignoring the term while no vote may be granted keeps the lease of the leader that
+        // this replica acknowledged; else two leaders could both serve reads.
         if self.may_vote(now) {
             self.observe_term(now, term);
         }
@@ -168,7 +169,7 @@
         self.start_term(now);
     }
 
-    /// Follows the terms of others. A leader or candidate of an older term gives up.
+    /// Enters `term` if it is newer; a leader or candidate then steps down.
     pub(crate) fn observe_term(&mut self, now: Moment, term: Epoch) {
         if term <= self.term {
             return;
@@ -177,8 +178,8 @@
         self.step_down(now);
     }
 
-    /// Gives up whatever this replica was doing. Entries of proposals may live on in
-    /// the logs of others, so their outcome is unknown.
+    /// Becomes a follower. Uncommitted proposals may survive in the logs of others, so
+    /// their outcome is unknown.
     pub(crate) fn step_down(&mut self, now: Moment) {
         self.leader = None;
         let state = std::mem::replace(&mut self.state, State::Follower);
@@ -192,8 +193,9 @@
         }
     }
 
-    /// A leader that no majority answered within an election timeout stops leading,
-    /// so that its callers go elsewhere and a majority beyond its reach isn't refused.
+    /// Steps down if no majority has acknowledged a heartbeat of the last election timeout,
+    /// so that callers turn to another replica and this one no longer refuses its vote to a
+    /// majority that it can't reach.
     pub(crate) fn check_quorum(&mut self, now: Moment) {
         let State::Leader(leadership) = &self.state else {
             return;
@@ -206,6 +208,8 @@
         }
     }
 
+    /// Whether this replica may grant a vote: not while a lease may depend on an
+    /// acknowledgement that it sent, nor before it has a membership.
     fn may_vote(&self, now: Moment) -> bool {
         if self.log.members().voters.is_empty() {
             return false;
@@ -221,8 +225,8 @@
         counted >= self.log.members().majority()
     }
 
-    /// Whether a replica's vote counts. A learner's doesn't: it may not hold what is
-    /// committed yet, and a candidate that lacks it as well would win.
+    /// Whether a replica's vote counts. A learner's doesn't: it may lack committed entries
+    /// and elect a candidate that lacks them too.
     fn vote_counts(&self, id: ReplicaId) -> bool {
         let members = self.log.members();
         let learner = !self.cfg.guards.learners_do_not_count && members.learners.contains(&id);
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,11 +1,11 @@
-//! The follower: entries and snapshots from the leader.
+//! The follower: receives entries and snapshots from the leader.
 
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
 use crate::api::{Action, Entry, Message, Snapshot};
 use crate::replica::{Replica, State};
 
-/// Leader, its term and its heartbeat round.
+/// The sending leader, its term and its heartbeat round.
 type Sender = (ReplicaId, Epoch, u64);
 
 impl Replica {
@@ -23,7 +23,7 @@
         if !is_contiguous(prev_index, &entries) {
             return;
         }
-        // What is committed here is in the leader's log as well.
+        // Entries committed here are in the leader's log too.
         let matches = prev_index <= self.commit || self.log.term_at(prev_index) == Some(prev_term);
         if !matches {
             let hint = self.next_index_hint(prev_index);
@@ -39,7 +39,8 @@
         self.acknowledge(now, sender, matched, empty);
     }
 
-    /// Takes an entry over unless it is there. Entries at or below the commit index are.
+    /// Appends an entry unless the log already has it, replacing conflicting ones. Entries
+    /// up to the commit index are always present.
     fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
             return;
@@ -52,8 +53,8 @@
         self.log.push(entry);
     }
 
-    /// Says how far this log matches. A heartbeat is answered at once, with what is on
-    /// disk so far: a slow disk then delays commits, but doesn't cost the lease.
+    /// Replies that the log matches up to `matched`. A heartbeat is answered at once with
+    /// the synced part, so that a slow disk delays commits but doesn't expire the lease.
     fn acknowledge(&mut self, now: Moment, sender: Sender, matched: u64, heartbeat: bool) {
         let synced = self.sync.synced_index();
         if self.sync.hard_state_synced() && (heartbeat || matched <= synced) {
@@ -70,6 +71,7 @@
         self.reply(now, sender, matched, true);
     }
 
+    /// Replies once everything received so far is synced.
     fn reply(&mut self, now: Moment, (to, _, round): Sender, index: u64, success: bool) {
         let reply = Message::AppendReply {
             term: self.term,
@@ -80,8 +82,9 @@
         self.send_after_sync(now, to, reply);
     }
 
-    /// Where the leader should try next, after an entry that did not match: before the
-    /// whole run of that term, so that a long false tail costs one round trip a term.
+    /// The index after which the leader should try next if `prev_index` does not match. It
+    /// skips all entries of that term, so that a long conflicting tail costs one round trip
+    /// per term.
     fn next_index_hint(&self, prev_index: u64) -> u64 {
         if prev_index > self.log.last_index() {
             return self.log.last_index();
@@ -109,7 +112,8 @@
         self.acknowledge(now, sender, index, false);
     }
 
-    /// Accepts the sender as leader of its term, unless the term is over.
+    /// Follows the sender as leader of its term. Returns false if that term is outdated,
+    /// after a rejecting reply, or if this replica leads in it.
     fn accept_leader(&mut self, now: Moment, (from, term, round): Sender) -> bool {
         if term < self.term {
             let reply = Message::AppendReply {
@@ -128,8 +132,8 @@
         self.state = State::Follower;
         self.leader = Some(from);
         self.reset_election_timer(now);
-        // The leader may count a lease on the answer. Until it has run out, a vote for
-        // another would let two leaders answer at once.
+        // The leader's lease may depend on this replica's reply. A vote for another before
+        // it expires would let two leaders serve reads at once.
         if self.cfg.guards.refuse_votes_while_leader_is_live {
             let lease_may_last_until = now + self.cfg.election_timeout;
             self.no_vote_until = self.no_vote_until.max(lease_may_last_until);
@@ -138,7 +142,7 @@
     }
 }
 
-/// Whether the entries follow each other and `prev_index` without a gap.
+/// Whether `entries` continue `prev_index` without gaps.
 fn is_contiguous(prev_index: u64, entries: &[Entry]) -> bool {
     let expected = prev_index + 1..;
     entries.iter().zip(expected).all(|(e, i)| e.index == i)
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: entries to followers, commit index, lease.
+//! The leader: replication to followers, commit index and lease.
 
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
@@ -6,10 +6,10 @@
 use crate::progress::{Flow, MAX_BATCHES_IN_FLIGHT};
 use crate::replica::{Replica, State};
 
-/// Election timeouts after which a snapshot without an answer is sent again.
+/// Number of election timeouts after which an unacknowledged snapshot is resent.
 const INSTALL_RETRY_TIMEOUTS: u32 = 5;
 
-/// What to send to a follower next.
+/// What to send to a follower next. `Entries` may be empty: a heartbeat.
 enum Outgoing {
     Nothing,
     Entries(Vec<Entry>),
@@ -17,13 +17,14 @@
 }
 
 impl Replica {
-    /// Puts the opening entry of the term into the log and lets all know.
+    /// Appends the first entry of the term and sends it to all replicas.
     pub(crate) fn start_term(&mut self, now: Moment) {
         self.append(Payload::Noop);
         self.track_members();
         self.heartbeat(now);
     }
 
+    /// Starts a heartbeat round and sends to all replicas.
     pub(crate) fn heartbeat(&mut self, now: Moment) {
         let period = self.cfg.heartbeat;
         let State::Leader(leadership) = &mut self.state else {
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Sends what `to` lacks, as far as its flow allows. A heartbeat goes out in any
-    /// case: the lease hangs on its answer.
+    /// Sends missing entries or a snapshot to `to`, as far as its flow control allows. A
+    /// heartbeat is always sent, as the lease depends on its reply.
     fn send_append(&mut self, now: Moment, to: ReplicaId, heartbeat: bool) {
         let outgoing = self.next_outgoing(now, to, heartbeat);
         let term = self.term;
@@ -144,8 +145,8 @@
                 }
             }
             Outgoing::Entries(entries) => {
-                // Below the first entry still held, any known place serves to get an
-                // answer; the follower's reply tells whether it needs the snapshot.
+                // If `next` is no longer in memory, the oldest known index is sent instead;
+                // the follower's reply shows whether it needs the snapshot.
                 let prev_index = (peer.next - 1).max(self.log.base_index());
                 let prev_term = self.log.term_at(prev_index);
                 if let Some(last) = entries.last() {
@@ -235,7 +236,7 @@
         self.send_append(now, from, false);
     }
 
-    /// Commits what a majority of voters has on disk.
+    /// Commits the entries that a majority of voters has synced.
     pub(crate) fn advance_commit(&mut self, now: Moment) {
         let State::Leader(leadership) = &self.state else {
             return;
@@ -249,8 +250,8 @@
         if index <= self.commit || (self.cfg.guards.commit_own_term_only && !own_term) {
             return;
         }
-        // An entry of an earlier term on a majority can still be overwritten by a
-        // candidate with a newer last entry; one of this term on a majority can't.
+        // An entry of an earlier term can still be overwritten, even on a majority, by a
+        // leader whose last entry has a higher term; one of this term can't.
         let first = self.commit + 1;
         self.commit_to(index);
         self.complete_proposals(first, index);
@@ -282,17 +283,17 @@
         }
     }
 
-    /// A leader that removed itself leads until the change is committed.
+    /// Steps down a leader that has removed itself, once that change is committed.
     fn step_down_if_removed(&mut self, now: Moment) {
         if self.log.members_index() > self.commit {
             return;
         }
-        // The others would learn of the commit only from the next leader.
+        // Otherwise the others would learn of the commit only from the next leader.
         self.send_to_all(now, true);
         self.step_down(now);
     }
 
-    /// When the newest heartbeat was sent that a majority of voters has answered.
+    /// When the newest heartbeat that a majority of voters has acknowledged was sent.
     pub(crate) fn quorum_acked_sent_at(&self, now: Moment) -> Option<Moment> {
         let State::Leader(leadership) = &self.state else {
             return None;
@@ -306,7 +307,8 @@
         self.quorum_value(Some(now), acked_sent_at).flatten()
     }
 
-    /// The highest value that a majority of voters has reached.
+    /// The highest value that a majority of voters has reached. `own` counts only if this
+    /// replica is a voter.
     fn quorum_value<T: Ord>(&self, own: T, other: impl Fn(ReplicaId) -> T) -> Option<T> {
         let members = self.log.members();
         let mut own = Some(own);
@@ -323,7 +325,8 @@
         self.lease_end(now).is_some_and(|end| now < end)
     }
 
-    /// When the lease runs out, or has run out, unless no majority has answered yet.
+    /// End of the lease, possibly in the past; `None` if no majority has acknowledged a
+    /// heartbeat yet.
     pub(crate) fn lease_end(&self, now: Moment) -> Option<Moment> {
         let acked_sent_at = self.quorum_acked_sent_at(now)?;
         if !self.cfg.guards.lease_expires {
@@ -332,9 +335,9 @@
         Some(acked_sent_at + self.cfg.lease)
     }
 
-    /// Whether the state machine may be answered from: with a lease nobody else can
-    /// have committed anything, and with the opening entry committed this leader knows
-    /// all that was committed before its term.
+    /// Whether reads may be served from the state machine. Under a valid lease no other
+    /// replica can have committed anything, and once the first entry of the term is
+    /// committed, so is everything committed in earlier terms.
     pub(crate) fn can_serve_reads(&self, now: Moment) -> bool {
         let State::Leader(leadership) = &self.state else {
             return false;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,17 +1,18 @@
-//! The replicated log as a step function free of I/O.
+//! The replicated log as a state machine without I/O.
 //!
-//! A [`Replica`] is told what happened ([`Event`]) and at which moment, and says what
-//! to do next ([`Action`]). It owns no socket, file or clock, so the same code runs in
-//! the daemon, under a paused clock, under the exhaustive explorer and the fuzzer.
+//! [`Replica::step`] takes an [`Event`] and the current time and returns the
+//! [`Action`]s to perform. It owns no socket, file or clock, so the same code runs in
+//! the daemon, under a paused clock, in the exhaustive explorer and in the fuzzer.
 //!
 //! The protocol is Raft with pre-vote, check-quorum, a leader lease, learners and
-//! membership changes by one replica at a time; `docs/design/consensus.md` says why.
-//! The owner keeps three rules:
+//! membership changes by one replica at a time; `docs/design/consensus.md` gives the
+//! reasons. The owner of a replica must follow three rules:
 //!
-//! - Carry out the actions of a step in their order; [`Action::Apply`] before
-//!   [`Action::ReadReady`] is answered.
-//! - Report [`Event::Persisted`] only after the sync; if it fails, stop for good.
-//! - Give each replica identity to one data folder only, ever.
+//! - Perform the actions of a step in order, and finish [`Action::Apply`] before
+//!   answering an [`Action::ReadReady`] that follows it.
+//! - Report [`Event::Persisted`] only after the sync; if the sync fails, stop the
+//!   replica for good.
+//! - Never use a replica identity with more than one data folder.
 
 mod api;
 mod config;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,20 +1,20 @@
-//! The part of the log that a replica keeps in memory, and the memberships in it.
+//! The log in memory, and the memberships in it.
 //!
-//! Entries up to the snapshot may be gone from disk, but a few stay in memory, so that
-//! a follower that lags by a moment gets entries instead of the whole snapshot. What
-//! is committed is never cut: the follower skips entries at or below its commit index.
+//! Some entries that the snapshot covers stay in memory, so that a follower that is
+//! slightly behind receives entries instead of the snapshot. Committed entries are never
+//! truncated: a follower skips received entries up to its commit index.
 
 use filberthead_types::Epoch;
 
 use crate::api::{Entry, Members, Payload, Snapshot};
 
-/// Entries after `base`, without gaps.
+/// Entries after `base_index`, without gaps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Log {
     base_index: u64,
     base_term: Epoch,
     entries: Vec<Entry>,
-    /// Memberships by the index that brought them in; the first is the snapshot's.
+    /// Memberships with the index at which they took effect; the first is the snapshot's.
     members: Vec<(u64, Members)>,
 }
 
@@ -48,7 +48,7 @@
         self.entries.last().map_or(self.base_term, |e| e.term)
     }
 
-    /// Term of the entry at `index`, if that is still known.
+    /// Term of the entry at `index`, if it is in memory or the base.
     pub(crate) fn term_at(&self, index: u64) -> Option<Epoch> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -56,17 +56,17 @@
         self.position(index).map(|at| self.entries[at].term)
     }
 
-    /// Newest membership, committed or not: it is in effect once it is in the log.
+    /// The membership in effect: the newest in the log, committed or not.
     pub(crate) fn members(&self) -> &Members {
         &self.members[self.members.len() - 1].1
     }
 
-    /// Index of the entry that brought in [`Self::members`].
+    /// Index of the entry that set [`Self::members`].
     pub(crate) fn members_index(&self) -> u64 {
         self.members[self.members.len() - 1].0
     }
 
-    /// Membership in effect at `index`, which is at or after the snapshot.
+    /// Membership in effect at `index`, which must not be before the snapshot.
     pub(crate) fn members_at(&self, index: u64) -> &Members {
         let mut current = &self.members[0].1;
         for (at, members) in &self.members {
@@ -84,7 +84,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all after it.
     pub(crate) fn truncate(&mut self, index: u64) {
         if let Some(at) = self.position(index) {
             self.entries.truncate(at);
@@ -92,7 +92,7 @@
         self.members.retain(|(at, _)| *at < index);
     }
 
-    /// Entries from `from` to `to`, both included, as far as they are in memory.
+    /// The entries from `from` to `to`, both included, that are in memory.
     pub(crate) fn range(&self, from: u64, to: u64) -> &[Entry] {
         let start = from.saturating_sub(self.base_index + 1) as usize;
         let end = to.saturating_sub(self.base_index) as usize;
@@ -100,13 +100,13 @@
         &self.entries[start.min(end)..end]
     }
 
-    /// What entries from `from` to `to` take.
+    /// Approximate bytes of the entries from `from` to `to`.
     pub(crate) fn bytes(&self, from: u64, to: u64) -> usize {
         let entries = self.range(from, to).iter();
         entries.map(|entry| entry.payload.size()).sum()
     }
 
-    /// Entries from `from` on, up to `max_bytes`, but at least one.
+    /// Entries from `from` on, up to `max_bytes`; at least one if there is any.
     pub(crate) fn batch(&self, from: u64, max_bytes: usize) -> &[Entry] {
         let rest = self.range(from, self.last_index());
         let mut bytes = 0;
@@ -118,7 +118,7 @@
         &rest[..count.max(1).min(rest.len())]
     }
 
-    /// First index of the run of entries of one term that ends at `index`.
+    /// First index of the consecutive entries up to `index` that have its term.
     pub(crate) fn first_of_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut first = index;
@@ -128,8 +128,8 @@
         first
     }
 
-    /// Forgets entries up to `index`, after a snapshot there, but for the last `margin` as far
-    /// as they take no more than `margin_bytes`.
+    /// Discards entries up to `index`, where a snapshot was taken, except for the last
+    /// `retained_entries` of them within `retained_bytes`.
     pub(crate) fn compact(&mut self, index: u64, retained_entries: u64, retained_bytes: usize) {
         let members = self.members_at(index).clone();
         self.members.retain(|(at, _)| *at > index);
@@ -150,8 +150,8 @@
         self.entries.drain(..=at);
     }
 
-    /// Takes over a snapshot from the leader. What follows a matching entry stays.
-    /// Returns whether the log continued through the snapshot.
+    /// Installs a snapshot from the leader. Entries after it stay if the log matches at its
+    /// index; else the log is replaced. Returns whether it matched.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> bool {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.compact(snapshot.index, 0, 0);
@@ -161,6 +161,7 @@
         false
     }
 
+    /// Position of the entry at `index` in `entries`.
     fn position(&self, index: u64) -> Option<usize> {
         let at = index.checked_sub(self.base_index + 1)? as usize;
         (at < self.entries.len()).then_some(at)
@@ -168,7 +169,7 @@
 }
 
 impl Payload {
-    /// About how many bytes the payload takes in memory and in a message.
+    /// Approximate bytes of the payload in memory and in a message.
     pub(crate) fn size(&self) -> usize {
         const FIXED: usize = 16;
         match self {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,9 +1,9 @@
-//! Changes of membership, one replica at a time.
+//! Membership changes, one replica at a time.
 //!
-//! Two memberships that differ by one voter share a member in any two majorities, so
-//! no joint phase is needed as long as one change is committed before the next begins
-//! and the leader has committed an entry of its own term first: without that, two
-//! leaders could each commit by a majority that the other doesn't meet.
+//! Any majorities of two memberships that differ by one voter overlap, so joint
+//! consensus is not needed as long as each change is committed before the next begins,
+//! and the leader has committed an entry of its own term first. Otherwise two leaders
+//! could commit by majorities that don't overlap.
 
 use filberthead_types::{Moment, ReplicaId};
 
@@ -11,7 +11,7 @@
 use crate::replica::{Replica, State};
 
 impl Replica {
-    /// The membership that `change` leads to, if it may begin now.
+    /// Returns the membership that `change` results in, or why it can't begin now.
     pub(crate) fn members_after_change(
         &self,
         now: Moment,
@@ -47,9 +47,9 @@
         Ok(members)
     }
 
-    /// Whether a learner holds all that is committed, and answers. As a voter it then
-    /// stands in for a lost one: a second loss right after the repair loses nothing
-    /// and finds a majority.
+    /// Whether a learner holds all committed entries and is responsive. As a voter it then
+    /// fully replaces a lost one: if another is lost right after the repair, no entry is
+    /// lost and a majority remains.
     fn is_caught_up(&self, now: Moment, id: ReplicaId) -> bool {
         let State::Leader(leadership) = &self.state else {
             return false;
@@ -58,8 +58,8 @@
         matched >= self.commit && self.has_acked_recently(now, id)
     }
 
-    /// Whether the change would leave a majority of voters that answer now; without
-    /// one, it could never be committed nor taken back.
+    /// Whether a majority of `members` is responsive now; without one, the change could be
+    /// neither committed nor undone.
     fn has_active_majority(&self, now: Moment, members: &Members) -> bool {
         let active = members
             .voters
@@ -68,6 +68,7 @@
         !members.voters.is_empty() && active.count() >= members.majority()
     }
 
+    /// Whether `id` acknowledged a heartbeat sent within the last election timeout.
     fn has_acked_recently(&self, now: Moment, id: ReplicaId) -> bool {
         if id == self.id {
             return true;
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows about the other replicas.
+//! Replication progress of the followers, as tracked by the leader.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,33 +6,33 @@
 
 use crate::api::Token;
 
-/// Batches that may be on their way to one follower without an answer.
+/// Maximum unacknowledged batches of entries to one follower.
 pub(crate) const MAX_BATCHES_IN_FLIGHT: usize = 8;
 
-/// Heartbeat rounds whose sending time is kept; an answer to an older one is worth
-/// nothing, since a lease counted from it would have run out.
+/// Heartbeat rounds whose send time is kept. A reply to an older one is useless, since a
+/// lease counted from it would have expired.
 const MAX_ROUNDS: usize = 64;
 
-/// How entries go to a follower.
+/// How entries are sent to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Flow {
-    /// Where its log matches is not known; `sent` once entries were tried.
+    /// The last matching index is unknown; `sent` is set while a batch awaits its reply.
     Probe { sent: bool },
-    /// Its log matches; entries go out before the last ones are answered. Holds the
-    /// last index of each batch under way.
+    /// The log matches, so batches are pipelined. Holds the last index of each
+    /// unacknowledged batch.
     Stream(VecDeque<u64>),
-    /// It was sent the whole snapshot up to `index` at `sent_at`.
+    /// A snapshot up to `index` was sent at `sent_at`.
     Install { index: u64, sent_at: Moment },
 }
 
-/// State of one follower as the leader sees it.
+/// Replication state of one follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Progress {
-    /// Last entry known to be on its disk.
+    /// Last index known to match the leader's log and to be synced there.
     pub(crate) matched: u64,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub(crate) next: u64,
-    /// When the newest heartbeat that it answered was sent.
+    /// When the newest heartbeat that it acknowledged was sent; `None` before the first.
     pub(crate) acked_sent_at: Option<Moment>,
     pub(crate) flow: Flow,
 }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Its log holds all entries up to `index`, synced; `base` is the last entry that
-    /// this leader no longer has.
+    /// Records that the follower has synced all entries up to `index`. `base` is the last
+    /// index that the leader has discarded.
     pub(crate) fn accepted(&mut self, index: u64, base: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Its log does not match before `next`; it suggests to go on after `hint`.
+    /// Records that the follower's log does not match before `next`; `hint` is the index
+    /// after which it suggests to continue.
     pub(crate) fn rejected(&mut self, hint: u64) {
         if matches!(self.flow, Flow::Install { .. }) {
             return;
@@ -70,13 +71,13 @@
     }
 }
 
-/// State that only a leader has.
+/// State of a leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Leadership {
     pub(crate) peers: BTreeMap<ReplicaId, Progress>,
-    /// Opening entry of the term.
+    /// Index of the first entry of the term.
     pub(crate) noop_index: u64,
-    /// Proposals that wait for their entry to be committed, by its index.
+    /// Uncommitted proposals by the index of their entry.
     pub(crate) pending: BTreeMap<u64, Token>,
     pub(crate) uncommitted_bytes: usize,
     pub(crate) heartbeat_at: Moment,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Opens a heartbeat round: its messages leave at `now`.
+    /// Starts a heartbeat round whose messages are sent at `now`.
     pub(crate) fn start_round(&mut self, now: Moment) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
@@ -108,18 +109,19 @@
         }
     }
 
-    /// Number of the newest round, which every message carries.
+    /// Number of the newest round, carried by every message to a follower.
     pub(crate) fn round(&self) -> u64 {
         self.round
     }
 
-    /// When `round` was sent, if it is recent.
+    /// When `round` was sent, or `None` if it is too old.
     pub(crate) fn sent_at(&self, round: u64) -> Option<Moment> {
         let (_, sent_at) = self.rounds.iter().find(|(number, _)| *number == round)?;
         Some(*sent_at)
     }
 
-    /// Sets up a follower for each of `ids` and forgets all others.
+    /// Tracks exactly the followers `ids`. Existing ones keep their progress, new ones
+    /// start at `next`.
     pub(crate) fn track(&mut self, ids: impl Iterator<Item = ReplicaId>, next: u64) {
         let mut peers = BTreeMap::new();
         for id in ids {
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,16 +1,18 @@
-//! The replica: its state, and the one function through which time passes.
+//! The replica: its state and [`Replica::step`].
 //!
 //! # Invariants
 //!
-//! - At most one replica leads in a term: a vote is synced before it leaves.
-//! - What is committed stays: only a candidate whose log is at least as new as a
-//!   majority's wins, and a leader commits by counting only entries of its own term.
-//! - At most one replica holds a valid lease at any moment. The lease counts from the
-//!   moment a heartbeat was *sent*; whoever answered it refuses its vote for an
-//!   election timeout from a later moment, and a replica that restarts, having
-//!   forgotten what it answered, refuses for as long. The lease is the shorter.
-//! - A lease is compared with `now` at each answer, so a process that was suspended
-//!   doesn't answer by what it believed before.
+//! - At most one replica leads in a term: a vote is synced before it is sent.
+//! - Committed entries are never lost: a candidate wins only if its log is at least as up
+//!   to date as a majority's, and a leader commits only entries of its own term by
+//!   counting replicas.
+//! - At most one replica holds a valid lease at any moment. The lease starts when a
+//!   heartbeat is *sent*. A replica that acknowledges it grants no vote for an election
+//!   timeout from its receipt, which is later; a restarted replica has lost track of what
+//!   it acknowledged, and grants none for as long after its start. The lease is shorter
+//!   than the election timeout.
+//! - A lease is compared with `now` before each read or proposal, so a process that was
+//!   suspended doesn't act on an expired one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -27,7 +29,7 @@
 use crate::progress::Leadership;
 use crate::sync::{SendDecision, SyncTracker};
 
-/// A part of the snapshot interval for which entries stay in memory after a snapshot.
+/// Of `snapshot_after` entries, one in this many stays in memory after a snapshot.
 const RETAINED_ENTRIES_DIVISOR: u64 = 4;
 
 /// One replica of the log.
@@ -43,16 +45,20 @@
     pub(crate) state: State,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) sync: SyncTracker,
-    /// Until then this replica may be bound by what it answered to a leader.
+    /// Earliest moment to grant a vote: a leader's lease may depend on this replica until
+    /// then.
     pub(crate) no_vote_until: Moment,
-    /// When to ask for votes if no leader is heard.
+    /// When to start an election unless a leader's message arrives first.
     pub(crate) election_at: Moment,
+    /// Number of election jitters drawn so far; varies the seed of the next one.
     election_draws: u64,
+    /// Whether [`Action::TakeSnapshot`] was returned and awaits its event.
     snapshot_requested: bool,
+    /// Actions of the current step.
     actions: Vec<Action>,
 }
 
-/// What the replica is doing. Learners are followers that the membership names so.
+/// Election state. Learners are `Follower`s; candidates hold the votes granted so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
     Follower,
@@ -62,12 +68,12 @@
 }
 
 impl Replica {
-    /// Starts a replica from what its data folder holds. The owner's state machine
-    /// starts from `durable.snapshot`; entries after it come by [`Action::Apply`] once
-    /// they are known to be committed.
+    /// Starts a replica from its stored state. The owner's state machine starts from
+    /// `durable.snapshot`; later entries follow in [`Action::Apply`] once they are known to
+    /// be committed.
     ///
     /// With empty [`Members`](crate::Members) (a new data folder) it neither votes nor
-    /// campaigns and waits until a leader addresses it.
+    /// campaigns, but waits for a leader's message.
     pub fn new(id: ReplicaId, cfg: Config, durable: Durable, now: Moment) -> Self {
         let log = Log::new(&durable.snapshot, durable.entries);
         let mut replica = Self {
@@ -87,13 +93,13 @@
             log,
             cfg,
         };
-        // A snapshot or entry may have been synced just before the term that it names.
+        // A snapshot or entry may have been synced just before a crash, its term not yet.
         if replica.log.last_term() > replica.term {
             replica.set_term(replica.log.last_term());
         }
-        // Before it died it may have answered a heartbeat, and a leader may count its
-        // lease on that answer: voting at once could set up a second leader whose
-        // changes the first one doesn't see. The silence outlasts any such lease.
+        // Before its restart this replica may have acknowledged a heartbeat, and a leader's
+        // lease may depend on that: an immediate vote could elect a second leader whose
+        // changes the first one doesn't see. The wait outlasts any such lease.
         if replica.cfg.guards.wait_after_restart {
             replica.no_vote_until = now + replica.cfg.election_timeout;
         }
@@ -101,10 +107,10 @@
         replica
     }
 
-    /// Takes an event at `now` and says what to do next, in this order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
-    /// `now` must be read from the monotonic clock after the event came in: a process
-    /// that was suspended in between then answers by the clock of after.
+    /// `now` must be read from the monotonic clock after the event arrived, so that a
+    /// process that was suspended in between doesn't use a time from before that.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         self.check_quorum(now);
         match event {
@@ -119,7 +125,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// What this replica takes itself for at `now`.
+    /// The state of this replica at `now`, for operators.
     pub fn status(&self, now: Moment) -> Status {
         let progress = match &self.state {
             State::Leader(leadership) => leadership
@@ -142,8 +148,8 @@
         }
     }
 
-    /// End of the lease, while this replica holds one and may answer from its state
-    /// machine. For what is done on the strength of the lease without asking again.
+    /// End of the lease if this replica may serve reads, else `None`. For work that relies on
+    /// the lease without a [`Event::Read`] for each answer.
     pub fn lease_until(&self, now: Moment) -> Option<Moment> {
         self.lease_end(now).filter(|_| self.can_serve_reads(now))
     }
@@ -248,7 +254,7 @@
         self.sync.snapshot_changed();
     }
 
-    /// Moves the commit index up and hands over what is committed.
+    /// Raises the commit index and applies the newly committed entries.
     pub(crate) fn commit_to(&mut self, index: u64) {
         if index <= self.commit {
             return;
@@ -262,9 +268,8 @@
         }
     }
 
-    /// Whether so much was applied since the snapshot that a replica which begins with it
-    /// would be behind for long. Counted by bytes too: a few large commands take as long as
-    /// a thousand small ones.
+    /// Whether a replica that starts from the snapshot would need long to catch up. Counts
+    /// bytes as well as entries: a few large commands take as long as a thousand small ones.
     fn is_snapshot_due(&self) -> bool {
         let snapshot_index = self.snapshot.index;
         if self.commit - snapshot_index >= self.cfg.snapshot_after {
@@ -274,21 +279,21 @@
         self.log.bytes(snapshot_index + 1, self.commit) >= min_bytes
     }
 
-    /// Enters a newer term, in which this replica has not voted.
+    /// Enters a newer term and clears the vote.
     pub(crate) fn set_term(&mut self, term: Epoch) {
         self.term = term;
         self.vote = None;
         self.sync.term_changed();
     }
 
-    /// Draws the moment at which to ask for votes if no leader is heard until then.
+    /// Schedules an election in case no leader's message arrives until then.
     pub(crate) fn reset_election_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout;
         self.schedule_election(now, wait);
     }
 
-    /// Draws the moment at which to ask again if this try fails: with no leader to be
-    /// heard there is nothing to wait for but the answers.
+    /// Schedules the retry of a failed election. It is sooner than an election after a
+    /// leader's message, as only the replies of voters are awaited.
     pub(crate) fn reset_retry_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout / 2;
         self.schedule_election(now, wait);
@@ -309,7 +314,8 @@
         self.log.members().voters.contains(&self.id)
     }
 
-    /// The leader, if that is another replica: to itself this one must prove it.
+    /// The leader, if it is another replica: this one must prove its own leadership by its
+    /// lease.
     pub(crate) fn known_leader(&self) -> Option<ReplicaId> {
         self.leader.filter(|id| *id != self.id)
     }
@@ -322,8 +328,8 @@
         self.actions.push(action);
     }
 
-    /// Sends a message that others will count on, once all it speaks of is synced. A
-    /// promise to itself, its own vote, is counted only then as well.
+    /// Sends a reply once the state that it depends on is synced. This replica's vote for
+    /// itself, a message to itself, is counted only then as well.
     pub(crate) fn send_after_sync(&mut self, now: Moment, to: ReplicaId, message: Message) {
         if !self.cfg.guards.sync_before_send {
             self.deliver(now, to, message);
@@ -343,6 +349,7 @@
         }
     }
 
+    /// Adds the next [`Persist`] to the actions, if one is due.
     fn flush(&mut self) {
         let hard_state = HardState {
             term: self.term,
--- a/crates/consensus/src/sync.rs
+++ b/crates/consensus/src/sync.rs
@@ -1,18 +1,17 @@
-//! What has to reach the disk, and the promises that wait for it.
+//! Tracks unsynced state, and the replies that must wait until it is synced.
 //!
-//! One [`Persist`] is under way at a time; what comes up meanwhile is gathered and goes
-//! into the next one, so that many proposals share one sync. A promise (a granted vote,
-//! an acknowledgement of entries) is held back until the sync that covers it is
-//! reported. A replica that promised first and crashed would come back without the
-//! vote or entry that others already count on: two leaders in a term, or a committed
-//! entry that is gone.
+//! At most one [`Persist`] is in flight; later changes are collected into the next one,
+//! so that many proposals share one sync. A granted vote or an acknowledgement of
+//! entries is held back until the sync that covers it is reported. If it were sent
+//! first, a crash could lose a vote or entry that others already count on: two leaders
+//! in one term, or a lost committed entry.
 
 use filberthead_types::{Epoch, ReplicaId};
 
 use crate::api::{HardState, Message, Persist, Snapshot};
 use crate::log::Log;
 
-/// State on its way to the disk.
+/// Unsynced changes, the sync in flight, and the replies that wait for either.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SyncTracker {
     next_seq: u64,
@@ -39,7 +38,7 @@
     message: Message,
 }
 
-/// Whether a message may go out now or has to wait for the disk.
+/// Whether a message may be sent now or is held back until a sync.
 #[derive(Debug)]
 pub(crate) enum SendDecision {
     Now(Message),
@@ -47,7 +46,7 @@
 }
 
 impl SyncTracker {
-    /// All entries up to `last_index` were read from the disk.
+    /// Starts with all entries up to `last_index` synced.
     pub(crate) fn new(last_index: u64) -> Self {
         Self {
             synced_index: last_index,
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Last entry of the log that is known to be on disk.
+    /// Last index of the log that is known to be synced.
     pub(crate) fn synced_index(&self) -> u64 {
         self.synced_index
     }
@@ -64,8 +63,8 @@
         self.hard_state_dirty = true;
     }
 
-    /// Promises of an earlier term are dropped: the entries they speak of may be
-    /// overwritten before the sync that they wait for.
+    /// Drops held-back replies of the earlier term: the entries that they acknowledge may
+    /// be overwritten before the sync.
     pub(crate) fn term_changed(&mut self) {
         self.hard_state_dirty = true;
         self.pending_replies.clear();
@@ -79,30 +78,31 @@
         self.unsynced_from = Some(self.unsynced_from.map_or(index, |from| from.min(index)));
     }
 
-    /// Entries from `index` on were dropped from memory.
+    /// Entries from `index` on were removed from the log in memory.
     pub(crate) fn truncated(&mut self, index: u64) {
         self.synced_index = self.synced_index.min(index - 1);
     }
 
-    /// The whole log was replaced by a snapshot that isn't on disk yet.
+    /// The log was replaced by a snapshot that isn't synced yet.
     pub(crate) fn replaced(&mut self) {
         self.synced_index = 0;
         self.unsynced_from = None;
     }
 
-    /// Whether the newest term and vote are on disk.
+    /// Whether the current term and vote are synced.
     pub(crate) fn hard_state_synced(&self) -> bool {
         !self.hard_state_dirty && !self.in_flight.as_ref().is_some_and(|f| f.hard_state)
     }
 
-    /// Holds `message` back until all that is known now is on disk.
+    /// Holds `message` back until all changes made so far are synced; returns it if they
+    /// are.
     pub(crate) fn send_after_sync(&mut self, to: ReplicaId, message: Message) -> SendDecision {
         let seq = match &self.in_flight {
             _ if self.is_dirty() => self.next_seq,
             Some(in_flight) => in_flight.seq,
             None => return SendDecision::Now(message),
         };
-        // A later acknowledgement says all that an earlier one says.
+        // An acknowledgement supersedes earlier ones to the same leader.
         if matches!(message, Message::AppendReply { .. }) {
             self.pending_replies
                 .retain(|p| p.to != to || !matches!(p.message, Message::AppendReply { .. }));
@@ -111,7 +111,7 @@
         SendDecision::AfterSync
     }
 
-    /// The next thing to sync, unless one is under way or nothing changed.
+    /// The next changes to sync, unless a sync is in flight or nothing changed.
     pub(crate) fn next(
         &mut self,
         hard_state: HardState,
@@ -143,12 +143,12 @@
         Some(persist)
     }
 
-    /// The disk reports `seq`: returns the promises that may go out.
+    /// Records that `seq` is synced, and returns the replies that may be sent now.
     pub(crate) fn persisted(&mut self, seq: u64, log: &Log) -> Vec<(ReplicaId, Message)> {
         let Some(done) = self.in_flight.take_if(|f| f.seq <= seq) else {
             return Vec::new();
         };
-        // A newer leader may have overwritten these entries in memory meanwhile.
+        // A newer leader may have overwritten these entries in memory in the meantime.
         if log.term_at(done.last_index) == Some(done.last_term) {
             self.synced_index = self.synced_index.max(done.last_index);
         }
