--- a/crates/consensus/tests/all/cluster.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -1,6 +1,6 @@
-//! A cluster in memory: replicas, their disks, the messages between them, and the
-//! record against which every step is checked. It is a plain value, so that the
-//! explorer can keep and compare it.
+//! A simulated cluster: replicas, their disks, the messages between them, and the history
+//! against which every step is checked. It is a plain value that the explorer can clone
+//! and hash.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 };
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Envelope {
     pub(crate) from: ReplicaId,
@@ -19,7 +19,7 @@
     pub(crate) message: Message,
 }
 
-/// A replica with its disk and its state machine, which is the list of entries applied.
+/// A replica with its disk. Of its state machine only the applied index is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Node {
     pub(crate) replica: Option<Replica>,
@@ -28,7 +28,7 @@
     pub(crate) applied: u64,
 }
 
-/// A rule of the protocol that was broken.
+/// A violated rule of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Violation {
     TwoLeaders(Epoch),
@@ -38,13 +38,13 @@
     StaleAnswer,
 }
 
-/// What the cluster has promised so far.
+/// What the cluster has guaranteed so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
     pub(crate) leaders: BTreeMap<Epoch, ReplicaId>,
-    /// Entries that some replica applied.
+    /// Entries that any replica has applied.
     pub(crate) committed: BTreeMap<u64, Entry>,
-    /// Last index whose proposal was answered with success.
+    /// Highest index of a proposal reported as committed.
     pub(crate) accepted: u64,
     pub(crate) violation: Option<Violation>,
 }
@@ -66,7 +66,7 @@
     ReplicaId(n)
 }
 
-/// Membership of voters 1 to `n`.
+/// Membership with voters 1 to `n`.
 pub(crate) fn voters(n: u64) -> Members {
     Members {
         voters: (1..=n).map(id).collect(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a data folder of a new cluster holds.
+/// The stored state of a replica in a new cluster.
 pub(crate) fn bootstrap(members: Members) -> Durable {
     Durable {
         snapshot: Snapshot {
@@ -126,7 +126,7 @@
         node.replica = Some(Replica::new(id, cfg, node.disk.clone(), now));
     }
 
-    /// Stops a replica; what it had not reported as synced is on disk or not.
+    /// Stops a replica. Its unsynced changes are on disk afterwards if `synced`, else lost.
     pub(crate) fn crash(&mut self, id: ReplicaId, synced: bool) {
         let Some(node) = self.nodes.get_mut(&id).map(Rc::make_mut) else {
             return;
@@ -158,7 +158,7 @@
         self.step(id, Event::Tick);
     }
 
-    /// The disk of `id` finishes what it was given.
+    /// Completes the pending sync of `id`, if any.
     pub(crate) fn sync(&mut self, id: ReplicaId) {
         let Some(node) = self.nodes.get_mut(&id).map(Rc::make_mut) else {
             return;
@@ -187,7 +187,7 @@
         self.propose(id, Proposal::Command(vec![byte]))
     }
 
-    /// Whether `id` answers a read now.
+    /// Whether `id` serves a read now.
     pub(crate) fn read_is_served(&mut self, id: ReplicaId) -> bool {
         self.next_token += 1;
         let token = Token(self.next_token);
@@ -252,7 +252,7 @@
         self.history.violation.get_or_insert(violation);
     }
 
-    /// Checks what must hold in every state.
+    /// Checks the rules that must hold in every state.
     fn check(&mut self) {
         let mut leases = 0;
         let ids: Vec<_> = self.nodes.keys().copied().collect();
@@ -280,7 +280,7 @@
         if first != status.id {
             self.report_violation(Violation::TwoLeaders(status.term));
         }
-        // A leader of an older term need not know what a newer one committed.
+        // A leader of an older term may lack what a newer one committed.
         if self.history.leaders.keys().next_back() != Some(&status.term) {
             return;
         }
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Term of an entry in the log of `id`, synced or on its way to the disk; none if
-    /// it isn't known here, zero if the log ends before it.
+    /// Term of an entry in the log of `id`, synced or not: `None` if it is not among the
+    /// entries here (as when covered by a snapshot), zero if the log ends before it.
     fn term_at(&self, id: ReplicaId, index: u64) -> Option<Epoch> {
         let node = &self.nodes[&id];
         let last_index = self.status(id)?.last_index;
@@ -312,18 +312,20 @@
         Some(replica.status(self.now))
     }
 
-    /// The replica that may answer, if there is one.
+    /// The replica that holds the lease, if any.
     pub(crate) fn leader(&self) -> Option<ReplicaId> {
         let mut ids = self.nodes.keys().copied();
         ids.find(|id| self.status(*id).is_some_and(|s| s.holds_lease))
     }
 
-    /// Lets everything but the disks and messages of `stopped` go on for `ms`.
+    /// Advances by `ms` as [`Self::advance`] does, and asserts that no rule was violated.
     pub(crate) fn run_without(&mut self, ms: u64, stopped: &[ReplicaId]) {
         self.advance(ms, stopped);
         assert_eq!(self.history.violation, None);
     }
 
+    /// Runs the cluster for `ms`. The replicas `stopped` are suspended: they don't tick or
+    /// sync, and messages to them are held.
     pub(crate) fn advance(&mut self, ms: u64, stopped: &[ReplicaId]) {
         const STEP: u64 = 10;
         for _ in 0..ms / STEP {
@@ -345,7 +347,7 @@
         self.run_without(ms, &[]);
     }
 
-    /// Cuts `one` off from all others, both ways.
+    /// Cuts the links between `one` and all others, in both directions.
     pub(crate) fn isolate(&mut self, one: ReplicaId) {
         for other in self.nodes.keys().copied() {
             self.cut_links.insert((one, other));
@@ -359,7 +361,7 @@
     }
 }
 
-/// What a disk holds after a sync.
+/// Applies a [`Persist`] to a disk, as a sync does.
 pub(crate) fn apply_persist(disk: &mut Durable, persist: Persist) {
     if let Some(hard_state) = persist.hard_state {
         disk.hard_state = hard_state;
--- a/crates/consensus/tests/all/explore.rs
+++ b/crates/consensus/tests/all/explore.rs
@@ -1,9 +1,9 @@
-//! Exhaustive exploration of the step function: from a few beginnings, every order of
-//! messages (lost, late, twice, crossed), timers, syncs, crashes and proposals, to a
-//! stated depth. Time moves in whole seconds: heartbeat 1, lease 2, election timeout 3.
+//! Exhaustive exploration of the step function: from a few initial states, every order of
+//! messages (lost, late, duplicated, reordered), timers, syncs, crashes and proposals, to
+//! a given depth. Time advances in whole seconds: heartbeat 1, lease 2, election timeout 3.
 //!
-//! Each rule of the protocol is then taken away in turn, and the same exploration must
-//! find what breaks: a checker that can't fail proves nothing.
+//! Each safety rule is then disabled in turn, and the same exploration must find a
+//! violation: a checker that can't fail proves nothing.
 
 use std::cell::RefCell;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,10 +15,10 @@
 
 use crate::cluster::{Cluster, Violation, bootstrap, id, voters};
 
-/// Messages of one link that can still arrive; older ones are lost.
+/// Maximum messages in flight on one link; older ones are lost.
 const MAX_MESSAGES_PER_LINK: usize = 2;
 
-/// What the environment may still do.
+/// How often each kind of event may still occur.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(crate) struct Budget {
     pub(crate) seconds: u8,
@@ -44,16 +44,16 @@
     };
 }
 
-/// A beginning, what may happen after it, and how far to look.
+/// An initial state, the events allowed after it, and the depth of the exploration.
 pub(crate) struct Scenario {
     pub(crate) cluster: Cluster,
     pub(crate) budget: Budget,
     pub(crate) depth: u8,
-    /// Whether a wiped replica comes back under the identity that it had.
+    /// Whether a wiped replica returns under its old identity.
     pub(crate) wiped_keeps_identity: bool,
 }
 
-/// What happens next.
+/// One step from a state to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Transition {
     AdvanceSecond,
@@ -76,18 +76,18 @@
     trace: Option<Rc<TraceStep>>,
 }
 
-/// The way to a state, last move first.
+/// The transitions that led to a state, as a list from the last to the first.
 #[derive(Debug)]
 struct TraceStep {
     last: Transition,
     previous: Option<Rc<TraceStep>>,
 }
 
-/// A state by its digest of 64 bits: among a million states, two share one with a chance
-/// of one in thirty million. The state itself is dropped once its successors are known.
+/// A state, compared by a digest of 64 bits: the chance that any two of a million states
+/// share one is one in thirty million. The state is dropped once its successors are known.
 #[derive(Clone)]
 struct Node {
-    /// Of the cluster alone, without what may still happen to it.
+    /// Digest of the cluster without the budget.
     cluster_digest: u64,
     digest: u64,
     state: Rc<RefCell<Option<State>>>,
@@ -126,8 +126,8 @@
     }
 }
 
-/// Orders messages by link, so that states which differ only in the order of sending
-/// over different links are one, and loses the oldest of a link.
+/// Sorts messages by link, so that states which differ only in the order of messages on
+/// different links are equal, and drops the oldest ones of a link beyond the maximum.
 fn normalize_network(cluster: &mut Cluster) {
     cluster.net.sort_by_key(|e| (e.from, e.to));
     let net = std::mem::take(&mut cluster.net);
@@ -143,14 +143,14 @@
     (one.from, one.to) == (other.from, other.to)
 }
 
-/// What an exploration came to.
+/// The result of an exploration: the states visited, and a violation with its trace.
 #[derive(Debug)]
 pub(crate) struct Exploration {
     pub(crate) states: usize,
     pub(crate) violation: Option<(Violation, Vec<Transition>)>,
 }
 
-/// Looks at every state of the scene, nearest first, until a rule is broken.
+/// Visits the states of a scenario in breadth-first order until a rule is violated.
 pub(crate) fn explore(scenario: Scenario) -> Exploration {
     let depth = scenario.depth;
     let wiped_keeps_identity = scenario.wiped_keeps_identity;
@@ -182,7 +182,7 @@
 }
 
 impl State {
-    /// Moves that change nothing are left out: they only spend the budget.
+    /// Omits transitions that leave the cluster unchanged, as they only spend the budget.
     fn successors(&self, cluster_digest: u64, wiped_keeps_identity: bool) -> Vec<Node> {
         let next = |transition: Transition| self.after(transition, wiped_keeps_identity);
         let nodes = self.transitions().into_iter().filter_map(next);
@@ -224,7 +224,7 @@
         transitions
     }
 
-    /// The state after a move, if the budget allows it.
+    /// The state after a transition, if the budget allows it.
     fn after(&self, transition: Transition, wiped_keeps_identity: bool) -> Option<Node> {
         let budget = self.budget.spend(transition, &self.cluster)?;
         let mut cluster = self.cluster.clone();
@@ -298,7 +298,8 @@
     syncs(cluster) > syncs(previous)
 }
 
-/// Finishes syncs that this move began; one that was left unsynced before stays so.
+/// Completes the syncs that this transition started; one that was pending before it stays
+/// pending.
 fn finish_new_syncs(cluster: &mut Cluster, previous: &Cluster) {
     let ids: Vec<_> = cluster.nodes.keys().copied().collect();
     for id in ids {
@@ -312,8 +313,8 @@
     }
 }
 
-/// Wipes a disk. The replica comes back with what a new cluster begins with, as if its
-/// VM were set up again from the same settings.
+/// Wipes a disk. The replica returns with the initial state of a new cluster, as if its VM
+/// were set up again from the same settings.
 fn wipe(cluster: &mut Cluster, wiped: ReplicaId, wiped_keeps_identity: bool) {
     let members = voters(3);
     cluster.nodes.remove(&wiped);
@@ -325,7 +326,7 @@
     cluster.add(id, bootstrap(members));
 }
 
-/// Times in seconds, one entry a message, no random waits.
+/// Times in whole seconds, one entry per message, no jitter.
 pub(crate) fn config(guards: Guards) -> Config {
     let second = Moment::from_secs(1);
     Config::builder()
@@ -338,7 +339,7 @@
         .build()
 }
 
-/// All rules but the pre-vote, which is not for safety.
+/// All guards except the pre-vote, which is not for safety.
 pub(crate) fn all_safety_rules() -> Guards {
     Guards {
         pre_vote: false,
--- a/crates/consensus/tests/all/lease.rs
+++ b/crates/consensus/tests/all/lease.rs
@@ -1,4 +1,4 @@
-//! Who may answer for the table, and until when.
+//! Which replica may serve reads and proposals, and until when.
 
 use filberthead_consensus::{Config, Event, Message, ProposeError};
 use filberthead_types::{Epoch, Moment};
@@ -6,8 +6,8 @@
 use crate::cluster::{Cluster, id};
 use crate::replication::elected;
 
-/// A control VM is cut off without a signal and still believes that it leads. It must
-/// stop answering before the others can elect and accept changes.
+/// A control VM is partitioned without noticing and remains in the leader state. It must
+/// stop serving reads before the others can elect a leader and commit changes.
 #[test]
 fn isolated_leader_stops_serving_before_the_next_is_elected() {
     let (mut cluster, leader) = elected(3);
@@ -24,9 +24,9 @@
     assert!(cluster.leader().is_some_and(|next| next != leader));
 }
 
-/// A leader's process is suspended; meanwhile another is elected and accepts a change.
-/// It wakes with a read and a proposal in its queue, before any message of the others:
-/// an answer from its memory would show a table that is no longer in force.
+/// A leader's process is suspended while another is elected and commits a change. It
+/// resumes with a read and a proposal in its queue, ahead of any message from the others:
+/// serving them from memory would return a table that is no longer in force.
 #[test]
 fn resumed_leader_rejects_reads_and_proposals() {
     let (mut cluster, leader) = elected(3);
@@ -49,8 +49,8 @@
     assert_eq!(cluster.leader(), Some(next));
 }
 
-/// The leader's own disk hangs, the other two go on: a heartbeat needs no sync, so a
-/// slow disk delays a change but must not cost the lease.
+/// The disks hang while messages flow: a heartbeat needs no sync, so a slow disk delays a
+/// change but must not expire the lease.
 #[test]
 fn slow_disk_keeps_the_lease() {
     let (mut cluster, leader) = elected(3);
@@ -70,8 +70,8 @@
     assert!(cluster.proposed[&token].is_ok());
 }
 
-/// A replica answers a heartbeat, dies and comes back having forgotten that. A vote at
-/// once would let a second leader answer while the first one's lease still runs.
+/// A replica acknowledges a heartbeat, crashes and restarts without a record of it. An
+/// immediate vote could elect a second leader during the first one's lease.
 #[test]
 fn restarted_replica_waits_an_election_timeout_to_vote() {
     let mut cluster = Cluster::new(3, Config::builder().build());
@@ -98,8 +98,8 @@
     assert!(granted(&cluster));
 }
 
-/// A new leader holds what an earlier one committed, but doesn't know that yet: a read
-/// before its opening entry is committed could miss an accepted change.
+/// A new leader has the entries that an earlier one committed, but hasn't applied them
+/// yet: a read before the first entry of its term is committed could miss a change.
 #[test]
 fn no_read_before_the_noop_is_committed() {
     let (mut cluster, leader) = elected(3);
--- a/crates/consensus/tests/all/main.rs
+++ b/crates/consensus/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated log: cases, exhaustive exploration, random schedules.
+//! Tests of the replicated log: single cases, exhaustive exploration, random schedules.
 
 mod cluster;
 mod explore;
--- a/crates/consensus/tests/all/membership.rs
+++ b/crates/consensus/tests/all/membership.rs
@@ -1,4 +1,4 @@
-//! Replacing, adding and removing replicas.
+//! Adding, promoting, replacing and removing replicas.
 
 use filberthead_consensus::{Durable, Proposal, ProposeError, Role};
 
@@ -12,9 +12,9 @@
     cluster.proposed[&token]
 }
 
-/// A disk is wiped and its replica comes back under a new identity; right after the
-/// repair a second one is lost. Every accepted change must still be there, and the
-/// remaining two must go on accepting.
+/// A disk is wiped and its replica returns under a new identity; right after the repair a
+/// second replica is lost. No committed change may be lost, and the remaining two must
+/// still commit changes.
 #[test]
 fn accepted_changes_survive_a_second_loss_after_a_repair() {
     let (mut cluster, leader) = elected(3);
@@ -67,8 +67,8 @@
     assert!(cluster.proposed[&first].is_ok());
 }
 
-/// One of three is down and an operator removes the wrong one. The rest would be one
-/// running and one dead voter, which can decide nothing, not even to undo it.
+/// One of three is down and an operator removes the wrong one. One running and one dead
+/// voter would remain, which can commit nothing, not even the reversal.
 #[test]
 fn removal_that_leaves_no_majority_is_rejected() {
     let (mut cluster, leader) = elected(3);
@@ -84,8 +84,8 @@
     change(&mut cluster, Proposal::Remove(dead)).expect("removed");
 }
 
-/// The leader's own VM is retired: it must lead until the others have the change, then
-/// stop, and never ask for votes again.
+/// The leader's own VM is retired: the leader must lead until its removal is committed,
+/// then step down and never start an election again.
 #[test]
 fn removed_leader_steps_down() {
     let (mut cluster, leader) = elected(3);
--- a/crates/consensus/tests/all/random.rs
+++ b/crates/consensus/tests/all/random.rs
@@ -1,5 +1,6 @@
-//! Random schedules, far longer than the explorer can look: messages late, lost, twice
-//! and crossed, crashes, wiped disks, suspended replicas, membership changes, snapshots.
+//! Random schedules, far longer than the explorer can reach: messages late, lost,
+//! duplicated and reordered, crashes, wiped disks, suspended replicas, membership changes,
+//! snapshots.
 
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{Options, Rng};
@@ -13,15 +14,15 @@
 const SCHEDULES: u64 = 400;
 const STEPS: usize = 150;
 
-/// What happens next. Numbers choose among what there is at that moment.
+/// One step of a schedule. Numbers select a replica or message modulo those present.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
-    /// All goes well for some hundredths of a second.
+    /// Runs without faults for this many hundredths of a second.
     Run(u8),
-    /// All but one replica go on; it wakes with its messages waiting.
+    /// Suspends one replica while the others run; its messages are held.
     Suspend(u8, u8),
-    /// The clock moves on and nothing else happens.
+    /// Only advances the clock.
     AdvanceClock(u8),
     Tick(u8),
     Deliver(u8),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether a step is left out, so that faults which last don't end all progress.
+    /// Whether a step is skipped, so that lasting faults are rare enough to allow progress.
     fn is_skipped(step: &Step) -> bool {
         match step {
             Step::Wipe(n) => *n >= 20,
@@ -122,7 +123,7 @@
     }
 
     fn proposal_step(&mut self, step: Step) {
-        // Half of the proposals go to the leader, the others to whoever comes first.
+        // Half of the proposals go to the leader, the others to the replica selected by `n`.
         let (Step::Command(n) | Step::AddLearner(n) | Step::Promote(n) | Step::Remove(n)) = step
         else {
             return;
@@ -155,7 +156,7 @@
         ids.nth(at).copied().unwrap_or_default()
     }
 
-    /// Ends all faults. Unless disks were lost, the cluster must accept changes again.
+    /// Ends all faults. Unless disks were lost, the cluster must commit changes again.
     fn recover(&mut self) {
         self.cluster.heal();
         self.restart_all();
@@ -167,8 +168,8 @@
     }
 }
 
-/// Runs the schedule of a seed. bolero's own loop draws new seeds in each run, and a
-/// test is to give the same verdict in every one.
+/// Runs the schedule of a seed. bolero's own loop uses new seeds in each run, but a test
+/// must be reproducible.
 fn run_schedule(seed: u64, guards: Guards, allowed: fn(&Step) -> bool) -> Schedule {
     let options = Options::default().with_max_len(1 << 16);
     let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
@@ -207,8 +208,8 @@
     matches!(entry.payload, filberthead_consensus::Payload::Members(_))
 }
 
-/// However bad it was, once faults end the cluster accepts changes again. Disks that
-/// were lost, or members that were removed, may have taken the majority with them.
+/// Once faults end, the cluster commits changes again. Wipes and removals are excluded, as
+/// they may leave no majority.
 #[test]
 fn cluster_recovers_when_faults_end() {
     let keeps_majority = |step: &Step| !matches!(step, Step::Wipe(_) | Step::Remove(_));
@@ -219,7 +220,7 @@
     }
 }
 
-/// Without a rule, one of the schedules must break a promise. The explorer does this for
+/// With one rule disabled, a schedule must violate a rule. The explorer tests this for
 /// every rule; here a few show that the schedules reach far enough.
 #[track_caller]
 fn assert_violates(remove: fn(&mut Guards)) -> (u64, Violation) {
--- a/crates/consensus/tests/all/replication.rs
+++ b/crates/consensus/tests/all/replication.rs
@@ -5,7 +5,7 @@
 
 use crate::cluster::{Cluster, id};
 
-/// A cluster of `n` that has elected a leader, and that leader.
+/// A cluster of `n` voters with its elected leader.
 pub(crate) fn elected(n: u64) -> (Cluster, ReplicaId) {
     elected_with(n, Config::builder().build())
 }
@@ -54,8 +54,8 @@
     assert!(!cluster.read_is_served(follower));
 }
 
-/// Many operators edit at once while the disk is slow: what comes in during a sync must
-/// share the next one, or the log falls behind by one sync a change.
+/// Many operators edit at once while the disk is slow: proposals that arrive during a sync
+/// must share the next one, or each change would wait for a sync of its own.
 #[test]
 fn proposals_share_a_sync() {
     let (mut cluster, leader) = elected(3);
@@ -71,8 +71,8 @@
     assert_eq!(cluster.proposed.values().filter(|r| r.is_ok()).count(), 50);
 }
 
-/// A change is accepted, then the whole site loses power. After the restart it must
-/// still be there, although every replica forgot how far the log was committed.
+/// A change is committed, then all replicas lose power. It must survive the restart,
+/// although the commit index isn't stored.
 #[test]
 fn accepted_change_survives_a_restart_of_all() {
     let (mut cluster, leader) = elected(3);
@@ -91,8 +91,8 @@
     assert!(cluster.nodes[&leader].applied > index);
 }
 
-/// A leader dies with entries that nobody else has. When it comes back, its tail must
-/// give way to what the others accepted meanwhile.
+/// A leader is isolated with entries that no other replica has. When it returns, they must
+/// be overwritten by what the others have committed.
 #[test]
 fn uncommitted_tail_is_overwritten() {
     let (mut cluster, leader) = elected(3);
@@ -118,8 +118,8 @@
     assert!(!commands.contains(&&Payload::Command(vec![1])));
 }
 
-/// A replica sleeps through so many changes that the leader's log no longer reaches
-/// back: it must get the snapshot, and then go on with entries.
+/// A replica is down for so many changes that the leader has discarded the entries it
+/// needs: it must receive the snapshot, and entries after it.
 #[test]
 fn follower_behind_the_log_receives_a_snapshot() {
     let cfg = Config::builder().snapshot_after(8).build();
@@ -141,10 +141,11 @@
     assert!(cluster.nodes[&follower].disk.snapshot.index > 40);
 }
 
-/// Operators change a configuration of 480 kB many times. Only entries were counted, and the
-/// log was never cut: a replica with an empty disk was sent each of the changes since the
-/// beginning, six a second. It was still learning 20 s later, when two more disks were lost
-/// and nobody could lead: "table restored from a snapshot" index 1, then revisions 18 to 53.
+/// Operators change a configuration of 480 kB many times. If a snapshot is due by the number
+/// of entries alone, the log isn't compacted: a replica with an empty disk receives every
+/// change since the first, six per second. It restored a snapshot at index 1 and was still
+/// applying revisions 18 to 53 one by one 20 s later, when two more disks were lost and no
+/// leader could be elected.
 #[test]
 fn log_of_large_commands_is_compacted() {
     const LARGE: usize = 480 * 1024;
@@ -168,8 +169,8 @@
     );
 }
 
-/// A message of entries is lost, and nothing new is proposed: the next heartbeat must
-/// show it, or the follower would lag until the next change.
+/// A message with entries is lost, and nothing more is proposed: the next heartbeat must
+/// detect it, or the follower would lag until the next change.
 #[test]
 fn lost_entries_are_resent() {
     let (mut cluster, leader) = elected(3);
@@ -180,8 +181,8 @@
     assert!(cluster.nodes.values().all(|node| node.applied == index));
 }
 
-/// Two members cut off from each other, but not from the third, must not depose its
-/// leader again and again.
+/// A voter that receives nothing from the leader, while all other links work, must not
+/// depose the leader again and again.
 #[test]
 fn partially_partitioned_replica_does_not_depose_the_leader() {
     let (mut cluster, leader) = elected(3);
@@ -195,7 +196,7 @@
     assert_eq!(cluster.status(leader).expect("running").term, term);
 }
 
-/// A command that nobody answers for must not make the leader's memory grow.
+/// Commands that no follower acknowledges must not make the leader's memory grow.
 #[test]
 fn proposals_beyond_the_limit_are_rejected() {
     let cfg = Config::builder().max_uncommitted_bytes(100).build();
@@ -213,8 +214,8 @@
     assert!(cluster.proposed[&token].is_ok());
 }
 
-/// A vote leaves only after it is synced: a replica that voted, crashed and forgot
-/// would vote again, and two leaders would share a term.
+/// A vote is sent only after it is synced: a replica that lost its vote in a crash could
+/// vote again, and elect a second leader in the same term.
 #[test]
 fn vote_waits_for_the_sync() {
     let mut cluster = Cluster::new(3, Config::builder().build());
@@ -232,8 +233,8 @@
     assert_eq!(cluster.nodes[&id(1)].disk.hard_state.vote, Some(id(2)));
 }
 
-/// An empty data folder knows no cluster: a vote from it would count a replica whose
-/// earlier promises are lost.
+/// An empty data folder has no membership: a vote from it would count a replica whose
+/// earlier votes and acknowledgements are lost.
 #[test]
 fn empty_replica_neither_votes_nor_campaigns() {
     let mut cluster = Cluster::new(3, Config::builder().build());
--- a/crates/consensus/tests/all/safety_rules.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -1,4 +1,4 @@
-//! Beginnings for the explorer, with and without each rule.
+//! Explores scenarios with all safety rules, and with each one disabled in turn.
 
 use filberthead_consensus::{Durable, Entry, Guards, HardState, Payload, Proposal};
 use filberthead_types::{Epoch, Moment, ReplicaId};
@@ -6,7 +6,8 @@
 use crate::cluster::{Cluster, Violation, bootstrap, id, voters};
 use crate::explore::{Budget, Scenario, all_safety_rules, config, explore};
 
-/// Delivers and syncs until nothing is under way; messages of `cut` are lost.
+/// Delivers and syncs until nothing is in flight; messages from and to `unreachable` are
+/// lost.
 fn deliver_and_sync_all(cluster: &mut Cluster, unreachable: &[u64]) {
     let is_unreachable = |id: &ReplicaId| unreachable.contains(&id.0);
     loop {
@@ -23,21 +24,21 @@
     }
 }
 
-/// Lets `leader` send a heartbeat a second later.
+/// Advances one second and has `leader` send a heartbeat.
 fn heartbeat(cluster: &mut Cluster, leader: u64, unreachable: &[u64]) {
     cluster.now += Moment::from_secs(1);
     cluster.tick(id(leader));
     deliver_and_sync_all(cluster, unreachable);
 }
 
-/// Three new replicas that may vote by now.
+/// Three new replicas, with their initial no-vote period over.
 fn three_replicas(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(3, config(guards));
     cluster.now = Moment::from_secs(3);
     cluster
 }
 
-/// 1 asks for votes; only 2 can hear it.
+/// 1 has requested votes; the request to 3 is lost.
 fn vote_requested(guards: Guards) -> Cluster {
     let mut cluster = three_replicas(guards);
     cluster.tick(id(1));
@@ -46,7 +47,7 @@
     cluster
 }
 
-/// 1 leads, all have its opening entry; 3 has missed the last heartbeat.
+/// 1 leads, all have the first entry of its term; 3 has missed the last heartbeat.
 fn leader_elected(guards: Guards) -> Cluster {
     let mut cluster = three_replicas(guards);
     cluster.tick(id(1));
@@ -56,7 +57,7 @@
     cluster
 }
 
-/// 1 leads; a command is accepted that only 1 and 2 have.
+/// 1 leads; a command is committed that only 1 and 2 have.
 fn follower_lagging(guards: Guards) -> Cluster {
     let mut cluster = leader_elected(guards);
     cluster.command(id(1), 9);
@@ -65,7 +66,7 @@
     cluster
 }
 
-/// 1 leads; 3 has answered its last heartbeat, the answer of 2 is still under way.
+/// 1 leads; 3 has acknowledged its last heartbeat, and the reply of 2 is in flight.
 fn reply_in_flight(guards: Guards) -> Cluster {
     let mut cluster = leader_elected(guards);
     cluster.now += Moment::from_secs(1);
@@ -78,7 +79,7 @@
     cluster
 }
 
-/// 1 leads; 4 is a learner and holds only the beginning; a command is accepted that
+/// 1 leads; 4 is a learner that holds only the first snapshot; a command is committed that
 /// only 1 and 2 have.
 fn learner_added(guards: Guards) -> Cluster {
     let mut cluster = leader_elected(guards);
@@ -94,8 +95,8 @@
     cluster
 }
 
-/// 1 and 3 each led once and have an entry that nobody else has; 2 has neither, and has
-/// just elected 1 again and told it how far its log goes.
+/// 1 and 3 each led once and have an entry that no other replica has. 2 has neither; it
+/// has just elected 1 again and sent it the end of its log.
 fn conflicting_tails(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(3, config(guards));
     for (replica, term) in [(1, 1), (2, 0), (3, 2)] {
@@ -118,7 +119,7 @@
     cluster.tick(id(1));
     cluster.sync(id(1));
     cluster.net.retain(|e| e.to == id(2));
-    // The vote, its answer, the opening entry, and the answer that it does not fit.
+    // The vote request, its reply, the first entry of the term, and its rejection.
     for _ in 0..4 {
         let envelope = cluster.net.remove(0);
         let to = envelope.to;
@@ -137,7 +138,8 @@
     }
 }
 
-/// With all rules nothing breaks, without `remove` something does, both within `depth`.
+/// With all rules nothing is violated within `depth`; with one disabled by `remove`, a rule
+/// that `expected` accepts is.
 #[track_caller]
 fn assert_rule_is_needed(
     setup: fn(Guards) -> Cluster,
@@ -161,8 +163,8 @@
     assert!(expected(&violation), "{violation:?}");
 }
 
-/// A voter votes, crashes before the vote is on its disk, and votes for another in the
-/// same term: two leaders accept different changes at one place of the log.
+/// A voter votes, crashes before the vote is synced, and votes for another candidate in
+/// the same term: two leaders commit different entries at one index.
 #[test]
 fn replies_wait_for_the_sync() {
     let budget = Budget {
@@ -181,8 +183,8 @@
     );
 }
 
-/// An answer to a heartbeat is late by almost an election timeout. Counted from its
-/// arrival, the lease would outlive the answerer's own promise not to vote.
+/// A heartbeat's reply is late by almost an election timeout. Counted from its arrival,
+/// the lease would last longer than the follower refuses its vote to others.
 #[test]
 fn lease_counts_from_the_send_time() {
     let budget = Budget {
@@ -199,7 +201,8 @@
     );
 }
 
-/// A leader is suspended past its lease and still takes itself for one.
+/// A leader is suspended until after its lease has expired, and is still in the leader
+/// state when it resumes.
 #[test]
 fn lease_is_compared_with_the_clock() {
     let budget = Budget {
@@ -216,8 +219,8 @@
     );
 }
 
-/// A replica that missed heartbeats asks another for its vote, which has just answered
-/// the leader: its vote would end a lease that the leader counts on.
+/// A replica that missed heartbeats requests the vote of one that has just acknowledged
+/// the leader. Granting it would elect a second leader during the first one's lease.
 #[test]
 fn no_vote_while_a_leader_is_live() {
     let budget = Budget {
@@ -234,7 +237,7 @@
     );
 }
 
-/// The same after a crash, in which the voter forgot that it answered the leader.
+/// The same, but the voter has crashed since and lost track of its acknowledgement.
 #[test]
 fn no_vote_right_after_a_restart() {
     let budget = Budget {
@@ -252,7 +255,7 @@
     );
 }
 
-/// A new leader has what was accepted before its term, but hasn't applied it yet.
+/// A new leader has the entries committed before its term, but hasn't applied them yet.
 #[test]
 fn no_read_before_the_noop_is_committed() {
     let budget = Budget {
@@ -285,7 +288,7 @@
     );
 }
 
-/// A learner that holds nothing yet votes for a candidate that lacks an accepted change.
+/// A learner with an empty log votes for a candidate that lacks a committed entry.
 #[test]
 fn learners_do_not_vote() {
     let budget = Budget {
@@ -302,8 +305,8 @@
     );
 }
 
-/// A leader finds an entry of an earlier term on a majority and calls it committed;
-/// a candidate with a newer last entry overwrites it.
+/// A leader finds an entry of an earlier term on a majority and commits it; a candidate
+/// whose last entry has a higher term overwrites it.
 #[test]
 fn only_the_leaders_own_term_is_committed_by_counting() {
     let budget = Budget {
@@ -320,8 +323,8 @@
     );
 }
 
-/// Two replicas are removed in one go: the rest is a majority of its own membership,
-/// while the removed two are one of the membership that they know.
+/// Two replicas are removed at once: the remaining one is a majority of its membership,
+/// and the removed two are a majority of the old membership, which they still use.
 #[test]
 fn one_membership_change_at_a_time() {
     let budget = Budget {
@@ -339,8 +342,8 @@
     );
 }
 
-/// A disk is wiped and its replica set up again. Under its old identity its vote elects
-/// a candidate that lacks an accepted change; under a new one nobody counts it.
+/// A disk is wiped and its replica set up again. Under its old identity its vote elects a
+/// candidate that lacks a committed entry; under a new one its vote doesn't count.
 #[test]
 fn wiped_disk_gets_a_new_identity() {
     let budget = Budget {
@@ -364,7 +367,7 @@
     assert!(matches!(violation, Violation::LeaderLacks(_)));
 }
 
-/// Nothing breaks within `depth`, and at least `states` states were looked at.
+/// No rule is violated within `depth`, and at least `states` states were visited.
 #[track_caller]
 fn assert_no_violation(cluster: Cluster, depth: u8, budget: Budget, states: usize) {
     let result = explore(scenario(cluster, depth, budget));
