--- a/crates/consensus/tests/all/cluster.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -33,7 +33,7 @@
 pub(crate) enum Violation {
     TwoLeaders(Epoch),
     CommittedChanged(u64),
-    LeaderLacks(u64),
+    LeaderLacksCommitted(u64),
     TwoLeases,
     StaleAnswer,
 }
@@ -183,7 +183,7 @@
         token.0
     }
 
-    pub(crate) fn command(&mut self, id: ReplicaId, byte: u8) -> u64 {
+    pub(crate) fn propose_command(&mut self, id: ReplicaId, byte: u8) -> u64 {
         self.propose(id, Proposal::Command(vec![byte]))
     }
 
@@ -292,7 +292,7 @@
             .is_some_and(|term| term != entry.term)
         {
             let last = *last;
-            self.report_violation(Violation::LeaderLacks(last));
+            self.report_violation(Violation::LeaderLacksCommitted(last));
         }
     }
 
@@ -347,13 +347,13 @@
         self.run_without(ms, &[]);
     }
 
-    /// Cuts the links between `one` and all others, in both directions.
-    pub(crate) fn isolate(&mut self, one: ReplicaId) {
+    /// Cuts the links between `isolated` and all others, in both directions.
+    pub(crate) fn isolate(&mut self, isolated: ReplicaId) {
         for other in self.nodes.keys().copied() {
-            self.cut_links.insert((one, other));
-            self.cut_links.insert((other, one));
+            self.cut_links.insert((isolated, other));
+            self.cut_links.insert((other, isolated));
         }
-        self.net.retain(|e| e.from != one && e.to != one);
+        self.net.retain(|e| e.from != isolated && e.to != isolated);
     }
 
     pub(crate) fn heal(&mut self) {
--- a/crates/consensus/tests/all/explore.rs
+++ b/crates/consensus/tests/all/explore.rs
@@ -242,7 +242,7 @@
                 cluster.restart(id);
             }
             Transition::Wipe(id) => wipe(&mut cluster, id, wiped_keeps_identity),
-            Transition::Propose(id) => drop(cluster.command(id, 1)),
+            Transition::Propose(id) => drop(cluster.propose_command(id, 1)),
             Transition::Remove(id, other) => drop(cluster.propose(id, Proposal::Remove(other))),
         }
         match transition {
--- a/crates/consensus/tests/all/lease.rs
+++ b/crates/consensus/tests/all/lease.rs
@@ -30,11 +30,11 @@
 #[test]
 fn resumed_leader_rejects_reads_and_proposals() {
     let (mut cluster, leader) = elected(3);
-    let pending = cluster.command(leader, 1);
+    let pending = cluster.propose_command(leader, 1);
     cluster.net.clear();
     cluster.run_without(4000, &[leader]);
     let next = cluster.leader().expect("a new leader");
-    let token = cluster.command(next, 2);
+    let token = cluster.propose_command(next, 2);
     cluster.run_without(500, &[leader]);
     assert!(cluster.proposed[&token].is_ok());
     assert!(!cluster.read_is_served(leader));
@@ -42,7 +42,7 @@
         cluster.proposed[&pending],
         Err(ProposeError::OutcomeUnknown)
     );
-    let late = cluster.command(leader, 3);
+    let late = cluster.propose_command(leader, 3);
     let rejected = Err(ProposeError::NotLeader { leader: None });
     assert_eq!(cluster.proposed[&late], rejected);
     cluster.run(1000);
@@ -54,7 +54,7 @@
 #[test]
 fn slow_disk_keeps_the_lease() {
     let (mut cluster, leader) = elected(3);
-    let token = cluster.command(leader, 1);
+    let token = cluster.propose_command(leader, 1);
     for _ in 0..200 {
         cluster.now += Moment::from_millis(10);
         for envelope in std::mem::take(&mut cluster.net) {
@@ -103,7 +103,7 @@
 #[test]
 fn no_read_before_the_noop_is_committed() {
     let (mut cluster, leader) = elected(3);
-    let token = cluster.command(leader, 1);
+    let token = cluster.propose_command(leader, 1);
     for _ in 0..4 {
         cluster.run(10);
     }
--- a/crates/consensus/tests/all/membership.rs
+++ b/crates/consensus/tests/all/membership.rs
@@ -18,7 +18,7 @@
 #[test]
 fn accepted_changes_survive_a_second_loss_after_a_repair() {
     let (mut cluster, leader) = elected(3);
-    let token = cluster.command(leader, 1);
+    let token = cluster.propose_command(leader, 1);
     cluster.run(300);
     let accepted = cluster.proposed[&token].expect("accepted");
     let mut rest = (1..=3).map(id).filter(|n| *n != leader);
@@ -39,7 +39,7 @@
     cluster.run(4000);
     let leader = cluster.leader().expect("a leader of the two");
     assert!(cluster.nodes[&leader].applied >= accepted);
-    let token = cluster.command(leader, 2);
+    let token = cluster.propose_command(leader, 2);
     cluster.run(500);
     assert!(cluster.proposed[&token].is_ok());
 }
@@ -95,7 +95,7 @@
     assert_ne!(next, leader);
     let status = cluster.status(leader).expect("running");
     assert_eq!(status.role, Role::Learner);
-    let token = cluster.command(next, 1);
+    let token = cluster.propose_command(next, 1);
     cluster.run(500);
     assert!(cluster.proposed[&token].is_ok());
 }
--- a/crates/consensus/tests/all/random.rs
+++ b/crates/consensus/tests/all/random.rs
@@ -70,14 +70,14 @@
         let cluster = &mut self.cluster;
         match step {
             Step::Run(n) => cluster.advance(u64::from(n) * 10, &[]),
-            Step::Suspend(one, n) => {
-                let one = self.replica_at(one);
-                self.cluster.advance(u64::from(n) * 20, &[one]);
+            Step::Suspend(replica, n) => {
+                let replica = self.replica_at(replica);
+                self.cluster.advance(u64::from(n) * 20, &[replica]);
             }
             Step::AdvanceClock(n) => cluster.now += Moment::from_millis(u64::from(n) * 10),
-            Step::Tick(one) => {
-                let one = self.replica_at(one);
-                self.cluster.tick(one);
+            Step::Tick(replica) => {
+                let replica = self.replica_at(replica);
+                self.cluster.tick(replica);
             }
             Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => self.network_step(step),
             Step::Command(_) | Step::AddLearner(_) | Step::Promote(_) | Step::Remove(_) => {
@@ -111,8 +111,8 @@
             Step::Crash(n, synced) => self.cluster.crash(self.replica_at(n), synced),
             Step::Restart => self.restart_all(),
             Step::Wipe(n) => {
-                let one = self.replica_at(n);
-                self.cluster.nodes.remove(&one);
+                let replica = self.replica_at(n);
+                self.cluster.nodes.remove(&replica);
                 self.cluster.add(id(self.next_id), Durable::default());
                 self.next_id += 1;
             }
@@ -162,7 +162,7 @@
         self.restart_all();
         self.cluster.advance(8000, &[]);
         let leader = self.cluster.leader().expect("a leader after all faults");
-        let token = self.cluster.command(leader, 1);
+        let token = self.cluster.propose_command(leader, 1);
         self.cluster.advance(2000, &[]);
         assert!(self.cluster.proposed[&token].is_ok());
     }
--- a/crates/consensus/tests/all/replication.rs
+++ b/crates/consensus/tests/all/replication.rs
@@ -30,7 +30,7 @@
 fn proposal_is_applied_everywhere() {
     for n in [1, 3, 5, 7] {
         let (mut cluster, leader) = elected(n);
-        let token = cluster.command(leader, 7);
+        let token = cluster.propose_command(leader, 7);
         cluster.run(500);
         let index = cluster.proposed[&token].expect("accepted");
         assert_eq!(
@@ -46,7 +46,7 @@
 fn follower_reports_the_leader() {
     let (mut cluster, leader) = elected(3);
     let follower = others(&cluster, leader)[0];
-    let token = cluster.command(follower, 1);
+    let token = cluster.propose_command(follower, 1);
     let rejected = ProposeError::NotLeader {
         leader: Some(leader),
     };
@@ -60,7 +60,7 @@
 fn proposals_share_a_sync() {
     let (mut cluster, leader) = elected(3);
     for byte in 0..50 {
-        cluster.command(leader, byte);
+        cluster.propose_command(leader, byte);
     }
     let first = cluster.nodes[&leader].unsynced.clone().expect("a sync");
     assert_eq!(first.entries.len(), 1);
@@ -76,7 +76,7 @@
 #[test]
 fn accepted_change_survives_a_restart_of_all() {
     let (mut cluster, leader) = elected(3);
-    let token = cluster.command(leader, 9);
+    let token = cluster.propose_command(leader, 9);
     cluster.run(300);
     let index = cluster.proposed[&token].expect("accepted");
     for n in 1..=3 {
@@ -97,13 +97,13 @@
 fn uncommitted_tail_is_overwritten() {
     let (mut cluster, leader) = elected(3);
     cluster.isolate(leader);
-    let lost = cluster.command(leader, 1);
-    cluster.command(leader, 2);
+    let lost = cluster.propose_command(leader, 1);
+    cluster.propose_command(leader, 2);
     cluster.run(3000);
     assert_eq!(cluster.proposed[&lost], Err(ProposeError::OutcomeUnknown));
     let next = cluster.leader().expect("a new leader");
     assert_ne!(next, leader);
-    let token = cluster.command(next, 3);
+    let token = cluster.propose_command(next, 3);
     cluster.run(500);
     cluster.heal();
     cluster.run(2000);
@@ -127,14 +127,14 @@
     let follower = others(&cluster, leader)[0];
     cluster.crash(follower, false);
     for byte in 0..60 {
-        cluster.command(leader, byte);
+        cluster.propose_command(leader, byte);
         cluster.run(20);
     }
     assert!(cluster.nodes[&leader].disk.snapshot.index > 40);
     assert!(cluster.nodes[&leader].disk.entries.len() < 20);
     cluster.restart(follower);
     cluster.run(2000);
-    let token = cluster.command(leader, 99);
+    let token = cluster.propose_command(leader, 99);
     cluster.run(500);
     let index = cluster.proposed[&token].expect("accepted");
     assert_eq!(cluster.nodes[&follower].applied, index);
@@ -174,7 +174,7 @@
 #[test]
 fn lost_entries_are_resent() {
     let (mut cluster, leader) = elected(3);
-    cluster.command(leader, 5);
+    cluster.propose_command(leader, 5);
     cluster.net.clear();
     cluster.run(500);
     let index = cluster.status(leader).expect("running").last_index;
@@ -201,7 +201,9 @@
 fn proposals_beyond_the_limit_are_rejected() {
     let cfg = Config::builder().max_uncommitted_bytes(100).build();
     let (mut cluster, leader) = elected_with(3, cfg);
-    let tokens: Vec<_> = (0..10).map(|byte| cluster.command(leader, byte)).collect();
+    let tokens: Vec<_> = (0..10)
+        .map(|byte| cluster.propose_command(leader, byte))
+        .collect();
     let overloaded = Err(ProposeError::Overloaded);
     assert!(
         tokens
@@ -209,7 +211,7 @@
             .any(|t| cluster.proposed.get(t) == Some(&overloaded))
     );
     cluster.run(500);
-    let token = cluster.command(leader, 11);
+    let token = cluster.propose_command(leader, 11);
     cluster.run(500);
     assert!(cluster.proposed[&token].is_ok());
 }
--- a/crates/consensus/tests/all/safety_rules.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -60,7 +60,7 @@
 /// 1 leads; a command is committed that only 1 and 2 have.
 fn follower_lagging(guards: Guards) -> Cluster {
     let mut cluster = leader_elected(guards);
-    cluster.command(id(1), 9);
+    cluster.propose_command(id(1), 9);
     deliver_and_sync_all(&mut cluster, &[3]);
     assert_eq!(cluster.history.accepted, 3);
     cluster
@@ -89,7 +89,7 @@
     for _ in 0..3 {
         heartbeat(&mut cluster, 1, &[4]);
     }
-    cluster.command(id(1), 9);
+    cluster.propose_command(id(1), 9);
     deliver_and_sync_all(&mut cluster, &[3, 4]);
     assert_eq!(cluster.history.accepted, 4);
     cluster
@@ -284,7 +284,7 @@
         9,
         budget,
         |g| g.compare_logs = false,
-        |v| matches!(v, Violation::LeaderLacks(_)),
+        |v| matches!(v, Violation::LeaderLacksCommitted(_)),
     );
 }
 
@@ -301,7 +301,7 @@
         9,
         budget,
         |g| g.learners_do_not_count = false,
-        |v| matches!(v, Violation::LeaderLacks(_)),
+        |v| matches!(v, Violation::LeaderLacksCommitted(_)),
     );
 }
 
@@ -319,7 +319,7 @@
         9,
         budget,
         |g| g.commit_own_term_only = false,
-        |v| matches!(v, Violation::LeaderLacks(_)),
+        |v| matches!(v, Violation::LeaderLacksCommitted(_)),
     );
 }
 
@@ -338,7 +338,7 @@
         9,
         budget,
         |g| g.one_change_at_a_time = false,
-        |v| matches!(v, Violation::LeaderLacks(_)),
+        |v| matches!(v, Violation::LeaderLacksCommitted(_)),
     );
 }
 
@@ -364,7 +364,7 @@
     let (violation, _) = without_rule
         .violation
         .expect("a rule must break without it");
-    assert!(matches!(violation, Violation::LeaderLacks(_)));
+    assert!(matches!(violation, Violation::LeaderLacksCommitted(_)));
 }
 
 /// No rule is violated within `depth`, and at least `states` states were visited.
