--- a/crates/storage/examples/figures.rs
+++ b/crates/storage/examples/figures.rs
@@ -21,27 +21,27 @@
 const APPENDS: u64 = 2000;
 const PROPOSALS: u64 = 20_000;
 /// Proposals that wait at once, as from that many operators.
-const AT_ONCE: usize = 64;
+const CONCURRENT_PROPOSALS: usize = 64;
 
 fn main() -> Outcome<()> {
     let folder = std::env::args_os().nth(1);
     let folder = folder.map_or_else(std::env::temp_dir, PathBuf::from);
     let scratch = tempfile::tempdir_in(folder)?;
-    appends(&scratch.path().join("one"))?;
-    proposals("in_memory", None, PROPOSALS, AT_ONCE)?;
-    proposals(
+    measure_appends(&scratch.path().join("one"))?;
+    measure_proposals("in_memory", None, PROPOSALS, CONCURRENT_PROPOSALS)?;
+    measure_proposals(
         "synced",
         Some(&scratch.path().join("many")),
         PROPOSALS / 10,
-        AT_ONCE,
+        CONCURRENT_PROPOSALS,
     )?;
-    proposals(
+    measure_proposals(
         "synced_singly",
         Some(&scratch.path().join("few")),
         PROPOSALS / 100,
         1,
     )?;
-    encodings()
+    measure_encodings()
 }
 
 fn command(index: u64) -> Entry {
@@ -52,7 +52,7 @@
     }
 }
 
-fn appends(path: &Path) -> Outcome<()> {
+fn measure_appends(path: &Path) -> Outcome<()> {
     let mut disk = Disk::open(path, "figures")?;
     let mut micros = Histogram::<u64>::new(3)?;
     for index in 1..=APPENDS {
@@ -157,8 +157,8 @@
         self.step(at, Event::Persisted { seq: persist.seq })
     }
 
-    fn tick_all(&mut self, passed: Duration) -> Outcome<()> {
-        self.now += passed;
+    fn tick_all(&mut self, elapsed: Duration) -> Outcome<()> {
+        self.now += elapsed;
         for at in 0..self.replicas.len() {
             self.step(at, Event::Tick)?;
         }
@@ -166,12 +166,17 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |replica: &Replica| replica.status(self.now).holds_lease;
-        self.replicas.iter().position(leads)
+        let holds_lease = |replica: &Replica| replica.status(self.now).holds_lease;
+        self.replicas.iter().position(holds_lease)
     }
 }
 
-fn proposals(name: &str, folder: Option<&Path>, count: u64, at_once: usize) -> Outcome<()> {
+fn measure_proposals(
+    name: &str,
+    folder: Option<&Path>,
+    count: u64,
+    concurrency: usize,
+) -> Outcome<()> {
     let mut cluster = Cluster::new(folder)?;
     while cluster.leader().is_none() {
         cluster.tick_all(Duration::from_millis(25))?;
@@ -182,7 +187,7 @@
     while cluster.accepted < count {
         cluster.tick_all(Duration::from_millis(25))?;
         let leader = cluster.leader().ok_or("the leader is gone")?;
-        for _ in 0..at_once {
+        for _ in 0..concurrency {
             token += 1;
             let proposal = Proposal::Command(vec![0; COMMAND_BYTES]);
             let token = Token(token);
@@ -197,7 +202,7 @@
     Ok(())
 }
 
-fn encodings() -> Outcome<()> {
+fn measure_encodings() -> Outcome<()> {
     const ROUNDS: u32 = 20_000;
     let entries: Vec<_> = (1..=10).map(command).collect();
     let began = Instant::now();
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -11,11 +11,11 @@
 use crate::error::{StorageError, damaged};
 use crate::files::{FileSync, Folder, KernelSync};
 use crate::log::{self, Log};
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 use crate::{identity, snapshot};
 
-const LOCK: &str = "lock";
-const NOTE: &str = "note";
+const LOCK_FILE: &str = "lock";
+const NOTE_FILE: &str = "note";
 
 /// Index of the snapshot that a new cluster begins with.
 const FIRST_INDEX: u64 = 1;
@@ -53,14 +53,14 @@
         sync: Box<dyn FileSync>,
     ) -> Result<Self, StorageError> {
         let mut folder = Folder::open(path.as_ref(), sync)?;
-        let lock = lock(&folder)?;
+        let lock = acquire_lock(&folder)?;
         folder.remove_temporary()?;
-        let has_state =
-            !folder.names(log::PREFIX)?.is_empty() || !folder.names(snapshot::PREFIX)?.is_empty();
-        let replica = identity::open(&mut folder, cluster, has_state)?;
-        let newest = snapshot::newest(&folder)?;
+        let has_state = !folder.file_names(log::PREFIX)?.is_empty()
+            || !folder.file_names(snapshot::PREFIX)?.is_empty();
+        let replica = identity::load_or_create(&mut folder, cluster, has_state)?;
+        let newest = snapshot::read_newest(&folder)?;
         let mut log = Log::open(&mut folder)?;
-        join(&mut folder, &newest, &mut log)?;
+        align_log_with_snapshot(&mut folder, &newest, &mut log)?;
         snapshot::remove_before(&folder, newest.index)?;
         Ok(Self {
             folder,
@@ -97,7 +97,7 @@
     pub fn load(&self) -> Result<Durable, StorageError> {
         Ok(Durable {
             hard_state: self.log.state.hard_state,
-            snapshot: snapshot::newest(&self.folder)?,
+            snapshot: snapshot::read_newest(&self.folder)?,
             entries: self.log.state.entries.clone(),
         })
     }
@@ -117,18 +117,19 @@
             data,
         };
         let path = self.folder.path();
-        match snapshot::bootstrap(&self.folder)? {
+        match snapshot::read_bootstrap(&self.folder)? {
             Some(found) if found == first => return Ok(()),
             Some(_) => return BootstrapConflictSnafu { path }.fail(),
             None => {}
         }
-        let unused = self.log.is_empty() && self.snapshot_index == 0;
+        let is_new = self.log.is_empty() && self.snapshot_index == 0;
         // A crash between the two files below leaves only the first.
-        let begun = self.log.is_empty() && snapshot::newest(&self.folder)? == first;
-        if !unused && !begun {
+        let bootstrap_interrupted =
+            self.log.is_empty() && snapshot::read_newest(&self.folder)? == first;
+        if !is_new && !bootstrap_interrupted {
             return BootstrapConflictSnafu { path }.fail();
         }
-        self.closing(|disk| {
+        self.close_on_error(|disk| {
             snapshot::write(&mut disk.folder, &first)?;
             snapshot::write_bootstrap(&mut disk.folder, &first)?;
             disk.log.state.base = first.index;
@@ -145,9 +146,9 @@
     /// a second sync can't tell. The replica has to stop and start from the folder.
     pub fn persist(&mut self, persist: &Persist) -> Result<(), StorageError> {
         self.check_open()?;
-        self.closing(|disk| match &persist.snapshot {
+        self.close_on_error(|disk| match &persist.snapshot {
             None => disk.log.append(&mut disk.folder, persist),
-            Some(newer) => disk.persist_snapshot(newer, persist),
+            Some(new_snapshot) => disk.persist_snapshot(new_snapshot, persist),
         })
     }
 
@@ -160,7 +161,7 @@
     pub fn write_note(&mut self, note: &[u8]) -> Result<(), StorageError> {
         self.check_open()?;
         let buf = record::encode(0, &note)?;
-        self.closing(|disk| disk.folder.write(NOTE, &buf).map(drop))
+        self.close_on_error(|disk| disk.folder.write_atomically(NOTE_FILE, &buf).map(drop))
     }
 
     /// The note that was kept last, if there is one that can be read.
@@ -169,22 +170,23 @@
     ///
     /// Fails if the system refuses.
     pub fn read_note(&self) -> Result<Option<Vec<u8>>, StorageError> {
-        let buf = self.folder.read(NOTE)?.unwrap_or_default();
+        let buf = self.folder.read(NOTE_FILE)?.unwrap_or_default();
         Ok(match record::decode::<Vec<u8>>(&buf, 0) {
-            Found::Record { value, .. } => Some(value),
+            Decoded::Record { value, .. } => Some(value),
             _ => None,
         })
     }
 
     fn persist_snapshot(
         &mut self,
-        newer: &Snapshot,
+        new_snapshot: &Snapshot,
         persist: &Persist,
     ) -> Result<(), StorageError> {
-        snapshot::write(&mut self.folder, newer)?;
-        self.snapshot_index = newer.index;
-        self.log.begin_on(&mut self.folder, newer, persist)?;
-        snapshot::remove_before(&self.folder, newer.index)
+        snapshot::write(&mut self.folder, new_snapshot)?;
+        self.snapshot_index = new_snapshot.index;
+        self.log
+            .start_generation(&mut self.folder, new_snapshot, persist)?;
+        snapshot::remove_before(&self.folder, new_snapshot.index)
     }
 
     fn check_open(&self) -> Result<(), StorageError> {
@@ -196,18 +198,18 @@
     }
 
     /// Closes the disk for good if `work` fails.
-    fn closing(
+    fn close_on_error(
         &mut self,
-        work: impl FnOnce(&mut Self) -> Result<(), StorageError>,
+        operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
-        let result = work(self);
+        let result = operation(self);
         self.closed = result.is_err();
         result
     }
 }
 
-fn lock(folder: &Folder) -> Result<File, StorageError> {
-    let lock = folder.open_note(LOCK)?;
+fn acquire_lock(folder: &Folder) -> Result<File, StorageError> {
+    let lock = folder.open_in_place(LOCK_FILE)?;
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => LockedSnafu {
@@ -216,20 +218,24 @@
         .fail(),
         Err(TryLockError::Error(e)) => Err(e).context(IoSnafu {
             action: "lock",
-            path: folder.file(LOCK),
+            path: folder.file_path(LOCK_FILE),
         }),
     }
 }
 
 /// Brings the log up to the newest snapshot, if a crash came between the two.
-fn join(folder: &mut Folder, newest: &Snapshot, log: &mut Log) -> Result<(), StorageError> {
+fn align_log_with_snapshot(
+    folder: &mut Folder,
+    newest: &Snapshot,
+    log: &mut Log,
+) -> Result<(), StorageError> {
     let base = log.state.base;
     if log.is_empty() {
         log.state.base = newest.index;
         return Ok(());
     }
     if newest.index < base {
-        let path = folder.file(&snapshot::name(base));
+        let path = folder.file_path(&snapshot::file_name(base));
         return Err(damaged(
             path,
             0,
@@ -237,7 +243,7 @@
         ));
     }
     if newest.index > base {
-        return log.begin_on(folder, newest, &Persist::default());
+        return log.start_generation(folder, newest, &Persist::default());
     }
     Ok(())
 }
--- a/crates/storage/src/files.rs
+++ b/crates/storage/src/files.rs
@@ -8,7 +8,7 @@
 
 use crate::error::{IoSnafu, StorageError};
 
-const TEMPORARY: &str = ".tmp";
+const TEMPORARY_SUFFIX: &str = ".tmp";
 
 /// The sync of a file or folder; tests put one in that fails.
 #[doc(hidden)]
@@ -50,7 +50,7 @@
         };
         // Or a power loss could take the folder with all that was synced in it.
         if let Some(parent) = path.parent().filter(|_| is_new) {
-            folder.sync_names(parent)?;
+            folder.sync_directory(parent)?;
         }
         Ok(folder)
     }
@@ -59,14 +59,14 @@
         &self.path
     }
 
-    pub(crate) fn file(&self, name: &str) -> PathBuf {
+    pub(crate) fn file_path(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
     /// Names of the files that begin with `prefix`, in ascending order.
-    pub(crate) fn names(&self, prefix: &str) -> Result<Vec<String>, StorageError> {
+    pub(crate) fn file_names(&self, prefix: &str) -> Result<Vec<String>, StorageError> {
         let mut names = self.list()?;
-        names.retain(|name| name.starts_with(prefix) && !name.ends_with(TEMPORARY));
+        names.retain(|name| name.starts_with(prefix) && !name.ends_with(TEMPORARY_SUFFIX));
         Ok(names)
     }
 
@@ -85,12 +85,12 @@
     /// Removes files that a crash left under their temporary names.
     pub(crate) fn remove_temporary(&self) -> Result<(), StorageError> {
         let mut names = self.list()?;
-        names.retain(|name| name.ends_with(TEMPORARY));
+        names.retain(|name| name.ends_with(TEMPORARY_SUFFIX));
         self.remove(&names)
     }
 
     pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
-        let path = self.file(name);
+        let path = self.file_path(name);
         let mut file = match File::open(&path) {
             Ok(file) => file,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -108,9 +108,13 @@
 
     /// Writes a file that is there whole, and synced, or not at all. Returns it open
     /// for appending.
-    pub(crate) fn write(&mut self, name: &str, content: &[u8]) -> Result<File, StorageError> {
-        let temporary = self.file(&format!("{name}{TEMPORARY}"));
-        let path = self.file(name);
+    pub(crate) fn write_atomically(
+        &mut self,
+        name: &str,
+        content: &[u8],
+    ) -> Result<File, StorageError> {
+        let temporary = self.file_path(&format!("{name}{TEMPORARY_SUFFIX}"));
+        let path = self.file_path(name);
         let io = |action| {
             let path = temporary.clone();
             IoSnafu { action, path }
@@ -119,12 +123,12 @@
         file.write_all(content).context(io("write"))?;
         self.sync.sync(&file).context(io("sync"))?;
         fs::rename(&temporary, &path).context(io("rename"))?;
-        self.sync_names(&self.path.clone())?;
+        self.sync_directory(&self.path.clone())?;
         self.open_append(name)
     }
 
     pub(crate) fn open_append(&self, name: &str) -> Result<File, StorageError> {
-        let path = self.file(name);
+        let path = self.file_path(name);
         let action = "open";
         OpenOptions::new()
             .append(true)
@@ -133,8 +137,8 @@
     }
 
     /// Opens a file whose content is overwritten in place and never synced.
-    pub(crate) fn open_note(&self, name: &str) -> Result<File, StorageError> {
-        let path = self.file(name);
+    pub(crate) fn open_in_place(&self, name: &str) -> Result<File, StorageError> {
+        let path = self.file_path(name);
         let action = "open";
         OpenOptions::new()
             .write(true)
@@ -145,7 +149,7 @@
     }
 
     pub(crate) fn sync(&mut self, file: &File, name: &str) -> Result<(), StorageError> {
-        let path = self.file(name);
+        let path = self.file_path(name);
         let action = "sync";
         self.sync.sync(file).context(IoSnafu { action, path })
     }
@@ -154,7 +158,7 @@
     /// removed at the next start, so the folder isn't synced for it.
     pub(crate) fn remove(&self, names: &[String]) -> Result<(), StorageError> {
         for name in names {
-            let path = self.file(name);
+            let path = self.file_path(name);
             let action = "remove";
             fs::remove_file(&path).context(IoSnafu { action, path })?;
         }
@@ -163,7 +167,7 @@
 
     /// Syncs the names in the folder: without this, a renamed file may be gone after a
     /// power loss although its content was synced.
-    fn sync_names(&mut self, path: &Path) -> Result<(), StorageError> {
+    fn sync_directory(&mut self, path: &Path) -> Result<(), StorageError> {
         let action = "open";
         let folder = File::open(path).context(IoSnafu { action, path })?;
         let action = "sync";
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -11,9 +11,9 @@
 
 use crate::error::{IdentityMissingSnafu, OtherClusterSnafu, StorageError, damaged};
 use crate::files::Folder;
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 
-const FILE: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 const FORMAT: u32 = 1;
 
 #[derive(Clone, Debug)]
@@ -25,17 +25,17 @@
 }
 
 /// Reads the identity of the folder, or draws one if the folder is new.
-pub(crate) fn open(
+pub(crate) fn load_or_create(
     folder: &mut Folder,
     cluster: &str,
     has_state: bool,
 ) -> Result<ReplicaId, StorageError> {
-    let Some(buf) = folder.read(FILE)? else {
-        return draw(folder, cluster, has_state);
+    let Some(buf) = folder.read(IDENTITY_FILE)? else {
+        return create(folder, cluster, has_state);
     };
-    let path = folder.file(FILE);
+    let path = folder.file_path(IDENTITY_FILE);
     let identity = match record::decode::<Identity>(&buf, 0) {
-        Found::Record { value, next, .. } if next == buf.len() => value,
+        Decoded::Record { value, next, .. } if next == buf.len() => value,
         _ => {
             return Err(damaged(path, 0, "no valid identity"));
         }
@@ -54,7 +54,7 @@
     Ok(identity.replica)
 }
 
-fn draw(folder: &mut Folder, cluster: &str, has_state: bool) -> Result<ReplicaId, StorageError> {
+fn create(folder: &mut Folder, cluster: &str, has_state: bool) -> Result<ReplicaId, StorageError> {
     if has_state {
         let path = folder.path();
         return IdentityMissingSnafu { path }.fail();
@@ -65,6 +65,6 @@
         replica,
         cluster: cluster.to_owned(),
     };
-    folder.write(FILE, &record::encode(0, &identity)?)?;
+    folder.write_atomically(IDENTITY_FILE, &record::encode(0, &identity)?)?;
     Ok(replica)
 }
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -15,23 +15,23 @@
 
 use crate::error::{IoSnafu, StorageError, damaged};
 use crate::files::Folder;
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 
 pub(crate) const PREFIX: &str = "log-";
-const SYNCED: &str = "synced";
+const SYNCED_FILE: &str = "synced";
 
 /// What a record of the log says. Entries replace any stored at or after the first.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-struct Change<'a> {
+struct LogRecord<'a> {
     /// Set in the first record of a generation: the snapshot that it builds on.
     base: Option<u64>,
     hard_state: Option<HardState>,
     entries: Cow<'a, [Entry]>,
 }
 
-impl<'a> Change<'a> {
-    fn of(persist: &'a Persist) -> Self {
+impl<'a> LogRecord<'a> {
+    fn from_persist(persist: &'a Persist) -> Self {
         Self {
             base: None,
             hard_state: persist.hard_state,
@@ -42,16 +42,16 @@
 
 /// The log as read back, and as written since.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct State {
+pub(crate) struct LogState {
     pub(crate) hard_state: HardState,
     pub(crate) entries: Vec<Entry>,
     /// The snapshot that the entries follow.
     pub(crate) base: u64,
 }
 
-impl State {
+impl LogState {
     /// Drops what a snapshot covers, or all if the log does not continue it.
-    fn cover(&mut self, snapshot: &Snapshot) {
+    fn discard_covered(&mut self, snapshot: &Snapshot) {
         let same = |e: &Entry| e.index == snapshot.index && e.term == snapshot.term;
         if self.entries.iter().any(same) {
             self.entries.retain(|e| e.index > snapshot.index);
@@ -61,15 +61,15 @@
         self.base = snapshot.index;
     }
 
-    fn check(&self, change: &Change<'_>) -> Result<(), &'static str> {
-        let Some(first) = change.entries.first().map(|e| e.index) else {
+    fn check_contiguous(&self, log_record: &LogRecord<'_>) -> Result<(), &'static str> {
+        let Some(first) = log_record.entries.first().map(|e| e.index) else {
             return Ok(());
         };
-        let (base, last) = match change.base {
+        let (base, last) = match log_record.base {
             Some(base) => (base, base),
             None => (self.base, self.base + self.entries.len() as u64),
         };
-        let in_order = change
+        let in_order = log_record
             .entries
             .iter()
             .zip(first..)
@@ -81,17 +81,17 @@
     }
 
     /// Takes over a change that was checked.
-    fn apply(&mut self, change: Change<'_>) {
-        if let Some(base) = change.base {
+    fn apply(&mut self, log_record: LogRecord<'_>) {
+        if let Some(base) = log_record.base {
             self.entries.clear();
             self.base = base;
         }
-        self.hard_state = change.hard_state.unwrap_or(self.hard_state);
-        if let Some(first) = change.entries.first() {
+        self.hard_state = log_record.hard_state.unwrap_or(self.hard_state);
+        if let Some(first) = log_record.entries.first() {
             self.entries
                 .truncate((first.index - self.base - 1) as usize);
         }
-        self.entries.extend(change.entries.into_owned());
+        self.entries.extend(log_record.entries.into_owned());
     }
 }
 
@@ -105,9 +105,9 @@
 /// The log of a folder.
 #[derive(Debug)]
 pub(crate) struct Log {
-    pub(crate) state: State,
+    pub(crate) state: LogState,
     file: Option<LogFile>,
-    synced: File,
+    synced_file: File,
     next_generation: u64,
     next_seq: u64,
 }
@@ -115,19 +115,19 @@
 impl Log {
     /// Reads the newest generation, and cuts what a crash left half-written at its end.
     pub(crate) fn open(folder: &mut Folder) -> Result<Self, StorageError> {
-        let mut names = folder.names(PREFIX)?;
+        let mut names = folder.file_names(PREFIX)?;
         let mut log = Self {
-            state: State::default(),
+            state: LogState::default(),
             file: None,
-            synced: folder.open_note(SYNCED)?,
+            synced_file: folder.open_in_place(SYNCED_FILE)?,
             next_generation: 0,
             next_seq: 0,
         };
         if let Some(name) = names.pop() {
-            log.next_generation = generation(&name) + 1;
+            log.next_generation = parse_generation(&name) + 1;
             log.read(folder, name)?;
         }
-        log.check_synced(folder)?;
+        log.verify_synced(folder)?;
         folder.remove(&names)?;
         Ok(log)
     }
@@ -141,13 +141,13 @@
         let buf = folder.read(&name)?.unwrap_or_default();
         let end = self
             .replay(&buf)
-            .map_err(|(at, reason)| damaged(folder.file(&name), at, reason))?;
+            .map_err(|(offset, reason)| damaged(folder.file_path(&name), offset, reason))?;
         let file = folder.open_append(&name)?;
         if end < buf.len() {
             let cut = buf.len() - end;
             log::warn!(file = name.as_str(), at = end, cut; "cut a torn tail");
             let action = "cut";
-            let path = folder.file(&name);
+            let path = folder.file_path(&name);
             file.set_len(end as u64).context(IoSnafu { action, path })?;
         }
         // The process may have been killed between the write of its last record and the
@@ -159,45 +159,51 @@
 
     /// Takes over all good records and returns where they end.
     fn replay(&mut self, buf: &[u8]) -> Result<usize, (usize, &'static str)> {
-        let mut at = 0;
+        let mut offset = 0;
         loop {
-            match record::decode::<Change<'_>>(buf, at) {
-                Found::Record { seq, value, next } => {
-                    self.replay_one(at, seq, value).map_err(|e| (at, e))?;
-                    at = next;
+            match record::decode::<LogRecord<'_>>(buf, offset) {
+                Decoded::Record { seq, value, next } => {
+                    self.replay_record(offset, seq, value)
+                        .map_err(|e| (offset, e))?;
+                    offset = next;
                 }
-                Found::End if at == 0 => return Err((0, "empty file")),
-                Found::End => return Ok(at),
+                Decoded::End if offset == 0 => return Err((0, "empty file")),
+                Decoded::End => return Ok(offset),
                 // The first record was synced before the file got its name, and only
                 // the last write can have been cut short.
-                Found::Torn(reason) if at == 0 || record::any_after(buf, at) => {
-                    return Err((at, reason));
+                Decoded::Torn(reason) if offset == 0 || record::has_record_after(buf, offset) => {
+                    return Err((offset, reason));
                 }
-                Found::Torn(_) => return Ok(at),
-                Found::Unknown(reason) => return Err((at, reason)),
+                Decoded::Torn(_) => return Ok(offset),
+                Decoded::Undecodable(reason) => return Err((offset, reason)),
             }
         }
     }
 
-    fn replay_one(&mut self, at: usize, seq: u64, change: Change<'_>) -> Result<(), &'static str> {
-        if change.base.is_some() != (at == 0) {
+    fn replay_record(
+        &mut self,
+        offset: usize,
+        seq: u64,
+        log_record: LogRecord<'_>,
+    ) -> Result<(), &'static str> {
+        if log_record.base.is_some() != (offset == 0) {
             return Err("first record out of place");
         }
-        if at != 0 && seq != self.next_seq {
+        if offset != 0 && seq != self.next_seq {
             return Err("record out of order");
         }
-        self.state.check(&change)?;
-        self.state.apply(change);
+        self.state.check_contiguous(&log_record)?;
+        self.state.apply(log_record);
         self.next_seq = seq + 1;
         Ok(())
     }
 
     /// Compares with the note of what was synced. A last record that was synced, and is
     /// gone or bad now, looks like a torn write; but others may count on it.
-    fn check_synced(&self, folder: &Folder) -> Result<(), StorageError> {
-        let note = folder.read(SYNCED)?.unwrap_or_default();
+    fn verify_synced(&self, folder: &Folder) -> Result<(), StorageError> {
+        let marker = folder.read(SYNCED_FILE)?.unwrap_or_default();
         // The note is written without a sync: after a power loss it may be torn.
-        let Found::Record { seq, .. } = record::decode::<()>(&note, 0) else {
+        let Decoded::Record { seq, .. } = record::decode::<()>(&marker, 0) else {
             return Ok(());
         };
         if seq < self.next_seq {
@@ -205,7 +211,7 @@
         }
         let name = self.file.as_ref().map_or(PREFIX, |file| &file.name);
         let reason = "synced records are missing at its end";
-        Err(damaged(folder.file(name), 0, reason))
+        Err(damaged(folder.file_path(name), 0, reason))
     }
 
     /// Writes all that was read back into a new file. After a sync that failed, the
@@ -214,7 +220,7 @@
         if self.is_empty() {
             return Ok(());
         }
-        self.begin(folder)
+        self.write_generation(folder)
     }
 
     /// Appends what `persist` asks for, and returns once it is synced.
@@ -223,71 +229,78 @@
         folder: &mut Folder,
         persist: &Persist,
     ) -> Result<(), StorageError> {
-        let change = Change::of(persist);
-        self.check(folder, &change)?;
-        let Some(log) = &mut self.file else {
-            self.state.apply(change);
-            return self.begin(folder);
+        let log_record = LogRecord::from_persist(persist);
+        self.check_contiguous(folder, &log_record)?;
+        let Some(log_file) = &mut self.file else {
+            self.state.apply(log_record);
+            return self.write_generation(folder);
         };
-        let buf = record::encode(self.next_seq, &change)?;
+        let buf = record::encode(self.next_seq, &log_record)?;
         let action = "write";
-        let path = folder.file(&log.name);
-        log.file.write_all(&buf).context(IoSnafu { action, path })?;
-        folder.sync(&log.file, &log.name)?;
-        self.state.apply(change);
-        self.count_synced(folder)
+        let path = folder.file_path(&log_file.name);
+        log_file
+            .file
+            .write_all(&buf)
+            .context(IoSnafu { action, path })?;
+        folder.sync(&log_file.file, &log_file.name)?;
+        self.state.apply(log_record);
+        self.mark_synced(folder)
     }
 
     /// Begins a generation on a snapshot that is synced already, and adds what else
     /// `persist` asks for.
-    pub(crate) fn begin_on(
+    pub(crate) fn start_generation(
         &mut self,
         folder: &mut Folder,
         snapshot: &Snapshot,
         persist: &Persist,
     ) -> Result<(), StorageError> {
-        self.state.cover(snapshot);
-        let change = Change::of(persist);
-        self.check(folder, &change)?;
-        self.state.apply(change);
-        self.begin(folder)
+        self.state.discard_covered(snapshot);
+        let log_record = LogRecord::from_persist(persist);
+        self.check_contiguous(folder, &log_record)?;
+        self.state.apply(log_record);
+        self.write_generation(folder)
     }
 
-    fn begin(&mut self, folder: &mut Folder) -> Result<(), StorageError> {
-        let change = Change {
+    fn write_generation(&mut self, folder: &mut Folder) -> Result<(), StorageError> {
+        let log_record = LogRecord {
             base: Some(self.state.base),
             hard_state: Some(self.state.hard_state),
             entries: Cow::Borrowed(&self.state.entries),
         };
         let name = format!("{PREFIX}{:020}", self.next_generation);
-        let file = folder.write(&name, &record::encode(self.next_seq, &change)?)?;
+        let file = folder.write_atomically(&name, &record::encode(self.next_seq, &log_record)?)?;
         self.next_generation += 1;
         let old = self.file.replace(LogFile { name, file });
-        self.count_synced(folder)?;
+        self.mark_synced(folder)?;
         folder.remove(old.map(|old| old.name).as_slice())
     }
 
-    fn check(&self, folder: &Folder, change: &Change<'_>) -> Result<(), StorageError> {
+    fn check_contiguous(
+        &self,
+        folder: &Folder,
+        log_record: &LogRecord<'_>,
+    ) -> Result<(), StorageError> {
         self.state
-            .check(change)
+            .check_contiguous(log_record)
             .map_err(|reason| damaged(folder.path().to_owned(), 0, reason))
     }
 
     /// Notes that the record just written is synced. The note itself isn't: it costs
     /// no sync, and outlives any end of the process short of a power loss.
-    fn count_synced(&mut self, folder: &Folder) -> Result<(), StorageError> {
-        let note = record::encode(self.next_seq, &())?;
+    fn mark_synced(&mut self, folder: &Folder) -> Result<(), StorageError> {
+        let marker = record::encode(self.next_seq, &())?;
         let action = "write";
-        let path = folder.file(SYNCED);
-        self.synced
-            .write_all_at(&note, 0)
+        let path = folder.file_path(SYNCED_FILE);
+        self.synced_file
+            .write_all_at(&marker, 0)
             .context(IoSnafu { action, path })?;
         self.next_seq += 1;
         Ok(())
     }
 }
 
-fn generation(name: &str) -> u64 {
+fn parse_generation(name: &str) -> u64 {
     let digits = name.strip_prefix(PREFIX).unwrap_or_default();
     digits.parse().unwrap_or_default()
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -10,12 +10,12 @@
 
 use crate::error::{EncodeSnafu, StorageError};
 
-const MARK: [u8; 4] = *b"fh\xf1\x01";
-const HEADER: usize = MARK.len() + 4 + 8 + 4;
+const MAGIC: [u8; 4] = *b"fh\xf1\x01";
+const HEADER: usize = MAGIC.len() + 4 + 8 + 4;
 
 /// What stands at a place of a file.
 #[derive(Debug)]
-pub(crate) enum Found<T> {
+pub(crate) enum Decoded<T> {
     /// A good record of number `seq`; the next one begins at `next`.
     Record { seq: u64, value: T, next: usize },
     /// Nothing: the file ends here.
@@ -23,7 +23,7 @@
     /// Bytes that are no whole record.
     Torn(&'static str),
     /// A whole record that this version can't read.
-    Unknown(&'static str),
+    Undecodable(&'static str),
 }
 
 /// Mark, length, number, checksum of all but the mark, then the value.
@@ -32,7 +32,7 @@
     let len = (body.len() as u32).to_le_bytes();
     let seq = seq.to_le_bytes();
     let mut buf = Vec::with_capacity(HEADER + body.len());
-    buf.extend_from_slice(&MARK);
+    buf.extend_from_slice(&MAGIC);
     buf.extend_from_slice(&len);
     buf.extend_from_slice(&seq);
     buf.extend_from_slice(&checksum(&len, &seq, &body).to_le_bytes());
@@ -41,37 +41,37 @@
 }
 
 /// Reads the record at `at`.
-pub(crate) fn decode<T: DeserializeOwned>(buf: &[u8], at: usize) -> Found<T> {
-    let rest = &buf[at.min(buf.len())..];
+pub(crate) fn decode<T: DeserializeOwned>(buf: &[u8], offset: usize) -> Decoded<T> {
+    let rest = &buf[offset.min(buf.len())..];
     if rest.is_empty() {
-        return Found::End;
+        return Decoded::End;
     }
-    let Some((seq, body)) = frame(rest) else {
-        return Found::Torn("checksum does not match");
+    let Some((seq, body)) = parse_frame(rest) else {
+        return Decoded::Torn("checksum does not match");
     };
-    let next = at + HEADER + body.len();
+    let next = offset + HEADER + body.len();
     match postcard::from_bytes(body) {
-        Ok(value) => Found::Record { seq, value, next },
-        Err(_) => Found::Unknown("record of an unknown shape"),
+        Ok(value) => Decoded::Record { seq, value, next },
+        Err(_) => Decoded::Undecodable("record of an unknown shape"),
     }
 }
 
 /// Whether a good record begins anywhere after `at`.
-pub(crate) fn any_after(buf: &[u8], at: usize) -> bool {
-    let rest = &buf[(at + 1).min(buf.len())..];
-    let starts = rest.windows(MARK.len()).enumerate();
-    let mut marked = starts.filter(|(_, window)| *window == MARK);
-    marked.any(|(start, _)| frame(&rest[start..]).is_some())
+pub(crate) fn has_record_after(buf: &[u8], offset: usize) -> bool {
+    let rest = &buf[(offset + 1).min(buf.len())..];
+    let starts = rest.windows(MAGIC.len()).enumerate();
+    let mut candidates = starts.filter(|(_, window)| *window == MAGIC);
+    candidates.any(|(start, _)| parse_frame(&rest[start..]).is_some())
 }
 
-fn frame(buf: &[u8]) -> Option<(u64, &[u8])> {
-    let rest = buf.strip_prefix(&MARK)?;
+fn parse_frame(buf: &[u8]) -> Option<(u64, &[u8])> {
+    let rest = buf.strip_prefix(&MAGIC)?;
     let (len, rest) = rest.split_first_chunk::<4>()?;
     let (seq, rest) = rest.split_first_chunk::<8>()?;
-    let (sum, rest) = rest.split_first_chunk::<4>()?;
+    let (expected_checksum, rest) = rest.split_first_chunk::<4>()?;
     let body = rest.get(..u32::from_le_bytes(*len) as usize)?;
-    let good = checksum(len, seq, body) == u32::from_le_bytes(*sum);
-    good.then_some((u64::from_le_bytes(*seq), body))
+    let is_valid = checksum(len, seq, body) == u32::from_le_bytes(*expected_checksum);
+    is_valid.then_some((u64::from_le_bytes(*seq), body))
 }
 
 fn checksum(len: &[u8], seq: &[u8], body: &[u8]) -> u32 {
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -4,32 +4,32 @@
 
 use crate::error::{StorageError, damaged};
 use crate::files::Folder;
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 
 pub(crate) const PREFIX: &str = "snapshot-";
-const BOOTSTRAP: &str = "bootstrap";
+const BOOTSTRAP_FILE: &str = "bootstrap";
 
-pub(crate) fn name(index: u64) -> String {
+pub(crate) fn file_name(index: u64) -> String {
     format!("{PREFIX}{index:020}")
 }
 
 /// The newest snapshot, or the default if there is none. An older one is no stand-in
 /// for a damaged newest one: the log between them is gone.
-pub(crate) fn newest(folder: &Folder) -> Result<Snapshot, StorageError> {
-    match folder.names(PREFIX)?.pop() {
+pub(crate) fn read_newest(folder: &Folder) -> Result<Snapshot, StorageError> {
+    match folder.file_names(PREFIX)?.pop() {
         Some(name) => Ok(read(folder, &name)?.unwrap_or_default()),
         None => Ok(Snapshot::default()),
     }
 }
 
 /// The snapshot that this folder's cluster began with, if it began one.
-pub(crate) fn bootstrap(folder: &Folder) -> Result<Option<Snapshot>, StorageError> {
-    read(folder, BOOTSTRAP)
+pub(crate) fn read_bootstrap(folder: &Folder) -> Result<Option<Snapshot>, StorageError> {
+    read(folder, BOOTSTRAP_FILE)
 }
 
 pub(crate) fn write(folder: &mut Folder, snapshot: &Snapshot) -> Result<(), StorageError> {
     let content = record::encode(snapshot.index, snapshot)?;
-    folder.write(&name(snapshot.index), &content)?;
+    folder.write_atomically(&file_name(snapshot.index), &content)?;
     Ok(())
 }
 
@@ -37,14 +37,14 @@
     folder: &mut Folder,
     snapshot: &Snapshot,
 ) -> Result<(), StorageError> {
-    folder.write(BOOTSTRAP, &record::encode(snapshot.index, snapshot)?)?;
+    folder.write_atomically(BOOTSTRAP_FILE, &record::encode(snapshot.index, snapshot)?)?;
     Ok(())
 }
 
 /// Removes all snapshots older than `index`.
 pub(crate) fn remove_before(folder: &Folder, index: u64) -> Result<(), StorageError> {
-    let mut names = folder.names(PREFIX)?;
-    names.retain(|found| *found < name(index));
+    let mut names = folder.file_names(PREFIX)?;
+    names.retain(|name| *name < file_name(index));
     folder.remove(&names)
 }
 
@@ -53,7 +53,7 @@
         return Ok(None);
     };
     match record::decode(&buf, 0) {
-        Found::Record { value, next, .. } if next == buf.len() => Ok(Some(value)),
-        _ => Err(damaged(folder.file(name), 0, "no valid snapshot")),
+        Decoded::Record { value, next, .. } if next == buf.len() => Ok(Some(value)),
+        _ => Err(damaged(folder.file_path(name), 0, "no valid snapshot")),
     }
 }
--- a/crates/storage/tests/all/crash.rs
+++ b/crates/storage/tests/all/crash.rs
@@ -8,25 +8,28 @@
 
 use crate::support::{
     CLUSTER, FailingSync, entries, file, files, history, load, members, open, snapshot, states,
-    write,
+    write_history,
 };
 
 /// The process dies at each sync in turn. What it finds at the next start must be the
 /// state before or after the change that it was writing, nothing in between.
 #[test]
-fn crash_at_any_sync_leaves_the_change_whole_or_not_at_all() {
+fn crash_at_any_sync_applies_a_change_entirely_or_not_at_all() {
     let states = states();
-    let mut reached_end = false;
-    for left in 0..100 {
+    let mut completed_without_failure = false;
+    for successes_left in 0..100 {
         let folder = tempfile::tempdir().expect("a folder");
-        let Some(done) = run_until_failure(folder.path(), left) else {
-            reached_end = true;
+        let Some(completed) = run_until_failure(folder.path(), successes_left) else {
+            completed_without_failure = true;
             break;
         };
         let found = load(folder.path());
-        let mut allowed: Vec<Durable> = states.iter().skip(done).take(2).cloned().collect();
-        allowed.push(between(&states, done));
-        assert!(allowed.contains(&found), "{left} {done} {found:?}");
+        let mut allowed: Vec<Durable> = states.iter().skip(completed).take(2).cloned().collect();
+        allowed.push(state_between(&states, completed));
+        assert!(
+            allowed.contains(&found),
+            "{successes_left} {completed} {found:?}"
+        );
         // The folder takes further changes after what it found.
         let last = found
             .entries
@@ -36,30 +39,30 @@
         open(folder.path()).persist(&next).expect("synced");
         assert_eq!(load(folder.path()).entries.last(), next.entries.last());
     }
-    assert!(reached_end);
+    assert!(completed_without_failure);
 }
 
 /// Runs the history and returns how many changes were synced before a sync failed.
-fn run_until_failure(path: &Path, left: usize) -> Option<usize> {
+fn run_until_failure(path: &Path, successes_left: usize) -> Option<usize> {
     open(path)
         .bootstrap(&members(), vec![1, 2, 3])
         .expect("begins");
-    let sync = Box::new(FailingSync { left });
+    let sync = Box::new(FailingSync { successes_left });
     let mut disk = Disk::open_with(path, CLUSTER, sync).expect("opens");
-    for (done, persist) in history().iter().enumerate() {
+    for (completed, persist) in history().iter().enumerate() {
         if disk.persist(persist).is_err() {
             let again = disk.persist(persist);
             assert!(matches!(again, Err(StorageError::Closed { .. })));
-            return Some(done);
+            return Some(completed);
         }
     }
     None
 }
 
 /// The state when a snapshot is on disk and the rest of its change isn't.
-fn between(states: &[Durable], done: usize) -> Durable {
-    let mut state = states[done].clone();
-    if let Some(snapshot) = &history()[done].snapshot {
+fn state_between(states: &[Durable], completed: usize) -> Durable {
+    let mut state = states[completed].clone();
+    if let Some(snapshot) = &history()[completed].snapshot {
         let same = |e: &_| (snapshot.index, snapshot.term) == entry_id(e);
         if state.entries.iter().any(same) {
             state.entries.retain(|e| e.index > snapshot.index);
@@ -78,20 +81,24 @@
 /// A power loss during a write leaves any part of the last record. It was not yet
 /// promised to anybody, so it is cut, and the log goes on from there.
 #[test]
-fn torn_tail_of_any_length_is_cut() {
-    let whole = tempfile::tempdir().expect("a folder");
-    write(whole.path(), 4);
-    let before = load(whole.path());
-    let kept = fs::read(file(whole.path(), "log-")).expect("a log").len();
-    let note = fs::read(whole.path().join("synced")).expect("a note");
-    open(whole.path())
+fn torn_tail_of_any_length_is_truncated() {
+    let original = tempfile::tempdir().expect("a folder");
+    write_history(original.path(), 4);
+    let before = load(original.path());
+    let kept = fs::read(file(original.path(), "log-"))
+        .expect("a log")
+        .len();
+    let marker = fs::read(original.path().join("synced")).expect("a marker");
+    open(original.path())
         .persist(&entries(10, 12, 2))
         .expect("synced");
-    let full = fs::read(file(whole.path(), "log-")).expect("a log").len();
+    let full = fs::read(file(original.path(), "log-"))
+        .expect("a log")
+        .len();
     for len in kept..full {
-        let folder = copy(whole.path());
+        let folder = copy_folder(original.path());
         // The write was not synced, so the note does not speak of it.
-        fs::write(folder.path().join("synced"), &note).expect("written");
+        fs::write(folder.path().join("synced"), &marker).expect("written");
         let log = file(folder.path(), "log-");
         let log = OpenOptions::new().write(true).open(log).expect("a log");
         log.set_len(len as u64).expect("cut");
@@ -105,9 +112,9 @@
 
 /// After a power loss a file may have its new length but zeros where the data was to be.
 #[test]
-fn tail_of_zeros_is_cut() {
+fn tail_of_zeros_is_truncated() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 4);
+    write_history(folder.path(), 4);
     let before = load(folder.path());
     let log = file(folder.path(), "log-");
     let mut content = fs::read(&log).expect("a log");
@@ -119,18 +126,18 @@
 /// The process dies after the snapshot is in place and before the log is cut: the old
 /// entries below the snapshot must not come back, and those above must stay.
 #[test]
-fn crash_between_snapshot_and_cut_of_the_log() {
-    let whole = tempfile::tempdir().expect("a folder");
-    write(whole.path(), 3);
-    let old_log = file(whole.path(), "log-");
+fn crash_between_snapshot_and_log_compaction() {
+    let original = tempfile::tempdir().expect("a folder");
+    write_history(original.path(), 3);
+    let old_log = file(original.path(), "log-");
     let old = fs::read(&old_log).expect("a log");
-    let mut disk = open(whole.path());
+    let mut disk = open(original.path());
     disk.persist(&snapshot(6, 1)).expect("synced");
     drop(disk);
-    fs::remove_file(file(whole.path(), "log-")).expect("removed");
-    fs::remove_file(whole.path().join("synced")).expect("removed");
+    fs::remove_file(file(original.path(), "log-")).expect("removed");
+    fs::remove_file(original.path().join("synced")).expect("removed");
     fs::write(&old_log, old).expect("written");
-    let found = load(whole.path());
+    let found = load(original.path());
     assert_eq!(found.snapshot.index, 6);
     let indexes: Vec<_> = found.entries.iter().map(|e| e.index).collect();
     assert_eq!(indexes, [7, 8, 9]);
@@ -140,7 +147,7 @@
 #[test]
 fn temporary_files_are_removed() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 4);
+    write_history(folder.path(), 4);
     let before = load(folder.path());
     let name = "snapshot-00000000000000000099.tmp";
     fs::write(folder.path().join(name), b"half").expect("written");
@@ -149,7 +156,7 @@
 }
 
 /// Copies a folder.
-pub(crate) fn copy(from: &Path) -> tempfile::TempDir {
+pub(crate) fn copy_folder(from: &Path) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     for name in files(from) {
         fs::copy(from.join(&name), folder.path().join(&name)).expect("copied");
--- a/crates/storage/tests/all/damage.rs
+++ b/crates/storage/tests/all/damage.rs
@@ -9,12 +9,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::crash::copy;
-use crate::support::{CLUSTER, file, files, history, states, write};
+use crate::crash::copy_folder;
+use crate::support::{CLUSTER, file, files, history, states, write_history};
 
-const HARMS: u64 = 2000;
+const CORRUPTIONS: u64 = 2000;
 
-fn refused_as_damaged(path: &Path) -> bool {
+fn is_rejected_as_damaged(path: &Path) -> bool {
     let opened = Disk::open(path, CLUSTER);
     matches!(opened, Err(StorageError::Damaged { .. }))
 }
@@ -23,68 +23,70 @@
 /// lose entries that others count on, so the replica must not start.
 #[test]
 fn damage_in_the_middle_stops_the_replica() {
-    let whole = tempfile::tempdir().expect("a folder");
-    write(whole.path(), 5);
-    let len = fs::read(file(whole.path(), "log-")).expect("a log").len();
+    let original = tempfile::tempdir().expect("a folder");
+    write_history(original.path(), 5);
+    let len = fs::read(file(original.path(), "log-"))
+        .expect("a log")
+        .len();
     for at in 0..len {
-        let folder = copy(whole.path());
+        let folder = copy_folder(original.path());
         let log = file(folder.path(), "log-");
         let mut content = fs::read(&log).expect("a log");
         content[at] ^= 0x10;
         fs::write(&log, content).expect("written");
-        assert!(refused_as_damaged(folder.path()), "byte {at}");
+        assert!(is_rejected_as_damaged(folder.path()), "byte {at}");
     }
 }
 
 #[test]
 fn bad_snapshot_stops_the_replica() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), history().len());
+    write_history(folder.path(), history().len());
     let path = file(folder.path(), "snapshot-");
     let mut content = fs::read(&path).expect("a snapshot");
     let middle = content.len() / 2;
     content[middle] ^= 1;
     fs::write(&path, content).expect("written");
-    assert!(refused_as_damaged(folder.path()));
+    assert!(is_rejected_as_damaged(folder.path()));
 }
 
 #[test]
 fn missing_snapshot_stops_the_replica() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), history().len());
+    write_history(folder.path(), history().len());
     fs::remove_file(file(folder.path(), "snapshot-")).expect("removed");
-    assert!(refused_as_damaged(folder.path()));
+    assert!(is_rejected_as_damaged(folder.path()));
 }
 
 /// The log is gone while the rest of the folder is there, as after a careless clean-up.
 #[test]
 fn missing_log_stops_the_replica() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), history().len());
+    write_history(folder.path(), history().len());
     fs::remove_file(file(folder.path(), "log-")).expect("removed");
-    assert!(refused_as_damaged(folder.path()));
+    assert!(is_rejected_as_damaged(folder.path()));
 }
 
 /// Harm done to one file.
 #[derive(Clone, Debug)]
 #[derive(TypeGenerator)]
-enum Harm {
+enum Corruption {
     Flip { file: u8, at: u16, bit: u8 },
     Truncate { file: u8, len: u16 },
 }
 
-fn harm(path: &Path, harm: &Harm) {
+fn corrupt(path: &Path, corruption: &Corruption) {
     let names = files(path);
-    let (Harm::Flip { file, .. } | Harm::Truncate { file, .. }) = harm;
+    let (Corruption::Flip { file, .. } | Corruption::Truncate { file, .. }) = corruption;
     let path = path.join(&names[usize::from(*file) % names.len()]);
     let mut content = fs::read(&path).expect("a file");
     if content.is_empty() {
         return;
     }
     let len = content.len();
-    match harm {
-        Harm::Flip { at, bit, .. } => content[usize::from(*at) % len] ^= 1 << (bit % 8),
-        Harm::Truncate { len: to, .. } => content.truncate(usize::from(*to) % len),
+    match corruption {
+        Corruption::Flip { at, bit, .. } => content[usize::from(*at) % len] ^= 1 << (bit % 8),
+        Corruption::Truncate { len: to, .. } => content.truncate(usize::from(*to) % len),
     }
     fs::write(&path, content).expect("written");
 }
@@ -92,19 +94,21 @@
 /// Random flips and truncations: whatever the folder is opened with afterwards was its
 /// state after some change. With only one file harmed, it is the last state.
 #[test]
-fn harm_never_yields_entries_that_were_not_written() {
+fn corruption_never_yields_entries_that_were_not_written() {
     let states = states();
-    let whole = tempfile::tempdir().expect("a folder");
-    write(whole.path(), history().len());
+    let original = tempfile::tempdir().expect("a folder");
+    write_history(original.path(), history().len());
     // bolero's own loop draws new seeds in each run; a test is to give one verdict.
     let options = Options::default();
-    for seed in 0..HARMS {
+    for seed in 0..CORRUPTIONS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
-        let harms = <(Harm, Option<Harm>)>::generate(&mut driver);
-        let (first, second) = harms.expect("the driver has bytes left");
-        let folder = copy(whole.path());
-        harm(folder.path(), &first);
-        second.iter().for_each(|second| harm(folder.path(), second));
+        let corruptions = <(Corruption, Option<Corruption>)>::generate(&mut driver);
+        let (first, second) = corruptions.expect("the driver has bytes left");
+        let folder = copy_folder(original.path());
+        corrupt(folder.path(), &first);
+        second
+            .iter()
+            .for_each(|second| corrupt(folder.path(), second));
         let Ok(disk) = Disk::open(folder.path(), CLUSTER) else {
             continue;
         };
--- a/crates/storage/tests/all/folder.rs
+++ b/crates/storage/tests/all/folder.rs
@@ -7,13 +7,14 @@
 use filberthead_types::{Epoch, ReplicaId};
 
 use crate::support::{
-    CLUSTER, entries, entry, files, hard_state, history, load, members, open, snapshot, write,
+    CLUSTER, entries, entry, files, hard_state, history, load, members, open, snapshot,
+    write_history,
 };
 
 #[test]
-fn what_was_written_is_read_back() {
+fn written_state_is_read_back() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), history().len());
+    write_history(folder.path(), history().len());
     let found = load(folder.path());
     let snapshot = snapshot(20, 2).snapshot.expect("set");
     let hard_state = HardState {
@@ -29,9 +30,9 @@
 }
 
 #[test]
-fn false_tail_gives_way() {
+fn conflicting_tail_is_replaced() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 5);
+    write_history(folder.path(), 5);
     let terms: Vec<_> = load(folder.path())
         .entries
         .iter()
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn snapshots_bound_the_folder() {
+fn snapshots_bound_the_folder_size() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = open(folder.path());
     disk.bootstrap(&members(), vec![]).expect("begins");
@@ -69,7 +70,7 @@
 fn wiped_folder_gets_a_new_identity() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("data");
-    write(&path, 3);
+    write_history(&path, 3);
     let before = open(&path).replica();
     assert_eq!(open(&path).replica(), before);
     fs::remove_dir_all(&path).expect("wiped");
@@ -80,36 +81,39 @@
 
 /// Only the identity is lost: a new one would take over the old one's votes.
 #[test]
-fn log_without_identity_is_refused() {
+fn log_without_identity_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 3);
+    write_history(folder.path(), 3);
     fs::remove_file(folder.path().join("identity")).expect("removed");
-    let refused = Disk::open(folder.path(), CLUSTER);
-    assert!(matches!(refused, Err(StorageError::IdentityMissing { .. })));
+    let rejected = Disk::open(folder.path(), CLUSTER);
+    assert!(matches!(
+        rejected,
+        Err(StorageError::IdentityMissing { .. })
+    ));
 }
 
 #[test]
-fn folder_of_another_cluster_is_refused() {
+fn folder_of_another_cluster_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 1);
-    let refused = Disk::open(folder.path(), "other");
-    assert!(matches!(refused, Err(StorageError::OtherCluster { .. })));
+    write_history(folder.path(), 1);
+    let rejected = Disk::open(folder.path(), "other");
+    assert!(matches!(rejected, Err(StorageError::OtherCluster { .. })));
 }
 
 /// A service manager starts the daemon while the old one still runs: two writers would
 /// interleave their records.
 #[test]
-fn second_opening_is_refused_until_the_first_ends() {
+fn second_open_is_rejected_until_the_first_closes() {
     let folder = tempfile::tempdir().expect("a folder");
     let first = open(folder.path());
-    let refused = Disk::open(folder.path(), CLUSTER);
-    assert!(matches!(refused, Err(StorageError::Locked { .. })));
+    let rejected = Disk::open(folder.path(), CLUSTER);
+    assert!(matches!(rejected, Err(StorageError::Locked { .. })));
     drop(first);
     open(folder.path());
 }
 
 #[test]
-fn bootstrap_is_idempotent_and_refuses_other_state() {
+fn bootstrap_is_idempotent_and_rejects_other_state() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = open(folder.path());
     disk.bootstrap(&members(), vec![1]).expect("begins");
@@ -146,13 +150,13 @@
 
 /// A replica that learned its state from a leader must not begin a cluster of its own.
 #[test]
-fn learner_does_not_bootstrap() {
+fn replica_with_state_does_not_bootstrap() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = open(folder.path());
     disk.persist(&hard_state(4, 2)).expect("synced");
-    let refused = disk.bootstrap(&members(), vec![]);
+    let rejected = disk.bootstrap(&members(), vec![]);
     assert!(matches!(
-        refused,
+        rejected,
         Err(StorageError::BootstrapConflict { .. })
     ));
 }
@@ -160,16 +164,16 @@
 #[test]
 fn entries_with_a_gap_are_not_written() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), 2);
+    write_history(folder.path(), 2);
     let before = load(folder.path());
-    let refused = open(folder.path()).persist(&entries(9, 9, 1));
-    assert!(matches!(refused, Err(StorageError::Damaged { .. })));
+    let rejected = open(folder.path()).persist(&entries(9, 9, 1));
+    assert!(matches!(rejected, Err(StorageError::Damaged { .. })));
     assert_eq!(load(folder.path()), before);
 }
 
 /// A note is there whole or not at all, and the log does without it.
 #[test]
-fn a_note_is_kept_beside_the_log() {
+fn note_is_replaced_atomically() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = Disk::open(folder.path(), CLUSTER).expect("a new folder");
     assert_eq!(disk.read_note().expect("a folder"), None);
--- a/crates/storage/tests/all/main.rs
+++ b/crates/storage/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder: what survives, what is refused.
+//! Tests of the data folder: what survives, what is rejected.
 
 mod crash;
 mod damage;
--- a/crates/storage/tests/all/support.rs
+++ b/crates/storage/tests/all/support.rs
@@ -83,7 +83,7 @@
 }
 
 /// A new cluster's folder with the first `count` changes of `history`.
-pub(crate) fn write(path: &Path, count: usize) {
+pub(crate) fn write_history(path: &Path, count: usize) {
     let mut disk = open(path);
     disk.bootstrap(&members(), vec![1, 2, 3]).expect("begins");
     for persist in &history()[..count] {
@@ -95,7 +95,7 @@
 pub(crate) fn states() -> Vec<Durable> {
     let state = |count| {
         let folder = tempfile::tempdir().expect("a folder");
-        write(folder.path(), count);
+        write_history(folder.path(), count);
         load(folder.path())
     };
     (0..=history().len()).map(state).collect()
@@ -122,15 +122,15 @@
 /// A sync that fails once `left` have succeeded.
 #[derive(Debug)]
 pub(crate) struct FailingSync {
-    pub(crate) left: usize,
+    pub(crate) successes_left: usize,
 }
 
 impl FileSync for FailingSync {
     fn sync(&mut self, file: &File) -> io::Result<()> {
-        if self.left == 0 {
+        if self.successes_left == 0 {
             return Err(io::Error::other("the disk is gone"));
         }
-        self.left -= 1;
+        self.successes_left -= 1;
         file.sync_data()
     }
 }
