--- a/crates/storage/examples/figures.rs
+++ b/crates/storage/examples/figures.rs
@@ -1,7 +1,7 @@
-//! Prints figures of the log, a line each: `name: value unit`.
+//! Benchmarks the log and prints one `name: value unit` per line.
 //!
-//! `cargo run --release -p filberthead-storage --example figures [FOLDER]`; the folder
-//! decides which disk is measured.
+//! `cargo run --release -p filberthead-storage --example figures [FOLDER]`; FOLDER, by
+//! default the system's temporary folder, selects the disk to measure.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -16,11 +16,11 @@
 
 type Outcome<T> = Result<T, Box<dyn Error>>;
 
-/// About the size of an encoded change of a few rows.
+/// Approximate size of an encoded change of a few rows.
 const COMMAND_BYTES: usize = 300;
 const APPENDS: u64 = 2000;
 const PROPOSALS: u64 = 20_000;
-/// Proposals that wait at once, as from that many operators.
+/// Concurrent proposals, as from this many operators.
 const CONCURRENT_PROPOSALS: usize = 64;
 
 fn main() -> Outcome<()> {
@@ -71,11 +71,11 @@
     Ok(())
 }
 
-/// Three replicas in one thread, their messages handed over directly.
+/// Three replicas in one thread that exchange messages in memory.
 struct Cluster {
     replicas: Vec<Replica>,
     disks: Vec<Option<Disk>>,
-    /// What each disk is to do once the messages at hand are delivered.
+    /// Pending sync of each replica, performed once the messages in flight are delivered.
     unsynced: Vec<Option<Persist>>,
     net: Vec<(ReplicaId, ReplicaId, Message)>,
     now: Moment,
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! One replica's data folder.
+//! The data folder of a replica.
 
 use std::fs::{File, TryLockError};
 use std::path::Path;
@@ -17,11 +17,11 @@
 const LOCK_FILE: &str = "lock";
 const NOTE_FILE: &str = "note";
 
-/// Index of the snapshot that a new cluster begins with.
+/// Index of the first snapshot of a new cluster.
 const FIRST_INDEX: u64 = 1;
 
-/// An open data folder. Its calls block for as long as the disk takes, so it belongs on
-/// a thread of its own.
+/// An open data folder. Its methods block on disk I/O, so it should be used from a thread
+/// of its own.
 #[derive(Debug)]
 pub struct Disk {
     folder: Folder,
@@ -29,23 +29,23 @@
     log: Log,
     snapshot_index: u64,
     closed: bool,
-    /// Held for as long as the folder is open.
+    /// Holds the advisory lock while the folder is open.
     _lock: File,
 }
 
 impl Disk {
-    /// Opens the data folder of a replica of `cluster`, or begins a new one with a new
-    /// identity. Cuts a torn tail of the log, and syncs the cut.
+    /// Opens the data folder of a replica of `cluster`, or creates it with a new identity.
+    /// Truncates a torn tail of the log, and syncs the log.
     ///
     /// # Errors
     ///
-    /// Fails if another process has the folder, if it belongs to another cluster, if
-    /// anything in it but the log's tail is damaged, or if the system refuses.
+    /// Fails if another process has opened the folder, if it belongs to another cluster, if
+    /// anything in it but the log's tail is damaged, or on an I/O error.
     pub fn open(folder: impl AsRef<Path>, cluster: &str) -> Result<Self, StorageError> {
         Self::open_with(folder, cluster, Box::new(KernelSync))
     }
 
-    /// As [`Self::open`], with a sync that tests can make fail.
+    /// As [`Self::open`], with a given sync, so that tests can inject failures.
     #[doc(hidden)]
     pub fn open_with(
         path: impl AsRef<Path>,
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Opens a folder again in which a write or sync has failed, once the disk works: what
-    /// is read back is written and synced anew before anybody counts on it.
+    /// Opens a folder again after a failed write or sync. What is read back is rewritten to a
+    /// new file and synced, since the kernel may hold pages that never reached the disk.
     ///
     /// # Errors
     ///
@@ -84,16 +84,16 @@
         Ok(disk)
     }
 
-    /// Identity of the replica, drawn at random when the folder was first used.
+    /// Identity of the replica, generated at random when the folder was created.
     pub fn replica(&self) -> ReplicaId {
         self.replica
     }
 
-    /// What the folder holds, for [`filberthead_consensus::Replica::new`].
+    /// Returns the stored state, for [`filberthead_consensus::Replica::new`].
     ///
     /// # Errors
     ///
-    /// Fails if the snapshot can't be read back.
+    /// Fails if the snapshot can't be read.
     pub fn load(&self) -> Result<Durable, StorageError> {
         Ok(Durable {
             hard_state: self.log.state.hard_state,
@@ -102,12 +102,13 @@
         })
     }
 
-    /// Begins a cluster: writes the first snapshot, at index 1 and term 0. All initial
-    /// replicas are given the same members and data, and a second call does nothing.
+    /// Bootstraps a cluster: writes the first snapshot, at index 1 and term 0. All initial
+    /// replicas must use the same members and data. A second call with the same arguments
+    /// does nothing.
     ///
     /// # Errors
     ///
-    /// Fails if the folder holds other state, or if the system refuses.
+    /// Fails if the folder holds other state, or on an I/O error.
     pub fn bootstrap(&mut self, members: &Members, data: Vec<u8>) -> Result<(), StorageError> {
         self.check_open()?;
         let first = Snapshot {
@@ -123,7 +124,7 @@
             None => {}
         }
         let is_new = self.log.is_empty() && self.snapshot_index == 0;
-        // A crash between the two files below leaves only the first.
+        // A crash between the two writes below leaves only the first file.
         let bootstrap_interrupted =
             self.log.is_empty() && snapshot::read_newest(&self.folder)? == first;
         if !is_new && !bootstrap_interrupted {
@@ -138,12 +139,12 @@
         })
     }
 
-    /// Writes what a replica asked for, and returns once it is synced.
+    /// Writes the changes of a [`Persist`], and returns once they are synced.
     ///
     /// # Errors
     ///
-    /// After any failure the disk is closed: what was written may or may not last, and
-    /// a second sync can't tell. The replica has to stop and start from the folder.
+    /// After any failure the disk is closed: the changes may or may not be durable, and a
+    /// second sync can't tell. The replica must stop and start again from the folder.
     pub fn persist(&mut self, persist: &Persist) -> Result<(), StorageError> {
         self.check_open()?;
         self.close_on_error(|disk| match &persist.snapshot {
@@ -152,8 +153,8 @@
         })
     }
 
-    /// Keeps a note beside the log, in place of the one before: it is there whole, as it
-    /// was or as it is now. The log doesn't depend on it.
+    /// Atomically replaces the file `note`, opaque bytes of the owner. The log doesn't depend
+    /// on it.
     ///
     /// # Errors
     ///
@@ -164,11 +165,11 @@
         self.close_on_error(|disk| disk.folder.write_atomically(NOTE_FILE, &buf).map(drop))
     }
 
-    /// The note that was kept last, if there is one that can be read.
+    /// Returns the content of the file `note`, or `None` if it is missing or damaged.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses.
+    /// Fails on an I/O error.
     pub fn read_note(&self) -> Result<Option<Vec<u8>>, StorageError> {
         let buf = self.folder.read(NOTE_FILE)?.unwrap_or_default();
         Ok(match record::decode::<Vec<u8>>(&buf, 0) {
@@ -197,7 +198,7 @@
         Ok(())
     }
 
-    /// Closes the disk for good if `work` fails.
+    /// Runs `operation`, and closes the disk for good if it fails.
     fn close_on_error(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
@@ -223,7 +224,8 @@
     }
 }
 
-/// Brings the log up to the newest snapshot, if a crash came between the two.
+/// Starts the log's next generation if a crash prevented that after the newest snapshot
+/// was written.
 fn align_log_with_snapshot(
     folder: &mut Folder,
     newest: &Snapshot,
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,23 +1,23 @@
-//! What can go wrong with a data folder.
+//! Errors of a data folder.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a data folder can't be used. None of these is worth a retry by the same process.
+/// Why a data folder can't be used. Retrying the same operation doesn't help.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The system refused an operation; the replica has to stop.
+    /// An operation of the system failed; the replica must stop.
     #[snafu(display("can't {action} {}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation, such as "open".
         action: &'static str,
-        /// On which file or folder.
+        /// The file or folder.
         path: PathBuf,
-        /// The system's word.
+        /// The system's error.
         source: io::Error,
     },
     /// Another process uses the folder.
@@ -36,7 +36,7 @@
         /// Name in the settings.
         expected: String,
     },
-    /// State without the identity that it belongs to.
+    /// There is a log or snapshot, but the identity file is missing.
     #[snafu(display(
         "{} holds a log or snapshot but no identity: wipe the folder and add it as a new replica",
         path.display()
@@ -45,7 +45,7 @@
         /// The folder.
         path: PathBuf,
     },
-    /// Stored bytes are not what was synced.
+    /// Stored bytes differ from what was synced.
     #[snafu(display(
         "{} is damaged at byte {offset} ({reason}): wipe the folder and add it as a new replica",
         path.display()
@@ -53,24 +53,24 @@
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where in it.
+        /// Position of the damage, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// What is wrong.
         reason: &'static str,
     },
-    /// The folder holds other state than the cluster is to begin with.
+    /// The folder holds state other than that of the bootstrap.
     #[snafu(display("{} is in use: it can't begin another cluster", path.display()))]
     BootstrapConflict {
         /// The folder.
         path: PathBuf,
     },
-    /// A record can't be encoded.
+    /// A record couldn't be encoded.
     #[snafu(display("can't encode a record"))]
     Encode {
-        /// The codec's word.
+        /// The codec's error.
         source: postcard::Error,
     },
-    /// An earlier operation failed, so nothing may be written any more.
+    /// An earlier operation failed, so the disk rejects further writes.
     #[snafu(display("{} is closed after an earlier failure", path.display()))]
     Closed {
         /// The folder.
@@ -78,7 +78,7 @@
     },
 }
 
-/// The error for stored bytes that are not what was synced.
+/// Builds a [`StorageError::Damaged`].
 pub(crate) fn damaged(path: PathBuf, offset: usize, reason: &'static str) -> StorageError {
     let offset = offset as u64;
     DamagedSnafu {
--- a/crates/storage/src/files.rs
+++ b/crates/storage/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that are there whole or not at all.
+//! File operations in a data folder, among them atomic replacement.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -10,10 +10,10 @@
 
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// The sync of a file or folder; tests put one in that fails.
+/// Syncs a file or folder; tests replace it to inject failures.
 #[doc(hidden)]
 pub trait FileSync: Send {
-    /// Returns once the content of `file`, and its length, are on the disk.
+    /// Returns once the content and length of `file` are on disk.
     ///
     /// # Errors
     ///
@@ -21,7 +21,7 @@
     fn sync(&mut self, file: &File) -> io::Result<()>;
 }
 
-/// The system's own sync.
+/// The sync of the operating system.
 #[doc(hidden)]
 #[derive(Debug)]
 pub struct KernelSync;
@@ -32,14 +32,14 @@
     }
 }
 
-/// Names and syncs the files of one folder.
+/// A folder and the sync used for its files.
 pub(crate) struct Folder {
     path: PathBuf,
     sync: Box<dyn FileSync>,
 }
 
 impl Folder {
-    /// Creates the folder if need be.
+    /// Opens a folder, creating it if needed.
     pub(crate) fn open(path: &Path, sync: Box<dyn FileSync>) -> Result<Self, StorageError> {
         let is_new = !path.exists();
         let action = "create";
@@ -48,7 +48,7 @@
             path: path.to_owned(),
             sync,
         };
-        // Or a power loss could take the folder with all that was synced in it.
+        // Otherwise a power loss could lose the folder with all that was synced in it.
         if let Some(parent) = path.parent().filter(|_| is_new) {
             folder.sync_directory(parent)?;
         }
@@ -63,13 +63,14 @@
         self.path.join(name)
     }
 
-    /// Names of the files that begin with `prefix`, in ascending order.
+    /// Names of the files that start with `prefix`, in ascending order, without temporary ones.
     pub(crate) fn file_names(&self, prefix: &str) -> Result<Vec<String>, StorageError> {
         let mut names = self.list()?;
         names.retain(|name| name.starts_with(prefix) && !name.ends_with(TEMPORARY_SUFFIX));
         Ok(names)
     }
 
+    /// Names of all files, in ascending order.
     fn list(&self) -> Result<Vec<String>, StorageError> {
         let action = "list";
         let path = &self.path;
@@ -82,13 +83,14 @@
         Ok(names)
     }
 
-    /// Removes files that a crash left under their temporary names.
+    /// Removes temporary files that a crash left behind.
     pub(crate) fn remove_temporary(&self) -> Result<(), StorageError> {
         let mut names = self.list()?;
         names.retain(|name| name.ends_with(TEMPORARY_SUFFIX));
         self.remove(&names)
     }
 
+    /// Content of a file, or `None` if it doesn't exist.
     pub(crate) fn read(&self, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
         let path = self.file_path(name);
         let mut file = match File::open(&path) {
@@ -106,8 +108,7 @@
         Ok(Some(buf))
     }
 
-    /// Writes a file that is there whole, and synced, or not at all. Returns it open
-    /// for appending.
+    /// Atomically creates or replaces a file and syncs it. Returns it open for appending.
     pub(crate) fn write_atomically(
         &mut self,
         name: &str,
@@ -136,7 +137,7 @@
             .context(IoSnafu { action, path })
     }
 
-    /// Opens a file whose content is overwritten in place and never synced.
+    /// Opens a file to overwrite in place without a sync; creates it if needed.
     pub(crate) fn open_in_place(&self, name: &str) -> Result<File, StorageError> {
         let path = self.file_path(name);
         let action = "open";
@@ -154,8 +155,8 @@
         self.sync.sync(file).context(IoSnafu { action, path })
     }
 
-    /// Removes files that nothing needs any more. One that comes back after a crash is
-    /// removed at the next start, so the folder isn't synced for it.
+    /// Removes obsolete files. The folder isn't synced: one that reappears after a crash is
+    /// removed at the next start.
     pub(crate) fn remove(&self, names: &[String]) -> Result<(), StorageError> {
         for name in names {
             let path = self.file_path(name);
@@ -165,8 +166,8 @@
         Ok(())
     }
 
-    /// Syncs the names in the folder: without this, a renamed file may be gone after a
-    /// power loss although its content was synced.
+    /// Syncs a directory. Without this, a renamed file may be lost in a power loss although its
+    /// content was synced.
     fn sync_directory(&mut self, path: &Path) -> Result<(), StorageError> {
         let action = "open";
         let folder = File::open(path).context(IoSnafu { action, path })?;
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who the replica of a data folder is.
+//! The identity of a replica, stored in its data folder.
 //!
-//! The identity is drawn at random when the folder is first used, and lies nowhere
-//! else: a replica whose disk was wiped has forgotten its votes and acknowledgements,
-//! and must come back as somebody whom nobody counts on.
+//! It is generated at random when the folder is created and stored nowhere else: a replica
+//! whose disk was wiped has lost its votes and acknowledgements, so it must return under a
+//! new identity that no other replica relies on.
 
 use filberthead_types::ReplicaId;
 use rand::rngs::StdRng;
@@ -24,7 +24,8 @@
     cluster: String,
 }
 
-/// Reads the identity of the folder, or draws one if the folder is new.
+/// Reads the identity of the folder, or generates one if the folder is new. `has_state`:
+/// the folder holds a log or snapshot, so a missing identity is an error.
 pub(crate) fn load_or_create(
     folder: &mut Folder,
     cluster: &str,
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,8 +1,9 @@
-//! The log file: one generation holds all state after the snapshot, then what came since.
+//! The log file.
 //!
-//! A new snapshot begins a new generation, whose first record repeats what is still
-//! needed; the old file goes only once the new one is synced under its name. A crash in
-//! between leaves both, and the newer one counts.
+//! Each snapshot starts a new generation of the log, a file whose first record repeats the
+//! state that is still needed; later records are changes. The old file is removed only after
+//! the new one is synced under its name. A crash in between leaves both, and the newer one
+//! is used.
 
 use std::borrow::Cow;
 use std::fs::File;
@@ -20,11 +21,11 @@
 pub(crate) const PREFIX: &str = "log-";
 const SYNCED_FILE: &str = "synced";
 
-/// What a record of the log says. Entries replace any stored at or after the first.
+/// A record of the log. Its entries replace all stored ones from the first one's index on.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 struct LogRecord<'a> {
-    /// Set in the first record of a generation: the snapshot that it builds on.
+    /// Index of the generation's snapshot; set only in its first record.
     base: Option<u64>,
     hard_state: Option<HardState>,
     entries: Cow<'a, [Entry]>,
@@ -40,17 +41,17 @@
     }
 }
 
-/// The log as read back, and as written since.
+/// The content of the log, as read at start and written since.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LogState {
     pub(crate) hard_state: HardState,
     pub(crate) entries: Vec<Entry>,
-    /// The snapshot that the entries follow.
+    /// Index of the snapshot that the entries follow.
     pub(crate) base: u64,
 }
 
 impl LogState {
-    /// Drops what a snapshot covers, or all if the log does not continue it.
+    /// Removes the entries that a snapshot covers, or all if the log does not match it.
     fn discard_covered(&mut self, snapshot: &Snapshot) {
         let same = |e: &Entry| e.index == snapshot.index && e.term == snapshot.term;
         if self.entries.iter().any(same) {
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// Takes over a change that was checked.
+    /// Applies a record that [`Self::check_contiguous`] has accepted.
     fn apply(&mut self, log_record: LogRecord<'_>) {
         if let Some(base) = log_record.base {
             self.entries.clear();
@@ -95,7 +96,7 @@
     }
 }
 
-/// The open log file.
+/// The open file of the newest generation.
 #[derive(Debug)]
 struct LogFile {
     name: String,
@@ -113,7 +114,8 @@
 }
 
 impl Log {
-    /// Reads the newest generation, and cuts what a crash left half-written at its end.
+    /// Reads the newest generation, truncates a torn record at its end, and removes older
+    /// generations.
     pub(crate) fn open(folder: &mut Folder) -> Result<Self, StorageError> {
         let mut names = folder.file_names(PREFIX)?;
         let mut log = Self {
@@ -132,7 +134,7 @@
         Ok(log)
     }
 
-    /// Whether nothing was ever written.
+    /// Whether no log file exists yet.
     pub(crate) fn is_empty(&self) -> bool {
         self.file.is_none()
     }
@@ -150,14 +152,14 @@
             let path = folder.file_path(&name);
             file.set_len(end as u64).context(IoSnafu { action, path })?;
         }
-        // The process may have been killed between the write of its last record and the
-        // sync. The record is read back all the same, and others will count on it.
+        // The process may have been killed between the write of the last record and its
+        // sync. The record is used from now on, and others will rely on it.
         folder.sync(&file, &name)?;
         self.file = Some(LogFile { name, file });
         Ok(())
     }
 
-    /// Takes over all good records and returns where they end.
+    /// Applies all valid records and returns the offset of their end.
     fn replay(&mut self, buf: &[u8]) -> Result<usize, (usize, &'static str)> {
         let mut offset = 0;
         loop {
@@ -169,8 +171,8 @@
                 }
                 Decoded::End if offset == 0 => return Err((0, "empty file")),
                 Decoded::End => return Ok(offset),
-                // The first record was synced before the file got its name, and only
-                // the last write can have been cut short.
+                // The first record was synced before the file was renamed, and only the last
+                // write can be incomplete.
                 Decoded::Torn(reason) if offset == 0 || record::has_record_after(buf, offset) => {
                     return Err((offset, reason));
                 }
@@ -198,11 +200,11 @@
         Ok(())
     }
 
-    /// Compares with the note of what was synced. A last record that was synced, and is
-    /// gone or bad now, looks like a torn write; but others may count on it.
+    /// Compares the log with the `synced` file. A synced last record that is now missing or
+    /// invalid looks like a torn write, but others may rely on it.
     fn verify_synced(&self, folder: &Folder) -> Result<(), StorageError> {
         let marker = folder.read(SYNCED_FILE)?.unwrap_or_default();
-        // The note is written without a sync: after a power loss it may be torn.
+        // The file is written without a sync, so a power loss may leave it torn.
         let Decoded::Record { seq, .. } = record::decode::<()>(&marker, 0) else {
             return Ok(());
         };
@@ -214,8 +216,8 @@
         Err(damaged(folder.file_path(name), 0, reason))
     }
 
-    /// Writes all that was read back into a new file. After a sync that failed, the
-    /// system may take pages for clean that never reached the disk.
+    /// Writes the content of the log to a new file. After a failed sync, the kernel may
+    /// consider pages clean that never reached the disk.
     pub(crate) fn rewrite(&mut self, folder: &mut Folder) -> Result<(), StorageError> {
         if self.is_empty() {
             return Ok(());
@@ -223,7 +225,7 @@
         self.write_generation(folder)
     }
 
-    /// Appends what `persist` asks for, and returns once it is synced.
+    /// Appends the changes of `persist`, and returns once they are synced.
     pub(crate) fn append(
         &mut self,
         folder: &mut Folder,
@@ -247,8 +249,8 @@
         self.mark_synced(folder)
     }
 
-    /// Begins a generation on a snapshot that is synced already, and adds what else
-    /// `persist` asks for.
+    /// Starts a generation after a snapshot that is already synced, and adds the other changes
+    /// of `persist`.
     pub(crate) fn start_generation(
         &mut self,
         folder: &mut Folder,
@@ -262,6 +264,7 @@
         self.write_generation(folder)
     }
 
+    /// Writes the content of the log as a new generation, and removes the old one.
     fn write_generation(&mut self, folder: &mut Folder) -> Result<(), StorageError> {
         let log_record = LogRecord {
             base: Some(self.state.base),
@@ -286,8 +289,9 @@
             .map_err(|reason| damaged(folder.path().to_owned(), 0, reason))
     }
 
-    /// Notes that the record just written is synced. The note itself isn't: it costs
-    /// no sync, and outlives any end of the process short of a power loss.
+    /// Stores in the `synced` file that the record just written is synced. The file itself
+    /// isn't, which saves a sync per record; it survives the end of the process, but not
+    /// always a power loss.
     fn mark_synced(&mut self, folder: &Folder) -> Result<(), StorageError> {
         let marker = record::encode(self.next_seq, &())?;
         let action = "write";
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,8 +1,8 @@
-//! Records: a value with its length, number and checksum.
+//! Records: values framed with a length, sequence number and checksum.
 //!
-//! A record begins with a fixed mark, so that after a bad one the rest of a file can be
-//! searched for good ones: if there are any, the bad one is damage in the middle and
-//! not a write that a crash cut short.
+//! A record starts with magic bytes, so that after an invalid one the rest of a file can be
+//! searched for valid ones: if there are any, the invalid one is damage and not a write that
+//! a crash interrupted.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -13,20 +13,21 @@
 const MAGIC: [u8; 4] = *b"fh\xf1\x01";
 const HEADER: usize = MAGIC.len() + 4 + 8 + 4;
 
-/// What stands at a place of a file.
+/// Result of decoding a record.
 #[derive(Debug)]
 pub(crate) enum Decoded<T> {
-    /// A good record of number `seq`; the next one begins at `next`.
+    /// A valid record; the next one starts at `next`.
     Record { seq: u64, value: T, next: usize },
-    /// Nothing: the file ends here.
+    /// The end of the file.
     End,
-    /// Bytes that are no whole record.
+    /// An incomplete or corrupt record.
     Torn(&'static str),
-    /// A whole record that this version can't read.
+    /// A complete record whose value this version can't decode.
     Undecodable(&'static str),
 }
 
-/// Mark, length, number, checksum of all but the mark, then the value.
+/// Encodes a record: magic bytes, length of the value, sequence number, checksum of these
+/// two and the value, then the value.
 pub(crate) fn encode(seq: u64, value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
     let body = postcard::to_stdvec(value).context(EncodeSnafu)?;
     let len = (body.len() as u32).to_le_bytes();
@@ -40,7 +41,7 @@
     Ok(buf)
 }
 
-/// Reads the record at `at`.
+/// Decodes the record at `offset`.
 pub(crate) fn decode<T: DeserializeOwned>(buf: &[u8], offset: usize) -> Decoded<T> {
     let rest = &buf[offset.min(buf.len())..];
     if rest.is_empty() {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Whether a good record begins anywhere after `at`.
+/// Whether a valid record starts anywhere after `offset`.
 pub(crate) fn has_record_after(buf: &[u8], offset: usize) -> bool {
     let rest = &buf[(offset + 1).min(buf.len())..];
     let starts = rest.windows(MAGIC.len()).enumerate();
@@ -64,6 +65,7 @@
     candidates.any(|(start, _)| parse_frame(&rest[start..]).is_some())
 }
 
+/// Sequence number and value of the record at the start of `buf`, if it is valid.
 fn parse_frame(buf: &[u8]) -> Option<(u64, &[u8])> {
     let rest = buf.strip_prefix(&MAGIC)?;
     let (len, rest) = rest.split_first_chunk::<4>()?;
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots, each a file that is there whole or not at all.
+//! Snapshot files, written atomically.
 
 use filberthead_consensus::Snapshot;
 
@@ -13,8 +13,8 @@
     format!("{PREFIX}{index:020}")
 }
 
-/// The newest snapshot, or the default if there is none. An older one is no stand-in
-/// for a damaged newest one: the log between them is gone.
+/// The newest snapshot, or the default if there is none. An older one can't replace a
+/// damaged newest one, as the entries between them are already removed.
 pub(crate) fn read_newest(folder: &Folder) -> Result<Snapshot, StorageError> {
     match folder.file_names(PREFIX)?.pop() {
         Some(name) => Ok(read(folder, &name)?.unwrap_or_default()),
@@ -22,7 +22,7 @@
     }
 }
 
-/// The snapshot that this folder's cluster began with, if it began one.
+/// The first snapshot of the cluster, if it was bootstrapped in this folder.
 pub(crate) fn read_bootstrap(folder: &Folder) -> Result<Option<Snapshot>, StorageError> {
     read(folder, BOOTSTRAP_FILE)
 }
--- a/crates/storage/tests/all/crash.rs
+++ b/crates/storage/tests/all/crash.rs
@@ -1,4 +1,4 @@
-//! What a crash at any moment leaves behind.
+//! Recovery after a crash at any moment.
 
 use std::fs::{self, OpenOptions};
 use std::path::Path;
@@ -11,8 +11,8 @@
     write_history,
 };
 
-/// The process dies at each sync in turn. What it finds at the next start must be the
-/// state before or after the change that it was writing, nothing in between.
+/// The process crashes at each sync in turn. At the next start the folder must hold the
+/// state before or after the change being written, or the latter's snapshot alone.
 #[test]
 fn crash_at_any_sync_applies_a_change_entirely_or_not_at_all() {
     let states = states();
@@ -30,7 +30,7 @@
             allowed.contains(&found),
             "{successes_left} {completed} {found:?}"
         );
-        // The folder takes further changes after what it found.
+        // The folder accepts further changes.
         let last = found
             .entries
             .last()
@@ -59,7 +59,7 @@
     None
 }
 
-/// The state when a snapshot is on disk and the rest of its change isn't.
+/// The state when the snapshot of a change is on disk but the rest of it isn't.
 fn state_between(states: &[Durable], completed: usize) -> Durable {
     let mut state = states[completed].clone();
     if let Some(snapshot) = &history()[completed].snapshot {
@@ -78,8 +78,8 @@
     (entry.index, entry.term)
 }
 
-/// A power loss during a write leaves any part of the last record. It was not yet
-/// promised to anybody, so it is cut, and the log goes on from there.
+/// A power loss during a write leaves any part of the last record. No reply has depended on
+/// it yet, so it is truncated, and the log continues from there.
 #[test]
 fn torn_tail_of_any_length_is_truncated() {
     let original = tempfile::tempdir().expect("a folder");
@@ -97,7 +97,7 @@
         .len();
     for len in kept..full {
         let folder = copy_folder(original.path());
-        // The write was not synced, so the note does not speak of it.
+        // The write was not synced, so the `synced` file does not include it.
         fs::write(folder.path().join("synced"), &marker).expect("written");
         let log = file(folder.path(), "log-");
         let log = OpenOptions::new().write(true).open(log).expect("a log");
@@ -110,7 +110,7 @@
     }
 }
 
-/// After a power loss a file may have its new length but zeros where the data was to be.
+/// After a power loss a file may have its new length, but zeros in place of the data.
 #[test]
 fn tail_of_zeros_is_truncated() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -123,8 +123,8 @@
     assert_eq!(load(folder.path()), before);
 }
 
-/// The process dies after the snapshot is in place and before the log is cut: the old
-/// entries below the snapshot must not come back, and those above must stay.
+/// The process crashes after the snapshot is written and before the log is compacted: the
+/// entries that it covers must not reappear, and later ones must stay.
 #[test]
 fn crash_between_snapshot_and_log_compaction() {
     let original = tempfile::tempdir().expect("a folder");
@@ -143,7 +143,7 @@
     assert_eq!(indexes, [7, 8, 9]);
 }
 
-/// Files under temporary names are leftovers of a crash, whatever is in them.
+/// Temporary files are left by a crash and removed regardless of their content.
 #[test]
 fn temporary_files_are_removed() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -155,7 +155,7 @@
     assert!(!files(folder.path()).iter().any(|f| f.ends_with(".tmp")));
 }
 
-/// Copies a folder.
+/// Copies the files of a folder into a temporary one.
 pub(crate) fn copy_folder(from: &Path) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     for name in files(from) {
--- a/crates/storage/tests/all/damage.rs
+++ b/crates/storage/tests/all/damage.rs
@@ -1,4 +1,4 @@
-//! Bytes that are no longer what was synced.
+//! Damage to stored files: bytes that differ from what was synced.
 
 use std::fs;
 use std::path::Path;
@@ -19,8 +19,8 @@
     matches!(opened, Err(StorageError::Damaged { .. }))
 }
 
-/// A sector goes bad in the middle of the log. Starting without what stood there would
-/// lose entries that others count on, so the replica must not start.
+/// A sector of the log goes bad. Starting without it would lose entries that others rely on,
+/// so the replica must not start.
 #[test]
 fn damage_in_the_middle_stops_the_replica() {
     let original = tempfile::tempdir().expect("a folder");
@@ -58,7 +58,7 @@
     assert!(is_rejected_as_damaged(folder.path()));
 }
 
-/// The log is gone while the rest of the folder is there, as after a careless clean-up.
+/// The log is missing while the rest of the folder exists, as after a careless clean-up.
 #[test]
 fn missing_log_stops_the_replica() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -67,7 +67,7 @@
     assert!(is_rejected_as_damaged(folder.path()));
 }
 
-/// Harm done to one file.
+/// Corruption of one file. Numbers select the file and position modulo those present.
 #[derive(Clone, Debug)]
 #[derive(TypeGenerator)]
 enum Corruption {
@@ -91,14 +91,14 @@
     fs::write(&path, content).expect("written");
 }
 
-/// Random flips and truncations: whatever the folder is opened with afterwards was its
-/// state after some change. With only one file harmed, it is the last state.
+/// Random bit flips and truncations: if the folder opens afterwards, it has the state after
+/// some change of the history; if only one file was corrupted, the last state.
 #[test]
 fn corruption_never_yields_entries_that_were_not_written() {
     let states = states();
     let original = tempfile::tempdir().expect("a folder");
     write_history(original.path(), history().len());
-    // bolero's own loop draws new seeds in each run; a test is to give one verdict.
+    // bolero's own loop uses new seeds in each run, but a test must be reproducible.
     let options = Options::default();
     for seed in 0..CORRUPTIONS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
--- a/crates/storage/tests/all/folder.rs
+++ b/crates/storage/tests/all/folder.rs
@@ -64,8 +64,8 @@
     assert_eq!(names.len(), 6, "{names:?}");
 }
 
-/// A disk is wiped and the VM comes back: under its old identity others would count on
-/// votes and entries that it no longer has.
+/// A disk is wiped and its VM returns: under its old identity, others would rely on votes
+/// and entries that it no longer has.
 #[test]
 fn wiped_folder_gets_a_new_identity() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -79,7 +79,7 @@
     assert_eq!(disk.load().expect("loads"), Durable::default());
 }
 
-/// Only the identity is lost: a new one would take over the old one's votes.
+/// Only the identity is lost: a new one would inherit the votes of the old one.
 #[test]
 fn log_without_identity_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -100,7 +100,7 @@
     assert!(matches!(rejected, Err(StorageError::OtherCluster { .. })));
 }
 
-/// A service manager starts the daemon while the old one still runs: two writers would
+/// A service manager starts the daemon while the old process still runs: two writers would
 /// interleave their records.
 #[test]
 fn second_open_is_rejected_until_the_first_closes() {
@@ -148,7 +148,7 @@
     assert_eq!(load(two.path()), expected);
 }
 
-/// A replica that learned its state from a leader must not begin a cluster of its own.
+/// A replica that has received state from a leader must not bootstrap a cluster of its own.
 #[test]
 fn replica_with_state_does_not_bootstrap() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -171,7 +171,7 @@
     assert_eq!(load(folder.path()), before);
 }
 
-/// A note is there whole or not at all, and the log does without it.
+/// The note is replaced atomically; a damaged one reads as missing.
 #[test]
 fn note_is_replaced_atomically() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/storage/tests/all/main.rs
+++ b/crates/storage/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder: what survives, what is rejected.
+//! Tests of the data folder: what survives a crash, and what is rejected.
 
 mod crash;
 mod damage;
--- a/crates/storage/tests/all/support.rs
+++ b/crates/storage/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Changes to write, and syncs that fail when told to.
+//! Sample changes and a sync that fails on demand.
 
 use std::fs::{self, File};
 use std::io;
@@ -62,8 +62,8 @@
     }
 }
 
-/// A history with each kind of change: votes, entries, a false tail that gives way, a
-/// snapshot taken here, one from the leader, and entries after them.
+/// Changes of each kind: votes, entries, a conflicting tail and its replacement, a snapshot
+/// taken locally, one from the leader, and entries after them.
 pub(crate) fn history() -> Vec<Persist> {
     vec![
         hard_state(1, 1),
@@ -82,7 +82,7 @@
     ]
 }
 
-/// A new cluster's folder with the first `count` changes of `history`.
+/// Bootstraps a folder and writes the first `count` changes of [`history`].
 pub(crate) fn write_history(path: &Path, count: usize) {
     let mut disk = open(path);
     disk.bootstrap(&members(), vec![1, 2, 3]).expect("begins");
@@ -91,7 +91,7 @@
     }
 }
 
-/// What a folder holds after each number of changes.
+/// The stored state after each number of changes of [`history`].
 pub(crate) fn states() -> Vec<Durable> {
     let state = |count| {
         let folder = tempfile::tempdir().expect("a folder");
@@ -101,7 +101,7 @@
     (0..=history().len()).map(state).collect()
 }
 
-/// The one file whose name begins with `prefix`.
+/// The only file whose name starts with `prefix`.
 pub(crate) fn file(path: &Path, prefix: &str) -> PathBuf {
     let mut found = files(path);
     found.retain(|name| name.starts_with(prefix));
@@ -119,7 +119,7 @@
     names
 }
 
-/// A sync that fails once `left` have succeeded.
+/// A sync that fails after `successes_left` successes.
 #[derive(Debug)]
 pub(crate) struct FailingSync {
     pub(crate) successes_left: usize,
