--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -147,8 +147,8 @@
         let file = folder.open_append(&name)?;
         if end < buf.len() {
             let cut = buf.len() - end;
-            log::warn!(file = name.as_str(), at = end, cut; "cut a torn tail");
-            let action = "cut";
+            log::warn!(file = name.as_str(), at = end, cut; "truncated a torn tail of the log");
+            let action = "truncate";
             let path = folder.file_path(&name);
             file.set_len(end as u64).context(IoSnafu { action, path })?;
         }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -53,7 +53,7 @@
     let next = offset + HEADER + body.len();
     match postcard::from_bytes(body) {
         Ok(value) => Decoded::Record { seq, value, next },
-        Err(_) => Decoded::Undecodable("record of an unknown shape"),
+        Err(_) => Decoded::Undecodable("record of an unknown format"),
     }
 }
 
--- a/crates/storage/tests/all/crash.rs
+++ b/crates/storage/tests/all/crash.rs
@@ -101,7 +101,7 @@
         fs::write(folder.path().join("synced"), &marker).expect("written");
         let log = file(folder.path(), "log-");
         let log = OpenOptions::new().write(true).open(log).expect("a log");
-        log.set_len(len as u64).expect("cut");
+        log.set_len(len as u64).expect("truncated");
         assert_eq!(load(folder.path()), before);
         open(folder.path())
             .persist(&entries(10, 10, 3))
