--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Whether this replica may grant a vote: not while a lease may depend on an
-    /// acknowledgement that it sent, nor before it has a membership.
+    /// Whether this replica may grant a vote: not while it leads, or while a leader's lease may
+    /// depend on its acknowledgement, or before it has a membership.
     fn may_vote(&self, now: Moment) -> bool {
         if self.log.members().voters.is_empty() {
             return false;
--- a/crates/consensus/src/sync.rs
+++ b/crates/consensus/src/sync.rs
@@ -17,6 +17,7 @@
     next_seq: u64,
     hard_state_dirty: bool,
     snapshot_dirty: bool,
+    /// First index of the entries for the next [`Persist`].
     unsynced_from: Option<u64>,
     in_flight: Option<InFlight>,
     pending_replies: Vec<PendingReply>,
