--- a/crates/consensus/examples/failover.rs
+++ b/crates/consensus/examples/failover.rs
@@ -11,7 +11,7 @@
 use filberthead_types::{Moment, ReplicaId};
 
 /// One-way delay between two regions.
-const DELAY: Duration = Duration::from_millis(35);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(35);
 const TICK: Duration = Duration::from_millis(5);
 const SEEDS: u64 = 500;
 const REPLICAS: u64 = 3;
@@ -66,7 +66,7 @@
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
         let event = Event::Received { from, message };
-        self.net.push((self.now + DELAY, to, event));
+        self.net.push((self.now + ONE_WAY_DELAY, to, event));
     }
 
     fn tick(&mut self) {
@@ -97,10 +97,10 @@
     }
 }
 
-fn print(name: &str, mut times: Vec<Duration>) {
+fn print_quantiles(name: &str, mut times: Vec<Duration>) {
     times.sort_unstable();
-    for (quantile, part) in [("p50", 50), ("p99", 99), ("max", 100)] {
-        let at = (times.len() * part / 100).min(times.len() - 1);
+    for (quantile, percent) in [("p50", 50), ("p99", 99), ("max", 100)] {
+        let at = (times.len() * percent / 100).min(times.len() - 1);
         println!("{name}_{quantile}: {} ms", times[at].as_millis());
     }
 }
@@ -119,6 +119,6 @@
             next.push(cluster.run_until_led());
         }
     }
-    print("first_leader", first);
-    print("leader_replaced", next);
+    print_quantiles("first_leader", first);
+    print_quantiles("leader_replaced", next);
 }
--- a/crates/consensus/src/api.rs
+++ b/crates/consensus/src/api.rs
@@ -157,7 +157,7 @@
         round: u64,
     },
     /// A snapshot, for a follower that needs entries that the leader has discarded.
-    Install {
+    InstallSnapshot {
         /// The leader's term.
         term: Epoch,
         /// The snapshot.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -85,8 +85,8 @@
     /// Whether this replica is a candidate too and takes precedence: of two concurrent ones
     /// with equal logs, only the higher id continues, so that they don't split the votes.
     fn takes_precedence(&self, other: ReplicaId, end: LogEnd) -> bool {
-        let asks = !matches!(self.state, State::Follower);
-        asks && end == self.log_end() && self.id > other
+        let is_candidate = !matches!(self.state, State::Follower);
+        is_candidate && end == self.log_end() && self.id > other
     }
 
     pub(crate) fn on_pre_vote_reply(
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -7,7 +7,7 @@
 use crate::replica::{Replica, State};
 
 /// Number of election timeouts after which an unacknowledged snapshot is resent.
-const INSTALL_RETRY_TIMEOUTS: u32 = 5;
+const SNAPSHOT_RETRY_TIMEOUTS: u32 = 5;
 
 /// What to send to a follower next. `Entries` may be empty: a heartbeat.
 enum Outgoing {
@@ -133,12 +133,12 @@
             Outgoing::Snapshot => {
                 let index = self.snapshot.index;
                 peer.next = index + 1;
-                peer.flow = Flow::Install {
+                peer.flow = Flow::InstallSnapshot {
                     index,
                     sent_at: now,
                 };
                 let snapshot = self.snapshot.clone();
-                Message::Install {
+                Message::InstallSnapshot {
                     term,
                     snapshot,
                     round,
@@ -156,7 +156,7 @@
                             peer.next = last.index + 1;
                         }
                         Flow::Probe { sent } => *sent = true,
-                        Flow::Install { .. } => {}
+                        Flow::InstallSnapshot { .. } => {}
                     }
                 }
                 Message::Append {
@@ -184,7 +184,9 @@
         let may_send = match &peer.flow {
             Flow::Probe { sent } => !sent,
             Flow::Stream(batches) => batches.len() < MAX_BATCHES_IN_FLIGHT,
-            Flow::Install { sent_at, .. } => now >= *sent_at + timeout * INSTALL_RETRY_TIMEOUTS,
+            Flow::InstallSnapshot { sent_at, .. } => {
+                now >= *sent_at + timeout * SNAPSHOT_RETRY_TIMEOUTS
+            }
         };
         if may_send && active && self.needs_snapshot(peer.next, &peer.flow) {
             return Outgoing::Snapshot;
@@ -201,7 +203,7 @@
     }
 
     fn needs_snapshot(&self, next: u64, flow: &Flow) -> bool {
-        next <= self.log.base_index() || matches!(flow, Flow::Install { .. })
+        next <= self.log.base_index() || matches!(flow, Flow::InstallSnapshot { .. })
     }
 
     pub(crate) fn on_append_reply(
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -22,7 +22,7 @@
     /// unacknowledged batch.
     Stream(VecDeque<u64>),
     /// A snapshot up to `index` was sent at `sent_at`.
-    Install { index: u64, sent_at: Moment },
+    InstallSnapshot { index: u64, sent_at: Moment },
 }
 
 /// Replication state of one follower.
@@ -54,7 +54,7 @@
         self.next = self.next.max(self.matched + 1);
         match &mut self.flow {
             Flow::Stream(batches) => batches.retain(|last| *last > index),
-            Flow::Install { index: sent, .. } if self.matched < *sent => {}
+            Flow::InstallSnapshot { index: sent, .. } if self.matched < *sent => {}
             _ if self.next > base => self.flow = Flow::Stream(VecDeque::new()),
             _ => {}
         }
@@ -63,7 +63,7 @@
     /// Records that the follower's log does not match before `next`; `hint` is the index
     /// after which it suggests to continue.
     pub(crate) fn rejected(&mut self, hint: u64) {
-        if matches!(self.flow, Flow::Install { .. }) {
+        if matches!(self.flow, Flow::InstallSnapshot { .. }) {
             return;
         }
         self.next = self.next.min(hint + 1).max(self.matched + 1);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -206,7 +206,7 @@
                 success,
                 round,
             } => self.on_append_reply(now, (from, term, round), index, success),
-            Message::Install {
+            Message::InstallSnapshot {
                 term,
                 snapshot,
                 round,
--- a/crates/consensus/tests/all/safety_rules.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -150,16 +150,16 @@
 ) {
     let with_rule = explore(scenario(setup(all_safety_rules()), depth, budget));
     assert_eq!(with_rule.violation.as_ref(), None);
-    let mut broken = all_safety_rules();
-    remove(&mut broken);
-    let without_rule = explore(scenario(setup(broken), depth, budget));
+    let mut guards = all_safety_rules();
+    remove(&mut guards);
+    let without_rule = explore(scenario(setup(guards), depth, budget));
     println!(
         "{} states with the rule; without it {:?}",
         with_rule.states, without_rule
     );
     let (violation, _) = without_rule
         .violation
-        .expect("a rule must break without it");
+        .expect("a violation without the rule");
     assert!(expected(&violation), "{violation:?}");
 }
 
@@ -363,7 +363,7 @@
     );
     let (violation, _) = without_rule
         .violation
-        .expect("a rule must break without it");
+        .expect("a violation without the rule");
     assert!(matches!(violation, Violation::LeaderLacksCommitted(_)));
 }
 
