--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -26,7 +26,7 @@
         // Entries committed here are in the leader's log too.
         let matches = prev_index <= self.commit || self.log.term_at(prev_index) == Some(prev_term);
         if !matches {
-            let hint = self.next_index_hint(prev_index);
+            let hint = self.conflict_hint(prev_index);
             self.reply(now, sender, hint, false);
             return;
         }
@@ -85,7 +85,7 @@
     /// The index after which the leader should try next if `prev_index` does not match. It
     /// skips all entries of that term, so that a long conflicting tail costs one round trip
     /// per term.
-    fn next_index_hint(&self, prev_index: u64) -> u64 {
+    fn conflict_hint(&self, prev_index: u64) -> u64 {
         if prev_index > self.log.last_index() {
             return self.log.last_index();
         }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -49,7 +49,7 @@
 
     fn build_payload(&self, now: Moment, proposal: Proposal) -> Result<Payload, ProposeError> {
         if !self.holds_lease(now) {
-            let leader = self.known_leader();
+            let leader = self.other_leader();
             return Err(ProposeError::NotLeader { leader });
         }
         match proposal {
@@ -66,7 +66,7 @@
         token: Token,
         payload: Payload,
     ) -> Result<(), ProposeError> {
-        let leader = self.known_leader();
+        let leader = self.other_leader();
         let State::Leader(leadership) = &mut self.state else {
             return Err(ProposeError::NotLeader { leader });
         };
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -18,7 +18,7 @@
         change: &Proposal,
     ) -> Result<Members, ProposeError> {
         let State::Leader(leadership) = &self.state else {
-            let leader = self.known_leader();
+            let leader = self.other_leader();
             return Err(ProposeError::NotLeader { leader });
         };
         let change_pending =
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -220,7 +220,7 @@
         } else {
             Action::ReadRefused {
                 token,
-                leader: self.known_leader(),
+                leader: self.other_leader(),
             }
         };
         self.actions.push(action);
@@ -316,7 +316,7 @@
 
     /// The leader, if it is another replica: this one must prove its own leadership by its
     /// lease.
-    pub(crate) fn known_leader(&self) -> Option<ReplicaId> {
+    pub(crate) fn other_leader(&self) -> Option<ReplicaId> {
         self.leader.filter(|id| *id != self.id)
     }
 
--- a/crates/consensus/tests/all/cluster.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -35,7 +35,7 @@
     CommittedChanged(u64),
     LeaderLacksCommitted(u64),
     TwoLeases,
-    StaleAnswer,
+    StaleRead,
 }
 
 /// What the cluster has guaranteed so far.
@@ -151,7 +151,7 @@
     }
 
     fn node_mut(&mut self, id: ReplicaId) -> &mut Node {
-        Rc::make_mut(self.nodes.get_mut(&id).expect("known"))
+        Rc::make_mut(self.nodes.get_mut(&id).expect("a replica of the cluster"))
     }
 
     pub(crate) fn tick(&mut self, id: ReplicaId) {
@@ -216,7 +216,7 @@
             Action::ReadReady { token } => {
                 let applied = self.nodes[&id].applied;
                 if applied < self.history.accepted {
-                    self.report_violation(Violation::StaleAnswer);
+                    self.report_violation(Violation::StaleRead);
                 }
                 self.reads.insert(token.0, true);
             }
@@ -266,7 +266,7 @@
             if status.holds_lease {
                 leases += 1;
                 if self.nodes[&id].applied < self.history.accepted {
-                    self.report_violation(Violation::StaleAnswer);
+                    self.report_violation(Violation::StaleRead);
                 }
             }
         }
@@ -319,24 +319,24 @@
     }
 
     /// Advances by `ms` as [`Self::advance`] does, and asserts that no rule was violated.
-    pub(crate) fn run_without(&mut self, ms: u64, stopped: &[ReplicaId]) {
-        self.advance(ms, stopped);
+    pub(crate) fn run_with_suspended(&mut self, ms: u64, suspended: &[ReplicaId]) {
+        self.advance(ms, suspended);
         assert_eq!(self.history.violation, None);
     }
 
-    /// Runs the cluster for `ms`. The replicas `stopped` are suspended: they don't tick or
+    /// Runs the cluster for `ms`. The replicas `suspended` don't tick or
     /// sync, and messages to them are held.
-    pub(crate) fn advance(&mut self, ms: u64, stopped: &[ReplicaId]) {
+    pub(crate) fn advance(&mut self, ms: u64, suspended: &[ReplicaId]) {
         const STEP: u64 = 10;
         for _ in 0..ms / STEP {
             self.now += Moment::from_millis(STEP);
             let ids: Vec<_> = self.nodes.keys().copied().collect();
             let (held, due): (Vec<_>, Vec<_>) = std::mem::take(&mut self.net)
                 .into_iter()
-                .partition(|e| stopped.contains(&e.to));
+                .partition(|e| suspended.contains(&e.to));
             self.net = held;
             due.into_iter().for_each(|e| self.deliver(e));
-            for id in ids.into_iter().filter(|id| !stopped.contains(id)) {
+            for id in ids.into_iter().filter(|id| !suspended.contains(id)) {
                 self.tick(id);
                 self.sync(id);
             }
@@ -344,7 +344,7 @@
     }
 
     pub(crate) fn run(&mut self, ms: u64) {
-        self.run_without(ms, &[]);
+        self.run_with_suspended(ms, &[]);
     }
 
     /// Cuts the links between `isolated` and all others, in both directions.
--- a/crates/consensus/tests/all/explore.rs
+++ b/crates/consensus/tests/all/explore.rs
@@ -294,7 +294,7 @@
 }
 
 fn started_sync(cluster: &Cluster, previous: &Cluster) -> bool {
-    let syncs = |w: &Cluster| w.nodes.values().filter(|n| n.unsynced.is_some()).count();
+    let syncs = |c: &Cluster| c.nodes.values().filter(|n| n.unsynced.is_some()).count();
     syncs(cluster) > syncs(previous)
 }
 
--- a/crates/consensus/tests/all/lease.rs
+++ b/crates/consensus/tests/all/lease.rs
@@ -32,10 +32,10 @@
     let (mut cluster, leader) = elected(3);
     let pending = cluster.propose_command(leader, 1);
     cluster.net.clear();
-    cluster.run_without(4000, &[leader]);
+    cluster.run_with_suspended(4000, &[leader]);
     let next = cluster.leader().expect("a new leader");
     let token = cluster.propose_command(next, 2);
-    cluster.run_without(500, &[leader]);
+    cluster.run_with_suspended(500, &[leader]);
     assert!(cluster.proposed[&token].is_ok());
     assert!(!cluster.read_is_served(leader));
     assert_eq!(
--- a/crates/consensus/tests/all/safety_rules.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -268,7 +268,7 @@
         9,
         budget,
         |g| g.noop_before_read = false,
-        |v| matches!(v, Violation::StaleAnswer),
+        |v| matches!(v, Violation::StaleRead),
     );
 }
 
