--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -97,6 +97,7 @@
         self.sync.appended(index);
     }
 
+    /// Tracks all other replicas of the membership in effect.
     fn track_members(&mut self) {
         let State::Leader(leadership) = &mut self.state else {
             return;
@@ -172,6 +173,7 @@
         self.send(to, message);
     }
 
+    /// What to send to `to`, subject to its flow control.
     fn next_outgoing(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Outgoing {
         let State::Leader(leadership) = &self.state else {
             return Outgoing::Nothing;
--- a/crates/consensus/tests/all/cluster.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -22,8 +22,10 @@
 /// A replica with its disk. Of its state machine only the applied index is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Node {
+    /// `None` while it is crashed.
     pub(crate) replica: Option<Replica>,
     pub(crate) disk: Durable,
+    /// Changes whose sync is pending.
     pub(crate) unsynced: Option<Persist>,
     pub(crate) applied: u64,
 }
@@ -31,10 +33,15 @@
 /// A violated rule of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Violation {
+    /// Two replicas led in this term.
     TwoLeaders(Epoch),
+    /// Two replicas applied different entries at this index.
     CommittedChanged(u64),
+    /// The newest leader's log has no or another entry at this committed index.
     LeaderLacksCommitted(u64),
+    /// Two replicas held a lease at once.
     TwoLeases,
+    /// A replica may serve reads without having applied an accepted proposal.
     StaleRead,
 }
 
@@ -55,9 +62,12 @@
     pub(crate) now: Moment,
     pub(crate) nodes: BTreeMap<ReplicaId, Rc<Node>>,
     pub(crate) net: Vec<Envelope>,
+    /// Directed links whose messages are lost.
     pub(crate) cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
     pub(crate) history: History,
+    /// Results of proposals, by token.
     pub(crate) proposed: BTreeMap<u64, Result<u64, ProposeError>>,
+    /// Results of reads, by token.
     pub(crate) reads: BTreeMap<u64, bool>,
     next_token: u64,
 }
@@ -176,6 +186,7 @@
         self.step(to, Event::Received { from, message });
     }
 
+    /// Proposes on `id`, and returns the key of the result in `proposed`.
     pub(crate) fn propose(&mut self, id: ReplicaId, proposal: Proposal) -> u64 {
         self.next_token += 1;
         let token = Token(self.next_token);
@@ -324,8 +335,8 @@
         assert_eq!(self.history.violation, None);
     }
 
-    /// Runs the cluster for `ms`. The replicas `suspended` don't tick or
-    /// sync, and messages to them are held.
+    /// Runs the cluster for `ms`. The replicas `suspended` don't tick or sync, and messages to
+    /// them are held.
     pub(crate) fn advance(&mut self, ms: u64, suspended: &[ReplicaId]) {
         const STEP: u64 = 10;
         for _ in 0..ms / STEP {
--- a/crates/consensus/tests/all/explore.rs
+++ b/crates/consensus/tests/all/explore.rs
@@ -59,12 +59,16 @@
     AdvanceSecond,
     Tick(ReplicaId),
     Deliver(usize),
+    /// Delivers a message and keeps a copy in flight.
     DeliverTwice(usize),
+    /// Delivers a message and leaves the sync that it starts pending.
     DeliverUnsynced(usize),
     Sync(ReplicaId),
+    /// Restarts a replica; whether its pending sync completes.
     Crash(ReplicaId, bool),
     Wipe(ReplicaId),
     Propose(ReplicaId),
+    /// Proposes on the first replica to remove the second.
     Remove(ReplicaId, ReplicaId),
 }
 
--- a/crates/consensus/tests/all/random.rs
+++ b/crates/consensus/tests/all/random.rs
@@ -29,8 +29,10 @@
     Duplicate(u8),
     Lose(u8),
     Sync(u8),
+    /// Crashes a replica; whether its pending sync completes.
     Crash(u8, bool),
     Restart,
+    /// Replaces a replica by an empty one with a new identity.
     Wipe(u8),
     Isolate(u8),
     Heal,
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -62,6 +62,7 @@
         self.base = snapshot.index;
     }
 
+    /// Checks that the record's entries continue the log, or overwrite its end, without gaps.
     fn check_contiguous(&self, log_record: &LogRecord<'_>) -> Result<(), &'static str> {
         let Some(first) = log_record.entries.first().map(|e| e.index) else {
             return Ok(());
