--- a/crates/storage/tests/all/crash.rs
+++ b/crates/storage/tests/all/crash.rs
@@ -12,7 +12,8 @@
 };
 
 /// The process crashes at each sync in turn. At the next start the folder must hold the
-/// state before or after the change being written, or the latter's snapshot alone.
+/// state before or after the change being written, or, if the change has a snapshot, the
+/// state with the snapshot and nothing else of the change.
 #[test]
 fn crash_at_any_sync_applies_a_change_entirely_or_not_at_all() {
     let states = states();
@@ -46,7 +47,7 @@
 fn run_until_failure(path: &Path, successes_left: usize) -> Option<usize> {
     open(path)
         .bootstrap(&members(), vec![1, 2, 3])
-        .expect("begins");
+        .expect("bootstrapped");
     let sync = Box::new(FailingSync { successes_left });
     let mut disk = Disk::open_with(path, CLUSTER, sync).expect("opens");
     for (completed, persist) in history().iter().enumerate() {
--- a/crates/storage/tests/all/folder.rs
+++ b/crates/storage/tests/all/folder.rs
@@ -46,7 +46,7 @@
 fn snapshots_bound_the_folder_size() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = open(folder.path());
-    disk.bootstrap(&members(), vec![]).expect("begins");
+    disk.bootstrap(&members(), vec![]).expect("bootstrapped");
     let mut largest = 0;
     for round in 0..20 {
         let first = 2 + round * 50;
@@ -116,7 +116,7 @@
 fn bootstrap_is_idempotent_and_rejects_other_state() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = open(folder.path());
-    disk.bootstrap(&members(), vec![1]).expect("begins");
+    disk.bootstrap(&members(), vec![1]).expect("bootstrapped");
     disk.bootstrap(&members(), vec![1]).expect("the same");
     let other = disk.bootstrap(&members(), vec![2]);
     assert!(matches!(other, Err(StorageError::BootstrapConflict { .. })));
@@ -133,7 +133,7 @@
     for folder in [&one, &two] {
         open(folder.path())
             .bootstrap(&members(), vec![9])
-            .expect("begins");
+            .expect("bootstrapped");
     }
     let expected = Durable {
         snapshot: Snapshot {
--- a/crates/storage/tests/all/support.rs
+++ b/crates/storage/tests/all/support.rs
@@ -85,7 +85,8 @@
 /// Bootstraps a folder and writes the first `count` changes of [`history`].
 pub(crate) fn write_history(path: &Path, count: usize) {
     let mut disk = open(path);
-    disk.bootstrap(&members(), vec![1, 2, 3]).expect("begins");
+    disk.bootstrap(&members(), vec![1, 2, 3])
+        .expect("bootstrapped");
     for persist in &history()[..count] {
         disk.persist(persist).expect("synced");
     }
