--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,16 +1,18 @@
-//! The replica: its state, and the one function through which time passes.
+//! The replica: its state and [`Replica::step`].
 //!
 //! # Invariants
 //!
-//! - At most one replica leads in a term: a vote is synced before it leaves.
-//! - What is committed stays: only a candidate whose log is at least as new as a
-//!   majority's wins, and a leader commits by counting only entries of its own term.
-//! - At most one replica holds a valid lease at any moment. The lease counts from the
-//!   moment a heartbeat was *sent*; whoever answered it refuses its vote for an
-//!   election timeout from a later moment, and a replica that restarts, having
-//!   forgotten what it answered, refuses for as long. The lease is the shorter.
-//! - A lease is compared with `now` at each answer, so a process that was suspended
-//!   doesn't answer by what it believed before.
+//! - At most one replica leads in a term: a vote is synced before it is sent.
+//! - Committed entries are never lost: a candidate wins only if its log is at least as up
+//!   to date as a majority's, and a leader commits only entries of its own term by
+//!   counting replicas.
+//! - At most one replica holds a valid lease at any moment. The lease starts when a
+//!   heartbeat is *sent*. A replica that acknowledges it grants no vote for an election
+//!   timeout from its receipt, which is later; a restarted replica has lost track of what
+//!   it acknowledged, and grants none for as long after its start. The lease is shorter
+//!   than the election timeout.
+//! - A lease is compared with `now` before each read or proposal, so a process that was
+//!   suspended doesn't act on an expired one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,10 +27,10 @@
 use crate::config::Config;
 use crate::log::Log;
 use crate::progress::Leadership;
-use crate::sync::{Release, Sync};
+use crate::sync::{SendDecision, SyncTracker};
 
-/// A part of the snapshot interval for which entries stay in memory after a snapshot.
-const KEPT_PART: u64 = 4;
+/// Of `snapshot_after` entries, one in this many stays in memory after a snapshot.
+const RETAINED_ENTRIES_DIVISOR: u64 = 4;
 
 /// One replica of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -42,17 +44,21 @@
     pub(crate) commit: u64,
     pub(crate) state: State,
     pub(crate) leader: Option<ReplicaId>,
-    pub(crate) sync: Sync,
-    /// Until then this replica may be bound by what it answered to a leader.
+    pub(crate) sync: SyncTracker,
+    /// Earliest moment to grant a vote: a leader's lease may depend on this replica until
+    /// then.
     pub(crate) no_vote_until: Moment,
-    /// When to ask for votes if no leader is heard.
+    /// When to start an election unless a leader's message arrives first.
     pub(crate) election_at: Moment,
-    draws: u64,
-    snapshot_asked: bool,
-    out: Vec<Action>,
+    /// Number of election jitters drawn so far; varies the seed of the next one.
+    election_draws: u64,
+    /// Whether [`Action::TakeSnapshot`] was returned and awaits its event.
+    snapshot_requested: bool,
+    /// Actions of the current step.
+    actions: Vec<Action>,
 }
 
-/// What the replica is doing. Learners are followers that the membership names so.
+/// Election state. Learners are `Follower`s; candidates hold the votes granted so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
     Follower,
@@ -62,12 +68,12 @@
 }
 
 impl Replica {
-    /// Starts a replica from what its data folder holds. The owner's state machine
-    /// starts from `durable.snapshot`; entries after it come by [`Action::Apply`] once
-    /// they are known to be committed.
+    /// Starts a replica from its stored state. The owner's state machine starts from
+    /// `durable.snapshot`; later entries follow in [`Action::Apply`] once they are known to
+    /// be committed.
     ///
     /// With empty [`Members`](crate::Members) (a new data folder) it neither votes nor
-    /// campaigns and waits until a leader addresses it.
+    /// campaigns, but waits for a leader's message.
     pub fn new(id: ReplicaId, cfg: Config, durable: Durable, now: Moment) -> Self {
         let log = Log::new(&durable.snapshot, durable.entries);
         let mut replica = Self {
@@ -77,34 +83,34 @@
             commit: durable.snapshot.index,
             state: State::Follower,
             leader: None,
-            sync: Sync::new(log.last_index()),
+            sync: SyncTracker::new(log.last_index()),
             no_vote_until: Moment::ZERO,
             election_at: Moment::ZERO,
-            draws: 0,
-            snapshot_asked: false,
-            out: Vec::new(),
+            election_draws: 0,
+            snapshot_requested: false,
+            actions: Vec::new(),
             snapshot: durable.snapshot,
             log,
             cfg,
         };
-        // A snapshot or entry may have been synced just before the term that it names.
+        // A snapshot or entry may have been synced just before a crash, its term not yet.
         if replica.log.last_term() > replica.term {
             replica.set_term(replica.log.last_term());
         }
-        // Before it died it may have answered a heartbeat, and a leader may count its
-        // lease on that answer: voting at once could set up a second leader whose
-        // changes the first one doesn't see. The silence outlasts any such lease.
+        // Before its restart this replica may have acknowledged a heartbeat, and a leader's
+        // lease may depend on that: an immediate vote could elect a second leader whose
+        // changes the first one doesn't see. The wait outlasts any such lease.
         if replica.cfg.guards.wait_after_restart {
             replica.no_vote_until = now + replica.cfg.election_timeout;
         }
-        replica.reset_election(now);
+        replica.reset_election_timer(now);
         replica
     }
 
-    /// Takes an event at `now` and says what to do next, in this order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
-    /// `now` must be read from the monotonic clock after the event came in: a process
-    /// that was suspended in between then answers by the clock of after.
+    /// `now` must be read from the monotonic clock after the event arrived, so that a
+    /// process that was suspended in between doesn't use a time from before that.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         self.check_quorum(now);
         match event {
@@ -116,13 +122,17 @@
             Event::SnapshotTaken { index, data } => self.on_snapshot_taken(index, data),
         }
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// What this replica takes itself for at `now`.
+    /// The state of this replica at `now`, for operators.
     pub fn status(&self, now: Moment) -> Status {
         let progress = match &self.state {
-            State::Leader(lead) => lead.peers.iter().map(|(id, p)| (*id, p.matched)).collect(),
+            State::Leader(leadership) => leadership
+                .peers
+                .iter()
+                .map(|(id, p)| (*id, p.matched))
+                .collect(),
             _ => Vec::new(),
         };
         Status {
@@ -130,7 +140,7 @@
             role: self.role(),
             term: self.term,
             leader: self.leader,
-            holds_lease: self.may_answer(now),
+            holds_lease: self.can_serve_reads(now),
             last_index: self.log.last_index(),
             commit: self.commit,
             members: self.log.members().clone(),
@@ -138,10 +148,10 @@
         }
     }
 
-    /// End of the lease, while this replica holds one and may answer from its state
-    /// machine. For what is done on the strength of the lease without asking again.
+    /// End of the lease if this replica may serve reads, else `None`. For work that relies on
+    /// the lease without a [`Event::Read`] for each answer.
     pub fn lease_until(&self, now: Moment) -> Option<Moment> {
-        self.lease_end(now).filter(|_| self.may_answer(now))
+        self.lease_end(now).filter(|_| self.can_serve_reads(now))
     }
 
     fn role(&self) -> Role {
@@ -156,9 +166,9 @@
 
     fn on_tick(&mut self, now: Moment) {
         match &self.state {
-            State::Leader(lead) if now >= lead.heartbeat_at => self.heartbeat(now),
+            State::Leader(leadership) if now >= leadership.heartbeat_at => self.heartbeat(now),
             State::Leader(_) => {}
-            _ if now >= self.election_at => self.ask_for_pre_votes(now),
+            _ if now >= self.election_at => self.start_pre_vote(now),
             _ => {}
         }
     }
@@ -196,7 +206,7 @@
                 success,
                 round,
             } => self.on_append_reply(now, (from, term, round), index, success),
-            Message::Install {
+            Message::InstallSnapshot {
                 term,
                 snapshot,
                 round,
@@ -205,15 +215,15 @@
     }
 
     fn on_read(&mut self, now: Moment, token: Token) {
-        let action = if self.may_answer(now) {
+        let action = if self.can_serve_reads(now) {
             Action::ReadReady { token }
         } else {
             Action::ReadRefused {
                 token,
-                leader: self.known_leader(),
+                leader: self.other_leader(),
             }
         };
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     fn on_persisted(&mut self, now: Moment, seq: u64) {
@@ -225,7 +235,7 @@
     }
 
     fn on_snapshot_taken(&mut self, index: u64, data: Vec<u8>) {
-        self.snapshot_asked = false;
+        self.snapshot_requested = false;
         let Some(term) = self.log.term_at(index) else {
             return;
         };
@@ -238,66 +248,65 @@
             members: self.log.members_at(index).clone(),
             data,
         };
-        let margin = self.cfg.snapshot_after / KEPT_PART;
+        let retained_entries = self.cfg.snapshot_after / RETAINED_ENTRIES_DIVISOR;
         self.log
-            .compact(index, margin, self.cfg.snapshot_after_bytes);
+            .compact(index, retained_entries, self.cfg.snapshot_after_bytes);
         self.sync.snapshot_changed();
     }
 
-    /// Moves the commit index up and hands over what is committed.
+    /// Raises the commit index and applies the newly committed entries.
     pub(crate) fn commit_to(&mut self, index: u64) {
         if index <= self.commit {
             return;
         }
         let entries = self.log.range(self.commit + 1, index).to_vec();
         self.commit = index;
-        self.out.push(Action::Apply(entries));
-        if !self.snapshot_asked && self.is_snapshot_due() {
-            self.snapshot_asked = true;
-            self.out.push(Action::TakeSnapshot);
+        self.actions.push(Action::Apply(entries));
+        if !self.snapshot_requested && self.is_snapshot_due() {
+            self.snapshot_requested = true;
+            self.actions.push(Action::TakeSnapshot);
         }
     }
 
-    /// Whether so much was applied since the snapshot that a replica which begins with it
-    /// would be behind for long. Counted by bytes too: a few large commands take as long as
-    /// a thousand small ones.
+    /// Whether a replica that starts from the snapshot would need long to catch up. Counts
+    /// bytes as well as entries: a few large commands take as long as a thousand small ones.
     fn is_snapshot_due(&self) -> bool {
-        let begin = self.snapshot.index;
-        if self.commit - begin >= self.cfg.snapshot_after {
+        let snapshot_index = self.snapshot.index;
+        if self.commit - snapshot_index >= self.cfg.snapshot_after {
             return true;
         }
-        let worth = (2 * self.snapshot.data.len()).max(self.cfg.snapshot_after_bytes);
-        self.log.bytes(begin + 1, self.commit) >= worth
+        let min_bytes = (2 * self.snapshot.data.len()).max(self.cfg.snapshot_after_bytes);
+        self.log.bytes(snapshot_index + 1, self.commit) >= min_bytes
     }
 
-    /// Enters a newer term, in which this replica has not voted.
+    /// Enters a newer term and clears the vote.
     pub(crate) fn set_term(&mut self, term: Epoch) {
         self.term = term;
         self.vote = None;
         self.sync.term_changed();
     }
 
-    /// Draws the moment at which to ask for votes if no leader is heard until then.
-    pub(crate) fn reset_election(&mut self, now: Moment) {
+    /// Schedules an election in case no leader's message arrives until then.
+    pub(crate) fn reset_election_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout;
-        self.draw_election(now, wait);
+        self.schedule_election(now, wait);
     }
 
-    /// Draws the moment at which to ask again if this try fails: with no leader to be
-    /// heard there is nothing to wait for but the answers.
-    pub(crate) fn reset_election_try(&mut self, now: Moment) {
+    /// Schedules the retry of a failed election. It is sooner than an election after a
+    /// leader's message, as only the replies of voters are awaited.
+    pub(crate) fn reset_retry_timer(&mut self, now: Moment) {
         let wait = self.cfg.election_timeout / 2;
-        self.draw_election(now, wait);
+        self.schedule_election(now, wait);
     }
 
-    fn draw_election(&mut self, now: Moment, wait: Duration) {
+    fn schedule_election(&mut self, now: Moment, wait: Duration) {
         let jitter = self.cfg.election_jitter;
         self.election_at = now + wait;
         if jitter.is_zero() {
             return;
         }
-        let seed = self.cfg.seed ^ self.id.0.rotate_left(32) ^ self.draws;
-        self.draws += 1;
+        let seed = self.cfg.seed ^ self.id.0.rotate_left(32) ^ self.election_draws;
+        self.election_draws += 1;
         self.election_at += jitter.mul_f64(StdRng::seed_from_u64(seed).random::<f64>());
     }
 
@@ -305,29 +314,30 @@
         self.log.members().voters.contains(&self.id)
     }
 
-    /// The leader, if that is another replica: to itself this one must prove it.
-    pub(crate) fn known_leader(&self) -> Option<ReplicaId> {
+    /// The leader, if it is another replica: this one must prove its own leadership by its
+    /// lease.
+    pub(crate) fn other_leader(&self) -> Option<ReplicaId> {
         self.leader.filter(|id| *id != self.id)
     }
 
     pub(crate) fn send(&mut self, to: ReplicaId, message: Message) {
-        self.out.push(Action::Send { to, message });
+        self.actions.push(Action::Send { to, message });
     }
 
     pub(crate) fn push(&mut self, action: Action) {
-        self.out.push(action);
+        self.actions.push(action);
     }
 
-    /// Sends a message that others will count on, once all it speaks of is synced. A
-    /// promise to itself, its own vote, is counted only then as well.
-    pub(crate) fn promise(&mut self, now: Moment, to: ReplicaId, message: Message) {
-        if !self.cfg.guards.sync_before_promise {
+    /// Sends a reply once the state that it depends on is synced. This replica's vote for
+    /// itself, a message to itself, is counted only then as well.
+    pub(crate) fn send_after_sync(&mut self, now: Moment, to: ReplicaId, message: Message) {
+        if !self.cfg.guards.sync_before_send {
             self.deliver(now, to, message);
             return;
         }
-        match self.sync.promise(to, message) {
-            Release::Now(message) => self.deliver(now, to, message),
-            Release::Later => {}
+        match self.sync.send_after_sync(to, message) {
+            SendDecision::Now(message) => self.deliver(now, to, message),
+            SendDecision::AfterSync => {}
         }
     }
 
@@ -339,12 +349,13 @@
         }
     }
 
+    /// Adds the next [`Persist`] to the actions, if one is due.
     fn flush(&mut self) {
         let hard_state = HardState {
             term: self.term,
             vote: self.vote,
         };
         let persist: Option<Persist> = self.sync.next(hard_state, &self.snapshot, &self.log);
-        self.out.extend(persist.map(Action::Persist));
+        self.actions.extend(persist.map(Action::Persist));
     }
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! One replica's data folder.
+//! The data folder of a replica.
 
 use std::fs::{File, TryLockError};
 use std::path::Path;
@@ -11,17 +11,17 @@
 use crate::error::{StorageError, damaged};
 use crate::files::{FileSync, Folder, KernelSync};
 use crate::log::{self, Log};
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 use crate::{identity, snapshot};
 
-const LOCK: &str = "lock";
-const NOTE: &str = "note";
+const LOCK_FILE: &str = "lock";
+const NOTE_FILE: &str = "note";
 
-/// Index of the snapshot that a new cluster begins with.
+/// Index of the first snapshot of a new cluster.
 const FIRST_INDEX: u64 = 1;
 
-/// An open data folder. Its calls block for as long as the disk takes, so it belongs on
-/// a thread of its own.
+/// An open data folder. Its methods block on disk I/O, so it should be used from a thread
+/// of its own.
 #[derive(Debug)]
 pub struct Disk {
     folder: Folder,
@@ -29,23 +29,23 @@
     log: Log,
     snapshot_index: u64,
     closed: bool,
-    /// Held for as long as the folder is open.
+    /// Holds the advisory lock while the folder is open.
     _lock: File,
 }
 
 impl Disk {
-    /// Opens the data folder of a replica of `cluster`, or begins a new one with a new
-    /// identity. Cuts a torn tail of the log, and syncs the cut.
+    /// Opens the data folder of a replica of `cluster`, or creates it with a new identity.
+    /// Truncates a torn tail of the log, and syncs the log.
     ///
     /// # Errors
     ///
-    /// Fails if another process has the folder, if it belongs to another cluster, if
-    /// anything in it but the log's tail is damaged, or if the system refuses.
+    /// Fails if another process has opened the folder, if it belongs to another cluster, if
+    /// anything in it but the log's tail is damaged, or on an I/O error.
     pub fn open(folder: impl AsRef<Path>, cluster: &str) -> Result<Self, StorageError> {
         Self::open_with(folder, cluster, Box::new(KernelSync))
     }
 
-    /// As [`Self::open`], with a sync that tests can make fail.
+    /// As [`Self::open`], with a given sync, so that tests can inject failures.
     #[doc(hidden)]
     pub fn open_with(
         path: impl AsRef<Path>,
@@ -53,14 +53,14 @@
         sync: Box<dyn FileSync>,
     ) -> Result<Self, StorageError> {
         let mut folder = Folder::open(path.as_ref(), sync)?;
-        let lock = lock(&folder)?;
+        let lock = acquire_lock(&folder)?;
         folder.remove_temporary()?;
-        let has_state =
-            !folder.names(log::PREFIX)?.is_empty() || !folder.names(snapshot::PREFIX)?.is_empty();
-        let replica = identity::open(&mut folder, cluster, has_state)?;
-        let newest = snapshot::newest(&folder)?;
+        let has_state = !folder.file_names(log::PREFIX)?.is_empty()
+            || !folder.file_names(snapshot::PREFIX)?.is_empty();
+        let replica = identity::load_or_create(&mut folder, cluster, has_state)?;
+        let newest = snapshot::read_newest(&folder)?;
         let mut log = Log::open(&mut folder)?;
-        join(&mut folder, &newest, &mut log)?;
+        align_log_with_snapshot(&mut folder, &newest, &mut log)?;
         snapshot::remove_before(&folder, newest.index)?;
         Ok(Self {
             folder,
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Opens a folder again in which a write or sync has failed, once the disk works: what
-    /// is read back is written and synced anew before anybody counts on it.
+    /// Opens a folder again after a failed write or sync. What is read back is rewritten to a
+    /// new file and synced, since the kernel may hold pages that never reached the disk.
     ///
     /// # Errors
     ///
@@ -84,30 +84,31 @@
         Ok(disk)
     }
 
-    /// Identity of the replica, drawn at random when the folder was first used.
+    /// Identity of the replica, generated at random when the folder was created.
     pub fn replica(&self) -> ReplicaId {
         self.replica
     }
 
-    /// What the folder holds, for [`filberthead_consensus::Replica::new`].
+    /// Returns the stored state, for [`filberthead_consensus::Replica::new`].
     ///
     /// # Errors
     ///
-    /// Fails if the snapshot can't be read back.
+    /// Fails if the snapshot can't be read.
     pub fn load(&self) -> Result<Durable, StorageError> {
         Ok(Durable {
             hard_state: self.log.state.hard_state,
-            snapshot: snapshot::newest(&self.folder)?,
+            snapshot: snapshot::read_newest(&self.folder)?,
             entries: self.log.state.entries.clone(),
         })
     }
 
-    /// Begins a cluster: writes the first snapshot, at index 1 and term 0. All initial
-    /// replicas are given the same members and data, and a second call does nothing.
+    /// Bootstraps a cluster: writes the first snapshot, at index 1 and term 0. All initial
+    /// replicas must use the same members and data. A second call with the same arguments
+    /// does nothing.
     ///
     /// # Errors
     ///
-    /// Fails if the folder holds other state, or if the system refuses.
+    /// Fails if the folder holds other state, or on an I/O error.
     pub fn bootstrap(&mut self, members: &Members, data: Vec<u8>) -> Result<(), StorageError> {
         self.check_open()?;
         let first = Snapshot {
@@ -117,18 +118,19 @@
             data,
         };
         let path = self.folder.path();
-        match snapshot::bootstrap(&self.folder)? {
+        match snapshot::read_bootstrap(&self.folder)? {
             Some(found) if found == first => return Ok(()),
             Some(_) => return BootstrapConflictSnafu { path }.fail(),
             None => {}
         }
-        let unused = self.log.is_empty() && self.snapshot_index == 0;
-        // A crash between the two files below leaves only the first.
-        let begun = self.log.is_empty() && snapshot::newest(&self.folder)? == first;
-        if !unused && !begun {
+        let is_new = self.log.is_empty() && self.snapshot_index == 0;
+        // A crash between the two writes below leaves only the first file.
+        let bootstrap_interrupted =
+            self.log.is_empty() && snapshot::read_newest(&self.folder)? == first;
+        if !is_new && !bootstrap_interrupted {
             return BootstrapConflictSnafu { path }.fail();
         }
-        self.closing(|disk| {
+        self.close_on_error(|disk| {
             snapshot::write(&mut disk.folder, &first)?;
             snapshot::write_bootstrap(&mut disk.folder, &first)?;
             disk.log.state.base = first.index;
@@ -137,54 +139,55 @@
         })
     }
 
-    /// Writes what a replica asked for, and returns once it is synced.
+    /// Writes the changes of a [`Persist`], and returns once they are synced.
     ///
     /// # Errors
     ///
-    /// After any failure the disk is closed: what was written may or may not last, and
-    /// a second sync can't tell. The replica has to stop and start from the folder.
+    /// After any failure the disk is closed: the changes may or may not be durable, and a
+    /// second sync can't tell. The replica must stop and start again from the folder.
     pub fn persist(&mut self, persist: &Persist) -> Result<(), StorageError> {
         self.check_open()?;
-        self.closing(|disk| match &persist.snapshot {
+        self.close_on_error(|disk| match &persist.snapshot {
             None => disk.log.append(&mut disk.folder, persist),
-            Some(newer) => disk.persist_snapshot(newer, persist),
+            Some(new_snapshot) => disk.persist_snapshot(new_snapshot, persist),
         })
     }
 
-    /// Keeps a note beside the log, in place of the one before: it is there whole, as it
-    /// was or as it is now. The log doesn't depend on it.
+    /// Atomically replaces the file `note`, opaque bytes of the owner. The log doesn't depend
+    /// on it.
     ///
     /// # Errors
     ///
     /// As [`Self::persist`].
-    pub fn remember(&mut self, note: &[u8]) -> Result<(), StorageError> {
+    pub fn write_note(&mut self, note: &[u8]) -> Result<(), StorageError> {
         self.check_open()?;
         let buf = record::encode(0, &note)?;
-        self.closing(|disk| disk.folder.write(NOTE, &buf).map(drop))
+        self.close_on_error(|disk| disk.folder.write_atomically(NOTE_FILE, &buf).map(drop))
     }
 
-    /// The note that was kept last, if there is one that can be read.
+    /// Returns the content of the file `note`, or `None` if it is missing or damaged.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses.
-    pub fn remembered(&self) -> Result<Option<Vec<u8>>, StorageError> {
-        let buf = self.folder.read(NOTE)?.unwrap_or_default();
+    /// Fails on an I/O error.
+    pub fn read_note(&self) -> Result<Option<Vec<u8>>, StorageError> {
+        let buf = self.folder.read(NOTE_FILE)?.unwrap_or_default();
         Ok(match record::decode::<Vec<u8>>(&buf, 0) {
-            Found::Record { value, .. } => Some(value),
+            Decoded::Record { value, .. } => Some(value),
             _ => None,
         })
     }
 
     fn persist_snapshot(
         &mut self,
-        newer: &Snapshot,
+        new_snapshot: &Snapshot,
         persist: &Persist,
     ) -> Result<(), StorageError> {
-        snapshot::write(&mut self.folder, newer)?;
-        self.snapshot_index = newer.index;
-        self.log.begin_on(&mut self.folder, newer, persist)?;
-        snapshot::remove_before(&self.folder, newer.index)
+        snapshot::write(&mut self.folder, new_snapshot)?;
+        self.snapshot_index = new_snapshot.index;
+        self.log
+            .start_generation(&mut self.folder, new_snapshot, persist)?;
+        snapshot::remove_before(&self.folder, new_snapshot.index)
     }
 
     fn check_open(&self) -> Result<(), StorageError> {
@@ -195,19 +198,19 @@
         Ok(())
     }
 
-    /// Closes the disk for good if `work` fails.
-    fn closing(
+    /// Runs `operation`, and closes the disk for good if it fails.
+    fn close_on_error(
         &mut self,
-        work: impl FnOnce(&mut Self) -> Result<(), StorageError>,
+        operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
-        let result = work(self);
+        let result = operation(self);
         self.closed = result.is_err();
         result
     }
 }
 
-fn lock(folder: &Folder) -> Result<File, StorageError> {
-    let lock = folder.open_note(LOCK)?;
+fn acquire_lock(folder: &Folder) -> Result<File, StorageError> {
+    let lock = folder.open_in_place(LOCK_FILE)?;
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => LockedSnafu {
@@ -216,20 +219,25 @@
         .fail(),
         Err(TryLockError::Error(e)) => Err(e).context(IoSnafu {
             action: "lock",
-            path: folder.file(LOCK),
+            path: folder.file_path(LOCK_FILE),
         }),
     }
 }
 
-/// Brings the log up to the newest snapshot, if a crash came between the two.
-fn join(folder: &mut Folder, newest: &Snapshot, log: &mut Log) -> Result<(), StorageError> {
+/// Starts the log's next generation if a crash prevented that after the newest snapshot
+/// was written.
+fn align_log_with_snapshot(
+    folder: &mut Folder,
+    newest: &Snapshot,
+    log: &mut Log,
+) -> Result<(), StorageError> {
     let base = log.state.base;
     if log.is_empty() {
         log.state.base = newest.index;
         return Ok(());
     }
     if newest.index < base {
-        let path = folder.file(&snapshot::name(base));
+        let path = folder.file_path(&snapshot::file_name(base));
         return Err(damaged(
             path,
             0,
@@ -237,7 +245,7 @@
         ));
     }
     if newest.index > base {
-        return log.begin_on(folder, newest, &Persist::default());
+        return log.start_generation(folder, newest, &Persist::default());
     }
     Ok(())
 }
