--- a/crates/filberthead/src/gateway/arrival.rs
+++ b/crates/filberthead/src/gateway/arrival.rs
@@ -72,7 +72,7 @@
     }
 
     fn tell(&self, code: ResultCode, status: u16, omitted: u64) {
-        let id = text(&self.head.headers, &self.core.dialect.request_id);
+        let id = text(&self.head.headers, &self.core.protocol.request_id);
         let held = self.held;
         let since = |held: &InForce| self.core.now().saturating_sub(held.since).as_millis();
         let (_, control_ms) = self.core.ages();
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -128,14 +128,14 @@
         target,
         begun: core.now(),
         outcome: Outcome::Abandoned(Duration::ZERO),
-        request: text(&job.head.headers, &core.dialect.request_id),
-        object: text(&job.head.headers, &core.dialect.object),
+        request: text(&job.head.headers, &core.protocol.request_id),
+        object: text(&job.head.headers, &core.protocol.affinity_key),
         route: job.route,
     };
     let req = request(core, job, body, target);
     core.sends(HEAD_BYTES + req.body().size_hint().lower() as usize);
     let empty = HeaderValue::from_static("");
-    let name = &core.dialect.request_id;
+    let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
     let trust = Trust::Echo { name, value };
     let reuse = match job.kind {
@@ -171,9 +171,9 @@
     // The body is here already, or is sent without waiting.
     headers.remove(EXPECT);
     let left = u64::try_from(job.deadline.left().as_millis()).unwrap_or(u64::MAX);
-    headers.insert(&core.dialect.deadline_ms, HeaderValue::from(left));
+    headers.insert(&core.protocol.deadline_ms, HeaderValue::from(left));
     if let Ok(id) = HeaderValue::from_str(&target.id) {
-        headers.insert(&core.dialect.target, id);
+        headers.insert(&core.protocol.target_instance, id);
     }
     *req.headers_mut() = headers;
     req
@@ -190,7 +190,7 @@
         place.outcome = outcome;
         debug!(endpoint:% = place.target.id, status:% = head.status; "not run there");
         connection.release_after(body);
-        let load_told = load(text(&head.headers, &core.dialect.load)).is_some();
+        let load_told = load(text(&head.headers, &core.protocol.load)).is_some();
         return Attempt::NotRun { load_told };
     }
     if !echoes(core, job, &head.headers) {
@@ -253,7 +253,7 @@
 /// else behind the endpoint's address, whose word on the request, a 404 say, isn't worth
 /// anything.
 fn echoes(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
-    let name = &core.dialect.request_id;
+    let name = &core.protocol.request_id;
     let id = job.head.headers.get(name);
     id.is_none_or(|id| headers.get(name) == Some(id))
 }
@@ -264,7 +264,7 @@
         return Some(Outcome::Gone);
     }
     headers
-        .contains_key(&core.dialect.not_run)
+        .contains_key(&core.protocol.not_run)
         .then_some(Outcome::Full)
 }
 
@@ -272,10 +272,10 @@
 fn note(core: &Core, headers: &HeaderMap, target: &Target) {
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
-    if let Some(load) = load(text(headers, &core.dialect.load)) {
+    if let Some(load) = load(text(headers, &core.protocol.load)) {
         placer.reported(now, target, load);
     }
-    let cold = text(headers, &core.dialect.cold_ms).parse::<u64>();
+    let cold = text(headers, &core.protocol.warmup_ms).parse::<u64>();
     if let Some(ms) = cold.ok().filter(|ms| *ms > 0) {
         placer.is_cold(now, target, Duration::from_millis(ms));
     }
--- a/crates/filberthead/src/gateway/carry.rs
+++ b/crates/filberthead/src/gateway/carry.rs
@@ -86,7 +86,7 @@
     };
     let route = &matched.route;
     arrival.route = Some(route);
-    let deadline = Deadline::new(begun, &head.headers, &core.dialect.deadline_ms, route);
+    let deadline = Deadline::new(begun, &head.headers, &core.protocol.deadline_ms, route);
     let Some(target) = route.targets.get(matched.split.deal()) else {
         return arrival.turn_away(ResultCode::NoEndpoint, Some(STARTING));
     };
@@ -135,7 +135,7 @@
 /// Whether the caller has less time than callers of this route usually have, because an
 /// earlier attempt has used some of it.
 fn has_returned(core: &Core, head: &Parts, route: &Route) -> bool {
-    let told = text(&head.headers, &core.dialect.deadline_ms).parse::<u128>();
+    let told = text(&head.headers, &core.protocol.deadline_ms).parse::<u128>();
     told.is_ok_and(|ms| ms < route.timeout.as_millis())
 }
 
@@ -212,7 +212,7 @@
     }
 
     fn place(&self) -> Decision {
-        let object = self.head.headers.get(&self.core.dialect.object);
+        let object = self.head.headers.get(&self.core.protocol.affinity_key);
         let object = object.map(|value| value.as_bytes());
         let wanted = Wanted {
             service: self.service,
@@ -312,6 +312,6 @@
     }
 
     fn id(&self) -> &str {
-        text(&self.head.headers, &self.core.dialect.request_id)
+        text(&self.head.headers, &self.core.protocol.request_id)
     }
 }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -21,7 +21,7 @@
 
 use super::bounds::Bounds;
 use super::stop::Phase;
-use super::{Dialect, Heard};
+use super::{Heard, ProtocolNames};
 use crate::Clock;
 use crate::peers::Outgoing;
 
@@ -37,7 +37,7 @@
 /// What the duty starts with.
 pub(crate) struct CoreParts {
     pub(crate) clock: Clock,
-    pub(crate) dialect: Arc<Dialect>,
+    pub(crate) protocol: Arc<ProtocolNames>,
     pub(crate) placer: Placer,
     pub(crate) member: Member,
     pub(crate) out: Sender<Outgoing>,
@@ -79,7 +79,7 @@
 /// State of the duty.
 pub(crate) struct Core {
     pub(crate) clock: Clock,
-    pub(crate) dialect: Arc<Dialect>,
+    pub(crate) protocol: Arc<ProtocolNames>,
     pub(crate) client: Client,
     pub(crate) placer: RefCell<Placer>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -124,7 +124,7 @@
     pub(crate) fn new(parts: CoreParts) -> Rc<Self> {
         Rc::new(Self {
             clock: parts.clock,
-            dialect: parts.dialect,
+            protocol: parts.protocol,
             client: Client::with_connect_timeout(CONNECT_TIMEOUT),
             placer: RefCell::new(parts.placer),
             metrics: parts.metrics,
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -13,8 +13,8 @@
 mod carry;
 mod core;
 mod deadline;
-mod dialect;
 mod passing;
+mod protocol;
 mod readiness;
 mod serve;
 mod stop;
@@ -35,7 +35,7 @@
 use tokio::sync::watch;
 
 use self::core::{Core, CoreParts};
-pub use self::dialect::Dialect;
+pub use self::protocol::ProtocolNames;
 use self::stop::{Phase, PlannedStop};
 use crate::ready::announce;
 use crate::stop::{Stop, stop_pair};
@@ -127,7 +127,7 @@
 /// Fails if it can't start, or if one of its duties ends by itself.
 pub fn run(
     cfg: &GatewaySettings,
-    dialect: Dialect,
+    protocol: ProtocolNames,
     seeds: impl Fn() -> Vec<SocketAddr> + 'static,
 ) -> Result<(), GatewayError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -153,7 +153,7 @@
     ];
     info!(domain:% = cfg.failure_domain, seeds:? = cfg.seeds, caller:% = ready[0].1;
         "gateway starts");
-    let duties = start(cfg, dialect, opened, (phase, connections, &seeded), &stop)?;
+    let duties = start(cfg, protocol, opened, (phase, connections, &seeded), &stop)?;
     announce(&ready).context(ReadySnafu)?;
     let reload = move || {
         let seeds = seeds();
@@ -200,7 +200,7 @@
 
 fn start(
     cfg: &GatewaySettings,
-    dialect: Dialect,
+    protocol: ProtocolNames,
     opened: Opened,
     (phase, connections, seeded): Shared<'_>,
     stop: &Stop,
@@ -228,14 +228,14 @@
     let probes = readiness::Probes {
         readiness: opened.readiness,
         status: opened.status,
-        path: dialect.readiness_path,
+        path: protocol.readiness_path,
         metrics: Arc::clone(&metrics),
         peers: opened.transport.counters(),
         phase: phase.subscribe(),
     };
     let parts = CoreParts {
         clock: Clock::start(),
-        dialect: Arc::new(dialect),
+        protocol: Arc::new(protocol),
         placer: Placer::new(placing(cfg)),
         member: Member::new(info, cfg.seeds.clone(), rand::random()),
         out,
--- a/crates/filberthead/src/gateway/dialect.rs
+++ b/crates/filberthead/src/gateway/protocol.rs
@@ -6,21 +6,21 @@
 
 /// Headers between callers, gateway and endpoints.
 #[derive(Clone, Debug)]
-pub struct Dialect {
+pub struct ProtocolNames {
     /// Id of one attempt of a caller. Endpoints echo it.
     pub request_id: HeaderName,
     /// Milliseconds that the sender goes on waiting.
     pub deadline_ms: HeaderName,
     /// Object that the request concerns.
-    pub object: HeaderName,
+    pub affinity_key: HeaderName,
     /// Identity that the endpoint must have to run the request.
-    pub target: HeaderName,
+    pub target_instance: HeaderName,
     /// From an endpoint: its word that the request did not run.
     pub not_run: HeaderName,
     /// From an endpoint: how many requests it runs, how many wait, and its slots.
     pub load: HeaderName,
     /// From an endpoint: milliseconds for which it is still cold.
-    pub cold_ms: HeaderName,
+    pub warmup_ms: HeaderName,
     /// Path at which a gateway tells whether callers may be sent to it.
     pub readiness_path: &'static str,
 }
