--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -36,7 +36,7 @@
     let page = Arc::new(MetricsPage {
         metrics: Arc::clone(&metrics),
     });
-    let server = Server::builder(Arc::new(Desk { tx, metrics }))
+    let server = Server::builder(Arc::new(AdminHandle { tx, metrics }))
         .tokens(tokens)
         .require_review(cfg.review == ReviewPolicy::Required)
         .page("/metrics", page)
@@ -57,12 +57,12 @@
 }
 
 /// Hands operators' acts to the consensus duty.
-struct Desk {
+struct AdminHandle {
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
 }
 
-impl Desk {
+impl AdminHandle {
     /// Hands an act over and waits for its word. `lost` is what it means if the
     /// consensus duty ends with the act in its hands.
     async fn ask<T, E: Into<AdministrationError>>(
@@ -116,7 +116,7 @@
     }
 }
 
-impl Administration for Desk {
+impl Administration for AdminHandle {
     fn submit(&self, command: Command) -> BoxFuture<'_, Result<Outcome, AdministrationError>> {
         let make = |reply| AdminRequest::Submit { command, reply };
         Box::pin(async {
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -229,7 +229,7 @@
             Input::DiskBack { epoch, durable } => self.disk_back(epoch, durable),
             Input::Initialised(durable) => self.initialised(durable),
             Input::Seeds(seeds) => self.book.configure(seeds),
-            Input::Desk(req) => self.take_desk(req).await,
+            Input::Adapter(req) => self.handle_adapter_request(req).await,
         }
     }
 
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 use super::core::Core;
-use super::desk::{DeskRequest, Shown};
+use super::handle::{AdapterRequest, PublishedState};
 use super::orders::{Asker, Reader, Waiting};
 
 /// How often a replica asks the leader for a newer list of endpoints, in case the push
@@ -58,7 +58,7 @@
     next_list: Moment,
     next_roster: Moment,
     next_proof: Moment,
-    shown: watch::Sender<Shown>,
+    published: watch::Sender<PublishedState>,
     /// What members of the group were last seen as, for the log.
     belief: (Option<ReplicaId>, Members),
     /// Services of endpoints that the log says no route goes to.
@@ -66,7 +66,10 @@
 }
 
 impl Fleet {
-    pub(crate) fn new(keeping: Option<SelfKeeping>, shown: watch::Sender<Shown>) -> Self {
+    pub(crate) fn new(
+        keeping: Option<SelfKeeping>,
+        published: watch::Sender<PublishedState>,
+    ) -> Self {
         Self {
             registry: Registry::default(),
             keeping,
@@ -79,7 +82,7 @@
             next_list: Moment::ZERO,
             next_roster: Moment::ZERO,
             next_proof: Moment::ZERO,
-            shown,
+            published,
             belief: Default::default(),
             unserved: BTreeSet::new(),
         }
@@ -102,11 +105,11 @@
 
 impl Core {
     /// Takes a request of an adapter.
-    pub(super) async fn take_desk(&mut self, req: DeskRequest) {
+    pub(super) async fn handle_adapter_request(&mut self, req: AdapterRequest) {
         match req {
-            DeskRequest::Order { order, reply } => self.order(order, Asker::Here(reply)).await,
-            DeskRequest::Routes { reply } => self.read_routes(reply).await,
-            DeskRequest::Listed(list) => self.take_list(list),
+            AdapterRequest::Order { order, reply } => self.order(order, Asker::Here(reply)).await,
+            AdapterRequest::Routes { reply } => self.read_routes(reply).await,
+            AdapterRequest::EndpointList(list) => self.take_list(list),
         }
     }
 
@@ -271,13 +274,15 @@
         let replica = self.replica.status(now);
         let leads = replica.holds_lease;
         let listless = self.fleet.registry.have().endpoints.seq == 0;
-        let reads = leads || (listless && replica.leader.is_none() && now >= LISTLESS);
-        self.fleet.shown.send_if_modified(|shown| {
-            let same = shown.reads == reads && *shown.gateways == *gateways;
+        let polls_endpoint_list =
+            leads || (listless && replica.leader.is_none() && now >= LISTLESS);
+        self.fleet.published.send_if_modified(|published| {
+            let same = published.polls_endpoint_list == polls_endpoint_list
+                && *published.gateways == *gateways;
             if !same {
-                *shown = Shown {
+                *published = PublishedState {
                     gateways: gateways.into(),
-                    reads,
+                    polls_endpoint_list,
                 };
             }
             !same
--- a/crates/filberthead/src/control/handle.rs
+++ b/crates/filberthead/src/control/handle.rs
@@ -18,24 +18,24 @@
 
 /// What a control replica shows to adapters at any moment, without being asked.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct PublishedState {
     /// The gateways that callers may be sent to.
     pub gateways: Arc<[GatewayInfo]>,
     /// Whether this replica is to read the platform's list: while it leads, or while it
     /// knows neither a leader nor any list.
-    pub reads: bool,
+    pub polls_endpoint_list: bool,
 }
 
 /// Hands orders to a control replica and asks it.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct ControlHandle {
     tx: Sender<Input>,
-    shown: watch::Receiver<Shown>,
+    published: watch::Receiver<PublishedState>,
 }
 
 /// A request to the consensus duty, with the way back.
 #[derive(Debug)]
-pub(crate) enum DeskRequest {
+pub(crate) enum AdapterRequest {
     /// Carry out an order.
     Order {
         order: Order,
@@ -46,12 +46,12 @@
         reply: oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>,
     },
     /// Take in the platform's list, read while this replica led.
-    Listed(Vec<Endpoint>),
+    EndpointList(Vec<Endpoint>),
 }
 
-impl Desk {
-    pub(crate) fn new(tx: Sender<Input>, shown: watch::Receiver<Shown>) -> Self {
-        Self { tx, shown }
+impl ControlHandle {
+    pub(crate) fn new(tx: Sender<Input>, published: watch::Receiver<PublishedState>) -> Self {
+        Self { tx, published }
     }
 
     /// Carries out an order. `Ok` means that a majority has it on disk, for good.
@@ -62,7 +62,7 @@
     /// it takes effect at most once.
     pub async fn order(&self, order: Order) -> Result<(), OrderError> {
         let (reply, rx) = oneshot::channel();
-        self.push(DeskRequest::Order { order, reply })?;
+        self.push(AdapterRequest::Order { order, reply })?;
         rx.await.unwrap_or(Err(OrderError::OutcomeUnknown))
     }
 
@@ -74,25 +74,27 @@
     /// Fails if that can't be proved, for want of a leader or of a way to it.
     pub async fn routes(&self) -> Result<Option<Arc<Change>>, OrderError> {
         let (reply, rx) = oneshot::channel();
-        self.push(DeskRequest::Routes { reply })?;
+        self.push(AdapterRequest::Routes { reply })?;
         rx.await.unwrap_or(Err(OrderError::NoLeader))
     }
 
     /// Hands in the platform's list. It counts only while this replica leads; one that
     /// finds no room is dropped, for the next one is read soon.
-    pub fn listed(&self, list: Vec<Endpoint>) {
-        if self.push(DeskRequest::Listed(list)).is_err() {
+    pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
+        if self.push(AdapterRequest::EndpointList(list)).is_err() {
             log::warn!("a list of endpoints is dropped, the consensus duty is behind");
         }
     }
 
     /// What the replica shows at this moment.
-    pub fn shown(&self) -> Shown {
-        self.shown.borrow().clone()
+    pub fn published(&self) -> PublishedState {
+        self.published.borrow().clone()
     }
 
-    fn push(&self, req: DeskRequest) -> Result<(), OrderError> {
-        self.tx.push(Input::Desk(req)).map_err(|_| OrderError::Busy)
+    fn push(&self, req: AdapterRequest) -> Result<(), OrderError> {
+        self.tx
+            .push(Input::Adapter(req))
+            .map_err(|_| OrderError::Busy)
     }
 }
 
@@ -105,9 +107,13 @@
     fn addr(&self) -> Option<SocketAddr>;
 
     /// Runs until the process stops.
-    fn run(self: Box<Self>, desk: Desk, stop: Stop) -> crate::LocalFuture;
+    fn run(self: Box<Self>, control: ControlHandle, stop: Stop) -> crate::LocalFuture;
 }
 
-pub(super) fn spawn(adapter: Box<dyn Adapter>, desk: Desk, stop: Stop) -> Result<Duty, DutyError> {
-    Duty::spawn(adapter.name(), move || adapter.run(desk, stop))
+pub(super) fn spawn(
+    adapter: Box<dyn Adapter>,
+    control: ControlHandle,
+    stop: Stop,
+) -> Result<Duty, DutyError> {
+    Duty::spawn(adapter.name(), move || adapter.run(control, stop))
 }
--- a/crates/filberthead/src/control/input.rs
+++ b/crates/filberthead/src/control/input.rs
@@ -11,7 +11,7 @@
 use filberthead_types::ReplicaId;
 use tokio::sync::oneshot;
 
-use super::desk::DeskRequest;
+use super::handle::AdapterRequest;
 use super::samples::Reported;
 
 /// Inputs that wait for the consensus duty. When full, messages of peers are dropped,
@@ -39,7 +39,7 @@
     /// Whom to greet besides, by settings that have changed.
     Seeds(Vec<SocketAddr>),
     /// A request of an adapter.
-    Desk(DeskRequest),
+    Adapter(AdapterRequest),
     /// All batches up to this one are synced.
     Persisted {
         /// Its number.
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -9,11 +9,11 @@
 mod book;
 mod claims;
 mod core;
-mod desk;
 mod disk;
 mod fleet;
 mod gauges;
 mod greeting;
+mod handle;
 mod in_force;
 mod input;
 mod machine;
@@ -49,7 +49,7 @@
 use crate::supervisor::{Signals, supervise};
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
-pub use self::desk::{Adapter, Desk, Shown};
+pub use self::handle::{Adapter, ControlHandle, PublishedState};
 pub use self::samples::burn_report;
 
 /// Why a control replica can't start, or ended other than by a planned stop.
@@ -182,8 +182,8 @@
         peers: transport.counters(),
     };
     let metrics = Arc::clone(&gauges.metrics);
-    let (shown_tx, shown_rx) = watch::channel(Shown::default());
-    let mut fleet = Fleet::new(keeping(cfg, peer_addr), shown_tx);
+    let (published_tx, published_rx) = watch::channel(PublishedState::default());
+    let mut fleet = Fleet::new(keeping(cfg, peer_addr), published_tx);
     fleet.recall(clock.now(), note.as_deref());
     let core = Core::new(Parts {
         id,
@@ -207,7 +207,7 @@
         gauges,
         fleet,
     });
-    let desk = Desk::new(input_tx.clone(), shown_rx);
+    let control = ControlHandle::new(input_tx.clone(), published_rx);
     let mut duties = vec![
         peers::spawn(transport, outbox, out_rx, stop.clone()).context(StartSnafu)?,
         disk::spawn(
@@ -225,7 +225,7 @@
     let mut ready = vec![("peer", listens), ("operator", bound)];
     for adapter in adapters {
         ready.extend(adapter.addr().map(|addr| (adapter.name(), addr)));
-        let duty = desk::spawn(adapter, desk.clone(), stop.clone());
+        let duty = handle::spawn(adapter, control.clone(), stop.clone());
         duties.push(duty.context(StartSnafu)?);
     }
     announce(&ready).context(ReadySnafu)?;
