--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -15,44 +15,44 @@
 use log::{Level, debug, info, log};
 use tokio::time::timeout_at;
 
-use super::answer::AnswerBody;
 use super::core::Core;
 use super::deadline::Deadline;
-use super::passing::Passing;
+use super::response::ResponseBody;
+use super::streamed::StreamedBody;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Answers up to this long are read whole before the caller gets a byte, so that one that
 /// breaks off can still be had elsewhere.
-const WHOLE: u64 = 1024 * 1024;
+const MAX_BUFFERED_RESPONSE: u64 = 1024 * 1024;
 /// Downloads that are longer than this pass through: read whole first, 90 kB over a link of
 /// 6 Mbit/s come a tenth of a second later.
-const WHOLE_DOWNLOAD: u64 = 8 * 1024;
+const MAX_BUFFERED_DOWNLOAD: u64 = 8 * 1024;
 /// A request that may run only once takes a kept connection only if it was used this
 /// lately: one that the endpoint closes at the same moment would leave in doubt whether
 /// it ran.
-const FRESH: Duration = Duration::from_secs(3);
+const MAX_IDLE_FOR_UNSAFE: Duration = Duration::from_secs(3);
 /// An answer that hasn't come for so long says that kept connections may be dead: it is
 /// several times what the services' work takes.
-const SILENT: Duration = Duration::from_millis(700);
+const STALE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(700);
 /// What the head of a request or answer takes on a link, about.
-pub(crate) const HEAD_BYTES: usize = 300;
+pub(crate) const TYPICAL_HEAD_BYTES: usize = 300;
 /// Part of the time for which an endpoint keeps idle connections that is made use of.
-const KEPT_PART: f64 = 0.7;
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// How an attempt ended.
 pub(crate) enum Attempt {
     /// An answer for the caller, whole or still coming.
-    Answered(Response<AnswerBody>),
+    Answered(Response<ResponseBody>),
     /// The endpoint ran it and failed; this is its answer.
-    Failed(Response<AnswerBody>),
+    Failed(Response<ResponseBody>),
     /// It was never sent; here is its body.
     NotSent(RequestBody),
     /// The endpoint says that it did not run, and may have told its load.
-    NotRun { load_told: bool },
+    NotRun { load_reported: bool },
     /// It may have run.
     Lost,
     /// The time was up while it may have been running.
-    Late,
+    TimedOut,
 }
 
 /// What is sent, whichever the endpoint.
@@ -65,31 +65,31 @@
     pub(crate) deadline: Deadline,
 }
 
-/// The place of a request at an endpoint; given back when dropped.
-struct Place<'a> {
+/// The in_flight of a request at an endpoint; given back when dropped.
+struct InFlight<'a> {
     core: &'a Core,
     service: &'a ServiceName,
     target: &'a Target,
-    begun: Moment,
+    started: Moment,
     outcome: Outcome,
     request: &'a str,
     object: &'a str,
     route: &'a str,
 }
 
-impl Place<'_> {
-    fn served(&mut self) {
-        let took = self.core.now().saturating_sub(self.begun);
+impl InFlight<'_> {
+    fn mark_served(&mut self) {
+        let took = self.core.now().saturating_sub(self.started);
         self.outcome = Outcome::Served(took);
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now = self.core.now();
         if let Outcome::Abandoned(waited) = &mut self.outcome {
-            *waited = now.saturating_sub(self.begun);
-            if *waited >= SILENT {
+            *waited = now.saturating_sub(self.started);
+            if *waited >= STALE_CONNECTION_TIMEOUT {
                 // Other connections to it may be as dead as this one, without a reset.
                 self.core.client.forget(self.target.addr);
             }
@@ -107,7 +107,7 @@
             endpoint:% = self.target.id,
             route = self.route, known:? = self.target.known, expected_ms = self.target.expected.as_millis(),
             overhead_ms = self.target.overhead.as_millis(),
-            took_ms = now.saturating_sub(self.begun).as_millis(), outcome:? = self.outcome;
+            took_ms = now.saturating_sub(self.started).as_millis(), outcome:? = self.outcome;
             "attempt ended");
         let mut placer = self.core.placer.borrow_mut();
         placer.ended(now, self.service, self.target, self.outcome);
@@ -122,46 +122,51 @@
     body: RequestBody,
     target: &Target,
 ) -> Attempt {
-    let mut place = Place {
+    let mut in_flight = InFlight {
         core,
         service: job.service,
         target,
-        begun: core.now(),
+        started: core.now(),
         outcome: Outcome::Abandoned(Duration::ZERO),
-        request: text(&job.head.headers, &core.protocol.request_id),
-        object: text(&job.head.headers, &core.protocol.affinity_key),
+        request: header_text(&job.head.headers, &core.protocol.request_id),
+        object: header_text(&job.head.headers, &core.protocol.affinity_key),
         route: job.route,
     };
-    let req = request(core, job, body, target);
-    core.sends(HEAD_BYTES + req.body().size_hint().lower() as usize);
+    let req = build_request(core, job, body, target);
+    core.record_sent(TYPICAL_HEAD_BYTES + req.body().size_hint().lower() as usize);
     let empty = HeaderValue::from_static("");
     let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
     let trust = Trust::Echo { name, value };
     let reuse = match job.kind {
-        Kind::Unsafe => Reuse::Within(FRESH),
+        Kind::Unsafe => Reuse::Within(MAX_IDLE_FOR_UNSAFE),
         Kind::Safe | Kind::Download => Reuse::Allowed,
     };
-    let deadline = job.deadline.answer;
+    let deadline = job.deadline.respond_by;
     match core
         .client
         .send(target.addr, trust, reuse, deadline, req)
         .await
     {
         Sent::NotSent(req) => {
-            place.outcome = Outcome::Broken;
+            in_flight.outcome = Outcome::Broken;
             Attempt::NotSent(req.into_body())
         }
         Sent::Lost => {
-            place.outcome = Outcome::Broken;
+            in_flight.outcome = Outcome::Broken;
             Attempt::Lost
         }
-        Sent::Late => Attempt::Late,
-        Sent::Answer(answer) => receive(core, job, answer, &mut place).await,
+        Sent::Late => Attempt::TimedOut,
+        Sent::Answer(answer) => receive(core, job, answer, &mut in_flight).await,
     }
 }
 
-fn request(core: &Core, job: &Job<'_>, body: RequestBody, target: &Target) -> Request<RequestBody> {
+fn build_request(
+    core: &Core,
+    job: &Job<'_>,
+    body: RequestBody,
+    target: &Target,
+) -> Request<RequestBody> {
     let mut req = Request::new(body);
     *req.method_mut() = job.head.method.clone();
     *req.uri_mut() = job.head.uri.clone();
@@ -170,7 +175,7 @@
     remove_hop_by_hop(&mut headers);
     // The body is here already, or is sent without waiting.
     headers.remove(EXPECT);
-    let left = u64::try_from(job.deadline.left().as_millis()).unwrap_or(u64::MAX);
+    let left = u64::try_from(job.deadline.remaining().as_millis()).unwrap_or(u64::MAX);
     headers.insert(&core.protocol.deadline_ms, HeaderValue::from(left));
     if let Ok(id) = HeaderValue::from_str(&target.id) {
         headers.insert(&core.protocol.target_instance, id);
@@ -179,60 +184,69 @@
     req
 }
 
-async fn receive(core: &Rc<Core>, job: &Job<'_>, answer: Answer, place: &mut Place<'_>) -> Attempt {
+async fn receive(
+    core: &Rc<Core>,
+    job: &Job<'_>,
+    answer: Answer,
+    in_flight: &mut InFlight<'_>,
+) -> Attempt {
     let (mut head, body) = answer.response.into_parts();
     let mut connection = answer.connection;
-    note(core, &head.headers, place.target);
-    if let Some(kept) = kept_for(&head.headers) {
-        connection.keep_for(kept);
+    record_load(core, &head.headers, in_flight.target);
+    if let Some(timeout) = keep_alive_timeout(&head.headers) {
+        connection.keep_for(timeout);
     }
     if let Some(outcome) = not_run(core, head.status, &head.headers) {
-        place.outcome = outcome;
-        debug!(endpoint:% = place.target.id, status:% = head.status; "not run there");
+        in_flight.outcome = outcome;
+        debug!(endpoint:% = in_flight.target.id, status:% = head.status; "not run there");
         connection.release_after(body);
-        let load_told = load(text(&head.headers, &core.protocol.load)).is_some();
-        return Attempt::NotRun { load_told };
+        let load_reported = parse_load(header_text(&head.headers, &core.protocol.load)).is_some();
+        return Attempt::NotRun { load_reported };
     }
-    if !echoes(core, job, &head.headers) {
-        info!(request = place.request, endpoint:% = place.target.id, status:% = head.status;
+    if !echoes_request_id(core, job, &head.headers) {
+        info!(request = in_flight.request, endpoint:% = in_flight.target.id, status:% = head.status;
             "an answer without the request's id");
-        place.outcome = Outcome::Broken;
+        in_flight.outcome = Outcome::Broken;
         return Attempt::Lost;
     }
     remove_hop_by_hop(&mut head.headers);
-    if !passes(job.kind, head.status, body.size_hint().exact()) {
-        let limited = Limited::new(body, WHOLE as usize).collect();
-        let bytes = match timeout_at(job.deadline.answer, limited).await {
+    if !is_streamed(job.kind, head.status, body.size_hint().exact()) {
+        let limited = Limited::new(body, MAX_BUFFERED_RESPONSE as usize).collect();
+        let bytes = match timeout_at(job.deadline.respond_by, limited).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => {
-                debug!(endpoint:% = place.target.id, error:% = e; "an answer broke off");
-                place.outcome = Outcome::Broken;
+                debug!(endpoint:% = in_flight.target.id, error:% = e; "an answer broke off");
+                in_flight.outcome = Outcome::Broken;
                 return Attempt::Lost;
             }
-            Err(_) => return Attempt::Late,
+            Err(_) => return Attempt::TimedOut,
         };
         connection.release();
-        place.served();
-        return finished(place, head, AnswerBody::Whole(bytes));
+        in_flight.mark_served();
+        return finish(in_flight, head, ResponseBody::Full(bytes));
     }
-    place.served();
-    let passing = Passing::new(core, body, connection, job.deadline.answer);
-    finished(place, head, AnswerBody::Passing(Box::new(passing)))
+    in_flight.mark_served();
+    let streamed = StreamedBody::new(core, body, connection, job.deadline.respond_by);
+    finish(in_flight, head, ResponseBody::Streamed(Box::new(streamed)))
 }
 
 /// Whether an answer of this length goes on while it comes. A failure never does: the
 /// request may be tried elsewhere.
-fn passes(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
-    let whole = match kind {
-        Kind::Download if status.is_success() => WHOLE_DOWNLOAD,
-        _ => WHOLE,
+fn is_streamed(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
+    let max_buffered = match kind {
+        Kind::Download if status.is_success() => MAX_BUFFERED_DOWNLOAD,
+        _ => MAX_BUFFERED_RESPONSE,
     };
-    length.is_some_and(|length| length > whole)
+    length.is_some_and(|length| length > max_buffered)
 }
 
-fn finished(place: &mut Place<'_>, mut head: http::response::Parts, body: AnswerBody) -> Attempt {
+fn finish(
+    in_flight: &mut InFlight<'_>,
+    mut head: http::response::Parts,
+    body: ResponseBody,
+) -> Attempt {
     let status = head.status;
-    if let AnswerBody::Whole(bytes) = &body {
+    if let ResponseBody::Full(bytes) = &body {
         let bodyless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         head.headers.remove(CONTENT_LENGTH);
         if !bodyless {
@@ -242,7 +256,7 @@
     }
     let answer = Response::from_parts(head, body);
     if status.is_server_error() {
-        place.outcome = Outcome::Failed;
+        in_flight.outcome = Outcome::Failed;
         Attempt::Failed(answer)
     } else {
         Attempt::Answered(answer)
@@ -252,7 +266,7 @@
 /// Whether an answer is to this request. Endpoints repeat its id; what doesn't is something
 /// else behind the endpoint's address, whose word on the request, a 404 say, isn't worth
 /// anything.
-fn echoes(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
+fn echoes_request_id(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
     let name = &core.protocol.request_id;
     let id = job.head.headers.get(name);
     id.is_none_or(|id| headers.get(name) == Some(id))
@@ -269,26 +283,26 @@
 }
 
 /// Takes in what the answer's headers tell about the endpoint.
-fn note(core: &Core, headers: &HeaderMap, target: &Target) {
+fn record_load(core: &Core, headers: &HeaderMap, target: &Target) {
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
-    if let Some(load) = load(text(headers, &core.protocol.load)) {
+    if let Some(load) = parse_load(header_text(headers, &core.protocol.load)) {
         placer.reported(now, target, load);
     }
-    let cold = text(headers, &core.protocol.warmup_ms).parse::<u64>();
-    if let Some(ms) = cold.ok().filter(|ms| *ms > 0) {
+    let warmup = header_text(headers, &core.protocol.warmup_ms).parse::<u64>();
+    if let Some(ms) = warmup.ok().filter(|ms| *ms > 0) {
         placer.is_cold(now, target, Duration::from_millis(ms));
     }
 }
 
 /// A header as text; empty if there is none, or none that can be read.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().trim()
 }
 
 /// Reads `running,waiting,slots`.
-fn load(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
     Some(Load {
         running: numbers.next()??,
@@ -297,9 +311,9 @@
 }
 
 /// For how long an idle connection may be used again, from `Keep-Alive: timeout=N`.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
-    let mut fields = text(headers, &KEEP_ALIVE).split(',').map(str::trim);
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let mut fields = header_text(headers, &KEEP_ALIVE).split(',').map(str::trim);
     let seconds = fields.find_map(|field| field.strip_prefix("timeout="))?;
     let seconds: u32 = seconds.parse().ok()?;
-    Some(Duration::from_secs(seconds.into()).mul_f64(KEPT_PART))
+    Some(Duration::from_secs(seconds.into()).mul_f64(KEEP_ALIVE_FRACTION))
 }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -21,7 +21,7 @@
 
 use super::bounds::Bounds;
 use super::stop::Phase;
-use super::{Heard, ProtocolNames};
+use super::{ControlMessage, ProtocolNames};
 use crate::Clock;
 use crate::peers::Outgoing;
 
@@ -29,10 +29,10 @@
 /// with room for a slow accept. An endpoint without power doesn't answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Silence of all control replicas after which the log says so.
-const SILENT: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lines a second about requests that are turned away, by code. With half a kilobyte to a
 /// line, all codes together stay below 100 kB a second whatever callers send.
-const LINES_A_SECOND: u32 = 20;
+const LOG_LINES_PER_SECOND: u32 = 20;
 
 /// What the duty starts with.
 pub(crate) struct CoreParts {
@@ -45,7 +45,7 @@
     /// The VM's link, if its rate is known.
     pub(crate) link: Option<Link>,
     /// What large answers may take of it.
-    pub(crate) large: Option<LargeShare>,
+    pub(crate) large_share: Option<LargeShare>,
     /// Callers' connections that are open.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -55,11 +55,11 @@
 
 /// The routes in force.
 #[derive(Clone, Debug)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveRoutes {
     pub(crate) version: u64,
     pub(crate) revision: u64,
     /// How many routes there are.
-    pub(crate) routes: usize,
+    pub(crate) route_count: usize,
     /// The control replica that they came from.
     pub(crate) from: SocketAddr,
     /// When they came.
@@ -69,7 +69,7 @@
 }
 
 /// Where news came from, and how.
-struct News {
+struct UpdateSource {
     from: SocketAddr,
     delay: Delay,
     /// The list of endpoints that is held now.
@@ -85,36 +85,36 @@
     pub(crate) metrics: Arc<GatewayMetrics>,
     /// The VM's link, if its rate is known.
     link: Option<RefCell<Link>>,
-    large: Option<RefCell<LargeShare>>,
+    large_share: Option<RefCell<LargeShare>>,
     balance: RefCell<Balance>,
     member: RefCell<Member>,
-    in_force: RefCell<Option<Rc<InForce>>>,
+    active_routes: RefCell<Option<Rc<ActiveRoutes>>>,
     bounds: watch::Sender<Option<CallerBounds>>,
     out: Sender<Outgoing>,
     phase: watch::Sender<Phase>,
     connections: watch::Sender<usize>,
     running: Cell<usize>,
     seeds: RefCell<watch::Receiver<Vec<SocketAddr>>>,
-    silent: Cell<bool>,
+    control_silent: Cell<bool>,
     /// When the list of endpoints last changed.
-    listed_at: Cell<Moment>,
+    list_changed_at: Cell<Moment>,
     /// Lines about requests that were turned away.
-    told: RefCell<LineAllowance<ResultCode>>,
+    log_allowance: RefCell<LineAllowance<ResultCode>>,
 }
 
 /// Counts a request as running until it is dropped.
-pub(crate) struct Running(Rc<Core>);
+pub(crate) struct RequestGuard(Rc<Core>);
 
-impl Drop for Running {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
 /// Counts a caller's connection as open until it is dropped.
-pub(crate) struct Connected(Rc<Core>);
+pub(crate) struct ConnectionGuard(Rc<Core>);
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.send_modify(|open| *open -= 1);
     }
@@ -129,19 +129,19 @@
             placer: RefCell::new(parts.placer),
             metrics: parts.metrics,
             link: parts.link.map(RefCell::new),
-            large: parts.large.map(RefCell::new),
+            large_share: parts.large_share.map(RefCell::new),
             balance: RefCell::default(),
             member: RefCell::new(parts.member),
-            in_force: RefCell::new(None),
+            active_routes: RefCell::new(None),
             bounds: watch::Sender::new(None),
             out: parts.out,
             phase: parts.phase,
             connections: parts.connections,
             running: Cell::new(0),
             seeds: RefCell::new(parts.seeds),
-            silent: Cell::new(true),
-            listed_at: Cell::new(Moment::ZERO),
-            told: RefCell::new(LineAllowance::new(LINES_A_SECOND)),
+            control_silent: Cell::new(true),
+            list_changed_at: Cell::new(Moment::ZERO),
+            log_allowance: RefCell::new(LineAllowance::new(LOG_LINES_PER_SECOND)),
         })
     }
 
@@ -150,15 +150,15 @@
     }
 
     /// Notes bytes of a short message that go out.
-    pub(crate) fn sends(&self, bytes: usize) {
-        if let Some(large) = &self.large {
-            large.borrow_mut().sent_short(bytes);
+    pub(crate) fn record_sent(&self, bytes: usize) {
+        if let Some(share) = &self.large_share {
+            share.borrow_mut().sent_short(bytes);
         }
-        self.sends_piece(bytes);
+        self.record_sent_chunk(bytes);
     }
 
     /// Notes bytes of a large answer that go out.
-    pub(crate) fn sends_piece(&self, bytes: usize) {
+    pub(crate) fn record_sent_chunk(&self, bytes: usize) {
         if let Some(link) = &self.link {
             link.borrow_mut().sent(self.now(), bytes);
         }
@@ -166,16 +166,16 @@
 
     /// Takes on a large answer, or tells after which time the link has room for it.
     pub(crate) fn admit_large(&self, returned: bool) -> Result<(), Duration> {
-        match &self.large {
-            Some(large) => large.borrow_mut().admit(self.now(), returned),
+        match &self.large_share {
+            Some(share) => share.borrow_mut().admit(self.now(), returned),
             None => Ok(()),
         }
     }
 
     /// Notes the length of a large answer.
     pub(crate) fn observe_large(&self, bytes: u64) {
-        if let Some(large) = &self.large {
-            large.borrow_mut().observe(bytes);
+        if let Some(share) = &self.large_share {
+            share.borrow_mut().observe(bytes);
         }
     }
 
@@ -195,19 +195,19 @@
     }
 
     /// Whether a caller that has its answer is to connect anew.
-    pub(crate) fn ends_connection(&self) -> bool {
+    pub(crate) fn should_close_connection(&self) -> bool {
         self.is_leaving() || self.balance.borrow_mut().is_to_end(self.now())
     }
 
     /// Bytes of a large answer that go out at once, at most.
-    pub(crate) fn piece(&self) -> usize {
+    pub(crate) fn max_chunk(&self) -> usize {
         let link = self.link.as_ref();
         link.map_or(usize::MAX, |link| link.borrow().piece())
     }
 
     /// The routes in force, if any are known.
-    pub(crate) fn in_force(&self) -> Option<Rc<InForce>> {
-        self.in_force.borrow().clone()
+    pub(crate) fn active_routes(&self) -> Option<Rc<ActiveRoutes>> {
+        self.active_routes.borrow().clone()
     }
 
     /// Whether the routes in force were lately proved to be the newest, so that a caller may
@@ -218,9 +218,9 @@
 
     /// How long ago the question was asked whose answer proved that the routes held here were
     /// the newest.
-    pub(crate) fn proven_age(&self) -> Option<Duration> {
-        let asked = self.member.borrow().proven_at()?;
-        Some(self.now().saturating_sub(asked))
+    pub(crate) fn proof_age(&self) -> Option<Duration> {
+        let proven_at = self.member.borrow().proven_at()?;
+        Some(self.now().saturating_sub(proven_at))
     }
 
     /// The bounds of the routes in force, now and later.
@@ -230,11 +230,11 @@
 
     /// Ages of what decisions are made from, in milliseconds: since the list of endpoints
     /// changed, and since control was last heard.
-    pub(crate) fn ages(&self) -> (u128, u128) {
+    pub(crate) fn data_ages(&self) -> (u128, u128) {
         let now = self.now();
-        let heard = self.member.borrow().heard().unwrap_or_default();
+        let last_seen = self.member.borrow().heard().unwrap_or_default();
         let since = |at: Moment| now.saturating_sub(at).as_millis();
-        (since(self.listed_at.get()), since(heard))
+        (since(self.list_changed_at.get()), since(last_seen))
     }
 
     pub(crate) fn phase(&self) -> watch::Receiver<Phase> {
@@ -246,69 +246,69 @@
     }
 
     /// How far this gateway has come, and whether what it knows does to serve by.
-    pub(crate) fn standing(&self) -> (Phase, bool) {
+    pub(crate) fn serving_state(&self) -> (Phase, bool) {
         let informed = self.member.borrow().is_informed(self.now());
         (*self.phase.borrow(), informed)
     }
 
     /// Whether a line about a request that is turned away may be written, and how many of
     /// its kind were left out before it.
-    pub(crate) fn may_tell(&self, code: ResultCode) -> Option<u64> {
-        self.told.borrow_mut().take(self.now(), code)
+    pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
+        self.log_allowance.borrow_mut().take(self.now(), code)
     }
 
-    pub(crate) fn begin(self: &Rc<Self>) -> Running {
+    pub(crate) fn track_request(self: &Rc<Self>) -> RequestGuard {
         self.running.set(self.running.get() + 1);
-        Running(Rc::clone(self))
+        RequestGuard(Rc::clone(self))
     }
 
-    pub(crate) fn connected(self: &Rc<Self>) -> Connected {
+    pub(crate) fn track_connection(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.send_modify(|open| *open += 1);
-        Connected(Rc::clone(self))
+        ConnectionGuard(Rc::clone(self))
     }
 
     /// Takes in a message of control.
-    pub(crate) fn heard(&self, heard: Heard) {
+    pub(crate) fn handle_message(&self, received: ControlMessage) {
         let now = self.now();
-        if self.silent.replace(false) {
-            info!(from:% = heard.from; "control is heard");
+        if self.control_silent.replace(false) {
+            info!(from:% = received.from; "control is heard");
         }
         let mut member = self.member.borrow_mut();
-        let (out, updates) = member.receive(now, heard.from, heard.message);
+        let (out, updates) = member.receive(now, received.from, received.message);
         self.send(out);
-        let news = News {
-            from: heard.from,
+        let source = UpdateSource {
+            from: received.from,
             delay: member.delay(),
             listed: member.have().endpoints,
         };
         drop(member);
         for update in updates {
-            self.update(now, &news, update);
+            self.apply(now, &source, update);
         }
-        self.serve_if_informed(now);
+        self.start_serving_if_ready(now);
     }
 
-    fn serve_if_informed(&self, now: Moment) {
+    fn start_serving_if_ready(&self, now: Moment) {
         if !self.member.borrow().is_informed(now) {
             return;
         }
         self.phase.send_if_modified(|phase| {
-            let first = *phase == Phase::Starting;
-            if first {
+            let starting = *phase == Phase::Starting;
+            if starting {
                 *phase = Phase::Serving;
                 info!("routes and endpoints are known, callers may come");
             }
-            first
+            starting
         });
     }
 
-    fn update(&self, now: Moment, news: &News, update: Update) {
+    fn apply(&self, now: Moment, source: &UpdateSource, update: Update) {
         let mut placer = self.placer.borrow_mut();
-        let News {
+        let UpdateSource {
             from,
             delay,
             listed,
-        } = *news;
+        } = *source;
         let (questions, since_heard_of) = (delay.questions, delay.since_heard_of.as_millis());
         match update {
             Update::Routes {
@@ -320,39 +320,39 @@
                 info!(version, revision, routes = table.routes.len(), from:%, since_heard_of,
                     questions; "routes in force");
                 placer.set_routes(&table);
-                let in_force = InForce {
+                let active_routes = ActiveRoutes {
                     version,
                     revision,
-                    routes: table.routes.len(),
+                    route_count: table.routes.len(),
                     from,
                     since: now,
                     matcher: Matcher::new(&table),
                     bounds: table.bounds,
                 };
-                self.in_force.replace(Some(Rc::new(in_force)));
+                self.active_routes.replace(Some(Rc::new(active_routes)));
                 let bounds = Some(table.bounds);
                 self.bounds
-                    .send_if_modified(|known| std::mem::replace(known, bounds) != bounds);
+                    .send_if_modified(|current| std::mem::replace(current, bounds) != bounds);
             }
             Update::Evacuated(domains) => {
                 info!(domains:? = domains; "evacuated failure domains");
                 placer.set_evacuated(now, domains);
             }
             Update::Endpoints(list) => {
-                self.listed_at.set(now);
+                self.list_changed_at.set(now);
                 self.metrics.endpoints(list.len());
                 info!(endpoints = list.len(), term = listed.term, seq = listed.seq, from:%,
                     since_heard_of, questions; "list of endpoints");
-                let left = placer.set_endpoints(now, list);
-                self.leave(&left);
+                let replaced = placer.set_endpoints(now, list);
+                self.close_connections(&replaced);
             }
             Update::EndpointsChanged(change) => {
-                self.listed_at.set(now);
+                self.list_changed_at.set(now);
                 info!(changed = change.changed.len(), gone = change.gone.len(),
                     term = listed.term, seq = listed.seq, from:%, since_heard_of, questions;
                     "list of endpoints changed");
-                let left = placer.change_endpoints(now, change);
-                self.leave(&left);
+                let replaced = placer.change_endpoints(now, change);
+                self.close_connections(&replaced);
                 self.metrics.endpoints(placer.endpoints());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
@@ -366,8 +366,8 @@
 
     /// Closes kept connections to starts of endpoints that others have followed. A request
     /// that may run only once would be lost on one, without a way to tell whether it ran.
-    fn leave(&self, starts: &[SocketAddr]) {
-        for addr in starts {
+    fn close_connections(&self, replaced: &[SocketAddr]) {
+        for addr in replaced {
             info!(addr:%; "an endpoint has started anew");
             self.client.forget(*addr);
         }
@@ -376,7 +376,7 @@
     /// Reports to control if it is time.
     pub(crate) fn tick(&self) {
         let now = self.now();
-        self.serve_if_informed(now);
+        self.start_serving_if_ready(now);
         let mut member = self.member.borrow_mut();
         let mut seeds = self.seeds.borrow_mut();
         if seeds.has_changed().unwrap_or(false) {
@@ -405,8 +405,8 @@
                 link_milli: self.link_milli(now),
             }
         });
-        let lost = member.heard().is_some_and(|at| now >= at + SILENT);
-        if lost && !self.silent.replace(true) {
+        let silent = member.heard().is_some_and(|at| now >= at + CONTROL_TIMEOUT);
+        if silent && !self.control_silent.replace(true) {
             warn!("no control replica is heard");
         }
         drop(member);
--- a/crates/filberthead/src/gateway/deadline.rs
+++ b/crates/filberthead/src/gateway/deadline.rs
@@ -11,29 +11,29 @@
 pub(crate) struct Deadline {
     /// When it gets its final answer at the latest: when its caller gives up, or at the
     /// route's timeout if that comes first.
-    pub(crate) answer: Instant,
+    pub(crate) respond_by: Instant,
 }
 
 impl Deadline {
-    /// Reads the time that the caller says it waits. One that says nothing waits for the
+    /// Reads the time that the caller says it timeout. One that says nothing timeout for the
     /// route's timeout.
     pub(crate) fn new(
-        begun: Instant,
+        started: Instant,
         headers: &HeaderMap,
         name: &HeaderName,
         route: &Route,
     ) -> Self {
-        let told = headers.get(name).and_then(|value| value.to_str().ok());
-        let told = told.and_then(|text| text.trim().parse::<f64>().ok());
-        let told = told.filter(|ms| ms.is_finite() && *ms >= 0.0);
-        let waits = told.map_or(route.timeout, |ms| Duration::from_secs_f64(ms / 1000.0));
+        let requested = headers.get(name).and_then(|value| value.to_str().ok());
+        let requested = requested.and_then(|text| text.trim().parse::<f64>().ok());
+        let requested = requested.filter(|ms| ms.is_finite() && *ms >= 0.0);
+        let timeout = requested.map_or(route.timeout, |ms| Duration::from_secs_f64(ms / 1000.0));
         Self {
-            answer: begun + waits.min(route.timeout),
+            respond_by: started + timeout.min(route.timeout),
         }
     }
 
     /// Time that is left until the final answer.
-    pub(crate) fn left(&self) -> Duration {
-        self.answer.saturating_duration_since(Instant::now())
+    pub(crate) fn remaining(&self) -> Duration {
+        self.respond_by.saturating_duration_since(Instant::now())
     }
 }
--- /dev/null
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -0,0 +1,327 @@
+//! Carries one request from its route to its final response.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use filberthead_endpoint::RequestBody;
+use filberthead_place::{
+    Decision, EndpointId, Further, Object, Refusal, Request as PlacementRequest, Tries,
+};
+use filberthead_route::{Kind, Matched, Route};
+use filberthead_types::{ResultCode, ServiceName, header};
+use http::request::Parts;
+use http::{Request, Response};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use log::info;
+use tokio::time::{Instant, timeout_at};
+
+use super::attempt::{Attempt, Job, attempt, header_text};
+use super::bounds::head_bytes;
+use super::context::{RequestContext, host};
+use super::core::{ActiveRoutes, Core};
+use super::deadline::Deadline;
+use super::response::{ResponseBody, gateway_response};
+
+/// Bodies up to this long are read before the request is sent, so that it can be sent
+/// retry_body. Longer ones go on as they come, once.
+const MAX_REPLAYABLE_BODY: u64 = 256 * 1024;
+/// Time below which no endpoint could response any more.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
+/// When a caller may come back whose request an endpoint has sent back: another try is as
+/// likely to find room at once as later.
+const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(50);
+/// When a caller may come back to a gateway that doesn't know any routes yet, or not whether
+/// they are the newest: a report and its response are on their way by then.
+pub(super) const RETRY_AFTER_STARTING: Duration = Duration::from_millis(300);
+
+/// What to do after an attempt.
+enum Next {
+    /// Give this to the caller.
+    Respond(Box<Response<ResponseBody>>),
+    /// Try another endpoint with this body.
+    Retry(RequestBody),
+}
+
+impl Next {
+    fn respond(response: Response<ResponseBody>) -> Self {
+        Self::Respond(Box::new(response))
+    }
+}
+
+/// A request on its way.
+struct Forwarding<'a> {
+    core: &'a Rc<Core>,
+    route: &'a Route,
+    service: &'a ServiceName,
+    head: &'a Parts,
+    deadline: Deadline,
+    is_retry: bool,
+    /// Number of the routes that it was matched by.
+    version: u64,
+    tries: Tries,
+    /// An endpoint's response to a run with a bad end: what the caller gets if no further
+    /// attempt can be made.
+    failed_response: Option<Response<ResponseBody>>,
+}
+
+/// Answers a request of a caller.
+pub(crate) async fn forward(
+    core: &Rc<Core>,
+    caller: SocketAddr,
+    req: Request<Incoming>,
+) -> Response<ResponseBody> {
+    let started = Instant::now();
+    let (head, body) = req.into_parts();
+    let mut ctx = RequestContext::new(core, caller, started, &head);
+    let Some(active_routes) = core.active_routes() else {
+        return ctx.reject(ResultCode::NotReady, Some(RETRY_AFTER_STARTING));
+    };
+    ctx.routes = Some(&active_routes);
+    if head_bytes(&head) > active_routes.bounds.header_bytes {
+        return ctx.reject_by_routes(ResultCode::HeadTooLarge);
+    }
+    let Some(matched) = find_route(&active_routes, &head) else {
+        return ctx.reject_by_routes(ResultCode::UnknownService);
+    };
+    let route = &matched.route;
+    ctx.route = Some(route);
+    let deadline = Deadline::new(started, &head.headers, &core.protocol.deadline_ms, route);
+    let Some(target) = route.targets.get(matched.split.deal()) else {
+        return ctx.reject(ResultCode::NoEndpoint, Some(RETRY_AFTER_STARTING));
+    };
+    if body.size_hint().lower() > active_routes.bounds.body_bytes {
+        return ctx.reject_by_routes(ResultCode::BodyTooLarge);
+    }
+    let body = match read_body(body, &deadline).await {
+        Ok(body) => body,
+        Err(code) => return ctx.reject(code, None),
+    };
+    core.placer
+        .borrow_mut()
+        .arrived(core.now(), &target.service);
+    let kind = route.kind.as_str();
+    let forwarding = Forwarding {
+        core,
+        route,
+        service: &target.service,
+        head: &head,
+        deadline,
+        is_retry: is_caller_retry(core, &head, route),
+        version: active_routes.version,
+        tries: Tries::new(route.max_attempts),
+        failed_response: None,
+    };
+    let response = forwarding.run(body).await;
+    core.metrics
+        .finished(Some(kind), result_code(&response), started.elapsed());
+    response
+}
+
+/// What an response is counted as: an endpoint's own, unless it bears a code of ours.
+fn result_code(response: &Response<ResponseBody>) -> ResultCode {
+    let header = response.headers().get(header::RESULT);
+    let number = header.and_then(|value| value.to_str().ok()?.parse().ok());
+    number
+        .and_then(ResultCode::from_number)
+        .unwrap_or(ResultCode::Answered)
+}
+
+fn find_route(active_routes: &ActiveRoutes, head: &Parts) -> Option<Arc<Matched>> {
+    let matcher = &active_routes.matcher;
+    matcher.find(host(head)?, head.uri.path()).cloned()
+}
+
+/// Whether the caller has less time than callers of this route usually have, because an
+/// earlier attempt has used some of it.
+fn is_caller_retry(core: &Core, head: &Parts, route: &Route) -> bool {
+    let remaining_ms = header_text(&head.headers, &core.protocol.deadline_ms).parse::<u128>();
+    remaining_ms.is_ok_and(|ms| ms < route.timeout.as_millis())
+}
+
+/// Reads a short body whole.
+async fn read_body(body: Incoming, deadline: &Deadline) -> Result<RequestBody, ResultCode> {
+    let hint = body.size_hint();
+    if hint.upper().is_none_or(|upper| upper > MAX_REPLAYABLE_BODY) {
+        return Ok(RequestBody::Stream(body));
+    }
+    if hint.exact() == Some(0) {
+        return Ok(RequestBody::from(body));
+    }
+    match timeout_at(deadline.respond_by, body.collect()).await {
+        Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
+        Ok(Err(_)) => Err(ResultCode::BadRequest),
+        Err(_) => Err(ResultCode::DeadlineBeforeRun),
+    }
+}
+
+impl Forwarding<'_> {
+    async fn run(mut self, body: RequestBody) -> Response<ResponseBody> {
+        let is_large = self.route.kind == Kind::Download;
+        if is_large && let Err(room_in) = self.core.admit_large(self.is_retry) {
+            return self.final_response(ResultCode::LinkBusy, room_in);
+        }
+        let mut body = body;
+        loop {
+            match self.step(body).await {
+                Next::Respond(response) => return *response,
+                Next::Retry(retry_body) => body = retry_body,
+            }
+        }
+    }
+
+    async fn step(&mut self, body: RequestBody) -> Next {
+        if self.deadline.remaining() < MIN_TIME_LEFT {
+            return self.reject(ResultCode::DeadlineBeforeRun, Duration::ZERO);
+        }
+        let decision = self.place();
+        let target = match decision {
+            Decision::Send(target) => target,
+            Decision::Refuse { why, retry_after } => {
+                return match why {
+                    // Those that there are have sent it back.
+                    Refusal::NoEndpoint if self.tries.was_refused() => {
+                        self.reject(ResultCode::Overloaded, RETRY_AFTER_REFUSED)
+                    }
+                    Refusal::NoEndpoint => self.reject(ResultCode::NoEndpoint, retry_after),
+                    Refusal::Overloaded => self.reject(ResultCode::Overloaded, retry_after),
+                };
+            }
+        };
+        self.tries.sent(target.id.clone());
+        let retry_body = body.again();
+        let job = Job {
+            route: &self.route.name,
+            head: self.head,
+            kind: self.route.kind,
+            service: self.service,
+            deadline: self.deadline,
+        };
+        match attempt(self.core, &job, body, &target).await {
+            Attempt::Answered(response) => Next::respond(response),
+            Attempt::NotSent(body) => self.after_unreached(body),
+            Attempt::NotRun { load_reported } => self.after_not_run(load_reported, retry_body),
+            Attempt::Failed(response) => self.after_failure(response, retry_body),
+            Attempt::Lost => self.after_loss(&target.id, retry_body),
+            Attempt::TimedOut => {
+                self.tries.ran();
+                self.log_attempt("no response when the time was up", &target.id);
+                Next::respond(gateway_response(ResultCode::DeadlineWhileRunning, None))
+            }
+        }
+    }
+
+    fn place(&self) -> Decision {
+        let object = self.head.headers.get(&self.core.protocol.affinity_key);
+        let object = object.map(|value| value.as_bytes());
+        let request = PlacementRequest {
+            service: self.service,
+            object: object.filter(|_| self.route.sticky).map(|name| Object {
+                prefix: &self.route.prefix,
+                name,
+            }),
+            large: self.route.kind == Kind::Download,
+            objective: self.route.objective,
+            left: self.deadline.remaining(),
+            returned: self.is_retry,
+            regions: &self.route.regions,
+            tried: self.tries.avoided(),
+        };
+        let now = self.core.now();
+        self.core.placer.borrow_mut().place(now, request)
+    }
+
+    fn after_unreached(&mut self, body: RequestBody) -> Next {
+        match self.tries.unreached() {
+            Further::Allowed => Next::Retry(body),
+            Further::Over => self.reject(ResultCode::NoEndpoint, RETRY_AFTER_STARTING),
+        }
+    }
+
+    /// Sent back by an endpoint that has not run it.
+    fn after_not_run(&mut self, load_reported: bool, retry_body: Option<RequestBody>) -> Next {
+        let same = self.core.placer.borrow().may_try_again(load_reported);
+        let further = self.tries.refused(same);
+        match retry_body.filter(|_| self.may_retry(further)) {
+            Some(body) => Next::Retry(body),
+            None => self.reject(ResultCode::Overloaded, RETRY_AFTER_REFUSED),
+        }
+    }
+
+    /// Run, with a bad end.
+    fn after_failure(
+        &mut self,
+        response: Response<ResponseBody>,
+        retry_body: Option<RequestBody>,
+    ) -> Next {
+        let further = self.tries.ran();
+        let idempotent = self.route.kind.is_idempotent();
+        match retry_body.filter(|_| idempotent && self.may_retry(further)) {
+            Some(body) => {
+                self.failed_response = Some(response);
+                Next::Retry(body)
+            }
+            None => Next::respond(response),
+        }
+    }
+
+    fn after_loss(&mut self, endpoint: &EndpointId, retry_body: Option<RequestBody>) -> Next {
+        let further = self.tries.ran();
+        self.log_attempt("lost with the request at it", endpoint);
+        let idempotent = self.route.kind.is_idempotent();
+        match retry_body.filter(|_| idempotent && self.may_retry(further)) {
+            Some(body) => Next::Retry(body),
+            None => Next::respond(gateway_response(ResultCode::EndpointLost, None)),
+        }
+    }
+
+    /// Whether another attempt is allowed, leaves enough time and is in the budget.
+    fn may_retry(&self, further: Further) -> bool {
+        let expected = self.route.objective / 4;
+        further == Further::Allowed
+            && self.deadline.remaining() > expected
+            && self
+                .core
+                .placer
+                .borrow_mut()
+                .may_repeat(self.core.now(), self.service)
+    }
+
+    fn reject(&mut self, code: ResultCode, retry_after: Duration) -> Next {
+        Next::respond(self.final_response(code, retry_after))
+    }
+
+    /// The final response where no further attempt is made: a promise that nothing ran only
+    /// if that is so.
+    fn final_response(
+        &mut self,
+        code: ResultCode,
+        retry_after: Duration,
+    ) -> Response<ResponseBody> {
+        let left = self.deadline.remaining().as_millis();
+        let (list_ms, control_ms) = self.core.data_ages();
+        info!(request = self.request_id(), route = self.route.name.as_str(), code:%, left,
+            tried = self.tries.made(), returned = self.is_retry, version = self.version,
+            list_ms, control_ms, retry_after_ms = retry_after.as_millis(); "refused");
+        if let Some(response) = self.failed_response.take() {
+            return response;
+        }
+        if self.tries.may_have_run() > 0 {
+            return gateway_response(ResultCode::EndpointLost, None);
+        }
+        gateway_response(code, Some(retry_after))
+    }
+
+    fn log_attempt(&self, event: &'static str, endpoint: &EndpointId) {
+        let left = self.deadline.remaining().as_millis();
+        let route = self.route.name.as_str();
+        info!(request = self.request_id(), route, endpoint:%, left, ran = self.tries.may_have_run(),
+            tried = self.tries.made(), version = self.version; "{event}");
+    }
+
+    fn request_id(&self) -> &str {
+        header_text(&self.head.headers, &self.core.protocol.request_id)
+    }
+}
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -6,18 +6,18 @@
 //! endpoints share one thread on purpose: a request would otherwise cross threads twice,
 //! and on a fraction of a core each crossing costs a wake-up and gains nothing.
 
-mod answer;
-mod arrival;
 mod attempt;
 mod bounds;
-mod carry;
+mod context;
 mod core;
 mod deadline;
-mod passing;
+mod forward;
 mod protocol;
 mod readiness;
+mod response;
 mod serve;
 mod stop;
+mod streamed;
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -45,7 +45,7 @@
 const BITS_PER_MBIT: f64 = 1e6;
 /// Messages of control that wait for the requests duty. When full, further ones are
 /// dropped; control repeats what it says.
-const MESSAGES: usize = 256;
+const INBOX_CAPACITY: usize = 256;
 
 /// Why a gateway doesn't start or ends other than by a planned stop.
 #[derive(Debug)]
@@ -92,34 +92,34 @@
 }
 
 /// A message of a control replica, and where that takes answers.
-pub(crate) struct Heard {
+pub(crate) struct ControlMessage {
     pub(crate) from: SocketAddr,
     pub(crate) message: Message,
 }
 
 /// Hands messages of control to the requests duty.
-struct ToRequests(Sender<Heard>);
+struct RequestsInbox(Sender<ControlMessage>);
 
-impl Deliver for ToRequests {
+impl Deliver for RequestsInbox {
     fn deliver(&mut self, origin: Origin, body: Body) {
         if let Body::Fleet(message) = body {
             let from = origin.addr;
             // A full ring drops the message; control repeats it.
-            let _ = self.0.push(Heard { from, message });
+            let _ = self.0.push(ControlMessage { from, message });
         }
     }
 }
 
 /// Everything that is open before the first thread starts.
-struct Opened {
+struct OpenSockets {
     transport: Transport,
-    rx: Receiver<Heard>,
+    inbox: Receiver<ControlMessage>,
     callers: TcpListener,
     readiness: TcpListener,
     status: TcpListener,
 }
 
-/// Runs a gateway until the end of its planned stop. `seeds` reads the group's seeds anew
+/// Runs a gateway until the end of its planned_stop stop. `seeds` reads the group's seeds anew
 /// when the settings have changed.
 ///
 /// # Errors
@@ -135,43 +135,49 @@
         .build()
         .context(RuntimeSnafu)?;
     let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
-    let opened = open(cfg)?;
+    let sockets = open_sockets(cfg)?;
     let (source, stop) = stop_pair();
     let phase = watch::Sender::new(Phase::Starting);
     let connections = watch::Sender::new(0);
-    let seeded = watch::Sender::new(cfg.seeds.clone());
-    let planned = PlannedStop {
+    let seed_updates = watch::Sender::new(cfg.seeds.clone());
+    let planned_stop = PlannedStop {
         grace: cfg.stop_grace,
         phase: phase.clone(),
         connections: connections.subscribe(),
     };
     let ready = [
-        ("caller", bound(&opened.callers)?),
-        ("peer", opened.transport.addr()),
-        ("readiness", bound(&opened.readiness)?),
-        ("status", bound(&opened.status)?),
+        ("caller", local_addr(&sockets.callers)?),
+        ("peer", sockets.transport.addr()),
+        ("readiness", local_addr(&sockets.readiness)?),
+        ("status", local_addr(&sockets.status)?),
     ];
     info!(domain:% = cfg.failure_domain, seeds:? = cfg.seeds, caller:% = ready[0].1;
         "gateway starts");
-    let duties = start(cfg, protocol, opened, (phase, connections, &seeded), &stop)?;
+    let duties = spawn_duties(
+        cfg,
+        protocol,
+        sockets,
+        (phase, connections, &seed_updates),
+        &stop,
+    )?;
     announce(&ready).context(ReadySnafu)?;
     let reload = move || {
         let seeds = seeds();
         info!(seeds:? = seeds; "settings read again");
-        seeded.send_replace(seeds);
+        seed_updates.send_replace(seeds);
     };
-    let supervised = supervise(duties, signals, source, reload, || planned.run());
+    let supervised = supervise(duties, signals, source, reload, || planned_stop.run());
     runtime.block_on(supervised).context(SuperviseSnafu)
 }
 
-fn open(cfg: &GatewaySettings) -> Result<Opened, GatewayError> {
-    let (tx, rx) = ring(MESSAGES);
+fn open_sockets(cfg: &GatewaySettings) -> Result<OpenSockets, GatewayError> {
+    let (tx, rx) = ring(INBOX_CAPACITY);
     let cluster = cluster_id(&cfg.cluster);
     let transport =
-        Transport::listen(cfg.peer_listen, cluster, ToRequests(tx)).context(PeerSnafu)?;
-    Ok(Opened {
+        Transport::listen(cfg.peer_listen, cluster, RequestsInbox(tx)).context(PeerSnafu)?;
+    Ok(OpenSockets {
         transport,
-        rx,
+        inbox: rx,
         callers: listen(cfg.caller_listen)?,
         readiness: listen(cfg.readiness_listen)?,
         status: listen(cfg.status_listen)?,
@@ -186,30 +192,30 @@
     Ok(listener)
 }
 
-fn bound(listener: &TcpListener) -> Result<SocketAddr, GatewayError> {
+fn local_addr(listener: &TcpListener) -> Result<SocketAddr, GatewayError> {
     let addr = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().context(ListenSnafu { addr })
 }
 
 /// What the duties share with the one that supervises them.
-type Shared<'a> = (
+type SharedState<'a> = (
     watch::Sender<Phase>,
     watch::Sender<usize>,
     &'a watch::Sender<Vec<SocketAddr>>,
 );
 
-fn start(
+fn spawn_duties(
     cfg: &GatewaySettings,
     protocol: ProtocolNames,
-    opened: Opened,
-    (phase, connections, seeded): Shared<'_>,
+    sockets: OpenSockets,
+    (phase, connections, seed_updates): SharedState<'_>,
     stop: &Stop,
 ) -> Result<Vec<Duty>, GatewayError> {
     let caller_addr = match cfg.caller_advertise {
         Some(addr) => addr,
-        None => bound(&opened.callers)?,
+        None => local_addr(&sockets.callers)?,
     };
-    let peer_addr = cfg.peer_advertise.unwrap_or(opened.transport.addr());
+    let peer_addr = cfg.peer_advertise.unwrap_or(sockets.transport.addr());
     let (out, out_rx) = peers::outgoing();
     let origin = Origin {
         name: cfg.node.clone(),
@@ -217,7 +223,7 @@
         addr: peer_addr,
         replica: None,
     };
-    let outbox = opened.transport.outbox(cluster_id(&cfg.cluster), origin);
+    let outbox = sockets.transport.outbox(cluster_id(&cfg.cluster), origin);
     let info = GatewayInfo {
         name: cfg.node.clone(),
         region: cfg.region.clone(),
@@ -226,43 +232,43 @@
     };
     let metrics = Arc::new(GatewayMetrics::new());
     let probes = readiness::Probes {
-        readiness: opened.readiness,
-        status: opened.status,
+        readiness: sockets.readiness,
+        status: sockets.status,
         path: protocol.readiness_path,
         metrics: Arc::clone(&metrics),
-        peers: opened.transport.counters(),
+        peers: sockets.transport.counters(),
         phase: phase.subscribe(),
     };
     let parts = CoreParts {
         clock: Clock::start(),
         protocol: Arc::new(protocol),
-        placer: Placer::new(placing(cfg)),
+        placer: Placer::new(placement_config(cfg)),
         member: Member::new(info, cfg.seeds.clone(), rand::random()),
         out,
         phase,
         connections,
         link: cfg.link_rate.map(|rate| Link::new(rate * BITS_PER_MBIT)),
-        large: cfg
+        large_share: cfg
             .link_rate
             .map(|rate| LargeShare::new(rate * BITS_PER_MBIT)),
         metrics,
-        seeds: seeded.subscribe(),
+        seeds: seed_updates.subscribe(),
     };
-    let (callers, rx) = (opened.callers, opened.rx);
+    let (callers, rx) = (sockets.callers, sockets.inbox);
     let stopping = stop.clone();
     let requests = move || async move {
         let core = Core::new(parts);
         serve::run(core, callers, rx, stopping).await;
     };
     let duties = vec![
-        peers::spawn(opened.transport, outbox, out_rx, stop.clone()).context(DutySnafu)?,
+        peers::spawn(sockets.transport, outbox, out_rx, stop.clone()).context(DutySnafu)?,
         Duty::spawn("requests", requests).context(DutySnafu)?,
         readiness::spawn(probes, stop.clone()).context(DutySnafu)?,
     ];
     Ok(duties)
 }
 
-fn placing(cfg: &GatewaySettings) -> Config {
+fn placement_config(cfg: &GatewaySettings) -> Config {
     Config {
         gateway: cfg.node.clone(),
         region: cfg.region.clone(),
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -65,8 +65,8 @@
         let peers = Arc::clone(&probes.peers);
         tokio::task::spawn_local(async move {
             let service = service_fn(move |req| {
-                let answer = answer(path, *phase.borrow(), (&metrics, &peers), &req);
-                async move { Ok::<_, Infallible>(answer) }
+                let response = respond(path, *phase.borrow(), (&metrics, &peers), &req);
+                async move { Ok::<_, Infallible>(response) }
             });
             let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(e) = serving.await {
@@ -76,7 +76,7 @@
     }
 }
 
-fn answer(
+fn respond(
     path: &str,
     phase: Phase,
     (metrics, peers): (&GatewayMetrics, &Counters),
@@ -94,7 +94,7 @@
         },
         _ => (StatusCode::NOT_FOUND, ""),
     };
-    let mut answer = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/filberthead/src/gateway/answer.rs
+++ b/crates/filberthead/src/gateway/response.rs
@@ -10,69 +10,72 @@
 use http::{HeaderName, HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 
-use super::passing::{AnswerError, Passing};
+use super::streamed::{BodyError, StreamedBody};
 
 const RESULT: HeaderName = HeaderName::from_static(header::RESULT);
 
-/// Body of an answer.
-pub(crate) enum AnswerBody {
+/// Body of an response.
+pub(crate) enum ResponseBody {
     /// All of it is here.
-    Whole(Bytes),
+    Full(Bytes),
     /// It comes from an endpoint while the caller reads it.
-    Passing(Box<Passing>),
+    Streamed(Box<StreamedBody>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => {
+            Self::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Full(bytes) => {
                 let frame = Frame::data(std::mem::take(bytes));
                 Poll::Ready(Some(Ok(frame)))
             }
-            Self::Passing(passing) => passing.poll_frame(cx),
+            Self::Streamed(body) => body.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
-            Self::Passing(passing) => passing.is_end_stream(),
+            Self::Full(bytes) => bytes.is_empty(),
+            Self::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Passing(passing) => passing.size_hint(),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Streamed(body) => body.size_hint(),
         }
     }
 }
 
-/// A final answer of the gateway's own.
+/// A final response of the gateway's own.
 ///
 /// A code that means "not run" is sent with 503, and says when to come back; or with 404
 /// or 413 where coming back can't help. Anything that may have run is sent as 502 or 504,
 /// which promise nothing.
-pub(crate) fn own(code: ResultCode, retry_after: Option<Duration>) -> Response<AnswerBody> {
+pub(crate) fn gateway_response(
+    code: ResultCode,
+    retry_after: Option<Duration>,
+) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(status(code)).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut answer = Response::new(AnswerBody::Whole(Bytes::new()));
-    *answer.status_mut() = status;
-    let headers = answer.headers_mut();
+    let mut response = Response::new(ResponseBody::Full(Bytes::new()));
+    *response.status_mut() = status;
+    let headers = response.headers_mut();
     headers.insert(RESULT, HeaderValue::from(code.number()));
-    if let Some(after) = retry_after {
-        let text = format!("{:.3}", after.as_secs_f64());
-        if let Ok(value) = HeaderValue::from_str(&text) {
+    if let Some(delay) = retry_after {
+        let seconds = format!("{:.3}", delay.as_secs_f64());
+        if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
 fn status(code: ResultCode) -> u16 {
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -18,12 +18,12 @@
 use tokio::sync::watch;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use super::Heard;
-use super::answer::AnswerBody;
-use super::attempt::HEAD_BYTES;
-use super::bounds::{IdleTimer, MAX_LINES, outgrown, room};
-use super::carry::carry;
+use super::ControlMessage;
+use super::attempt::TYPICAL_HEAD_BYTES;
+use super::bounds::{IdleTimer, MAX_HEADER_LINES, head_buffer_size, head_limit_raised};
 use super::core::Core;
+use super::forward::forward;
+use super::response::ResponseBody;
 use super::stop::Phase;
 use crate::stop::Stop;
 
@@ -36,7 +36,7 @@
 pub(crate) async fn run(
     core: Rc<Core>,
     callers: TcpListener,
-    mut rx: Receiver<Heard>,
+    mut rx: Receiver<ControlMessage>,
     mut stop: Stop,
 ) {
     let accepting = match tokio::net::TcpListener::from_std(callers) {
@@ -52,8 +52,8 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => core.tick(),
-            heard = rx.recv() => match heard {
-                Some(heard) => core.heard(heard),
+            message = rx.recv() => match message {
+                Some(message) => core.handle_message(message),
                 None => break,
             },
             // A change of phase is reported at once: callers are to be sent elsewhere.
@@ -73,7 +73,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, caller)) => {
-                tokio::task::spawn_local(connection(Rc::clone(&core), stream, caller));
+                tokio::task::spawn_local(serve_connection(Rc::clone(&core), stream, caller));
             }
             Err(e) => {
                 warn!(error:% = e; "a connection can't be accepted");
@@ -83,33 +83,33 @@
     }
 }
 
-async fn connection(core: Rc<Core>, stream: TcpStream, caller: SocketAddr) {
-    let _open = core.connected();
+async fn serve_connection(core: Rc<Core>, stream: TcpStream, caller: SocketAddr) {
+    let _open = core.track_connection();
     if let Err(e) = stream.set_nodelay(true) {
         debug!(caller:%, error:% = e; "a connection broke at its start");
         return;
     }
     let mut bounds = core.bounds();
-    let room = room(&bounds);
+    let buffer_size = head_buffer_size(&bounds);
     let mut phase = core.phase();
     let shared = Rc::clone(&core);
     let service = service_fn(move |req| {
         let core = Rc::clone(&shared);
-        async move { Ok::<_, Infallible>(answer(&core, caller, req).await) }
+        async move { Ok::<_, Infallible>(respond(&core, caller, req).await) }
     });
     let serving = http1::Builder::new()
         .timer(IdleTimer(bounds.clone()))
         // Counts from the end of the request before, so it bounds idle connections too. The
         // timer has the time itself.
         .header_read_timeout(Duration::ZERO)
-        .max_buf_size(room)
-        .max_headers(MAX_LINES)
+        .max_buf_size(buffer_size)
+        .max_headers(MAX_HEADER_LINES)
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = std::pin::pin!(serving);
     let result = tokio::select! {
         result = serving.as_mut() => Some(result),
-        () = ending(&mut phase) => None,
-        () = outgrown(&mut bounds, room) => None,
+        () = stopped_accepting(&mut phase) => None,
+        () = head_limit_raised(&mut bounds, buffer_size) => None,
     };
     let result = match result {
         Some(result) => result,
@@ -120,13 +120,13 @@
         }
     };
     if let Err(e) = result {
-        ended(&core, caller, &e);
+        record_connection_error(&core, caller, &e);
     }
 }
 
 /// Notes how a connection broke. hyper answers a head that it can't read itself, before there
-/// is a request: that, too, is an answer of ours, and counted.
-fn ended(core: &Core, caller: SocketAddr, error: &hyper::Error) {
+/// is a request: that, too, is an response of ours, and counted.
+fn record_connection_error(core: &Core, caller: SocketAddr, error: &hyper::Error) {
     if !error.is_parse() {
         debug!(caller:%, error:%; "a caller's connection ended");
         return;
@@ -136,7 +136,7 @@
         false => ResultCode::BadRequest,
     };
     core.metrics.finished(None, code, Duration::ZERO);
-    if let Some(omitted) = core.may_tell(code) {
+    if let Some(omitted) = core.may_log(code) {
         info!(caller:%, error:%, code:%, omitted; "a head that can't be read");
     }
 }
@@ -146,25 +146,25 @@
 /// What `wait_for` returns holds the phase locked. Kept while the last answers are written,
 /// it would block the next change of phase, and with it this whole thread: every request
 /// still running when the gateway stops listening was cut.
-async fn ending(phase: &mut watch::Receiver<Phase>) {
+async fn stopped_accepting(phase: &mut watch::Receiver<Phase>) {
     // An error means that the process is about to end.
     drop(phase.wait_for(|phase| *phase >= Phase::Ending).await);
 }
 
-async fn answer(
+async fn respond(
     core: &Rc<Core>,
     caller: SocketAddr,
     req: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let running = core.begin();
-    let mut answer = carry(core, caller, req).await;
-    drop(running);
-    if let AnswerBody::Whole(body) = answer.body() {
-        core.sends(HEAD_BYTES + body.len());
+) -> Response<ResponseBody> {
+    let guard = core.track_request();
+    let mut response = forward(core, caller, req).await;
+    drop(guard);
+    if let ResponseBody::Full(body) = response.body() {
+        core.record_sent(TYPICAL_HEAD_BYTES + body.len());
     }
-    if core.ends_connection() {
+    if core.should_close_connection() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
--- a/crates/filberthead/src/gateway/stop.rs
+++ b/crates/filberthead/src/gateway/stop.rs
@@ -12,9 +12,9 @@
 
 /// Part of the grace for which callers are still taken in: the rest is for requests that
 /// are running then, and for ending.
-const LINGER: f64 = 0.6;
+const ACCEPT_FRACTION: f64 = 0.6;
 /// Part of the grace after which the process ends whatever still runs.
-const END: f64 = 0.93;
+const END_FRACTION: f64 = 0.93;
 
 /// How far a gateway has come in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,13 +54,13 @@
 impl PlannedStop {
     /// Returns when the process may end.
     pub(crate) async fn run(mut self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.phase.send_replace(Phase::Leaving);
-        sleep(self.grace.mul_f64(LINGER)).await;
+        sleep(self.grace.mul_f64(ACCEPT_FRACTION)).await;
         self.phase.send_replace(Phase::Ending);
-        let end = begun + self.grace.mul_f64(END);
-        let none = self.connections.wait_for(|open| *open == 0);
-        let ended = timeout_at(end, none).await.is_ok();
+        let deadline = started + self.grace.mul_f64(END_FRACTION);
+        let all_closed = self.connections.wait_for(|open| *open == 0);
+        let ended = timeout_at(deadline, all_closed).await.is_ok();
         let open = *self.connections.borrow();
         info!(open, in_time = ended; "planned stop ends");
     }
--- a/crates/filberthead/src/gateway/passing.rs
+++ b/crates/filberthead/src/gateway/streamed.rs
@@ -17,34 +17,34 @@
 /// a cut answer never looks whole.
 #[derive(Debug)]
 #[derive(Snafu)]
-pub(crate) enum AnswerError {
+pub(crate) enum BodyError {
     /// The endpoint broke off.
     #[snafu(display("the endpoint broke off"))]
-    Cut {
+    EndpointClosed {
         /// hyper's word.
         source: hyper::Error,
     },
     /// The deadline passed.
     #[snafu(display("the answer was not whole in time"))]
-    Late,
+    DeadlineExceeded,
 }
 
 /// The rest of an answer.
-pub(crate) struct Passing {
+pub(crate) struct StreamedBody {
     core: Rc<Core>,
     body: Incoming,
     /// Goes back to the pool once the body has come to its end.
     connection: Option<Connection>,
     /// When the caller has left; whatever is missing then is of no use.
-    late: Pin<Box<Sleep>>,
+    deadline: Pin<Box<Sleep>>,
     /// What has come and isn't sent yet. No more is read until it is, which stops the
     /// endpoint through TCP.
-    held: Bytes,
+    buffered: Bytes,
     /// Until when the link has other things to send.
-    busy: Option<Pin<Box<Sleep>>>,
+    link_wait: Option<Pin<Box<Sleep>>>,
 }
 
-impl Passing {
+impl StreamedBody {
     pub(crate) fn new(
         core: &Rc<Core>,
         body: Incoming,
@@ -56,71 +56,68 @@
             core: Rc::clone(core),
             body,
             connection: Some(connection),
-            late: Box::pin(sleep_until(deadline)),
-            held: Bytes::new(),
-            busy: None,
+            deadline: Box::pin(sleep_until(deadline)),
+            buffered: Bytes::new(),
+            link_wait: None,
         }
     }
 
     pub(crate) fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
-        if self.late.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Some(LateSnafu.fail()));
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if self.deadline.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(Some(DeadlineExceededSnafu.fail()));
         }
-        if self.held.is_empty() {
+        if self.buffered.is_empty() {
             match ready!(self.poll_body(cx)) {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) => self.held = data,
+                    Ok(data) => self.buffered = data,
                     Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                 },
                 other => return Poll::Ready(other),
             }
         }
         ready!(self.poll_link(cx));
-        let piece = self.held.len().min(self.core.piece());
-        self.core.sends_piece(piece);
-        Poll::Ready(Some(Ok(Frame::data(self.held.split_to(piece)))))
+        let chunk = self.buffered.len().min(self.core.max_chunk());
+        self.core.record_sent_chunk(chunk);
+        Poll::Ready(Some(Ok(Frame::data(self.buffered.split_to(chunk)))))
     }
 
-    fn poll_body(
-        &mut self,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
-        let whole = frame.is_none() || self.body.is_end_stream();
-        if whole && let Some(connection) = self.connection.take() {
+        let complete = frame.is_none() || self.body.is_end_stream();
+        if complete && let Some(connection) = self.connection.take() {
             connection.release();
         }
-        Poll::Ready(frame.map(|frame| frame.context(CutSnafu)))
+        Poll::Ready(frame.map(|frame| frame.context(EndpointClosedSnafu)))
     }
 
     /// Waits until the link is free for a piece.
     fn poll_link(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
-            if let Some(busy) = &mut self.busy {
-                ready!(busy.as_mut().poll(cx));
-                self.busy = None;
+            if let Some(link_wait) = &mut self.link_wait {
+                ready!(link_wait.as_mut().poll(cx));
+                self.link_wait = None;
             }
             match self.core.link_busy_for() {
-                Some(wait) => self.busy = Some(Box::pin(tokio::time::sleep(wait))),
+                Some(wait) => self.link_wait = Some(Box::pin(tokio::time::sleep(wait))),
                 None => return Poll::Ready(()),
             }
         }
     }
 
     pub(crate) fn is_end_stream(&self) -> bool {
-        self.held.is_empty() && self.body.is_end_stream()
+        self.buffered.is_empty() && self.body.is_end_stream()
     }
 
     pub(crate) fn size_hint(&self) -> SizeHint {
-        let held = self.held.len() as u64;
+        let buffered = self.buffered.len() as u64;
         let rest = self.body.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower() + held);
+        hint.set_lower(rest.lower() + buffered);
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + held);
+            hint.set_upper(upper + buffered);
         }
         hint
     }
