--- a/crates/filberthead/src/clock.rs
+++ b/crates/filberthead/src/clock.rs
@@ -6,15 +6,14 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::Instant;
 
-/// Turns the runtime's clock into [`Moment`]s with one origin for the whole process, so
-/// that moments may pass between duties.
+/// Converts the runtime's clock to [`Moment`]s with one origin for the whole process, so that
+/// moments can be passed between duties.
 ///
-/// The clock goes on while the process is stopped by a signal or starved, and also while
-/// its whole VM is suspended, which is what leases rely on: the first step after a
-/// suspension sees the whole gap. The runtime's own clock stands still while a VM is
-/// suspended; a leader that woke up would find its lease as fresh as before, and answer
-/// from a state that others have long changed. So the time that the system has slept is
-/// added to it.
+/// The clock advances while the process is stopped by a signal or starved, and also while its VM
+/// is suspended. Leases rely on that: the first step after a suspension sees the whole gap. The
+/// runtime's own clock stands still during a suspension, so a resumed leader would consider its
+/// lease still valid and answer from state that others have long changed. So the time that the
+/// system was suspended is added.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -22,7 +21,7 @@
 }
 
 impl Clock {
-    /// A clock whose origin is this moment.
+    /// Creates a clock whose origin is now.
     pub fn start() -> Self {
         Self {
             origin: Instant::now(),
@@ -32,7 +31,7 @@
 
     /// Time since the origin.
     pub fn now(&self) -> Moment {
-        // The sleep is read first: what passes between the two readings is then counted
+        // The suspended time is read first: what passes between the two readings is then counted
         // once, and the clock never goes back.
         let slept = self.slept_since();
         self.origin.elapsed() + slept
@@ -48,8 +47,8 @@
     }
 }
 
-/// Time that the system has been suspended since it was started, or a little less: a pause
-/// between the two readings must not pass for sleep.
+/// Time that the system has been suspended since boot, or slightly less: a delay between the two
+/// readings must not count as a suspension.
 fn slept() -> Duration {
     let with_sleep = duration(clock_gettime(ClockId::Boottime));
     let steady = duration(clock_gettime(ClockId::Monotonic));
--- a/crates/filberthead/src/duty.rs
+++ b/crates/filberthead/src/duty.rs
@@ -1,4 +1,4 @@
-//! Threads that each carry one duty.
+//! A duty: a thread that runs one part of a daemon.
 
 use std::future::Future;
 use std::thread::JoinHandle;
@@ -7,25 +7,25 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Work that stays on the thread of its duty.
+/// A future that stays on its duty's thread.
 pub type LocalFuture = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
-/// Why a duty can't start or ended badly.
+/// Why a duty can't start, or failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum DutyError {
-    /// The thread can't be started.
+    /// The thread or its runtime can't be started.
     #[snafu(display("can't start the thread of duty `{name}`"))]
     Start {
-        /// The duty.
+        /// Name of the duty.
         name: String,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The thread panicked.
     #[snafu(display("duty `{name}` panicked"))]
     Panicked {
-        /// The duty.
+        /// Name of the duty.
         name: String,
     },
 }
@@ -38,12 +38,12 @@
 }
 
 impl Duty {
-    /// Starts a thread with a current-thread runtime and runs the future that `make`
-    /// returns, and what it spawns locally, until that future ends.
+    /// Starts a thread with a current-thread runtime. It runs the future that `make` returns, and
+    /// the local tasks spawned from it, until that future ends.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread or no event queue.
+    /// Fails if the system can't create the thread or its event queue.
     pub fn spawn<F, Fut>(name: &str, make: F) -> Result<Self, DutyError>
     where
         F: FnOnce() -> Fut + Send + 'static,
@@ -68,7 +68,7 @@
         &self.name
     }
 
-    /// Whether the thread has ended, by itself or by a panic.
+    /// Whether the thread has ended, normally or by a panic.
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one endpoint.
+//! One attempt to run a request at one endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,43 +21,43 @@
 use super::streamed::StreamedBody;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Answers up to this long are read whole before the caller gets a byte, so that one that
-/// breaks off can still be had elsewhere.
+/// Responses up to this size in bytes are buffered before any of it is sent, so that the request
+/// can be retried at another endpoint if the connection breaks.
 const MAX_BUFFERED_RESPONSE: u64 = 1024 * 1024;
-/// Downloads that are longer than this pass through: read whole first, 90 kB over a link of
-/// 6 Mbit/s come a tenth of a second later.
+/// Downloads larger than this are streamed: buffered first, 90 kB over a link of 6 Mbit/s would
+/// arrive a tenth of a second later.
 const MAX_BUFFERED_DOWNLOAD: u64 = 8 * 1024;
-/// A request that may run only once takes a kept connection only if it was used this
-/// lately: one that the endpoint closes at the same moment would leave in doubt whether
-/// it ran.
+/// A non-idempotent request is sent on a pooled connection only if that was used this recently.
+/// If the endpoint closed the connection at the same moment, it would be unknown whether the
+/// request ran.
 const MAX_IDLE_FOR_UNSAFE: Duration = Duration::from_secs(3);
-/// An answer that hasn't come for so long says that kept connections may be dead: it is
-/// several times what the services' work takes.
+/// An attempt abandoned after this long without a response suggests that pooled connections to
+/// the endpoint are dead: it is several times what services take.
 const STALE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(700);
-/// What the head of a request or answer takes on a link, about.
+/// Estimated size of a request or response head on the link, in bytes.
 pub(crate) const TYPICAL_HEAD_BYTES: usize = 300;
-/// Part of the time for which an endpoint keeps idle connections that is made use of.
+/// Fraction of an endpoint's keep-alive timeout for which idle connections are reused.
 const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// How an attempt ended.
 pub(crate) enum Attempt {
-    /// An answer for the caller, whole or still coming.
+    /// A response for the caller, complete or still streaming.
     Answered(Response<ResponseBody>),
-    /// The endpoint ran it and failed; this is its answer.
+    /// The endpoint ran the request and failed; this is its response.
     Failed(Response<ResponseBody>),
-    /// It was never sent; here is its body.
+    /// The request was not sent; the body is returned.
     NotSent(RequestBody),
-    /// The endpoint says that it did not run, and may have told its load.
+    /// The endpoint refused to run it, and may have reported its load.
     NotRun { load_reported: bool },
-    /// It may have run.
+    /// The connection broke; the request may have run.
     Lost,
-    /// The time was up while it may have been running.
+    /// The deadline passed; the request may have run.
     TimedOut,
 }
 
-/// What is sent, whichever the endpoint.
+/// The parts of an attempt that don't depend on the endpoint.
 pub(crate) struct Job<'a> {
-    /// Name of its route, for logs.
+    /// Name of the route, for logs.
     pub(crate) route: &'a str,
     pub(crate) head: &'a Parts,
     pub(crate) kind: Kind,
@@ -65,7 +65,7 @@
     pub(crate) deadline: Deadline,
 }
 
-/// The in_flight of a request at an endpoint; given back when dropped.
+/// A running attempt. Dropping it records the outcome and releases the endpoint's slot.
 struct InFlight<'a> {
     core: &'a Core,
     service: &'a ServiceName,
@@ -90,7 +90,7 @@
         if let Outcome::Abandoned(waited) = &mut self.outcome {
             *waited = now.saturating_sub(self.started);
             if *waited >= STALE_CONNECTION_TIMEOUT {
-                // Other connections to it may be as dead as this one, without a reset.
+                // Other pooled connections may be dead too, without a reset.
                 self.core.client.forget(self.target.addr);
             }
         }
@@ -114,8 +114,8 @@
     }
 }
 
-/// Sends a request to the endpoint that it was placed at. Dropping the returned future
-/// closes the connection, which tells the endpoint to stop.
+/// Sends a request to the endpoint chosen for it. Dropping the returned future closes the
+/// connection, which tells the endpoint to cancel the work.
 pub(crate) async fn attempt(
     core: &Rc<Core>,
     job: &Job<'_>,
@@ -173,7 +173,7 @@
     *req.version_mut() = Version::HTTP_11;
     let mut headers = job.head.headers.clone();
     remove_hop_by_hop(&mut headers);
-    // The body is here already, or is sent without waiting.
+    // The body is already here, or is sent without waiting for 100 Continue.
     headers.remove(EXPECT);
     let left = u64::try_from(job.deadline.remaining().as_millis()).unwrap_or(u64::MAX);
     headers.insert(&core.protocol.deadline_ms, HeaderValue::from(left));
@@ -230,8 +230,8 @@
     finish(in_flight, head, ResponseBody::Streamed(Box::new(streamed)))
 }
 
-/// Whether an answer of this length goes on while it comes. A failure never does: the
-/// request may be tried elsewhere.
+/// Whether a response of this length is streamed. Server errors are buffered, since the request
+/// may be retried at another endpoint.
 fn is_streamed(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
     let max_buffered = match kind {
         Kind::Download if status.is_success() => MAX_BUFFERED_DOWNLOAD,
@@ -263,16 +263,16 @@
     }
 }
 
-/// Whether an answer is to this request. Endpoints repeat its id; what doesn't is something
-/// else behind the endpoint's address, whose word on the request, a 404 say, isn't worth
-/// anything.
+/// Whether the response is to this request. Endpoints echo the request id; a response without it,
+/// a 404 for instance, comes from something else at that address and isn't trusted.
 fn echoes_request_id(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
     let name = &core.protocol.request_id;
     let id = job.head.headers.get(name);
     id.is_none_or(|id| headers.get(name) == Some(id))
 }
 
-/// Whether the endpoint says that nothing ran, and what that tells about it.
+/// The outcome if the endpoint reports that nothing ran: `Gone` if it isn't the instance that the
+/// request was for, else `Full`. `None` if the request ran.
 fn not_run(core: &Core, status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(Outcome::Gone);
@@ -282,7 +282,7 @@
         .then_some(Outcome::Full)
 }
 
-/// Takes in what the answer's headers tell about the endpoint.
+/// Passes the load and the warm-up time in the response's headers to the placer.
 fn record_load(core: &Core, headers: &HeaderMap, target: &Target) {
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
@@ -295,13 +295,13 @@
     }
 }
 
-/// A header as text; empty if there is none, or none that can be read.
+/// A header's value as text; empty if it is missing or isn't text.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().trim()
 }
 
-/// Reads `running,waiting,slots`.
+/// Parses `running,waiting,slots`; the slots aren't used.
 fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
     Some(Load {
@@ -310,7 +310,7 @@
     })
 }
 
-/// For how long an idle connection may be used again, from `Keep-Alive: timeout=N`.
+/// How long an idle connection may be reused, from `Keep-Alive: timeout=N`.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let mut fields = header_text(headers, &KEEP_ALIVE).split(',').map(str::trim);
     let seconds = fields.find_map(|field| field.strip_prefix("timeout="))?;
--- a/crates/filberthead/src/gateway/bounds.rs
+++ b/crates/filberthead/src/gateway/bounds.rs
@@ -1,4 +1,4 @@
-//! How long a caller's connection may be idle, and how much of a head it takes.
+//! Limits on a caller's connection: the idle timeout and the size of a request head.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,27 +10,28 @@
 use hyper_util::rt::TokioTimer;
 use tokio::sync::watch;
 
-/// The bounds in force, once any are known.
+/// The bounds of the active routes; `None` until control has sent any.
 pub(crate) type Bounds = watch::Receiver<Option<CallerBounds>>;
 
-/// Lines of a head, which operators don't bound: as many lines of 8 bytes as 16 KiB hold. By
-/// itself hyper refuses more than 100 for good. It makes room for all of them with each head,
-/// which costs 0.06 µs for 2,048 as for 100, and 7.5 µs for 3,000.
+/// Most header lines in a request, which isn't configurable: as many lines of 8 bytes as fit into
+/// 16 KiB. hyper's own limit of 100 would reject requests for good. hyper reserves space for all
+/// of them with each head, which costs 0.06 µs for 2,048 as for 100, but 7.5 µs for 3,000.
 pub(super) const MAX_HEADER_LINES: usize = 2048;
-/// Bytes of a head that are buffer_size in any case: twice what is usual. What is over a connection's
-/// room is refused for good, which must not happen by a bound that isn't known yet or may have
-/// been raised since. More would let callers who never end their heads fill a small VM.
+/// Least buffer for a request head in bytes: twice what is usual. A head that exceeds its
+/// connection's buffer is rejected for good, which must not happen because of a bound that isn't
+/// known yet or may have been raised since. A larger buffer would let callers who never end their
+/// heads fill the memory of a small VM.
 const MIN_HEAD_BUFFER: usize = 32 * 1024;
 
-/// Bytes of a head that a connection is to take which is accepted now.
+/// Head buffer in bytes for a connection that is accepted now.
 pub(super) fn head_buffer_size(bounds: &Bounds) -> usize {
     let limit = bounds.borrow().map(|bounds| bounds.header_bytes);
     limit.unwrap_or_default().max(MIN_HEAD_BUFFER)
 }
 
-/// Bytes of a request's head, as it was sent.
+/// Size of a request's head as it was sent, in bytes.
 pub(super) fn head_bytes(head: &Parts) -> usize {
-    // The colon and space of a line, or the spaces of the first, and what ends it.
+    // Colon, space and line end of a header; two spaces and line end of the request line.
     const LINE_OVERHEAD: usize = 4;
     let path = head
         .uri
@@ -40,25 +41,26 @@
     let request_line = head.method.as_str().len() + path + version + LINE_OVERHEAD;
     let lines = head.headers.iter();
     let lines = lines.map(|(name, value)| name.as_str().len() + value.len() + LINE_OVERHEAD);
-    // An empty line ends it.
+    // The empty line that ends the head.
     request_line + lines.sum::<usize>() + LINE_OVERHEAD / 2
 }
 
-/// Waits until more bytes of a head are allowed than a connection takes: hyper can't be limit
-/// of it, so the caller's next request has to come over another connection.
+/// Waits until the bounds allow a larger head than the connection's buffer holds. hyper can't
+/// change that buffer, so the caller's next request needs a new connection.
 pub(super) async fn head_limit_raised(bounds: &mut Bounds, buffer_size: usize) {
     let exceeds_buffer = |bounds: &Option<CallerBounds>| {
         let allowed = bounds.map(|bounds| bounds.header_bytes);
         allowed.is_some_and(|allowed| allowed > buffer_size)
     };
-    // What is returned holds the bounds locked.
+    // The returned guard holds a lock on the bounds.
     drop(bounds.wait_for(exceeds_buffer).await);
 }
 
-/// Times the waits for a head by the bounds in force.
+/// A timer that applies the idle timeout in force at the time of each wait.
 ///
-/// hyper is limit a time once, when the connection is accepted, and would close a kept one by
-/// what applied then. It asks for a timer at each wait, so the time is looked up here.
+/// hyper takes its timeout once, when the connection is accepted, and would close a kept-alive
+/// connection by an outdated value. It asks for a timer at each wait, so the timeout is looked up
+/// here instead.
 pub(super) struct IdleTimer(pub(super) Bounds);
 
 impl IdleTimer {
@@ -82,8 +84,8 @@
     }
 }
 
-/// A wait for a head. It looks at the bounds again before it ends, since a caller may use by
-/// now what has been allowed since. A shorter time counts from the next wait.
+/// One wait for a request head. It reads the bounds again before it expires, since the timeout
+/// may have been raised meanwhile. A shorter timeout applies from the next wait.
 struct IdleSleep {
     started: Instant,
     timer: Pin<Box<dyn Sleep>>,
--- a/crates/filberthead/src/gateway/context.rs
+++ b/crates/filberthead/src/gateway/context.rs
@@ -1,4 +1,4 @@
-//! A request that has come and isn't on its way to an endpoint yet.
+//! Context of a request that hasn't been forwarded yet, and its rejection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use super::forward::RETRY_AFTER_STARTING;
 use super::response::{ResponseBody, gateway_response};
 
-/// What a line shows at most of each text that a caller has sent, in bytes: the longest host
-/// name that DNS allows fits, while a head may have many kilobytes.
+/// Bytes logged of each text that a caller has sent. The longest host name that DNS allows fits;
+/// a request head may have many kilobytes.
 const MAX_LOGGED_BYTES: usize = 256;
 
-/// A request, and what is known of where it may go.
+/// What is known of a request while its route is looked up.
 pub(crate) struct RequestContext<'a> {
     core: &'a Core,
     caller: SocketAddr,
     started: Instant,
     head: &'a Parts,
-    /// The routes that it is matched by, if any are known.
+    /// The routes it is matched against; `None` if the gateway has none yet.
     pub(crate) routes: Option<&'a ActiveRoutes>,
-    /// The one that it takes.
+    /// The matching route, once found.
     pub(crate) route: Option<&'a Route>,
 }
 
@@ -49,8 +49,9 @@
         }
     }
 
-    /// The final response to a request that no endpoint gets. Its line tells old or foreign
-    /// routes from a request that no routes would have matched.
+    /// Builds the final response to a request that isn't forwarded, counts it and logs it. The
+    /// log line holds what is needed to tell outdated routes from a request that no route ever
+    /// matched.
     pub(crate) fn reject(
         &self,
         code: ResultCode,
@@ -66,9 +67,9 @@
         response
     }
 
-    /// Turns a request away that the routes held here don't allow: for good if they are the
-    /// newest. A caller who is told so doesn't come back, so what a later change may have
-    /// allowed is refused for the moment only.
+    /// Rejects a request that the active routes don't allow. If they are proven to be the newest
+    /// the rejection is permanent; callers don't retry after that, so otherwise the response is a
+    /// temporary one with Retry-After, since a newer version may allow the request.
     pub(crate) fn reject_by_routes(&self, code: ResultCode) -> Response<ResponseBody> {
         match self.core.is_proven() {
             true => self.reject(code, None),
@@ -96,7 +97,7 @@
     }
 }
 
-/// The host that a request names.
+/// The host named by the `Host` header, or else by the URI.
 pub(crate) fn host(head: &Parts) -> Option<&str> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     host.or_else(|| head.uri.host())
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -1,6 +1,7 @@
-//! What the tasks of the requests duty share: routes, placement, and the tie to control.
+//! State shared by the tasks of the requests duty: active routes, placement, and the exchange
+//! with control.
 //!
-//! Everything here lives on one thread. A borrow is never held across an await.
+//! All of it lives on one thread. A `RefCell` borrow is never held across an await.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,16 +26,16 @@
 use crate::Clock;
 use crate::peers::Outgoing;
 
-/// Longest wait for a connection to an endpoint: twice the round trip between regions,
-/// with room for a slow accept. An endpoint without power doesn't answer at all.
+/// Timeout for connecting to an endpoint: twice the round trip between regions, with a margin for
+/// a slow accept. An endpoint that lost power doesn't answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Silence of all control replicas after which the log says so.
+/// Time without a message from any control replica after which a warning is logged.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Lines a second about requests that are turned away, by code. With half a kilobyte to a
-/// line, all codes together stay below 100 kB a second whatever callers send.
+/// Log lines per second for each result code of rejected requests. At half a kilobyte per line,
+/// all codes together stay below 100 kB per second whatever callers send.
 const LOG_LINES_PER_SECOND: u32 = 20;
 
-/// What the duty starts with.
+/// Everything the requests duty needs at start.
 pub(crate) struct CoreParts {
     pub(crate) clock: Clock,
     pub(crate) protocol: Arc<ProtocolNames>,
@@ -42,48 +43,48 @@
     pub(crate) member: Member,
     pub(crate) out: Sender<Outgoing>,
     pub(crate) phase: watch::Sender<Phase>,
-    /// The VM's link, if its rate is known.
+    /// Model of the VM's uplink, if its rate is configured.
     pub(crate) link: Option<Link>,
-    /// What large answers may take of it.
+    /// Share of the uplink that large responses may use; `None` if its rate isn't configured.
     pub(crate) large_share: Option<LargeShare>,
-    /// Callers' connections that are open.
+    /// Number of open caller connections.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
-    /// Seeds of the group, as the settings have them.
+    /// Seed addresses of the control group, updated when the settings are reloaded.
     pub(crate) seeds: watch::Receiver<Vec<SocketAddr>>,
 }
 
-/// The routes in force.
+/// The routes in force, ready for matching.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveRoutes {
     pub(crate) version: u64,
     pub(crate) revision: u64,
-    /// How many routes there are.
+    /// Number of routes.
     pub(crate) route_count: usize,
-    /// The control replica that they came from.
+    /// The control replica that sent them.
     pub(crate) from: SocketAddr,
-    /// When they came.
+    /// When they were received.
     pub(crate) since: Moment,
     pub(crate) matcher: Matcher,
     pub(crate) bounds: CallerBounds,
 }
 
-/// Where news came from, and how.
+/// Origin and delay of the updates of one message, for the log.
 struct UpdateSource {
     from: SocketAddr,
     delay: Delay,
-    /// The list of endpoints that is held now.
+    /// Version stamp of the endpoint list that is now held.
     listed: Stamp,
 }
 
-/// State of the duty.
+/// State of the requests duty.
 pub(crate) struct Core {
     pub(crate) clock: Clock,
     pub(crate) protocol: Arc<ProtocolNames>,
     pub(crate) client: Client,
     pub(crate) placer: RefCell<Placer>,
     pub(crate) metrics: Arc<GatewayMetrics>,
-    /// The VM's link, if its rate is known.
+    /// Model of the VM's uplink, if its rate is configured.
     link: Option<RefCell<Link>>,
     large_share: Option<RefCell<LargeShare>>,
     balance: RefCell<Balance>,
@@ -96,13 +97,13 @@
     running: Cell<usize>,
     seeds: RefCell<watch::Receiver<Vec<SocketAddr>>>,
     control_silent: Cell<bool>,
-    /// When the list of endpoints last changed.
+    /// When the endpoint list last changed.
     list_changed_at: Cell<Moment>,
-    /// Lines about requests that were turned away.
+    /// Rate limit of the log lines about rejected requests, by result code.
     log_allowance: RefCell<LineAllowance<ResultCode>>,
 }
 
-/// Counts a request as running until it is dropped.
+/// Counts a request as running until dropped.
 pub(crate) struct RequestGuard(Rc<Core>);
 
 impl Drop for RequestGuard {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Counts a caller's connection as open until it is dropped.
+/// Counts a caller's connection as open until dropped.
 pub(crate) struct ConnectionGuard(Rc<Core>);
 
 impl Drop for ConnectionGuard {
@@ -149,7 +150,7 @@
         self.clock.now()
     }
 
-    /// Notes bytes of a short message that go out.
+    /// Accounts for the bytes of a short message sent on the uplink.
     pub(crate) fn record_sent(&self, bytes: usize) {
         if let Some(share) = &self.large_share {
             share.borrow_mut().sent_short(bytes);
@@ -157,14 +158,15 @@
         self.record_sent_chunk(bytes);
     }
 
-    /// Notes bytes of a large answer that go out.
+    /// Accounts for bytes of a large response sent on the uplink.
     pub(crate) fn record_sent_chunk(&self, bytes: usize) {
         if let Some(link) = &self.link {
             link.borrow_mut().sent(self.now(), bytes);
         }
     }
 
-    /// Takes on a large answer, or tells after which time the link has room for it.
+    /// Admits a large response, or returns the time after which the uplink has room for it.
+    /// With `is_retry`, for a caller's repeated attempt, it may borrow from the next second.
     pub(crate) fn admit_large(&self, returned: bool) -> Result<(), Duration> {
         match &self.large_share {
             Some(share) => share.borrow_mut().admit(self.now(), returned),
@@ -172,21 +174,22 @@
         }
     }
 
-    /// Notes the length of a large answer.
+    /// Records the length of a large response.
     pub(crate) fn observe_large(&self, bytes: u64) {
         if let Some(share) = &self.large_share {
             share.borrow_mut().observe(bytes);
         }
     }
 
-    /// How much longer the link has other things to send than large answers.
+    /// Time until the uplink is free for the next chunk of a large response; `None` if it is
+    /// free.
     pub(crate) fn link_busy_for(&self) -> Option<Duration> {
         let now = self.now();
         let at = self.link.as_ref()?.borrow().next_piece(now)?;
         Some(at.saturating_sub(now))
     }
 
-    /// Thousandths of the link that are in use.
+    /// Utilisation of the uplink in thousandths.
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
         let used = link.map_or(0.0, |link| link.borrow_mut().used(now));
@@ -194,42 +197,43 @@
         (used * 1000.0) as u32
     }
 
-    /// Whether a caller that has its answer is to connect anew.
+    /// Whether the response being sent should close the caller's connection, so that the caller
+    /// reconnects and may reach another gateway.
     pub(crate) fn should_close_connection(&self) -> bool {
         self.is_leaving() || self.balance.borrow_mut().is_to_end(self.now())
     }
 
-    /// Bytes of a large answer that go out at once, at most.
+    /// Largest chunk of a large response to send at once, in bytes.
     pub(crate) fn max_chunk(&self) -> usize {
         let link = self.link.as_ref();
         link.map_or(usize::MAX, |link| link.borrow().piece())
     }
 
-    /// The routes in force, if any are known.
+    /// The routes in force, or `None` until control has sent any.
     pub(crate) fn active_routes(&self) -> Option<Rc<ActiveRoutes>> {
         self.active_routes.borrow().clone()
     }
 
-    /// Whether the routes in force were lately proved to be the newest, so that a caller may
-    /// be told for good what they don't allow.
+    /// Whether a recent proof shows that the active routes are the newest. Only then may a
+    /// request that they don't allow be rejected permanently.
     pub(crate) fn is_proven(&self) -> bool {
         self.member.borrow().is_proven(self.now())
     }
 
-    /// How long ago the question was asked whose answer proved that the routes held here were
-    /// the newest.
+    /// Age of the proof that the active routes are the newest, counted from when it was
+    /// requested; `None` without a proof.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         let proven_at = self.member.borrow().proven_at()?;
         Some(self.now().saturating_sub(proven_at))
     }
 
-    /// The bounds of the routes in force, now and later.
+    /// Subscribes to the request bounds of the active routes.
     pub(crate) fn bounds(&self) -> Bounds {
         self.bounds.subscribe()
     }
 
-    /// Ages of what decisions are made from, in milliseconds: since the list of endpoints
-    /// changed, and since control was last heard.
+    /// Milliseconds since the endpoint list last changed, and since a control replica was last
+    /// heard from.
     pub(crate) fn data_ages(&self) -> (u128, u128) {
         let now = self.now();
         let last_seen = self.member.borrow().heard().unwrap_or_default();
@@ -245,14 +249,14 @@
         *self.phase.borrow() >= Phase::Leaving
     }
 
-    /// How far this gateway has come, and whether what it knows does to serve by.
+    /// The current phase, and whether the data held here suffices to serve requests.
     pub(crate) fn serving_state(&self) -> (Phase, bool) {
         let informed = self.member.borrow().is_informed(self.now());
         (*self.phase.borrow(), informed)
     }
 
-    /// Whether a line about a request that is turned away may be written, and how many of
-    /// its kind were left out before it.
+    /// Whether a line about a rejection with this code may be logged now: the number of lines
+    /// suppressed before it, or `None` if this one is to be suppressed too.
     pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
         self.log_allowance.borrow_mut().take(self.now(), code)
     }
@@ -267,7 +271,7 @@
         ConnectionGuard(Rc::clone(self))
     }
 
-    /// Takes in a message of control.
+    /// Applies a message from a control replica.
     pub(crate) fn handle_message(&self, received: ControlMessage) {
         let now = self.now();
         if self.control_silent.replace(false) {
@@ -364,8 +368,8 @@
         }
     }
 
-    /// Closes kept connections to starts of endpoints that others have followed. A request
-    /// that may run only once would be lost on one, without a way to tell whether it ran.
+    /// Closes idle connections to processes of endpoints that have since restarted. A
+    /// non-idempotent request sent on one would be lost without a way to tell whether it ran.
     fn close_connections(&self, replaced: &[SocketAddr]) {
         for addr in replaced {
             info!(addr:%; "an endpoint has started anew");
@@ -373,7 +377,7 @@
         }
     }
 
-    /// Reports to control if it is time.
+    /// Advances the exchange with control, and sends a report if one is due.
     pub(crate) fn tick(&self) {
         let now = self.now();
         self.start_serving_if_ready(now);
@@ -391,7 +395,7 @@
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
             placer.plan(now);
-            // Working out what is believed costs more than the line itself.
+            // Computing the beliefs costs more than the log line.
             let beliefs = match log_enabled!(Level::Debug) {
                 true => placer.beliefs(now),
                 false => Vec::new(),
@@ -416,7 +420,7 @@
     fn send(&self, out: Vec<Outbound>) {
         for (to, message) in out {
             let body = Body::Fleet(message);
-            // A full ring drops the message; reports and questions are repeated.
+            // Dropped if the queue is full; reports and questions are repeated.
             let _ = self.out.push(Outgoing { to, body });
         }
     }
--- a/crates/filberthead/src/gateway/deadline.rs
+++ b/crates/filberthead/src/gateway/deadline.rs
@@ -1,4 +1,4 @@
-//! How long a request may take.
+//! The deadline of a request.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use http::{HeaderMap, HeaderName};
 use tokio::time::Instant;
 
-/// The time that a request has.
+/// By when a request must be answered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadline {
-    /// When it gets its final answer at the latest: when its caller gives up, or at the
-    /// route's timeout if that comes first.
+    /// When the final response is due: when the caller gives up, or at the route's timeout if
+    /// that comes first.
     pub(crate) respond_by: Instant,
 }
 
 impl Deadline {
-    /// Reads the time that the caller says it timeout. One that says nothing timeout for the
-    /// route's timeout.
+    /// Reads the caller's deadline from header `name`. The route's timeout applies if that is
+    /// missing or invalid.
     pub(crate) fn new(
         started: Instant,
         headers: &HeaderMap,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Time that is left until the final answer.
+    /// Time until the final response is due.
     pub(crate) fn remaining(&self) -> Duration {
         self.respond_by.saturating_duration_since(Instant::now())
     }
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Carries one request from its route to its final response.
+//! Forwards one request: from route lookup, over one or more attempts, to the final response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,21 +25,21 @@
 use super::deadline::Deadline;
 use super::response::{ResponseBody, gateway_response};
 
-/// Bodies up to this long are read before the request is sent, so that it can be sent
-/// retry_body. Longer ones go on as they come, once.
+/// Bodies up to this size in bytes are read before the request is sent, so that it can be
+/// retried. Larger ones are streamed, and sent once.
 const MAX_REPLAYABLE_BODY: u64 = 256 * 1024;
-/// Time below which no endpoint could response any more.
+/// Least time before the deadline at which an attempt still makes sense.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
-/// When a caller may come back whose request an endpoint has sent back: another try is as
-/// likely to find room at once as later.
+/// Retry-After for a request that endpoints refused: a retry is as likely to find a free slot at
+/// once as later.
 const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(50);
-/// When a caller may come back to a gateway that doesn't know any routes yet, or not whether
-/// they are the newest: a report and its response are on their way by then.
+/// Retry-After while the gateway has no routes, or no proof that they are the newest: by then a
+/// report to control has been answered.
 pub(super) const RETRY_AFTER_STARTING: Duration = Duration::from_millis(300);
 
 /// What to do after an attempt.
 enum Next {
-    /// Give this to the caller.
+    /// Send this to the caller.
     Respond(Box<Response<ResponseBody>>),
     /// Try another endpoint with this body.
     Retry(RequestBody),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A request on its way.
+/// A request being forwarded.
 struct Forwarding<'a> {
     core: &'a Rc<Core>,
     route: &'a Route,
@@ -59,15 +59,15 @@
     head: &'a Parts,
     deadline: Deadline,
     is_retry: bool,
-    /// Number of the routes that it was matched by.
+    /// Version of the routes that it was matched against.
     version: u64,
     tries: Tries,
-    /// An endpoint's response to a run with a bad end: what the caller gets if no further
+    /// Response of an endpoint that ran the request and failed. The caller gets it if no further
     /// attempt can be made.
     failed_response: Option<Response<ResponseBody>>,
 }
 
-/// Answers a request of a caller.
+/// Handles a caller's request.
 pub(crate) async fn forward(
     core: &Rc<Core>,
     caller: SocketAddr,
@@ -120,7 +120,7 @@
     response
 }
 
-/// What an response is counted as: an endpoint's own, unless it bears a code of ours.
+/// The code a response is counted under: that of the gateway's own response, else `Answered`.
 fn result_code(response: &Response<ResponseBody>) -> ResultCode {
     let header = response.headers().get(header::RESULT);
     let number = header.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -134,14 +134,14 @@
     matcher.find(host(head)?, head.uri.path()).cloned()
 }
 
-/// Whether the caller has less time than callers of this route usually have, because an
-/// earlier attempt has used some of it.
+/// Whether the caller's deadline is shorter than the route's timeout, because an earlier attempt
+/// of the caller has used part of it.
 fn is_caller_retry(core: &Core, head: &Parts, route: &Route) -> bool {
     let remaining_ms = header_text(&head.headers, &core.protocol.deadline_ms).parse::<u128>();
     remaining_ms.is_ok_and(|ms| ms < route.timeout.as_millis())
 }
 
-/// Reads a short body whole.
+/// Reads a short body into memory; a long one stays a stream.
 async fn read_body(body: Incoming, deadline: &Deadline) -> Result<RequestBody, ResultCode> {
     let hint = body.size_hint();
     if hint.upper().is_none_or(|upper| upper > MAX_REPLAYABLE_BODY) {
@@ -181,7 +181,7 @@
             Decision::Send(target) => target,
             Decision::Refuse { why, retry_after } => {
                 return match why {
-                    // Those that there are have sent it back.
+                    // Endpoints exist, but each has refused the request.
                     Refusal::NoEndpoint if self.tries.was_refused() => {
                         self.reject(ResultCode::Overloaded, RETRY_AFTER_REFUSED)
                     }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Sent back by an endpoint that has not run it.
+    /// The endpoint refused to run the request.
     fn after_not_run(&mut self, load_reported: bool, retry_body: Option<RequestBody>) -> Next {
         let same = self.core.placer.borrow().may_try_again(load_reported);
         let further = self.tries.refused(same);
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Run, with a bad end.
+    /// The endpoint ran the request and failed.
     fn after_failure(
         &mut self,
         response: Response<ResponseBody>,
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Whether another attempt is allowed, leaves enough time and is in the budget.
+    /// Whether another attempt is allowed, has enough time left and fits the retry budget.
     fn may_retry(&self, further: Further) -> bool {
         let expected = self.route.objective / 4;
         further == Further::Allowed
@@ -293,8 +293,8 @@
         Next::respond(self.final_response(code, retry_after))
     }
 
-    /// The final response where no further attempt is made: a promise that nothing ran only
-    /// if that is so.
+    /// Builds the final response when no further attempt is made. It says that nothing ran only
+    /// if no attempt may have run.
     fn final_response(
         &mut self,
         code: ResultCode,
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -1,10 +1,15 @@
-//! The gateway daemon: carries callers' requests along routes.
+//! The gateway daemon: forwards callers' requests to endpoints along the configured routes.
 //!
-//! Its duties, each a thread: `requests` takes requests, decides where they go, talks to
-//! endpoints and keeps in touch with control; `readiness` answers the platform's question
-//! and shows metrics; the transport's threads receive and send messages. Callers and
-//! endpoints share one thread on purpose: a request would otherwise cross threads twice,
-//! and on a fraction of a core each crossing costs a wake-up and gains nothing.
+//! It runs these duties, one thread each:
+//!
+//! - `requests` accepts callers' connections, chooses endpoints, forwards requests and exchanges
+//!   messages with the control replicas;
+//! - `readiness` serves the platform's readiness probe and the metrics;
+//! - `peer-send` and the transport's own threads send and receive messages.
+//!
+//! Caller and endpoint connections share one thread on purpose: a request would otherwise cross
+//! threads twice, and on a VM with a fraction of a core each crossing costs a wake-up and gains
+//! nothing.
 
 mod attempt;
 mod bounds;
@@ -43,74 +48,74 @@
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
 const BITS_PER_MBIT: f64 = 1e6;
-/// Messages of control that wait for the requests duty. When full, further ones are
-/// dropped; control repeats what it says.
+/// Capacity of the queue of control messages to the requests duty. Messages that find it full are
+/// dropped; control repeats them.
 const INBOX_CAPACITY: usize = 256;
 
-/// Why a gateway doesn't start or ends other than by a planned stop.
+/// Why a gateway failed to start or ended other than by a planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// A listening socket can't be opened.
     #[snafu(display("can't listen on {addr}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The transport between processes can't start.
     #[snafu(display("can't start the transport between processes"))]
     Peer {
-        /// Its word.
+        /// The transport's error.
         source: TransportError,
     },
-    /// A thread can't be started.
+    /// A duty's thread can't be started.
     #[snafu(display("can't start a duty"))]
     Duty {
-        /// Which and why.
+        /// Which duty, and why.
         source: DutyError,
     },
-    /// The line that says that the gateway serves can't be written.
+    /// The `ready` line can't be written to standard output.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The runtime of the supervisor can't be started.
+    /// The supervisor's runtime can't be started.
     #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A duty failed.
+    /// A duty ended by itself or panicked.
     #[snafu(display("the gateway failed"))]
     Supervise {
-        /// Which and how.
+        /// Which duty, and how.
         source: SuperviseError,
     },
 }
 
-/// A message of a control replica, and where that takes answers.
+/// A message from a control replica, with the address that replies go to.
 pub(crate) struct ControlMessage {
     pub(crate) from: SocketAddr,
     pub(crate) message: Message,
 }
 
-/// Hands messages of control to the requests duty.
+/// Delivers control messages from the transport's thread to the requests duty.
 struct RequestsInbox(Sender<ControlMessage>);
 
 impl Deliver for RequestsInbox {
     fn deliver(&mut self, origin: Origin, body: Body) {
         if let Body::Fleet(message) = body {
             let from = origin.addr;
-            // A full ring drops the message; control repeats it.
+            // Dropped if the queue is full; control repeats it.
             let _ = self.0.push(ControlMessage { from, message });
         }
     }
 }
 
-/// Everything that is open before the first thread starts.
+/// Sockets and the message queue, opened before the first thread starts.
 struct OpenSockets {
     transport: Transport,
     inbox: Receiver<ControlMessage>,
@@ -119,12 +124,12 @@
     status: TcpListener,
 }
 
-/// Runs a gateway until the end of its planned_stop stop. `seeds` reads the group's seeds anew
-/// when the settings have changed.
+/// Runs a gateway until the end of its planned stop. `seeds` reads the seed addresses of the
+/// control group again after a reload of the settings (SIGHUP).
 ///
 /// # Errors
 ///
-/// Fails if it can't start, or if one of its duties ends by itself.
+/// Fails if the gateway can't start, or if one of its duties ends by itself.
 pub fn run(
     cfg: &GatewaySettings,
     protocol: ProtocolNames,
@@ -197,7 +202,8 @@
     listener.local_addr().context(ListenSnafu { addr })
 }
 
-/// What the duties share with the one that supervises them.
+/// Channels between the duties and the supervising thread: the phase, the number of open caller
+/// connections, and the current seeds.
 type SharedState<'a> = (
     watch::Sender<Phase>,
     watch::Sender<usize>,
--- a/crates/filberthead/src/gateway/protocol.rs
+++ b/crates/filberthead/src/gateway/protocol.rs
@@ -1,26 +1,26 @@
-//! The names that callers and endpoints use for what a gateway reads and writes.
+//! Names that the outside protocol gives to the headers and paths a gateway uses.
 //!
-//! Which headers they are is the adapter's knowledge; what they mean is fixed here.
+//! Their meaning is fixed here; an adapter supplies the names.
 
 use http::HeaderName;
 
-/// Headers between callers, gateway and endpoints.
+/// Headers between callers, gateway and endpoints, and the readiness path.
 #[derive(Clone, Debug)]
 pub struct ProtocolNames {
-    /// Id of one attempt of a caller. Endpoints echo it.
+    /// Id of one attempt by a caller. Endpoints echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender goes on waiting.
+    /// Milliseconds for which the sender goes on waiting.
     pub deadline_ms: HeaderName,
-    /// Object that the request concerns.
+    /// Key for session affinity: the object that the request concerns.
     pub affinity_key: HeaderName,
-    /// Identity that the endpoint must have to run the request.
+    /// Identity of the endpoint the request is for. Another one refuses to run it.
     pub target_instance: HeaderName,
-    /// From an endpoint: its word that the request did not run.
+    /// Set by an endpoint that did not run the request.
     pub not_run: HeaderName,
-    /// From an endpoint: how many requests it runs, how many wait, and its slots.
+    /// Set by an endpoint: `running,waiting,slots`.
     pub load: HeaderName,
-    /// From an endpoint: milliseconds for which it is still cold.
+    /// Set by an endpoint: remaining warm-up time in milliseconds.
     pub warmup_ms: HeaderName,
-    /// Path at which a gateway tells whether callers may be sent to it.
+    /// Path of the readiness probe.
     pub readiness_path: &'static str,
 }
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -1,5 +1,4 @@
-//! The duty that answers the platform's question whether callers may be sent here, and
-//! shows the state of the process.
+//! The duty that serves the platform's readiness probe and the process's metrics.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -24,7 +23,7 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// What the duty listens on and shows.
+/// What the duty listens on and reports.
 pub(crate) struct Probes {
     pub(crate) readiness: TcpListener,
     pub(crate) status: TcpListener,
--- a/crates/filberthead/src/gateway/response.rs
+++ b/crates/filberthead/src/gateway/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: an endpoint's own, or the gateway's.
+//! Responses to callers: an endpoint's, or the gateway's own.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,11 +14,11 @@
 
 const RESULT: HeaderName = HeaderName::from_static(header::RESULT);
 
-/// Body of an response.
+/// Body of a response.
 pub(crate) enum ResponseBody {
-    /// All of it is here.
+    /// Buffered in memory.
     Full(Bytes),
-    /// It comes from an endpoint while the caller reads it.
+    /// Streamed from an endpoint.
     Streamed(Box<StreamedBody>),
 }
 
@@ -55,11 +55,11 @@
     }
 }
 
-/// A final response of the gateway's own.
+/// Builds a final response of the gateway's own.
 ///
-/// A code that means "not run" is sent with 503, and says when to come back; or with 404
-/// or 413 where coming back can't help. Anything that may have run is sent as 502 or 504,
-/// which promise nothing.
+/// Codes that mean "not run" are sent with status 503 and Retry-After, or with 404 or 413 where a
+/// retry can't succeed. Codes of requests that may have run are sent with 502 or 504, from which
+/// a caller can't conclude that nothing ran.
 pub(crate) fn gateway_response(
     code: ResultCode,
     retry_after: Option<Duration>,
@@ -80,7 +80,7 @@
 
 fn status(code: ResultCode) -> u16 {
     match code {
-        // The time was up before anything ran; only 503 says so to a caller.
+        // The deadline passed before anything ran; only 503 conveys that to a caller.
         ResultCode::DeadlineBeforeRun => 503,
         _ if code.meaning() == Meaning::MayHaveRun && code.status() < 500 => 502,
         _ => code.status(),
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, and drives the requests duty.
+//! Accepts callers' connections and runs the event loop of the requests duty.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -27,9 +27,9 @@
 use super::stop::Phase;
 use crate::stop::Stop;
 
-/// How often it is looked whether a report is due.
+/// How often the duty checks whether a report is due.
 const TICK: Duration = Duration::from_millis(100);
-/// Pause after a connection couldn't be accepted, for want of descriptors as a rule.
+/// Pause after a failed accept, which usually means that no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Runs until the process stops.
@@ -56,7 +56,7 @@
                 Some(message) => core.handle_message(message),
                 None => break,
             },
-            // A change of phase is reported at once: callers are to be sent elsewhere.
+            // A phase change is reported at once, so that callers are sent to other gateways.
             _ = phase.changed() => {
                 if *phase.borrow_and_update() >= Phase::Ending {
                     accepting.abort();
@@ -99,8 +99,8 @@
     });
     let serving = http1::Builder::new()
         .timer(IdleTimer(bounds.clone()))
-        // Counts from the end of the request before, so it bounds idle connections too. The
-        // timer has the time itself.
+        // Counts from the end of the previous request, so it bounds idle connections too.
+        // `IdleTimer` supplies the actual timeout.
         .header_read_timeout(Duration::ZERO)
         .max_buf_size(buffer_size)
         .max_headers(MAX_HEADER_LINES)
@@ -114,7 +114,7 @@
     let result = match result {
         Some(result) => result,
         None => {
-            // Ends the connection after the request that it is answering.
+            // Closes the connection after the request in progress.
             serving.as_mut().graceful_shutdown();
             serving.await
         }
@@ -124,8 +124,8 @@
     }
 }
 
-/// Notes how a connection broke. hyper answers a head that it can't read itself, before there
-/// is a request: that, too, is an response of ours, and counted.
+/// Logs why a connection broke. hyper itself responds to a head that it can't parse, before there
+/// is a request; that response is counted too.
 fn record_connection_error(core: &Core, caller: SocketAddr, error: &hyper::Error) {
     if !error.is_parse() {
         debug!(caller:%, error:%; "a caller's connection ended");
@@ -141,11 +141,11 @@
     }
 }
 
-/// Waits until no new connections are taken.
+/// Waits until the gateway stops accepting connections.
 ///
-/// What `wait_for` returns holds the phase locked. Kept while the last answers are written,
-/// it would block the next change of phase, and with it this whole thread: every request
-/// still running when the gateway stops listening was cut.
+/// `wait_for` returns a guard that holds a lock on the phase. Held while the last responses are
+/// written, it would block the next change of phase and with it the whole thread, which cut every
+/// request still running when the gateway stopped listening.
 async fn stopped_accepting(phase: &mut watch::Receiver<Phase>) {
     // An error means that the process is about to end.
     drop(phase.wait_for(|phase| *phase >= Phase::Ending).await);
--- a/crates/filberthead/src/gateway/stop.rs
+++ b/crates/filberthead/src/gateway/stop.rs
@@ -1,8 +1,8 @@
 //! The planned stop of a gateway.
 //!
-//! Callers keep using the addresses that they were told for a while, so a gateway first
-//! says that it leaves, to control and to the platform, and goes on serving: each answer
-//! closes its connection. Only then it stops listening, finishes what it has, and ends.
+//! Callers keep using the addresses they have looked up for a while. So a gateway first announces
+//! to control and to the platform that it is leaving, and goes on serving while each response
+//! closes its connection. Then it stops listening, finishes the running requests, and ends.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Part of the grace for which callers are still taken in: the rest is for requests that
-/// are running then, and for ending.
+/// Fraction of the grace period in which connections are still accepted. The rest is for requests
+/// that are running by then, and for the shutdown itself.
 const ACCEPT_FRACTION: f64 = 0.6;
-/// Part of the grace after which the process ends whatever still runs.
+/// Fraction of the grace period after which the process ends, whatever still runs.
 const END_FRACTION: f64 = 0.93;
 
-/// How far a gateway has come in its life.
+/// Lifecycle phase of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// It doesn't know routes or endpoints yet.
+    /// Routes or endpoints are still missing.
     Starting,
-    /// It serves.
+    /// Serving requests.
     Serving,
-    /// It serves, but is to get no new callers.
+    /// Serving requests, but asking callers to go elsewhere.
     Leaving,
-    /// It takes no new connections and finishes what it has.
+    /// Accepting no connections, and finishing the running requests.
     Ending,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// Carries out a planned stop.
+/// Performs a planned stop.
 pub(crate) struct PlannedStop {
     /// Time from the signal until the process must have ended.
     pub(crate) grace: Duration,
-    /// Where the gateway's phase is told.
+    /// Publishes the gateway's phase.
     pub(crate) phase: watch::Sender<Phase>,
-    /// Callers' connections that are open. One ends once its last answer is on its way,
-    /// so no answer is cut that is only half written.
+    /// Number of open caller connections. A connection counts until its last response is written,
+    /// so that none is truncated.
     pub(crate) connections: watch::Receiver<usize>,
 }
 
--- a/crates/filberthead/src/gateway/streamed.rs
+++ b/crates/filberthead/src/gateway/streamed.rs
@@ -1,4 +1,4 @@
-//! A large answer that goes on to its caller while it comes from its endpoint.
+//! The body of a large response, streamed to the caller while the endpoint sends it.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 
 use super::core::Core;
 
-/// Why an answer ends before it is whole. The caller's connection is closed then, so that
-/// a cut answer never looks whole.
+/// Why a response body ends early. The caller's connection is closed then, so that a truncated
+/// response is never taken for a complete one.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub(crate) enum BodyError {
-    /// The endpoint broke off.
+    /// The endpoint closed or reset the connection.
     #[snafu(display("the endpoint broke off"))]
     EndpointClosed {
-        /// hyper's word.
+        /// hyper's error.
         source: hyper::Error,
     },
     /// The deadline passed.
@@ -29,18 +29,18 @@
     DeadlineExceeded,
 }
 
-/// The rest of an answer.
+/// A response body on its way from the endpoint to the caller.
 pub(crate) struct StreamedBody {
     core: Rc<Core>,
     body: Incoming,
-    /// Goes back to the pool once the body has come to its end.
+    /// Returned to the pool at the end of the body.
     connection: Option<Connection>,
-    /// When the caller has left; whatever is missing then is of no use.
+    /// Fires when the caller stops waiting; what is missing by then is of no use.
     deadline: Pin<Box<Sleep>>,
-    /// What has come and isn't sent yet. No more is read until it is, which stops the
-    /// endpoint through TCP.
+    /// Data received but not yet sent. No more is read until it is empty, which stops the
+    /// endpoint by TCP flow control.
     buffered: Bytes,
-    /// Until when the link has other things to send.
+    /// Fires when the uplink may be free for the next chunk; `None` if nothing is waited for.
     link_wait: Option<Pin<Box<Sleep>>>,
 }
 
@@ -93,7 +93,7 @@
         Poll::Ready(frame.map(|frame| frame.context(EndpointClosedSnafu)))
     }
 
-    /// Waits until the link is free for a piece.
+    /// Waits until the uplink is free for a chunk.
     fn poll_link(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             if let Some(link_wait) = &mut self.link_wait {
--- a/crates/filberthead/src/lib.rs
+++ b/crates/filberthead/src/lib.rs
@@ -1,8 +1,8 @@
-//! The library that joins the packages into the two daemons.
+//! The library from which the gateway, control and entry daemons are built.
 //!
-//! A daemon is a set of duties. Each duty is a thread with a runtime of its own, owns
-//! its state alone, and is joined to the others by bounded rings only, so that a duty
-//! that is slow or stuck can't make another one wait or grow without bound.
+//! A daemon is a set of duties. A duty is a thread that runs its own async runtime, owns its
+//! state exclusively, and exchanges messages with the other duties over bounded queues (rings)
+//! only, so that a slow or stuck duty can't block another one or make it use unbounded memory.
 
 mod clock;
 pub mod control;
--- a/crates/filberthead/src/peers.rs
+++ b/crates/filberthead/src/peers.rs
@@ -1,4 +1,4 @@
-//! The duty that sends messages to other processes, and the ring that feeds it.
+//! The duty that sends messages to other processes, and the queue that feeds it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -12,28 +12,27 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// Messages that wait to be handed to the transport. When they are this many the
-/// transport's thread is starved, and further ones are dropped: every protocol repeats
-/// what it needs answered.
+/// Capacity of the queue to the sending duty. When it is full the transport's thread is starved,
+/// and further messages are dropped: every protocol repeats what needs an answer.
 const OUTGOING: usize = 4096;
 const DRAIN: Duration = Duration::from_millis(500);
 const LINGER: Duration = Duration::from_millis(50);
 
-/// A message on its way out.
+/// A message to send.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
-    /// Where it goes.
+    /// Destination.
     pub(crate) to: SocketAddr,
-    /// What it says.
+    /// Content.
     pub(crate) body: Body,
 }
 
-/// Makes the ring towards the sending duty.
+/// Creates the queue to the sending duty.
 pub(crate) fn outgoing() -> (Sender<Outgoing>, Receiver<Outgoing>) {
     ring(OUTGOING)
 }
 
-/// Starts the sending duty, which also keeps the transport listening until it ends.
+/// Starts the sending duty, which also keeps the transport's listener open until it ends.
 pub(crate) fn spawn(
     transport: Transport,
     outbox: Outbox,
@@ -59,20 +58,20 @@
     drain(&mut outbox, &mut rx).await;
 }
 
-/// Sends what the other duties have to say as they end, until all of them have ended.
+/// Sends the last messages of the other duties until all of them have ended.
 async fn drain(outbox: &mut Outbox, rx: &mut Receiver<Outgoing>) {
     let rest = async {
         while let Some(Outgoing { to, body }) = rx.recv().await {
             outbox.send(to, body);
         }
     };
-    // One that hangs must not keep the process.
+    // A duty that hangs must not keep the process alive.
     let _ = timeout(DRAIN, rest).await;
     // Closing a socket drops what its thread hasn't written yet.
     sleep(LINGER).await;
 }
 
-/// The transport's counters as metrics take them.
+/// Snapshot of the transport's counters, for the metrics.
 pub(crate) fn totals(counters: &Counters) -> PeerTotals {
     PeerTotals {
         sent: counters.sent.load(Ordering::Relaxed),
--- a/crates/filberthead/src/ready.rs
+++ b/crates/filberthead/src/ready.rs
@@ -1,10 +1,10 @@
-//! The line by which a process says that it serves, and where.
+//! The line on standard output that announces that a process is serving.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// Writes `ready` and the listening addresses to standard output, so that whoever
-/// started the process with port 0 learns the ports.
+/// Writes `ready` and the listening addresses to standard output, so that a parent process that
+/// configured port 0 learns the actual ports.
 pub(crate) fn announce(addrs: &[(&str, SocketAddr)]) -> io::Result<()> {
     let mut line = String::from("ready");
     for (name, addr) in addrs {
--- a/crates/filberthead/src/stop.rs
+++ b/crates/filberthead/src/stop.rs
@@ -1,36 +1,36 @@
-//! The signal that ends the duties of a process.
+//! The signal that stops the duties of a process.
 
 use tokio::sync::watch;
 
-/// Asks all duties to end; held by the supervisor.
+/// Sends the stop signal to all duties; held by the supervisor.
 #[derive(Debug)]
 pub(crate) struct StopSource {
     tx: watch::Sender<bool>,
 }
 
-/// What a duty waits on besides its work.
+/// Receives the stop signal; each duty has one.
 #[derive(Clone, Debug)]
 pub struct Stop {
     rx: watch::Receiver<bool>,
 }
 
-/// Makes a connected pair.
+/// Creates a connected pair.
 pub(crate) fn stop_pair() -> (StopSource, Stop) {
     let (tx, rx) = watch::channel(false);
     (StopSource { tx }, Stop { rx })
 }
 
 impl StopSource {
-    /// Asks every duty to end.
+    /// Signals every duty to stop.
     pub(crate) fn stop(&self) {
         self.tx.send_replace(true);
     }
 }
 
 impl Stop {
-    /// Waits until the end is asked for, or until nobody is left to ask for it.
+    /// Waits for the stop signal, or until its source is dropped.
     pub async fn wait(&mut self) {
-        // An error means that the supervisor is gone, which ends the duties as well.
+        // An error means that the supervisor is gone, which stops the duties as well.
         let _ = self.rx.wait_for(|stop| *stop).await;
     }
 }
--- a/crates/filberthead/src/supervisor.rs
+++ b/crates/filberthead/src/supervisor.rs
@@ -1,10 +1,9 @@
-//! The actor that watches the duties of a process.
+//! The actor that monitors the duties of a process.
 //!
-//! A duty that ends by itself takes the whole process down at once: a process with a
-//! dead thread would go on holding leases and listening sockets while doing half of its
-//! work, and callers would see timeouts where a dead process shows as refused
-//! connections. The actor's mailbox has no bound, but only timers and signals of this
-//! process write to it.
+//! If a duty ends by itself, the whole process ends at once. A process with a dead thread would
+//! otherwise keep its leases and listening sockets while doing half of its work, and callers
+//! would see timeouts instead of the refused connections that a dead process gives. The actor's
+//! mailbox is unbounded, but only timers and signals of this process write to it.
 
 use std::time::Duration;
 
@@ -24,42 +23,42 @@
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum SuperviseError {
-    /// No signals can be received.
+    /// Signal handlers can't be installed.
     #[snafu(display("can't receive signals"))]
     Signal {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The actor can't be started.
     #[snafu(display("can't start the supervisor"))]
     Start {
-        /// ractor's word.
+        /// ractor's error.
         source: ractor::SpawnErr,
     },
     /// A duty ended by itself.
     #[snafu(display("duty `{name}` ended"))]
     DutyEnded {
-        /// The duty.
+        /// Name of the duty.
         name: String,
     },
-    /// A duty panicked while it ended.
+    /// A duty panicked during the stop.
     #[snafu(display("a duty ended badly"))]
     Join {
-        /// Which and how.
+        /// Which duty.
         source: DutyError,
     },
 }
 
-/// What the supervisor is told.
+/// Messages to the supervisor.
 #[derive(Debug)]
 enum Message {
-    /// Time to look whether each duty still runs.
+    /// Check that each duty is still running.
     Check,
-    /// The system asks the process to end.
+    /// The process received SIGTERM or SIGINT.
     Terminate,
 }
 
-/// What comes out of the supervisor.
+/// Why monitoring ended.
 enum Verdict {
     Terminate,
     Ended(String),
@@ -110,9 +109,9 @@
     Some(duty.name().to_owned())
 }
 
-/// The signals that a process heeds. They are caught before anybody is told that it serves:
-/// one that came between the two ended the process at once, SIGHUP as well, and callers'
-/// requests with it.
+/// The signals that a process handles. The handlers are installed before the `ready` line is
+/// written: a signal between the two, SIGHUP too, ended the process at once and cut callers'
+/// requests.
 pub(crate) struct Signals {
     term: Signal,
     hup: Signal,
@@ -120,7 +119,7 @@
 }
 
 impl Signals {
-    /// Catches them from now on; those that come before [`supervise`] runs wait for it.
+    /// Installs the handlers. Signals that arrive before [`supervise`] runs are kept for it.
     ///
     /// # Errors
     ///
@@ -135,9 +134,9 @@
     }
 }
 
-/// Watches `duties` until the system sends SIGTERM or SIGINT, then runs `before_stop`,
-/// the daemon's own part of a planned stop, and ends the duties. `reload` is called for
-/// each SIGHUP, which would otherwise end the process.
+/// Monitors `duties` until the process receives SIGTERM or SIGINT, then runs `before_stop`, the
+/// daemon's own part of a planned stop, and stops the duties. Calls `reload` for each SIGHUP,
+/// which would otherwise end the process.
 ///
 /// # Errors
 ///
@@ -167,7 +166,7 @@
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
-        // The actor is gone only if a duty has ended, which is reported by itself.
+        // The actor has stopped only if a duty has ended, which is reported separately.
         let _ = actor.send_message(Message::Terminate);
     });
     let verdict = loop {
