--- a/crates/filberthead/src/clock.rs
+++ b/crates/filberthead/src/clock.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    slept: Duration,
+    suspended_at_start: Duration,
 }
 
 impl Clock {
@@ -25,7 +25,7 @@
     pub fn start() -> Self {
         Self {
             origin: Instant::now(),
-            slept: slept(),
+            suspended_at_start: suspended_time(),
         }
     }
 
@@ -33,29 +33,29 @@
     pub fn now(&self) -> Moment {
         // The suspended time is read first: what passes between the two readings is then counted
         // once, and the clock never goes back.
-        let slept = self.slept_since();
-        self.origin.elapsed() + slept
+        let suspended = self.suspended_since_start();
+        self.origin.elapsed() + suspended
     }
 
     /// The runtime's instant for a moment of this clock.
     pub fn instant(&self, moment: Moment) -> Instant {
-        self.origin + moment.saturating_sub(self.slept_since())
+        self.origin + moment.saturating_sub(self.suspended_since_start())
     }
 
-    fn slept_since(&self) -> Duration {
-        slept().saturating_sub(self.slept)
+    fn suspended_since_start(&self) -> Duration {
+        suspended_time().saturating_sub(self.suspended_at_start)
     }
 }
 
 /// Time that the system has been suspended since boot, or slightly less: a delay between the two
 /// readings must not count as a suspension.
-fn slept() -> Duration {
-    let with_sleep = duration(clock_gettime(ClockId::Boottime));
-    let steady = duration(clock_gettime(ClockId::Monotonic));
-    with_sleep.saturating_sub(steady)
+fn suspended_time() -> Duration {
+    let boottime = to_duration(clock_gettime(ClockId::Boottime));
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    boottime.saturating_sub(monotonic)
 }
 
-fn duration(time: Timespec) -> Duration {
+fn to_duration(time: Timespec) -> Duration {
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -124,7 +124,7 @@
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
+    let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
     let (source, stop) = stop_pair();
     let (duties, input) = start(cfg, adapters, &stop)?;
     let reload = move || {
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -155,7 +155,7 @@
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
+    let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
     let opened = open(cfg)?;
     let channels = channels();
     let (source, stop) = stop_pair();
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -167,9 +167,9 @@
 
     /// Admits a large response, or returns the time after which the uplink has room for it.
     /// With `is_retry`, for a caller's repeated attempt, it may borrow from the next second.
-    pub(crate) fn admit_large(&self, returned: bool) -> Result<(), Duration> {
+    pub(crate) fn admit_large(&self, is_retry: bool) -> Result<(), Duration> {
         match &self.large_share {
-            Some(share) => share.borrow_mut().admit(self.now(), returned),
+            Some(share) => share.borrow_mut().admit(self.now(), is_retry),
             None => Ok(()),
         }
     }
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -139,7 +139,7 @@
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
+    let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
     let sockets = open_sockets(cfg)?;
     let (source, stop) = stop_pair();
     let phase = watch::Sender::new(Phase::Starting);
--- a/crates/filberthead/src/peers.rs
+++ b/crates/filberthead/src/peers.rs
@@ -14,9 +14,9 @@
 
 /// Capacity of the queue to the sending duty. When it is full the transport's thread is starved,
 /// and further messages are dropped: every protocol repeats what needs an answer.
-const OUTGOING: usize = 4096;
-const DRAIN: Duration = Duration::from_millis(500);
-const LINGER: Duration = Duration::from_millis(50);
+const OUTGOING_CAPACITY: usize = 4096;
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
 /// A message to send.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 
 /// Creates the queue to the sending duty.
 pub(crate) fn outgoing() -> (Sender<Outgoing>, Receiver<Outgoing>) {
-    ring(OUTGOING)
+    ring(OUTGOING_CAPACITY)
 }
 
 /// Starts the sending duty, which also keeps the transport's listener open until it ends.
@@ -60,15 +60,15 @@
 
 /// Sends the last messages of the other duties until all of them have ended.
 async fn drain(outbox: &mut Outbox, rx: &mut Receiver<Outgoing>) {
-    let rest = async {
+    let send_all = async {
         while let Some(Outgoing { to, body }) = rx.recv().await {
             outbox.send(to, body);
         }
     };
     // A duty that hangs must not keep the process alive.
-    let _ = timeout(DRAIN, rest).await;
+    let _ = timeout(DRAIN_TIMEOUT, send_all).await;
     // Closing a socket drops what its thread hasn't written yet.
-    sleep(LINGER).await;
+    sleep(FLUSH_DELAY).await;
 }
 
 /// Snapshot of the transport's counters, for the metrics.
--- a/crates/filberthead/src/supervisor.rs
+++ b/crates/filberthead/src/supervisor.rs
@@ -59,52 +59,52 @@
 }
 
 /// Why monitoring ended.
-enum Verdict {
+enum EndReason {
     Terminate,
     Ended(String),
 }
 
 struct Supervisor;
 
-struct Watched {
+struct Monitored {
     duties: Vec<Duty>,
-    verdict: mpsc::Sender<(Verdict, Vec<Duty>)>,
+    reason: mpsc::Sender<(EndReason, Vec<Duty>)>,
 }
 
 impl Actor for Supervisor {
     type Msg = Message;
-    type State = Watched;
-    type Arguments = Watched;
+    type State = Monitored;
+    type Arguments = Monitored;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        watched: Watched,
-    ) -> Result<Watched, ActorProcessingErr> {
+        monitored: Monitored,
+    ) -> Result<Monitored, ActorProcessingErr> {
         myself.send_interval(CHECK_PERIOD, || Message::Check);
-        Ok(watched)
+        Ok(monitored)
     }
 
     async fn handle(
         &self,
         myself: ActorRef<Message>,
         message: Message,
-        watched: &mut Watched,
+        monitored: &mut Monitored,
     ) -> Result<(), ActorProcessingErr> {
-        let verdict = match message {
-            Message::Check => ended(&watched.duties).map(Verdict::Ended),
-            Message::Terminate => Some(Verdict::Terminate),
+        let reason = match message {
+            Message::Check => find_ended(&monitored.duties).map(EndReason::Ended),
+            Message::Terminate => Some(EndReason::Terminate),
         };
-        if let Some(verdict) = verdict {
-            let duties = std::mem::take(&mut watched.duties);
-            watched.verdict.send((verdict, duties)).await?;
+        if let Some(reason) = reason {
+            let duties = std::mem::take(&mut monitored.duties);
+            monitored.reason.send((reason, duties)).await?;
             myself.stop(None);
         }
         Ok(())
     }
 }
 
-fn ended(duties: &[Duty]) -> Option<String> {
+fn find_ended(duties: &[Duty]) -> Option<String> {
     let duty = duties.iter().find(|duty| duty.is_finished())?;
     Some(duty.name().to_owned())
 }
@@ -124,8 +124,8 @@
     /// # Errors
     ///
     /// Fails if the system refuses.
-    pub(crate) fn catch(runtime: &Runtime) -> Result<Self, SuperviseError> {
-        let _within = runtime.enter();
+    pub(crate) fn install(runtime: &Runtime) -> Result<Self, SuperviseError> {
+        let _guard = runtime.enter();
         Ok(Self {
             term: signal(SignalKind::terminate()).context(SignalSnafu)?,
             hup: signal(SignalKind::hangup()).context(SignalSnafu)?,
@@ -149,16 +149,16 @@
     before_stop: impl FnOnce() -> Fut,
 ) -> Result<(), SuperviseError> {
     let (tx, mut rx) = mpsc::channel(1);
-    let watched = Watched {
+    let monitored = Monitored {
         duties,
-        verdict: tx,
+        reason: tx,
     };
     let Signals {
         mut term,
         mut hup,
         mut int,
     } = signals;
-    let (actor, _) = Actor::spawn(None, Supervisor, watched)
+    let (actor, _) = Actor::spawn(None, Supervisor, monitored)
         .await
         .context(StartSnafu)?;
     tokio::spawn(async move {
@@ -169,20 +169,20 @@
         // The actor has stopped only if a duty has ended, which is reported separately.
         let _ = actor.send_message(Message::Terminate);
     });
-    let verdict = loop {
+    let reason = loop {
         tokio::select! {
-            verdict = rx.recv() => break verdict,
+            reason = rx.recv() => break reason,
             _ = hup.recv() => reload(),
         }
     };
-    match verdict {
-        Some((Verdict::Terminate, duties)) => {
+    match reason {
+        Some((EndReason::Terminate, duties)) => {
             info!("planned stop begins");
             before_stop().await;
             stop.stop();
-            end(duties).context(JoinSnafu)
+            join_all(duties).context(JoinSnafu)
         }
-        Some((Verdict::Ended(name), _)) => {
+        Some((EndReason::Ended(name), _)) => {
             error!(duty = name.as_str(); "a duty ended by itself");
             DutyEndedSnafu { name }.fail()
         }
@@ -190,6 +190,6 @@
     }
 }
 
-fn end(duties: Vec<Duty>) -> Result<(), DutyError> {
+fn join_all(duties: Vec<Duty>) -> Result<(), DutyError> {
     duties.into_iter().try_for_each(Duty::join)
 }
