--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -129,7 +129,7 @@
     let (duties, input) = start(cfg, adapters, &stop)?;
     let reload = move || {
         let seeds = seeds();
-        info!(seeds:? = seeds; "settings read again");
+        info!(seeds:? = seeds; "settings reloaded");
         // With the duty behind, what it knows of others is newer than any seed.
         let _ = input.push(Input::Seeds(seeds));
     };
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -198,14 +198,14 @@
     }
     if let Some(outcome) = not_run(core, head.status, &head.headers) {
         in_flight.outcome = outcome;
-        debug!(endpoint:% = in_flight.target.id, status:% = head.status; "not run there");
+        debug!(endpoint:% = in_flight.target.id, status:% = head.status; "endpoint refused to run the request");
         connection.release_after(body);
         let load_reported = parse_load(header_text(&head.headers, &core.protocol.load)).is_some();
         return Attempt::NotRun { load_reported };
     }
     if !echoes_request_id(core, job, &head.headers) {
         info!(request = in_flight.request, endpoint:% = in_flight.target.id, status:% = head.status;
-            "an answer without the request's id");
+            "response without the request id");
         in_flight.outcome = Outcome::Broken;
         return Attempt::Lost;
     }
@@ -215,7 +215,7 @@
         let bytes = match timeout_at(job.deadline.respond_by, limited).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => {
-                debug!(endpoint:% = in_flight.target.id, error:% = e; "an answer broke off");
+                debug!(endpoint:% = in_flight.target.id, error:% = e; "connection broke during a response");
                 in_flight.outcome = Outcome::Broken;
                 return Attempt::Lost;
             }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -57,7 +57,9 @@
 /// The routes in force, ready for matching.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveRoutes {
+    /// Version given by the operator.
     pub(crate) version: u64,
+    /// Index of the entry in control's log that put them in force.
     pub(crate) revision: u64,
     /// Number of routes.
     pub(crate) route_count: usize,
@@ -72,6 +74,7 @@
 /// Origin and delay of the updates of one message, for the log.
 struct UpdateSource {
     from: SocketAddr,
+    /// Age of the update at its arrival, and the questions that it took.
     delay: Delay,
     /// Version stamp of the endpoint list that is now held.
     listed: Stamp,
@@ -87,15 +90,19 @@
     /// Model of the VM's uplink, if its rate is configured.
     link: Option<RefCell<Link>>,
     large_share: Option<RefCell<LargeShare>>,
+    /// Compares the uplink's utilisation with other gateways'.
     balance: RefCell<Balance>,
+    /// State of the protocol with the control replicas.
     member: RefCell<Member>,
     active_routes: RefCell<Option<Rc<ActiveRoutes>>>,
     bounds: watch::Sender<Option<CallerBounds>>,
     out: Sender<Outgoing>,
     phase: watch::Sender<Phase>,
     connections: watch::Sender<usize>,
+    /// Number of requests being handled.
     running: Cell<usize>,
     seeds: RefCell<watch::Receiver<Vec<SocketAddr>>>,
+    /// Whether no control replica has been heard from within [`CONTROL_TIMEOUT`].
     control_silent: Cell<bool>,
     /// When the endpoint list last changed.
     list_changed_at: Cell<Moment>,
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -58,6 +58,7 @@
     service: &'a ServiceName,
     head: &'a Parts,
     deadline: Deadline,
+    /// Whether an earlier attempt of the caller has used part of its deadline.
     is_retry: bool,
     /// Version of the routes that it was matched against.
     version: u64,
@@ -207,7 +208,7 @@
             Attempt::Lost => self.after_loss(&target.id, retry_body),
             Attempt::TimedOut => {
                 self.tries.ran();
-                self.log_attempt("no response when the time was up", &target.id);
+                self.log_attempt("deadline passed before the endpoint responded", &target.id);
                 Next::respond(gateway_response(ResultCode::DeadlineWhileRunning, None))
             }
         }
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -168,7 +168,7 @@
     announce(&ready).context(ReadySnafu)?;
     let reload = move || {
         let seeds = seeds();
-        info!(seeds:? = seeds; "settings read again");
+        info!(seeds:? = seeds; "settings reloaded");
         seed_updates.send_replace(seeds);
     };
     let supervised = supervise(duties, signals, source, reload, || planned_stop.run());
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -46,7 +46,7 @@
     let (readiness, status) = match listeners {
         (Ok(readiness), Ok(status)) => (readiness, status),
         (Err(e), _) | (_, Err(e)) => {
-            error!(error:% = e; "can't listen for the platform's question");
+            error!(error:% = e; "can't listen for readiness probes");
             return;
         }
     };
@@ -69,7 +69,7 @@
             });
             let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(e) = serving.await {
-                debug!(error:% = e; "a connection of the platform ended");
+                debug!(error:% = e; "connection for a probe closed with an error");
             }
         });
     }
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -86,7 +86,7 @@
 async fn serve_connection(core: Rc<Core>, stream: TcpStream, caller: SocketAddr) {
     let _open = core.track_connection();
     if let Err(e) = stream.set_nodelay(true) {
-        debug!(caller:%, error:% = e; "a connection broke at its start");
+        debug!(caller:%, error:% = e; "can't set TCP_NODELAY on a caller's connection");
         return;
     }
     let mut bounds = core.bounds();
@@ -128,7 +128,7 @@
 /// is a request; that response is counted too.
 fn record_connection_error(core: &Core, caller: SocketAddr, error: &hyper::Error) {
     if !error.is_parse() {
-        debug!(caller:%, error:%; "a caller's connection ended");
+        debug!(caller:%, error:%; "caller's connection closed with an error");
         return;
     }
     let code = match error.is_parse_too_large() {
--- a/crates/filberthead/src/gateway/streamed.rs
+++ b/crates/filberthead/src/gateway/streamed.rs
@@ -19,13 +19,13 @@
 #[derive(Snafu)]
 pub(crate) enum BodyError {
     /// The endpoint closed or reset the connection.
-    #[snafu(display("the endpoint broke off"))]
+    #[snafu(display("the endpoint closed the connection during the response"))]
     EndpointClosed {
         /// hyper's error.
         source: hyper::Error,
     },
     /// The deadline passed.
-    #[snafu(display("the answer was not whole in time"))]
+    #[snafu(display("the deadline passed during the response"))]
     DeadlineExceeded,
 }
 
--- a/crates/filberthead/src/peers.rs
+++ b/crates/filberthead/src/peers.rs
@@ -15,7 +15,9 @@
 /// Capacity of the queue to the sending duty. When it is full the transport's thread is starved,
 /// and further messages are dropped: every protocol repeats what needs an answer.
 const OUTGOING_CAPACITY: usize = 4096;
+/// How long to wait at a stop for the last messages of the other duties.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long to wait at a stop until the transport has written what it was given.
 const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
 /// A message to send.
--- a/crates/filberthead/src/supervisor.rs
+++ b/crates/filberthead/src/supervisor.rs
@@ -17,6 +17,7 @@
 use crate::stop::StopSource;
 use crate::{Duty, DutyError};
 
+/// How often the supervisor checks that each duty is still running.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// Why a process ended other than by a planned stop.
@@ -42,7 +43,7 @@
         name: String,
     },
     /// A duty panicked during the stop.
-    #[snafu(display("a duty ended badly"))]
+    #[snafu(display("a duty failed during the stop"))]
     Join {
         /// Which duty.
         source: DutyError,
@@ -60,12 +61,15 @@
 
 /// Why monitoring ended.
 enum EndReason {
+    /// The process is to stop.
     Terminate,
+    /// The duty of this name ended by itself.
     Ended(String),
 }
 
 struct Supervisor;
 
+/// The actor's state: the duties, and where it sends them with the reason for the end.
 struct Monitored {
     duties: Vec<Duty>,
     reason: mpsc::Sender<(EndReason, Vec<Duty>)>,
@@ -149,10 +153,7 @@
     before_stop: impl FnOnce() -> Fut,
 ) -> Result<(), SuperviseError> {
     let (tx, mut rx) = mpsc::channel(1);
-    let monitored = Monitored {
-        duties,
-        reason: tx,
-    };
+    let monitored = Monitored { duties, reason: tx };
     let Signals {
         mut term,
         mut hup,
@@ -183,7 +184,7 @@
             join_all(duties).context(JoinSnafu)
         }
         Some((EndReason::Ended(name), _)) => {
-            error!(duty = name.as_str(); "a duty ended by itself");
+            error!(duty = name.as_str(); "a duty ended unexpectedly");
             DutyEndedSnafu { name }.fail()
         }
         None => DutyEndedSnafu { name: "supervisor" }.fail(),
