--- a/crates/filberthead/src/control/book.rs
+++ b/crates/filberthead/src/control/address_book.rs
@@ -11,30 +11,30 @@
 use filberthead_peer::{HelloInfo, Origin};
 use filberthead_types::{Moment, ReplicaId};
 
-use super::roster::Seen;
+use super::membership_policy::Contact;
 
 /// What is known of another replica.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct KnownReplica {
     /// Where it takes messages.
     pub(crate) addr: SocketAddr,
     /// Its administration API, once it has said so.
     pub(crate) operator_addr: Option<SocketAddr>,
     /// When it was last heard from.
-    pub(crate) heard: Option<Moment>,
+    pub(crate) last_seen: Option<Moment>,
 }
 
 /// Addresses by identity.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct AddressBook {
     own_addr: Option<SocketAddr>,
     configured: BTreeSet<SocketAddr>,
-    known: BTreeMap<ReplicaId, Known>,
+    known: BTreeMap<ReplicaId, KnownReplica>,
     /// Where a leader is that others have told of and that wasn't heard yet.
-    told_leader: Option<SocketAddr>,
+    leader_hint: Option<SocketAddr>,
 }
 
-impl Book {
+impl AddressBook {
     /// Starts with the addresses of the settings.
     pub(crate) fn new(
         own_addr: SocketAddr,
@@ -44,7 +44,7 @@
             own_addr: Some(own_addr),
             configured: configured.into_iter().collect(),
             known: BTreeMap::new(),
-            told_leader: None,
+            leader_hint: None,
         }
     }
 
@@ -54,42 +54,42 @@
     }
 
     /// Takes in that a replica was heard from.
-    pub(crate) fn heard(&mut self, now: Moment, origin: &Origin) {
+    pub(crate) fn record_contact(&mut self, now: Moment, origin: &Origin) {
         let Some(id) = origin.replica else {
             return;
         };
-        let known = self.known.entry(id).or_insert_with(|| Known {
+        let known = self.known.entry(id).or_insert_with(|| KnownReplica {
             addr: origin.addr,
             operator_addr: None,
-            heard: None,
+            last_seen: None,
         });
         known.addr = origin.addr;
-        known.heard = Some(now);
-        if self.told_leader == Some(origin.addr) {
-            self.told_leader = None;
+        known.last_seen = Some(now);
+        if self.leader_hint == Some(origin.addr) {
+            self.leader_hint = None;
         }
     }
 
     /// Takes in what a replica says about itself, and of a leader that isn't known here. Says
     /// whether it told of one.
-    pub(crate) fn greeted(&mut self, id: ReplicaId, hello: &HelloInfo) -> bool {
+    pub(crate) fn record_hello(&mut self, id: ReplicaId, hello: &HelloInfo) -> bool {
         if let Some(known) = self.known.get_mut(&id) {
             known.operator_addr = Some(hello.operator_addr);
         }
         let mut others = self.known.values();
-        let new = hello.leader.filter(|addr| {
-            let heard = others.any(|known| known.addr == *addr && known.heard.is_some());
-            self.own_addr != Some(*addr) && !heard
+        let hint = hello.leader.filter(|addr| {
+            let contacted = others.any(|known| known.addr == *addr && known.last_seen.is_some());
+            self.own_addr != Some(*addr) && !contacted
         });
-        if new.is_none() || new == self.told_leader {
+        if hint.is_none() || hint == self.leader_hint {
             return false;
         }
-        self.told_leader = new;
+        self.leader_hint = hint;
         true
     }
 
     /// Takes in a registration from the replicated table.
-    pub(crate) fn registered(
+    pub(crate) fn add_registered(
         &mut self,
         id: ReplicaId,
         addr: SocketAddr,
@@ -99,53 +99,53 @@
             return;
         }
         // What a replica says itself is newer than what was registered for it.
-        self.known.entry(id).or_insert(Known {
+        self.known.entry(id).or_insert(KnownReplica {
             addr,
             operator_addr: Some(operator_addr),
-            heard: None,
+            last_seen: None,
         });
     }
 
     /// Takes in an address from the replicated log.
-    pub(crate) fn located(&mut self, id: ReplicaId, addr: SocketAddr) {
+    pub(crate) fn add_located(&mut self, id: ReplicaId, addr: SocketAddr) {
         if self.own_addr == Some(addr) {
             return;
         }
-        self.known.entry(id).or_insert(Known {
+        self.known.entry(id).or_insert(KnownReplica {
             addr,
             operator_addr: None,
-            heard: None,
+            last_seen: None,
         });
     }
 
     /// Every known replica, as the keeping of membership sees it.
-    pub(crate) fn seen(&self) -> impl Iterator<Item = (ReplicaId, Seen)> + '_ {
+    pub(crate) fn contacts(&self) -> impl Iterator<Item = (ReplicaId, Contact)> + '_ {
         self.known.iter().map(|(id, known)| (*id, known.into()))
     }
 
     /// What is known of a replica.
-    pub(crate) fn get(&self, id: ReplicaId) -> Option<&Known> {
+    pub(crate) fn get(&self, id: ReplicaId) -> Option<&KnownReplica> {
         self.known.get(&id)
     }
 
     /// Whether some replica to greet has not been heard from yet.
-    pub(crate) fn has_strangers(&self) -> bool {
-        let heard = |addr: &SocketAddr| {
+    pub(crate) fn has_unseen_replicas(&self) -> bool {
+        let contacted = |addr: &SocketAddr| {
             let mut known = self.known.values();
-            known.any(|known| known.addr == *addr && known.heard.is_some())
+            known.any(|known| known.addr == *addr && known.last_seen.is_some())
         };
-        !self.to_greet().iter().all(heard)
+        !self.discovery_targets().iter().all(contacted)
     }
 
     /// Forgets a leader that others told of and that was never heard.
-    pub(crate) fn forget_told(&mut self) {
-        self.told_leader = None;
+    pub(crate) fn clear_leader_hint(&mut self) {
+        self.leader_hint = None;
     }
 
     /// Everybody to greet: all replicas that there may be, and a leader that others told of.
-    pub(crate) fn to_greet(&self) -> BTreeSet<SocketAddr> {
+    pub(crate) fn discovery_targets(&self) -> BTreeSet<SocketAddr> {
         let mut addrs = self.replicas();
-        addrs.extend(self.told_leader);
+        addrs.extend(self.leader_hint);
         addrs
     }
 
--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -19,8 +19,8 @@
     ///
     /// A verdict that was applied here is committed and never changes, so a replica may
     /// tell it without a lease.
-    pub(super) async fn take_claim(&mut self, origin: &Origin, claim: Claim) {
-        if self.tell_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
+    pub(super) async fn handle_claim(&mut self, origin: &Origin, claim: Claim) {
+        if self.send_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
             return;
         }
         let Ok(buf) = postcard::to_stdvec(&Entry::Claim(claim.clone())) else {
@@ -28,13 +28,13 @@
             return;
         };
         let to = origin.addr;
-        let token = self.pend(Pending::Claim { to, claim });
+        let token = self.add_pending(Pending::Claim { to, claim });
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
     /// Sends the verdict on a claim if there is one.
-    pub(super) fn tell_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
+    pub(super) fn send_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
         let Some(verdict) = self.machine.verdicts.get(claim) else {
             return false;
         };
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -25,27 +25,27 @@
 use tokio::sync::oneshot;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::book::Book;
+use super::address_book::AddressBook;
 use super::fleet::Fleet;
 use super::gauges::Gauges;
 use super::input::{AdminRequest, DiskJob, InitialiseError, Input, SubmitError};
 use super::machine::{self, Applied, Machine};
-use super::orders::{Asker, Reader, order_error};
+use super::orders::{OrderOrigin, ReadOrigin, order_error};
 use super::shares::Shares;
-use super::spreading::{Spreading, Standing};
+use super::spreading::{Leadership, Spreading};
 use crate::Clock;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 
 /// A quarter of the default heartbeat.
 const TICK: Duration = Duration::from_millis(50);
-const MEASURE_PERIOD: Duration = Duration::from_secs(1);
+const METRICS_PERIOD: Duration = Duration::from_secs(1);
 /// How often the replica makes itself known while it has not heard from all others.
-const HELLO_PERIOD: Duration = Duration::from_secs(1);
+const DISCOVERY_HELLO_PERIOD: Duration = Duration::from_secs(1);
 /// How often it makes itself known otherwise, for those that restarted.
-const RENEWED_HELLO_PERIOD: Duration = Duration::from_secs(5);
+const STEADY_HELLO_PERIOD: Duration = Duration::from_secs(5);
 /// How long the duty waits between two looks at a disk that is behind.
-const DISK_WAIT: Duration = Duration::from_millis(1);
+const DISK_QUEUE_RETRY: Duration = Duration::from_millis(1);
 
 /// What waits for the replica's word.
 pub(super) enum Pending {
@@ -56,16 +56,16 @@
         to: SocketAddr,
         claim: Claim,
     },
-    /// An operator's order about routes or evacuations.
-    Order(Asker),
+    /// An operator's order identity routes or evacuations.
+    Order(OrderOrigin),
     /// A proof that what is applied here is the newest.
-    Newest(Reader),
+    RoutesRead(ReadOrigin),
     /// A change of the leader's own accord, made again until it is done.
-    Nobody,
+    NoReply,
 }
 
-/// What this replica says about itself to operators.
-pub(crate) struct About {
+/// What this replica says identity itself to operators.
+pub(crate) struct Identity {
     pub(crate) cluster: String,
     pub(crate) node: NodeName,
     pub(crate) peer_addr: SocketAddr,
@@ -77,9 +77,9 @@
     pub(crate) clock: Clock,
     pub(crate) cfg: Config,
     pub(crate) durable: Durable,
-    pub(crate) book: Book,
+    pub(crate) address_book: AddressBook,
     pub(crate) hello: HelloInfo,
-    pub(crate) about: About,
+    pub(crate) identity: Identity,
     pub(crate) out: Sender<Outgoing>,
     pub(crate) disk: Sender<DiskJob>,
     pub(crate) gauges: Gauges,
@@ -97,11 +97,11 @@
     outcomes: BTreeMap<u64, Outcome>,
     pub(super) pending: HashMap<Token, Pending>,
     next_token: u64,
-    pub(super) book: Book,
+    pub(super) address_book: AddressBook,
     pub(super) hello: HelloInfo,
-    pub(super) about: About,
+    pub(super) identity: Identity,
     pub(super) next_hello: Moment,
-    next_measure: Moment,
+    next_metrics: Moment,
     pub(super) spreading: Spreading,
     pub(super) shares: Shares,
     pub(super) out: Sender<Outgoing>,
@@ -120,10 +120,10 @@
         let now = parts.clock.now();
         let applied = parts.durable.snapshot.index;
         let machine = decode_machine(&parts.durable.snapshot);
-        let mut book = parts.book;
-        learn_from_log(&mut book, &parts.durable);
+        let mut address_book = parts.address_book;
+        load_addresses_from_log(&mut address_book, &parts.durable);
         let replica = Replica::new(parts.id, parts.cfg.clone(), parts.durable, now);
-        let spreading = Spreading::new(book.to_greet().into_iter().collect());
+        let spreading = Spreading::new(address_book.discovery_targets().into_iter().collect());
         let mut core = Self {
             id: parts.id,
             clock: parts.clock,
@@ -134,11 +134,11 @@
             outcomes: BTreeMap::new(),
             pending: HashMap::new(),
             next_token: 0,
-            book,
+            address_book,
             hello: parts.hello,
-            about: parts.about,
+            identity: parts.identity,
             next_hello: now,
-            next_measure: now,
+            next_metrics: now,
             spreading,
             shares: Shares::default(),
             out: parts.out,
@@ -148,15 +148,15 @@
             disk_epoch: 0,
             disk_failed: false,
         };
-        core.learn_addresses();
+        core.update_addresses();
         core.spread_committed(now);
-        core.spread_orders(now);
+        core.distribute_orders(now);
         core
     }
 
     /// Runs until the process stops or nobody is left to feed the ring.
     pub(crate) async fn run(mut self, mut rx: Receiver<Input>, mut stop: Stop) {
-        if self.fleet.is_to_found() {
+        if self.fleet.should_found_group() {
             // A folder that holds a group already answers that it does.
             let (reply, _) = oneshot::channel();
             self.initialise(reply).await;
@@ -167,7 +167,7 @@
             tokio::select! {
                 _ = ticks.tick() => self.tick().await,
                 input = rx.recv() => match input {
-                    Some(input) => self.take(input).await,
+                    Some(input) => self.handle_input(input).await,
                     None => return,
                 },
                 () = stop.wait() => return,
@@ -178,64 +178,64 @@
     async fn tick(&mut self) {
         self.step(Event::Tick).await;
         let now = self.clock.now();
-        if now >= self.next_measure {
-            self.next_measure = now + MEASURE_PERIOD;
-            self.measure(now);
+        if now >= self.next_metrics {
+            self.next_metrics = now + METRICS_PERIOD;
+            self.update_metrics(now);
         }
         if now >= self.next_hello {
-            let strangers = self.book.has_strangers();
+            let unseen = self.address_book.has_unseen_replicas();
             self.next_hello = now
-                + if strangers {
-                    HELLO_PERIOD
+                + if unseen {
+                    DISCOVERY_HELLO_PERIOD
                 } else {
-                    RENEWED_HELLO_PERIOD
+                    STEADY_HELLO_PERIOD
                 };
-            self.greet(now);
+            self.send_hellos(now);
         }
-        self.keep_shares(now);
+        self.sync_share_keeper(now);
         self.tick_fleet(now).await;
-        let standing = self.standing(now);
-        let out = self.spreading.tick(now, standing);
-        self.spread(out);
+        let leadership = self.leadership(now);
+        let out = self.spreading.tick(now, leadership);
+        self.send_spread(out);
     }
 
-    fn standing(&self, now: Moment) -> Standing {
+    fn leadership(&self, now: Moment) -> Leadership {
         let replica = self.replica.status(now);
         match self.replica.lease_until(now) {
-            Some(until) => Standing::Leads {
+            Some(until) => Leadership::Leads {
                 term: replica.term,
                 until,
             },
-            None => Standing::Follows {
+            None => Leadership::Follows {
                 leader: self.leader(&replica),
             },
         }
     }
 
     fn leader(&self, replica: &consensus::Status) -> Option<Leader> {
-        let known = self.book.get(replica.leader?)?;
+        let known = self.address_book.get(replica.leader?)?;
         Some(Leader {
             term: replica.term,
             addr: known.addr,
         })
     }
 
-    async fn take(&mut self, input: Input) {
+    async fn handle_input(&mut self, input: Input) {
         match input {
             Input::Peer { origin, body } => self.receive(origin, body).await,
-            Input::Admin(req) => self.admin(req).await,
+            Input::Admin(req) => self.handle_admin(req).await,
             Input::Persisted { seq } => self.step(Event::Persisted { seq }).await,
             Input::DiskFailed => self.disk_failed(),
-            Input::DiskBack { epoch, durable } => self.disk_back(epoch, durable),
+            Input::DiskRecovered { epoch, durable } => self.disk_recovered(epoch, durable),
             Input::Initialised(durable) => self.initialised(durable),
-            Input::Seeds(seeds) => self.book.configure(seeds),
+            Input::Seeds(seeds) => self.address_book.configure(seeds),
             Input::Adapter(req) => self.handle_adapter_request(req).await,
         }
     }
 
     async fn receive(&mut self, origin: Origin, body: Body) {
         let now = self.clock.now();
-        self.book.heard(now, &origin);
+        self.address_book.record_contact(now, &origin);
         match body {
             Body::Consensus(message) => {
                 if let Some(from) = origin.replica {
@@ -244,26 +244,26 @@
             }
             Body::Hello(hello) => {
                 if let Some(from) = origin.replica {
-                    self.greeted(now, from, origin.addr, &hello);
+                    self.handle_hello(now, from, origin.addr, &hello);
                 }
             }
             Body::Spread(message) => {
                 let out = self.spreading.receive(now, &origin, message);
-                self.spread(out);
+                self.send_spread(out);
             }
-            Body::Fleet(message) => self.take_fleet(&origin, message).await,
-            Body::Steer(Steer::Renew(renew)) => self.take_renewal(&origin, &renew),
-            Body::Ledger(Message::Claim(claim)) => self.take_claim(&origin, claim).await,
+            Body::Fleet(message) => self.handle_fleet_message(&origin, message).await,
+            Body::Steer(Steer::Renew(renew)) => self.handle_renewal(&origin, &renew),
+            Body::Ledger(Message::Claim(claim)) => self.handle_claim(&origin, claim).await,
             // Samples have a duty of their own.
             Body::Steer(_) | Body::Ledger(_) | Body::Quarantine(_) | Body::Samples(_) => {}
         }
     }
 
-    async fn admin(&mut self, req: AdminRequest) {
+    async fn handle_admin(&mut self, req: AdminRequest) {
         match req {
             AdminRequest::Submit { command, reply } => self.submit(command, reply).await,
             AdminRequest::Read { reply } => {
-                let token = self.pend(Pending::Read(reply));
+                let token = self.add_pending(Pending::Read(reply));
                 self.step(Event::Read { token }).await;
             }
             AdminRequest::Status { reply } => {
@@ -271,7 +271,7 @@
                 let _ = reply.send(self.status());
             }
             AdminRequest::Members { proposal, reply } => {
-                let token = self.pend(Pending::Members(reply));
+                let token = self.add_pending(Pending::Members(reply));
                 self.step(Event::Propose { token, proposal }).await;
             }
             AdminRequest::Initialise { reply } => self.initialise(reply).await,
@@ -288,12 +288,12 @@
             let _ = reply.send(Err(SubmitError::Busy));
             return;
         };
-        let token = self.pend(Pending::Submit(reply));
+        let token = self.add_pending(Pending::Submit(reply));
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    pub(super) fn pend(&mut self, pending: Pending) -> Token {
+    pub(super) fn add_pending(&mut self, pending: Pending) -> Token {
         self.next_token += 1;
         let token = Token(self.next_token);
         self.pending.insert(token, pending);
@@ -329,20 +329,20 @@
 
     pub(super) async fn step(&mut self, event: Event) {
         if self.disk_failed {
-            self.ignore(event);
+            self.step_without_disk(event);
             return;
         }
         let now = self.clock.now();
         for action in self.replica.step(now, event) {
-            self.act(action).await;
+            self.perform(action).await;
         }
     }
 
     /// Without a disk nothing may be promised, so the replica says nothing at all: the
     /// others take it for one that is down.
-    fn ignore(&mut self, event: Event) {
+    fn step_without_disk(&mut self, event: Event) {
         if let Event::Propose { token, .. } | Event::Read { token } = event {
-            self.fail(token, ProposeError::NotLeader { leader: None });
+            self.fail_pending(token, ProposeError::NotLeader { leader: None });
         }
     }
 
@@ -350,24 +350,24 @@
         self.disk_failed = true;
         let pending: Vec<_> = self.pending.keys().copied().collect();
         for token in pending {
-            self.fail(token, ProposeError::OutcomeUnknown);
+            self.fail_pending(token, ProposeError::OutcomeUnknown);
         }
         self.outcomes.clear();
     }
 
     /// Begins anew from the data folder, as a restarted process would. What was spread
     /// before stays spread: it was committed.
-    fn disk_back(&mut self, epoch: u64, durable: Durable) {
+    fn disk_recovered(&mut self, epoch: u64, durable: Durable) {
         let now = self.clock.now();
         self.disk_failed = false;
         self.disk_epoch = epoch;
         self.applied = durable.snapshot.index;
         self.machine = decode_machine(&durable.snapshot);
-        learn_from_log(&mut self.book, &durable);
+        load_addresses_from_log(&mut self.address_book, &durable);
         self.replica = Replica::new(self.id, self.cfg.clone(), durable, now);
     }
 
-    async fn act(&mut self, action: Action) {
+    async fn perform(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send_to_replica(to, Body::Consensus(message)),
             Action::Persist(persist) => self.persist(persist).await,
@@ -376,7 +376,7 @@
             Action::Proposed { token, result } => self.proposed(token, result),
             Action::ReadReady { token } => self.read_ready(token),
             Action::ReadRefused { token, leader } => {
-                self.fail(token, ProposeError::NotLeader { leader });
+                self.fail_pending(token, ProposeError::NotLeader { leader });
             }
             Action::TakeSnapshot => self.take_snapshot().await,
         }
@@ -400,7 +400,7 @@
 
     fn apply_command(&mut self, index: u64, command: &machine::Entry) {
         let applied = self.machine.apply(index, command);
-        self.spread_orders(self.clock.now());
+        self.distribute_orders(self.clock.now());
         let Applied::Table(outcome) = applied else {
             return;
         };
@@ -408,7 +408,7 @@
         if !self.pending.is_empty() {
             self.outcomes.insert(index, outcome);
         }
-        self.learn_addresses();
+        self.update_addresses();
         self.spread_committed(self.clock.now());
     }
 
@@ -416,10 +416,10 @@
         info!(index = snapshot.index; "table restored from a snapshot");
         self.machine = decode_machine(snapshot);
         self.applied = snapshot.index;
-        self.learn_addresses();
+        self.update_addresses();
         let now = self.clock.now();
         self.spread_committed(now);
-        self.spread_orders(now);
+        self.distribute_orders(now);
     }
 
     async fn take_snapshot(&mut self) {
@@ -433,14 +433,14 @@
         };
         let now = self.clock.now();
         for action in self.replica.step(now, event) {
-            Box::pin(self.act(action)).await;
+            Box::pin(self.perform(action)).await;
         }
     }
 
     fn proposed(&mut self, token: Token, result: Result<u64, ProposeError>) {
         match result {
             Ok(index) => self.committed(token, index),
-            Err(e) => self.fail(token, e),
+            Err(e) => self.fail_pending(token, e),
         }
         if self.pending.is_empty() {
             self.outcomes.clear();
@@ -457,10 +457,10 @@
                 let _ = reply.send(Ok(()));
             }
             Some(Pending::Claim { to, claim }) => {
-                self.tell_verdict(to, &claim);
+                self.send_verdict(to, &claim);
             }
-            Some(Pending::Order(asker)) => self.answer_order(asker, Ok(())),
-            Some(Pending::Read(_) | Pending::Newest(_) | Pending::Nobody) | None => {}
+            Some(Pending::Order(origin)) => self.finish_order(origin, Ok(())),
+            Some(Pending::Read(_) | Pending::RoutesRead(_) | Pending::NoReply) | None => {}
         }
     }
 
@@ -469,18 +469,22 @@
             Some(Pending::Read(reply)) => {
                 let _ = reply.send(Ok(Arc::clone(&self.machine.table)));
             }
-            Some(Pending::Newest(reader)) => self.answer_read(reader, Ok(())),
+            Some(Pending::RoutesRead(origin)) => self.finish_read(origin, Ok(())),
             _ => {}
         }
     }
 
-    fn fail(&mut self, token: Token, error: ProposeError) {
-        let address = |id| self.book.get(id).and_then(|known| known.operator_addr);
+    fn fail_pending(&mut self, token: Token, error: ProposeError) {
+        let address = |id| {
+            self.address_book
+                .get(id)
+                .and_then(|known| known.operator_addr)
+        };
         let for_order = order_error(error);
         let error = SubmitError::from_propose(error, address);
         match self.pending.remove(&token) {
-            Some(Pending::Order(asker)) => self.answer_order(asker, Err(for_order)),
-            Some(Pending::Newest(reader)) => self.answer_read(reader, Err(for_order)),
+            Some(Pending::Order(origin)) => self.finish_order(origin, Err(for_order)),
+            Some(Pending::RoutesRead(origin)) => self.finish_read(origin, Err(for_order)),
             Some(Pending::Submit(reply)) => {
                 let _ = reply.send(Err(error));
             }
@@ -491,16 +495,17 @@
                 let _ = reply.send(Err(error));
             }
             // The entry repeats its claim, to the leader if it knows it by then.
-            Some(Pending::Claim { .. } | Pending::Nobody) | None => {}
+            Some(Pending::Claim { .. } | Pending::NoReply) | None => {}
         }
     }
 
-    fn learn_addresses(&mut self) {
+    fn update_addresses(&mut self) {
         for (id, registration) in self.machine.table.replicas() {
             let addr = registration.peer_addr;
-            self.book.registered(*id, addr, registration.operator_addr);
+            self.address_book
+                .add_registered(*id, addr, registration.operator_addr);
         }
-        let replicas = self.book.to_greet().into_iter().collect();
+        let replicas = self.address_book.discovery_targets().into_iter().collect();
         self.spreading.set_replicas(replicas);
     }
 
@@ -508,19 +513,19 @@
     /// finds the version on its way.
     fn spread_committed(&mut self, now: Moment) {
         let view = Arc::new(self.machine.table.view());
-        self.shares.committed(Arc::clone(&view));
+        self.shares.set_table(Arc::clone(&view));
         let out = self.spreading.committed(now, view);
-        self.spread(out);
+        self.send_spread(out);
     }
 
-    fn spread(&mut self, out: Vec<(SocketAddr, filberthead_spread::Message)>) {
+    fn send_spread(&mut self, out: Vec<(SocketAddr, filberthead_spread::Message)>) {
         for (to, message) in out {
             self.send(to, Body::Spread(message));
         }
     }
 
     fn send_to_replica(&mut self, to: ReplicaId, body: Body) {
-        if let Some(addr) = self.book.get(to).map(|known| known.addr) {
+        if let Some(addr) = self.address_book.get(to).map(|known| known.addr) {
             self.send(addr, body);
         }
     }
@@ -540,7 +545,7 @@
         let mut job = job;
         while let Err(PushError::Full(back)) = self.disk.push(job) {
             job = back;
-            tokio::time::sleep(DISK_WAIT).await;
+            tokio::time::sleep(DISK_QUEUE_RETRY).await;
         }
     }
 }
@@ -548,13 +553,13 @@
 /// Learns where replicas are from entries that nobody has yet said are committed. An
 /// address is a hint and may be wrong; but without any, replicas that start together after
 /// a power cut could not find each other to say what is committed.
-fn learn_from_log(book: &mut Book, durable: &Durable) {
+fn load_addresses_from_log(address_book: &mut AddressBook, durable: &Durable) {
     for entry in &durable.entries {
         let Payload::Command(buf) = &entry.payload else {
             continue;
         };
-        if let Ok(machine::Entry::Locate { id, addr }) = postcard::from_bytes(buf) {
-            book.located(id, addr);
+        if let Ok(machine::Entry::ReplicaAddress { id, addr }) = postcard::from_bytes(buf) {
+            address_book.add_located(id, addr);
         }
     }
 }
--- a/crates/filberthead/src/control/greeting.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -8,7 +8,7 @@
 use super::core::Core;
 
 impl Core {
-    fn hello_now(&self, now: Moment) -> HelloInfo {
+    fn current_hello(&self, now: Moment) -> HelloInfo {
         HelloInfo {
             leads: self.replica.status(now).holds_lease,
             leader: self.leader_addr(now),
@@ -16,23 +16,23 @@
         }
     }
 
-    pub(super) fn greet(&mut self, now: Moment) {
-        let hello = self.hello_now(now);
-        for to in self.book.to_greet() {
+    pub(super) fn send_hellos(&mut self, now: Moment) {
+        let hello = self.current_hello(now);
+        for to in self.address_book.discovery_targets() {
             self.send(to, Body::Hello(hello.clone()));
         }
     }
 
     /// A replica that is no member is told at once where the leader is: it greets whom its
     /// settings name, and only a leader that hears it takes it in.
-    pub(super) fn greeted(
+    pub(super) fn handle_hello(
         &mut self,
         now: Moment,
         from: ReplicaId,
         addr: SocketAddr,
         hello: &HelloInfo,
     ) {
-        if self.book.greeted(from, hello) {
+        if self.address_book.record_hello(from, hello) {
             self.next_hello = now;
         }
         let members = self.replica.status(now).members;
@@ -42,7 +42,7 @@
         }
         let answer = HelloInfo {
             answers: true,
-            ..self.hello_now(now)
+            ..self.current_hello(now)
         };
         self.send(addr, Body::Hello(answer));
     }
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -29,14 +29,14 @@
 
 /// Which folder it is.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct DataFolder {
     pub(crate) folder: PathBuf,
     pub(crate) cluster: String,
 }
 
 /// Starts the duty.
 pub(crate) fn spawn(
-    (disk, place): (Disk, Place),
+    (disk, data_folder): (Disk, DataFolder),
     rx: Receiver<DiskJob>,
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
@@ -44,7 +44,7 @@
 ) -> Result<Duty, DutyError> {
     let duty = DiskDuty {
         disk: Some(disk),
-        place,
+        data_folder,
         epoch: 0,
         note: None,
         tx,
@@ -56,7 +56,7 @@
 struct DiskDuty {
     /// `None` while the folder can't be written.
     disk: Option<Disk>,
-    place: Place,
+    data_folder: DataFolder,
     epoch: u64,
     /// The newest note that isn't kept yet.
     note: Option<Vec<u8>>,
@@ -69,19 +69,19 @@
         loop {
             tokio::select! {
                 job = rx.recv() => match job {
-                    Some(job) => self.take(job).await,
+                    Some(job) => self.run_job(job).await,
                     None => return,
                 },
                 () = sleep(REOPEN_PERIOD), if self.disk.is_none() => self.reopen().await,
                 () = sleep(NOTE_DELAY), if self.disk.is_some() && self.note.is_some() => {
-                    self.remember().await;
+                    self.write_note().await;
                 }
                 () = stop.wait() => return,
             }
         }
     }
 
-    async fn take(&mut self, job: DiskJob) {
+    async fn run_job(&mut self, job: DiskJob) {
         let Some(disk) = &mut self.disk else {
             // What was promised on the strength of it never left the replica.
             return;
@@ -94,7 +94,7 @@
                 self.metrics.synced(begun.elapsed());
                 result.map(|()| Some(Input::Persisted { seq: persist.seq }))
             }
-            DiskJob::Remember(note) => {
+            DiskJob::WriteNote(note) => {
                 self.note = Some(note);
                 Ok(None)
             }
@@ -125,7 +125,7 @@
         }
     }
 
-    async fn remember(&mut self) {
+    async fn write_note(&mut self) {
         let (Some(disk), Some(note)) = (&mut self.disk, self.note.take()) else {
             return;
         };
@@ -144,7 +144,7 @@
     }
 
     async fn reopen(&mut self) {
-        let Place { folder, cluster } = &self.place;
+        let DataFolder { folder, cluster } = &self.data_folder;
         let reopened = Disk::reopen(folder, cluster).and_then(|disk| Ok((disk.load()?, disk)));
         match reopened {
             Ok((durable, disk)) => {
@@ -152,7 +152,7 @@
                 self.epoch += 1;
                 self.disk = Some(disk);
                 let epoch = self.epoch;
-                self.report(Input::DiskBack { epoch, durable }).await;
+                self.report(Input::DiskRecovered { epoch, durable }).await;
             }
             Err(e) => log::debug!(error:% = e; "the data folder still fails"),
         }
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -16,90 +16,94 @@
 
 use super::core::Core;
 use super::handle::{AdapterRequest, PublishedState};
-use super::orders::{Asker, Reader, Waiting};
+use super::orders::{OrderOrigin, ReadOrigin, WaitingRequest};
 
 /// How often a replica asks the leader for a newer list of endpoints, in case the push
 /// was lost.
-const LIST_CATCH_UP: Duration = Duration::from_millis(1000);
+const LIST_REQUEST_PERIOD: Duration = Duration::from_millis(1000);
 
 /// How often a replica tells the others of the gateways that report to it: twice in a
 /// gateway's report period, so that what they know of it is hardly older.
-const ROSTER_PERIOD: Duration = Duration::from_millis(250);
+const GATEWAY_RELAY_PERIOD: Duration = Duration::from_millis(250);
 /// How often the leader is asked to prove routes to the gateways that report here.
 const PROOF_PERIOD: Duration = Duration::from_millis(150);
 
 /// Term of a list that was read by a replica that doesn't lead and had none.
 const NO_TERM: u64 = 0;
 /// How long a replica that starts waits for a leader's list before it reads its own.
-const LISTLESS: Duration = Duration::from_millis(150);
+const LEADER_LIST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Unknown services that the log names: entries of the list that another program writes may
 /// make up as many as they like.
-const UNSERVED: usize = 64;
+const MAX_LOGGED_SERVICES: usize = 64;
 
 /// How the group keeps itself.
 #[derive(Clone, Debug)]
-pub(crate) struct SelfKeeping {
+pub(crate) struct AutoMembership {
     /// Replicas that may be lost at once.
-    pub(crate) tolerate: usize,
+    pub(crate) tolerated_failures: usize,
     /// Whether this replica begins the group.
-    pub(crate) founds: bool,
+    pub(crate) is_founder: bool,
 }
 
 /// State of this part of the duty.
 pub(crate) struct Fleet {
     pub(super) registry: Registry,
-    pub(super) keeping: Option<SelfKeeping>,
-    pub(super) waiting: Vec<(Moment, Waiting)>,
+    pub(super) auto_membership: Option<AutoMembership>,
+    pub(super) waiting: Vec<(Moment, WaitingRequest)>,
     pub(super) next_token: u64,
     pub(super) led_since: Option<Moment>,
     /// When learners were first seen in this leadership.
-    pub(super) joined: BTreeMap<ReplicaId, Moment>,
+    pub(super) learner_since: BTreeMap<ReplicaId, Moment>,
     next_list: Moment,
-    next_roster: Moment,
+    next_gateway_relay: Moment,
     next_proof: Moment,
     published: watch::Sender<PublishedState>,
     /// What members of the group were last seen as, for the log.
-    belief: (Option<ReplicaId>, Members),
+    logged_membership: (Option<ReplicaId>, Members),
     /// Services of endpoints that the log says no route goes to.
-    unserved: BTreeSet<ServiceName>,
+    logged_unserved: BTreeSet<ServiceName>,
 }
 
 impl Fleet {
     pub(crate) fn new(
-        keeping: Option<SelfKeeping>,
+        auto_membership: Option<AutoMembership>,
         published: watch::Sender<PublishedState>,
     ) -> Self {
         Self {
             registry: Registry::default(),
-            keeping,
+            auto_membership,
             waiting: Vec::new(),
             // A word on what this replica passed on before it was restarted may still come,
             // and must not be taken for the word on something else.
             next_token: rand::random(),
             led_since: None,
-            joined: BTreeMap::new(),
+            learner_since: BTreeMap::new(),
             next_list: Moment::ZERO,
-            next_roster: Moment::ZERO,
+            next_gateway_relay: Moment::ZERO,
             next_proof: Moment::ZERO,
             published,
-            belief: Default::default(),
-            unserved: BTreeSet::new(),
+            logged_membership: Default::default(),
+            logged_unserved: BTreeSet::new(),
         }
     }
 
     /// One line for each service that the list names and the routes in force don't.
-    fn note_unserved(&mut self) {
+    fn log_unserved(&mut self) {
         for (service, endpoints) in self.registry.unserved() {
-            if self.unserved.len() < UNSERVED && self.unserved.insert(service.clone()) {
+            if self.logged_unserved.len() < MAX_LOGGED_SERVICES
+                && self.logged_unserved.insert(service.clone())
+            {
                 info!(service:%, endpoints; "no request goes to endpoints of an unknown service");
             }
         }
     }
 
     /// Whether nobody has begun the group yet and this replica is to.
-    pub(super) fn is_to_found(&self) -> bool {
-        self.keeping.as_ref().is_some_and(|keeping| keeping.founds)
+    pub(super) fn should_found_group(&self) -> bool {
+        self.auto_membership
+            .as_ref()
+            .is_some_and(|auto_membership| auto_membership.is_founder)
     }
 }
 
@@ -107,13 +111,15 @@
     /// Takes a request of an adapter.
     pub(super) async fn handle_adapter_request(&mut self, req: AdapterRequest) {
         match req {
-            AdapterRequest::Order { order, reply } => self.order(order, Asker::Here(reply)).await,
+            AdapterRequest::Order { order, reply } => {
+                self.order(order, OrderOrigin::Local(reply)).await
+            }
             AdapterRequest::Routes { reply } => self.read_routes(reply).await,
-            AdapterRequest::EndpointList(list) => self.take_list(list),
+            AdapterRequest::EndpointList(list) => self.update_endpoint_list(list),
         }
     }
 
-    fn take_list(&mut self, list: Vec<filberthead_fleet::Endpoint>) {
+    fn update_endpoint_list(&mut self, list: Vec<filberthead_fleet::Endpoint>) {
         let now = self.clock.now();
         let replica = self.replica.status(now);
         let before = self.fleet.registry.have().endpoints;
@@ -126,99 +132,99 @@
             return;
         };
         let out = self.fleet.registry.listed(now, term, list);
-        self.fleet.note_unserved();
-        self.tell(out);
+        self.fleet.log_unserved();
+        self.send_fleet(out);
         let listed = self.fleet.registry.have().endpoints;
         if listed == before {
             return;
         }
         info!(term = listed.term, seq = listed.seq; "list of endpoints changed");
-        let replicas = self.book.to_greet();
-        if let Some(news) = self.fleet.registry.endpoints_for(now, before) {
+        let replicas = self.address_book.discovery_targets();
+        if let Some(update) = self.fleet.registry.endpoints_for(now, before) {
             for to in replicas {
-                self.send(to, Body::Fleet(news.clone()));
+                self.send(to, Body::Fleet(update.clone()));
             }
         }
     }
 
     /// Takes a message of a gateway or another replica.
-    pub(super) async fn take_fleet(&mut self, origin: &Origin, message: Message) {
+    pub(super) async fn handle_fleet_message(&mut self, origin: &Origin, message: Message) {
         let now = self.clock.now();
         match message {
             Message::Order { token, order } => {
                 let to = origin.addr;
-                self.order(order, Asker::Replica { to, token }).await;
+                self.order(order, OrderOrigin::Replica { to, token }).await;
             }
-            Message::OrderDone { token, result } => self.passed_done(token, result).await,
+            Message::OrderDone { token, result } => self.forwarded_order_done(token, result).await,
             Message::Newest { token } => {
                 let to = origin.addr;
-                self.prove(Reader::Replica { to, token }).await;
+                self.start_read(ReadOrigin::Replica { to, token }).await;
             }
-            Message::NewestIs { token, result } => self.asked_done(now, token, result),
+            Message::NewestIs { token, result } => self.handle_newest_index(now, token, result),
             other => {
                 let proven = self.replica.lease_until(now).is_some();
                 let registry = &mut self.fleet.registry;
                 let out = registry.receive(now, origin.addr, other, proven);
-                self.tell(out);
+                self.send_fleet(out);
             }
         }
     }
 
-    pub(super) fn tell(&mut self, out: Vec<Outbound>) {
+    pub(super) fn send_fleet(&mut self, out: Vec<Outbound>) {
         for (to, message) in out {
             self.send(to, Body::Fleet(message));
         }
     }
 
     /// Comes after each committed entry, before anybody is told of its outcome.
-    pub(super) fn spread_orders(&mut self, now: Moment) {
-        let held = self.machine.routes.newest().cloned();
-        let revision = self.machine.routes_at;
+    pub(super) fn distribute_orders(&mut self, now: Moment) {
+        let newest = self.machine.routes.newest().cloned();
+        let revision = self.machine.routes_revision;
         let newer = revision > self.fleet.registry.have().routes;
-        if let Some(change) = held.filter(|_| newer) {
+        if let Some(change) = newest.filter(|_| newer) {
             info!(version = change.version, revision, routes = change.table.routes.len();
                 "routes in force");
             let table = Arc::new(change.table.clone());
             let registry = &mut self.fleet.registry;
             let out = registry.set_routes(now, revision, change.version, table);
-            self.tell(out);
+            self.send_fleet(out);
         }
-        let held = self.fleet.registry.have();
-        if newer || self.machine.evacuated_at > held.evacuated {
-            self.note_in_force();
+        let known = self.fleet.registry.have();
+        if newer || self.machine.evacuated_revision > known.evacuated {
+            self.save_note();
         }
-        let revision = self.machine.evacuated_at;
+        let revision = self.machine.evacuated_revision;
         if revision > self.fleet.registry.have().evacuated {
             info!(revision, domains:? = self.machine.evacuated; "evacuated failure domains");
         }
         let registry = &mut self.fleet.registry;
         let out = registry.set_evacuated(now, revision, &self.machine.evacuated);
-        self.tell(out);
-        self.answer_those_behind();
+        self.send_fleet(out);
+        self.complete_applied_reads();
     }
 
     /// Membership, waiting orders, lists and what is shown.
     pub(super) async fn tick_fleet(&mut self, now: Moment) {
-        self.learn_located();
-        self.note_leadership(now);
+        self.update_replica_addresses();
+        self.update_leadership(now);
         self.retry_waiting(now).await;
-        self.catch_up_on_list(now);
+        self.request_endpoint_list(now);
         self.relay_gateways(now);
         if now >= self.fleet.next_proof {
             self.fleet.next_proof = now + PROOF_PERIOD;
-            self.ask_for_proofs(now);
+            self.request_proofs(now);
         }
-        self.show(now);
-        if self.fleet.keeping.is_some() {
-            self.keep_membership(now).await;
+        self.publish_state(now);
+        if self.fleet.auto_membership.is_some() {
+            self.reconcile_membership(now).await;
         }
     }
 
-    fn note_leadership(&mut self, now: Moment) {
+    fn update_leadership(&mut self, now: Moment) {
         let replica = self.replica.status(now);
         if replica.role != Role::Leader {
             self.fleet.led_since = None;
-            self.fleet.joined.clear();
+            self.fleet.learner_since.clear();
         } else if self.fleet.led_since.is_none() {
             self.fleet.led_since = Some(now);
         }
@@ -226,29 +232,32 @@
             || replica.members.learners.contains(&self.id);
         if is_member {
             // Whoever leads has taken this replica in and knows where it is.
-            self.book.forget_told();
+            self.address_book.clear_leader_hint();
         }
-        let belief = (replica.leader, replica.members);
-        if self.fleet.belief != belief {
-            info!(leader:? = belief.0, term = replica.term.0, voters:? = belief.1.voters,
-                learners:? = belief.1.learners, lease = replica.holds_lease;
+        let membership = (replica.leader, replica.members);
+        if self.fleet.logged_membership != membership {
+            info!(leader:? = membership.0, term = replica.term.0, voters:? = membership.1.voters,
+                learners:? = membership.1.learners, lease = replica.holds_lease;
                 "leadership or membership");
-            self.fleet.belief = belief;
+            self.fleet.logged_membership = membership;
         }
     }
 
     /// Address of the leader, if that is another replica.
     pub(super) fn leader_addr(&self, now: Moment) -> Option<SocketAddr> {
         let leader = self.replica.status(now).leader?;
-        let known = self.book.get(leader).filter(|_| leader != self.id)?;
+        let known = self
+            .address_book
+            .get(leader)
+            .filter(|_| leader != self.id)?;
         Some(known.addr)
     }
 
-    fn catch_up_on_list(&mut self, now: Moment) {
+    fn request_endpoint_list(&mut self, now: Moment) {
         if now < self.fleet.next_list {
             return;
         }
-        self.fleet.next_list = now + LIST_CATCH_UP;
+        self.fleet.next_list = now + LIST_REQUEST_PERIOD;
         if let Some(leader) = self.leader_addr(now) {
             let have = self.fleet.registry.have().endpoints;
             self.send(leader, Body::Fleet(Message::AskList(have)));
@@ -257,25 +266,25 @@
 
     /// Tells the other replicas of the gateways that report here.
     fn relay_gateways(&mut self, now: Moment) {
-        if now < self.fleet.next_roster {
+        if now < self.fleet.next_gateway_relay {
             return;
         }
-        self.fleet.next_roster = now + ROSTER_PERIOD;
+        self.fleet.next_gateway_relay = now + GATEWAY_RELAY_PERIOD;
         let Some(roster) = self.fleet.registry.roster(now) else {
             return;
         };
-        for to in self.book.to_greet() {
+        for to in self.address_book.discovery_targets() {
             self.send(to, Body::Fleet(roster.clone()));
         }
     }
 
-    fn show(&mut self, now: Moment) {
+    fn publish_state(&mut self, now: Moment) {
         let gateways = self.fleet.registry.ready(now);
         let replica = self.replica.status(now);
         let leads = replica.holds_lease;
-        let listless = self.fleet.registry.have().endpoints.seq == 0;
+        let has_no_list = self.fleet.registry.have().endpoints.seq == 0;
         let polls_endpoint_list =
-            leads || (listless && replica.leader.is_none() && now >= LISTLESS);
+            leads || (has_no_list && replica.leader.is_none() && now >= LEADER_LIST_TIMEOUT);
         self.fleet.published.send_if_modified(|published| {
             let same = published.polls_endpoint_list == polls_endpoint_list
                 && *published.gateways == *gateways;
--- a/crates/filberthead/src/control/gauges.rs
+++ b/crates/filberthead/src/control/gauges.rs
@@ -20,7 +20,7 @@
 
 impl Core {
     /// Brings the metrics up to date.
-    pub(super) fn measure(&self, now: Moment) {
+    pub(super) fn update_metrics(&self, now: Moment) {
         let metrics = &self.gauges.metrics;
         let replica = self.replica.status(now);
         let leads = replica.leader == Some(self.id);
@@ -29,14 +29,14 @@
         metrics.log_indices(replica.last_index, self.applied);
         metrics.members(replica.members.voters.len(), replica.members.learners.len());
         metrics.table_version(self.machine.table.version());
-        self.measure_entries(now);
+        self.update_entry_metrics(now);
         metrics.peers().record(&totals(&self.gauges.peers));
         let peers = metrics.peers();
         peers.ring_refused("outgoing", self.out.refused());
         peers.ring_refused("disk", self.disk.refused());
     }
 
-    fn measure_entries(&self, now: Moment) {
+    fn update_entry_metrics(&self, now: Moment) {
         let version = self.machine.table.version();
         // Entries report to the leader only; another replica knows no version of them.
         let entries = self.spreading.entries(now);
--- a/crates/filberthead/src/control/input.rs
+++ b/crates/filberthead/src/control/input.rs
@@ -12,17 +12,17 @@
 use tokio::sync::oneshot;
 
 use super::handle::AdapterRequest;
-use super::samples::Reported;
+use super::samples::ReceivedReport;
 
 /// Inputs that wait for the consensus duty. When full, messages of peers are dropped,
 /// which their protocols repeat, and operators are refused before anything is logged.
 /// The disk's reports wait for room instead, since nothing repeats them.
-const INPUTS: usize = 8192;
+const INPUT_CAPACITY: usize = 8192;
 
 /// Batches that wait for the disk. When full the consensus duty waits for the disk
 /// before it takes anything else: a promise must not leave before it is synced, so a
 /// replica with a stuck disk has nothing else to do.
-const DISK_JOBS: usize = 1024;
+const DISK_JOB_CAPACITY: usize = 1024;
 
 /// Something for the consensus duty.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// The data folder failed: nothing is synced any more.
     DiskFailed,
     /// The data folder works again; this is what it holds.
-    DiskBack {
+    DiskRecovered {
         /// Number that jobs carry from now on.
         epoch: u64,
         /// Its content.
@@ -149,7 +149,7 @@
         persist: Persist,
     },
     /// Keep a note for the next start, once there is nothing more urgent.
-    Remember(Vec<u8>),
+    WriteNote(Vec<u8>),
     /// Make the first membership.
     Initialise {
         /// The only voter, which is this replica.
@@ -160,27 +160,27 @@
 }
 
 /// Makes the ring into the consensus duty.
-pub(crate) fn inputs() -> (Sender<Input>, Receiver<Input>) {
-    ring(INPUTS)
+pub(crate) fn input_queue() -> (Sender<Input>, Receiver<Input>) {
+    ring(INPUT_CAPACITY)
 }
 
 /// Makes the ring into the disk duty.
-pub(crate) fn disk_jobs() -> (Sender<DiskJob>, Receiver<DiskJob>) {
-    ring(DISK_JOBS)
+pub(crate) fn disk_queue() -> (Sender<DiskJob>, Receiver<DiskJob>) {
+    ring(DISK_JOB_CAPACITY)
 }
 
 /// Hands messages of peers to the duty that they are for.
 #[derive(Debug)]
-pub(crate) struct ToDuties {
+pub(crate) struct MessageDispatch {
     pub(crate) consensus: Sender<Input>,
-    pub(crate) samples: Sender<Reported>,
+    pub(crate) samples: Sender<ReceivedReport>,
 }
 
-impl Deliver for ToDuties {
+impl Deliver for MessageDispatch {
     fn deliver(&mut self, origin: Origin, body: Body) {
         // A full ring drops the message; its protocol repeats what it needs answered.
         if let Body::Samples(report) = body {
-            let _ = self.samples.push(Reported { origin, report });
+            let _ = self.samples.push(ReceivedReport { origin, report });
         } else {
             let _ = self.consensus.push(Input::Peer { origin, body });
         }
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -28,7 +28,7 @@
     /// An operator's order about routes or evacuations.
     Order(Order),
     /// Where a replica takes messages, so that all members find it after a restart.
-    Locate {
+    ReplicaAddress {
         /// The replica.
         id: ReplicaId,
         /// Its address.
@@ -44,7 +44,7 @@
     /// Of a claim.
     Claim(Verdict),
     /// Of an order, or of a location: nothing to tell, both always hold.
-    Noted,
+    NoOutcome,
 }
 
 /// State after some entry of the log.
@@ -58,13 +58,13 @@
     /// The routes in force.
     pub(crate) routes: Held,
     /// Index of the entry that put them in force; 0 for none.
-    pub(crate) routes_at: u64,
+    pub(crate) routes_revision: u64,
     /// Failure domains whose endpoints are to get nothing.
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     /// Index of the entry that last changed that set; 0 for none.
-    pub(crate) evacuated_at: u64,
+    pub(crate) evacuated_revision: u64,
     /// Where replicas take messages.
-    pub(crate) located: BTreeMap<ReplicaId, SocketAddr>,
+    pub(crate) replica_addresses: BTreeMap<ReplicaId, SocketAddr>,
 }
 
 impl Machine {
@@ -77,32 +77,32 @@
             }
             Entry::Claim(claim) => Applied::Claim(self.verdicts.apply(claim)),
             Entry::Order(order) => {
-                self.order(index, order);
-                Applied::Noted
+                self.apply_order(index, order);
+                Applied::NoOutcome
             }
-            Entry::Locate { id, addr } => {
-                self.located.insert(*id, *addr);
-                Applied::Noted
+            Entry::ReplicaAddress { id, addr } => {
+                self.replica_addresses.insert(*id, *addr);
+                Applied::NoOutcome
             }
         }
     }
 
     /// An order that changes nothing, being sent again or overtaken, keeps the revision.
-    fn order(&mut self, index: u64, order: &Order) {
+    fn apply_order(&mut self, index: u64, order: &Order) {
         match order {
             Order::Routes(change) => {
                 if self.routes.offer(change) == Offered::Taken {
-                    self.routes_at = index;
+                    self.routes_revision = index;
                 }
             }
             Order::Evacuate(domain) => {
                 if self.evacuated.insert(domain.clone()) {
-                    self.evacuated_at = index;
+                    self.evacuated_revision = index;
                 }
             }
             Order::Return(domain) => {
                 if self.evacuated.remove(domain) {
-                    self.evacuated_at = index;
+                    self.evacuated_revision = index;
                 }
             }
         }
--- a/crates/filberthead/src/control/membership.rs
+++ b/crates/filberthead/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! The group keeps its membership: [`roster`] decides, the leader's replica carries it out.
+//! The group keeps its membership: [`membership_policy`] decides, the leader's replica carries it out.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,80 +9,81 @@
 
 use super::core::{Core, Pending};
 use super::machine::Entry;
-use super::roster::{self, Next, Seen, View};
+use super::membership_policy::{self, Contact, Step, View};
 
 impl Core {
     /// Tells everybody where replicas are that the log names.
-    pub(super) fn learn_located(&mut self) {
-        for (id, addr) in &self.machine.located {
-            self.book.located(*id, *addr);
+    pub(super) fn update_replica_addresses(&mut self) {
+        for (id, addr) in &self.machine.replica_addresses {
+            self.address_book.add_located(*id, *addr);
         }
-        let mut replicas: Vec<_> = self.book.replicas().into_iter().collect();
-        replicas.push(self.about.peer_addr);
+        let mut replicas: Vec<_> = self.address_book.replicas().into_iter().collect();
+        replicas.push(self.identity.peer_addr);
         self.fleet.registry.set_replicas(replicas);
     }
 
-    pub(super) async fn keep_membership(&mut self, now: Moment) {
+    pub(super) async fn reconcile_membership(&mut self, now: Moment) {
         let replica = self.replica.status(now);
         let Some(led_since) = self.fleet.led_since.filter(|_| replica.holds_lease) else {
             return;
         };
-        let mut seen: BTreeMap<_, _> = self.book.seen().collect();
-        let own = Seen {
-            addr: self.about.peer_addr,
-            heard: Some(now),
+        let mut contacts: BTreeMap<_, _> = self.address_book.contacts().collect();
+        let own_contact = Contact {
+            addr: self.identity.peer_addr,
+            last_seen: Some(now),
         };
-        seen.insert(self.id, own);
+        contacts.insert(self.id, own_contact);
         let progress: HashMap<_, _> = replica.progress.iter().copied().collect();
-        let joined = &mut self.fleet.joined;
-        joined.retain(|id, _| replica.members.learners.contains(id));
+        let learner_since = &mut self.fleet.learner_since;
+        learner_since.retain(|id, _| replica.members.learners.contains(id));
         for id in &replica.members.learners {
-            joined.entry(*id).or_insert(now);
+            learner_since.entry(*id).or_insert(now);
         }
         let learners = replica.members.learners.iter().copied();
-        let held = |id: &ReplicaId| progress.get(id).copied().unwrap_or(0) >= replica.commit;
-        let caught_up: Vec<_> = learners.filter(held).collect();
+        let is_caught_up =
+            |id: &ReplicaId| progress.get(id).copied().unwrap_or(0) >= replica.commit;
+        let caught_up: Vec<_> = learners.filter(is_caught_up).collect();
         let view = View {
             now,
             led_since,
-            own: self.id,
+            own_id: self.id,
             members: &replica.members,
-            seen: &seen,
-            located: &self.machine.located,
-            joined: &self.fleet.joined,
+            contacts: &contacts,
+            addresses: &self.machine.replica_addresses,
+            learner_since: &self.fleet.learner_since,
             caught_up: &caught_up,
         };
-        match roster::next(view) {
-            Next::Rest => {}
-            Next::Locate(id, addr) => self.propose_location(id, addr).await,
-            Next::Change(proposal) => {
+        match membership_policy::next_step(view) {
+            Step::Idle => {}
+            Step::RecordAddress(id, addr) => self.propose_replica_address(id, addr).await,
+            Step::Change(proposal) => {
                 // Asked again at each tick until it is done, so its outcome is not awaited.
-                let token = self.pend(Pending::Nobody);
+                let token = self.add_pending(Pending::NoReply);
                 self.step(Event::Propose { token, proposal }).await;
             }
         }
     }
 
-    async fn propose_location(&mut self, id: ReplicaId, addr: SocketAddr) {
-        let under_way = self.pending.values().any(|p| matches!(p, Pending::Nobody));
-        if under_way {
+    async fn propose_replica_address(&mut self, id: ReplicaId, addr: SocketAddr) {
+        let in_progress = self.pending.values().any(|p| matches!(p, Pending::NoReply));
+        if in_progress {
             return;
         }
-        let Ok(buf) = postcard::to_stdvec(&Entry::Locate { id, addr }) else {
+        let Ok(buf) = postcard::to_stdvec(&Entry::ReplicaAddress { id, addr }) else {
             warn!("a location can't be encoded");
             return;
         };
-        let token = self.pend(Pending::Nobody);
+        let token = self.add_pending(Pending::NoReply);
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 }
 
-impl From<&super::book::Known> for Seen {
-    fn from(known: &super::book::Known) -> Self {
+impl From<&super::address_book::KnownReplica> for Contact {
+    fn from(known: &super::address_book::KnownReplica) -> Self {
         Self {
             addr: known.addr,
-            heard: known.heard,
+            last_seen: known.last_seen,
         }
     }
 }
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -5,21 +5,21 @@
 //! HTTP, `samples` keeps what the burn report is made from.
 //! Operators' acts go through the consensus duty, which alone can say what is accepted.
 
+mod address_book;
 mod admin;
-mod book;
 mod claims;
 mod core;
+mod discovery;
 mod disk;
 mod fleet;
 mod gauges;
-mod greeting;
 mod handle;
-mod in_force;
 mod input;
 mod machine;
 mod membership;
+mod membership_policy;
+mod note;
 mod orders;
-mod roster;
 mod samples;
 mod shares;
 mod spreading;
@@ -39,11 +39,11 @@
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
 
-use self::book::Book;
-use self::core::{About, Core, Parts};
-use self::fleet::{Fleet, SelfKeeping};
+use self::address_book::AddressBook;
+use self::core::{Core, Identity, Parts};
+use self::fleet::{AutoMembership, Fleet};
 use self::gauges::Gauges;
-use self::input::{Input, ToDuties};
+use self::input::{Input, MessageDispatch};
 use crate::ready::announce;
 use crate::stop::{Stop, stop_pair};
 use crate::supervisor::{Signals, supervise};
@@ -144,7 +144,7 @@
 ) -> Result<(Vec<Duty>, Sender<Input>), ControlError> {
     let clock = Clock::start();
     let disk = Disk::open(&cfg.data, &cfg.cluster).context(StorageSnafu)?;
-    let place = disk::Place {
+    let data_folder = disk::DataFolder {
         folder: cfg.data.clone(),
         cluster: cfg.cluster.clone(),
     };
@@ -153,12 +153,12 @@
     let id = disk.replica();
     let cluster = cluster_id(&cfg.cluster);
 
-    let (input_tx, input_rx) = input::inputs();
-    let (disk_tx, disk_rx) = input::disk_jobs();
+    let (input_tx, input_rx) = input::input_queue();
+    let (disk_tx, disk_rx) = input::disk_queue();
     let (out_tx, out_rx) = peers::outgoing();
-    let (samples_tx, samples_rx) = samples::reports();
+    let (samples_tx, samples_rx) = samples::report_queue();
 
-    let deliver = ToDuties {
+    let deliver = MessageDispatch {
         consensus: input_tx.clone(),
         samples: samples_tx,
     };
@@ -183,21 +183,21 @@
     };
     let metrics = Arc::clone(&gauges.metrics);
     let (published_tx, published_rx) = watch::channel(PublishedState::default());
-    let mut fleet = Fleet::new(keeping(cfg, peer_addr), published_tx);
-    fleet.recall(clock.now(), note.as_deref());
+    let mut fleet = Fleet::new(auto_membership(cfg, peer_addr), published_tx);
+    fleet.restore_note(clock.now(), note.as_deref());
     let core = Core::new(Parts {
         id,
         clock,
         cfg: consensus_config(cfg),
         durable,
-        book: Book::new(peer_addr, contacts(cfg)),
+        address_book: AddressBook::new(peer_addr, discovery_seeds(cfg)),
         hello: HelloInfo {
             leads: false,
             operator_addr,
             leader: None,
             answers: false,
         },
-        about: About {
+        identity: Identity {
             cluster: cfg.cluster.clone(),
             node: cfg.node.clone(),
             peer_addr,
@@ -211,7 +211,7 @@
     let mut duties = vec![
         peers::spawn(transport, outbox, out_rx, stop.clone()).context(StartSnafu)?,
         disk::spawn(
-            (disk, place),
+            (disk, data_folder),
             disk_rx,
             input_tx.clone(),
             Arc::clone(&metrics),
@@ -233,7 +233,7 @@
 }
 
 /// Whom to greet at start.
-fn contacts(cfg: &ControlSettings) -> Vec<SocketAddr> {
+fn discovery_seeds(cfg: &ControlSettings) -> Vec<SocketAddr> {
     let named = cfg.replicas.iter().map(|replica| replica.peer_addr);
     let seeds = cfg.group.iter().flat_map(|group| group.seeds.clone());
     named.chain(seeds).collect()
@@ -241,10 +241,10 @@
 
 /// All replicas of a new system are given the same seeds, so just one of them finds itself
 /// first among them.
-fn keeping(cfg: &ControlSettings, own: SocketAddr) -> Option<SelfKeeping> {
-    cfg.group.as_ref().map(|group| SelfKeeping {
-        tolerate: group.tolerate,
-        founds: group.first_start && group.seeds.first() == Some(&own),
+fn auto_membership(cfg: &ControlSettings, own: SocketAddr) -> Option<AutoMembership> {
+    cfg.group.as_ref().map(|group| AutoMembership {
+        tolerated_failures: group.tolerate,
+        is_founder: group.first_start && group.seeds.first() == Some(&own),
     })
 }
 
--- a/crates/filberthead/src/control/in_force.rs
+++ b/crates/filberthead/src/control/note.rs
@@ -18,21 +18,21 @@
 /// was committed once, so it never has to be taken back; it may be overtaken.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct InForce {
+struct Note {
     /// The change, and its revision.
     routes: Option<(u64, Arc<Change>)>,
     evacuated: BTreeSet<FailureDomain>,
-    evacuated_at: u64,
+    evacuated_revision: u64,
 }
 
 impl Fleet {
     /// Takes up what was in force when this replica last ran.
-    pub(crate) fn recall(&mut self, now: Moment, note: Option<&[u8]>) {
-        let Some(note) = note else {
+    pub(crate) fn restore_note(&mut self, now: Moment, encoded: Option<&[u8]>) {
+        let Some(encoded) = encoded else {
             return;
         };
-        let noted: InForce = match postcard::from_bytes(note) {
-            Ok(noted) => noted,
+        let note: Note = match postcard::from_bytes(encoded) {
+            Ok(note) => note,
             Err(e) => {
                 // Another version of the program wrote it; the log has all that counts.
                 warn!(error:% = e; "the note of what was in force can't be read");
@@ -40,30 +40,30 @@
             }
         };
         // Nobody has reported yet, so there is nobody to tell.
-        if let Some((revision, change)) = noted.routes {
+        if let Some((revision, change)) = note.routes {
             info!(version = change.version, revision; "routes were in force before the start");
             let table = Arc::new(change.table.clone());
             self.registry
                 .set_routes(now, revision, change.version, table);
         }
         self.registry
-            .set_evacuated(now, noted.evacuated_at, &noted.evacuated);
+            .set_evacuated(now, note.evacuated_revision, &note.evacuated);
     }
 }
 
 impl Core {
     /// Has the disk duty keep what is in force. With its ring full it is dropped: the disk
     /// is far behind then, and the next change is noted again.
-    pub(super) fn note_in_force(&mut self) {
+    pub(super) fn save_note(&mut self) {
         let routes = self.machine.routes.newest().cloned();
-        let noted = InForce {
-            routes: routes.map(|change| (self.machine.routes_at, change)),
+        let note = Note {
+            routes: routes.map(|change| (self.machine.routes_revision, change)),
             evacuated: self.machine.evacuated.clone(),
-            evacuated_at: self.machine.evacuated_at,
+            evacuated_revision: self.machine.evacuated_revision,
         };
-        match postcard::to_stdvec(&noted) {
-            Ok(note) => {
-                let _ = self.disk.push(DiskJob::Remember(note));
+        match postcard::to_stdvec(&note) {
+            Ok(encoded) => {
+                let _ = self.disk.push(DiskJob::WriteNote(encoded));
             }
             Err(e) => warn!(error:% = e; "what is in force can't be noted"),
         }
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators about routes and evacuations, and reads of what is in force.
+//! Orders of operators identity routes and evacuations, and reads of request is in force.
 //!
 //! Any replica takes an order or a read. One that doesn't lead passes it on to the leader
 //! and waits for its word; one that knows no leader holds it for a moment, since an
@@ -19,47 +19,47 @@
 use super::core::{Core, Pending};
 use super::fleet::Fleet;
 use super::machine::Entry;
-use super::roster::MAX_VOTERS;
+use super::membership_policy::MAX_VOTERS;
 
 /// How long an order or read waits for a leader, or for the leader's word. An operator
-/// waits a second for an answer; after that a late one would be lost on it.
-const WAIT: Duration = Duration::from_millis(850);
+/// waits a second for an answer; after that a expired one would be lost on it.
+const MAX_WAIT: Duration = Duration::from_millis(850);
 /// Orders and reads that wait here at the same time.
 const MAX_WAITING: usize = 256;
 /// How long a group in the making may hold back orders. A group whose VMs never come up
 /// in full has to work with those that did.
-const MAKING: Duration = Duration::from_secs(6);
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Whom the word on an order goes to.
-pub(super) enum Asker {
+pub(super) enum OrderOrigin {
     /// An adapter in this process.
-    Here(oneshot::Sender<Result<(), OrderError>>),
+    Local(oneshot::Sender<Result<(), OrderError>>),
     /// A replica that passed it on.
     Replica { to: SocketAddr, token: u64 },
 }
 
 /// Whom the word on the newest state goes to.
-pub(super) enum Reader {
+pub(super) enum ReadOrigin {
     /// An adapter in this process.
-    Here(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
+    Local(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// A replica that passed it on.
     Replica { to: SocketAddr, token: u64 },
 }
 
 /// Something that waits for a leader, for its word, or for the log.
-pub(super) enum Waiting {
-    Order(Order, Asker),
+pub(super) enum WaitingRequest {
+    Order(Order, OrderOrigin),
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// An order passed on under this token.
-    Passed(u64, oneshot::Sender<Result<(), OrderError>>),
+    Forwarded(u64, oneshot::Sender<Result<(), OrderError>>),
     /// What was asked of the leader under this token.
-    Asked(u64, Unproven),
+    LeaderQuery(u64, UnprovenRead),
     /// What may be answered once the log is applied up to this index.
-    Behind(u64, Unproven),
+    AwaitingApply(u64, UnprovenRead),
 }
 
-/// What a replica that doesn't lead answers once the leader has told what is the newest.
-pub(super) enum Unproven {
+/// What a replica that doesn't lead answers once the leader has told request is the newest.
+pub(super) enum UnprovenRead {
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// Questions of gateways.
@@ -67,84 +67,98 @@
 }
 
 impl Fleet {
-    fn token(&mut self) -> u64 {
+    fn new_token(&mut self) -> u64 {
         self.next_token = self.next_token.wrapping_add(1);
         self.next_token
     }
 
-    fn wait(&mut self, now: Moment, what: Waiting) {
+    fn enqueue(&mut self, now: Moment, request: WaitingRequest) {
         if self.waiting.len() >= MAX_WAITING {
-            fail(what, OrderError::Busy);
+            fail(request, OrderError::Busy);
             return;
         }
-        self.waiting.push((now + WAIT, what));
+        self.waiting.push((now + MAX_WAIT, request));
     }
 
-    fn take(&mut self, matches: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|(_, what)| matches(what))?;
-        Some(self.waiting.swap_remove(place).1)
+    fn take_waiting(
+        &mut self,
+        matches: impl Fn(&WaitingRequest) -> bool,
+    ) -> Option<WaitingRequest> {
+        let position = self
+            .waiting
+            .iter()
+            .position(|(_, request)| matches(request))?;
+        Some(self.waiting.swap_remove(position).1)
     }
 }
 
 impl Core {
-    pub(super) async fn order(&mut self, order: Order, asker: Asker) {
+    pub(super) async fn order(&mut self, order: Order, origin: OrderOrigin) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
-            if self.is_in_the_making(now) {
-                self.fleet.wait(now, Waiting::Order(order, asker));
+            if self.is_forming(now) {
+                self.fleet
+                    .enqueue(now, WaitingRequest::Order(order, origin));
                 return;
             }
-            self.propose_order(order, asker).await;
+            self.propose_order(order, origin).await;
             return;
         }
-        match (self.leader_addr(now), asker) {
-            (Some(leader), Asker::Here(reply)) => {
-                let token = self.fleet.token();
+        match (self.leader_addr(now), origin) {
+            (Some(leader), OrderOrigin::Local(reply)) => {
+                let token = self.fleet.new_token();
                 self.send(leader, Body::Fleet(Message::Order { token, order }));
-                self.fleet.wait(now, Waiting::Passed(token, reply));
+                self.fleet
+                    .enqueue(now, WaitingRequest::Forwarded(token, reply));
             }
-            (_, asker) => self.fleet.wait(now, Waiting::Order(order, asker)),
+            (_, origin) => self
+                .fleet
+                .enqueue(now, WaitingRequest::Order(order, origin)),
         }
     }
 
-    /// Whether the group is still too small to keep what it accepts through as many
+    /// Whether the group is still too small to keep request it accepts through as many
     /// losses as it is to tolerate.
-    fn is_in_the_making(&self, now: Moment) -> bool {
-        let Some(keeping) = &self.fleet.keeping else {
+    fn is_forming(&self, now: Moment) -> bool {
+        let Some(auto_membership) = &self.fleet.auto_membership else {
             return false;
         };
         let voters = self.replica.status(now).members.voters.len();
         let since = self.fleet.led_since.unwrap_or(now);
-        let wanted = (2 * keeping.tolerate + 1).min(MAX_VOTERS);
-        voters < wanted && now < since + MAKING
+        let required = (2 * auto_membership.tolerated_failures + 1).min(MAX_VOTERS);
+        voters < required && now < since + FORMATION_TIMEOUT
     }
 
-    async fn propose_order(&mut self, order: Order, asker: Asker) {
+    async fn propose_order(&mut self, order: Order, origin: OrderOrigin) {
         let Ok(buf) = postcard::to_stdvec(&Entry::Order(order)) else {
             warn!("an order can't be encoded");
-            self.answer_order(asker, Err(OrderError::Busy));
+            self.finish_order(origin, Err(OrderError::Busy));
             return;
         };
-        let token = self.pend(Pending::Order(asker));
+        let token = self.add_pending(Pending::Order(origin));
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
     /// Gives the word on an order to whoever asked.
-    pub(super) fn answer_order(&mut self, asker: Asker, result: Result<(), OrderError>) {
-        match asker {
-            Asker::Here(reply) => {
+    pub(super) fn finish_order(&mut self, origin: OrderOrigin, result: Result<(), OrderError>) {
+        match origin {
+            OrderOrigin::Local(reply) => {
                 let _ = reply.send(result);
             }
-            Asker::Replica { to, token } => {
+            OrderOrigin::Replica { to, token } => {
                 self.send(to, Body::Fleet(Message::OrderDone { token, result }));
             }
         }
     }
 
-    pub(super) async fn passed_done(&mut self, token: u64, result: Result<(), OrderError>) {
-        let mine = |what: &Waiting| matches!(what, Waiting::Passed(held, _) if *held == token);
-        if let Some(Waiting::Passed(_, reply)) = self.fleet.take(mine) {
+    pub(super) async fn forwarded_order_done(
+        &mut self,
+        token: u64,
+        result: Result<(), OrderError>,
+    ) {
+        let matches_token = |request: &WaitingRequest| matches!(request, WaitingRequest::Forwarded(sent_token, _) if *sent_token == token);
+        if let Some(WaitingRequest::Forwarded(_, reply)) = self.fleet.take_waiting(matches_token) {
             let _ = reply.send(result);
         }
     }
@@ -155,115 +169,126 @@
     ) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
-            self.prove(Reader::Here(reply)).await;
+            self.start_read(ReadOrigin::Local(reply)).await;
             return;
         }
         match self.leader_addr(now) {
-            Some(leader) => self.ask_newest(now, leader, Unproven::Read(reply)),
-            None => self.fleet.wait(now, Waiting::Read(reply)),
+            Some(leader) => self.query_leader(now, leader, UnprovenRead::Read(reply)),
+            None => self.fleet.enqueue(now, WaitingRequest::Read(reply)),
         }
     }
 
-    fn ask_newest(&mut self, now: Moment, leader: SocketAddr, unproven: Unproven) {
-        let token = self.fleet.token();
+    fn query_leader(&mut self, now: Moment, leader: SocketAddr, read: UnprovenRead) {
+        let token = self.fleet.new_token();
         self.send(leader, Body::Fleet(Message::Newest { token }));
-        self.fleet.wait(now, Waiting::Asked(token, unproven));
+        self.fleet
+            .enqueue(now, WaitingRequest::LeaderQuery(token, read));
     }
 
-    /// Asks the leader for what proves the routes held here to gateways that report here.
+    /// Asks the leader for request proves the routes held here to gateways that report here.
     /// Without a leader they get no proof, and ask others.
-    pub(super) fn ask_for_proofs(&mut self, now: Moment) {
+    pub(super) fn request_proofs(&mut self, now: Moment) {
         let questions = self.fleet.registry.take_questions();
         let leader = self.leader_addr(now).filter(|_| !questions.is_empty());
         if let Some(leader) = leader {
-            self.ask_newest(now, leader, Unproven::Questions(questions));
+            self.query_leader(now, leader, UnprovenRead::Questions(questions));
         }
     }
 
-    fn answer_unproven(&mut self, unproven: Unproven) {
-        match unproven {
-            Unproven::Read(reply) => {
+    fn complete_read(&mut self, read: UnprovenRead) {
+        match read {
+            UnprovenRead::Read(reply) => {
                 // Whoever asked may have gone; nobody else needs the answer.
                 let _ = reply.send(Ok(self.machine.routes.newest().cloned()));
             }
-            Unproven::Questions(questions) => {
+            UnprovenRead::Questions(questions) => {
                 let out = self.fleet.registry.prove(questions);
-                self.tell(out);
+                self.send_fleet(out);
             }
         }
     }
 
-    pub(super) async fn prove(&mut self, reader: Reader) {
-        let token = self.pend(Pending::Newest(reader));
+    pub(super) async fn start_read(&mut self, origin: ReadOrigin) {
+        let token = self.add_pending(Pending::RoutesRead(origin));
         self.step(Event::Read { token }).await;
     }
 
     /// Gives the word on a read: as the lease stands at this moment, all that was ever
     /// accepted is applied here.
-    pub(super) fn answer_read(&mut self, reader: Reader, result: Result<(), OrderError>) {
-        match reader {
-            Reader::Here(reply) => {
+    pub(super) fn finish_read(&mut self, origin: ReadOrigin, result: Result<(), OrderError>) {
+        match origin {
+            ReadOrigin::Local(reply) => {
                 let _ = reply.send(result.map(|()| self.machine.routes.newest().cloned()));
             }
-            Reader::Replica { to, token } => {
+            ReadOrigin::Replica { to, token } => {
                 let result = result.map(|()| self.applied);
                 self.send(to, Body::Fleet(Message::NewestIs { token, result }));
             }
         }
     }
 
-    pub(super) fn asked_done(&mut self, now: Moment, token: u64, result: Result<u64, OrderError>) {
-        let mine = |what: &Waiting| matches!(what, Waiting::Asked(held, _) if *held == token);
-        let Some(Waiting::Asked(_, unproven)) = self.fleet.take(mine) else {
+    pub(super) fn handle_newest_index(
+        &mut self,
+        now: Moment,
+        token: u64,
+        result: Result<u64, OrderError>,
+    ) {
+        let matches_token = |request: &WaitingRequest| matches!(request, WaitingRequest::LeaderQuery(sent_token, _) if *sent_token == token);
+        let Some(WaitingRequest::LeaderQuery(_, read)) = self.fleet.take_waiting(matches_token)
+        else {
             return;
         };
         match result {
-            Ok(index) if index <= self.applied => self.answer_unproven(unproven),
-            Ok(index) => self.fleet.wait(now, Waiting::Behind(index, unproven)),
-            Err(e) => unproven.fail(e),
+            Ok(index) if index <= self.applied => self.complete_read(read),
+            Ok(index) => self
+                .fleet
+                .enqueue(now, WaitingRequest::AwaitingApply(index, read)),
+            Err(e) => read.fail(e),
         }
     }
 
-    pub(super) fn answer_those_behind(&mut self) {
+    pub(super) fn complete_applied_reads(&mut self) {
         let applied = self.applied;
-        let caught_up =
-            |what: &Waiting| matches!(what, Waiting::Behind(index, _) if *index <= applied);
-        while let Some(Waiting::Behind(_, unproven)) = self.fleet.take(caught_up) {
-            self.answer_unproven(unproven);
+        let caught_up = |request: &WaitingRequest| matches!(request, WaitingRequest::AwaitingApply(index, _) if *index <= applied);
+        while let Some(WaitingRequest::AwaitingApply(_, read)) = self.fleet.take_waiting(caught_up)
+        {
+            self.complete_read(read);
         }
     }
 
     pub(super) async fn retry_waiting(&mut self, now: Moment) {
         let waiting = std::mem::take(&mut self.fleet.waiting);
-        let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
-        for (_, what) in late {
-            let error = match what {
-                Waiting::Passed(..) => OrderError::OutcomeUnknown,
+        let (expired, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
+        for (_, request) in expired {
+            let error = match request {
+                WaitingRequest::Forwarded(..) => OrderError::OutcomeUnknown,
                 _ => OrderError::NoLeader,
             };
-            fail(what, error);
+            fail(request, error);
         }
         self.fleet.waiting = rest;
-        let may_lead = self.replica.status(now).holds_lease && !self.is_in_the_making(now);
+        let may_lead = self.replica.status(now).holds_lease && !self.is_forming(now);
         if !may_lead && self.leader_addr(now).is_none() {
             return;
         }
-        let held = |what: &Waiting| matches!(what, Waiting::Order(..) | Waiting::Read(_));
-        let mut again = Vec::new();
-        while let Some(what) = self.fleet.take(held) {
-            again.push(what);
+        let is_held = |request: &WaitingRequest| {
+            matches!(request, WaitingRequest::Order(..) | WaitingRequest::Read(_))
+        };
+        let mut retried = Vec::new();
+        while let Some(request) = self.fleet.take_waiting(is_held) {
+            retried.push(request);
         }
-        for what in again {
-            match what {
-                Waiting::Order(order, asker) => self.order(order, asker).await,
-                Waiting::Read(reply) => self.read_routes(reply).await,
+        for request in retried {
+            match request {
+                WaitingRequest::Order(order, origin) => self.order(order, origin).await,
+                WaitingRequest::Read(reply) => self.read_routes(reply).await,
                 _ => {}
             }
         }
     }
 }
 
-impl Unproven {
+impl UnprovenRead {
     fn fail(self, error: OrderError) {
         match self {
             Self::Read(reply) => {
@@ -275,18 +300,21 @@
     }
 }
 
-fn fail(what: Waiting, error: OrderError) {
+fn fail(request: WaitingRequest, error: OrderError) {
     // Whoever asked may have gone; nobody else needs the answer.
-    match what {
-        Waiting::Order(_, Asker::Here(reply)) | Waiting::Passed(_, reply) => {
+    match request {
+        WaitingRequest::Order(_, OrderOrigin::Local(reply))
+        | WaitingRequest::Forwarded(_, reply) => {
             let _ = reply.send(Err(error));
         }
-        Waiting::Read(reply) => {
+        WaitingRequest::Read(reply) => {
             let _ = reply.send(Err(error));
         }
-        Waiting::Asked(_, unproven) | Waiting::Behind(_, unproven) => unproven.fail(error),
+        WaitingRequest::LeaderQuery(_, read) | WaitingRequest::AwaitingApply(_, read) => {
+            read.fail(error)
+        }
         // The replica that passed it on gives up by itself.
-        Waiting::Order(_, Asker::Replica { .. }) => {}
+        WaitingRequest::Order(_, OrderOrigin::Replica { .. }) => {}
     }
 }
 
--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -26,34 +26,34 @@
 
 /// Reports of relays that wait. When full, further ones are dropped: a relay repeats each
 /// period in its next report, and what is lost all the same shows as missing.
-const REPORTS: usize = 2048;
+const REPORT_QUEUE_CAPACITY: usize = 2048;
 /// How often it looks for periods that have waited long enough.
 const CLOSE_PERIOD: Duration = Duration::from_secs(5);
 /// How long a report is given out again: samples come once a minute.
 const REPORT_REUSE: Duration = Duration::from_secs(5);
 /// Folder of samples inside the data folder.
-const FOLDER: &str = "samples";
+const SAMPLES_FOLDER: &str = "samples";
 
 /// What entries counted, and who reports it.
 #[derive(Debug)]
-pub(crate) struct Reported {
+pub(crate) struct ReceivedReport {
     pub(crate) origin: Origin,
     pub(crate) report: SampleReport,
 }
 
 /// Makes the ring into the samples duty.
-pub(crate) fn reports() -> (Sender<Reported>, Receiver<Reported>) {
-    ring(REPORTS)
+pub(crate) fn report_queue() -> (Sender<ReceivedReport>, Receiver<ReceivedReport>) {
+    ring(REPORT_QUEUE_CAPACITY)
 }
 
 /// Starts the duty.
 pub(crate) fn spawn(
     cfg: &ControlSettings,
-    rx: Receiver<Reported>,
+    rx: Receiver<ReceivedReport>,
     stop: Stop,
 ) -> Result<Duty, DutyError> {
     let duty = SamplesDuty {
-        dir: folder(&cfg.data),
+        dir: samples_folder(&cfg.data),
         max_bytes: cfg.samples.max_bytes,
         collector: Collector::of_control(),
         store: None,
@@ -61,8 +61,8 @@
     Duty::spawn("samples", move || duty.run(rx, stop))
 }
 
-fn folder(data: &Path) -> PathBuf {
-    data.join(FOLDER)
+fn samples_folder(data: &Path) -> PathBuf {
+    data.join(SAMPLES_FOLDER)
 }
 
 struct SamplesDuty {
@@ -73,27 +73,27 @@
 }
 
 impl SamplesDuty {
-    async fn run(mut self, mut rx: Receiver<Reported>, mut stop: Stop) {
+    async fn run(mut self, mut rx: Receiver<ReceivedReport>, mut stop: Stop) {
         let mut ticks = interval(CLOSE_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 reported = rx.recv() => match reported {
-                    Some(reported) => self.take(reported),
+                    Some(reported) => self.record(reported),
                     None => return,
                 },
-                _ = ticks.tick() => self.close(unix_seconds()),
+                _ = ticks.tick() => self.close_periods(unix_seconds()),
                 () = stop.wait() => break,
             }
         }
         // A planned stop: what has come and what still waits goes to disk as it is.
         while let Some(reported) = rx.try_recv() {
-            self.take(reported);
+            self.record(reported);
         }
-        self.close(u64::MAX);
+        self.close_periods(u64::MAX);
     }
 
-    fn take(&mut self, reported: Reported) {
+    fn record(&mut self, reported: ReceivedReport) {
         let Origin {
             name, incarnation, ..
         } = &reported.origin;
@@ -101,13 +101,13 @@
             .take(unix_seconds(), name, *incarnation, reported.report);
     }
 
-    fn close(&mut self, now: u64) {
+    fn close_periods(&mut self, now: u64) {
         let periods = self.collector.close(now);
         let records: Vec<_> = periods.into_iter().flat_map(Record::of).collect();
         if records.is_empty() {
             return;
         }
-        if let Err(e) = self.keep(&records) {
+        if let Err(e) = self.append(&records) {
             // A replica whose samples can't be kept is a good replica all the same. The
             // store is opened anew with the next records.
             self.store = None;
@@ -115,7 +115,7 @@
         }
     }
 
-    fn keep(&mut self, records: &[Record]) -> Result<(), StoreError> {
+    fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let mut store = match self.store.take() {
             Some(store) => store,
             None => SampleStore::open(&self.dir, self.max_bytes)?,
@@ -132,22 +132,22 @@
 ///
 /// Fails if the folder of samples can't be read; one that isn't there is empty.
 pub fn burn_report(cfg: &ControlSettings) -> Result<Report, StoreError> {
-    Source::new(cfg).report()
+    ReportSource::new(cfg).report()
 }
 
 #[derive(Debug)]
-struct Source {
+struct ReportSource {
     cluster: String,
     objectives: Vec<ObjectiveSettings>,
     dir: PathBuf,
 }
 
-impl Source {
+impl ReportSource {
     fn new(cfg: &ControlSettings) -> Self {
         Self {
             cluster: cfg.cluster.clone(),
             objectives: cfg.objectives.clone(),
-            dir: folder(&cfg.data),
+            dir: samples_folder(&cfg.data),
         }
     }
 
@@ -163,7 +163,7 @@
 /// `/v1/report`: the burn report of this replica's samples, as JSON. Needs no lease.
 #[derive(Debug)]
 pub(crate) struct ReportPage {
-    source: Arc<Source>,
+    source: Arc<ReportSource>,
     /// The last report and when it was made. The lock lets one be made at a time: each
     /// reads up to all samples that are kept.
     last: Mutex<Option<(Instant, Bytes)>>,
@@ -172,28 +172,28 @@
 impl ReportPage {
     pub(crate) fn new(cfg: &ControlSettings) -> Self {
         Self {
-            source: Arc::new(Source::new(cfg)),
+            source: Arc::new(ReportSource::new(cfg)),
             last: Mutex::new(None),
         }
     }
 
     async fn content(&self) -> Bytes {
         let mut last = self.last.lock().await;
-        if let Some((made, content)) = &*last
-            && made.elapsed() < REPORT_REUSE
+        if let Some((built_at, content)) = &*last
+            && built_at.elapsed() < REPORT_REUSE
         {
             return content.clone();
         }
-        let content = self.make().await;
+        let content = self.build().await;
         *last = Some((Instant::now(), content.clone()));
         content
     }
 
-    async fn make(&self) -> Bytes {
+    async fn build(&self) -> Bytes {
         let source = Arc::clone(&self.source);
         // Off the duty's thread, so that acts on the table don't wait for the disk.
-        let made = tokio::task::spawn_blocking(move || source.report()).await;
-        let json = match made {
+        let built = tokio::task::spawn_blocking(move || source.report()).await;
+        let json = match built {
             Ok(Ok(report)) => serde_json::to_vec(&report).map_err(|e| e.to_string()),
             Ok(Err(e)) => Err(e.to_string()),
             Err(e) => Err(e.to_string()),
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -20,16 +20,16 @@
 
 /// Longest time that a request of an entry that fell silent may go on running: the
 /// longest deadline that entries accept.
-const LONGEST_RUN: Duration = Duration::from_secs(60);
-/// Age from which on an entry's word says nothing about now.
-const STALE: Duration = Duration::from_secs(10);
+const MAX_REQUEST_DURATION: Duration = Duration::from_secs(60);
+/// Age from which on an entry's word says nothing identity now.
+const STALE_AFTER: Duration = Duration::from_secs(10);
 
 /// What an entry has in use, by its last renewal.
 #[derive(Debug)]
 struct Usage {
     region: Region,
     demand: Vec<ServiceDemand>,
-    heard: Moment,
+    last_renewal: Moment,
 }
 
 /// Keeper of one leadership, with the readings that renewals bring.
@@ -41,22 +41,26 @@
 
 impl Shares {
     /// Takes in whether this replica leads, and in which term.
-    fn lead(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
+    fn set_term(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
         let Some(term) = term else {
             self.keeper = None;
             return;
         };
-        if self.keeper.as_ref().is_some_and(|(of, _)| *of == term) {
+        if self
+            .keeper
+            .as_ref()
+            .is_some_and(|(current, _)| *current == term)
+        {
             return;
         }
-        let mut keeper = ShareKeeper::new(now, term, LONGEST_RUN);
+        let mut keeper = ShareKeeper::new(now, term, MAX_REQUEST_DURATION);
         keeper.set_table(view());
         self.keeper = Some((term, keeper));
         self.usage.clear();
     }
 
     /// Takes in a committed table.
-    pub(crate) fn committed(&mut self, view: Arc<View>) {
+    pub(crate) fn set_table(&mut self, view: Arc<View>) {
         if let Some((_, keeper)) = &mut self.keeper {
             keeper.set_table(view);
         }
@@ -70,7 +74,7 @@
             let usage = Usage {
                 region: renew.region.clone(),
                 demand: renew.demand.clone(),
-                heard: now,
+                last_renewal: now,
             };
             self.usage.insert(from.clone(), usage);
         }
@@ -82,8 +86,8 @@
     pub(crate) fn readings(&self, now: Moment, domains: &Domains) -> Vec<RowReading> {
         let mut rows: BTreeMap<RowKey, RowReading> = BTreeMap::new();
         for usage in self.usage.values() {
-            let age = now.saturating_sub(usage.heard);
-            if age < STALE {
+            let age = now.saturating_sub(usage.last_renewal);
+            if age < STALE_AFTER {
                 usage.add_to(age, &mut rows);
             }
         }
@@ -92,13 +96,13 @@
             // The slots of some entries say nothing of what the region can carry, and
             // must not make a limit look too high; nor must those of entries that have
             // no endpoints yet.
-            let knows = self.knows_slots(now, &row.region, domains);
-            row.slots = row.slots.filter(|slots| *slots > 0 && knows);
+            let complete = self.has_all_slots(now, &row.region, domains);
+            row.slots = row.slots.filter(|slots| *slots > 0 && complete);
         }
         rows
     }
 
-    fn knows_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
+    fn has_all_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
         let Some((_, keeper)) = &self.keeper else {
             return false;
         };
@@ -143,19 +147,19 @@
 
 impl Core {
     /// Answers an entry's renewal, if this replica leads at this moment.
-    pub(super) fn take_renewal(&mut self, origin: &Origin, renew: &Renew) {
+    pub(super) fn handle_renewal(&mut self, origin: &Origin, renew: &Renew) {
         let now = self.clock.now();
-        self.keep_shares(now);
+        self.sync_share_keeper(now);
         if let Some(grant) = self.shares.renew(now, &origin.name, renew) {
             self.send(origin.addr, Body::Steer(grant));
         }
     }
 
     /// Brings the keeper in line with the lease.
-    pub(super) fn keep_shares(&mut self, now: Moment) {
+    pub(super) fn sync_share_keeper(&mut self, now: Moment) {
         let leads = self.replica.lease_until(now).is_some();
         let term = leads.then(|| self.replica.status(now).term);
         let table = &self.machine.table;
-        self.shares.lead(now, term, || Arc::new(table.view()));
+        self.shares.set_term(now, term, || Arc::new(table.view()));
     }
 }
--- a/crates/filberthead/src/control/spreading.rs
+++ b/crates/filberthead/src/control/spreading.rs
@@ -13,7 +13,7 @@
 use filberthead_types::{Epoch, FailureDomain, Moment, Region};
 
 /// Whether this replica leads, as the source wants to know it.
-pub(crate) enum Standing {
+pub(crate) enum Leadership {
     /// It does, with a lease until then.
     Leads {
         /// Its term.
@@ -73,10 +73,14 @@
     }
 
     /// Lets time pass.
-    pub(crate) fn tick(&mut self, now: Moment, standing: Standing) -> Vec<(SocketAddr, Message)> {
-        let event = match standing {
-            Standing::Leads { term, until } => Event::Lead { term, until },
-            Standing::Follows { leader } => Event::Follow { leader },
+    pub(crate) fn tick(
+        &mut self,
+        now: Moment,
+        leadership: Leadership,
+    ) -> Vec<(SocketAddr, Message)> {
+        let event = match leadership {
+            Leadership::Leads { term, until } => Event::Lead { term, until },
+            Leadership::Follows { leader } => Event::Follow { leader },
         };
         let mut out = self.step(now, event);
         out.extend(self.step(now, Event::Tick));
@@ -99,7 +103,7 @@
         for action in self.source.step(now, event) {
             match action {
                 Action::Send { to, message } => out.push((to, message)),
-                Action::Entries(members) => self.learn_domains(&members),
+                Action::Entries(members) => self.update_domains(&members),
             }
         }
         out
@@ -107,9 +111,9 @@
 
     /// The directory drops entries that fall silent. They and their endpoints may be well
     /// and just cut off, so their failure domain is kept in mind all the same.
-    fn learn_domains(&mut self, members: &[MemberInfo]) {
-        for left in members.iter().filter(|member| member.leaving) {
-            self.domains.remove(&left.failure_domain);
+    fn update_domains(&mut self, members: &[MemberInfo]) {
+        for member in members.iter().filter(|member| member.leaving) {
+            self.domains.remove(&member.failure_domain);
         }
         for member in members.iter().filter(|member| !member.leaving) {
             let domain = member.failure_domain.clone();
--- a/crates/filberthead/src/control/status.rs
+++ b/crates/filberthead/src/control/status.rs
@@ -13,10 +13,10 @@
         let now = self.clock.now();
         let replica = self.replica.status(now);
         Status {
-            cluster: self.about.cluster.clone(),
-            node: self.about.node.clone(),
+            cluster: self.identity.cluster.clone(),
+            node: self.identity.node.clone(),
             replica: self.id,
-            peer_addr: self.about.peer_addr,
+            peer_addr: self.identity.peer_addr,
             operator_addr: self.hello.operator_addr,
             role: role(&replica),
             term: replica.term,
@@ -47,7 +47,7 @@
         replica: &consensus::Status,
     ) -> ReplicaStatus {
         let registered = self.machine.table.replicas().get(&id);
-        let known = self.book.get(id);
+        let known = self.address_book.get(id);
         let progress = replica.progress.iter().find(|(other, _)| *other == id);
         ReplicaStatus {
             id,
@@ -65,7 +65,9 @@
         if id == self.id {
             return Some(self.hello.operator_addr);
         }
-        self.book.get(id).and_then(|known| known.operator_addr)
+        self.address_book
+            .get(id)
+            .and_then(|known| known.operator_addr)
     }
 }
 
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -74,7 +74,7 @@
 /// Origin and delay of the updates of one message, for the log.
 struct UpdateSource {
     from: SocketAddr,
-    /// Age of the update at its arrival, and the questions that it took.
+    /// Time from the first announcement of the update, and the requests made for it.
     delay: Delay,
     /// Version stamp of the endpoint list that is now held.
     listed: Stamp,
