--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -16,7 +16,7 @@
 
 use super::core::Core;
 use super::handle::{AdapterRequest, PublishedState};
-use super::orders::{OrderOrigin, ReadOrigin, WaitingRequest};
+use super::orders::{OrderOrigin, ReadOrigin, Waiting};
 
 /// How often a replica asks the leader for a newer list of endpoints, in case the push
 /// was lost.
@@ -50,7 +50,7 @@
 pub(crate) struct Fleet {
     pub(super) registry: Registry,
     pub(super) auto_membership: Option<AutoMembership>,
-    pub(super) waiting: Vec<(Moment, WaitingRequest)>,
+    pub(super) waiting: Vec<(Moment, Waiting)>,
     pub(super) next_token: u64,
     pub(super) led_since: Option<Moment>,
     /// When learners were first seen in this leadership.
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -47,7 +47,7 @@
 }
 
 /// Something that waits for a leader, for its word, or for the log.
-pub(super) enum WaitingRequest {
+pub(super) enum Waiting {
     Order(Order, OrderOrigin),
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// An order passed on under this token.
@@ -72,7 +72,7 @@
         self.next_token
     }
 
-    fn enqueue(&mut self, now: Moment, request: WaitingRequest) {
+    fn enqueue(&mut self, now: Moment, request: Waiting) {
         if self.waiting.len() >= MAX_WAITING {
             fail(request, OrderError::Busy);
             return;
@@ -80,10 +80,7 @@
         self.waiting.push((now + MAX_WAIT, request));
     }
 
-    fn take_waiting(
-        &mut self,
-        matches: impl Fn(&WaitingRequest) -> bool,
-    ) -> Option<WaitingRequest> {
+    fn take_waiting(&mut self, matches: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let position = self
             .waiting
             .iter()
@@ -97,8 +94,7 @@
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
             if self.is_forming(now) {
-                self.fleet
-                    .enqueue(now, WaitingRequest::Order(order, origin));
+                self.fleet.enqueue(now, Waiting::Order(order, origin));
                 return;
             }
             self.propose_order(order, origin).await;
@@ -108,12 +104,9 @@
             (Some(leader), OrderOrigin::Local(reply)) => {
                 let token = self.fleet.new_token();
                 self.send(leader, Body::Fleet(Message::Order { token, order }));
-                self.fleet
-                    .enqueue(now, WaitingRequest::Forwarded(token, reply));
+                self.fleet.enqueue(now, Waiting::Forwarded(token, reply));
             }
-            (_, origin) => self
-                .fleet
-                .enqueue(now, WaitingRequest::Order(order, origin)),
+            (_, origin) => self.fleet.enqueue(now, Waiting::Order(order, origin)),
         }
     }
 
@@ -157,8 +150,9 @@
         token: u64,
         result: Result<(), OrderError>,
     ) {
-        let matches_token = |request: &WaitingRequest| matches!(request, WaitingRequest::Forwarded(sent_token, _) if *sent_token == token);
-        if let Some(WaitingRequest::Forwarded(_, reply)) = self.fleet.take_waiting(matches_token) {
+        let matching =
+            |item: &Waiting| matches!(item, Waiting::Forwarded(sent, _) if *sent == token);
+        if let Some(Waiting::Forwarded(_, reply)) = self.fleet.take_waiting(matching) {
             let _ = reply.send(result);
         }
     }
@@ -174,15 +168,14 @@
         }
         match self.leader_addr(now) {
             Some(leader) => self.query_leader(now, leader, UnprovenRead::Read(reply)),
-            None => self.fleet.enqueue(now, WaitingRequest::Read(reply)),
+            None => self.fleet.enqueue(now, Waiting::Read(reply)),
         }
     }
 
     fn query_leader(&mut self, now: Moment, leader: SocketAddr, read: UnprovenRead) {
         let token = self.fleet.new_token();
         self.send(leader, Body::Fleet(Message::Newest { token }));
-        self.fleet
-            .enqueue(now, WaitingRequest::LeaderQuery(token, read));
+        self.fleet.enqueue(now, Waiting::LeaderQuery(token, read));
     }
 
     /// Asks the leader for request proves the routes held here to gateways that report here.
@@ -233,25 +226,23 @@
         token: u64,
         result: Result<u64, OrderError>,
     ) {
-        let matches_token = |request: &WaitingRequest| matches!(request, WaitingRequest::LeaderQuery(sent_token, _) if *sent_token == token);
-        let Some(WaitingRequest::LeaderQuery(_, read)) = self.fleet.take_waiting(matches_token)
-        else {
+        let matching =
+            |item: &Waiting| matches!(item, Waiting::LeaderQuery(sent, _) if *sent == token);
+        let Some(Waiting::LeaderQuery(_, read)) = self.fleet.take_waiting(matching) else {
             return;
         };
         match result {
             Ok(index) if index <= self.applied => self.complete_read(read),
-            Ok(index) => self
-                .fleet
-                .enqueue(now, WaitingRequest::AwaitingApply(index, read)),
+            Ok(index) => self.fleet.enqueue(now, Waiting::AwaitingApply(index, read)),
             Err(e) => read.fail(e),
         }
     }
 
     pub(super) fn complete_applied_reads(&mut self) {
         let applied = self.applied;
-        let caught_up = |request: &WaitingRequest| matches!(request, WaitingRequest::AwaitingApply(index, _) if *index <= applied);
-        while let Some(WaitingRequest::AwaitingApply(_, read)) = self.fleet.take_waiting(caught_up)
-        {
+        let caught_up =
+            |item: &Waiting| matches!(item, Waiting::AwaitingApply(index, _) if *index <= applied);
+        while let Some(Waiting::AwaitingApply(_, read)) = self.fleet.take_waiting(caught_up) {
             self.complete_read(read);
         }
     }
@@ -261,7 +252,7 @@
         let (expired, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
         for (_, request) in expired {
             let error = match request {
-                WaitingRequest::Forwarded(..) => OrderError::OutcomeUnknown,
+                Waiting::Forwarded(..) => OrderError::OutcomeUnknown,
                 _ => OrderError::NoLeader,
             };
             fail(request, error);
@@ -271,17 +262,15 @@
         if !may_lead && self.leader_addr(now).is_none() {
             return;
         }
-        let is_held = |request: &WaitingRequest| {
-            matches!(request, WaitingRequest::Order(..) | WaitingRequest::Read(_))
-        };
+        let is_held = |item: &Waiting| matches!(item, Waiting::Order(..) | Waiting::Read(_));
         let mut retried = Vec::new();
         while let Some(request) = self.fleet.take_waiting(is_held) {
             retried.push(request);
         }
         for request in retried {
             match request {
-                WaitingRequest::Order(order, origin) => self.order(order, origin).await,
-                WaitingRequest::Read(reply) => self.read_routes(reply).await,
+                Waiting::Order(order, origin) => self.order(order, origin).await,
+                Waiting::Read(reply) => self.read_routes(reply).await,
                 _ => {}
             }
         }
@@ -300,21 +289,18 @@
     }
 }
 
-fn fail(request: WaitingRequest, error: OrderError) {
+fn fail(request: Waiting, error: OrderError) {
     // Whoever asked may have gone; nobody else needs the answer.
     match request {
-        WaitingRequest::Order(_, OrderOrigin::Local(reply))
-        | WaitingRequest::Forwarded(_, reply) => {
+        Waiting::Order(_, OrderOrigin::Local(reply)) | Waiting::Forwarded(_, reply) => {
             let _ = reply.send(Err(error));
         }
-        WaitingRequest::Read(reply) => {
+        Waiting::Read(reply) => {
             let _ = reply.send(Err(error));
         }
-        WaitingRequest::LeaderQuery(_, read) | WaitingRequest::AwaitingApply(_, read) => {
-            read.fail(error)
-        }
+        Waiting::LeaderQuery(_, read) | Waiting::AwaitingApply(_, read) => read.fail(error),
         // The replica that passed it on gives up by itself.
-        WaitingRequest::Order(_, OrderOrigin::Replica { .. }) => {}
+        Waiting::Order(_, OrderOrigin::Replica { .. }) => {}
     }
 }
 
