--- a/crates/filberthead/src/control/address_book.rs
+++ b/crates/filberthead/src/control/address_book.rs
@@ -1,9 +1,9 @@
-//! Where the control replicas are reached.
+//! Addresses of the control replicas.
 //!
-//! A replica's identity lies in its data folder, its address in settings. The two meet
-//! when a replica is heard from: each message carries both. Settings name whom to greet
-//! at start; the replicated table names those that joined later, so that a replica that
-//! replaced another one is found without anybody's settings being edited.
+//! A replica's identity is stored in its data folder, its address comes from its settings. Each
+//! message carries both, so the mapping is learned when a replica is heard from. Settings name
+//! the replicas to contact at start; the replicated table and log name those that joined later,
+//! so that a replacement is found without editing settings anywhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 /// What is known of another replica.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownReplica {
-    /// Where it takes messages.
+    /// Address for messages of peers.
     pub(crate) addr: SocketAddr,
-    /// Its administration API, once it has said so.
+    /// Address of its administration API; `None` until it has announced it.
     pub(crate) operator_addr: Option<SocketAddr>,
-    /// When it was last heard from.
+    /// When a message from it last arrived; `None` if none has since this process started.
     pub(crate) last_seen: Option<Moment>,
 }
 
-/// Addresses by identity.
+/// Addresses by replica id.
 #[derive(Debug, Default)]
 pub(crate) struct AddressBook {
     own_addr: Option<SocketAddr>,
     configured: BTreeSet<SocketAddr>,
     known: BTreeMap<ReplicaId, KnownReplica>,
-    /// Where a leader is that others have told of and that wasn't heard yet.
+    /// Address of a leader that another replica has named and that hasn't been heard from yet.
     leader_hint: Option<SocketAddr>,
 }
 
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Adds addresses of changed settings.
+    /// Adds the addresses of reloaded settings.
     pub(crate) fn configure(&mut self, addrs: impl IntoIterator<Item = SocketAddr>) {
         self.configured.extend(addrs);
     }
 
-    /// Takes in that a replica was heard from.
+    /// Records a message from a replica and the address it came from.
     pub(crate) fn record_contact(&mut self, now: Moment, origin: &Origin) {
         let Some(id) = origin.replica else {
             return;
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Takes in what a replica says about itself, and of a leader that isn't known here. Says
-    /// whether it told of one.
+    /// Records what a replica announces of itself and of the leader. Returns whether it named a
+    /// leader that hasn't been heard from and wasn't the hint already.
     pub(crate) fn record_hello(&mut self, id: ReplicaId, hello: &HelloInfo) -> bool {
         if let Some(known) = self.known.get_mut(&id) {
             known.operator_addr = Some(hello.operator_addr);
@@ -88,7 +88,7 @@
         true
     }
 
-    /// Takes in a registration from the replicated table.
+    /// Adds a replica registered in the replicated table.
     pub(crate) fn add_registered(
         &mut self,
         id: ReplicaId,
@@ -98,7 +98,7 @@
         if self.own_addr == Some(addr) {
             return;
         }
-        // What a replica says itself is newer than what was registered for it.
+        // An address that the replica itself has announced is newer.
         self.known.entry(id).or_insert(KnownReplica {
             addr,
             operator_addr: Some(operator_addr),
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Takes in an address from the replicated log.
+    /// Adds a replica's address from the replicated log.
     pub(crate) fn add_located(&mut self, id: ReplicaId, addr: SocketAddr) {
         if self.own_addr == Some(addr) {
             return;
@@ -118,17 +118,17 @@
         });
     }
 
-    /// Every known replica, as the keeping of membership sees it.
+    /// All known replicas with the time they were last seen, for the membership policy.
     pub(crate) fn contacts(&self) -> impl Iterator<Item = (ReplicaId, Contact)> + '_ {
         self.known.iter().map(|(id, known)| (*id, known.into()))
     }
 
-    /// What is known of a replica.
+    /// Returns what is known of a replica.
     pub(crate) fn get(&self, id: ReplicaId) -> Option<&KnownReplica> {
         self.known.get(&id)
     }
 
-    /// Whether some replica to greet has not been heard from yet.
+    /// Whether some discovery target hasn't been heard from yet.
     pub(crate) fn has_unseen_replicas(&self) -> bool {
         let contacted = |addr: &SocketAddr| {
             let mut known = self.known.values();
@@ -137,12 +137,13 @@
         !self.discovery_targets().iter().all(contacted)
     }
 
-    /// Forgets a leader that others told of and that was never heard.
+    /// Drops the address of a leader that another replica has named.
     pub(crate) fn clear_leader_hint(&mut self) {
         self.leader_hint = None;
     }
 
-    /// Everybody to greet: all replicas that there may be, and a leader that others told of.
+    /// Addresses to send hellos to: all configured and known replicas, and the leader that
+    /// another replica has named.
     pub(crate) fn discovery_targets(&self) -> BTreeSet<SocketAddr> {
         let mut addrs = self.replicas();
         addrs.extend(self.leader_hint);
--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -1,4 +1,5 @@
-//! The operators duty: the administration API over the consensus duty.
+//! The operators duty: serves the administration API and passes its requests to the consensus
+//! duty.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -56,15 +57,15 @@
     }
 }
 
-/// Hands operators' acts to the consensus duty.
+/// Passes operators' requests to the consensus duty.
 struct AdminHandle {
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
 }
 
 impl AdminHandle {
-    /// Hands an act over and waits for its word. `lost` is what it means if the
-    /// consensus duty ends with the act in its hands.
+    /// Sends a request and waits for its result. Returns `lost` if the consensus duty ends before
+    /// it replies.
     async fn ask<T, E: Into<AdministrationError>>(
         &self,
         make: impl FnOnce(oneshot::Sender<Result<T, E>>) -> AdminRequest,
@@ -143,7 +144,8 @@
 
     fn readings(&self) -> BoxFuture<'_, Vec<RowReading>> {
         Box::pin(async {
-            // Without a status nothing is known, which the caller takes for unchecked.
+            // Without a status there are no readings; the caller then treats the change as
+            // unchecked.
             self.status()
                 .await
                 .map_or_else(|_| Vec::new(), |status| status.rows)
--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of entries on homes of idempotency keys.
+//! Claims of entries to take over a home of idempotency keys.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use super::core::{Core, Pending};
 use super::machine::Entry;
 
-/// Claims in the log whose verdict isn't committed yet. Further ones are dropped; each
-/// is repeated until its verdict has come.
+/// Most claims whose verdict isn't committed yet. Further ones are dropped; an entry repeats its
+/// claim until it gets the verdict.
 const MAX_PENDING: usize = 1024;
 
 impl Core {
-    /// Answers a claim with its verdict, or puts it into the log.
+    /// Replies to a claim with its verdict, or else proposes it.
     ///
-    /// A verdict that was applied here is committed and never changes, so a replica may
-    /// tell it without a lease.
+    /// A verdict that was applied here is committed and never changes, so a replica may send it
+    /// without holding the lease.
     pub(super) async fn handle_claim(&mut self, origin: &Origin, claim: Claim) {
         if self.send_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
             return;
@@ -33,7 +33,7 @@
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Sends the verdict on a claim if there is one.
+    /// Sends the verdict on a claim, if there is one. Returns whether there is.
     pub(super) fn send_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
         let Some(verdict) = self.machine.verdicts.get(claim) else {
             return false;
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -1,9 +1,8 @@
-//! The consensus duty: the replica's step function joined to disk, peers and operators.
+//! The consensus duty: connects the replica's state machine to disk, peers and operators.
 //!
-//! Everything that this duty knows it owns alone. Its invariant: an operator is told
-//! "accepted" only on the replica's word that the entry is committed, and is shown the
-//! table only on the replica's word that its lease is valid at this moment, so a process
-//! that was suspended or cut off can't answer from what it remembers.
+//! It owns all of its state. Its invariant: an operator is sent "accepted" only once the replica
+//! reports the entry as committed, and the table only once it reports that its lease is valid at
+//! that moment. So a process that was suspended or cut off can't answer from stale state.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -40,14 +39,14 @@
 /// A quarter of the default heartbeat.
 const TICK: Duration = Duration::from_millis(50);
 const METRICS_PERIOD: Duration = Duration::from_secs(1);
-/// How often the replica makes itself known while it has not heard from all others.
+/// Interval of hellos to the other replicas while some of them haven't been heard from.
 const DISCOVERY_HELLO_PERIOD: Duration = Duration::from_secs(1);
-/// How often it makes itself known otherwise, for those that restarted.
+/// Interval of hellos otherwise, for replicas that have restarted.
 const STEADY_HELLO_PERIOD: Duration = Duration::from_secs(5);
-/// How long the duty waits between two looks at a disk that is behind.
+/// Interval at which the duty retries while the queue to the disk duty is full.
 const DISK_QUEUE_RETRY: Duration = Duration::from_millis(1);
 
-/// What waits for the replica's word.
+/// Requests that wait for the outcome of a proposal or read.
 pub(super) enum Pending {
     Submit(oneshot::Sender<Result<Outcome, SubmitError>>),
     Read(oneshot::Sender<Result<Arc<Table>, SubmitError>>),
@@ -56,22 +55,22 @@
         to: SocketAddr,
         claim: Claim,
     },
-    /// An operator's order identity routes or evacuations.
+    /// An operator's order about routes or evacuations.
     Order(OrderOrigin),
-    /// A proof that what is applied here is the newest.
+    /// A read of the routes, or of the newest applied index.
     RoutesRead(ReadOrigin),
-    /// A change of the leader's own accord, made again until it is done.
+    /// A change that the leader proposes by itself and repeats until it is done.
     NoReply,
 }
 
-/// What this replica says identity itself to operators.
+/// Identity of this replica, as shown to operators.
 pub(crate) struct Identity {
     pub(crate) cluster: String,
     pub(crate) node: NodeName,
     pub(crate) peer_addr: SocketAddr,
 }
 
-/// What the duty starts with.
+/// Everything the duty needs at start.
 pub(crate) struct Parts {
     pub(crate) id: ReplicaId,
     pub(crate) clock: Clock,
@@ -108,14 +107,15 @@
     pub(super) disk: Sender<DiskJob>,
     pub(super) gauges: Gauges,
     pub(super) fleet: Fleet,
-    /// Counts how often the data folder has failed and come back.
+    /// Number of recoveries of the data folder; jobs of earlier epochs are dropped.
     disk_epoch: u64,
-    /// Whether the data folder can't be written; the replica takes no part until it can.
+    /// Whether the data folder can't be written. The replica takes no part in consensus
+    /// meanwhile.
     disk_failed: bool,
 }
 
 impl Core {
-    /// Takes over what was found in the data folder.
+    /// Starts from what was loaded from the data folder.
     pub(crate) fn new(parts: Parts) -> Self {
         let now = parts.clock.now();
         let applied = parts.durable.snapshot.index;
@@ -154,10 +154,10 @@
         core
     }
 
-    /// Runs until the process stops or nobody is left to feed the ring.
+    /// Runs until the process stops or all senders of inputs are gone.
     pub(crate) async fn run(mut self, mut rx: Receiver<Input>, mut stop: Stop) {
         if self.fleet.should_found_group() {
-            // A folder that holds a group already answers that it does.
+            // Fails without effect if the folder already holds a group.
             let (reply, _) = oneshot::channel();
             self.initialise(reply).await;
         }
@@ -254,7 +254,7 @@
             Body::Fleet(message) => self.handle_fleet_message(&origin, message).await,
             Body::Steer(Steer::Renew(renew)) => self.handle_renewal(&origin, &renew),
             Body::Ledger(Message::Claim(claim)) => self.handle_claim(&origin, claim).await,
-            // Samples have a duty of their own.
+            // Samples are handled by a duty of their own.
             Body::Steer(_) | Body::Ledger(_) | Body::Quarantine(_) | Body::Samples(_) => {}
         }
     }
@@ -267,7 +267,7 @@
                 self.step(Event::Read { token }).await;
             }
             AdminRequest::Status { reply } => {
-                // The operator may have gone; nobody else needs the answer.
+                // The operator may have disconnected; then nothing needs the reply.
                 let _ = reply.send(self.status());
             }
             AdminRequest::Members { proposal, reply } => {
@@ -301,8 +301,8 @@
     }
 
     async fn initialise(&mut self, reply: oneshot::Sender<Result<(), InitialiseError>>) {
-        // A group of several was made by its members' agreement. To this replica the
-        // request looks like a resend, but whoever sends it takes the group for new.
+        // Only agreement among its members can have made a group of several. Here the request
+        // would look like a resend, but its sender takes the group for new.
         let now = self.clock.now();
         if self.replica.status(now).members.voters.len() > 1 {
             let _ = reply.send(Err(InitialiseError::AlreadyInitialised));
@@ -318,7 +318,7 @@
 
     fn initialised(&mut self, durable: Durable) {
         let now = self.clock.now();
-        // A resent initialisation finds the replica at work and must not set it back.
+        // A resent request reaches a replica that is already running, which must not be reset.
         if self.replica.status(now).last_index > 0 {
             return;
         }
@@ -338,8 +338,8 @@
         }
     }
 
-    /// Without a disk nothing may be promised, so the replica says nothing at all: the
-    /// others take it for one that is down.
+    /// Drops the event. Without a disk nothing may be promised, so the replica sends nothing and
+    /// the others treat it as down.
     fn step_without_disk(&mut self, event: Event) {
         if let Event::Propose { token, .. } | Event::Read { token } = event {
             self.fail_pending(token, ProposeError::NotLeader { leader: None });
@@ -355,8 +355,8 @@
         self.outcomes.clear();
     }
 
-    /// Begins anew from the data folder, as a restarted process would. What was spread
-    /// before stays spread: it was committed.
+    /// Restarts the replica from the data folder, as a new process would. What was distributed
+    /// before stays valid: it was committed.
     fn disk_recovered(&mut self, epoch: u64, durable: Durable) {
         let now = self.clock.now();
         self.disk_failed = false;
@@ -389,8 +389,8 @@
         };
         match postcard::from_bytes(&buf) {
             Ok(command) => self.apply_command(entry.index, &command),
-            // Only a newer program writes what this one can't read. Going on would give
-            // this replica another table than the others, so it goes no further.
+            // Only a newer version of the program writes what this one can't decode. Skipping the
+            // entry would make this replica's state diverge, so the process aborts.
             Err(e) => {
                 error!(index = entry.index, error:% = e; "a committed command can't be read");
                 std::process::abort();
@@ -404,7 +404,7 @@
         let Applied::Table(outcome) = applied else {
             return;
         };
-        // Only operators of this replica wait for outcomes.
+        // Only requests made at this replica wait for outcomes.
         if !self.pending.is_empty() {
             self.outcomes.insert(index, outcome);
         }
@@ -494,7 +494,7 @@
             Some(Pending::Members(reply)) => {
                 let _ = reply.send(Err(error));
             }
-            // The entry repeats its claim, to the leader if it knows it by then.
+            // The entry repeats its claim, by then perhaps to the leader.
             Some(Pending::Claim { .. } | Pending::NoReply) | None => {}
         }
     }
@@ -509,8 +509,8 @@
         self.spreading.set_replicas(replicas);
     }
 
-    /// Comes before the answer to the operator, so that whoever was told "accepted"
-    /// finds the version on its way.
+    /// Called before the reply to the operator, so that a version is already being distributed
+    /// when its acceptance is reported.
     fn spread_committed(&mut self, now: Moment) {
         let view = Arc::new(self.machine.table.view());
         self.shares.set_table(Arc::clone(&view));
@@ -531,7 +531,7 @@
     }
 
     pub(super) fn send(&mut self, to: SocketAddr, body: Body) {
-        // A full ring drops the message; its protocol repeats what it needs answered.
+        // Dropped if the queue is full; the protocol repeats what needs an answer.
         let _ = self.out.push(Outgoing { to, body });
     }
 
@@ -550,9 +550,9 @@
     }
 }
 
-/// Learns where replicas are from entries that nobody has yet said are committed. An
-/// address is a hint and may be wrong; but without any, replicas that start together after
-/// a power cut could not find each other to say what is committed.
+/// Loads replica addresses from log entries that may not be committed. An address is only a hint
+/// and may be wrong, but without any, replicas that start together after a power cut could not
+/// find each other to learn what is committed.
 fn load_addresses_from_log(address_book: &mut AddressBook, durable: &Durable) {
     for entry in &durable.entries {
         let Payload::Command(buf) = &entry.payload else {
@@ -570,7 +570,7 @@
     }
     match postcard::from_bytes(&snapshot.data) {
         Ok(machine) => machine,
-        // The checksum held, so only another program version wrote this. Starting from an
+        // The checksum is valid, so another version of the program wrote this. Starting from an
         // empty table would revert every accepted change.
         Err(e) => {
             error!(index = snapshot.index, error:% = e; "the snapshot can't be read");
--- a/crates/filberthead/src/control/discovery.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -1,4 +1,4 @@
-//! How replicas make themselves known to each other.
+//! Peer discovery: hellos between control replicas.
 
 use std::net::SocketAddr;
 
@@ -23,8 +23,9 @@
         }
     }
 
-    /// A replica that is no member is told at once where the leader is: it greets whom its
-    /// settings name, and only a leader that hears it takes it in.
+    /// Handles a hello. One from a replica that isn't a member is answered at once with the
+    /// leader's address: it contacts only the replicas of its settings, and only a leader that
+    /// has heard from it can add it.
     pub(super) fn handle_hello(
         &mut self,
         now: Moment,
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -1,9 +1,9 @@
-//! The disk duty: the only one that waits for the disk.
+//! The disk duty: the only one that waits for the log's disk.
 //!
-//! A disk that is full or failing takes the replica out, but not the process: the replica
-//! loses all that it believes, as in a restart, and begins anew from the folder once that
-//! can be written again. Ending the process instead would have it started over and over
-//! for as long as the disk is full.
+//! A full or failing disk takes the replica out of service, but doesn't end the process. The
+//! replica drops its in-memory state, as in a restart, and starts again from the data folder once
+//! that is writable. Ending the process instead would have it restarted over and over for as long
+//! as the disk is full.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// How often a failed folder is tried again.
+/// How often a failed data folder is opened again.
 const REOPEN_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long the disk must have been idle before a note is kept: orders come in storms, and
-/// each waits for the log's sync while only the last note counts.
+/// How long the disk must be idle before a note is written: orders come in bursts, each waits for
+/// the log's sync, and only the last note counts.
 const NOTE_DELAY: Duration = Duration::from_millis(20);
 
-/// Which folder it is.
+/// Location and cluster name of the data folder.
 #[derive(Clone, Debug)]
 pub(crate) struct DataFolder {
     pub(crate) folder: PathBuf,
@@ -58,7 +58,7 @@
     disk: Option<Disk>,
     data_folder: DataFolder,
     epoch: u64,
-    /// The newest note that isn't kept yet.
+    /// The newest note that isn't written yet.
     note: Option<Vec<u8>>,
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
@@ -83,7 +83,7 @@
 
     async fn run_job(&mut self, job: DiskJob) {
         let Some(disk) = &mut self.disk else {
-            // What was promised on the strength of it never left the replica.
+            // No reply that depends on this job has been sent.
             return;
         };
         let result = match job {
@@ -107,7 +107,7 @@
                     }
                     Err(e) => Err(InitialiseError::Storage(e.to_string())),
                 };
-                // The operator may have gone; a resend gets the same answer.
+                // The operator may have disconnected; a resend gets the same answer.
                 let _ = reply.send(answer);
                 match result {
                     Err(StorageError::BootstrapConflict { .. }) => Ok(None),
@@ -134,8 +134,8 @@
         }
     }
 
-    /// After a failed sync nobody knows what the disk holds, and asking again may falsely
-    /// succeed, so the open files are given up.
+    /// After a failed sync it is unknown what the disk holds, and another sync may falsely
+    /// succeed, so the open files are closed.
     async fn fail(&mut self, error: &StorageError) {
         error!(error:% = error, cause:? = std::error::Error::source(error);
             "the data folder failed");
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -1,5 +1,5 @@
-//! What spreads to gateways: the fleet's [`Registry`] joined to the replica; and the state
-//! that orders, reads and the keeping of membership share.
+//! Distribution of routes, evacuations and the endpoint list to gateways: connects the fleet's
+//! [`Registry`] to the replica. Also holds the state that orders, reads and membership share.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,50 +18,51 @@
 use super::handle::{AdapterRequest, PublishedState};
 use super::orders::{OrderOrigin, ReadOrigin, Waiting};
 
-/// How often a replica asks the leader for a newer list of endpoints, in case the push
-/// was lost.
+/// How often a replica asks the leader for a newer endpoint list, in case a push was lost.
 const LIST_REQUEST_PERIOD: Duration = Duration::from_millis(1000);
 
-/// How often a replica tells the others of the gateways that report to it: twice in a
-/// gateway's report period, so that what they know of it is hardly older.
+/// How often a replica sends the others the gateways that report to it: twice per report period
+/// of a gateway, so that their data is hardly older.
 const GATEWAY_RELAY_PERIOD: Duration = Duration::from_millis(250);
-/// How often the leader is asked to prove routes to the gateways that report here.
+/// How often a replica asks the leader to prove its routes, on behalf of the gateways that report
+/// to it.
 const PROOF_PERIOD: Duration = Duration::from_millis(150);
 
-/// Term of a list that was read by a replica that doesn't lead and had none.
+/// Term of an endpoint list read by a replica that wasn't the leader and had no list.
 const NO_TERM: u64 = 0;
-/// How long a replica that starts waits for a leader's list before it reads its own.
+/// How long a starting replica waits for a leader's endpoint list before it reads the platform's
+/// list itself.
 const LEADER_LIST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Unknown services that the log names: entries of the list that another program writes may
-/// make up as many as they like.
+/// Most unknown services to log. The endpoint list is written by another program and may contain
+/// any number of them.
 const MAX_LOGGED_SERVICES: usize = 64;
 
-/// How the group keeps itself.
+/// Settings of a group that changes its membership by itself.
 #[derive(Clone, Debug)]
 pub(crate) struct AutoMembership {
-    /// Replicas that may be lost at once.
+    /// Number of replicas that may fail at the same time.
     pub(crate) tolerated_failures: usize,
-    /// Whether this replica begins the group.
+    /// Whether this replica creates the group.
     pub(crate) is_founder: bool,
 }
 
-/// State of this part of the duty.
+/// State of gateway distribution, orders, reads and membership.
 pub(crate) struct Fleet {
     pub(super) registry: Registry,
     pub(super) auto_membership: Option<AutoMembership>,
     pub(super) waiting: Vec<(Moment, Waiting)>,
     pub(super) next_token: u64,
     pub(super) led_since: Option<Moment>,
-    /// When learners were first seen in this leadership.
+    /// When each learner was first seen among the members, in this leadership.
     pub(super) learner_since: BTreeMap<ReplicaId, Moment>,
     next_list: Moment,
     next_gateway_relay: Moment,
     next_proof: Moment,
     published: watch::Sender<PublishedState>,
-    /// What members of the group were last seen as, for the log.
+    /// The leader and members last logged.
     logged_membership: (Option<ReplicaId>, Members),
-    /// Services of endpoints that the log says no route goes to.
+    /// Services logged as having endpoints but no route.
     logged_unserved: BTreeSet<ServiceName>,
 }
 
@@ -74,8 +75,8 @@
             registry: Registry::default(),
             auto_membership,
             waiting: Vec::new(),
-            // A word on what this replica passed on before it was restarted may still come,
-            // and must not be taken for the word on something else.
+            // Random, so that a late reply to a request from before a restart isn't taken for the
+            // reply to another one.
             next_token: rand::random(),
             led_since: None,
             learner_since: BTreeMap::new(),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// One line for each service that the list names and the routes in force don't.
+    /// Logs each service, once, that has endpoints but no route.
     fn log_unserved(&mut self) {
         for (service, endpoints) in self.registry.unserved() {
             if self.logged_unserved.len() < MAX_LOGGED_SERVICES
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Whether nobody has begun the group yet and this replica is to.
+    /// Whether this replica is to create the group.
     pub(super) fn should_found_group(&self) -> bool {
         self.auto_membership
             .as_ref()
@@ -108,7 +109,7 @@
 }
 
 impl Core {
-    /// Takes a request of an adapter.
+    /// Handles a request of an adapter.
     pub(super) async fn handle_adapter_request(&mut self, req: AdapterRequest) {
         match req {
             AdapterRequest::Order { order, reply } => {
@@ -126,7 +127,7 @@
         let term = if replica.holds_lease {
             replica.term.0
         } else if before.seq == 0 {
-            // Any leader's list, older ones included, takes the place of this one.
+            // Superseded by any leader's list, even an older one.
             NO_TERM
         } else {
             return;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Takes a message of a gateway or another replica.
+    /// Handles a message from a gateway or another replica.
     pub(super) async fn handle_fleet_message(&mut self, origin: &Origin, message: Message) {
         let now = self.clock.now();
         match message {
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Comes after each committed entry, before anybody is told of its outcome.
+    /// Distributes what the applied entries have changed. Called after each entry, before its
+    /// outcome is reported.
     pub(super) fn distribute_orders(&mut self, now: Moment) {
         let newest = self.machine.routes.newest().cloned();
         let revision = self.machine.routes_revision;
@@ -203,7 +205,8 @@
         self.complete_applied_reads();
     }
 
-    /// Membership, waiting orders, lists and what is shown.
+    /// Periodic work: membership, waiting orders and reads, the endpoint list, proofs and the
+    /// published state.
     pub(super) async fn tick_fleet(&mut self, now: Moment) {
         self.update_replica_addresses();
         self.update_leadership(now);
@@ -231,7 +234,7 @@
         let is_member = replica.members.voters.contains(&self.id)
             || replica.members.learners.contains(&self.id);
         if is_member {
-            // Whoever leads has taken this replica in and knows where it is.
+            // The leader has added this replica, so it has this replica's address.
             self.address_book.clear_leader_hint();
         }
         let membership = (replica.leader, replica.members);
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Address of the leader, if that is another replica.
+    /// Address of the leader; `None` if it is this replica or unknown.
     pub(super) fn leader_addr(&self, now: Moment) -> Option<SocketAddr> {
         let leader = self.replica.status(now).leader?;
         let known = self
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Tells the other replicas of the gateways that report here.
+    /// Sends the other replicas the gateways that report here.
     fn relay_gateways(&mut self, now: Moment) {
         if now < self.fleet.next_gateway_relay {
             return;
--- a/crates/filberthead/src/control/gauges.rs
+++ b/crates/filberthead/src/control/gauges.rs
@@ -1,4 +1,4 @@
-//! What the control replica counts, and the page that shows it.
+//! Metrics of the control replica, and the page that serves them.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::core::Core;
 use crate::peers::totals;
 
-/// Metrics and the counters that they pass on.
+/// The metrics, and the transport's counters that are copied into them.
 #[derive(Clone, Debug)]
 pub(crate) struct Gauges {
     pub(crate) metrics: Arc<ControlMetrics>,
@@ -19,7 +19,7 @@
 }
 
 impl Core {
-    /// Brings the metrics up to date.
+    /// Updates the metrics from the replica's state.
     pub(super) fn update_metrics(&self, now: Moment) {
         let metrics = &self.gauges.metrics;
         let replica = self.replica.status(now);
@@ -38,7 +38,7 @@
 
     fn update_entry_metrics(&self, now: Moment) {
         let version = self.machine.table.version();
-        // Entries report to the leader only; another replica knows no version of them.
+        // Entries report to the leader only; other replicas have no versions of theirs.
         let entries = self.spreading.entries(now);
         let reported: Vec<_> = entries.iter().filter_map(|entry| entry.version).collect();
         let behind = reported.iter().filter(|reported| **reported < version);
--- a/crates/filberthead/src/control/handle.rs
+++ b/crates/filberthead/src/control/handle.rs
@@ -1,8 +1,8 @@
-//! What an adapter to operators, callers and the platform may ask of a control replica.
+//! The interface of a control replica to its adapters.
 //!
-//! An adapter speaks somebody's protocol and decides nothing: it hands orders and lists
-//! in here and asks for what is in force. Its threads never touch the state of the
-//! consensus duty.
+//! An adapter translates an external protocol (of operators, callers or the platform) and decides
+//! nothing: it submits orders and endpoint lists, and asks for the routes in force. Its thread
+//! never touches the state of the consensus duty.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,24 +16,24 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// What a control replica shows to adapters at any moment, without being asked.
+/// State that adapters can read at any time, without a request to the consensus duty.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedState {
     /// The gateways that callers may be sent to.
     pub gateways: Arc<[GatewayInfo]>,
-    /// Whether this replica is to read the platform's list: while it leads, or while it
-    /// knows neither a leader nor any list.
+    /// Whether this replica is to poll the platform's endpoint list: while it leads, or while it
+    /// has neither a list nor a known leader.
     pub polls_endpoint_list: bool,
 }
 
-/// Hands orders to a control replica and asks it.
+/// Submits orders and reads to the consensus duty. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     tx: Sender<Input>,
     published: watch::Receiver<PublishedState>,
 }
 
-/// A request to the consensus duty, with the way back.
+/// A request to the consensus duty, with the channel for its reply.
 #[derive(Debug)]
 pub(crate) enum AdapterRequest {
     /// Carry out an order.
@@ -41,11 +41,11 @@
         order: Order,
         reply: oneshot::Sender<Result<(), OrderError>>,
     },
-    /// Tell the routes in force, proved newest.
+    /// Return the routes in force, proven to be the newest.
     Routes {
         reply: oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>,
     },
-    /// Take in the platform's list, read while this replica led.
+    /// Store the platform's endpoint list.
     EndpointList(Vec<Endpoint>),
 }
 
@@ -54,39 +54,38 @@
         Self { tx, published }
     }
 
-    /// Carries out an order. `Ok` means that a majority has it on disk, for good.
+    /// Carries out an order. `Ok` means that it is committed: a majority has it on disk.
     ///
     /// # Errors
     ///
-    /// None of the errors is a refusal. The same order may be sent again, to any replica;
-    /// it takes effect at most once.
+    /// No error means that the order was rejected. It may be sent again, to any replica, and
+    /// takes effect at most once.
     pub async fn order(&self, order: Order) -> Result<(), OrderError> {
         let (reply, rx) = oneshot::channel();
         self.push(AdapterRequest::Order { order, reply })?;
         rx.await.unwrap_or(Err(OrderError::OutcomeUnknown))
     }
 
-    /// The routes in force, if there are any. They are the newest at some moment after
-    /// the call.
+    /// The routes in force, if any. They are the newest as of some moment after the call.
     ///
     /// # Errors
     ///
-    /// Fails if that can't be proved, for want of a leader or of a way to it.
+    /// Fails if that can't be proven, because there is no leader or it can't be reached.
     pub async fn routes(&self) -> Result<Option<Arc<Change>>, OrderError> {
         let (reply, rx) = oneshot::channel();
         self.push(AdapterRequest::Routes { reply })?;
         rx.await.unwrap_or(Err(OrderError::NoLeader))
     }
 
-    /// Hands in the platform's list. It counts only while this replica leads; one that
-    /// finds no room is dropped, for the next one is read soon.
+    /// Submits the platform's endpoint list. It is ignored unless this replica is to poll it, and
+    /// dropped if the queue is full; the next one is read soon.
     pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
         if self.push(AdapterRequest::EndpointList(list)).is_err() {
             log::warn!("a list of endpoints is dropped, the consensus duty is behind");
         }
     }
 
-    /// What the replica shows at this moment.
+    /// The state published last.
     pub fn published(&self) -> PublishedState {
         self.published.borrow().clone()
     }
@@ -98,12 +97,12 @@
     }
 }
 
-/// Speaks somebody's protocol on a thread of its own.
+/// A front end for an external protocol, on a thread of its own.
 pub trait Adapter: Send {
     /// Name of the adapter's thread, and of its address in the `ready` line.
     fn name(&self) -> &'static str;
 
-    /// Where it listens, if it does.
+    /// The address it listens on; `None` if it doesn't listen.
     fn addr(&self) -> Option<SocketAddr>;
 
     /// Runs until the process stops.
--- a/crates/filberthead/src/control/input.rs
+++ b/crates/filberthead/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the consensus duty, and the rings that bring it.
+//! Inputs of the consensus duty, and the queues to it and to the disk duty.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,104 +14,104 @@
 use super::handle::AdapterRequest;
 use super::samples::ReceivedReport;
 
-/// Inputs that wait for the consensus duty. When full, messages of peers are dropped,
-/// which their protocols repeat, and operators are refused before anything is logged.
-/// The disk's reports wait for room instead, since nothing repeats them.
+/// Capacity of the queue to the consensus duty. When it is full, messages of peers are dropped,
+/// which their protocols repeat, and operators' requests are rejected before anything is logged.
+/// The disk duty waits for room instead, since nothing repeats its reports.
 const INPUT_CAPACITY: usize = 8192;
 
-/// Batches that wait for the disk. When full the consensus duty waits for the disk
-/// before it takes anything else: a promise must not leave before it is synced, so a
-/// replica with a stuck disk has nothing else to do.
+/// Capacity of the queue to the disk duty. When it is full the consensus duty waits before it
+/// handles anything else: nothing may be promised before it is synced, so a replica with a stuck
+/// disk has nothing else to do.
 const DISK_JOB_CAPACITY: usize = 1024;
 
-/// Something for the consensus duty.
+/// An input of the consensus duty.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// A message of another process.
+    /// A message from another process.
     Peer {
         /// Its sender.
         origin: Origin,
-        /// What it says.
+        /// Its content.
         body: Body,
     },
-    /// An act of an operator.
+    /// A request of an operator.
     Admin(AdminRequest),
-    /// Whom to greet besides, by settings that have changed.
+    /// More addresses to send hellos to, from reloaded settings.
     Seeds(Vec<SocketAddr>),
     /// A request of an adapter.
     Adapter(AdapterRequest),
     /// All batches up to this one are synced.
     Persisted {
-        /// Its number.
+        /// Sequence number of the batch.
         seq: u64,
     },
     /// The data folder failed: nothing is synced any more.
     DiskFailed,
-    /// The data folder works again; this is what it holds.
+    /// The data folder works again.
     DiskRecovered {
-        /// Number that jobs carry from now on.
+        /// Epoch of the disk jobs from now on.
         epoch: u64,
-        /// Its content.
+        /// Content of the folder.
         durable: Durable,
     },
     /// The data folder now holds the initial membership.
     Initialised(Durable),
 }
 
-/// An act of an operator, with the way back.
+/// A request of an operator, with the channel for its reply.
 #[derive(Debug)]
 pub(crate) enum AdminRequest {
     /// Put a command into the log.
     Submit {
         /// The command.
         command: Command,
-        /// Its outcome.
+        /// Receives its outcome.
         reply: oneshot::Sender<Result<Outcome, SubmitError>>,
     },
     /// Read the table under the lease.
     Read {
-        /// The table as of now.
+        /// Receives the current table.
         reply: oneshot::Sender<Result<Arc<Table>, SubmitError>>,
     },
-    /// Tell the state of this replica and what it knows of others; needs no lease.
+    /// Return the state of this replica and what it knows of others; needs no lease.
     Status {
-        /// The state.
+        /// Receives the state.
         reply: oneshot::Sender<Status>,
     },
     /// Change the membership.
     Members {
         /// The change.
         proposal: Proposal,
-        /// How it ended.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), SubmitError>>,
     },
     /// Make this replica the only voter of a new group.
     Initialise {
-        /// How it ended.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), InitialiseError>>,
     },
 }
 
-/// Why an act didn't take place, or may have.
+/// Why a request has failed, or may have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SubmitError {
     /// This replica holds no lease.
     NotLeader {
-        /// Administration API of the leader, if known.
+        /// Address of the leader's administration API, if known.
         leader: Option<SocketAddr>,
     },
     /// The membership can't be changed like this now.
     MembershipRefused,
     /// The learner has not caught up.
     LearnerBehind,
-    /// It is in the log and may take place yet.
+    /// The request is in the log and may still be committed.
     OutcomeUnknown,
-    /// The duty has no room; nothing was logged.
+    /// The replica is overloaded; nothing was logged.
     Busy,
 }
 
 impl SubmitError {
-    /// Adds the leader's address to what the replica says.
+    /// Converts the replica's error, adding the leader's address.
     pub(crate) fn from_propose(
         error: ProposeError,
         address: impl Fn(ReplicaId) -> Option<SocketAddr>,
@@ -128,48 +128,48 @@
     }
 }
 
-/// Why the first membership was not made.
+/// Why the initial membership was not created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum InitialiseError {
-    /// The data folder already belongs to another membership.
+    /// The data folder already belongs to a group.
     AlreadyInitialised,
     /// The data folder failed.
     Storage(String),
 }
 
-/// Something for the disk duty.
+/// A job of the disk duty.
 #[derive(Debug)]
 pub(crate) enum DiskJob {
-    /// Sync a batch and report it.
+    /// Write and sync a batch, and report it.
     Persist {
-        /// Tells batches of the replica that was started from the folder's present
-        /// content from those of one before it, which must not be written.
+        /// Number of recoveries of the data folder when the job was queued. Jobs of earlier
+        /// epochs belong to a replica that has been replaced, and must not be written.
         epoch: u64,
         /// The batch.
         persist: Persist,
     },
-    /// Keep a note for the next start, once there is nothing more urgent.
+    /// Save a note for the next start, once the disk is idle.
     WriteNote(Vec<u8>),
-    /// Make the first membership.
+    /// Create the initial membership.
     Initialise {
         /// The only voter, which is this replica.
         members: Members,
-        /// How it ended.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), InitialiseError>>,
     },
 }
 
-/// Makes the ring into the consensus duty.
+/// Creates the queue to the consensus duty.
 pub(crate) fn input_queue() -> (Sender<Input>, Receiver<Input>) {
     ring(INPUT_CAPACITY)
 }
 
-/// Makes the ring into the disk duty.
+/// Creates the queue to the disk duty.
 pub(crate) fn disk_queue() -> (Sender<DiskJob>, Receiver<DiskJob>) {
     ring(DISK_JOB_CAPACITY)
 }
 
-/// Hands messages of peers to the duty that they are for.
+/// Dispatches messages of peers to the duty that handles them.
 #[derive(Debug)]
 pub(crate) struct MessageDispatch {
     pub(crate) consensus: Sender<Input>,
@@ -178,7 +178,7 @@
 
 impl Deliver for MessageDispatch {
     fn deliver(&mut self, origin: Origin, body: Body) {
-        // A full ring drops the message; its protocol repeats what it needs answered.
+        // Dropped if the queue is full; the protocol repeats what needs an answer.
         if let Body::Samples(report) = body {
             let _ = self.samples.push(ReceivedReport { origin, report });
         } else {
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -1,10 +1,10 @@
-//! The replicated state machine: the operators' table, and verdicts on homes of keys.
+//! The replicated state machine: the operators' table, verdicts on homes of idempotency keys,
+//! routes, evacuations and replica addresses.
 //!
-//! All share the log because all need the same promise: what is committed is never
-//! taken back. Verdicts stand beside the table and not in it, since they have no version
-//! and aren't spread: only the two entries concerned want to know. Routes and evacuations
-//! are numbered by the index of the entry that changed them, which every replica knows
-//! alike.
+//! All share the log because all need the same guarantee: what is committed is never undone.
+//! Verdicts are separate from the table since they have no version and aren't distributed: only
+//! the two entries concerned need them. The revision of routes and evacuations is the index of
+//! the entry that last changed them, which is the same on every replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,17 +17,17 @@
 use filberthead_types::{FailureDomain, ReplicaId};
 use serde::{Deserialize, Serialize};
 
-/// What a log entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Entry {
-    /// An act of an operator.
+    /// A change of the table by an operator.
     Table(Command),
-    /// One of two entries that have lost each other asks to go on alone.
+    /// An entry's claim to continue alone after it lost contact with another one.
     Claim(Claim),
     /// An operator's order about routes or evacuations.
     Order(Order),
-    /// Where a replica takes messages, so that all members find it after a restart.
+    /// The address of a replica, so that all members find it after a restart.
     ReplicaAddress {
         /// The replica.
         id: ReplicaId,
@@ -36,14 +36,14 @@
     },
 }
 
-/// What came of an entry.
+/// Result of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// Of an operator's act.
+    /// Of a command on the table.
     Table(Outcome),
     /// Of a claim.
     Claim(Verdict),
-    /// Of an order, or of a location: nothing to tell, both always hold.
+    /// Of an order or an address, which always succeed.
     NoOutcome,
 }
 
@@ -51,24 +51,24 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Machine {
-    /// The table; shared with those who were shown it.
+    /// The table, shared with its readers.
     pub(crate) table: Arc<Table>,
-    /// Who went on, by home and config.
+    /// Which entry continued, by home and config.
     pub(crate) verdicts: Verdicts,
     /// The routes in force.
     pub(crate) routes: Held,
     /// Index of the entry that put them in force; 0 for none.
     pub(crate) routes_revision: u64,
-    /// Failure domains whose endpoints are to get nothing.
+    /// Failure domains whose endpoints get no requests.
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     /// Index of the entry that last changed that set; 0 for none.
     pub(crate) evacuated_revision: u64,
-    /// Where replicas take messages.
+    /// Addresses of replicas, for messages of peers.
     pub(crate) replica_addresses: BTreeMap<ReplicaId, SocketAddr>,
 }
 
 impl Machine {
-    /// Applies the entry at `index`; every replica comes to the same result.
+    /// Applies the entry at `index`, with the same result on every replica.
     pub(crate) fn apply(&mut self, index: u64, entry: &Entry) -> Applied {
         match entry {
             Entry::Table(command) => {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// An order that changes nothing, being sent again or overtaken, keeps the revision.
+    /// Applies an order. One that changes nothing, because it is a resend or superseded, keeps
+    /// the revision.
     fn apply_order(&mut self, index: u64, order: &Order) {
         match order {
             Order::Routes(change) => {
--- a/crates/filberthead/src/control/membership.rs
+++ b/crates/filberthead/src/control/membership.rs
@@ -1,4 +1,5 @@
-//! The group keeps its membership: [`membership_policy`] decides, the leader's replica carries it out.
+//! Automatic membership: [`membership_policy`] decides on the next change, the leader proposes
+//! it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,7 +13,8 @@
 use super::membership_policy::{self, Contact, Step, View};
 
 impl Core {
-    /// Tells everybody where replicas are that the log names.
+    /// Passes the replica addresses in the log to the address book, and the complete list to the
+    /// gateways.
     pub(super) fn update_replica_addresses(&mut self) {
         for (id, addr) in &self.machine.replica_addresses {
             self.address_book.add_located(*id, *addr);
@@ -57,7 +59,7 @@
             Step::Idle => {}
             Step::RecordAddress(id, addr) => self.propose_replica_address(id, addr).await,
             Step::Change(proposal) => {
-                // Asked again at each tick until it is done, so its outcome is not awaited.
+                // Proposed again at each tick until it is done, so the outcome isn't awaited.
                 let token = self.add_pending(Pending::NoReply);
                 self.step(Event::Propose { token, proposal }).await;
             }
--- a/crates/filberthead/src/control/membership_policy.rs
+++ b/crates/filberthead/src/control/membership_policy.rs
@@ -1,14 +1,14 @@
-//! Which change of membership a leader makes next, when the group keeps itself.
+//! Decides which membership change the leader makes next, in a group with automatic membership.
 //!
-//! Replicas that make themselves known are taken in as learners and vote once they hold
-//! all that is committed. A voter removable only when another replica stands in for it: one
-//! that has its address, which means that its disk was lost, or a learner that has caught
-//! up while the voter has been silent. Without a stand-in a silent voter stays, because it
-//! may come back with its disk, and its copy counts until then.
+//! A replica that sends hellos is added as a learner and promoted once it holds everything
+//! committed. A voter is removed only when another replica can replace it: one that has its
+//! address, which means that the voter's disk was lost, or a learner that has caught up while the
+//! voter has been silent. Without a replacement a silent voter stays, because it may return with
+//! its disk, and its copy of the log counts until then.
 //!
-//! Invariant: the group never shrinks below what it tolerates on purpose; a removal is
-//! followed by the promotion of the stand-in, and consensus refuses both unless a
-//! majority of the outcome answers at this moment.
+//! Invariant: the group never shrinks below its fault tolerance on purpose. A removal is followed
+//! by the promotion of the replacement, and consensus refuses both unless a majority of the
+//! resulting members is responding at that moment.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,30 +17,30 @@
 use filberthead_consensus::{Members, Proposal};
 use filberthead_types::{Moment, ReplicaId};
 
-/// Most voters. A change waits for the slowest of a majority, and at seven any three may
-/// be lost; further replicas learn and stand by.
+/// Most voters. A commit waits for the slowest of a majority, and with seven any three may fail;
+/// further replicas stay learners.
 pub(crate) const MAX_VOTERS: usize = 7;
-/// Learners that catch up at the same time: each is sent the whole state.
+/// Most learners that catch up at the same time: each is sent the whole state.
 const MAX_CATCHING_UP: usize = 2;
-/// Silence after which a replica isn't taken in, or counted as a stand-in.
+/// Silence after which a replica isn't added, promoted or counted as a replacement.
 const ALIVE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Silence after which a voter may be replaced by a learner that stands by: longer than a
-/// restart takes, and short enough that the group is whole again seconds after a loss.
+/// Silence after which a voter may be replaced by a learner: longer than a restart takes, and
+/// short enough that the group is complete again seconds after a loss.
 const LOST_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A replica as its leader sees it.
+/// A replica as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Contact {
-    /// Where it takes messages.
+    /// Its address for messages of peers.
     pub(crate) addr: SocketAddr,
-    /// When it was last heard; `None` if never in this life of the leader's process.
+    /// When it was last heard from; `None` if never since the leader's process started.
     pub(crate) last_seen: Option<Moment>,
 }
 
-/// What to do next.
+/// The next step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Nothing for now.
+    /// Nothing to do.
     Idle,
     /// Put a replica's address into the log.
     RecordAddress(ReplicaId, SocketAddr),
@@ -48,24 +48,24 @@
     Change(Proposal),
 }
 
-/// What the decision is made from.
+/// The state that the decision is made from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct View<'a> {
     pub(crate) now: Moment,
-    /// Since when this replica has led.
+    /// Since when this replica has been the leader.
     pub(crate) led_since: Moment,
     pub(crate) own_id: ReplicaId,
     pub(crate) members: &'a Members,
-    /// Other replicas that were heard of.
+    /// All replicas that have an address, including this one.
     pub(crate) contacts: &'a BTreeMap<ReplicaId, Contact>,
     pub(crate) addresses: &'a BTreeMap<ReplicaId, SocketAddr>,
     /// When each learner was first seen among the members, in this leadership.
     pub(crate) learner_since: &'a BTreeMap<ReplicaId, Moment>,
-    /// Learners that hold all that is committed.
+    /// Learners that hold everything committed.
     pub(crate) caught_up: &'a [ReplicaId],
 }
 
-/// Decides the next step.
+/// Decides on the next step.
 pub(crate) fn next_step(view: View<'_>) -> Step {
     view.record_address()
         .or_else(|| view.add_learner())
@@ -80,8 +80,9 @@
         id == self.own_id || last_seen.is_some_and(|at| self.now < at + ALIVE_TIMEOUT)
     }
 
-    /// Silent for so long that it is taken for lost. A new leader hasn't heard anybody
-    /// yet, so silence counts from the beginning of its leadership at the earliest.
+    /// Whether a replica has been silent for so long that it counts as lost. A new leader hasn't
+    /// heard from anybody yet, so silence counts from the start of its leadership at the
+    /// earliest.
     fn is_lost(&self, id: ReplicaId) -> bool {
         let last_seen = self.contacts.get(&id).and_then(|contact| contact.last_seen);
         let since = last_seen.unwrap_or(self.led_since).max(self.led_since);
@@ -133,10 +134,9 @@
         }
     }
 
-    /// Whether a caught-up replica with another identity has its address since: its data
-    /// folder is lost, and the identity can never come back. It must go before the other
-    /// one votes, however lately it was heard, or the group would count a voter more that
-    /// never answers.
+    /// Whether a caught-up replica with another id now has this one's address: the data folder is
+    /// lost, and this id can never return. It must be removed before the new replica is promoted,
+    /// however recently it was heard from; else the group would have a voter that never responds.
     fn is_replaced(&self, id: ReplicaId) -> bool {
         let Some(addr) = self.addresses.get(&id) else {
             return false;
@@ -152,10 +152,10 @@
         ready.any(|other| self.is_alive(*other))
     }
 
-    /// Whether a voter hasn't been heard since this learner was taken in, and doesn't count as
-    /// gone yet. The learner waits for either: made a further voter before, as the successor of
-    /// a VM that is gone for good comes within a second, it leaves nobody to stand in for that
-    /// one, and the group counts a voter more that never answers.
+    /// Whether a learner must wait to be promoted because a voter, not heard from since the
+    /// learner was added, may still turn out to be lost. The successor of a VM that is gone for
+    /// good arrives within a second; promoted at once, it couldn't replace that VM's voter any
+    /// more, and the group would have a voter that never responds.
     fn is_reserved_as_replacement(&self, learner: ReplicaId) -> bool {
         let Some(added_at) = self.learner_since.get(&learner) else {
             return true;
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -1,9 +1,15 @@
-//! The control replica: replicated table, membership, administration API.
+//! The control replica: replicated table, membership and administration API.
 //!
-//! Duties: `consensus` owns the replica and the table, `disk` is the only one that waits
-//! for the log's disk, `peer-send` and `peer-recv` carry messages, `operators` serves
-//! HTTP, `samples` keeps what the burn report is made from.
-//! Operators' acts go through the consensus duty, which alone can say what is accepted.
+//! It runs these duties, one thread each:
+//!
+//! - `consensus` owns the replica and the table;
+//! - `disk` is the only one that waits for the log's disk;
+//! - `peer-send` and `peer-recv` send and receive messages of peers;
+//! - `operators` serves the administration API over HTTP;
+//! - `samples` stores the data of the burn report;
+//! - each adapter has a duty of its own.
+//!
+//! Operators' requests go through the consensus duty, which alone decides what is accepted.
 
 mod address_book;
 mod admin;
@@ -52,69 +58,69 @@
 pub use self::handle::{Adapter, ControlHandle, PublishedState};
 pub use self::samples::burn_report;
 
-/// Why a control replica can't start, or ended other than by a planned stop.
+/// Why a control replica failed to start, or ended other than by a planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ControlError {
     /// The data folder can't be used.
     #[snafu(display("the data folder can't be used"))]
     Storage {
-        /// How.
+        /// The storage error.
         source: StorageError,
     },
-    /// Peers can't be listened for.
+    /// The transport can't listen for peers.
     #[snafu(display("peers can't be listened for"))]
     Transport {
-        /// How.
+        /// The transport's error.
         source: TransportError,
     },
-    /// Operators can't be listened for.
+    /// The administration API can't listen.
     #[snafu(display("operators can't be listened for on {addr}"))]
     Operators {
         /// The address.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The tokens file can't be used.
     #[snafu(display("the tokens file can't be used"))]
     Tokens {
-        /// How.
+        /// The error of the file.
         source: filberthead_operator::TokenSourceError,
     },
     /// A duty can't be started.
     #[snafu(display("a duty can't be started"))]
     Start {
-        /// Which.
+        /// Which duty, and why.
         source: DutyError,
     },
     /// The `ready` line can't be written.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// No runtime for the supervisor.
+    /// The supervisor's runtime can't be started.
     #[snafu(display("can't start a runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The process ended by a fault.
+    /// A duty ended by itself or panicked.
     #[snafu(display("the process ended by a fault"))]
     Supervise {
-        /// Which.
+        /// Which duty, and how.
         source: SuperviseError,
     },
 }
 
-/// Runs a control replica until it is asked to end. Each adapter gets a thread of its own;
-/// `seeds` reads the group's seeds anew when the settings have changed.
+/// Runs a control replica until the process is asked to stop. Each adapter gets a thread of its
+/// own. `seeds` reads the seed addresses of the group again after a reload of the settings
+/// (SIGHUP).
 ///
 /// # Errors
 ///
-/// Fails if it can't start, or if one of its duties ends by itself, which a failed disk
-/// causes on purpose.
+/// Fails if the replica can't start, or if one of its duties ends by itself.
 pub fn run(
     cfg: &ControlSettings,
     adapters: Vec<Box<dyn Adapter>>,
@@ -130,7 +136,8 @@
     let reload = move || {
         let seeds = seeds();
         info!(seeds:? = seeds; "settings reloaded");
-        // With the duty behind, what it knows of others is newer than any seed.
+        // Dropped if the queue is full: what the duty has learned of other replicas is newer than
+        // any seed.
         let _ = input.push(Input::Seeds(seeds));
     };
     let ended = supervise(duties, signals, source, reload, || std::future::ready(()));
@@ -232,15 +239,15 @@
     Ok((duties, input_tx))
 }
 
-/// Whom to greet at start.
+/// Addresses to send hellos to at start.
 fn discovery_seeds(cfg: &ControlSettings) -> Vec<SocketAddr> {
     let named = cfg.replicas.iter().map(|replica| replica.peer_addr);
     let seeds = cfg.group.iter().flat_map(|group| group.seeds.clone());
     named.chain(seeds).collect()
 }
 
-/// All replicas of a new system are given the same seeds, so just one of them finds itself
-/// first among them.
+/// Reads how the group maintains its membership. All replicas of a new system have the same
+/// seeds, so exactly one of them finds itself first in the list and founds the group.
 fn auto_membership(cfg: &ControlSettings, own: SocketAddr) -> Option<AutoMembership> {
     cfg.group.as_ref().map(|group| AutoMembership {
         tolerated_failures: group.tolerate,
--- a/crates/filberthead/src/control/note.rs
+++ b/crates/filberthead/src/control/note.rs
@@ -1,4 +1,4 @@
-//! The note of what is in force, for the next start.
+//! The note of routes and evacuations, saved for the next start.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use super::fleet::Fleet;
 use super::input::DiskJob;
 
-/// What was in force, for gateways that start together with this replica. A replica that
-/// starts knows its log but not how much of it is committed, and learns that only from the
-/// next leader; until then gateways would have nothing to serve by. All that is noted here
-/// was committed once, so it never has to be taken back; it may be overtaken.
+/// Routes and evacuations in force, for gateways that start together with this replica. A
+/// starting replica knows its log but not how much of it is committed, and learns that only from
+/// the next leader; until then gateways would have no routes. What the note holds was committed,
+/// so it never has to be revoked; it may be superseded.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct Note {
-    /// The change, and its revision.
+    /// The change that put the routes in force, and its revision.
     routes: Option<(u64, Arc<Change>)>,
     evacuated: BTreeSet<FailureDomain>,
     evacuated_revision: u64,
 }
 
 impl Fleet {
-    /// Takes up what was in force when this replica last ran.
+    /// Restores what was in force when this replica last ran.
     pub(crate) fn restore_note(&mut self, now: Moment, encoded: Option<&[u8]>) {
         let Some(encoded) = encoded else {
             return;
@@ -34,12 +34,12 @@
         let note: Note = match postcard::from_bytes(encoded) {
             Ok(note) => note,
             Err(e) => {
-                // Another version of the program wrote it; the log has all that counts.
+                // Another version of the program wrote it; the log holds all that is needed.
                 warn!(error:% = e; "the note of what was in force can't be read");
                 return;
             }
         };
-        // Nobody has reported yet, so there is nobody to tell.
+        // No gateway has reported yet, so nothing is to be sent.
         if let Some((revision, change)) = note.routes {
             info!(version = change.version, revision; "routes were in force before the start");
             let table = Arc::new(change.table.clone());
@@ -52,8 +52,8 @@
 }
 
 impl Core {
-    /// Has the disk duty keep what is in force. With its ring full it is dropped: the disk
-    /// is far behind then, and the next change is noted again.
+    /// Queues the note for the disk duty. It is dropped if the queue is full: the disk is far
+    /// behind then, and the next change writes a new note.
     pub(super) fn save_note(&mut self) {
         let routes = self.machine.routes.newest().cloned();
         let note = Note {
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -1,8 +1,9 @@
-//! Orders of operators identity routes and evacuations, and reads of request is in force.
+//! Operators' orders about routes and evacuations, and reads of what is in force.
 //!
-//! Any replica takes an order or a read. One that doesn't lead passes it on to the leader
-//! and waits for its word; one that knows no leader holds it for a moment, since an
-//! election is usually over within a second, and then says that it can't tell.
+//! Any replica accepts an order or a read. One that isn't the leader forwards it to the leader
+//! and waits for the result. One that knows no leader holds it for a moment, since an election
+//! usually ends within a second, and then reports that the outcome is unknown or that there is no
+//! leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,48 +22,48 @@
 use super::machine::Entry;
 use super::membership_policy::MAX_VOTERS;
 
-/// How long an order or read waits for a leader, or for the leader's word. An operator
-/// waits a second for an answer; after that a expired one would be lost on it.
+/// How long an order or read waits for a leader, or for the leader's reply. Operators give up
+/// after a second, so a later reply would be lost.
 const MAX_WAIT: Duration = Duration::from_millis(850);
-/// Orders and reads that wait here at the same time.
+/// Most orders and reads that wait at the same time.
 const MAX_WAITING: usize = 256;
-/// How long a group in the making may hold back orders. A group whose VMs never come up
-/// in full has to work with those that did.
+/// How long a group that is being formed may hold back orders. If some of its VMs never start,
+/// the group has to work with the others.
 const FORMATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Whom the word on an order goes to.
+/// Where the result of an order goes.
 pub(super) enum OrderOrigin {
     /// An adapter in this process.
     Local(oneshot::Sender<Result<(), OrderError>>),
-    /// A replica that passed it on.
+    /// The replica that forwarded it, under this token.
     Replica { to: SocketAddr, token: u64 },
 }
 
-/// Whom the word on the newest state goes to.
+/// Where the result of a read goes.
 pub(super) enum ReadOrigin {
     /// An adapter in this process.
     Local(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// A replica that passed it on.
+    /// The replica that forwarded it, under this token.
     Replica { to: SocketAddr, token: u64 },
 }
 
-/// Something that waits for a leader, for its word, or for the log.
+/// A request that waits for a leader, for the leader's reply, or for the log to be applied.
 pub(super) enum Waiting {
     Order(Order, OrderOrigin),
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// An order passed on under this token.
+    /// An order forwarded to the leader under this token.
     Forwarded(u64, oneshot::Sender<Result<(), OrderError>>),
-    /// What was asked of the leader under this token.
+    /// A read that waits for the leader's reply under this token.
     LeaderQuery(u64, UnprovenRead),
-    /// What may be answered once the log is applied up to this index.
+    /// A read that can be answered once the log is applied up to this index.
     AwaitingApply(u64, UnprovenRead),
 }
 
-/// What a replica that doesn't lead answers once the leader has told request is the newest.
+/// A read on a follower, which needs the leader's newest index before it can be answered.
 pub(super) enum UnprovenRead {
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// Questions of gateways.
+    /// Requests of gateways to prove their routes.
     Questions(Vec<Question>),
 }
 
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Whether the group is still too small to keep request it accepts through as many
-    /// losses as it is to tolerate.
+    /// Whether the group still has too few voters for the number of failures that it is to
+    /// tolerate, and hasn't had the time to form.
     fn is_forming(&self, now: Moment) -> bool {
         let Some(auto_membership) = &self.fleet.auto_membership else {
             return false;
@@ -133,7 +134,7 @@
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Gives the word on an order to whoever asked.
+    /// Sends the result of an order to its origin.
     pub(super) fn finish_order(&mut self, origin: OrderOrigin, result: Result<(), OrderError>) {
         match origin {
             OrderOrigin::Local(reply) => {
@@ -178,8 +179,8 @@
         self.fleet.enqueue(now, Waiting::LeaderQuery(token, read));
     }
 
-    /// Asks the leader for request proves the routes held here to gateways that report here.
-    /// Without a leader they get no proof, and ask others.
+    /// Asks the leader for the index that proves the routes held here, for the gateways that
+    /// report here. Without a leader they get no proof, and ask other replicas.
     pub(super) fn request_proofs(&mut self, now: Moment) {
         let questions = self.fleet.registry.take_questions();
         let leader = self.leader_addr(now).filter(|_| !questions.is_empty());
@@ -191,7 +192,7 @@
     fn complete_read(&mut self, read: UnprovenRead) {
         match read {
             UnprovenRead::Read(reply) => {
-                // Whoever asked may have gone; nobody else needs the answer.
+                // The receiver may be gone; nothing else needs the reply.
                 let _ = reply.send(Ok(self.machine.routes.newest().cloned()));
             }
             UnprovenRead::Questions(questions) => {
@@ -206,8 +207,8 @@
         self.step(Event::Read { token }).await;
     }
 
-    /// Gives the word on a read: as the lease stands at this moment, all that was ever
-    /// accepted is applied here.
+    /// Sends the result of a read: as the lease is valid now, everything ever accepted is applied
+    /// here.
     pub(super) fn finish_read(&mut self, origin: ReadOrigin, result: Result<(), OrderError>) {
         match origin {
             ReadOrigin::Local(reply) => {
@@ -290,7 +291,7 @@
 }
 
 fn fail(request: Waiting, error: OrderError) {
-    // Whoever asked may have gone; nobody else needs the answer.
+    // The receiver may be gone; nothing else needs the reply.
     match request {
         Waiting::Order(_, OrderOrigin::Local(reply)) | Waiting::Forwarded(_, reply) => {
             let _ = reply.send(Err(error));
@@ -299,12 +300,12 @@
             let _ = reply.send(Err(error));
         }
         Waiting::LeaderQuery(_, read) | Waiting::AwaitingApply(_, read) => read.fail(error),
-        // The replica that passed it on gives up by itself.
+        // The replica that forwarded it times out by itself.
         Waiting::Order(_, OrderOrigin::Replica { .. }) => {}
     }
 }
 
-/// What a failed proposal means to whoever ordered it.
+/// The error of an order whose proposal failed.
 pub(super) fn order_error(error: ProposeError) -> OrderError {
     match error {
         ProposeError::OutcomeUnknown => OrderError::OutcomeUnknown,
--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -1,8 +1,8 @@
-//! The samples duty: adds up what entries count, keeps it on disk, and the page that
-//! makes the burn report of it.
+//! The samples duty, which aggregates the counts reported by entries and stores them, and the
+//! page that builds the burn report from them.
 //!
-//! It has a thread and a ring of its own, apart from the replicated log: samples may be
-//! lost, and neither their number nor a slow disk is to hold up consensus.
+//! It has a thread and a queue of its own, apart from the replicated log: samples may be lost,
+//! and neither their number nor a slow disk may delay consensus.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -24,24 +24,24 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// Reports of relays that wait. When full, further ones are dropped: a relay repeats each
-/// period in its next report, and what is lost all the same shows as missing.
+/// Capacity of the queue of reports. When it is full, further ones are dropped: a relay repeats
+/// each period in its next report, and what is lost anyway shows as missing.
 const REPORT_QUEUE_CAPACITY: usize = 2048;
-/// How often it looks for periods that have waited long enough.
+/// How often the duty looks for periods that are old enough to be stored.
 const CLOSE_PERIOD: Duration = Duration::from_secs(5);
-/// How long a report is given out again: samples come once a minute.
+/// How long a burn report is cached: samples come once a minute.
 const REPORT_REUSE: Duration = Duration::from_secs(5);
 /// Folder of samples inside the data folder.
 const SAMPLES_FOLDER: &str = "samples";
 
-/// What entries counted, and who reports it.
+/// Counts of entries, and the process that sent them.
 #[derive(Debug)]
 pub(crate) struct ReceivedReport {
     pub(crate) origin: Origin,
     pub(crate) report: SampleReport,
 }
 
-/// Makes the ring into the samples duty.
+/// Creates the queue to the samples duty.
 pub(crate) fn report_queue() -> (Sender<ReceivedReport>, Receiver<ReceivedReport>) {
     ring(REPORT_QUEUE_CAPACITY)
 }
@@ -86,7 +86,7 @@
                 () = stop.wait() => break,
             }
         }
-        // A planned stop: what has come and what still waits goes to disk as it is.
+        // Planned stop: everything received or still queued is stored, complete or not.
         while let Some(reported) = rx.try_recv() {
             self.record(reported);
         }
@@ -108,8 +108,8 @@
             return;
         }
         if let Err(e) = self.append(&records) {
-            // A replica whose samples can't be kept is a good replica all the same. The
-            // store is opened anew with the next records.
+            // A replica that can't store samples still works otherwise. The store is opened again
+            // for the next records.
             self.store = None;
             warn!(error:% = e, lost = records.len(); "samples can't be kept");
         }
@@ -126,11 +126,11 @@
     }
 }
 
-/// Makes the burn report of the samples in a replica's data folder, as of now.
+/// Builds the burn report from the samples in a replica's data folder, as of now.
 ///
 /// # Errors
 ///
-/// Fails if the folder of samples can't be read; one that isn't there is empty.
+/// Fails if the samples folder can't be read; a missing one counts as empty.
 pub fn burn_report(cfg: &ControlSettings) -> Result<Report, StoreError> {
     ReportSource::new(cfg).report()
 }
@@ -164,8 +164,8 @@
 #[derive(Debug)]
 pub(crate) struct ReportPage {
     source: Arc<ReportSource>,
-    /// The last report and when it was made. The lock lets one be made at a time: each
-    /// reads up to all samples that are kept.
+    /// The last report and when it was built. The lock allows one build at a time, since each
+    /// reads up to all stored samples.
     last: Mutex<Option<(Instant, Bytes)>>,
 }
 
@@ -191,7 +191,7 @@
 
     async fn build(&self) -> Bytes {
         let source = Arc::clone(&self.source);
-        // Off the duty's thread, so that acts on the table don't wait for the disk.
+        // Not on the duty's thread, so that changes of the table don't wait for the disk.
         let built = tokio::task::spawn_blocking(move || source.report()).await;
         let json = match built {
             Ok(Ok(report)) => serde_json::to_vec(&report).map_err(|e| e.to_string()),
@@ -219,7 +219,7 @@
 }
 
 fn unix_seconds() -> u64 {
-    // A clock before 1970 is wrong in any case; the collector bears wrong clocks.
+    // A clock before 1970 is wrong in any case; the collector tolerates wrong clocks.
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -1,9 +1,8 @@
-//! Leases of endpoints, limits and shift caps, granted to entries.
+//! Grants entries their leases of endpoints, their limits and their shift caps.
 //!
-//! The keeper lives only as long as one leadership. It answers while this replica's
-//! lease is valid and says nothing otherwise, so a deposed leader that doesn't know it
-//! yet can't raise a share that the new one has given to somebody else. A new keeper
-//! first waits out what the one before may have granted.
+//! A share keeper lives for one leadership. It replies only while this replica's lease is valid,
+//! so a deposed leader that isn't aware of it can't raise a share that the new leader has granted
+//! to another entry. A new keeper first waits until grants of its predecessor have expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,13 +17,13 @@
 use super::core::Core;
 use super::spreading::Domains;
 
-/// Longest time that a request of an entry that fell silent may go on running: the
-/// longest deadline that entries accept.
+/// Longest time that a request of a silent entry may go on running: the longest deadline that
+/// entries accept.
 const MAX_REQUEST_DURATION: Duration = Duration::from_secs(60);
-/// Age from which on an entry's word says nothing identity now.
+/// Age from which on an entry's renewal says nothing about its present usage.
 const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// What an entry has in use, by its last renewal.
+/// What an entry uses, by its last renewal.
 #[derive(Debug)]
 struct Usage {
     region: Region,
@@ -32,7 +31,7 @@
     last_renewal: Moment,
 }
 
-/// Keeper of one leadership, with the readings that renewals bring.
+/// The keeper of the current leadership, and the usage that renewals report.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     keeper: Option<(Epoch, ShareKeeper)>,
@@ -40,7 +39,8 @@
 }
 
 impl Shares {
-    /// Takes in whether this replica leads, and in which term.
+    /// Replaces the keeper when the term changes, and drops it for `None`, when this replica
+    /// doesn't lead.
     fn set_term(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
         let Some(term) = term else {
             self.keeper = None;
@@ -59,7 +59,7 @@
         self.usage.clear();
     }
 
-    /// Takes in a committed table.
+    /// Passes a committed table to the keeper.
     pub(crate) fn set_table(&mut self, view: Arc<View>) {
         if let Some((_, keeper)) = &mut self.keeper {
             keeper.set_table(view);
@@ -69,7 +69,7 @@
     fn renew(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Option<Message> {
         let (_, keeper) = self.keeper.as_mut()?;
         let grant = keeper.renew(now, from, renew);
-        // One without a number answers a renewal that was overtaken.
+        // A grant without a serial number replies to a renewal that was superseded.
         if grant.serial > 0 {
             let usage = Usage {
                 region: renew.region.clone(),
@@ -81,8 +81,8 @@
         Some(Message::Grant(grant))
     }
 
-    /// What runs in each row, by the renewals of the last seconds. `domains` are all
-    /// failure domains that control knows of, with their regions.
+    /// Usage per row of the table, from recent renewals. `domains` holds all failure domains that
+    /// control knows of, with their regions.
     pub(crate) fn readings(&self, now: Moment, domains: &Domains) -> Vec<RowReading> {
         let mut rows: BTreeMap<RowKey, RowReading> = BTreeMap::new();
         for usage in self.usage.values() {
@@ -93,9 +93,8 @@
         }
         let mut rows: Vec<_> = rows.into_values().collect();
         for row in &mut rows {
-            // The slots of some entries say nothing of what the region can carry, and
-            // must not make a limit look too high; nor must those of entries that have
-            // no endpoints yet.
+            // Slots reported by some entries only don't show the region's capacity, and could
+            // make a limit look too high; nor do slots of entries that have no endpoints yet.
             let complete = self.has_all_slots(now, &row.region, domains);
             row.slots = row.slots.filter(|slots| *slots > 0 && complete);
         }
@@ -128,8 +127,8 @@
             });
             add(&mut reading.running, demand.running);
             add(&mut reading.shifted, demand.shifted);
-            // An entry that is silent for longer may have lost its endpoints to others,
-            // who count them now.
+            // Endpoints of an entry that has been silent for longer may have moved to other
+            // entries, which count them now.
             if age < LEASE {
                 add(&mut reading.slots, demand.slots);
             }
@@ -146,7 +145,7 @@
 }
 
 impl Core {
-    /// Answers an entry's renewal, if this replica leads at this moment.
+    /// Replies to an entry's renewal, if this replica leads at this moment.
     pub(super) fn handle_renewal(&mut self, origin: &Origin, renew: &Renew) {
         let now = self.clock.now();
         self.sync_share_keeper(now);
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Brings the keeper in line with the lease.
+    /// Aligns the keeper with this replica's lease.
     pub(super) fn sync_share_keeper(&mut self, now: Moment) {
         let leads = self.replica.lease_until(now).is_some();
         let term = leads.then(|| self.replica.status(now).term);
--- a/crates/filberthead/src/control/spreading.rs
+++ b/crates/filberthead/src/control/spreading.rs
@@ -1,4 +1,4 @@
-//! The control side of spreading: [`Source`] joined to the replica.
+//! Distribution of committed table versions to entries: connects [`Source`] to the replica.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use filberthead_table::View;
 use filberthead_types::{Epoch, FailureDomain, Moment, Region};
 
-/// Whether this replica leads, as the source wants to know it.
+/// Whether this replica leads.
 pub(crate) enum Leadership {
-    /// It does, with a lease until then.
+    /// It leads, with a valid lease.
     Leads {
         /// Its term.
         term: Epoch,
         /// End of the lease.
         until: Moment,
     },
-    /// Another one does, if known.
+    /// Another replica leads, or none.
     Follows {
-        /// Its term and address.
+        /// Term and address of the leader, if known.
         leader: Option<Leader>,
     },
 }
@@ -31,7 +31,7 @@
 /// Failure domains and their regions.
 pub(crate) type Domains = BTreeMap<FailureDomain, Region>;
 
-/// Spreads committed versions and tells who has them.
+/// Distributes committed versions and tracks which entries have them.
 #[derive(Debug)]
 pub(crate) struct Spreading {
     source: Source,
@@ -39,7 +39,7 @@
 }
 
 impl Spreading {
-    /// Starts as a replica that doesn't lead.
+    /// Starts as a follower.
     pub(crate) fn new(replicas: Vec<SocketAddr>) -> Self {
         Self {
             source: Source::new(Config::builder().build(), replicas),
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Tells where the other replicas are.
+    /// Sets the addresses of the other replicas.
     pub(crate) fn set_replicas(&mut self, replicas: Vec<SocketAddr>) {
         self.source.set_replicas(replicas);
     }
 
-    /// Takes in a committed table.
+    /// Distributes a committed table.
     pub(crate) fn committed(&mut self, now: Moment, view: Arc<View>) -> Vec<(SocketAddr, Message)> {
         self.step(now, Event::Committed(view))
     }
 
-    /// Takes in a message of an entry or of another replica.
+    /// Handles a message from an entry or another replica.
     pub(crate) fn receive(
         &mut self,
         now: Moment,
@@ -72,7 +72,7 @@
         self.step(now, Event::Received { from, message })
     }
 
-    /// Lets time pass.
+    /// Updates the leadership and advances time.
     pub(crate) fn tick(
         &mut self,
         now: Moment,
@@ -87,13 +87,13 @@
         out
     }
 
-    /// Versions in force, for operators.
+    /// Status of the entries, with the versions that they report.
     pub(crate) fn entries(&self, now: Moment) -> Vec<EntryStatus> {
         let members = self.source.status(now);
         members.into_iter().map(entry_status).collect()
     }
 
-    /// Failure domains that have entries, or had some that weren't stopped in order.
+    /// Failure domains that have entries, or had entries that weren't stopped in order.
     pub(crate) fn domains(&self) -> &Domains {
         &self.domains
     }
@@ -109,8 +109,8 @@
         out
     }
 
-    /// The directory drops entries that fall silent. They and their endpoints may be well
-    /// and just cut off, so their failure domain is kept in mind all the same.
+    /// The directory drops entries that become silent. They and their endpoints may be fine and
+    /// only cut off, so their failure domain is remembered.
     fn update_domains(&mut self, members: &[MemberInfo]) {
         for member in members.iter().filter(|member| member.leaving) {
             self.domains.remove(&member.failure_domain);
--- a/crates/filberthead/src/control/status.rs
+++ b/crates/filberthead/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What the consensus duty shows to operators and in metrics.
+//! The replica's status, as shown to operators.
 
 use std::net::SocketAddr;
 
