--- a/crates/filberthead/src/control/address_book.rs
+++ b/crates/filberthead/src/control/address_book.rs
@@ -107,7 +107,7 @@
     }
 
     /// Adds a replica's address from the replicated log.
-    pub(crate) fn add_located(&mut self, id: ReplicaId, addr: SocketAddr) {
+    pub(crate) fn add_from_log(&mut self, id: ReplicaId, addr: SocketAddr) {
         if self.own_addr == Some(addr) {
             return;
         }
--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -121,10 +121,10 @@
     fn submit(&self, command: Command) -> BoxFuture<'_, Result<Outcome, AdministrationError>> {
         let make = |reply| AdminRequest::Submit { command, reply };
         Box::pin(async {
-            let begun = Instant::now();
+            let started = Instant::now();
             let result = self.ask(make, AdministrationError::OutcomeUnknown).await;
             let code = result.as_ref().map_or_else(|e| e.code(), Outcome::code);
-            self.metrics.changed(code, begun.elapsed());
+            self.metrics.changed(code, started.elapsed());
             result
         })
     }
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -559,7 +559,7 @@
             continue;
         };
         if let Ok(machine::Entry::ReplicaAddress { id, addr }) = postcard::from_bytes(buf) {
-            address_book.add_located(id, addr);
+            address_book.add_from_log(id, addr);
         }
     }
 }
--- a/crates/filberthead/src/control/discovery.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -37,8 +37,8 @@
             self.next_hello = now;
         }
         let members = self.replica.status(now).members;
-        let known = members.voters.contains(&from) || members.learners.contains(&from);
-        if known || hello.answers || self.leader_addr(now).is_none() {
+        let is_member = members.voters.contains(&from) || members.learners.contains(&from);
+        if is_member || hello.answers || self.leader_addr(now).is_none() {
             return;
         }
         let answer = HelloInfo {
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -89,9 +89,9 @@
         let result = match job {
             DiskJob::Persist { epoch, .. } if epoch != self.epoch => return,
             DiskJob::Persist { persist, .. } => {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let result = disk.persist(&persist);
-                self.metrics.synced(begun.elapsed());
+                self.metrics.synced(started.elapsed());
                 result.map(|()| Some(Input::Persisted { seq: persist.seq }))
             }
             DiskJob::WriteNote(note) => {
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -135,11 +135,11 @@
         let out = self.fleet.registry.listed(now, term, list);
         self.fleet.log_unserved();
         self.send_fleet(out);
-        let listed = self.fleet.registry.have().endpoints;
-        if listed == before {
+        let current = self.fleet.registry.have().endpoints;
+        if current == before {
             return;
         }
-        info!(term = listed.term, seq = listed.seq; "list of endpoints changed");
+        info!(term = current.term, seq = current.seq; "list of endpoints changed");
         let replicas = self.address_book.discovery_targets();
         if let Some(update) = self.fleet.registry.endpoints_for(now, before) {
             for to in replicas {
@@ -289,15 +289,15 @@
         let polls_endpoint_list =
             leads || (has_no_list && replica.leader.is_none() && now >= LEADER_LIST_TIMEOUT);
         self.fleet.published.send_if_modified(|published| {
-            let same = published.polls_endpoint_list == polls_endpoint_list
+            let unchanged = published.polls_endpoint_list == polls_endpoint_list
                 && *published.gateways == *gateways;
-            if !same {
+            if !unchanged {
                 *published = PublishedState {
                     gateways: gateways.into(),
                     polls_endpoint_list,
                 };
             }
-            !same
+            !unchanged
         });
     }
 }
--- a/crates/filberthead/src/control/membership.rs
+++ b/crates/filberthead/src/control/membership.rs
@@ -17,7 +17,7 @@
     /// gateways.
     pub(super) fn update_replica_addresses(&mut self) {
         for (id, addr) in &self.machine.replica_addresses {
-            self.address_book.add_located(*id, *addr);
+            self.address_book.add_from_log(*id, *addr);
         }
         let mut replicas: Vec<_> = self.address_book.replicas().into_iter().collect();
         replicas.push(self.identity.peer_addr);
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -132,7 +132,7 @@
         .context(RuntimeSnafu)?;
     let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
     let (source, stop) = stop_pair();
-    let (duties, input) = start(cfg, adapters, &stop)?;
+    let (duties, input) = spawn_duties(cfg, adapters, &stop)?;
     let reload = move || {
         let seeds = seeds();
         info!(seeds:? = seeds; "settings reloaded");
@@ -140,11 +140,11 @@
         // any seed.
         let _ = input.push(Input::Seeds(seeds));
     };
-    let ended = supervise(duties, signals, source, reload, || std::future::ready(()));
-    runtime.block_on(ended).context(SuperviseSnafu)
+    let supervised = supervise(duties, signals, source, reload, || std::future::ready(()));
+    runtime.block_on(supervised).context(SuperviseSnafu)
 }
 
-fn start(
+fn spawn_duties(
     cfg: &ControlSettings,
     adapters: Vec<Box<dyn Adapter>>,
     stop: &Stop,
@@ -170,8 +170,8 @@
         samples: samples_tx,
     };
     let transport = Transport::listen(cfg.peer_listen, cluster, deliver).context(TransportSnafu)?;
-    let listens = transport.addr();
-    let peer_addr = cfg.peer_advertise.unwrap_or(listens);
+    let transport_addr = transport.addr();
+    let peer_addr = cfg.peer_advertise.unwrap_or(transport_addr);
     let origin = Origin {
         name: cfg.node.clone(),
         incarnation: Incarnation(rand::random()),
@@ -182,7 +182,7 @@
 
     let (listener, bound) = listen(cfg.operator_listen)?;
     let operator_addr = cfg.operator_advertise.unwrap_or(bound);
-    info!(replica:% = id, peer:% = listens, operator:% = bound; "control replica starts");
+    info!(replica:% = id, peer:% = transport_addr, operator:% = bound; "control replica starts");
 
     let gauges = Gauges {
         metrics: Arc::new(ControlMetrics::new()),
@@ -229,7 +229,7 @@
         samples::spawn(cfg, samples_rx, stop.clone()).context(StartSnafu)?,
         admin::spawn(cfg, listener, input_tx.clone(), metrics, stop.clone())?,
     ];
-    let mut ready = vec![("peer", listens), ("operator", bound)];
+    let mut ready = vec![("peer", transport_addr), ("operator", bound)];
     for adapter in adapters {
         ready.extend(adapter.addr().map(|addr| (adapter.name(), addr)));
         let duty = handle::spawn(adapter, control.clone(), stop.clone());
@@ -241,17 +241,17 @@
 
 /// Addresses to send hellos to at start.
 fn discovery_seeds(cfg: &ControlSettings) -> Vec<SocketAddr> {
-    let named = cfg.replicas.iter().map(|replica| replica.peer_addr);
+    let configured = cfg.replicas.iter().map(|replica| replica.peer_addr);
     let seeds = cfg.group.iter().flat_map(|group| group.seeds.clone());
-    named.chain(seeds).collect()
+    configured.chain(seeds).collect()
 }
 
 /// Reads how the group maintains its membership. All replicas of a new system have the same
 /// seeds, so exactly one of them finds itself first in the list and founds the group.
-fn auto_membership(cfg: &ControlSettings, own: SocketAddr) -> Option<AutoMembership> {
+fn auto_membership(cfg: &ControlSettings, own_addr: SocketAddr) -> Option<AutoMembership> {
     cfg.group.as_ref().map(|group| AutoMembership {
         tolerated_failures: group.tolerate,
-        is_founder: group.first_start && group.seeds.first() == Some(&own),
+        is_founder: group.first_start && group.seeds.first() == Some(&own_addr),
     })
 }
 
--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -78,8 +78,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                reported = rx.recv() => match reported {
-                    Some(reported) => self.record(reported),
+                received = rx.recv() => match received {
+                    Some(received) => self.record(received),
                     None => return,
                 },
                 _ = ticks.tick() => self.close_periods(unix_seconds()),
@@ -87,18 +87,18 @@
             }
         }
         // Planned stop: everything received or still queued is stored, complete or not.
-        while let Some(reported) = rx.try_recv() {
-            self.record(reported);
+        while let Some(received) = rx.try_recv() {
+            self.record(received);
         }
         self.close_periods(u64::MAX);
     }
 
-    fn record(&mut self, reported: ReceivedReport) {
+    fn record(&mut self, received: ReceivedReport) {
         let Origin {
             name, incarnation, ..
-        } = &reported.origin;
+        } = &received.origin;
         self.collector
-            .take(unix_seconds(), name, *incarnation, reported.report);
+            .take(unix_seconds(), name, *incarnation, received.report);
     }
 
     fn close_periods(&mut self, now: u64) {
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -105,8 +105,10 @@
         let Some((_, keeper)) = &self.keeper else {
             return false;
         };
-        let here = domains.iter().filter(|(_, of)| *of == region);
-        keeper.knows_slots(now, region, here.map(|(domain, _)| domain))
+        let in_region = domains
+            .iter()
+            .filter(|(_, domain_region)| *domain_region == region);
+        keeper.knows_slots(now, region, in_region.map(|(domain, _)| domain))
     }
 }
 
