--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -66,13 +66,13 @@
 impl AdminHandle {
     /// Sends a request and waits for its result. Returns `lost` if the consensus duty ends before
     /// it replies.
-    async fn ask<T, E: Into<AdministrationError>>(
+    async fn request<T, E: Into<AdministrationError>>(
         &self,
-        make: impl FnOnce(oneshot::Sender<Result<T, E>>) -> AdminRequest,
+        build: impl FnOnce(oneshot::Sender<Result<T, E>>) -> AdminRequest,
         lost: AdministrationError,
     ) -> Result<T, AdministrationError> {
         let (tx, rx) = oneshot::channel();
-        self.push(make(tx))?;
+        self.push(build(tx))?;
         match rx.await {
             Ok(result) => result.map_err(Into::into),
             Err(_) => Err(lost),
@@ -119,10 +119,12 @@
 
 impl Administration for AdminHandle {
     fn submit(&self, command: Command) -> BoxFuture<'_, Result<Outcome, AdministrationError>> {
-        let make = |reply| AdminRequest::Submit { command, reply };
+        let build = |reply| AdminRequest::Submit { command, reply };
         Box::pin(async {
             let started = Instant::now();
-            let result = self.ask(make, AdministrationError::OutcomeUnknown).await;
+            let result = self
+                .request(build, AdministrationError::OutcomeUnknown)
+                .await;
             let code = result.as_ref().map_or_else(|e| e.code(), Outcome::code);
             self.metrics.changed(code, started.elapsed());
             result
@@ -130,8 +132,8 @@
     }
 
     fn read(&self) -> BoxFuture<'_, Result<Arc<Table>, AdministrationError>> {
-        let make = |reply| AdminRequest::Read { reply };
-        Box::pin(self.ask(make, unavailable("the process is stopping")))
+        let build = |reply| AdminRequest::Read { reply };
+        Box::pin(self.request(build, unavailable("the process is stopping")))
     }
 
     fn status(&self) -> BoxFuture<'_, Result<Status, AdministrationError>> {
@@ -156,13 +158,13 @@
         let lost = AdministrationError::OutcomeUnknown;
         let proposal = match act {
             MembershipAct::Initialise => {
-                return Box::pin(self.ask(|reply| AdminRequest::Initialise { reply }, lost));
+                return Box::pin(self.request(|reply| AdminRequest::Initialise { reply }, lost));
             }
             MembershipAct::AddLearner(id) => Proposal::AddLearner(id),
             MembershipAct::Promote(id) => Proposal::Promote(id),
             MembershipAct::Remove(id) => Proposal::Remove(id),
         };
-        let make = |reply| AdminRequest::Members { proposal, reply };
-        Box::pin(self.ask(make, lost))
+        let build = |reply| AdminRequest::Members { proposal, reply };
+        Box::pin(self.request(build, lost))
     }
 }
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -86,7 +86,7 @@
         return Response::new(Full::new(Bytes::from(metrics.encode())));
     }
     let (status, text) = match (req.method(), req.uri().path()) {
-        (&Method::GET, asked) if asked == path => match phase {
+        (&Method::GET, requested) if requested == path => match phase {
             Phase::Serving => (StatusCode::OK, "ready\n"),
             Phase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
             Phase::Leaving | Phase::Ending => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
