--- a/crates/filberthead/src/control/address_book.rs
+++ b/crates/filberthead/src/control/address_book.rs
@@ -28,6 +28,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct AddressBook {
     own_addr: Option<SocketAddr>,
+    /// Addresses from the settings.
     configured: BTreeSet<SocketAddr>,
     known: BTreeMap<ReplicaId, KnownReplica>,
     /// Address of a leader that another replica has named and that hasn't been heard from yet.
--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -24,7 +24,7 @@
             return;
         }
         let Ok(buf) = postcard::to_stdvec(&Entry::Claim(claim.clone())) else {
-            warn!("a claim can't be encoded");
+            warn!("can't encode a claim");
             return;
         };
         let to = origin.addr;
@@ -39,7 +39,7 @@
             return false;
         };
         info!(home:% = verdict.home, config = verdict.config.0, winner = verdict.winner.0;
-            "verdict on a home");
+            "verdict sent for a claim on a home");
         self.send(to, Body::Ledger(Message::Verdict(verdict)));
         true
     }
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -38,6 +38,7 @@
 
 /// A quarter of the default heartbeat.
 const TICK: Duration = Duration::from_millis(50);
+/// How often the metrics are updated.
 const METRICS_PERIOD: Duration = Duration::from_secs(1);
 /// Interval of hellos to the other replicas while some of them haven't been heard from.
 const DISCOVERY_HELLO_PERIOD: Duration = Duration::from_secs(1);
@@ -48,16 +49,17 @@
 
 /// Requests that wait for the outcome of a proposal or read.
 pub(super) enum Pending {
+    /// A command on the table.
     Submit(oneshot::Sender<Result<Outcome, SubmitError>>),
+    /// A read of the table.
     Read(oneshot::Sender<Result<Arc<Table>, SubmitError>>),
+    /// A change of the membership.
     Members(oneshot::Sender<Result<(), SubmitError>>),
-    Claim {
-        to: SocketAddr,
-        claim: Claim,
-    },
+    /// An entry's claim on a home of idempotency keys.
+    Claim { to: SocketAddr, claim: Claim },
     /// An operator's order about routes or evacuations.
     Order(OrderOrigin),
-    /// A read of the routes, or of the newest applied index.
+    /// A read of the routes here, or of the newest index for another replica.
     RoutesRead(ReadOrigin),
     /// A change that the leader proposes by itself and repeats until it is done.
     NoReply,
@@ -92,11 +94,14 @@
     cfg: Config,
     pub(super) replica: Replica,
     pub(super) machine: Machine,
+    /// Index of the last applied log entry.
     pub(super) applied: u64,
+    /// Outcomes of applied commands by log index, until their requests are answered.
     outcomes: BTreeMap<u64, Outcome>,
     pub(super) pending: HashMap<Token, Pending>,
     next_token: u64,
     pub(super) address_book: AddressBook,
+    /// The parts of this replica's hello that don't change.
     pub(super) hello: HelloInfo,
     pub(super) identity: Identity,
     pub(super) next_hello: Moment,
@@ -284,7 +289,7 @@
         reply: oneshot::Sender<Result<Outcome, SubmitError>>,
     ) {
         let Ok(buf) = postcard::to_stdvec(&machine::Entry::Table(command)) else {
-            error!("a command can't be encoded");
+            error!("can't encode a command");
             let _ = reply.send(Err(SubmitError::Busy));
             return;
         };
@@ -301,8 +306,8 @@
     }
 
     async fn initialise(&mut self, reply: oneshot::Sender<Result<(), InitialiseError>>) {
-        // Only agreement among its members can have made a group of several. Here the request
-        // would look like a resend, but its sender takes the group for new.
+        // The storage would treat this as a resend of the first request, but its sender believes
+        // the group to be new, which a group of several voters isn't.
         let now = self.clock.now();
         if self.replica.status(now).members.voters.len() > 1 {
             let _ = reply.send(Err(InitialiseError::AlreadyInitialised));
@@ -322,7 +327,7 @@
         if self.replica.status(now).last_index > 0 {
             return;
         }
-        info!(members:? = durable.snapshot.members; "first membership is in place");
+        info!(members:? = durable.snapshot.members; "initial membership created");
         self.applied = durable.snapshot.index;
         self.replica = Replica::new(self.id, self.cfg.clone(), durable, now);
     }
@@ -392,7 +397,7 @@
             // Only a newer version of the program writes what this one can't decode. Skipping the
             // entry would make this replica's state diverge, so the process aborts.
             Err(e) => {
-                error!(index = entry.index, error:% = e; "a committed command can't be read");
+                error!(index = entry.index, error:% = e; "can't decode a committed command");
                 std::process::abort();
             }
         }
@@ -424,7 +429,7 @@
 
     async fn take_snapshot(&mut self) {
         let Ok(data) = postcard::to_stdvec(&self.machine) else {
-            warn!("the state can't be encoded for a snapshot");
+            warn!("can't encode the state for a snapshot");
             return;
         };
         let event = Event::SnapshotTaken {
@@ -573,7 +578,7 @@
         // The checksum is valid, so another version of the program wrote this. Starting from an
         // empty table would revert every accepted change.
         Err(e) => {
-            error!(index = snapshot.index, error:% = e; "the snapshot can't be read");
+            error!(index = snapshot.index, error:% = e; "can't decode the snapshot");
             std::process::abort();
         }
     }
--- a/crates/filberthead/src/control/discovery.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -16,6 +16,7 @@
         }
     }
 
+    /// Sends a hello to all discovery targets.
     pub(super) fn send_hellos(&mut self, now: Moment) {
         let hello = self.current_hello(now);
         for to in self.address_book.discovery_targets() {
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -57,6 +57,7 @@
     /// `None` while the folder can't be written.
     disk: Option<Disk>,
     data_folder: DataFolder,
+    /// Number of recoveries of the data folder.
     epoch: u64,
     /// The newest note that isn't written yet.
     note: Option<Vec<u8>>,
@@ -134,8 +135,8 @@
         }
     }
 
-    /// After a failed sync it is unknown what the disk holds, and another sync may falsely
-    /// succeed, so the open files are closed.
+    /// Closes the data folder until it can be opened again. After a failed sync it is unknown what the disk holds, and another sync may falsely
+    /// succeed, so the open files aren't used any more.
     async fn fail(&mut self, error: &StorageError) {
         error!(error:% = error, cause:? = std::error::Error::source(error);
             "the data folder failed");
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -51,8 +51,11 @@
 pub(crate) struct Fleet {
     pub(super) registry: Registry,
     pub(super) auto_membership: Option<AutoMembership>,
+    /// Waiting orders and reads, with the time at which each fails.
     pub(super) waiting: Vec<(Moment, Waiting)>,
+    /// Token of the last order or read forwarded to the leader.
     pub(super) next_token: u64,
+    /// Since when this replica has been the leader; `None` if it isn't.
     pub(super) led_since: Option<Moment>,
     /// When each learner was first seen among the members, in this leadership.
     pub(super) learner_since: BTreeMap<ReplicaId, Moment>,
--- a/crates/filberthead/src/control/handle.rs
+++ b/crates/filberthead/src/control/handle.rs
@@ -81,7 +81,7 @@
     /// dropped if the queue is full; the next one is read soon.
     pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
         if self.push(AdapterRequest::EndpointList(list)).is_err() {
-            log::warn!("a list of endpoints is dropped, the consensus duty is behind");
+            log::warn!("endpoint list dropped, the queue to the consensus duty is full");
         }
     }
 
--- a/crates/filberthead/src/control/membership.rs
+++ b/crates/filberthead/src/control/membership.rs
@@ -1,4 +1,5 @@
-//! Automatic membership: [`membership_policy`] decides on the next change, the leader proposes
+//! Automatic membership: [`membership_policy`] decides on the next change, and the leader
+//! proposes it.
 //! it.
 
 use std::collections::{BTreeMap, HashMap};
@@ -24,6 +25,7 @@
         self.fleet.registry.set_replicas(replicas);
     }
 
+    /// Proposes the next membership change or address, if this replica leads.
     pub(super) async fn reconcile_membership(&mut self, now: Moment) {
         let replica = self.replica.status(now);
         let Some(led_since) = self.fleet.led_since.filter(|_| replica.holds_lease) else {
@@ -72,7 +74,7 @@
             return;
         }
         let Ok(buf) = postcard::to_stdvec(&Entry::ReplicaAddress { id, addr }) else {
-            warn!("a location can't be encoded");
+            warn!("can't encode a replica's address");
             return;
         };
         let token = self.add_pending(Pending::NoReply);
--- a/crates/filberthead/src/control/membership_policy.rs
+++ b/crates/filberthead/src/control/membership_policy.rs
@@ -58,6 +58,7 @@
     pub(crate) members: &'a Members,
     /// All replicas that have an address, including this one.
     pub(crate) contacts: &'a BTreeMap<ReplicaId, Contact>,
+    /// Replica addresses in the log.
     pub(crate) addresses: &'a BTreeMap<ReplicaId, SocketAddr>,
     /// When each learner was first seen among the members, in this leadership.
     pub(crate) learner_since: &'a BTreeMap<ReplicaId, Moment>,
@@ -75,6 +76,7 @@
 }
 
 impl View<'_> {
+    /// Whether a replica has been heard from recently.
     fn is_alive(&self, id: ReplicaId) -> bool {
         let last_seen = self.contacts.get(&id).and_then(|contact| contact.last_seen);
         id == self.own_id || last_seen.is_some_and(|at| self.now < at + ALIVE_TIMEOUT)
@@ -89,6 +91,7 @@
         id != self.own_id && self.now >= since + LOST_TIMEOUT
     }
 
+    /// A replica whose address in the log is missing or outdated.
     fn record_address(&self) -> Option<Step> {
         let alive = self.contacts.iter().filter(|(id, _)| self.is_alive(**id));
         let mut moved = alive.filter(|(id, contact)| self.addresses.get(id) != Some(&contact.addr));
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -69,13 +69,13 @@
         source: StorageError,
     },
     /// The transport can't listen for peers.
-    #[snafu(display("peers can't be listened for"))]
+    #[snafu(display("can't listen for peers"))]
     Transport {
         /// The transport's error.
         source: TransportError,
     },
     /// The administration API can't listen.
-    #[snafu(display("operators can't be listened for on {addr}"))]
+    #[snafu(display("can't listen for operators on {addr}"))]
     Operators {
         /// The address.
         addr: SocketAddr,
@@ -89,7 +89,7 @@
         source: filberthead_operator::TokenSourceError,
     },
     /// A duty can't be started.
-    #[snafu(display("a duty can't be started"))]
+    #[snafu(display("can't start a duty"))]
     Start {
         /// Which duty, and why.
         source: DutyError,
@@ -101,13 +101,13 @@
         source: std::io::Error,
     },
     /// The supervisor's runtime can't be started.
-    #[snafu(display("can't start a runtime"))]
+    #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
         /// The operating system's error.
         source: std::io::Error,
     },
     /// A duty ended by itself or panicked.
-    #[snafu(display("the process ended by a fault"))]
+    #[snafu(display("the control replica failed"))]
     Supervise {
         /// Which duty, and how.
         source: SuperviseError,
--- a/crates/filberthead/src/control/note.rs
+++ b/crates/filberthead/src/control/note.rs
@@ -35,7 +35,7 @@
             Ok(note) => note,
             Err(e) => {
                 // Another version of the program wrote it; the log holds all that is needed.
-                warn!(error:% = e; "the note of what was in force can't be read");
+                warn!(error:% = e; "can't decode the note of routes and evacuations");
                 return;
             }
         };
@@ -65,7 +65,7 @@
             Ok(encoded) => {
                 let _ = self.disk.push(DiskJob::WriteNote(encoded));
             }
-            Err(e) => warn!(error:% = e; "what is in force can't be noted"),
+            Err(e) => warn!(error:% = e; "can't encode the note of routes and evacuations"),
         }
     }
 }
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -49,7 +49,9 @@
 
 /// A request that waits for a leader, for the leader's reply, or for the log to be applied.
 pub(super) enum Waiting {
+    /// An order that waits for a leader.
     Order(Order, OrderOrigin),
+    /// A read that waits for a leader.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// An order forwarded to the leader under this token.
     Forwarded(u64, oneshot::Sender<Result<(), OrderError>>),
@@ -91,6 +93,7 @@
 }
 
 impl Core {
+    /// Proposes an order if this replica leads, else forwards it or lets it wait.
     pub(super) async fn order(&mut self, order: Order, origin: OrderOrigin) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
@@ -125,7 +128,7 @@
 
     async fn propose_order(&mut self, order: Order, origin: OrderOrigin) {
         let Ok(buf) = postcard::to_stdvec(&Entry::Order(order)) else {
-            warn!("an order can't be encoded");
+            warn!("can't encode an order");
             self.finish_order(origin, Err(OrderError::Busy));
             return;
         };
@@ -158,6 +161,7 @@
         }
     }
 
+    /// Reads the routes, if necessary after a query to the leader for its newest index.
     pub(super) async fn read_routes(
         &mut self,
         reply: oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>,
@@ -202,6 +206,7 @@
         }
     }
 
+    /// Has the replica confirm its lease; [`Self::finish_read`] follows.
     pub(super) async fn start_read(&mut self, origin: ReadOrigin) {
         let token = self.add_pending(Pending::RoutesRead(origin));
         self.step(Event::Read { token }).await;
@@ -221,6 +226,7 @@
         }
     }
 
+    /// Handles the leader's reply to a query for its newest index.
     pub(super) fn handle_newest_index(
         &mut self,
         now: Moment,
@@ -239,6 +245,7 @@
         }
     }
 
+    /// Completes reads whose index has been applied.
     pub(super) fn complete_applied_reads(&mut self) {
         let applied = self.applied;
         let caught_up =
@@ -248,6 +255,7 @@
         }
     }
 
+    /// Fails expired requests, and handles again those that waited for a leader once there is one.
     pub(super) async fn retry_waiting(&mut self, now: Moment) {
         let waiting = std::mem::take(&mut self.fleet.waiting);
         let (expired, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -111,7 +111,7 @@
             // A replica that can't store samples still works otherwise. The store is opened again
             // for the next records.
             self.store = None;
-            warn!(error:% = e, lost = records.len(); "samples can't be kept");
+            warn!(error:% = e, lost = records.len(); "can't store samples");
         }
     }
 
@@ -201,7 +201,7 @@
         match json {
             Ok(json) => json.into(),
             Err(error) => {
-                warn!(error = error.as_str(); "the burn report can't be made");
+                warn!(error = error.as_str(); "can't build the burn report");
                 serde_json::json!({ "error": error }).to_string().into()
             }
         }
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -35,6 +35,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     keeper: Option<(Epoch, ShareKeeper)>,
+    /// Usage by entry, from renewals in this leadership.
     usage: BTreeMap<NodeName, Usage>,
 }
 
@@ -101,6 +102,7 @@
         rows
     }
 
+    /// Whether the slots of all failure domains of a region have been reported.
     fn has_all_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
         let Some((_, keeper)) = &self.keeper else {
             return false;
