--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -29,7 +29,7 @@
 use super::gauges::Gauges;
 use super::input::{AdminRequest, DiskJob, InitialiseError, Input, SubmitError};
 use super::machine::{self, Applied, Machine};
-use super::orders::{OrderOrigin, ReadOrigin, order_error};
+use super::orders::{ReadReplyTo, ReplyTo, order_error};
 use super::shares::Shares;
 use super::spreading::{Leadership, Spreading};
 use crate::Clock;
@@ -58,9 +58,9 @@
     /// An entry's claim on a home of idempotency keys.
     Claim { to: SocketAddr, claim: Claim },
     /// An operator's order about routes or evacuations.
-    Order(OrderOrigin),
+    Order(ReplyTo),
     /// A read of the routes here, or of the newest index for another replica.
-    RoutesRead(ReadOrigin),
+    RoutesRead(ReadReplyTo),
     /// A change that the leader proposes by itself and repeats until it is done.
     NoReply,
 }
@@ -464,7 +464,7 @@
             Some(Pending::Claim { to, claim }) => {
                 self.send_verdict(to, &claim);
             }
-            Some(Pending::Order(origin)) => self.finish_order(origin, Ok(())),
+            Some(Pending::Order(reply_to)) => self.finish_order(reply_to, Ok(())),
             Some(Pending::Read(_) | Pending::RoutesRead(_) | Pending::NoReply) | None => {}
         }
     }
@@ -474,7 +474,7 @@
             Some(Pending::Read(reply)) => {
                 let _ = reply.send(Ok(Arc::clone(&self.machine.table)));
             }
-            Some(Pending::RoutesRead(origin)) => self.finish_read(origin, Ok(())),
+            Some(Pending::RoutesRead(reply_to)) => self.finish_read(reply_to, Ok(())),
             _ => {}
         }
     }
@@ -488,8 +488,8 @@
         let for_order = order_error(error);
         let error = SubmitError::from_propose(error, address);
         match self.pending.remove(&token) {
-            Some(Pending::Order(origin)) => self.finish_order(origin, Err(for_order)),
-            Some(Pending::RoutesRead(origin)) => self.finish_read(origin, Err(for_order)),
+            Some(Pending::Order(reply_to)) => self.finish_order(reply_to, Err(for_order)),
+            Some(Pending::RoutesRead(reply_to)) => self.finish_read(reply_to, Err(for_order)),
             Some(Pending::Submit(reply)) => {
                 let _ = reply.send(Err(error));
             }
--- a/crates/filberthead/src/control/discovery.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -42,10 +42,10 @@
         if is_member || hello.answers || self.leader_addr(now).is_none() {
             return;
         }
-        let answer = HelloInfo {
+        let reply = HelloInfo {
             answers: true,
             ..self.current_hello(now)
         };
-        self.send(addr, Body::Hello(answer));
+        self.send(addr, Body::Hello(reply));
     }
 }
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -15,8 +15,8 @@
 use tokio::sync::watch;
 
 use super::core::Core;
-use super::handle::{AdapterRequest, PublishedState};
-use super::orders::{OrderOrigin, ReadOrigin, Waiting};
+use super::handle::{HandleRequest, PublishedState};
+use super::orders::{ReadReplyTo, ReplyTo, Waiting};
 
 /// How often a replica asks the leader for a newer endpoint list, in case a push was lost.
 const LIST_REQUEST_PERIOD: Duration = Duration::from_millis(1000);
@@ -113,13 +113,11 @@
 
 impl Core {
     /// Handles a request of an adapter.
-    pub(super) async fn handle_adapter_request(&mut self, req: AdapterRequest) {
+    pub(super) async fn handle_adapter_request(&mut self, req: HandleRequest) {
         match req {
-            AdapterRequest::Order { order, reply } => {
-                self.order(order, OrderOrigin::Local(reply)).await
-            }
-            AdapterRequest::Routes { reply } => self.read_routes(reply).await,
-            AdapterRequest::EndpointList(list) => self.update_endpoint_list(list),
+            HandleRequest::Order { order, reply } => self.order(order, ReplyTo::Local(reply)).await,
+            HandleRequest::Routes { reply } => self.read_routes(reply).await,
+            HandleRequest::EndpointList(list) => self.update_endpoint_list(list),
         }
     }
 
@@ -157,12 +155,12 @@
         match message {
             Message::Order { token, order } => {
                 let to = origin.addr;
-                self.order(order, OrderOrigin::Replica { to, token }).await;
+                self.order(order, ReplyTo::Replica { to, token }).await;
             }
             Message::OrderDone { token, result } => self.forwarded_order_done(token, result).await,
             Message::Newest { token } => {
                 let to = origin.addr;
-                self.start_read(ReadOrigin::Replica { to, token }).await;
+                self.start_read(ReadReplyTo::Replica { to, token }).await;
             }
             Message::NewestIs { token, result } => self.handle_newest_index(now, token, result),
             other => {
--- a/crates/filberthead/src/control/handle.rs
+++ b/crates/filberthead/src/control/handle.rs
@@ -35,7 +35,7 @@
 
 /// A request to the consensus duty, with the channel for its reply.
 #[derive(Debug)]
-pub(crate) enum AdapterRequest {
+pub(crate) enum HandleRequest {
     /// Carry out an order.
     Order {
         order: Order,
@@ -62,7 +62,7 @@
     /// takes effect at most once.
     pub async fn order(&self, order: Order) -> Result<(), OrderError> {
         let (reply, rx) = oneshot::channel();
-        self.push(AdapterRequest::Order { order, reply })?;
+        self.push(HandleRequest::Order { order, reply })?;
         rx.await.unwrap_or(Err(OrderError::OutcomeUnknown))
     }
 
@@ -73,14 +73,14 @@
     /// Fails if that can't be proven, because there is no leader or it can't be reached.
     pub async fn routes(&self) -> Result<Option<Arc<Change>>, OrderError> {
         let (reply, rx) = oneshot::channel();
-        self.push(AdapterRequest::Routes { reply })?;
+        self.push(HandleRequest::Routes { reply })?;
         rx.await.unwrap_or(Err(OrderError::NoLeader))
     }
 
     /// Submits the platform's endpoint list. It is ignored unless this replica is to poll it, and
     /// dropped if the queue is full; the next one is read soon.
     pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
-        if self.push(AdapterRequest::EndpointList(list)).is_err() {
+        if self.push(HandleRequest::EndpointList(list)).is_err() {
             log::warn!("endpoint list dropped, the queue to the consensus duty is full");
         }
     }
@@ -90,7 +90,7 @@
         self.published.borrow().clone()
     }
 
-    fn push(&self, req: AdapterRequest) -> Result<(), OrderError> {
+    fn push(&self, req: HandleRequest) -> Result<(), OrderError> {
         self.tx
             .push(Input::Adapter(req))
             .map_err(|_| OrderError::Busy)
--- a/crates/filberthead/src/control/input.rs
+++ b/crates/filberthead/src/control/input.rs
@@ -11,7 +11,7 @@
 use filberthead_types::ReplicaId;
 use tokio::sync::oneshot;
 
-use super::handle::AdapterRequest;
+use super::handle::HandleRequest;
 use super::samples::ReceivedReport;
 
 /// Capacity of the queue to the consensus duty. When it is full, messages of peers are dropped,
@@ -39,7 +39,7 @@
     /// More addresses to send hellos to, from reloaded settings.
     Seeds(Vec<SocketAddr>),
     /// A request of an adapter.
-    Adapter(AdapterRequest),
+    Adapter(HandleRequest),
     /// All batches up to this one are synced.
     Persisted {
         /// Sequence number of the batch.
--- a/crates/filberthead/src/control/membership.rs
+++ b/crates/filberthead/src/control/membership.rs
@@ -1,6 +1,5 @@
 //! Automatic membership: [`membership_policy`] decides on the next change, and the leader
 //! proposes it.
-//! it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -32,7 +32,7 @@
 const FORMATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Where the result of an order goes.
-pub(super) enum OrderOrigin {
+pub(super) enum ReplyTo {
     /// An adapter in this process.
     Local(oneshot::Sender<Result<(), OrderError>>),
     /// The replica that forwarded it, under this token.
@@ -40,7 +40,7 @@
 }
 
 /// Where the result of a read goes.
-pub(super) enum ReadOrigin {
+pub(super) enum ReadReplyTo {
     /// An adapter in this process.
     Local(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// The replica that forwarded it, under this token.
@@ -50,7 +50,7 @@
 /// A request that waits for a leader, for the leader's reply, or for the log to be applied.
 pub(super) enum Waiting {
     /// An order that waits for a leader.
-    Order(Order, OrderOrigin),
+    Order(Order, ReplyTo),
     /// A read that waits for a leader.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// An order forwarded to the leader under this token.
@@ -94,23 +94,23 @@
 
 impl Core {
     /// Proposes an order if this replica leads, else forwards it or lets it wait.
-    pub(super) async fn order(&mut self, order: Order, origin: OrderOrigin) {
+    pub(super) async fn order(&mut self, order: Order, reply_to: ReplyTo) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
             if self.is_forming(now) {
-                self.fleet.enqueue(now, Waiting::Order(order, origin));
+                self.fleet.enqueue(now, Waiting::Order(order, reply_to));
                 return;
             }
-            self.propose_order(order, origin).await;
+            self.propose_order(order, reply_to).await;
             return;
         }
-        match (self.leader_addr(now), origin) {
-            (Some(leader), OrderOrigin::Local(reply)) => {
+        match (self.leader_addr(now), reply_to) {
+            (Some(leader), ReplyTo::Local(reply)) => {
                 let token = self.fleet.new_token();
                 self.send(leader, Body::Fleet(Message::Order { token, order }));
                 self.fleet.enqueue(now, Waiting::Forwarded(token, reply));
             }
-            (_, origin) => self.fleet.enqueue(now, Waiting::Order(order, origin)),
+            (_, reply_to) => self.fleet.enqueue(now, Waiting::Order(order, reply_to)),
         }
     }
 
@@ -126,24 +126,24 @@
         voters < required && now < since + FORMATION_TIMEOUT
     }
 
-    async fn propose_order(&mut self, order: Order, origin: OrderOrigin) {
+    async fn propose_order(&mut self, order: Order, reply_to: ReplyTo) {
         let Ok(buf) = postcard::to_stdvec(&Entry::Order(order)) else {
             warn!("can't encode an order");
-            self.finish_order(origin, Err(OrderError::Busy));
+            self.finish_order(reply_to, Err(OrderError::Busy));
             return;
         };
-        let token = self.add_pending(Pending::Order(origin));
+        let token = self.add_pending(Pending::Order(reply_to));
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Sends the result of an order to its origin.
-    pub(super) fn finish_order(&mut self, origin: OrderOrigin, result: Result<(), OrderError>) {
-        match origin {
-            OrderOrigin::Local(reply) => {
+    /// Sends the result of an order to its reply_to.
+    pub(super) fn finish_order(&mut self, reply_to: ReplyTo, result: Result<(), OrderError>) {
+        match reply_to {
+            ReplyTo::Local(reply) => {
                 let _ = reply.send(result);
             }
-            OrderOrigin::Replica { to, token } => {
+            ReplyTo::Replica { to, token } => {
                 self.send(to, Body::Fleet(Message::OrderDone { token, result }));
             }
         }
@@ -168,7 +168,7 @@
     ) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
-            self.start_read(ReadOrigin::Local(reply)).await;
+            self.start_read(ReadReplyTo::Local(reply)).await;
             return;
         }
         match self.leader_addr(now) {
@@ -207,19 +207,19 @@
     }
 
     /// Has the replica confirm its lease; [`Self::finish_read`] follows.
-    pub(super) async fn start_read(&mut self, origin: ReadOrigin) {
-        let token = self.add_pending(Pending::RoutesRead(origin));
+    pub(super) async fn start_read(&mut self, reply_to: ReadReplyTo) {
+        let token = self.add_pending(Pending::RoutesRead(reply_to));
         self.step(Event::Read { token }).await;
     }
 
     /// Sends the result of a read: as the lease is valid now, everything ever accepted is applied
     /// here.
-    pub(super) fn finish_read(&mut self, origin: ReadOrigin, result: Result<(), OrderError>) {
-        match origin {
-            ReadOrigin::Local(reply) => {
+    pub(super) fn finish_read(&mut self, reply_to: ReadReplyTo, result: Result<(), OrderError>) {
+        match reply_to {
+            ReadReplyTo::Local(reply) => {
                 let _ = reply.send(result.map(|()| self.machine.routes.newest().cloned()));
             }
-            ReadOrigin::Replica { to, token } => {
+            ReadReplyTo::Replica { to, token } => {
                 let result = result.map(|()| self.applied);
                 self.send(to, Body::Fleet(Message::NewestIs { token, result }));
             }
@@ -278,7 +278,7 @@
         }
         for request in retried {
             match request {
-                Waiting::Order(order, origin) => self.order(order, origin).await,
+                Waiting::Order(order, reply_to) => self.order(order, reply_to).await,
                 Waiting::Read(reply) => self.read_routes(reply).await,
                 _ => {}
             }
@@ -301,7 +301,7 @@
 fn fail(request: Waiting, error: OrderError) {
     // The receiver may be gone; nothing else needs the reply.
     match request {
-        Waiting::Order(_, OrderOrigin::Local(reply)) | Waiting::Forwarded(_, reply) => {
+        Waiting::Order(_, ReplyTo::Local(reply)) | Waiting::Forwarded(_, reply) => {
             let _ = reply.send(Err(error));
         }
         Waiting::Read(reply) => {
@@ -309,7 +309,7 @@
         }
         Waiting::LeaderQuery(_, read) | Waiting::AwaitingApply(_, read) => read.fail(error),
         // The replica that forwarded it times out by itself.
-        Waiting::Order(_, OrderOrigin::Replica { .. }) => {}
+        Waiting::Order(_, ReplyTo::Replica { .. }) => {}
     }
 }
 
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -254,12 +254,12 @@
                 .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
         }
     }
-    let answer = Response::from_parts(head, body);
+    let response = Response::from_parts(head, body);
     if status.is_server_error() {
         in_flight.outcome = Outcome::Failed;
-        Attempt::Failed(answer)
+        Attempt::Failed(response)
     } else {
-        Attempt::Answered(answer)
+        Attempt::Answered(response)
     }
 }
 
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -77,7 +77,7 @@
     /// Time from the first announcement of the update, and the requests made for it.
     delay: Delay,
     /// Version stamp of the endpoint list that is now held.
-    listed: Stamp,
+    list_stamp: Stamp,
 }
 
 /// State of the requests duty.
@@ -290,7 +290,7 @@
         let source = UpdateSource {
             from: received.from,
             delay: member.delay(),
-            listed: member.have().endpoints,
+            list_stamp: member.have().endpoints,
         };
         drop(member);
         for update in updates {
@@ -318,7 +318,7 @@
         let UpdateSource {
             from,
             delay,
-            listed,
+            list_stamp,
         } = *source;
         let (questions, since_heard_of) = (delay.questions, delay.since_heard_of.as_millis());
         match update {
@@ -352,7 +352,7 @@
             Update::Endpoints(list) => {
                 self.list_changed_at.set(now);
                 self.metrics.endpoints(list.len());
-                info!(endpoints = list.len(), term = listed.term, seq = listed.seq, from:%,
+                info!(endpoints = list.len(), term = list_stamp.term, seq = list_stamp.seq, from:%,
                     since_heard_of, questions; "list of endpoints");
                 let replaced = placer.set_endpoints(now, list);
                 self.close_connections(&replaced);
@@ -360,7 +360,7 @@
             Update::EndpointsChanged(change) => {
                 self.list_changed_at.set(now);
                 info!(changed = change.changed.len(), gone = change.gone.len(),
-                    term = listed.term, seq = listed.seq, from:%, since_heard_of, questions;
+                    term = list_stamp.term, seq = list_stamp.seq, from:%, since_heard_of, questions;
                     "list of endpoints changed");
                 let replaced = placer.change_endpoints(now, change);
                 self.close_connections(&replaced);
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -84,7 +84,7 @@
 }
 
 async fn serve_connection(core: Rc<Core>, stream: TcpStream, caller: SocketAddr) {
-    let _open = core.track_connection();
+    let _guard = core.track_connection();
     if let Err(e) = stream.set_nodelay(true) {
         debug!(caller:%, error:% = e; "can't set TCP_NODELAY on a caller's connection");
         return;
