--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -137,7 +137,7 @@
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Sends the result of an order to its reply_to.
+    /// Sends the result of an order.
     pub(super) fn finish_order(&mut self, reply_to: ReplyTo, result: Result<(), OrderError>) {
         match reply_to {
             ReplyTo::Local(reply) => {
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -73,6 +73,7 @@
     started: Moment,
     outcome: Outcome,
     request: &'a str,
+    /// Affinity key, for logs.
     object: &'a str,
     route: &'a str,
 }
@@ -161,6 +162,7 @@
     }
 }
 
+/// Builds the request for the endpoint from the caller's.
 fn build_request(
     core: &Core,
     job: &Job<'_>,
@@ -184,6 +186,7 @@
     req
 }
 
+/// Evaluates the head of a response, and buffers its body unless that is to be streamed.
 async fn receive(
     core: &Rc<Core>,
     job: &Job<'_>,
@@ -230,8 +233,8 @@
     finish(in_flight, head, ResponseBody::Streamed(Box::new(streamed)))
 }
 
-/// Whether a response of this length is streamed. Server errors are buffered, since the request
-/// may be retried at another endpoint.
+/// Whether a response of this length is streamed. The lower limit for downloads applies only to
+/// successes, since after a failure the request may be retried at another endpoint.
 fn is_streamed(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
     let max_buffered = match kind {
         Kind::Download if status.is_success() => MAX_BUFFERED_DOWNLOAD,
@@ -240,6 +243,7 @@
     length.is_some_and(|length| length > max_buffered)
 }
 
+/// Completes the response and decides whether the attempt failed.
 fn finish(
     in_flight: &mut InFlight<'_>,
     mut head: http::response::Parts,
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -299,6 +299,7 @@
         self.start_serving_if_ready(now);
     }
 
+    /// Enters the phase `Serving` once routes and endpoints are known.
     fn start_serving_if_ready(&self, now: Moment) {
         if !self.member.borrow().is_informed(now) {
             return;
@@ -313,6 +314,7 @@
         });
     }
 
+    /// Applies an update of routes, endpoints or figures of other gateways.
     fn apply(&self, now: Moment, source: &UpdateSource, update: Update) {
         let mut placer = self.placer.borrow_mut();
         let UpdateSource {
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -173,6 +173,7 @@
         }
     }
 
+    /// Makes one attempt.
     async fn step(&mut self, body: RequestBody) -> Next {
         if self.deadline.remaining() < MIN_TIME_LEFT {
             return self.reject(ResultCode::DeadlineBeforeRun, Duration::ZERO);
@@ -214,6 +215,7 @@
         }
     }
 
+    /// Chooses an endpoint.
     fn place(&self) -> Decision {
         let object = self.head.headers.get(&self.core.protocol.affinity_key);
         let object = object.map(|value| value.as_bytes());
@@ -234,6 +236,7 @@
         self.core.placer.borrow_mut().place(now, request)
     }
 
+    /// The endpoint couldn't be reached.
     fn after_unreached(&mut self, body: RequestBody) -> Next {
         match self.tries.unreached() {
             Further::Allowed => Next::Retry(body),
@@ -268,6 +271,7 @@
         }
     }
 
+    /// The connection broke; the request may have run.
     fn after_loss(&mut self, endpoint: &EndpointId, retry_body: Option<RequestBody>) -> Next {
         let further = self.tries.ran();
         self.log_attempt("lost with the request at it", endpoint);
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -27,6 +27,7 @@
 pub(crate) struct Probes {
     pub(crate) readiness: TcpListener,
     pub(crate) status: TcpListener,
+    /// Path of the readiness probe.
     pub(crate) path: &'static str,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) metrics: Arc<GatewayMetrics>,
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -83,6 +83,7 @@
     }
 }
 
+/// Serves a caller's connection until it is closed or has to be replaced.
 async fn serve_connection(core: Rc<Core>, stream: TcpStream, caller: SocketAddr) {
     let _guard = core.track_connection();
     if let Err(e) = stream.set_nodelay(true) {
@@ -151,6 +152,7 @@
     drop(phase.wait_for(|phase| *phase >= Phase::Ending).await);
 }
 
+/// Handles one request, and closes the connection after it if necessary.
 async fn respond(
     core: &Rc<Core>,
     caller: SocketAddr,
