--- a/crates/filberthead/src/supervisor.rs
+++ b/crates/filberthead/src/supervisor.rs
@@ -72,7 +72,7 @@
 /// The actor's state: the duties, and where it sends them with the reason for the end.
 struct Monitored {
     duties: Vec<Duty>,
-    reason: mpsc::Sender<(EndReason, Vec<Duty>)>,
+    end: mpsc::Sender<(EndReason, Vec<Duty>)>,
 }
 
 impl Actor for Supervisor {
@@ -101,7 +101,7 @@
         };
         if let Some(reason) = reason {
             let duties = std::mem::take(&mut monitored.duties);
-            monitored.reason.send((reason, duties)).await?;
+            monitored.end.send((reason, duties)).await?;
             myself.stop(None);
         }
         Ok(())
@@ -153,7 +153,7 @@
     before_stop: impl FnOnce() -> Fut,
 ) -> Result<(), SuperviseError> {
     let (tx, mut rx) = mpsc::channel(1);
-    let monitored = Monitored { duties, reason: tx };
+    let monitored = Monitored { duties, end: tx };
     let Signals {
         mut term,
         mut hup,
