--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -44,6 +44,7 @@
         true
     }
 
+    /// Whether a claim may be proposed: it isn't pending already, and not too many others are.
     fn has_room_for(&self, claim: &Claim) -> bool {
         let mut claims = 0;
         for pending in self.pending.values() {
