--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -197,7 +197,7 @@
                 };
             self.send_hellos(now);
         }
-        self.sync_share_keeper(now);
+        self.sync_lessor(now);
         self.tick_fleet(now).await;
         let leadership = self.leadership(now);
         let out = self.spreading.tick(now, leadership);
--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -66,7 +66,7 @@
     /// The leader and members last logged.
     logged_membership: (Option<ReplicaId>, Members),
     /// Services logged as having endpoints but no route.
-    logged_unserved: BTreeSet<ServiceName>,
+    logged_unrouted: BTreeSet<ServiceName>,
 }
 
 impl Fleet {
@@ -88,15 +88,15 @@
             next_proof: Moment::ZERO,
             published,
             logged_membership: Default::default(),
-            logged_unserved: BTreeSet::new(),
+            logged_unrouted: BTreeSet::new(),
         }
     }
 
     /// Logs each service, once, that has endpoints but no route.
-    fn log_unserved(&mut self) {
+    fn log_unrouted(&mut self) {
         for (service, endpoints) in self.registry.unserved() {
-            if self.logged_unserved.len() < MAX_LOGGED_SERVICES
-                && self.logged_unserved.insert(service.clone())
+            if self.logged_unrouted.len() < MAX_LOGGED_SERVICES
+                && self.logged_unrouted.insert(service.clone())
             {
                 info!(service:%, endpoints; "no request goes to endpoints of an unknown service");
             }
@@ -134,7 +134,7 @@
             return;
         };
         let out = self.fleet.registry.listed(now, term, list);
-        self.fleet.log_unserved();
+        self.fleet.log_unrouted();
         self.send_fleet(out);
         let current = self.fleet.registry.have().endpoints;
         if current == before {
@@ -162,7 +162,7 @@
                 let to = origin.addr;
                 self.start_read(ReadReplyTo::Replica { to, token }).await;
             }
-            Message::NewestIs { token, result } => self.handle_newest_index(now, token, result),
+            Message::NewestIs { token, result } => self.handle_read_index(now, token, result),
             other => {
                 let proven = self.replica.lease_until(now).is_some();
                 let registry = &mut self.fleet.registry;
@@ -263,8 +263,8 @@
         }
         self.fleet.next_list = now + LIST_REQUEST_PERIOD;
         if let Some(leader) = self.leader_addr(now) {
-            let have = self.fleet.registry.have().endpoints;
-            self.send(leader, Body::Fleet(Message::AskList(have)));
+            let stamp = self.fleet.registry.have().endpoints;
+            self.send(leader, Body::Fleet(Message::AskList(stamp)));
         }
     }
 
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -66,7 +66,7 @@
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// Requests of gateways to prove their routes.
-    Questions(Vec<Question>),
+    ProofRequests(Vec<Question>),
 }
 
 impl Fleet {
@@ -186,10 +186,10 @@
     /// Asks the leader for the index that proves the routes held here, for the gateways that
     /// report here. Without a leader they get no proof, and ask other replicas.
     pub(super) fn request_proofs(&mut self, now: Moment) {
-        let questions = self.fleet.registry.take_questions();
-        let leader = self.leader_addr(now).filter(|_| !questions.is_empty());
+        let requests = self.fleet.registry.take_questions();
+        let leader = self.leader_addr(now).filter(|_| !requests.is_empty());
         if let Some(leader) = leader {
-            self.query_leader(now, leader, UnprovenRead::Questions(questions));
+            self.query_leader(now, leader, UnprovenRead::ProofRequests(requests));
         }
     }
 
@@ -199,8 +199,8 @@
                 // The receiver may be gone; nothing else needs the reply.
                 let _ = reply.send(Ok(self.machine.routes.newest().cloned()));
             }
-            UnprovenRead::Questions(questions) => {
-                let out = self.fleet.registry.prove(questions);
+            UnprovenRead::ProofRequests(requests) => {
+                let out = self.fleet.registry.prove(requests);
                 self.send_fleet(out);
             }
         }
@@ -227,7 +227,7 @@
     }
 
     /// Handles the leader's reply to a query for its newest index.
-    pub(super) fn handle_newest_index(
+    pub(super) fn handle_read_index(
         &mut self,
         now: Moment,
         token: u64,
@@ -293,7 +293,7 @@
                 let _ = reply.send(Err(error));
             }
             // Gateways ask again with each report.
-            Self::Questions(_) => {}
+            Self::ProofRequests(_) => {}
         }
     }
 }
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -1,8 +1,8 @@
 //! Grants entries their leases of endpoints, their limits and their shift caps.
 //!
-//! A share keeper lives for one leadership. It replies only while this replica's lease is valid,
+//! A lessor lives for one leadership. It replies only while this replica's lease is valid,
 //! so a deposed leader that isn't aware of it can't raise a share that the new leader has granted
-//! to another entry. A new keeper first waits until grants of its predecessor have expired.
+//! to another entry. A new lessor first waits until grants of its predecessor have expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,45 +31,45 @@
     last_renewal: Moment,
 }
 
-/// The keeper of the current leadership, and the usage that renewals report.
+/// The lessor of the current leadership, and the usage that renewals report.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    keeper: Option<(Epoch, ShareKeeper)>,
+    lessor: Option<(Epoch, ShareKeeper)>,
     /// Usage by entry, from renewals in this leadership.
     usage: BTreeMap<NodeName, Usage>,
 }
 
 impl Shares {
-    /// Replaces the keeper when the term changes, and drops it for `None`, when this replica
+    /// Replaces the lessor when the term changes, and drops it for `None`, when this replica
     /// doesn't lead.
     fn set_term(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
         let Some(term) = term else {
-            self.keeper = None;
+            self.lessor = None;
             return;
         };
         if self
-            .keeper
+            .lessor
             .as_ref()
             .is_some_and(|(current, _)| *current == term)
         {
             return;
         }
-        let mut keeper = ShareKeeper::new(now, term, MAX_REQUEST_DURATION);
-        keeper.set_table(view());
-        self.keeper = Some((term, keeper));
+        let mut lessor = ShareKeeper::new(now, term, MAX_REQUEST_DURATION);
+        lessor.set_table(view());
+        self.lessor = Some((term, lessor));
         self.usage.clear();
     }
 
-    /// Passes a committed table to the keeper.
+    /// Passes a committed table to the lessor.
     pub(crate) fn set_table(&mut self, view: Arc<View>) {
-        if let Some((_, keeper)) = &mut self.keeper {
-            keeper.set_table(view);
+        if let Some((_, lessor)) = &mut self.lessor {
+            lessor.set_table(view);
         }
     }
 
     fn renew(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Option<Message> {
-        let (_, keeper) = self.keeper.as_mut()?;
-        let grant = keeper.renew(now, from, renew);
+        let (_, lessor) = self.lessor.as_mut()?;
+        let grant = lessor.renew(now, from, renew);
         // A grant without a serial number replies to a renewal that was superseded.
         if grant.serial > 0 {
             let usage = Usage {
@@ -104,13 +104,13 @@
 
     /// Whether the slots of all failure domains of a region have been reported.
     fn has_all_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
-        let Some((_, keeper)) = &self.keeper else {
+        let Some((_, lessor)) = &self.lessor else {
             return false;
         };
         let in_region = domains
             .iter()
             .filter(|(_, domain_region)| *domain_region == region);
-        keeper.knows_slots(now, region, in_region.map(|(domain, _)| domain))
+        lessor.knows_slots(now, region, in_region.map(|(domain, _)| domain))
     }
 }
 
@@ -152,14 +152,14 @@
     /// Replies to an entry's renewal, if this replica leads at this moment.
     pub(super) fn handle_renewal(&mut self, origin: &Origin, renew: &Renew) {
         let now = self.clock.now();
-        self.sync_share_keeper(now);
+        self.sync_lessor(now);
         if let Some(grant) = self.shares.renew(now, &origin.name, renew) {
             self.send(origin.addr, Body::Steer(grant));
         }
     }
 
-    /// Aligns the keeper with this replica's lease.
-    pub(super) fn sync_share_keeper(&mut self, now: Moment) {
+    /// Aligns the lessor with this replica's lease.
+    pub(super) fn sync_lessor(&mut self, now: Moment) {
         let leads = self.replica.lease_until(now).is_some();
         let term = leads.then(|| self.replica.status(now).term);
         let table = &self.machine.table;
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -404,14 +404,14 @@
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
             placer.plan(now);
-            // Computing the beliefs costs more than the log line.
-            let beliefs = match log_enabled!(Level::Debug) {
+            // Computing the estimates costs more than the log line.
+            let estimates = match log_enabled!(Level::Debug) {
                 true => placer.beliefs(now),
                 false => Vec::new(),
             };
-            for belief in beliefs {
-                debug!(service:% = belief.service, away:? = belief.away, times:? = belief.times,
-                    demand:? = belief.demand, capacity:? = belief.capacity; "plan");
+            for estimate in estimates {
+                debug!(service:% = estimate.service, away:? = estimate.away, times:? = estimate.times,
+                    demand:? = estimate.demand, capacity:? = estimate.capacity; "plan");
             }
             Load {
                 demand: placer.demand(now),
