--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Closes the data folder until it can be opened again. After a failed sync it is unknown what the disk holds, and another sync may falsely
-    /// succeed, so the open files aren't used any more.
+    /// Closes the data folder until it can be opened again. After a failed sync it is unknown what
+    /// the disk holds, and another sync may falsely succeed, so the open files aren't used any more.
     async fn fail(&mut self, error: &StorageError) {
         error!(error:% = error, cause:? = std::error::Error::source(error);
             "the data folder failed");
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -105,8 +105,8 @@
         };
         self.core.metrics.attempted(name);
         log!(level, request = self.request, service:% = self.service, object = self.object,
-            endpoint:% = self.target.id,
-            route = self.route, known:? = self.target.known, expected_ms = self.target.expected.as_millis(),
+            endpoint:% = self.target.id, route = self.route, known:? = self.target.known,
+            expected_ms = self.target.expected.as_millis(),
             overhead_ms = self.target.overhead.as_millis(),
             took_ms = now.saturating_sub(self.started).as_millis(), outcome:? = self.outcome;
             "attempt ended");
@@ -201,7 +201,8 @@
     }
     if let Some(outcome) = not_run(core, head.status, &head.headers) {
         in_flight.outcome = outcome;
-        debug!(endpoint:% = in_flight.target.id, status:% = head.status; "endpoint refused to run the request");
+        debug!(endpoint:% = in_flight.target.id, status:% = head.status;
+            "endpoint refused to run the request");
         connection.release_after(body);
         let load_reported = parse_load(header_text(&head.headers, &core.protocol.load)).is_some();
         return Attempt::NotRun { load_reported };
@@ -218,7 +219,8 @@
         let bytes = match timeout_at(job.deadline.respond_by, limited).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => {
-                debug!(endpoint:% = in_flight.target.id, error:% = e; "connection broke during a response");
+                debug!(endpoint:% = in_flight.target.id, error:% = e;
+                    "connection broke during a response");
                 in_flight.outcome = Outcome::Broken;
                 return Attempt::Lost;
             }
--- a/crates/filberthead/src/gateway/context.rs
+++ b/crates/filberthead/src/gateway/context.rs
@@ -91,7 +91,8 @@
             version = routes.map(|routes| routes.version),
             revision = routes.map(|routes| routes.revision),
             routes = routes.map_or(0, |routes| routes.route_count),
-            routes_ms = routes.map(since), proven_ms = self.core.proof_age().map(|age| age.as_millis()),
+            routes_ms = routes.map(since),
+            proven_ms = self.core.proof_age().map(|age| age.as_millis()),
             from = routes.map(|routes| routes.from.to_string()),
             control_ms, phase = phase.as_str(), informed, omitted; "turned away");
     }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -410,8 +410,8 @@
                 false => Vec::new(),
             };
             for estimate in estimates {
-                debug!(service:% = estimate.service, away:? = estimate.away, times:? = estimate.times,
-                    demand:? = estimate.demand, capacity:? = estimate.capacity; "plan");
+                debug!(service:% = estimate.service, away:? = estimate.away,
+                    times:? = estimate.times, demand:? = estimate.demand, capacity:? = estimate.capacity; "plan");
             }
             Load {
                 demand: placer.demand(now),
