--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -136,7 +136,7 @@
     }
 
     /// Closes the data folder until it can be opened again. After a failed sync it is unknown what
-    /// the disk holds, and another sync may falsely succeed, so the open files aren't used any more.
+    /// the disk holds, and another sync may falsely succeed, so the open files aren't used again.
     async fn fail(&mut self, error: &StorageError) {
         error!(error:% = error, cause:? = std::error::Error::source(error);
             "the data folder failed");
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -411,7 +411,8 @@
             };
             for estimate in estimates {
                 debug!(service:% = estimate.service, away:? = estimate.away,
-                    times:? = estimate.times, demand:? = estimate.demand, capacity:? = estimate.capacity; "plan");
+                    times:? = estimate.times, demand:? = estimate.demand,
+                    capacity:? = estimate.capacity; "plan");
             }
             Load {
                 demand: placer.demand(now),
