--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of entries on homes of idempotency keys.
+//! Claims of entries to take over a home of idempotency keys.
 
 use std::net::SocketAddr;
 
@@ -10,40 +10,41 @@
 use super::core::{Core, Pending};
 use super::machine::Entry;
 
-/// Claims in the log whose verdict isn't committed yet. Further ones are dropped; each
-/// is repeated until its verdict has come.
+/// Most claims whose verdict isn't committed yet. Further ones are dropped; an entry repeats its
+/// claim until it gets the verdict.
 const MAX_PENDING: usize = 1024;
 
 impl Core {
-    /// Answers a claim with its verdict, or puts it into the log.
+    /// Replies to a claim with its verdict, or else proposes it.
     ///
-    /// A verdict that was applied here is committed and never changes, so a replica may
-    /// tell it without a lease.
-    pub(super) async fn take_claim(&mut self, origin: &Origin, claim: Claim) {
-        if self.tell_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
+    /// A verdict that was applied here is committed and never changes, so a replica may send it
+    /// without holding the lease.
+    pub(super) async fn handle_claim(&mut self, origin: &Origin, claim: Claim) {
+        if self.send_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
             return;
         }
         let Ok(buf) = postcard::to_stdvec(&Entry::Claim(claim.clone())) else {
-            warn!("a claim can't be encoded");
+            warn!("can't encode a claim");
             return;
         };
         let to = origin.addr;
-        let token = self.pend(Pending::Claim { to, claim });
+        let token = self.add_pending(Pending::Claim { to, claim });
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Sends the verdict on a claim if there is one.
-    pub(super) fn tell_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
+    /// Sends the verdict on a claim, if there is one. Returns whether there is.
+    pub(super) fn send_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
         let Some(verdict) = self.machine.verdicts.get(claim) else {
             return false;
         };
         info!(home:% = verdict.home, config = verdict.config.0, winner = verdict.winner.0;
-            "verdict on a home");
+            "verdict sent for a claim on a home");
         self.send(to, Body::Ledger(Message::Verdict(verdict)));
         true
     }
 
+    /// Whether a claim may be proposed: it isn't pending already, and not too many others are.
     fn has_room_for(&self, claim: &Claim) -> bool {
         let mut claims = 0;
         for pending in self.pending.values() {
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -1,9 +1,9 @@
-//! The disk duty: the only one that waits for the disk.
+//! The disk duty: the only one that waits for the log's disk.
 //!
-//! A disk that is full or failing takes the replica out, but not the process: the replica
-//! loses all that it believes, as in a restart, and begins anew from the folder once that
-//! can be written again. Ending the process instead would have it started over and over
-//! for as long as the disk is full.
+//! A full or failing disk takes the replica out of service, but doesn't end the process. The
+//! replica drops its in-memory state, as in a restart, and starts again from the data folder once
+//! that is writable. Ending the process instead would have it restarted over and over for as long
+//! as the disk is full.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -20,23 +20,23 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// How often a failed folder is tried again.
+/// How often a failed data folder is opened again.
 const REOPEN_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long the disk must have been idle before a note is kept: orders come in storms, and
-/// each waits for the log's sync while only the last note counts.
+/// How long the disk must be idle before a note is written: orders come in bursts, each waits for
+/// the log's sync, and only the last note counts.
 const NOTE_DELAY: Duration = Duration::from_millis(20);
 
-/// Which folder it is.
+/// Location and cluster name of the data folder.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct DataFolder {
     pub(crate) folder: PathBuf,
     pub(crate) cluster: String,
 }
 
 /// Starts the duty.
 pub(crate) fn spawn(
-    (disk, place): (Disk, Place),
+    (disk, data_folder): (Disk, DataFolder),
     rx: Receiver<DiskJob>,
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
@@ -44,7 +44,7 @@
 ) -> Result<Duty, DutyError> {
     let duty = DiskDuty {
         disk: Some(disk),
-        place,
+        data_folder,
         epoch: 0,
         note: None,
         tx,
@@ -56,9 +56,10 @@
 struct DiskDuty {
     /// `None` while the folder can't be written.
     disk: Option<Disk>,
-    place: Place,
+    data_folder: DataFolder,
+    /// Number of recoveries of the data folder.
     epoch: u64,
-    /// The newest note that isn't kept yet.
+    /// The newest note that isn't written yet.
     note: Option<Vec<u8>>,
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
@@ -69,32 +70,32 @@
         loop {
             tokio::select! {
                 job = rx.recv() => match job {
-                    Some(job) => self.take(job).await,
+                    Some(job) => self.run_job(job).await,
                     None => return,
                 },
                 () = sleep(REOPEN_PERIOD), if self.disk.is_none() => self.reopen().await,
                 () = sleep(NOTE_DELAY), if self.disk.is_some() && self.note.is_some() => {
-                    self.remember().await;
+                    self.write_note().await;
                 }
                 () = stop.wait() => return,
             }
         }
     }
 
-    async fn take(&mut self, job: DiskJob) {
+    async fn run_job(&mut self, job: DiskJob) {
         let Some(disk) = &mut self.disk else {
-            // What was promised on the strength of it never left the replica.
+            // No reply that depends on this job has been sent.
             return;
         };
         let result = match job {
             DiskJob::Persist { epoch, .. } if epoch != self.epoch => return,
             DiskJob::Persist { persist, .. } => {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let result = disk.persist(&persist);
-                self.metrics.synced(begun.elapsed());
+                self.metrics.synced(started.elapsed());
                 result.map(|()| Some(Input::Persisted { seq: persist.seq }))
             }
-            DiskJob::Remember(note) => {
+            DiskJob::WriteNote(note) => {
                 self.note = Some(note);
                 Ok(None)
             }
@@ -107,7 +108,7 @@
                     }
                     Err(e) => Err(InitialiseError::Storage(e.to_string())),
                 };
-                // The operator may have gone; a resend gets the same answer.
+                // The operator may have disconnected; a resend gets the same answer.
                 let _ = reply.send(answer);
                 match result {
                     Err(StorageError::BootstrapConflict { .. }) => Ok(None),
@@ -125,7 +126,7 @@
         }
     }
 
-    async fn remember(&mut self) {
+    async fn write_note(&mut self) {
         let (Some(disk), Some(note)) = (&mut self.disk, self.note.take()) else {
             return;
         };
@@ -134,8 +135,8 @@
         }
     }
 
-    /// After a failed sync nobody knows what the disk holds, and asking again may falsely
-    /// succeed, so the open files are given up.
+    /// Closes the data folder until it can be opened again. After a failed sync it is unknown what
+    /// the disk holds, and another sync may falsely succeed, so the open files aren't used again.
     async fn fail(&mut self, error: &StorageError) {
         error!(error:% = error, cause:? = std::error::Error::source(error);
             "the data folder failed");
@@ -144,7 +145,7 @@
     }
 
     async fn reopen(&mut self) {
-        let Place { folder, cluster } = &self.place;
+        let DataFolder { folder, cluster } = &self.data_folder;
         let reopened = Disk::reopen(folder, cluster).and_then(|disk| Ok((disk.load()?, disk)));
         match reopened {
             Ok((durable, disk)) => {
@@ -152,7 +153,7 @@
                 self.epoch += 1;
                 self.disk = Some(disk);
                 let epoch = self.epoch;
-                self.report(Input::DiskBack { epoch, durable }).await;
+                self.report(Input::DiskRecovered { epoch, durable }).await;
             }
             Err(e) => log::debug!(error:% = e; "the data folder still fails"),
         }
--- /dev/null
+++ b/crates/filberthead/src/control/handle.rs
@@ -0,0 +1,118 @@
+//! The interface of a control replica to its adapters.
+//!
+//! An adapter translates an external protocol (of operators, callers or the platform) and decides
+//! nothing: it submits orders and endpoint lists, and asks for the routes in force. Its thread
+//! never touches the state of the consensus duty.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use filberthead_fleet::{Endpoint, GatewayInfo, Order, OrderError};
+use filberthead_ring::Sender;
+use filberthead_route::Change;
+use tokio::sync::{oneshot, watch};
+
+use super::input::Input;
+use crate::stop::Stop;
+use crate::{Duty, DutyError};
+
+/// State that adapters can read at any time, without a request to the consensus duty.
+#[derive(Clone, Debug, Default)]
+pub struct PublishedState {
+    /// The gateways that callers may be sent to.
+    pub gateways: Arc<[GatewayInfo]>,
+    /// Whether this replica is to poll the platform's endpoint list: while it leads, or while it
+    /// has neither a list nor a known leader.
+    pub polls_endpoint_list: bool,
+}
+
+/// Submits orders and reads to the consensus duty. Cheap to clone.
+#[derive(Clone, Debug)]
+pub struct ControlHandle {
+    tx: Sender<Input>,
+    published: watch::Receiver<PublishedState>,
+}
+
+/// A request to the consensus duty, with the channel for its reply.
+#[derive(Debug)]
+pub(crate) enum HandleRequest {
+    /// Carry out an order.
+    Order {
+        order: Order,
+        reply: oneshot::Sender<Result<(), OrderError>>,
+    },
+    /// Return the routes in force, proven to be the newest.
+    Routes {
+        reply: oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>,
+    },
+    /// Store the platform's endpoint list.
+    EndpointList(Vec<Endpoint>),
+}
+
+impl ControlHandle {
+    pub(crate) fn new(tx: Sender<Input>, published: watch::Receiver<PublishedState>) -> Self {
+        Self { tx, published }
+    }
+
+    /// Carries out an order. `Ok` means that it is committed: a majority has it on disk.
+    ///
+    /// # Errors
+    ///
+    /// No error means that the order was rejected. It may be sent again, to any replica, and
+    /// takes effect at most once.
+    pub async fn order(&self, order: Order) -> Result<(), OrderError> {
+        let (reply, rx) = oneshot::channel();
+        self.push(HandleRequest::Order { order, reply })?;
+        rx.await.unwrap_or(Err(OrderError::OutcomeUnknown))
+    }
+
+    /// The routes in force, if any. They are the newest as of some moment after the call.
+    ///
+    /// # Errors
+    ///
+    /// Fails if that can't be proven, because there is no leader or it can't be reached.
+    pub async fn routes(&self) -> Result<Option<Arc<Change>>, OrderError> {
+        let (reply, rx) = oneshot::channel();
+        self.push(HandleRequest::Routes { reply })?;
+        rx.await.unwrap_or(Err(OrderError::NoLeader))
+    }
+
+    /// Submits the platform's endpoint list. It is ignored unless this replica is to poll it, and
+    /// dropped if the queue is full; the next one is read soon.
+    pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
+        if self.push(HandleRequest::EndpointList(list)).is_err() {
+            log::warn!("endpoint list dropped, the queue to the consensus duty is full");
+        }
+    }
+
+    /// The state published last.
+    pub fn published(&self) -> PublishedState {
+        self.published.borrow().clone()
+    }
+
+    fn push(&self, req: HandleRequest) -> Result<(), OrderError> {
+        self.tx
+            .push(Input::Adapter(req))
+            .map_err(|_| OrderError::Busy)
+    }
+}
+
+/// A front end for an external protocol, on a thread of its own.
+pub trait Adapter: Send {
+    /// Name of the adapter's thread, and of its address in the `ready` line.
+    fn name(&self) -> &'static str;
+
+    /// The address it listens on; `None` if it doesn't listen.
+    fn addr(&self) -> Option<SocketAddr>;
+
+    /// Runs until the process stops.
+    fn run(self: Box<Self>, control: ControlHandle, stop: Stop) -> crate::LocalFuture;
+}
+
+pub(super) fn spawn(
+    adapter: Box<dyn Adapter>,
+    control: ControlHandle,
+    stop: Stop,
+) -> Result<Duty, DutyError> {
+    Duty::spawn(adapter.name(), move || adapter.run(control, stop))
+}
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -1,8 +1,9 @@
-//! Orders of operators about routes and evacuations, and reads of what is in force.
+//! Operators' orders about routes and evacuations, and reads of what is in force.
 //!
-//! Any replica takes an order or a read. One that doesn't lead passes it on to the leader
-//! and waits for its word; one that knows no leader holds it for a moment, since an
-//! election is usually over within a second, and then says that it can't tell.
+//! Any replica accepts an order or a read. One that isn't the leader forwards it to the leader
+//! and waits for the result. One that knows no leader holds it for a moment, since an election
+//! usually ends within a second, and then reports that the outcome is unknown or that there is no
+//! leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,243 +20,265 @@
 use super::core::{Core, Pending};
 use super::fleet::Fleet;
 use super::machine::Entry;
-use super::roster::MAX_VOTERS;
+use super::membership_policy::MAX_VOTERS;
 
-/// How long an order or read waits for a leader, or for the leader's word. An operator
-/// waits a second for an answer; after that a late one would be lost on it.
-const WAIT: Duration = Duration::from_millis(850);
-/// Orders and reads that wait here at the same time.
+/// How long an order or read waits for a leader, or for the leader's reply. Operators give up
+/// after a second, so a later reply would be lost.
+const MAX_WAIT: Duration = Duration::from_millis(850);
+/// Most orders and reads that wait at the same time.
 const MAX_WAITING: usize = 256;
-/// How long a group in the making may hold back orders. A group whose VMs never come up
-/// in full has to work with those that did.
-const MAKING: Duration = Duration::from_secs(6);
+/// How long a group that is being formed may hold back orders. If some of its VMs never start,
+/// the group has to work with the others.
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Whom the word on an order goes to.
-pub(super) enum Asker {
+/// Where the result of an order goes.
+pub(super) enum ReplyTo {
     /// An adapter in this process.
-    Here(oneshot::Sender<Result<(), OrderError>>),
-    /// A replica that passed it on.
+    Local(oneshot::Sender<Result<(), OrderError>>),
+    /// The replica that forwarded it, under this token.
     Replica { to: SocketAddr, token: u64 },
 }
 
-/// Whom the word on the newest state goes to.
-pub(super) enum Reader {
+/// Where the result of a read goes.
+pub(super) enum ReadReplyTo {
     /// An adapter in this process.
-    Here(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// A replica that passed it on.
+    Local(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
+    /// The replica that forwarded it, under this token.
     Replica { to: SocketAddr, token: u64 },
 }
 
-/// Something that waits for a leader, for its word, or for the log.
+/// A request that waits for a leader, for the leader's reply, or for the log to be applied.
 pub(super) enum Waiting {
-    Order(Order, Asker),
+    /// An order that waits for a leader.
+    Order(Order, ReplyTo),
+    /// A read that waits for a leader.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// An order passed on under this token.
-    Passed(u64, oneshot::Sender<Result<(), OrderError>>),
-    /// What was asked of the leader under this token.
-    Asked(u64, Unproven),
-    /// What may be answered once the log is applied up to this index.
-    Behind(u64, Unproven),
+    /// An order forwarded to the leader under this token.
+    Forwarded(u64, oneshot::Sender<Result<(), OrderError>>),
+    /// A read that waits for the leader's reply under this token.
+    LeaderQuery(u64, UnprovenRead),
+    /// A read that can be answered once the log is applied up to this index.
+    AwaitingApply(u64, UnprovenRead),
 }
 
-/// What a replica that doesn't lead answers once the leader has told what is the newest.
-pub(super) enum Unproven {
+/// A read on a follower, which needs the leader's newest index before it can be answered.
+pub(super) enum UnprovenRead {
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
-    /// Questions of gateways.
-    Questions(Vec<Question>),
+    /// Requests of gateways to prove their routes.
+    ProofRequests(Vec<Question>),
 }
 
 impl Fleet {
-    fn token(&mut self) -> u64 {
+    fn new_token(&mut self) -> u64 {
         self.next_token = self.next_token.wrapping_add(1);
         self.next_token
     }
 
-    fn wait(&mut self, now: Moment, what: Waiting) {
+    fn enqueue(&mut self, now: Moment, request: Waiting) {
         if self.waiting.len() >= MAX_WAITING {
-            fail(what, OrderError::Busy);
+            fail(request, OrderError::Busy);
             return;
         }
-        self.waiting.push((now + WAIT, what));
+        self.waiting.push((now + MAX_WAIT, request));
     }
 
-    fn take(&mut self, matches: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|(_, what)| matches(what))?;
-        Some(self.waiting.swap_remove(place).1)
+    fn take_waiting(&mut self, matches: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+        let position = self
+            .waiting
+            .iter()
+            .position(|(_, request)| matches(request))?;
+        Some(self.waiting.swap_remove(position).1)
     }
 }
 
 impl Core {
-    pub(super) async fn order(&mut self, order: Order, asker: Asker) {
+    /// Proposes an order if this replica leads, else forwards it or lets it wait.
+    pub(super) async fn order(&mut self, order: Order, reply_to: ReplyTo) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
-            if self.is_in_the_making(now) {
-                self.fleet.wait(now, Waiting::Order(order, asker));
+            if self.is_forming(now) {
+                self.fleet.enqueue(now, Waiting::Order(order, reply_to));
                 return;
             }
-            self.propose_order(order, asker).await;
+            self.propose_order(order, reply_to).await;
             return;
         }
-        match (self.leader_addr(now), asker) {
-            (Some(leader), Asker::Here(reply)) => {
-                let token = self.fleet.token();
+        match (self.leader_addr(now), reply_to) {
+            (Some(leader), ReplyTo::Local(reply)) => {
+                let token = self.fleet.new_token();
                 self.send(leader, Body::Fleet(Message::Order { token, order }));
-                self.fleet.wait(now, Waiting::Passed(token, reply));
+                self.fleet.enqueue(now, Waiting::Forwarded(token, reply));
             }
-            (_, asker) => self.fleet.wait(now, Waiting::Order(order, asker)),
+            (_, reply_to) => self.fleet.enqueue(now, Waiting::Order(order, reply_to)),
         }
     }
 
-    /// Whether the group is still too small to keep what it accepts through as many
-    /// losses as it is to tolerate.
-    fn is_in_the_making(&self, now: Moment) -> bool {
-        let Some(keeping) = &self.fleet.keeping else {
+    /// Whether the group still has too few voters for the number of failures that it is to
+    /// tolerate, and hasn't had the time to form.
+    fn is_forming(&self, now: Moment) -> bool {
+        let Some(auto_membership) = &self.fleet.auto_membership else {
             return false;
         };
         let voters = self.replica.status(now).members.voters.len();
         let since = self.fleet.led_since.unwrap_or(now);
-        let wanted = (2 * keeping.tolerate + 1).min(MAX_VOTERS);
-        voters < wanted && now < since + MAKING
+        let required = (2 * auto_membership.tolerated_failures + 1).min(MAX_VOTERS);
+        voters < required && now < since + FORMATION_TIMEOUT
     }
 
-    async fn propose_order(&mut self, order: Order, asker: Asker) {
+    async fn propose_order(&mut self, order: Order, reply_to: ReplyTo) {
         let Ok(buf) = postcard::to_stdvec(&Entry::Order(order)) else {
-            warn!("an order can't be encoded");
-            self.answer_order(asker, Err(OrderError::Busy));
+            warn!("can't encode an order");
+            self.finish_order(reply_to, Err(OrderError::Busy));
             return;
         };
-        let token = self.pend(Pending::Order(asker));
+        let token = self.add_pending(Pending::Order(reply_to));
         let proposal = Proposal::Command(buf);
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Gives the word on an order to whoever asked.
-    pub(super) fn answer_order(&mut self, asker: Asker, result: Result<(), OrderError>) {
-        match asker {
-            Asker::Here(reply) => {
+    /// Sends the result of an order.
+    pub(super) fn finish_order(&mut self, reply_to: ReplyTo, result: Result<(), OrderError>) {
+        match reply_to {
+            ReplyTo::Local(reply) => {
                 let _ = reply.send(result);
             }
-            Asker::Replica { to, token } => {
+            ReplyTo::Replica { to, token } => {
                 self.send(to, Body::Fleet(Message::OrderDone { token, result }));
             }
         }
     }
 
-    pub(super) async fn passed_done(&mut self, token: u64, result: Result<(), OrderError>) {
-        let mine = |what: &Waiting| matches!(what, Waiting::Passed(held, _) if *held == token);
-        if let Some(Waiting::Passed(_, reply)) = self.fleet.take(mine) {
+    pub(super) async fn forwarded_order_done(
+        &mut self,
+        token: u64,
+        result: Result<(), OrderError>,
+    ) {
+        let matching =
+            |item: &Waiting| matches!(item, Waiting::Forwarded(sent, _) if *sent == token);
+        if let Some(Waiting::Forwarded(_, reply)) = self.fleet.take_waiting(matching) {
             let _ = reply.send(result);
         }
     }
 
+    /// Reads the routes, if necessary after a query to the leader for its newest index.
     pub(super) async fn read_routes(
         &mut self,
         reply: oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>,
     ) {
         let now = self.clock.now();
         if self.replica.status(now).holds_lease {
-            self.prove(Reader::Here(reply)).await;
+            self.start_read(ReadReplyTo::Local(reply)).await;
             return;
         }
         match self.leader_addr(now) {
-            Some(leader) => self.ask_newest(now, leader, Unproven::Read(reply)),
-            None => self.fleet.wait(now, Waiting::Read(reply)),
+            Some(leader) => self.query_leader(now, leader, UnprovenRead::Read(reply)),
+            None => self.fleet.enqueue(now, Waiting::Read(reply)),
         }
     }
 
-    fn ask_newest(&mut self, now: Moment, leader: SocketAddr, unproven: Unproven) {
-        let token = self.fleet.token();
+    fn query_leader(&mut self, now: Moment, leader: SocketAddr, read: UnprovenRead) {
+        let token = self.fleet.new_token();
         self.send(leader, Body::Fleet(Message::Newest { token }));
-        self.fleet.wait(now, Waiting::Asked(token, unproven));
+        self.fleet.enqueue(now, Waiting::LeaderQuery(token, read));
     }
 
-    /// Asks the leader for what proves the routes held here to gateways that report here.
-    /// Without a leader they get no proof, and ask others.
-    pub(super) fn ask_for_proofs(&mut self, now: Moment) {
-        let questions = self.fleet.registry.take_questions();
-        let leader = self.leader_addr(now).filter(|_| !questions.is_empty());
+    /// Asks the leader for the index that proves the routes held here, for the gateways that
+    /// report here. Without a leader they get no proof, and ask other replicas.
+    pub(super) fn request_proofs(&mut self, now: Moment) {
+        let requests = self.fleet.registry.take_questions();
+        let leader = self.leader_addr(now).filter(|_| !requests.is_empty());
         if let Some(leader) = leader {
-            self.ask_newest(now, leader, Unproven::Questions(questions));
+            self.query_leader(now, leader, UnprovenRead::ProofRequests(requests));
         }
     }
 
-    fn answer_unproven(&mut self, unproven: Unproven) {
-        match unproven {
-            Unproven::Read(reply) => {
-                // Whoever asked may have gone; nobody else needs the answer.
+    fn complete_read(&mut self, read: UnprovenRead) {
+        match read {
+            UnprovenRead::Read(reply) => {
+                // The receiver may be gone; nothing else needs the reply.
                 let _ = reply.send(Ok(self.machine.routes.newest().cloned()));
             }
-            Unproven::Questions(questions) => {
-                let out = self.fleet.registry.prove(questions);
-                self.tell(out);
+            UnprovenRead::ProofRequests(requests) => {
+                let out = self.fleet.registry.prove(requests);
+                self.send_fleet(out);
             }
         }
     }
 
-    pub(super) async fn prove(&mut self, reader: Reader) {
-        let token = self.pend(Pending::Newest(reader));
+    /// Has the replica confirm its lease; [`Self::finish_read`] follows.
+    pub(super) async fn start_read(&mut self, reply_to: ReadReplyTo) {
+        let token = self.add_pending(Pending::RoutesRead(reply_to));
         self.step(Event::Read { token }).await;
     }
 
-    /// Gives the word on a read: as the lease stands at this moment, all that was ever
-    /// accepted is applied here.
-    pub(super) fn answer_read(&mut self, reader: Reader, result: Result<(), OrderError>) {
-        match reader {
-            Reader::Here(reply) => {
+    /// Sends the result of a read: as the lease is valid now, everything ever accepted is applied
+    /// here.
+    pub(super) fn finish_read(&mut self, reply_to: ReadReplyTo, result: Result<(), OrderError>) {
+        match reply_to {
+            ReadReplyTo::Local(reply) => {
                 let _ = reply.send(result.map(|()| self.machine.routes.newest().cloned()));
             }
-            Reader::Replica { to, token } => {
+            ReadReplyTo::Replica { to, token } => {
                 let result = result.map(|()| self.applied);
                 self.send(to, Body::Fleet(Message::NewestIs { token, result }));
             }
         }
     }
 
-    pub(super) fn asked_done(&mut self, now: Moment, token: u64, result: Result<u64, OrderError>) {
-        let mine = |what: &Waiting| matches!(what, Waiting::Asked(held, _) if *held == token);
-        let Some(Waiting::Asked(_, unproven)) = self.fleet.take(mine) else {
+    /// Handles the leader's reply to a query for its newest index.
+    pub(super) fn handle_read_index(
+        &mut self,
+        now: Moment,
+        token: u64,
+        result: Result<u64, OrderError>,
+    ) {
+        let matching =
+            |item: &Waiting| matches!(item, Waiting::LeaderQuery(sent, _) if *sent == token);
+        let Some(Waiting::LeaderQuery(_, read)) = self.fleet.take_waiting(matching) else {
             return;
         };
         match result {
-            Ok(index) if index <= self.applied => self.answer_unproven(unproven),
-            Ok(index) => self.fleet.wait(now, Waiting::Behind(index, unproven)),
-            Err(e) => unproven.fail(e),
+            Ok(index) if index <= self.applied => self.complete_read(read),
+            Ok(index) => self.fleet.enqueue(now, Waiting::AwaitingApply(index, read)),
+            Err(e) => read.fail(e),
         }
     }
 
-    pub(super) fn answer_those_behind(&mut self) {
+    /// Completes reads whose index has been applied.
+    pub(super) fn complete_applied_reads(&mut self) {
         let applied = self.applied;
         let caught_up =
-            |what: &Waiting| matches!(what, Waiting::Behind(index, _) if *index <= applied);
-        while let Some(Waiting::Behind(_, unproven)) = self.fleet.take(caught_up) {
-            self.answer_unproven(unproven);
+            |item: &Waiting| matches!(item, Waiting::AwaitingApply(index, _) if *index <= applied);
+        while let Some(Waiting::AwaitingApply(_, read)) = self.fleet.take_waiting(caught_up) {
+            self.complete_read(read);
         }
     }
 
+    /// Fails expired requests, and handles again those that waited for a leader once there is one.
     pub(super) async fn retry_waiting(&mut self, now: Moment) {
         let waiting = std::mem::take(&mut self.fleet.waiting);
-        let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
-        for (_, what) in late {
-            let error = match what {
-                Waiting::Passed(..) => OrderError::OutcomeUnknown,
+        let (expired, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| now >= *at);
+        for (_, request) in expired {
+            let error = match request {
+                Waiting::Forwarded(..) => OrderError::OutcomeUnknown,
                 _ => OrderError::NoLeader,
             };
-            fail(what, error);
+            fail(request, error);
         }
         self.fleet.waiting = rest;
-        let may_lead = self.replica.status(now).holds_lease && !self.is_in_the_making(now);
+        let may_lead = self.replica.status(now).holds_lease && !self.is_forming(now);
         if !may_lead && self.leader_addr(now).is_none() {
             return;
         }
-        let held = |what: &Waiting| matches!(what, Waiting::Order(..) | Waiting::Read(_));
-        let mut again = Vec::new();
-        while let Some(what) = self.fleet.take(held) {
-            again.push(what);
+        let is_held = |item: &Waiting| matches!(item, Waiting::Order(..) | Waiting::Read(_));
+        let mut retried = Vec::new();
+        while let Some(request) = self.fleet.take_waiting(is_held) {
+            retried.push(request);
         }
-        for what in again {
-            match what {
-                Waiting::Order(order, asker) => self.order(order, asker).await,
+        for request in retried {
+            match request {
+                Waiting::Order(order, reply_to) => self.order(order, reply_to).await,
                 Waiting::Read(reply) => self.read_routes(reply).await,
                 _ => {}
             }
@@ -263,34 +286,34 @@
     }
 }
 
-impl Unproven {
+impl UnprovenRead {
     fn fail(self, error: OrderError) {
         match self {
             Self::Read(reply) => {
                 let _ = reply.send(Err(error));
             }
             // Gateways ask again with each report.
-            Self::Questions(_) => {}
+            Self::ProofRequests(_) => {}
         }
     }
 }
 
-fn fail(what: Waiting, error: OrderError) {
-    // Whoever asked may have gone; nobody else needs the answer.
-    match what {
-        Waiting::Order(_, Asker::Here(reply)) | Waiting::Passed(_, reply) => {
+fn fail(request: Waiting, error: OrderError) {
+    // The receiver may be gone; nothing else needs the reply.
+    match request {
+        Waiting::Order(_, ReplyTo::Local(reply)) | Waiting::Forwarded(_, reply) => {
             let _ = reply.send(Err(error));
         }
         Waiting::Read(reply) => {
             let _ = reply.send(Err(error));
         }
-        Waiting::Asked(_, unproven) | Waiting::Behind(_, unproven) => unproven.fail(error),
-        // The replica that passed it on gives up by itself.
-        Waiting::Order(_, Asker::Replica { .. }) => {}
+        Waiting::LeaderQuery(_, read) | Waiting::AwaitingApply(_, read) => read.fail(error),
+        // The replica that forwarded it times out by itself.
+        Waiting::Order(_, ReplyTo::Replica { .. }) => {}
     }
 }
 
-/// What a failed proposal means to whoever ordered it.
+/// The error of an order whose proposal failed.
 pub(super) fn order_error(error: ProposeError) -> OrderError {
     match error {
         ProposeError::OutcomeUnknown => OrderError::OutcomeUnknown,
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one endpoint.
+//! One attempt to run a request at one endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,49 +15,49 @@
 use log::{Level, debug, info, log};
 use tokio::time::timeout_at;
 
-use super::answer::AnswerBody;
 use super::core::Core;
 use super::deadline::Deadline;
-use super::passing::Passing;
+use super::response::ResponseBody;
+use super::streamed::StreamedBody;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Answers up to this long are read whole before the caller gets a byte, so that one that
-/// breaks off can still be had elsewhere.
-const WHOLE: u64 = 1024 * 1024;
-/// Downloads that are longer than this pass through: read whole first, 90 kB over a link of
-/// 6 Mbit/s come a tenth of a second later.
-const WHOLE_DOWNLOAD: u64 = 8 * 1024;
-/// A request that may run only once takes a kept connection only if it was used this
-/// lately: one that the endpoint closes at the same moment would leave in doubt whether
-/// it ran.
-const FRESH: Duration = Duration::from_secs(3);
-/// An answer that hasn't come for so long says that kept connections may be dead: it is
-/// several times what the services' work takes.
-const SILENT: Duration = Duration::from_millis(700);
-/// What the head of a request or answer takes on a link, about.
-pub(crate) const HEAD_BYTES: usize = 300;
-/// Part of the time for which an endpoint keeps idle connections that is made use of.
-const KEPT_PART: f64 = 0.7;
+/// Responses up to this size in bytes are buffered before any of it is sent, so that the request
+/// can be retried at another endpoint if the connection breaks.
+const MAX_BUFFERED_RESPONSE: u64 = 1024 * 1024;
+/// Downloads larger than this are streamed: buffered first, 90 kB over a link of 6 Mbit/s would
+/// arrive a tenth of a second later.
+const MAX_BUFFERED_DOWNLOAD: u64 = 8 * 1024;
+/// A non-idempotent request is sent on a pooled connection only if that was used this recently.
+/// If the endpoint closed the connection at the same moment, it would be unknown whether the
+/// request ran.
+const MAX_IDLE_FOR_UNSAFE: Duration = Duration::from_secs(3);
+/// An attempt abandoned after this long without a response suggests that pooled connections to
+/// the endpoint are dead: it is several times what services take.
+const STALE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(700);
+/// Estimated size of a request or response head on the link, in bytes.
+pub(crate) const TYPICAL_HEAD_BYTES: usize = 300;
+/// Fraction of an endpoint's keep-alive timeout for which idle connections are reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// How an attempt ended.
 pub(crate) enum Attempt {
-    /// An answer for the caller, whole or still coming.
-    Answered(Response<AnswerBody>),
-    /// The endpoint ran it and failed; this is its answer.
-    Failed(Response<AnswerBody>),
-    /// It was never sent; here is its body.
+    /// A response for the caller, complete or still streaming.
+    Answered(Response<ResponseBody>),
+    /// The endpoint ran the request and failed; this is its response.
+    Failed(Response<ResponseBody>),
+    /// The request was not sent; the body is returned.
     NotSent(RequestBody),
-    /// The endpoint says that it did not run, and may have told its load.
-    NotRun { load_told: bool },
-    /// It may have run.
+    /// The endpoint refused to run it, and may have reported its load.
+    NotRun { load_reported: bool },
+    /// The connection broke; the request may have run.
     Lost,
-    /// The time was up while it may have been running.
-    Late,
+    /// The deadline passed; the request may have run.
+    TimedOut,
 }
 
-/// What is sent, whichever the endpoint.
+/// The parts of an attempt that don't depend on the endpoint.
 pub(crate) struct Job<'a> {
-    /// Name of its route, for logs.
+    /// Name of the route, for logs.
     pub(crate) route: &'a str,
     pub(crate) head: &'a Parts,
     pub(crate) kind: Kind,
@@ -65,32 +65,33 @@
     pub(crate) deadline: Deadline,
 }
 
-/// The place of a request at an endpoint; given back when dropped.
-struct Place<'a> {
+/// A running attempt. Dropping it records the outcome and releases the endpoint's slot.
+struct InFlight<'a> {
     core: &'a Core,
     service: &'a ServiceName,
     target: &'a Target,
-    begun: Moment,
+    started: Moment,
     outcome: Outcome,
     request: &'a str,
+    /// Affinity key, for logs.
     object: &'a str,
     route: &'a str,
 }
 
-impl Place<'_> {
-    fn served(&mut self) {
-        let took = self.core.now().saturating_sub(self.begun);
+impl InFlight<'_> {
+    fn mark_served(&mut self) {
+        let took = self.core.now().saturating_sub(self.started);
         self.outcome = Outcome::Served(took);
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now = self.core.now();
         if let Outcome::Abandoned(waited) = &mut self.outcome {
-            *waited = now.saturating_sub(self.begun);
-            if *waited >= SILENT {
-                // Other connections to it may be as dead as this one, without a reset.
+            *waited = now.saturating_sub(self.started);
+            if *waited >= STALE_CONNECTION_TIMEOUT {
+                // Other pooled connections may be dead too, without a reset.
                 self.core.client.forget(self.target.addr);
             }
         }
@@ -104,135 +105,154 @@
         };
         self.core.metrics.attempted(name);
         log!(level, request = self.request, service:% = self.service, object = self.object,
-            endpoint:% = self.target.id,
-            route = self.route, known:? = self.target.affinity, expected_ms = self.target.expected.as_millis(),
+            endpoint:% = self.target.id, route = self.route, known:? = self.target.affinity,
+            expected_ms = self.target.expected.as_millis(),
             overhead_ms = self.target.overhead.as_millis(),
-            took_ms = now.saturating_sub(self.begun).as_millis(), outcome:? = self.outcome;
+            took_ms = now.saturating_sub(self.started).as_millis(), outcome:? = self.outcome;
             "attempt ended");
         let mut placer = self.core.placer.borrow_mut();
         placer.record_outcome(now, self.service, self.target, self.outcome);
     }
 }
 
-/// Sends a request to the endpoint that it was placed at. Dropping the returned future
-/// closes the connection, which tells the endpoint to stop.
+/// Sends a request to the endpoint chosen for it. Dropping the returned future closes the
+/// connection, which tells the endpoint to cancel the work.
 pub(crate) async fn attempt(
     core: &Rc<Core>,
     job: &Job<'_>,
     body: RequestBody,
     target: &Target,
 ) -> Attempt {
-    let mut place = Place {
+    let mut in_flight = InFlight {
         core,
         service: job.service,
         target,
-        begun: core.now(),
+        started: core.now(),
         outcome: Outcome::Abandoned(Duration::ZERO),
-        request: text(&job.head.headers, &core.dialect.request_id),
-        object: text(&job.head.headers, &core.dialect.object),
+        request: header_text(&job.head.headers, &core.protocol.request_id),
+        object: header_text(&job.head.headers, &core.protocol.affinity_key),
         route: job.route,
     };
-    let req = request(core, job, body, target);
-    core.sends(HEAD_BYTES + req.body().size_hint().lower() as usize);
+    let req = build_request(core, job, body, target);
+    core.record_sent(TYPICAL_HEAD_BYTES + req.body().size_hint().lower() as usize);
     let empty = HeaderValue::from_static("");
-    let name = &core.dialect.request_id;
+    let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
     let trust = Trust::Echo { name, value };
     let reuse = match job.kind {
-        Kind::Unsafe => Reuse::Within(FRESH),
+        Kind::Unsafe => Reuse::Within(MAX_IDLE_FOR_UNSAFE),
         Kind::Safe | Kind::Download => Reuse::Allowed,
     };
-    let deadline = job.deadline.answer;
+    let deadline = job.deadline.respond_by;
     match core
         .client
         .send(target.addr, trust, reuse, deadline, req)
         .await
     {
         Sent::NotSent(req) => {
-            place.outcome = Outcome::Broken;
+            in_flight.outcome = Outcome::Broken;
             Attempt::NotSent(req.into_body())
         }
         Sent::Lost => {
-            place.outcome = Outcome::Broken;
+            in_flight.outcome = Outcome::Broken;
             Attempt::Lost
         }
-        Sent::Late => Attempt::Late,
-        Sent::Answer(answer) => receive(core, job, answer, &mut place).await,
+        Sent::Late => Attempt::TimedOut,
+        Sent::Answer(answer) => receive(core, job, answer, &mut in_flight).await,
     }
 }
 
-fn request(core: &Core, job: &Job<'_>, body: RequestBody, target: &Target) -> Request<RequestBody> {
+/// Builds the request for the endpoint from the caller's.
+fn build_request(
+    core: &Core,
+    job: &Job<'_>,
+    body: RequestBody,
+    target: &Target,
+) -> Request<RequestBody> {
     let mut req = Request::new(body);
     *req.method_mut() = job.head.method.clone();
     *req.uri_mut() = job.head.uri.clone();
     *req.version_mut() = Version::HTTP_11;
     let mut headers = job.head.headers.clone();
     remove_hop_by_hop(&mut headers);
-    // The body is here already, or is sent without waiting.
+    // The body is already here, or is sent without waiting for 100 Continue.
     headers.remove(EXPECT);
-    let left = u64::try_from(job.deadline.left().as_millis()).unwrap_or(u64::MAX);
-    headers.insert(&core.dialect.deadline_ms, HeaderValue::from(left));
+    let left = u64::try_from(job.deadline.remaining().as_millis()).unwrap_or(u64::MAX);
+    headers.insert(&core.protocol.deadline_ms, HeaderValue::from(left));
     if let Ok(id) = HeaderValue::from_str(&target.id) {
-        headers.insert(&core.dialect.target, id);
+        headers.insert(&core.protocol.target_instance, id);
     }
     *req.headers_mut() = headers;
     req
 }
 
-async fn receive(core: &Rc<Core>, job: &Job<'_>, answer: Answer, place: &mut Place<'_>) -> Attempt {
+/// Evaluates the head of a response, and buffers its body unless that is to be streamed.
+async fn receive(
+    core: &Rc<Core>,
+    job: &Job<'_>,
+    answer: Answer,
+    in_flight: &mut InFlight<'_>,
+) -> Attempt {
     let (mut head, body) = answer.response.into_parts();
     let mut connection = answer.connection;
-    note(core, &head.headers, place.target);
-    if let Some(kept) = kept_for(&head.headers) {
-        connection.keep_for(kept);
+    record_load(core, &head.headers, in_flight.target);
+    if let Some(timeout) = keep_alive_timeout(&head.headers) {
+        connection.keep_for(timeout);
     }
     if let Some(outcome) = not_run(core, head.status, &head.headers) {
-        place.outcome = outcome;
-        debug!(endpoint:% = place.target.id, status:% = head.status; "not run there");
+        in_flight.outcome = outcome;
+        debug!(endpoint:% = in_flight.target.id, status:% = head.status;
+            "endpoint refused to run the request");
         connection.release_after(body);
-        let load_told = load(text(&head.headers, &core.dialect.load)).is_some();
-        return Attempt::NotRun { load_told };
+        let load_reported = parse_load(header_text(&head.headers, &core.protocol.load)).is_some();
+        return Attempt::NotRun { load_reported };
     }
-    if !echoes(core, job, &head.headers) {
-        info!(request = place.request, endpoint:% = place.target.id, status:% = head.status;
-            "an answer without the request's id");
-        place.outcome = Outcome::Broken;
+    if !echoes_request_id(core, job, &head.headers) {
+        info!(request = in_flight.request, endpoint:% = in_flight.target.id, status:% = head.status;
+            "response without the request id");
+        in_flight.outcome = Outcome::Broken;
         return Attempt::Lost;
     }
     remove_hop_by_hop(&mut head.headers);
-    if !passes(job.kind, head.status, body.size_hint().exact()) {
-        let limited = Limited::new(body, WHOLE as usize).collect();
-        let bytes = match timeout_at(job.deadline.answer, limited).await {
+    if !is_streamed(job.kind, head.status, body.size_hint().exact()) {
+        let limited = Limited::new(body, MAX_BUFFERED_RESPONSE as usize).collect();
+        let bytes = match timeout_at(job.deadline.respond_by, limited).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => {
-                debug!(endpoint:% = place.target.id, error:% = e; "an answer broke off");
-                place.outcome = Outcome::Broken;
+                debug!(endpoint:% = in_flight.target.id, error:% = e;
+                    "connection broke during a response");
+                in_flight.outcome = Outcome::Broken;
                 return Attempt::Lost;
             }
-            Err(_) => return Attempt::Late,
+            Err(_) => return Attempt::TimedOut,
         };
         connection.release();
-        place.served();
-        return finished(place, head, AnswerBody::Whole(bytes));
+        in_flight.mark_served();
+        return finish(in_flight, head, ResponseBody::Full(bytes));
     }
-    place.served();
-    let passing = Passing::new(core, body, connection, job.deadline.answer);
-    finished(place, head, AnswerBody::Passing(Box::new(passing)))
+    in_flight.mark_served();
+    let streamed = StreamedBody::new(core, body, connection, job.deadline.respond_by);
+    finish(in_flight, head, ResponseBody::Streamed(Box::new(streamed)))
 }
 
-/// Whether an answer of this length goes on while it comes. A failure never does: the
-/// request may be tried elsewhere.
-fn passes(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
-    let whole = match kind {
-        Kind::Download if status.is_success() => WHOLE_DOWNLOAD,
-        _ => WHOLE,
+/// Whether a response of this length is streamed. The lower limit for downloads applies only to
+/// successes, since after a failure the request may be retried at another endpoint.
+fn is_streamed(kind: Kind, status: StatusCode, length: Option<u64>) -> bool {
+    let max_buffered = match kind {
+        Kind::Download if status.is_success() => MAX_BUFFERED_DOWNLOAD,
+        _ => MAX_BUFFERED_RESPONSE,
     };
-    length.is_some_and(|length| length > whole)
+    length.is_some_and(|length| length > max_buffered)
 }
 
-fn finished(place: &mut Place<'_>, mut head: http::response::Parts, body: AnswerBody) -> Attempt {
+/// Completes the response and decides whether the attempt failed.
+fn finish(
+    in_flight: &mut InFlight<'_>,
+    mut head: http::response::Parts,
+    body: ResponseBody,
+) -> Attempt {
     let status = head.status;
-    if let AnswerBody::Whole(bytes) = &body {
+    if let ResponseBody::Full(bytes) = &body {
         let bodyless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         head.headers.remove(CONTENT_LENGTH);
         if !bodyless {
@@ -240,55 +260,55 @@
                 .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
         }
     }
-    let answer = Response::from_parts(head, body);
+    let response = Response::from_parts(head, body);
     if status.is_server_error() {
-        place.outcome = Outcome::Failed;
-        Attempt::Failed(answer)
+        in_flight.outcome = Outcome::Failed;
+        Attempt::Failed(response)
     } else {
-        Attempt::Answered(answer)
+        Attempt::Answered(response)
     }
 }
 
-/// Whether an answer is to this request. Endpoints repeat its id; what doesn't is something
-/// else behind the endpoint's address, whose word on the request, a 404 say, isn't worth
-/// anything.
-fn echoes(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
-    let name = &core.dialect.request_id;
+/// Whether the response is to this request. Endpoints echo the request id; a response without it,
+/// a 404 for instance, comes from something else at that address and isn't trusted.
+fn echoes_request_id(core: &Core, job: &Job<'_>, headers: &HeaderMap) -> bool {
+    let name = &core.protocol.request_id;
     let id = job.head.headers.get(name);
     id.is_none_or(|id| headers.get(name) == Some(id))
 }
 
-/// Whether the endpoint says that nothing ran, and what that tells about it.
+/// The outcome if the endpoint reports that nothing ran: `Gone` if it isn't the instance that the
+/// request was for, else `Full`. `None` if the request ran.
 fn not_run(core: &Core, status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(Outcome::Gone);
     }
     headers
-        .contains_key(&core.dialect.not_run)
+        .contains_key(&core.protocol.not_run)
         .then_some(Outcome::Full)
 }
 
-/// Takes in what the answer's headers tell about the endpoint.
-fn note(core: &Core, headers: &HeaderMap, target: &Target) {
+/// Passes the load and the warm-up time in the response's headers to the placer.
+fn record_load(core: &Core, headers: &HeaderMap, target: &Target) {
     let now = core.now();
     let mut placer = core.placer.borrow_mut();
-    if let Some(load) = load(text(headers, &core.dialect.load)) {
+    if let Some(load) = parse_load(header_text(headers, &core.protocol.load)) {
         placer.record_load(now, target, load);
     }
-    let cold = text(headers, &core.dialect.cold_ms).parse::<u64>();
-    if let Some(ms) = cold.ok().filter(|ms| *ms > 0) {
+    let warmup = header_text(headers, &core.protocol.warmup_ms).parse::<u64>();
+    if let Some(ms) = warmup.ok().filter(|ms| *ms > 0) {
         placer.record_cold(now, target, Duration::from_millis(ms));
     }
 }
 
-/// A header as text; empty if there is none, or none that can be read.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+/// A header's value as text; empty if it is missing or isn't text.
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().trim()
 }
 
-/// Reads `running,waiting,slots`.
-fn load(text: &str) -> Option<Load> {
+/// Parses `running,waiting,slots`; the slots aren't used.
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
     Some(Load {
         running: numbers.next()??,
@@ -296,10 +316,10 @@
     })
 }
 
-/// For how long an idle connection may be used again, from `Keep-Alive: timeout=N`.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
-    let mut fields = text(headers, &KEEP_ALIVE).split(',').map(str::trim);
+/// How long an idle connection may be reused, from `Keep-Alive: timeout=N`.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let mut fields = header_text(headers, &KEEP_ALIVE).split(',').map(str::trim);
     let seconds = fields.find_map(|field| field.strip_prefix("timeout="))?;
     let seconds: u32 = seconds.parse().ok()?;
-    Some(Duration::from_secs(seconds.into()).mul_f64(KEPT_PART))
+    Some(Duration::from_secs(seconds.into()).mul_f64(KEEP_ALIVE_FRACTION))
 }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -1,6 +1,7 @@
-//! What the tasks of the requests duty share: routes, placement, and the tie to control.
+//! State shared by the tasks of the requests duty: active routes, placement, and the exchange
+//! with control.
 //!
-//! Everything here lives on one thread. A borrow is never held across an await.
+//! All of it lives on one thread. A `RefCell` borrow is never held across an await.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -21,100 +22,107 @@
 
 use super::bounds::Bounds;
 use super::stop::Phase;
-use super::{Dialect, Heard};
+use super::{ControlMessage, ProtocolNames};
 use crate::Clock;
 use crate::peers::Outgoing;
 
-/// Longest wait for a connection to an endpoint: twice the round trip between regions,
-/// with room for a slow accept. An endpoint without power doesn't answer at all.
+/// Timeout for connecting to an endpoint: twice the round trip between regions, with a margin for
+/// a slow accept. An endpoint that lost power doesn't answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Silence of all control replicas after which the log says so.
-const SILENT: Duration = Duration::from_secs(2);
-/// Lines a second about requests that are turned away, by code. With half a kilobyte to a
-/// line, all codes together stay below 100 kB a second whatever callers send.
-const LINES_A_SECOND: u32 = 20;
+/// Time without a message from any control replica after which a warning is logged.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Log lines per second for each result code of rejected requests. At half a kilobyte per line,
+/// all codes together stay below 100 kB per second whatever callers send.
+const LOG_LINES_PER_SECOND: u32 = 20;
 
-/// What the duty starts with.
+/// Everything the requests duty needs at start.
 pub(crate) struct CoreParts {
     pub(crate) clock: Clock,
-    pub(crate) dialect: Arc<Dialect>,
+    pub(crate) protocol: Arc<ProtocolNames>,
     pub(crate) placer: Placer,
     pub(crate) member: Member,
     pub(crate) out: Sender<Outgoing>,
     pub(crate) phase: watch::Sender<Phase>,
-    /// The VM's link, if its rate is known.
+    /// Model of the VM's uplink, if its rate is configured.
     pub(crate) link: Option<Link>,
-    /// What large answers may take of it.
-    pub(crate) large: Option<LargeResponseAdmission>,
-    /// Callers' connections that are open.
+    /// Share of the uplink that large responses may use; `None` if its rate isn't configured.
+    pub(crate) large_share: Option<LargeResponseAdmission>,
+    /// Number of open caller connections.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
-    /// Seeds of the group, as the settings have them.
+    /// Seed addresses of the control group, updated when the settings are reloaded.
     pub(crate) seeds: watch::Receiver<Vec<SocketAddr>>,
 }
 
-/// The routes in force.
+/// The routes in force, ready for matching.
 #[derive(Clone, Debug)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveRoutes {
+    /// Version given by the operator.
     pub(crate) version: u64,
+    /// Index of the entry in control's log that put them in force.
     pub(crate) revision: u64,
-    /// How many routes there are.
-    pub(crate) routes: usize,
-    /// The control replica that they came from.
+    /// Number of routes.
+    pub(crate) route_count: usize,
+    /// The control replica that sent them.
     pub(crate) from: SocketAddr,
-    /// When they came.
+    /// When they were received.
     pub(crate) since: Moment,
     pub(crate) matcher: Matcher,
     pub(crate) bounds: CallerBounds,
 }
 
-/// Where news came from, and how.
-struct News {
+/// Origin and delay of the updates of one message, for the log.
+struct UpdateSource {
     from: SocketAddr,
+    /// Time from the first announcement of the update, and the requests made for it.
     delay: Delay,
-    /// The list of endpoints that is held now.
-    listed: Stamp,
+    /// Version stamp of the endpoint list that is now held.
+    list_stamp: Stamp,
 }
 
-/// State of the duty.
+/// State of the requests duty.
 pub(crate) struct Core {
     pub(crate) clock: Clock,
-    pub(crate) dialect: Arc<Dialect>,
+    pub(crate) protocol: Arc<ProtocolNames>,
     pub(crate) client: Client,
     pub(crate) placer: RefCell<Placer>,
     pub(crate) metrics: Arc<GatewayMetrics>,
-    /// The VM's link, if its rate is known.
+    /// Model of the VM's uplink, if its rate is configured.
     link: Option<RefCell<Link>>,
-    large: Option<RefCell<LargeResponseAdmission>>,
+    large_share: Option<RefCell<LargeResponseAdmission>>,
+    /// Compares the uplink's utilisation with other gateways'.
     balance: RefCell<ConnectionBalancer>,
+    /// State of the protocol with the control replicas.
     member: RefCell<Member>,
-    in_force: RefCell<Option<Rc<InForce>>>,
+    active_routes: RefCell<Option<Rc<ActiveRoutes>>>,
     bounds: watch::Sender<Option<CallerBounds>>,
     out: Sender<Outgoing>,
     phase: watch::Sender<Phase>,
     connections: watch::Sender<usize>,
+    /// Number of requests being handled.
     running: Cell<usize>,
     seeds: RefCell<watch::Receiver<Vec<SocketAddr>>>,
-    silent: Cell<bool>,
-    /// When the list of endpoints last changed.
-    listed_at: Cell<Moment>,
-    /// Lines about requests that were turned away.
-    told: RefCell<LineAllowance<ResultCode>>,
+    /// Whether no control replica has been heard from within [`CONTROL_TIMEOUT`].
+    control_silent: Cell<bool>,
+    /// When the endpoint list last changed.
+    list_changed_at: Cell<Moment>,
+    /// Rate limit of the log lines about rejected requests, by result code.
+    log_allowance: RefCell<LineAllowance<ResultCode>>,
 }
 
-/// Counts a request as running until it is dropped.
-pub(crate) struct Running(Rc<Core>);
+/// Counts a request as running until dropped.
+pub(crate) struct RequestGuard(Rc<Core>);
 
-impl Drop for Running {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
-/// Counts a caller's connection as open until it is dropped.
-pub(crate) struct Connected(Rc<Core>);
+/// Counts a caller's connection as open until dropped.
+pub(crate) struct ConnectionGuard(Rc<Core>);
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.send_modify(|open| *open -= 1);
     }
@@ -124,24 +132,24 @@
     pub(crate) fn new(parts: CoreParts) -> Rc<Self> {
         Rc::new(Self {
             clock: parts.clock,
-            dialect: parts.dialect,
+            protocol: parts.protocol,
             client: Client::with_connect_timeout(CONNECT_TIMEOUT),
             placer: RefCell::new(parts.placer),
             metrics: parts.metrics,
             link: parts.link.map(RefCell::new),
-            large: parts.large.map(RefCell::new),
+            large_share: parts.large_share.map(RefCell::new),
             balance: RefCell::default(),
             member: RefCell::new(parts.member),
-            in_force: RefCell::new(None),
+            active_routes: RefCell::new(None),
             bounds: watch::Sender::new(None),
             out: parts.out,
             phase: parts.phase,
             connections: parts.connections,
             running: Cell::new(0),
             seeds: RefCell::new(parts.seeds),
-            silent: Cell::new(true),
-            listed_at: Cell::new(Moment::ZERO),
-            told: RefCell::new(LineAllowance::new(LINES_A_SECOND)),
+            control_silent: Cell::new(true),
+            list_changed_at: Cell::new(Moment::ZERO),
+            log_allowance: RefCell::new(LineAllowance::new(LOG_LINES_PER_SECOND)),
         })
     }
 
@@ -149,44 +157,46 @@
         self.clock.now()
     }
 
-    /// Notes bytes of a short message that go out.
-    pub(crate) fn sends(&self, bytes: usize) {
-        if let Some(large) = &self.large {
-            large.borrow_mut().record_short(bytes);
+    /// Accounts for the bytes of a short message sent on the uplink.
+    pub(crate) fn record_sent(&self, bytes: usize) {
+        if let Some(share) = &self.large_share {
+            share.borrow_mut().record_short(bytes);
         }
-        self.sends_piece(bytes);
+        self.record_sent_chunk(bytes);
     }
 
-    /// Notes bytes of a large answer that go out.
-    pub(crate) fn sends_piece(&self, bytes: usize) {
+    /// Accounts for bytes of a large response sent on the uplink.
+    pub(crate) fn record_sent_chunk(&self, bytes: usize) {
         if let Some(link) = &self.link {
             link.borrow_mut().record_sent(self.now(), bytes);
         }
     }
 
-    /// Takes on a large answer, or tells after which time the link has room for it.
-    pub(crate) fn admit_large(&self, returned: bool) -> Result<(), Duration> {
-        match &self.large {
-            Some(large) => large.borrow_mut().admit(self.now(), returned),
+    /// Admits a large response, or returns the time after which the uplink has room for it.
+    /// With `is_retry`, for a caller's repeated attempt, it may borrow from the next second.
+    pub(crate) fn admit_large(&self, is_retry: bool) -> Result<(), Duration> {
+        match &self.large_share {
+            Some(share) => share.borrow_mut().admit(self.now(), is_retry),
             None => Ok(()),
         }
     }
 
-    /// Notes the length of a large answer.
+    /// Records the length of a large response.
     pub(crate) fn observe_large(&self, bytes: u64) {
-        if let Some(large) = &self.large {
-            large.borrow_mut().record_large(bytes);
+        if let Some(share) = &self.large_share {
+            share.borrow_mut().record_large(bytes);
         }
     }
 
-    /// How much longer the link has other things to send than large answers.
+    /// Time until the uplink is free for the next chunk of a large response; `None` if it is
+    /// free.
     pub(crate) fn link_busy_for(&self) -> Option<Duration> {
         let now = self.now();
         let at = self.link.as_ref()?.borrow().next_chunk_at(now)?;
         Some(at.saturating_sub(now))
     }
 
-    /// Thousandths of the link that are in use.
+    /// Utilisation of the uplink in thousandths.
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
         let used = link.map_or(0.0, |link| link.borrow_mut().utilisation(now));
@@ -194,47 +204,48 @@
         (used * 1000.0) as u32
     }
 
-    /// Whether a caller that has its answer is to connect anew.
-    pub(crate) fn ends_connection(&self) -> bool {
+    /// Whether the response being sent should close the caller's connection, so that the caller
+    /// reconnects and may reach another gateway.
+    pub(crate) fn should_close_connection(&self) -> bool {
         self.is_leaving() || self.balance.borrow_mut().should_close(self.now())
     }
 
-    /// Bytes of a large answer that go out at once, at most.
-    pub(crate) fn piece(&self) -> usize {
+    /// Largest chunk of a large response to send at once, in bytes.
+    pub(crate) fn max_chunk(&self) -> usize {
         let link = self.link.as_ref();
         link.map_or(usize::MAX, |link| link.borrow().max_chunk())
     }
 
-    /// The routes in force, if any are known.
-    pub(crate) fn in_force(&self) -> Option<Rc<InForce>> {
-        self.in_force.borrow().clone()
+    /// The routes in force, or `None` until control has sent any.
+    pub(crate) fn active_routes(&self) -> Option<Rc<ActiveRoutes>> {
+        self.active_routes.borrow().clone()
     }
 
-    /// Whether the routes in force were lately proved to be the newest, so that a caller may
-    /// be told for good what they don't allow.
+    /// Whether a recent proof shows that the active routes are the newest. Only then may a
+    /// request that they don't allow be rejected permanently.
     pub(crate) fn is_proven(&self) -> bool {
         self.member.borrow().is_proven(self.now())
     }
 
-    /// How long ago the question was asked whose answer proved that the routes held here were
-    /// the newest.
-    pub(crate) fn proven_age(&self) -> Option<Duration> {
-        let asked = self.member.borrow().proven_at()?;
-        Some(self.now().saturating_sub(asked))
+    /// Age of the proof that the active routes are the newest, counted from when it was
+    /// requested; `None` without a proof.
+    pub(crate) fn proof_age(&self) -> Option<Duration> {
+        let proven_at = self.member.borrow().proven_at()?;
+        Some(self.now().saturating_sub(proven_at))
     }
 
-    /// The bounds of the routes in force, now and later.
+    /// Subscribes to the request bounds of the active routes.
     pub(crate) fn bounds(&self) -> Bounds {
         self.bounds.subscribe()
     }
 
-    /// Ages of what decisions are made from, in milliseconds: since the list of endpoints
-    /// changed, and since control was last heard.
-    pub(crate) fn ages(&self) -> (u128, u128) {
+    /// Milliseconds since the endpoint list last changed, and since a control replica was last
+    /// heard from.
+    pub(crate) fn data_ages(&self) -> (u128, u128) {
         let now = self.now();
-        let heard = self.member.borrow().heard().unwrap_or_default();
+        let last_seen = self.member.borrow().heard().unwrap_or_default();
         let since = |at: Moment| now.saturating_sub(at).as_millis();
-        (since(self.listed_at.get()), since(heard))
+        (since(self.list_changed_at.get()), since(last_seen))
     }
 
     pub(crate) fn phase(&self) -> watch::Receiver<Phase> {
@@ -245,70 +256,72 @@
         *self.phase.borrow() >= Phase::Leaving
     }
 
-    /// How far this gateway has come, and whether what it knows does to serve by.
-    pub(crate) fn standing(&self) -> (Phase, bool) {
+    /// The current phase, and whether the data held here suffices to serve requests.
+    pub(crate) fn serving_state(&self) -> (Phase, bool) {
         let informed = self.member.borrow().is_informed(self.now());
         (*self.phase.borrow(), informed)
     }
 
-    /// Whether a line about a request that is turned away may be written, and how many of
-    /// its kind were left out before it.
-    pub(crate) fn may_tell(&self, code: ResultCode) -> Option<u64> {
-        self.told.borrow_mut().take(self.now(), code)
+    /// Whether a line about a rejection with this code may be logged now: the number of lines
+    /// suppressed before it, or `None` if this one is to be suppressed too.
+    pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
+        self.log_allowance.borrow_mut().take(self.now(), code)
     }
 
-    pub(crate) fn begin(self: &Rc<Self>) -> Running {
+    pub(crate) fn track_request(self: &Rc<Self>) -> RequestGuard {
         self.running.set(self.running.get() + 1);
-        Running(Rc::clone(self))
+        RequestGuard(Rc::clone(self))
     }
 
-    pub(crate) fn connected(self: &Rc<Self>) -> Connected {
+    pub(crate) fn track_connection(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.send_modify(|open| *open += 1);
-        Connected(Rc::clone(self))
+        ConnectionGuard(Rc::clone(self))
     }
 
-    /// Takes in a message of control.
-    pub(crate) fn heard(&self, heard: Heard) {
+    /// Applies a message from a control replica.
+    pub(crate) fn handle_message(&self, received: ControlMessage) {
         let now = self.now();
-        if self.silent.replace(false) {
-            info!(from:% = heard.from; "control is heard");
+        if self.control_silent.replace(false) {
+            info!(from:% = received.from; "control is heard");
         }
         let mut member = self.member.borrow_mut();
-        let (out, updates) = member.receive(now, heard.from, heard.message);
+        let (out, updates) = member.receive(now, received.from, received.message);
         self.send(out);
-        let news = News {
-            from: heard.from,
+        let source = UpdateSource {
+            from: received.from,
             delay: member.delay(),
-            listed: member.have().endpoints,
+            list_stamp: member.have().endpoints,
         };
         drop(member);
         for update in updates {
-            self.update(now, &news, update);
+            self.apply(now, &source, update);
         }
-        self.serve_if_informed(now);
+        self.start_serving_if_ready(now);
     }
 
-    fn serve_if_informed(&self, now: Moment) {
+    /// Enters the phase `Serving` once routes and endpoints are known.
+    fn start_serving_if_ready(&self, now: Moment) {
         if !self.member.borrow().is_informed(now) {
             return;
         }
         self.phase.send_if_modified(|phase| {
-            let first = *phase == Phase::Starting;
-            if first {
+            let starting = *phase == Phase::Starting;
+            if starting {
                 *phase = Phase::Serving;
                 info!("routes and endpoints are known, callers may come");
             }
-            first
+            starting
         });
     }
 
-    fn update(&self, now: Moment, news: &News, update: Update) {
+    /// Applies an update of routes, endpoints or figures of other gateways.
+    fn apply(&self, now: Moment, source: &UpdateSource, update: Update) {
         let mut placer = self.placer.borrow_mut();
-        let News {
+        let UpdateSource {
             from,
             delay,
-            listed,
-        } = *news;
+            list_stamp,
+        } = *source;
         let (questions, since_heard_of) = (delay.questions, delay.since_heard_of.as_millis());
         match update {
             Update::Routes {
@@ -320,39 +333,39 @@
                 info!(version, revision, routes = table.routes.len(), from:%, since_heard_of,
                     questions; "routes in force");
                 placer.set_routes(&table);
-                let in_force = InForce {
+                let active_routes = ActiveRoutes {
                     version,
                     revision,
-                    routes: table.routes.len(),
+                    route_count: table.routes.len(),
                     from,
                     since: now,
                     matcher: Matcher::new(&table),
                     bounds: table.bounds,
                 };
-                self.in_force.replace(Some(Rc::new(in_force)));
+                self.active_routes.replace(Some(Rc::new(active_routes)));
                 let bounds = Some(table.bounds);
                 self.bounds
-                    .send_if_modified(|known| std::mem::replace(known, bounds) != bounds);
+                    .send_if_modified(|current| std::mem::replace(current, bounds) != bounds);
             }
             Update::Evacuated(domains) => {
                 info!(domains:? = domains; "evacuated failure domains");
                 placer.set_evacuated(now, domains);
             }
             Update::Endpoints(list) => {
-                self.listed_at.set(now);
+                self.list_changed_at.set(now);
                 self.metrics.endpoints(list.len());
-                info!(endpoints = list.len(), term = listed.term, seq = listed.seq, from:%,
+                info!(endpoints = list.len(), term = list_stamp.term, seq = list_stamp.seq, from:%,
                     since_heard_of, questions; "list of endpoints");
-                let left = placer.set_endpoints(now, list);
-                self.leave(&left);
+                let replaced = placer.set_endpoints(now, list);
+                self.close_connections(&replaced);
             }
             Update::EndpointsChanged(change) => {
-                self.listed_at.set(now);
+                self.list_changed_at.set(now);
                 info!(changed = change.changed.len(), gone = change.gone.len(),
-                    term = listed.term, seq = listed.seq, from:%, since_heard_of, questions;
+                    term = list_stamp.term, seq = list_stamp.seq, from:%, since_heard_of, questions;
                     "list of endpoints changed");
-                let left = placer.change_endpoints(now, change);
-                self.leave(&left);
+                let replaced = placer.change_endpoints(now, change);
+                self.close_connections(&replaced);
                 self.metrics.endpoints(placer.endpoint_count());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
@@ -364,19 +377,19 @@
         }
     }
 
-    /// Closes kept connections to starts of endpoints that others have followed. A request
-    /// that may run only once would be lost on one, without a way to tell whether it ran.
-    fn leave(&self, starts: &[SocketAddr]) {
-        for addr in starts {
+    /// Closes idle connections to processes of endpoints that have since restarted. A
+    /// non-idempotent request sent on one would be lost without a way to tell whether it ran.
+    fn close_connections(&self, replaced: &[SocketAddr]) {
+        for addr in replaced {
             info!(addr:%; "an endpoint has started anew");
             self.client.forget(*addr);
         }
     }
 
-    /// Reports to control if it is time.
+    /// Advances the exchange with control, and sends a report if one is due.
     pub(crate) fn tick(&self) {
         let now = self.now();
-        self.serve_if_informed(now);
+        self.start_serving_if_ready(now);
         let mut member = self.member.borrow_mut();
         let mut seeds = self.seeds.borrow_mut();
         if seeds.has_changed().unwrap_or(false) {
@@ -391,22 +404,23 @@
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
             placer.update_plans(now);
-            // Working out what is believed costs more than the line itself.
-            let beliefs = match log_enabled!(Level::Debug) {
+            // Computing the estimates costs more than the log line.
+            let estimates = match log_enabled!(Level::Debug) {
                 true => placer.estimates(now),
                 false => Vec::new(),
             };
-            for belief in beliefs {
-                debug!(service:% = belief.service, away:? = belief.remote_shares, times:? = belief.response_times,
-                    demand:? = belief.demand, capacity:? = belief.capacity; "plan");
+            for estimate in estimates {
+                debug!(service:% = estimate.service, away:? = estimate.remote_shares,
+                    times:? = estimate.response_times, demand:? = estimate.demand,
+                    capacity:? = estimate.capacity; "plan");
             }
             Load {
                 demand: placer.take_demand(now),
                 link_milli: self.link_milli(now),
             }
         });
-        let lost = member.heard().is_some_and(|at| now >= at + SILENT);
-        if lost && !self.silent.replace(true) {
+        let silent = member.heard().is_some_and(|at| now >= at + CONTROL_TIMEOUT);
+        if silent && !self.control_silent.replace(true) {
             warn!("no control replica is heard");
         }
         drop(member);
@@ -416,7 +430,7 @@
     fn send(&self, out: Vec<Outbound>) {
         for (to, message) in out {
             let body = Body::Fleet(message);
-            // A full ring drops the message; reports and questions are repeated.
+            // Dropped if the queue is full; reports and questions are repeated.
             let _ = self.out.push(Outgoing { to, body });
         }
     }
--- a/crates/filberthead/src/gateway/readiness.rs
+++ b/crates/filberthead/src/gateway/readiness.rs
@@ -1,5 +1,4 @@
-//! The duty that answers the platform's question whether callers may be sent here, and
-//! shows the state of the process.
+//! The duty that serves the platform's readiness probe and the process's metrics.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -24,10 +23,11 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// What the duty listens on and shows.
+/// What the duty listens on and reports.
 pub(crate) struct Probes {
     pub(crate) readiness: TcpListener,
     pub(crate) status: TcpListener,
+    /// Path of the readiness probe.
     pub(crate) path: &'static str,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -47,7 +47,7 @@
     let (readiness, status) = match listeners {
         (Ok(readiness), Ok(status)) => (readiness, status),
         (Err(e), _) | (_, Err(e)) => {
-            error!(error:% = e; "can't listen for the platform's question");
+            error!(error:% = e; "can't listen for readiness probes");
             return;
         }
     };
@@ -65,18 +65,18 @@
         let peers = Arc::clone(&probes.peers);
         tokio::task::spawn_local(async move {
             let service = service_fn(move |req| {
-                let answer = answer(path, *phase.borrow(), (&metrics, &peers), &req);
-                async move { Ok::<_, Infallible>(answer) }
+                let response = respond(path, *phase.borrow(), (&metrics, &peers), &req);
+                async move { Ok::<_, Infallible>(response) }
             });
             let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(e) = serving.await {
-                debug!(error:% = e; "a connection of the platform ended");
+                debug!(error:% = e; "connection for a probe closed with an error");
             }
         });
     }
 }
 
-fn answer(
+fn respond(
     path: &str,
     phase: Phase,
     (metrics, peers): (&GatewayMetrics, &Counters),
@@ -87,14 +87,14 @@
         return Response::new(Full::new(Bytes::from(metrics.encode())));
     }
     let (status, text) = match (req.method(), req.uri().path()) {
-        (&Method::GET, asked) if asked == path => match phase {
+        (&Method::GET, requested) if requested == path => match phase {
             Phase::Serving => (StatusCode::OK, "ready\n"),
             Phase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
             Phase::Leaving | Phase::Ending => (StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
         },
         _ => (StatusCode::NOT_FOUND, ""),
     };
-    let mut answer = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/filberthead/src/supervisor.rs
+++ b/crates/filberthead/src/supervisor.rs
@@ -1,10 +1,9 @@
-//! The actor that watches the duties of a process.
+//! The actor that monitors the duties of a process.
 //!
-//! A duty that ends by itself takes the whole process down at once: a process with a
-//! dead thread would go on holding leases and listening sockets while doing half of its
-//! work, and callers would see timeouts where a dead process shows as refused
-//! connections. The actor's mailbox has no bound, but only timers and signals of this
-//! process write to it.
+//! If a duty ends by itself, the whole process ends at once. A process with a dead thread would
+//! otherwise keep its leases and listening sockets while doing half of its work, and callers
+//! would see timeouts instead of the refused connections that a dead process gives. The actor's
+//! mailbox is unbounded, but only timers and signals of this process write to it.
 
 use std::time::Duration;
 
@@ -18,101 +17,105 @@
 use crate::stop::StopSource;
 use crate::{Duty, DutyError};
 
+/// How often the supervisor checks that each duty is still running.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// Why a process ended other than by a planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum SuperviseError {
-    /// No signals can be received.
+    /// Signal handlers can't be installed.
     #[snafu(display("can't receive signals"))]
     Signal {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The actor can't be started.
     #[snafu(display("can't start the supervisor"))]
     Start {
-        /// ractor's word.
+        /// ractor's error.
         source: ractor::SpawnErr,
     },
     /// A duty ended by itself.
     #[snafu(display("duty `{name}` ended"))]
     DutyEnded {
-        /// The duty.
+        /// Name of the duty.
         name: String,
     },
-    /// A duty panicked while it ended.
-    #[snafu(display("a duty ended badly"))]
+    /// A duty panicked during the stop.
+    #[snafu(display("a duty failed during the stop"))]
     Join {
-        /// Which and how.
+        /// Which duty.
         source: DutyError,
     },
 }
 
-/// What the supervisor is told.
+/// Messages to the supervisor.
 #[derive(Debug)]
 enum Message {
-    /// Time to look whether each duty still runs.
+    /// Check that each duty is still running.
     Check,
-    /// The system asks the process to end.
+    /// The process received SIGTERM or SIGINT.
     Terminate,
 }
 
-/// What comes out of the supervisor.
-enum Verdict {
+/// Why monitoring ended.
+enum EndReason {
+    /// The process is to stop.
     Terminate,
+    /// The duty of this name ended by itself.
     Ended(String),
 }
 
 struct Supervisor;
 
-struct Watched {
+/// The actor's state: the duties, and where it sends them with the reason for the end.
+struct Monitored {
     duties: Vec<Duty>,
-    verdict: mpsc::Sender<(Verdict, Vec<Duty>)>,
+    end: mpsc::Sender<(EndReason, Vec<Duty>)>,
 }
 
 impl Actor for Supervisor {
     type Msg = Message;
-    type State = Watched;
-    type Arguments = Watched;
+    type State = Monitored;
+    type Arguments = Monitored;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        watched: Watched,
-    ) -> Result<Watched, ActorProcessingErr> {
+        monitored: Monitored,
+    ) -> Result<Monitored, ActorProcessingErr> {
         myself.send_interval(CHECK_PERIOD, || Message::Check);
-        Ok(watched)
+        Ok(monitored)
     }
 
     async fn handle(
         &self,
         myself: ActorRef<Message>,
         message: Message,
-        watched: &mut Watched,
+        monitored: &mut Monitored,
     ) -> Result<(), ActorProcessingErr> {
-        let verdict = match message {
-            Message::Check => ended(&watched.duties).map(Verdict::Ended),
-            Message::Terminate => Some(Verdict::Terminate),
+        let reason = match message {
+            Message::Check => find_ended(&monitored.duties).map(EndReason::Ended),
+            Message::Terminate => Some(EndReason::Terminate),
         };
-        if let Some(verdict) = verdict {
-            let duties = std::mem::take(&mut watched.duties);
-            watched.verdict.send((verdict, duties)).await?;
+        if let Some(reason) = reason {
+            let duties = std::mem::take(&mut monitored.duties);
+            monitored.end.send((reason, duties)).await?;
             myself.stop(None);
         }
         Ok(())
     }
 }
 
-fn ended(duties: &[Duty]) -> Option<String> {
+fn find_ended(duties: &[Duty]) -> Option<String> {
     let duty = duties.iter().find(|duty| duty.is_finished())?;
     Some(duty.name().to_owned())
 }
 
-/// The signals that a process heeds. They are caught before anybody is told that it serves:
-/// one that came between the two ended the process at once, SIGHUP as well, and callers'
-/// requests with it.
+/// The signals that a process handles. The handlers are installed before the `ready` line is
+/// written: a signal between the two, SIGHUP too, ended the process at once and cut callers'
+/// requests.
 pub(crate) struct Signals {
     term: Signal,
     hup: Signal,
@@ -120,13 +123,13 @@
 }
 
 impl Signals {
-    /// Catches them from now on; those that come before [`supervise`] runs wait for it.
+    /// Installs the handlers. Signals that arrive before [`supervise`] runs are kept for it.
     ///
     /// # Errors
     ///
     /// Fails if the system refuses.
-    pub(crate) fn catch(runtime: &Runtime) -> Result<Self, SuperviseError> {
-        let _within = runtime.enter();
+    pub(crate) fn install(runtime: &Runtime) -> Result<Self, SuperviseError> {
+        let _guard = runtime.enter();
         Ok(Self {
             term: signal(SignalKind::terminate()).context(SignalSnafu)?,
             hup: signal(SignalKind::hangup()).context(SignalSnafu)?,
@@ -135,9 +138,9 @@
     }
 }
 
-/// Watches `duties` until the system sends SIGTERM or SIGINT, then runs `before_stop`,
-/// the daemon's own part of a planned stop, and ends the duties. `reload` is called for
-/// each SIGHUP, which would otherwise end the process.
+/// Monitors `duties` until the process receives SIGTERM or SIGINT, then runs `before_stop`, the
+/// daemon's own part of a planned stop, and stops the duties. Calls `reload` for each SIGHUP,
+/// which would otherwise end the process.
 ///
 /// # Errors
 ///
@@ -150,16 +153,13 @@
     before_stop: impl FnOnce() -> Fut,
 ) -> Result<(), SuperviseError> {
     let (tx, mut rx) = mpsc::channel(1);
-    let watched = Watched {
-        duties,
-        verdict: tx,
-    };
+    let monitored = Monitored { duties, end: tx };
     let Signals {
         mut term,
         mut hup,
         mut int,
     } = signals;
-    let (actor, _) = Actor::spawn(None, Supervisor, watched)
+    let (actor, _) = Actor::spawn(None, Supervisor, monitored)
         .await
         .context(StartSnafu)?;
     tokio::spawn(async move {
@@ -167,30 +167,30 @@
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
-        // The actor is gone only if a duty has ended, which is reported by itself.
+        // The actor has stopped only if a duty has ended, which is reported separately.
         let _ = actor.send_message(Message::Terminate);
     });
-    let verdict = loop {
+    let reason = loop {
         tokio::select! {
-            verdict = rx.recv() => break verdict,
+            reason = rx.recv() => break reason,
             _ = hup.recv() => reload(),
         }
     };
-    match verdict {
-        Some((Verdict::Terminate, duties)) => {
+    match reason {
+        Some((EndReason::Terminate, duties)) => {
             info!("planned stop begins");
             before_stop().await;
             stop.stop();
-            end(duties).context(JoinSnafu)
+            join_all(duties).context(JoinSnafu)
         }
-        Some((Verdict::Ended(name), _)) => {
-            error!(duty = name.as_str(); "a duty ended by itself");
+        Some((EndReason::Ended(name), _)) => {
+            error!(duty = name.as_str(); "a duty ended unexpectedly");
             DutyEndedSnafu { name }.fail()
         }
         None => DutyEndedSnafu { name: "supervisor" }.fail(),
     }
 }
 
-fn end(duties: Vec<Duty>) -> Result<(), DutyError> {
+fn join_all(duties: Vec<Duty>) -> Result<(), DutyError> {
     duties.into_iter().try_for_each(Duty::join)
 }
