--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -11,7 +11,7 @@
 
 use filberthead_operator::RowReading;
 use filberthead_peer::{Body, Origin};
-use filberthead_steer::{LEASE, Message, Renew, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, Message, Renew, ServiceDemand, ShareKeeper};
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, Moment, NodeName, Region};
 
@@ -126,7 +126,7 @@
             add(&mut reading.shifted, demand.shifted);
             // An entry that is silent for longer may have lost its endpoints to others,
             // who count them now.
-            if age < LEASE {
+            if age < LEASE_DURATION {
                 add(&mut reading.slots, demand.slots);
             }
             let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
--- a/crates/filberthead/src/entry/carry/takeover.rs
+++ b/crates/filberthead/src/entry/carry/takeover.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use filberthead_steer::{LEASE, MARGIN, RENEW_EVERY};
+use filberthead_steer::{LEASE_DURATION, LEASE_MARGIN, RENEW_INTERVAL};
 use filberthead_types::{FailureDomain, NodeName};
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
 pub(super) const PAUSE: Duration = Duration::from_millis(200);
 /// Nobody takes over sooner than this: the lost entry may have asked for its last lease
 /// one period before the loss was seen.
-const SOONEST: Duration = LEASE.saturating_sub(RENEW_EVERY);
+const SOONEST: Duration = LEASE_DURATION.saturating_sub(RENEW_INTERVAL);
 /// Renewals that the roster's change and the next owner's share of the limit take, and as
 /// many again until the word of its slots is here.
 const RENEWALS: u32 = 4;
@@ -49,7 +49,7 @@
 
     /// Whether a request with this deadline may still be served by the next owner.
     pub(super) fn may_come(&self, deadline: Instant, cluster: &Cluster) -> bool {
-        let until = self.lost + LEASE + MARGIN + RENEW_EVERY * RENEWALS;
+        let until = self.lost + LEASE_DURATION + LEASE_MARGIN + RENEW_INTERVAL * RENEWALS;
         let in_time = Instant::now() + PAUSE < until.min(deadline);
         let mut entries = cluster.entries.iter();
         in_time
--- a/crates/steer/src/keeper/mod.rs
+++ b/crates/steer/src/keeper/mod.rs
@@ -22,7 +22,7 @@
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, FailureDomain, Incarnation, Moment, NodeName, Region};
 
-use crate::lease::{Grant, KeptRoster, LEASE, MARGIN, Part, Renew, ServiceParts};
+use crate::lease::{Grant, KeptRoster, LEASE_DURATION, LEASE_MARGIN, Part, Renew, ServiceParts};
 use quota::{Demand, Quota};
 use roster::DomainRoster;
 
@@ -62,7 +62,7 @@
             term,
             // Grants of the leader before may hold until then, and what was admitted
             // under them is reported by whoever renews here.
-            quiet_until: now + LEASE + MARGIN,
+            quiet_until: now + LEASE_DURATION + LEASE_MARGIN,
             longest_run,
             view: Arc::default(),
             last: BTreeMap::new(),
--- a/crates/steer/src/keeper/quota.rs
+++ b/crates/steer/src/keeper/quota.rs
@@ -5,7 +5,7 @@
 
 use filberthead_types::{FailureDomain, Incarnation, Moment, NodeName};
 
-use crate::lease::{LEASE, MARGIN, Part};
+use crate::lease::{LEASE_DURATION, LEASE_MARGIN, Part};
 
 /// Weight of the newest demand in its mean.
 const DEMAND_GAIN: f64 = 0.1;
@@ -104,7 +104,7 @@
         self.running = demand.running;
         self.heard = now;
         // Requests admitted under a share run on after it has lapsed.
-        self.lapses = now + LEASE + MARGIN + demand.longest_run;
+        self.lapses = now + LEASE_DURATION + LEASE_MARGIN + demand.longest_run;
         // Waiting counts up to the slots only: a long queue says no more than that.
         let busy = demand.running + demand.waiting.min(demand.slots);
         self.busy += DEMAND_GAIN * (f64::from(busy) - self.busy);
@@ -117,7 +117,7 @@
     /// is left there: nothing can run under this holder's name any more.
     fn succeeded(&mut self, now: Moment) {
         self.residue = 0;
-        if now >= self.heard + LEASE + MARGIN {
+        if now >= self.heard + LEASE_DURATION + LEASE_MARGIN {
             self.sent.clear();
             self.running = 0;
         }
--- a/crates/steer/src/keeper/roster.rs
+++ b/crates/steer/src/keeper/roster.rs
@@ -21,10 +21,10 @@
 
 use filberthead_types::{Epoch, FailureDomain, Moment, NodeName, Region, ServiceName};
 
-use crate::lease::{KeptRoster, LEASE, MARGIN, Renew, Roster, majority};
+use crate::lease::{KeptRoster, LEASE_DURATION, LEASE_MARGIN, Renew, Roster, majority};
 
 /// Silence after which an entry that isn't a member counts as gone.
-const RECENT: std::time::Duration = LEASE;
+const RECENT: std::time::Duration = LEASE_DURATION;
 
 /// Renewals without an answer after which an entry's lease may have lapsed unnoticed: half
 /// of those that fit into a lease.
@@ -215,7 +215,7 @@
         if follows && self.must_ack.as_ref() == Some(from) {
             self.must_ack = None;
             // What it promised to others as a member may hold for so long.
-            self.no_removal_before = now + LEASE + MARGIN;
+            self.no_removal_before = now + LEASE_DURATION + LEASE_MARGIN;
         }
     }
 
@@ -310,7 +310,7 @@
         let silent = |name: &&NodeName| {
             let lapsed = now >= self.lapses.get(*name).copied().unwrap_or(self.first_lapse);
             let heard = self.heard.get(*name).map(|heard| heard.at);
-            lapsed && heard.is_none_or(|at| now >= at + LEASE + MARGIN)
+            lapsed && heard.is_none_or(|at| now >= at + LEASE_DURATION + LEASE_MARGIN)
         };
         candidates.find(silent).cloned()
     }
@@ -322,7 +322,7 @@
         let mut candidates = members.chain(&self.must_ack);
         let quiet = |name: &&NodeName| {
             let heard = self.heard.get(*name).map(|heard| heard.at);
-            heard.is_none_or(|at| now >= at + LEASE / 2)
+            heard.is_none_or(|at| now >= at + LEASE_DURATION / 2)
         };
         candidates.find(quiet).cloned()
     }
@@ -393,7 +393,8 @@
         self.joining.remove(from);
         let leased = self.trusted && told.has(from);
         if leased {
-            self.lapses.insert(from.clone(), now + LEASE + MARGIN);
+            self.lapses
+                .insert(from.clone(), now + LEASE_DURATION + LEASE_MARGIN);
         }
         Membership {
             roster: Some(told),
--- a/crates/steer/src/lease.rs
+++ b/crates/steer/src/lease.rs
@@ -11,11 +11,11 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a lease holds from the moment at which it was asked for.
-pub const LEASE: Duration = Duration::from_secs(3);
+pub const LEASE_DURATION: Duration = Duration::from_secs(3);
 /// What a grantor adds to it.
-pub const MARGIN: Duration = Duration::from_millis(500);
+pub const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// How often leases are asked for.
-pub const RENEW_EVERY: Duration = Duration::from_millis(500);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The entries that share the endpoints of a failure domain.
 ///
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -34,7 +34,8 @@
 pub use config::{Choice, Config, SlotOwnership};
 pub use keeper::ShareKeeper;
 pub use lease::{
-    Grant, KeptRoster, LEASE, MARGIN, Part, RENEW_EVERY, Renew, Roster, ServiceDemand, ServiceParts,
+    Grant, KeptRoster, LEASE_DURATION, LEASE_MARGIN, Part, RENEW_INTERVAL, Renew, Roster,
+    ServiceDemand, ServiceParts,
 };
 pub use ownership::Ownership;
 pub use policy::Policy;
--- a/crates/steer/src/ownership.rs
+++ b/crates/steer/src/ownership.rs
@@ -13,7 +13,7 @@
 
 use crate::config::{Config, SlotOwnership};
 use crate::hash::Key;
-use crate::lease::{Grant, LEASE, MARGIN, Roster, majority};
+use crate::lease::{Grant, LEASE_DURATION, LEASE_MARGIN, Roster, majority};
 use crate::{EndpointInfo, EntryInfo};
 
 /// How long a process that starts waits for its first grant. Shorter than it refuses
@@ -109,7 +109,7 @@
     /// Members to whom a promise may still hold. A process that has just started may
     /// have promised anything before, so it names all of them.
     pub fn promised(&self, now: Moment) -> Vec<NodeName> {
-        if now < self.started + LEASE + MARGIN {
+        if now < self.started + LEASE_DURATION + LEASE_MARGIN {
             let members = self.roster.iter().flat_map(|r| &r.members);
             let refused = self.silent.iter();
             return members.chain(refused).cloned().collect();
@@ -150,7 +150,7 @@
         if grant.leased
             && let Some(sent) = self.sent.get(&grant.serial)
         {
-            self.control_until = self.control_until.max(*sent + LEASE);
+            self.control_until = self.control_until.max(*sent + LEASE_DURATION);
         }
     }
 
@@ -164,7 +164,8 @@
         if !member || self.confirmed.contains(by) || self.refusing(now) == Some(by) {
             return false;
         }
-        self.promised_to.insert(by.clone(), now + LEASE + MARGIN);
+        self.promised_to
+            .insert(by.clone(), now + LEASE_DURATION + LEASE_MARGIN);
         true
     }
 
@@ -172,7 +173,7 @@
     pub fn promised_from(&mut self, from: NodeName, serial: u64) {
         if let Some(sent) = self.sent.get(&serial) {
             let until = self.promised_by.entry(from).or_default();
-            *until = (*until).max(*sent + LEASE);
+            *until = (*until).max(*sent + LEASE_DURATION);
         }
     }
 
@@ -227,7 +228,7 @@
         }
         let promised_until = self.promised_by.values().max().copied();
         let since = self.control_until.max(promised_until.unwrap_or_default());
-        now >= since + LEASE + MARGIN
+        now >= since + LEASE_DURATION + LEASE_MARGIN
     }
 
     /// Whether this entry may admit now to what the key names: a service's endpoints in
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 
 use crate::config::Config;
-use crate::lease::RENEW_EVERY;
+use crate::lease::RENEW_INTERVAL;
 use crate::ownership::Ownership;
 use crate::peers::Peers;
 use crate::pool::Pool;
@@ -257,7 +257,7 @@
         }
         actions.extend(self.probes(now));
         if self.cfg.leased && now >= self.next_renewal {
-            self.next_renewal = now + RENEW_EVERY;
+            self.next_renewal = now + RENEW_INTERVAL;
             actions.extend(self.renew(now));
         }
         if now >= self.next_report {
--- a/crates/steer/src/shares.rs
+++ b/crates/steer/src/shares.rs
@@ -8,7 +8,7 @@
 
 use filberthead_types::{Epoch, Moment, ServiceName};
 
-use crate::lease::{Grant, LEASE, Part, ServiceParts};
+use crate::lease::{Grant, LEASE_DURATION, Part, ServiceParts};
 
 /// Renewals without answer that are remembered.
 const KEPT_RENEWALS: usize = 16;
@@ -42,7 +42,7 @@
         self.asked_under = self.asked_under.split_off(&grant.serial);
         self.term = grant.term;
         self.accepted = grant.serial;
-        self.until = sent + LEASE;
+        self.until = sent + LEASE_DURATION;
         self.parts = grant
             .parts
             .iter()
--- a/crates/steer/tests/all/slots.rs
+++ b/crates/steer/tests/all/slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_steer::{LEASE, MARGIN, Renew, Roster, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, LEASE_MARGIN, Renew, Roster, ServiceDemand, ShareKeeper};
 use filberthead_types::{Epoch, FailureDomain, Incarnation, Moment, NodeName, Region};
 
 use crate::common::{SLOTS, name, service};
@@ -149,9 +149,9 @@
     let mut site = two_domains();
     site.domains.clear();
     site.next_leader();
-    site.run(LEASE, &["a1", "b1"]);
+    site.run(LEASE_DURATION, &["a1", "b1"]);
     assert!(!site.knows());
-    site.run(MARGIN, &["a1", "b1"]);
+    site.run(LEASE_MARGIN, &["a1", "b1"]);
     assert!(site.knows());
 }
 
@@ -159,7 +159,7 @@
 #[test]
 fn a_silent_entry_is_missed() {
     let mut site = two_domains();
-    site.run(LEASE, &["a1"]);
+    site.run(LEASE_DURATION, &["a1"]);
     assert!(!site.knows());
     site.run(STEP, &["a1", "b1"]);
     assert!(site.knows());
@@ -171,7 +171,7 @@
 fn an_entry_without_a_lease_has_not_said_what_it_owns() {
     let mut site = two_domains();
     site.entries[1].deaf = true;
-    site.run(LEASE, &["a1", "b1"]);
+    site.run(LEASE_DURATION, &["a1", "b1"]);
     assert!(!site.knows());
     site.entries[1].deaf = false;
     site.run(2 * STEP, &["a1", "b1"]);
@@ -213,6 +213,6 @@
     site.entries[1].leaving = true;
     site.run(2 * STEP, &["a1", "b1"]);
     assert!(site.knows());
-    site.run(LEASE, &["a1"]);
+    site.run(LEASE_DURATION, &["a1"]);
     assert!(site.knows());
 }
