--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use filberthead_steer::{
-    Action, EndpointInfo, EntryInfo, Event, Message, Reading, ShareKeeper, Steering,
+    Action, EndpointInfo, EntryInfo, Event, Lessor, Message, Reading, Steering,
 };
 use filberthead_table::View;
 use filberthead_types::{Epoch, Moment, NodeName};
@@ -154,8 +154,8 @@
     pub(crate) home: Option<usize>,
 }
 
-fn control(view: &Arc<View>) -> ShareKeeper {
-    let mut keeper = ShareKeeper::new(Moment::ZERO, Epoch(1), LONGEST_RUN);
+fn control(view: &Arc<View>) -> Lessor {
+    let mut keeper = Lessor::new(Moment::ZERO, Epoch(1), LONGEST_RUN);
     keeper.set_table(Arc::clone(view));
     keeper
 }
@@ -180,7 +180,7 @@
     pub(crate) view: Arc<View>,
     pub(crate) surge: f64,
     pub(crate) reports: bool,
-    pub(crate) control: ShareKeeper,
+    pub(crate) control: Lessor,
     pub(crate) control_cut: bool,
     pub(crate) arrivals: StdRng,
     pub(crate) figures: Figures,
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -11,7 +11,7 @@
 
 use filberthead_operator::RowReading;
 use filberthead_peer::{Body, Origin};
-use filberthead_steer::{LEASE_DURATION, Message, Renew, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, Lessor, Message, Renew, ServiceDemand};
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, Moment, NodeName, Region};
 
@@ -35,7 +35,7 @@
 /// Keeper of one leadership, with the readings that renewals bring.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    keeper: Option<(Epoch, ShareKeeper)>,
+    keeper: Option<(Epoch, Lessor)>,
     usage: BTreeMap<NodeName, Usage>,
 }
 
@@ -49,7 +49,7 @@
         if self.keeper.as_ref().is_some_and(|(of, _)| *of == term) {
             return;
         }
-        let mut keeper = ShareKeeper::new(now, term, LONGEST_RUN);
+        let mut keeper = Lessor::new(now, term, LONGEST_RUN);
         keeper.set_table(view());
         self.keeper = Some((term, keeper));
         self.usage.clear();
--- a/crates/steer/examples/cost.rs
+++ b/crates/steer/examples/cost.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use filberthead_steer::{
-    Action, Config, EndpointInfo, EntryInfo, Event, FinishKind, Message, Policy, Reading,
-    RequestInfo, ServiceReport, ShareKeeper, Steering,
+    Action, Config, EndpointInfo, EntryInfo, Event, FinishKind, Lessor, Message, Policy, Reading,
+    RequestInfo, ServiceReport, Steering,
 };
 use filberthead_table::{Row, RowKey, RowValues, View};
 use filberthead_types::{Epoch, Incarnation, Moment, NodeName, RequestId, ServiceName, Version};
@@ -211,9 +211,9 @@
 }
 
 /// Control answers the renewals of so many entries.
-fn keeper_cost(entries: usize, regions: usize) {
-    let mut keeper = ShareKeeper::new(Moment::ZERO, Epoch(1), Duration::from_secs(10));
-    keeper.set_table(view(regions));
+fn lessor_cost(entries: usize, regions: usize) {
+    let mut lessor = Lessor::new(Moment::ZERO, Epoch(1), Duration::from_secs(10));
+    lessor.set_table(view(regions));
     let start = Duration::from_secs(60);
     let mut policies: Vec<_> = (0..entries)
         .map(|n| {
@@ -239,7 +239,7 @@
         for (name, renew) in &renewals {
             let mut renew = renew.clone();
             renew.serial = u64::from(round) + 1;
-            black_box(keeper.renew(now, name, &renew));
+            black_box(lessor.renew(now, name, &renew));
         }
     }
     let each = begin.elapsed().as_nanos() as f64 / f64::from(rounds) / entries as f64;
@@ -251,6 +251,6 @@
 fn main() {
     for (entries, regions) in [(11, 3), (61, 9), (200, 9), (600, 9)] {
         entry_costs(entries, regions);
-        keeper_cost(entries, regions);
+        lessor_cost(entries, regions);
     }
 }
--- a/crates/steer/src/lease.rs
+++ b/crates/steer/src/lease.rs
@@ -40,7 +40,7 @@
 /// A failure domain's roster as control keeps it for its next leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct KeptRoster {
+pub struct StoredRoster {
     /// The failure domain.
     pub failure_domain: FailureDomain,
     /// Its region.
--- a/crates/steer/src/keeper/mod.rs
+++ b/crates/steer/src/lessor/mod.rs
@@ -22,7 +22,7 @@
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, FailureDomain, Incarnation, Moment, NodeName, Region};
 
-use crate::lease::{Grant, KeptRoster, LEASE_DURATION, LEASE_MARGIN, Part, Renew, ServiceParts};
+use crate::lease::{Grant, LEASE_DURATION, LEASE_MARGIN, Part, Renew, ServiceParts, StoredRoster};
 use quota::{Demand, Quota};
 use roster::DomainRoster;
 
@@ -42,7 +42,7 @@
 
 /// Grants leases to entries; a step function without I/O.
 #[derive(Debug)]
-pub struct ShareKeeper {
+pub struct Lessor {
     term: Epoch,
     quiet_until: Moment,
     longest_run: Duration,
@@ -52,7 +52,7 @@
     quotas: BTreeMap<RowKey, RowQuota>,
 }
 
-impl ShareKeeper {
+impl Lessor {
     /// A keeper for a leader that has just won `term`.
     ///
     /// `longest_run` bounds how long a request may run on after its entry fell silent;
@@ -92,7 +92,7 @@
 
     /// The rosters as they stand, for the next leader. Control must have them in its log
     /// before it sends a grant that follows a change of them.
-    pub fn rosters(&self) -> Vec<KeptRoster> {
+    pub fn rosters(&self) -> Vec<StoredRoster> {
         let known = self.rosters.iter();
         known
             .filter_map(|(domain, known)| known.kept(domain))
@@ -106,7 +106,7 @@
     /// get a roster of its own and share endpoints with members that are still in force
     /// by their own promises; and what they hold of their region's limits would be given
     /// to others.
-    pub fn restore(&mut self, rosters: impl IntoIterator<Item = KeptRoster>) {
+    pub fn restore(&mut self, rosters: impl IntoIterator<Item = StoredRoster>) {
         for kept in rosters {
             let (term, quiet_until) = (self.term, self.quiet_until);
             let known = self.rosters.entry(kept.failure_domain.clone());
--- a/crates/steer/src/keeper/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -21,7 +21,7 @@
 
 use filberthead_types::{Epoch, FailureDomain, Moment, NodeName, Region, ServiceName};
 
-use crate::lease::{KeptRoster, LEASE_DURATION, LEASE_MARGIN, Renew, Roster, majority};
+use crate::lease::{LEASE_DURATION, LEASE_MARGIN, Renew, Roster, StoredRoster, majority};
 
 /// Silence after which an entry that isn't a member counts as gone.
 const RECENT: std::time::Duration = LEASE_DURATION;
@@ -89,8 +89,8 @@
         }
     }
 
-    pub(crate) fn kept(&self, failure_domain: &FailureDomain) -> Option<KeptRoster> {
-        Some(KeptRoster {
+    pub(crate) fn kept(&self, failure_domain: &FailureDomain) -> Option<StoredRoster> {
+        Some(StoredRoster {
             failure_domain: failure_domain.clone(),
             region: self.region.clone(),
             roster: self.roster.clone()?,
@@ -150,7 +150,7 @@
     }
 
     /// Takes over the roster of the leader before; no higher one was ever granted.
-    pub(crate) fn restore(&mut self, kept: KeptRoster) {
+    pub(crate) fn restore(&mut self, kept: StoredRoster) {
         self.learn(kept.roster);
         self.must_ack = kept.leaving;
         self.trusted = true;
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -12,8 +12,8 @@
 mod estimate;
 mod hash;
 mod health;
-mod keeper;
 mod lease;
+mod lessor;
 mod lookup;
 mod ownership;
 mod peers;
@@ -32,12 +32,12 @@
     RequestInfo, ServiceReport, ServiceUsage, Steering,
 };
 pub use config::{Choice, Config, SlotOwnership};
-pub use keeper::ShareKeeper;
 pub use lease::{
-    Grant, KeptRoster, LEASE_DURATION, LEASE_MARGIN, Part, RENEW_INTERVAL, Renew, Roster,
-    ServiceDemand, ServiceParts,
+    Grant, LEASE_DURATION, LEASE_MARGIN, Part, RENEW_INTERVAL, Renew, Roster, ServiceDemand,
+    ServiceParts, StoredRoster,
 };
+pub use lessor::Lessor;
 pub use ownership::Ownership;
 pub use policy::Policy;
 pub use round_robin::RoundRobin;
-pub use shares::ShareHolder;
+pub use shares::LeasedShares;
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::peers::Peers;
 use crate::pool::Pool;
 use crate::region::Regions;
-use crate::shares::ShareHolder;
+use crate::shares::LeasedShares;
 use crate::shift::ShiftWindow;
 use crate::{
     Action, Decision, EndpointInfo, EntryInfo, Event, FinishKind, Message, RequestInfo,
@@ -54,7 +54,7 @@
     pub(crate) peers: Peers,
     pub(crate) regions: Regions,
     pub(crate) ownership: Ownership,
-    pub(crate) shares: ShareHolder,
+    pub(crate) shares: LeasedShares,
     pub(crate) running: HashMap<RequestId, Running>,
     pub(crate) rng: StdRng,
     pub(crate) stopping: bool,
@@ -71,7 +71,7 @@
             peers: Peers::default(),
             regions: Regions::default(),
             ownership: Ownership::new(now, cfg.node.clone(), cfg.leased),
-            shares: ShareHolder::default(),
+            shares: LeasedShares::default(),
             running: HashMap::new(),
             rng: StdRng::seed_from_u64(cfg.seed),
             stopping: false,
--- a/crates/steer/src/shares.rs
+++ b/crates/steer/src/shares.rs
@@ -15,7 +15,7 @@
 
 /// Holds what control granted.
 #[derive(Debug, Default)]
-pub struct ShareHolder {
+pub struct LeasedShares {
     term: Epoch,
     accepted: u64,
     /// For each renewal not answered yet, the grant that was in force when it was sent.
@@ -24,7 +24,7 @@
     parts: BTreeMap<ServiceName, ServiceParts>,
 }
 
-impl ShareHolder {
+impl LeasedShares {
     /// Takes in a grant; `sent` is when the renewal that it answers was sent. Returns
     /// whether the grant is newer than what is held.
     pub fn granted(&mut self, grant: &Grant, sent: Moment) -> bool {
--- a/crates/steer/tests/all/slots.rs
+++ b/crates/steer/tests/all/slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_steer::{LEASE_DURATION, LEASE_MARGIN, Renew, Roster, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, LEASE_MARGIN, Lessor, Renew, Roster, ServiceDemand};
 use filberthead_types::{Epoch, FailureDomain, Incarnation, Moment, NodeName, Region};
 
 use crate::common::{SLOTS, name, service};
@@ -42,7 +42,7 @@
         self.domain.parse().expect("a name")
     }
 
-    fn renew(&mut self, now: Moment, keeper: &mut ShareKeeper) {
+    fn renew(&mut self, now: Moment, lessor: &mut Lessor) {
         self.serial += 1;
         let demand = ServiceDemand {
             service: service(),
@@ -66,7 +66,7 @@
             parts: Vec::new(),
             demand: self.listed.then_some(demand).into_iter().collect(),
         };
-        let grant = keeper.renew(now, &self.name, &renew);
+        let grant = lessor.renew(now, &self.name, &renew);
         if !self.deaf {
             self.accepted = grant.serial;
             self.term = grant.term;
@@ -82,7 +82,7 @@
 /// A region with a leader that took over at the start.
 struct Site {
     now: Moment,
-    keeper: ShareKeeper,
+    lessor: Lessor,
     entries: Vec<Entry>,
     domains: Vec<FailureDomain>,
 }
@@ -92,14 +92,14 @@
         let now = Duration::from_secs(100);
         Self {
             now,
-            keeper: ShareKeeper::new(now, Epoch(1), RUN),
+            lessor: Lessor::new(now, Epoch(1), RUN),
             domains: entries.iter().map(Entry::domain).collect(),
             entries,
         }
     }
 
     fn next_leader(&mut self) {
-        self.keeper = ShareKeeper::new(self.now, Epoch(2), RUN);
+        self.lessor = Lessor::new(self.now, Epoch(2), RUN);
     }
 
     /// Lets the entries that `heard` names renew for this long.
@@ -109,14 +109,14 @@
             self.now += STEP;
             let renewing = self.entries.iter_mut();
             for entry in renewing.filter(|entry| heard.contains(&entry.name.as_str())) {
-                entry.renew(self.now, &mut self.keeper);
+                entry.renew(self.now, &mut self.lessor);
             }
         }
     }
 
     fn knows(&self) -> bool {
         let domains = &self.domains;
-        self.keeper.knows_slots(self.now, &region(), domains)
+        self.lessor.knows_slots(self.now, &region(), domains)
     }
 }
 
--- a/crates/steer/tests/all/world.rs
+++ b/crates/steer/tests/all/world.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use filberthead_steer::{
-    Action, Config, Decision, EndpointInfo, EntryInfo, Event, FinishKind, Message, Policy,
-    ShareKeeper, Steering,
+    Action, Config, Decision, EndpointInfo, EntryInfo, Event, FinishKind, Lessor, Message, Policy,
+    Steering,
 };
 use filberthead_types::{Epoch, Incarnation, Moment, NodeName, RequestId};
 
@@ -63,7 +63,7 @@
     pub(crate) now: Moment,
     nodes: Vec<Option<Node>>,
     starts: [u64; DOMAINS.len()],
-    keeper: ShareKeeper,
+    lessor: Lessor,
     term: u64,
     letters: Vec<Letter>,
     cut: [[bool; DOMAINS.len() + 1]; DOMAINS.len() + 1],
@@ -94,12 +94,12 @@
     table(1, &[("zagreb", row), ("split", row)])
 }
 
-fn keeper(now: Moment, term: u64) -> ShareKeeper {
-    let mut keeper = ShareKeeper::new(now, Epoch(term), RUN);
+fn lessor(now: Moment, term: u64) -> Lessor {
+    let mut lessor = Lessor::new(now, Epoch(term), RUN);
     if let Event::Table(view) = rows() {
-        keeper.set_table(view);
+        lessor.set_table(view);
     }
-    keeper
+    lessor
 }
 
 impl World {
@@ -110,7 +110,7 @@
             now,
             nodes: (0..DOMAINS.len()).map(|_| None).collect(),
             starts: [0; DOMAINS.len()],
-            keeper: keeper(now, 1),
+            lessor: lessor(now, 1),
             term: 1,
             letters: Vec::new(),
             cut: [[false; DOMAINS.len() + 1]; DOMAINS.len() + 1],
@@ -189,11 +189,11 @@
         } else {
             self.now
         };
-        let mut next = keeper(since, self.term);
+        let mut next = lessor(since, self.term);
         if !self.twin.lost_rosters {
-            next.restore(self.keeper.rosters());
+            next.restore(self.lessor.rosters());
         }
-        self.keeper = next;
+        self.lessor = next;
     }
 
     /// Time passes; running entries tick, and requests end at their deadlines.
@@ -275,7 +275,7 @@
                 demand.shifted = 0;
             }
         }
-        let grant = self.keeper.renew(self.now, &node_name(from), &renew);
+        let grant = self.lessor.renew(self.now, &node_name(from), &renew);
         let message = Message::Grant(grant);
         self.letters.push(Letter {
             from: CONTROL,
