--- a/crates/bench/src/experiment/policy.rs
+++ b/crates/bench/src/experiment/policy.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use filberthead_steer::{Choice, Config, EntryInfo, SlotOwnership, Steering};
+use filberthead_steer::{Config, EndpointSelection, EntryInfo, SlotOwnership, Steering};
 use filberthead_types::Moment;
 
 use super::baseline::{Baseline, Pick};
@@ -94,7 +94,7 @@
         let cfg = Config::new(info.name.clone(), place.0, place.1)
             .incarnation(info.incarnation)
             .seed(seed)
-            .hops(
+            .round_trips(
                 2 * deployment.near,
                 2 * deployment.region,
                 2 * deployment.far,
@@ -113,20 +113,23 @@
 
 impl Version {
     fn configure(self, cfg: Config) -> Config {
-        let endpoint = |cfg: Config| cfg.slot_ownership(SlotOwnership::Endpoint).relief(false);
+        let endpoint = |cfg: Config| {
+            cfg.slot_ownership(SlotOwnership::Endpoint)
+                .adjust_weights(false)
+        };
         match self {
-            Self::Counted => endpoint(cfg).leased(false).spill(false),
+            Self::Counted => endpoint(cfg).leased(false).spillover(false),
             Self::Split => cfg
-                .relief(false)
+                .adjust_weights(false)
                 .leased(false)
-                .spill(false)
+                .spillover(false)
                 .slot_ownership(SlotOwnership::Split),
             Self::CountedTwoChoices => endpoint(cfg)
                 .leased(false)
-                .spill(false)
-                .choice(Choice::TwoChoices),
+                .spillover(false)
+                .endpoint_selection(EndpointSelection::PowerOfTwoChoices),
             Self::Spill => endpoint(cfg).leased(false),
-            Self::Leased => cfg.relief(false),
+            Self::Leased => cfg.adjust_weights(false),
             Self::Relief => cfg,
         }
     }
--- a/crates/steer/src/config.rs
+++ b/crates/steer/src/config.rs
@@ -6,12 +6,12 @@
 
 /// How one of several endpoints with a free slot is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Choice {
+pub enum EndpointSelection {
     /// The one with the most free slots of those counted here, the quicker one of equals.
     #[default]
     LeastLoaded,
     /// The better one of two drawn at random.
-    TwoChoices,
+    PowerOfTwoChoices,
     /// The one whose estimated latency times its load is lowest.
     LatencyTimesLoad,
 }
@@ -40,20 +40,20 @@
     pub(crate) leased: bool,
     pub(crate) serve_isolated: bool,
     pub(crate) queue: usize,
-    pub(crate) choice: Choice,
+    pub(crate) endpoint_selection: EndpointSelection,
     pub(crate) slot_ownership: SlotOwnership,
-    pub(crate) spill: bool,
-    pub(crate) relief: bool,
+    pub(crate) spillover: bool,
+    pub(crate) adjust_weights: bool,
     pub(crate) slow_start: bool,
-    pub(crate) probe_every: Duration,
+    pub(crate) probe_interval: Duration,
     pub(crate) reading_ttl: Duration,
-    pub(crate) report_every: Duration,
+    pub(crate) report_interval: Duration,
     pub(crate) report_ttl: Duration,
     pub(crate) report_fan_out: usize,
-    pub(crate) longest_run: Duration,
-    pub(crate) hop_near: Duration,
-    pub(crate) hop_region: Duration,
-    pub(crate) hop_far: Duration,
+    pub(crate) max_request_duration: Duration,
+    pub(crate) rtt_domain: Duration,
+    pub(crate) rtt_region: Duration,
+    pub(crate) rtt_inter_region: Duration,
 }
 
 impl Config {
@@ -68,20 +68,20 @@
             leased: true,
             serve_isolated: false,
             queue: 64,
-            choice: Choice::default(),
+            endpoint_selection: EndpointSelection::default(),
             slot_ownership: SlotOwnership::default(),
-            spill: true,
-            relief: true,
+            spillover: true,
+            adjust_weights: true,
             slow_start: true,
-            probe_every: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             reading_ttl: Duration::from_secs(4),
-            report_every: Duration::from_millis(200),
+            report_interval: Duration::from_millis(200),
             report_ttl: Duration::from_secs(2),
             report_fan_out: 16,
-            longest_run: Duration::from_secs(10),
-            hop_near: Duration::from_micros(400),
-            hop_region: Duration::from_millis(3),
-            hop_far: Duration::from_millis(70),
+            max_request_duration: Duration::from_secs(10),
+            rtt_domain: Duration::from_micros(400),
+            rtt_region: Duration::from_millis(3),
+            rtt_inter_region: Duration::from_millis(70),
         }
     }
 
@@ -128,10 +128,10 @@
         self
     }
 
-    /// How an endpoint is chosen. Default [`Choice::LeastLoaded`].
+    /// How an endpoint is chosen. Default [`EndpointSelection::LeastLoaded`].
     #[must_use]
-    pub fn choice(mut self, choice: Choice) -> Self {
-        self.choice = choice;
+    pub fn endpoint_selection(mut self, selection: EndpointSelection) -> Self {
+        self.endpoint_selection = selection;
         self
     }
 
@@ -145,16 +145,16 @@
     /// Whether requests may be handed to other entries. Default true; without, an entry
     /// uses its own endpoints only.
     #[must_use]
-    pub fn spill(mut self, spill: bool) -> Self {
-        self.spill = spill;
+    pub fn spillover(mut self, spillover: bool) -> Self {
+        self.spillover = spillover;
         self
     }
 
     /// Whether look-ups send fewer callers to regions that are fuller than others.
     /// Default true; without, only the table's weights count.
     #[must_use]
-    pub fn relief(mut self, relief: bool) -> Self {
-        self.relief = relief;
+    pub fn adjust_weights(mut self, adjust_weights: bool) -> Self {
+        self.adjust_weights = adjust_weights;
         self
     }
 
@@ -168,8 +168,8 @@
     /// Time between two probes of an endpoint. Default 1 s. An endpoint that says that
     /// it is leaving is seen after this time at the latest.
     #[must_use]
-    pub fn probe_every(mut self, every: Duration) -> Self {
-        self.probe_every = every;
+    pub fn probe_interval(mut self, every: Duration) -> Self {
+        self.probe_interval = every;
         self
     }
 
@@ -182,8 +182,8 @@
 
     /// Time between two reports to other entries. Default 200 ms.
     #[must_use]
-    pub fn report_every(mut self, every: Duration) -> Self {
-        self.report_every = every;
+    pub fn report_interval(mut self, every: Duration) -> Self {
+        self.report_interval = every;
         self
     }
 
@@ -198,18 +198,18 @@
     /// How long requests of an earlier owner may hold an endpoint's slots if no reading
     /// shows them free. Default 10 s.
     #[must_use]
-    pub fn longest_run(mut self, longest: Duration) -> Self {
-        self.longest_run = longest;
+    pub fn max_request_duration(mut self, longest: Duration) -> Self {
+        self.max_request_duration = longest;
         self
     }
 
     /// Round trips to another entry of the own failure domain, of the own region, and
     /// of another region. Defaults 0.4 ms, 3 ms, 70 ms.
     #[must_use]
-    pub fn hops(mut self, near: Duration, region: Duration, far: Duration) -> Self {
-        self.hop_near = near;
-        self.hop_region = region;
-        self.hop_far = far;
+    pub fn round_trips(mut self, near: Duration, region: Duration, far: Duration) -> Self {
+        self.rtt_domain = near;
+        self.rtt_region = region;
+        self.rtt_inter_region = far;
         self
     }
 }
--- a/crates/steer/src/cost.rs
+++ b/crates/steer/src/cost.rs
@@ -92,7 +92,7 @@
         draw: f64,
     ) -> Best {
         let here = self.here(now, req, class);
-        if !self.cfg.spill || req.forwarded_by.is_some() {
+        if !self.cfg.spillover || req.forwarded_by.is_some() {
             return here.map_or(Best::Nowhere, |here| here.best());
         }
         let home = self.regions.home(&req.service, req.caller);
@@ -226,7 +226,7 @@
                     move_price(pool, load, objective, &self.cfg);
                 }
             }
-            if self.cfg.relief {
+            if self.cfg.adjust_weights {
                 let mut regions = std::mem::take(&mut self.regions);
                 regions.load(&service, |region| {
                     self.stock(now, &service, region).filled()
@@ -288,7 +288,7 @@
         Objective::Latency => LATENCY_TARGET,
         Objective::Headroom => HEADROOM_TARGET,
     };
-    let most = 2.0 * cfg.hop_far.as_secs_f64();
+    let most = 2.0 * cfg.rtt_inter_region.as_secs_f64();
     pool.price = (pool.price + PRICE_GAIN * (filled - target)).clamp(0.0, most);
 }
 
--- a/crates/steer/src/endpoint.rs
+++ b/crates/steer/src/endpoint.rs
@@ -176,11 +176,11 @@
     /// run on at the endpoint. Their slots stay empty until a reading shows fewer, or
     /// until no deadline can be left; otherwise the new owner, which counts from zero,
     /// would fill them twice.
-    pub(crate) fn grant(&mut self, now: Moment, slots: u32, longest_run: Duration) {
+    pub(crate) fn grant(&mut self, now: Moment, slots: u32, max_request_duration: Duration) {
         if slots > self.granted {
             self.foreign = self.info.slots;
             self.foreign_since = now;
-            self.foreign_until = now + longest_run;
+            self.foreign_until = now + max_request_duration;
             self.next_probe = now;
         }
         self.granted = slots;
--- a/crates/steer/src/lessor/mod.rs
+++ b/crates/steer/src/lessor/mod.rs
@@ -45,7 +45,7 @@
 pub struct Lessor {
     term: Epoch,
     quiet_until: Moment,
-    longest_run: Duration,
+    max_request_duration: Duration,
     view: Arc<View>,
     last: BTreeMap<NodeName, Last>,
     rosters: BTreeMap<FailureDomain, DomainRoster>,
@@ -55,15 +55,15 @@
 impl Lessor {
     /// A keeper for a leader that has just won `term`.
     ///
-    /// `longest_run` bounds how long a request may run on after its entry fell silent;
+    /// `max_request_duration` bounds how long a request may run on after its entry fell silent;
     /// it must be at least the longest deadline that entries accept.
-    pub fn new(now: Moment, term: Epoch, longest_run: Duration) -> Self {
+    pub fn new(now: Moment, term: Epoch, max_request_duration: Duration) -> Self {
         Self {
             term,
             // Grants of the leader before may hold until then, and what was admitted
             // under them is reported by whoever renews here.
             quiet_until: now + LEASE_DURATION + LEASE_MARGIN,
-            longest_run,
+            max_request_duration,
             view: Arc::default(),
             last: BTreeMap::new(),
             rosters: BTreeMap::new(),
@@ -193,7 +193,7 @@
         from: &NodeName,
         renew: &Renew,
     ) -> Vec<ServiceParts> {
-        let longest_run = self.longest_run;
+        let max_request_duration = self.max_request_duration;
         let rows = self
             .quotas
             .iter_mut()
@@ -209,7 +209,7 @@
                 slots: demand.map_or(0, |d| d.slots),
                 running,
                 waiting,
-                longest_run,
+                max_request_duration,
                 quiet,
                 failure_domain: renew.failure_domain.clone(),
             };
--- a/crates/steer/src/lessor/quota.rs
+++ b/crates/steer/src/lessor/quota.rs
@@ -23,7 +23,7 @@
     pub(crate) slots: u32,
     pub(crate) running: u32,
     pub(crate) waiting: u32,
-    pub(crate) longest_run: Duration,
+    pub(crate) max_request_duration: Duration,
     pub(crate) quiet: bool,
     pub(crate) failure_domain: FailureDomain,
 }
@@ -88,11 +88,11 @@
     }
 
     /// A restarted entry holds nothing, but requests of its earlier start may run on.
-    fn restart(&mut self, now: Moment, incarnation: Incarnation, longest_run: Duration) {
+    fn restart(&mut self, now: Moment, incarnation: Incarnation, max_request_duration: Duration) {
         let residue = self.committed(now);
         *self = Self::new(incarnation, self.failure_domain.clone());
         self.residue = residue;
-        self.residue_until = now + longest_run;
+        self.residue_until = now + max_request_duration;
     }
 
     fn renewed(&mut self, now: Moment, demand: &Demand) {
@@ -104,7 +104,7 @@
         self.running = demand.running;
         self.heard = now;
         // Requests admitted under a share run on after it has lapsed.
-        self.lapses = now + LEASE_DURATION + LEASE_MARGIN + demand.longest_run;
+        self.lapses = now + LEASE_DURATION + LEASE_MARGIN + demand.max_request_duration;
         // Waiting counts up to the slots only: a long queue says no more than that.
         let busy = demand.running + demand.waiting.min(demand.slots);
         self.busy += DEMAND_GAIN * (f64::from(busy) - self.busy);
@@ -160,7 +160,7 @@
             .entry(name.clone())
             .or_insert_with(|| Holder::new(demand.incarnation, demand.failure_domain.clone()));
         if holder.incarnation != demand.incarnation {
-            holder.restart(now, demand.incarnation, demand.longest_run);
+            holder.restart(now, demand.incarnation, demand.max_request_duration);
         }
         holder.renewed(now, demand);
         if demand.slots > 0 {
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -31,7 +31,7 @@
     Action, Decision, EndpointInfo, EndpointUsage, EntryInfo, Event, FinishKind, Message, Reading,
     RequestInfo, ServiceReport, ServiceUsage, Steering,
 };
-pub use config::{Choice, Config, SlotOwnership};
+pub use config::{Config, EndpointSelection, SlotOwnership};
 pub use lease::{
     Grant, LEASE_DURATION, LEASE_MARGIN, Part, RENEW_INTERVAL, Renew, Roster, ServiceDemand,
     ServiceParts, StoredRoster,
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -57,11 +57,11 @@
 impl Peer {
     fn new(info: EntryInfo, cfg: &Config) -> Self {
         let hop = if info.region != cfg.region {
-            cfg.hop_far
+            cfg.rtt_inter_region
         } else if info.failure_domain != cfg.failure_domain {
-            cfg.hop_region
+            cfg.rtt_region
         } else {
-            cfg.hop_near
+            cfg.rtt_domain
         };
         Self {
             info,
@@ -227,8 +227,12 @@
             })
             .collect();
         ranked.sort();
-        let near = ranked.iter().filter(|(hop, ..)| *hop < cfg.hop_far);
-        let far = ranked.iter().filter(|(hop, ..)| *hop >= cfg.hop_far);
+        let near = ranked
+            .iter()
+            .filter(|(hop, ..)| *hop < cfg.rtt_inter_region);
+        let far = ranked
+            .iter()
+            .filter(|(hop, ..)| *hop >= cfg.rtt_inter_region);
         near.take(cfg.report_fan_out / 2)
             .chain(far)
             .take(cfg.report_fan_out)
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -135,7 +135,7 @@
             } else {
                 self.ownership.slots(now, &endpoint.info, &self.cfg)
             };
-            endpoint.grant(now, slots, self.cfg.longest_run);
+            endpoint.grant(now, slots, self.cfg.max_request_duration);
         }
     }
 
@@ -261,7 +261,7 @@
             actions.extend(self.renew(now));
         }
         if now >= self.next_report {
-            self.next_report = now + self.cfg.report_every;
+            self.next_report = now + self.cfg.report_interval;
             actions.extend(self.reports(now));
         }
         actions
@@ -307,7 +307,7 @@
     /// Probes whose time has come. Every entry of the failure domain probes, owner or
     /// not, so that an endpoint's state is known when its ownership moves.
     fn probes(&mut self, now: Moment) -> Vec<Action> {
-        let every = self.cfg.probe_every;
+        let every = self.cfg.probe_interval;
         let endpoints = self.pools.values_mut().flat_map(|p| &mut p.endpoints);
         let due = endpoints.filter(|e| !e.gone && now >= e.next_probe);
         due.map(|e| {
--- a/crates/steer/src/pool.rs
+++ b/crates/steer/src/pool.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use crate::config::{Choice, Config};
+use crate::config::{Config, EndpointSelection};
 use crate::endpoint::Endpoint;
 use crate::estimate::Mean;
 use crate::health::Usability;
@@ -145,12 +145,12 @@
                 && !tried.contains(&e.info.name)
         };
         let free = || (0..self.endpoints.len()).filter(|&i| candidate(&self.endpoints[i]));
-        match cfg.choice {
-            Choice::LeastLoaded => free().min_by_key(|&i| {
+        match cfg.endpoint_selection {
+            EndpointSelection::LeastLoaded => free().min_by_key(|&i| {
                 let e = &self.endpoints[i];
                 (e.running, (e.latency.seconds() * 1e6) as u64)
             }),
-            Choice::TwoChoices => {
+            EndpointSelection::PowerOfTwoChoices => {
                 let free: Vec<_> = free().collect();
                 if free.is_empty() {
                     return None;
@@ -160,7 +160,7 @@
                 let less = self.endpoints[two].running < self.endpoints[one].running;
                 Some(if less { two } else { one })
             }
-            Choice::LatencyTimesLoad => free().min_by_key(|&i| {
+            EndpointSelection::LatencyTimesLoad => free().min_by_key(|&i| {
                 let e = &self.endpoints[i];
                 (e.latency.seconds() * f64::from(e.running + 1) * 1e6) as u64
             }),
--- a/crates/steer/tests/all/policy.rs
+++ b/crates/steer/tests/all/policy.rs
@@ -221,7 +221,7 @@
                 .slot_ownership(SlotOwnership::Endpoint)
                 .leased(false)
                 .slow_start(false)
-                .spill(false),
+                .spillover(false),
             &names,
         );
         policy.observe(ms(1), Event::Entries(entries.clone()));
--- a/crates/steer/tests/all/world.rs
+++ b/crates/steer/tests/all/world.rs
@@ -143,7 +143,7 @@
         let cfg: Config = place_config(&format!("e{node}"), "zagreb", DOMAINS[node])
             .incarnation(Incarnation(incarnation))
             .slow_start(false)
-            .longest_run(RUN)
+            .max_request_duration(RUN)
             .serve_isolated(self.twin.isolated_slot);
         let policy = Policy::new(self.clock(node), cfg);
         self.nodes[node] = Some(Node {
