--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -103,7 +103,7 @@
             return false;
         };
         let here = domains.iter().filter(|(_, of)| *of == region);
-        keeper.knows_slots(now, region, here.map(|(domain, _)| domain))
+        keeper.slots_are_complete(now, region, here.map(|(domain, _)| domain))
     }
 }
 
--- a/crates/steer/src/lessor/mod.rs
+++ b/crates/steer/src/lessor/mod.rs
@@ -235,7 +235,7 @@
     /// Whether the slots that entries of a region reported last are all its slots, so far
     /// as can be known here. `domains` are failure domains of the region that are known
     /// by other ways: one whose entries haven't renewed with this leader has slots too.
-    pub fn knows_slots<'a>(
+    pub fn slots_are_complete<'a>(
         &self,
         now: Moment,
         region: &Region,
@@ -244,7 +244,7 @@
         let mut here = self.rosters.values().filter(|r| r.region() == region);
         let mut domains = domains.into_iter();
         now >= self.quiet_until
-            && here.all(|roster| roster.knows_slots(now))
+            && here.all(|roster| roster.slots_are_complete(now))
             && domains.all(|domain| self.rosters.contains_key(domain))
     }
 
--- a/crates/steer/src/lessor/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -112,7 +112,7 @@
     /// Whether the slots that the members reported last are all slots of the failure
     /// domain. They are not while one is silent, or endpoints are on their way from one
     /// owner to the next, or a member holds none for want of a lease or of the list.
-    pub(crate) fn knows_slots(&self, now: Moment) -> bool {
+    pub(crate) fn slots_are_complete(&self, now: Moment) -> bool {
         let Some(roster) = &self.roster else {
             return false;
         };
--- a/crates/steer/tests/all/slots.rs
+++ b/crates/steer/tests/all/slots.rs
@@ -116,7 +116,7 @@
 
     fn knows(&self) -> bool {
         let domains = &self.domains;
-        self.lessor.knows_slots(self.now, &region(), domains)
+        self.lessor.slots_are_complete(self.now, &region(), domains)
     }
 }
 
