--- a/crates/steer/src/cost.rs
+++ b/crates/steer/src/cost.rs
@@ -160,9 +160,9 @@
             load: pool.running + pool.waiting(),
             running: pool.running,
             fresh: true,
-            mean: pool.mean,
+            mean: pool.mean_utilisation,
             shift_room: 0,
-            hold_seconds: pool.hold.seconds(),
+            hold_seconds: pool.hold_time.seconds(),
         };
         let left = req.deadline.saturating_sub(now).as_secs_f64();
         let in_time = wait_seconds(load) < left;
@@ -221,7 +221,7 @@
             let capacity = self.capacity(now, &service);
             if let Some(pool) = self.pools.get_mut(&service) {
                 let filled = f64::from(pool.running) / f64::from(capacity.max(1));
-                pool.mean += MEAN_GAIN * (filled - pool.mean);
+                pool.mean_utilisation += MEAN_GAIN * (filled - pool.mean_utilisation);
                 if let Some(load) = stock.load() {
                     move_price(pool, load, objective, &self.cfg);
                 }
--- a/crates/steer/src/decide.rs
+++ b/crates/steer/src/decide.rs
@@ -145,7 +145,7 @@
         }
         let turns = (pool.shifted_queue.len() + 1) as f64 / f64::from(window);
         let left = req.deadline.saturating_sub(now).as_secs_f64();
-        pool.shifted_queue.len() < self.cfg.queue && turns * pool.hold.seconds() < left / 4.0
+        pool.shifted_queue.len() < self.cfg.queue && turns * pool.hold_time.seconds() < left / 4.0
     }
 
     fn wait(&mut self, req: &RequestInfo, class: Class) -> Decision {
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -115,7 +115,7 @@
             let list = by_service.get(service).map_or(&[][..], Vec::as_slice);
             pool.set_endpoints(list, &self.cfg);
         }
-        self.refresh_grants(now);
+        self.refresh_owned_slots(now);
     }
 
     /// Whether this entry serves on its own because nobody can be asked.
@@ -123,7 +123,7 @@
         self.cfg.serve_isolated && self.ownership.isolated(now)
     }
 
-    pub(crate) fn refresh_grants(&mut self, now: Moment) {
+    pub(crate) fn refresh_owned_slots(&mut self, now: Moment) {
         let isolated = self.isolated(now);
         for endpoint in self.pools.values_mut().flat_map(|p| &mut p.endpoints) {
             // With nobody to ask, an owner that is beyond reach but alive can't be ruled
@@ -131,19 +131,19 @@
             // free slot, is the least that serves callers; were there an owner, it would
             // be sent at most one request more than it has slots, which it refuses.
             let slots = if isolated {
-                u32::from(endpoint.shows_room(now, self.cfg.reading_ttl))
+                u32::from(endpoint.reports_free_slot(now, self.cfg.reading_ttl))
             } else {
                 self.ownership.slots(now, &endpoint.info, &self.cfg)
             };
-            endpoint.grant(now, slots, self.cfg.max_request_duration);
+            endpoint.set_owned_slots(now, slots, self.cfg.max_request_duration);
         }
     }
 
     fn set_leaving(&mut self, names: &[NodeName]) {
         for name in names {
             for pool in self.pools.values_mut() {
-                if let Some(endpoint) = pool.find(name) {
-                    endpoint.health.list_leaving();
+                if let Some(endpoint) = pool.find_mut(name) {
+                    endpoint.health.mark_leaving();
                 }
             }
         }
@@ -152,7 +152,7 @@
     fn set_entries(&mut self, now: Moment, entries: Vec<EntryInfo>) {
         self.ownership.set_entries(&entries, &self.cfg);
         self.peers.set(entries, &self.cfg);
-        self.refresh_grants(now);
+        self.refresh_owned_slots(now);
     }
 
     fn set_table(&mut self, now: Moment, view: Arc<View>) {
@@ -248,7 +248,7 @@
 
     fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.regions.tick(now);
-        self.refresh_grants(now);
+        self.refresh_owned_slots(now);
         self.tick_windows(now);
         self.tick_loads(now);
         let mut actions = self.expire(now);
@@ -275,7 +275,7 @@
             let window = self.windows.entry(service.clone());
             window
                 .or_insert_with(ShiftWindow::new)
-                .tick(now, load, cap, pool.hold.seconds());
+                .tick(now, load, cap, pool.hold_time.seconds());
         }
     }
 
@@ -309,7 +309,7 @@
     fn probes(&mut self, now: Moment) -> Vec<Action> {
         let every = self.cfg.probe_interval;
         let endpoints = self.pools.values_mut().flat_map(|p| &mut p.endpoints);
-        let due = endpoints.filter(|e| !e.gone && now >= e.next_probe);
+        let due = endpoints.filter(|e| !e.delisted && now >= e.next_probe);
         due.map(|e| {
             e.next_probe = now + every;
             Action::Probe {
@@ -330,7 +330,7 @@
                 running: pool.running,
                 waiting: pool.waiting(),
                 shift_room: self.shift_room(now, service),
-                hold_micros: (pool.hold.seconds() * 1e6) as u32,
+                hold_micros: (pool.hold_time.seconds() * 1e6) as u32,
             })
             .collect();
         let listeners = self.peers.listeners(&self.cfg).into_iter();
@@ -349,7 +349,7 @@
             Message::Ask { serial, epoch } => return self.asked(now, from, epoch, serial),
             Message::Promise { serial } => {
                 self.ownership.promised_from(from, serial);
-                self.refresh_grants(now);
+                self.refresh_owned_slots(now);
             }
             Message::Renew(_) => {}
         }
@@ -357,7 +357,7 @@
     }
 
     fn with_endpoint(&mut self, name: &NodeName, f: impl FnOnce(&mut crate::endpoint::Endpoint)) {
-        if let Some(endpoint) = self.pools.values_mut().find_map(|pool| pool.find(name)) {
+        if let Some(endpoint) = self.pools.values_mut().find_map(|pool| pool.find_mut(name)) {
             f(endpoint);
         }
     }
@@ -391,10 +391,10 @@
             Event::Entries(entries) => self.set_entries(now, entries),
             Event::Reading { endpoint, reading } => {
                 let slow_start = self.cfg.slow_start;
-                self.with_endpoint(&endpoint, |e| e.read(reading, slow_start));
+                self.with_endpoint(&endpoint, |e| e.record_reading(reading, slow_start));
             }
             Event::ProbeFailed { endpoint } => {
-                self.with_endpoint(&endpoint, |e| e.health.probe_failed());
+                self.with_endpoint(&endpoint, |e| e.health.record_probe_failure());
             }
             Event::Finished {
                 id,
--- a/crates/steer/src/pool.rs
+++ b/crates/steer/src/pool.rs
@@ -15,7 +15,7 @@
 use crate::{EndpointInfo, FinishKind};
 
 /// First guess of a service's latency, until answers have been seen.
-const LATENCY_GUESS: Duration = Duration::from_millis(50);
+const INITIAL_LATENCY: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
 pub(crate) struct Pool {
@@ -27,13 +27,13 @@
     /// Time to the first byte of an answer.
     pub(crate) latency: Mean,
     /// Time for which a request holds its slot.
-    pub(crate) hold: Mean,
+    pub(crate) hold_time: Mean,
     pub(crate) running: u32,
     pub(crate) shifted_running: u32,
     /// Price of a slot in the region, in seconds: what its use costs those who wait.
     pub(crate) price: f64,
     /// Mean filled part of the slots here.
-    pub(crate) mean: f64,
+    pub(crate) mean_utilisation: f64,
 }
 
 impl Pool {
@@ -42,12 +42,12 @@
             endpoints: Vec::new(),
             home_queue: Queue::default(),
             shifted_queue: Queue::default(),
-            latency: Mean::new(LATENCY_GUESS),
-            hold: Mean::new(LATENCY_GUESS),
+            latency: Mean::new(INITIAL_LATENCY),
+            hold_time: Mean::new(INITIAL_LATENCY),
             running: 0,
             shifted_running: 0,
             price: 0.0,
-            mean: 0.0,
+            mean_utilisation: 0.0,
         }
     }
 
@@ -58,38 +58,38 @@
     /// Requests in progress at the endpoints that this entry admits to, those of an
     /// earlier owner included.
     pub(crate) fn in_progress(&self, now: Moment) -> u32 {
-        let foreign: u32 = self.endpoints.iter().map(|e| e.foreign(now)).sum();
-        self.running + foreign
+        let inherited: u32 = self.endpoints.iter().map(|e| e.inherited(now)).sum();
+        self.running + inherited
     }
 
     /// Takes in the list of endpoints.
     pub(crate) fn set_endpoints(&mut self, infos: &[Arc<EndpointInfo>], cfg: &Config) {
         for endpoint in &mut self.endpoints {
-            endpoint.gone = true;
+            endpoint.delisted = true;
         }
-        let guess = Duration::from_secs_f64(self.latency.seconds());
+        let initial_latency = Duration::from_secs_f64(self.latency.seconds());
         for info in infos {
-            match self.find(&info.name) {
+            match self.find_mut(&info.name) {
                 Some(endpoint) => {
-                    endpoint.gone = false;
+                    endpoint.delisted = false;
                     endpoint.info = Arc::clone(info);
                 }
                 None => {
                     let info = Arc::clone(info);
                     self.endpoints
-                        .push(Endpoint::new(info, guess, cfg.slow_start));
+                        .push(Endpoint::new(info, initial_latency, cfg.slow_start));
                 }
             }
         }
-        self.forget_gone();
+        self.remove_delisted();
     }
 
-    pub(crate) fn forget_gone(&mut self) {
+    pub(crate) fn remove_delisted(&mut self) {
         self.endpoints
-            .retain(|endpoint| !endpoint.gone || endpoint.running > 0);
+            .retain(|endpoint| !endpoint.delisted || endpoint.running > 0);
     }
 
-    pub(crate) fn find(&mut self, name: &NodeName) -> Option<&mut Endpoint> {
+    pub(crate) fn find_mut(&mut self, name: &NodeName) -> Option<&mut Endpoint> {
         self.endpoints
             .iter_mut()
             .find(|endpoint| endpoint.info.name == *name)
@@ -98,7 +98,7 @@
     /// Whether silence of probes says something about endpoints. When most of them fall
     /// silent at once, the measurement is the likelier fault, and giving all of them up
     /// would turn a lost probe into an outage.
-    fn trusts_silence(&self, now: Moment, cfg: &Config) -> bool {
+    fn trusts_probe_failures(&self, now: Moment, cfg: &Config) -> bool {
         let silent = self
             .endpoints
             .iter()
@@ -109,10 +109,10 @@
 
     /// Slots of usable endpoints that this entry may fill.
     pub(crate) fn capacity(&self, now: Moment, cfg: &Config) -> u32 {
-        let trusts_silence = self.trusts_silence(now, cfg);
+        let trusts_probe_failures = self.trusts_probe_failures(now, cfg);
         self.endpoints
             .iter()
-            .filter(|e| usable(e, now, cfg, trusts_silence))
+            .filter(|e| usable(e, now, cfg, trusts_probe_failures))
             .map(|e| e.capacity(now))
             .sum()
     }
@@ -122,8 +122,8 @@
     pub(crate) fn slots(&self) -> u32 {
         self.endpoints
             .iter()
-            .filter(|e| !e.gone && !e.health.leaving())
-            .map(Endpoint::granted)
+            .filter(|e| !e.delisted && !e.health.is_leaving())
+            .map(Endpoint::owned_slots)
             .sum()
     }
 
@@ -135,32 +135,33 @@
         tried: &[NodeName],
         rng: &mut StdRng,
     ) -> Option<usize> {
-        let trusts_silence = self.trusts_silence(now, cfg);
+        let trusts_probe_failures = self.trusts_probe_failures(now, cfg);
         let service_seconds = self.latency.seconds();
-        let candidate = |e: &Endpoint| {
-            e.free(now) > 0
-                && usable(e, now, cfg, trusts_silence)
-                && e.connectable()
-                && !e.slow(now, service_seconds)
+        let is_candidate = |e: &Endpoint| {
+            e.free_slots(now) > 0
+                && usable(e, now, cfg, trusts_probe_failures)
+                && e.connection_available()
+                && !e.is_slow(now, service_seconds)
                 && !tried.contains(&e.info.name)
         };
-        let free = || (0..self.endpoints.len()).filter(|&i| candidate(&self.endpoints[i]));
+        let candidates = || (0..self.endpoints.len()).filter(|&i| is_candidate(&self.endpoints[i]));
         match cfg.endpoint_selection {
-            EndpointSelection::LeastLoaded => free().min_by_key(|&i| {
+            EndpointSelection::LeastLoaded => candidates().min_by_key(|&i| {
                 let e = &self.endpoints[i];
                 (e.running, (e.latency.seconds() * 1e6) as u64)
             }),
             EndpointSelection::PowerOfTwoChoices => {
-                let free: Vec<_> = free().collect();
-                if free.is_empty() {
+                let candidates: Vec<_> = candidates().collect();
+                if candidates.is_empty() {
                     return None;
                 }
-                let one = free[rng.random_range(0..free.len())];
-                let two = free[rng.random_range(0..free.len())];
-                let less = self.endpoints[two].running < self.endpoints[one].running;
-                Some(if less { two } else { one })
+                let first = candidates[rng.random_range(0..candidates.len())];
+                let second = candidates[rng.random_range(0..candidates.len())];
+                let second_is_better =
+                    self.endpoints[second].running < self.endpoints[first].running;
+                Some(if second_is_better { second } else { first })
             }
-            EndpointSelection::LatencyTimesLoad => free().min_by_key(|&i| {
+            EndpointSelection::LatencyTimesLoad => candidates().min_by_key(|&i| {
                 let e = &self.endpoints[i];
                 (e.latency.seconds() * f64::from(e.running + 1) * 1e6) as u64
             }),
@@ -170,7 +171,7 @@
     /// Expected time until a request that joins the queue gets a slot, in seconds.
     pub(crate) fn wait_seconds(&self, now: Moment, cfg: &Config) -> f64 {
         let capacity = self.capacity(now, cfg).max(1);
-        f64::from(self.waiting() + 1) * self.hold.seconds() / f64::from(capacity)
+        f64::from(self.waiting() + 1) * self.hold_time.seconds() / f64::from(capacity)
     }
 
     pub(crate) fn start(&mut self, now: Moment, index: usize, shifted: bool) {
@@ -186,27 +187,27 @@
         shifted: bool,
         kind: FinishKind,
         first_byte: Duration,
-        held: Duration,
+        hold_time: Duration,
     ) {
         self.running = self.running.saturating_sub(1);
         self.shifted_running = self.shifted_running.saturating_sub(u32::from(shifted));
         if kind == FinishKind::Answered {
             self.latency.add(first_byte);
-            self.hold.add(held);
+            self.hold_time.add(hold_time);
         }
-        if let Some(endpoint) = self.find(endpoint) {
+        if let Some(endpoint) = self.find_mut(endpoint) {
             endpoint.finish(now, kind, first_byte);
-            if endpoint.gone {
-                self.forget_gone();
+            if endpoint.delisted {
+                self.remove_delisted();
             }
         }
     }
 }
 
-fn usable(endpoint: &Endpoint, now: Moment, cfg: &Config, trusts_silence: bool) -> bool {
+fn usable(endpoint: &Endpoint, now: Moment, cfg: &Config, trusts_probe_failures: bool) -> bool {
     match endpoint.usability(now, cfg.reading_ttl) {
         Usability::Usable => true,
-        Usability::Silent => !trusts_silence,
+        Usability::Silent => !trusts_probe_failures,
         Usability::Unusable => false,
     }
 }
--- a/crates/steer/src/renewal.rs
+++ b/crates/steer/src/renewal.rs
@@ -54,7 +54,7 @@
         if self.shares.granted(grant, sent) {
             let before = self.ownership.epoch();
             self.ownership.granted(grant);
-            self.refresh_grants(now);
+            self.refresh_owned_slots(now);
             if self.ownership.epoch() != before {
                 // Others wait for this entry's word that it follows, and its new
                 // endpoints are of no use before it has a share for them.
--- a/crates/steer/src/usage.rs
+++ b/crates/steer/src/usage.rs
@@ -24,8 +24,8 @@
 fn endpoint_usage(endpoint: &Endpoint) -> EndpointUsage {
     EndpointUsage {
         name: endpoint.info.name.clone(),
-        slots: endpoint.granted(),
+        slots: endpoint.owned_slots(),
         running: endpoint.running,
-        leaving: endpoint.gone || endpoint.health.leaving(),
+        leaving: endpoint.delisted || endpoint.health.is_leaving(),
     }
 }
