--- a/crates/steer/src/api.rs
+++ b/crates/steer/src/api.rs
@@ -233,7 +233,7 @@
 
 impl ServiceReport {
     /// Filled part of the slots.
-    pub(crate) fn filled(&self) -> f64 {
+    pub(crate) fn utilisation(&self) -> f64 {
         f64::from(self.running) / f64::from(self.capacity.max(1))
     }
 }
--- a/crates/steer/src/cost.rs
+++ b/crates/steer/src/cost.rs
@@ -25,26 +25,26 @@
 
 /// Load difference, in parts of the slots, that is worth a hop within the failure
 /// domain, and to another one of the region.
-const NEAR_PENALTY: f64 = 0.01;
+const DOMAIN_PENALTY: f64 = 0.01;
 const REGION_PENALTY: f64 = 0.30;
 /// Added for a place that is full, so that any with a slot goes before it.
 const FULL_PENALTY: f64 = 1.0;
 /// Time that a part of the slots is worth between places that are equally quick.
-const TIE_SECONDS: f64 = 0.002;
+const FULLNESS_SECONDS: f64 = 0.002;
 /// Filled part of a region's slots above which their price rises.
-const LATENCY_TARGET: f64 = 0.85;
-const HEADROOM_TARGET: f64 = 0.80;
+const LATENCY_TARGET_UTILISATION: f64 = 0.85;
+const HEADROOM_TARGET_UTILISATION: f64 = 0.80;
 /// Weight of a tick in the mean filled part of the own slots: over about 2 s.
-const MEAN_GAIN: f64 = 0.05;
+const UTILISATION_GAIN: f64 = 0.05;
 /// Rise of the price at each tick, in seconds for each part of the slots over target.
 const PRICE_GAIN: f64 = 0.05;
 
 /// The best place for a request.
 #[derive(Debug)]
-pub(crate) enum Best {
-    Here,
+pub(crate) enum Target {
+    Local,
     Entry(NodeName),
-    Nowhere,
+    Unavailable,
 }
 
 #[derive(Debug)]
@@ -52,72 +52,78 @@
     seconds: f64,
     fullness: f64,
     /// Mean filled part of its slots.
-    mean: f64,
+    mean_utilisation: f64,
     /// `None` for this entry.
     peer: Option<&'a Peer>,
 }
 
 impl Candidate<'_> {
-    fn new(load: PeerLoad, hop: Duration, penalty: f64) -> Self {
+    fn new(load: PeerLoad, rtt: Duration, penalty: f64) -> Self {
         Self {
-            seconds: hop.as_secs_f64() + load.hold_seconds + wait_seconds(load),
+            seconds: rtt.as_secs_f64() + load.hold_seconds + wait_seconds(load),
             fullness: fullness(load) + penalty,
-            mean: load.mean,
+            mean_utilisation: load.mean_utilisation,
             peer: None,
         }
     }
 
     fn cost(&self, objective: Objective) -> f64 {
         match objective {
-            Objective::Latency => self.seconds + TIE_SECONDS * self.fullness,
+            Objective::Latency => self.seconds + FULLNESS_SECONDS * self.fullness,
             Objective::Headroom => self.fullness,
         }
     }
 
-    fn best(&self) -> Best {
+    fn target(&self) -> Target {
         match self.peer {
-            Some(peer) => Best::Entry(peer.info.name.clone()),
-            None => Best::Here,
+            Some(peer) => Target::Entry(peer.info.name.clone()),
+            None => Target::Local,
         }
     }
 }
 
 impl Policy {
-    pub(crate) fn best(
+    pub(crate) fn select_target(
         &self,
         now: Moment,
         req: &RequestInfo,
         class: Class,
         objective: Objective,
-        draw: f64,
-    ) -> Best {
-        let here = self.here(now, req, class);
+        random_unit: f64,
+    ) -> Target {
+        let local = self.local_candidate(now, req, class);
         if !self.cfg.spillover || req.forwarded_by.is_some() {
-            return here.map_or(Best::Nowhere, |here| here.best());
+            return local.map_or(Target::Unavailable, |local| local.target());
         }
         let home = self.regions.home(&req.service, req.caller);
-        let is_near = |peer: &&Peer| peer.info.region == self.cfg.region;
-        let near = self.peers.iter().filter(is_near);
-        let near: Vec<_> = near
-            .filter_map(|peer| self.there(now, req, home, peer))
+        let is_in_region = |peer: &&Peer| peer.info.region == self.cfg.region;
+        let in_region = self.peers.iter().filter(is_in_region);
+        let in_region: Vec<_> = in_region
+            .filter_map(|peer| self.peer_candidate(now, req, home, peer))
             .collect();
-        let near = match here {
-            Some(here) if objective == Objective::Headroom => Some(self.balance(here, near, draw)),
-            here => near
+        let in_region = match local {
+            Some(local) if objective == Objective::Headroom => {
+                Some(self.balance(local, in_region, random_unit))
+            }
+            local => in_region
                 .into_iter()
-                .chain(here)
+                .chain(local)
                 .min_by(|a, b| a.cost(objective).total_cmp(&b.cost(objective))),
         };
-        let far = self.peers.iter().filter(|peer| !is_near(peer));
-        let by_time = Objective::Latency;
-        let far = far
-            .filter_map(|peer| self.there(now, req, home, peer))
-            .min_by(|a, b| a.cost(by_time).total_cmp(&b.cost(by_time)));
-        match (near, far) {
-            (Some(near), Some(far)) if far.seconds < near.seconds + self.price(req) => far.best(),
-            (Some(near), _) => near.best(),
-            (None, Some(far)) => far.best(),
-            (None, None) => Best::Nowhere,
+        let elsewhere = self.peers.iter().filter(|peer| !is_in_region(peer));
+        let by_latency = Objective::Latency;
+        let elsewhere = elsewhere
+            .filter_map(|peer| self.peer_candidate(now, req, home, peer))
+            .min_by(|a, b| a.cost(by_latency).total_cmp(&b.cost(by_latency)));
+        match (in_region, elsewhere) {
+            (Some(in_region), Some(elsewhere))
+                if elsewhere.seconds < in_region.seconds + self.price(req) =>
+            {
+                elsewhere.target()
+            }
+            (Some(in_region), _) => in_region.target(),
+            (None, Some(elsewhere)) => elsewhere.target(),
+            (None, None) => Target::Unavailable,
         }
     }
 
@@ -127,26 +133,41 @@
     /// entries act on at once would only move the peak.
     fn balance<'a>(
         &self,
-        here: Candidate<'a>,
-        near: Vec<Candidate<'a>>,
-        draw: f64,
+        local: Candidate<'a>,
+        in_region: Vec<Candidate<'a>>,
+        random_unit: f64,
     ) -> Candidate<'a> {
-        let full = here.fullness > FULL_PENALTY;
-        let emptiest = if full {
-            near.into_iter()
+        let full = local.fullness > FULL_PENALTY;
+        let least_loaded = if full {
+            in_region
+                .into_iter()
                 .min_by(|a, b| a.fullness.total_cmp(&b.fullness))
         } else {
-            near.into_iter().min_by(|a, b| a.mean.total_cmp(&b.mean))
+            in_region
+                .into_iter()
+                .min_by(|a, b| a.mean_utilisation.total_cmp(&b.mean_utilisation))
         };
-        match emptiest {
-            Some(other) if full && other.fullness < here.fullness => other,
-            Some(other) if !full && draw < (here.mean - other.mean) / (2.0 * here.mean) => other,
-            _ => here,
+        match least_loaded {
+            Some(other) if full && other.fullness < local.fullness => other,
+            Some(other)
+                if !full
+                    && random_unit
+                        < (local.mean_utilisation - other.mean_utilisation)
+                            / (2.0 * local.mean_utilisation) =>
+            {
+                other
+            }
+            _ => local,
         }
     }
 
     /// This entry, unless the request can't run or wait here.
-    fn here(&self, now: Moment, req: &RequestInfo, class: Class) -> Option<Candidate<'_>> {
+    fn local_candidate(
+        &self,
+        now: Moment,
+        req: &RequestInfo,
+        class: Class,
+    ) -> Option<Candidate<'_>> {
         let pool = self.pools.get(&req.service)?;
         let capacity = self.capacity(now, &req.service);
         if capacity == 0 || pool.waiting() as usize >= self.cfg.queue {
@@ -157,20 +178,20 @@
         }
         let load = PeerLoad {
             capacity,
-            load: pool.running + pool.waiting(),
+            outstanding: pool.running + pool.waiting(),
             running: pool.running,
             fresh: true,
-            mean: pool.mean_utilisation,
+            mean_utilisation: pool.mean_utilisation,
             shift_room: 0,
             hold_seconds: pool.hold_time.seconds(),
         };
-        let left = req.deadline.saturating_sub(now).as_secs_f64();
-        let in_time = wait_seconds(load) < left;
-        in_time.then(|| Candidate::new(load, Duration::ZERO, 0.0))
+        let remaining = req.deadline.saturating_sub(now).as_secs_f64();
+        let starts_in_time = wait_seconds(load) < remaining;
+        starts_in_time.then(|| Candidate::new(load, Duration::ZERO, 0.0))
     }
 
     /// Another entry, unless it can't take the request.
-    fn there<'a>(
+    fn peer_candidate<'a>(
         &self,
         now: Moment,
         req: &RequestInfo,
@@ -197,11 +218,11 @@
             return None;
         }
         let penalty = if info.failure_domain == self.cfg.failure_domain {
-            NEAR_PENALTY
+            DOMAIN_PENALTY
         } else {
             REGION_PENALTY
         };
-        let mut candidate = Candidate::new(load, peer.hop, penalty);
+        let mut candidate = Candidate::new(load, peer.rtt, penalty);
         candidate.peer = Some(peer);
         Some(candidate)
     }
@@ -212,24 +233,24 @@
 
     /// Takes stock of the regions' loads, and moves the prices of slots by the load of
     /// the own one.
-    pub(crate) fn tick_loads(&mut self, now: Moment) {
+    pub(crate) fn update_loads(&mut self, now: Moment) {
         let services: Vec<_> = self.pools.keys().cloned().collect();
         for service in services {
             let own = self.cfg.region.clone();
-            let stock = self.stock(now, &service, &own);
+            let region_load = self.region_load(now, &service, &own);
             let objective = self.regions.objective(&service, &own);
             let capacity = self.capacity(now, &service);
             if let Some(pool) = self.pools.get_mut(&service) {
-                let filled = f64::from(pool.running) / f64::from(capacity.max(1));
-                pool.mean_utilisation += MEAN_GAIN * (filled - pool.mean_utilisation);
-                if let Some(load) = stock.load() {
-                    move_price(pool, load, objective, &self.cfg);
+                let utilisation = f64::from(pool.running) / f64::from(capacity.max(1));
+                pool.mean_utilisation += UTILISATION_GAIN * (utilisation - pool.mean_utilisation);
+                if let Some(load) = region_load.load() {
+                    adjust_price(pool, load, objective, &self.cfg);
                 }
             }
             if self.cfg.adjust_weights {
                 let mut regions = std::mem::take(&mut self.regions);
                 regions.load(&service, |region| {
-                    self.stock(now, &service, region).filled()
+                    self.region_load(now, &service, region).utilisation()
                 });
                 self.regions = regions;
             }
@@ -237,74 +258,74 @@
     }
 
     /// What a region's entries have reported.
-    fn stock(&self, now: Moment, service: &ServiceName, region: &Region) -> Stock {
-        let mut stock = Stock::default();
+    fn region_load(&self, now: Moment, service: &ServiceName, region: &Region) -> RegionLoad {
+        let mut region_load = RegionLoad::default();
         if *region == self.cfg.region
             && let Some(pool) = self.pools.get(service)
         {
-            stock.capacity += pool.capacity(now, &self.cfg);
-            stock.running += pool.running;
-            stock.load += pool.running + pool.waiting();
+            region_load.capacity += pool.capacity(now, &self.cfg);
+            region_load.running += pool.running;
+            region_load.outstanding += pool.running + pool.waiting();
         }
-        let there = self.peers.iter().filter(|peer| peer.info.region == *region);
-        for peer in there {
-            let there = peer.load(now, service, self.cfg.report_ttl);
-            if let Some(there) = there.filter(|there| there.fresh) {
-                stock.capacity += there.capacity;
-                stock.running += there.running;
-                stock.load += there.load;
+        let peers = self.peers.iter().filter(|peer| peer.info.region == *region);
+        for peer in peers {
+            let load = peer.load(now, service, self.cfg.report_ttl);
+            if let Some(load) = load.filter(|load| load.fresh) {
+                region_load.capacity += load.capacity;
+                region_load.running += load.running;
+                region_load.outstanding += load.outstanding;
             }
         }
-        stock
+        region_load
     }
 }
 
 /// Slots of a region and what is in them.
 #[derive(Clone, Copy, Debug, Default)]
-struct Stock {
+struct RegionLoad {
     capacity: u32,
     /// Requests that run, as reported.
     running: u32,
     /// Those, and all that wait or are on their way.
-    load: u32,
+    outstanding: u32,
 }
 
-impl Stock {
+impl RegionLoad {
     fn load(self) -> Option<f64> {
-        self.part(self.load)
+        self.ratio(self.outstanding)
     }
 
-    fn filled(self) -> Option<f64> {
-        self.part(self.running)
+    fn utilisation(self) -> Option<f64> {
+        self.ratio(self.running)
     }
 
-    fn part(self, requests: u32) -> Option<f64> {
+    fn ratio(self, requests: u32) -> Option<f64> {
         (self.capacity > 0).then(|| f64::from(requests) / f64::from(self.capacity))
     }
 }
 
-fn move_price(pool: &mut Pool, filled: f64, objective: Objective, cfg: &Config) {
+fn adjust_price(pool: &mut Pool, load: f64, objective: Objective, cfg: &Config) {
     let target = match objective {
-        Objective::Latency => LATENCY_TARGET,
-        Objective::Headroom => HEADROOM_TARGET,
+        Objective::Latency => LATENCY_TARGET_UTILISATION,
+        Objective::Headroom => HEADROOM_TARGET_UTILISATION,
     };
-    let most = 2.0 * cfg.rtt_inter_region.as_secs_f64();
-    pool.price = (pool.price + PRICE_GAIN * (filled - target)).clamp(0.0, most);
+    let max_price = 2.0 * cfg.rtt_inter_region.as_secs_f64();
+    pool.price = (pool.price + PRICE_GAIN * (load - target)).clamp(0.0, max_price);
 }
 
 /// Expected wait for a slot: every request ahead of those that run takes a turn.
 fn wait_seconds(load: PeerLoad) -> f64 {
-    let ahead = (load.load + 1).saturating_sub(load.capacity);
+    let ahead = (load.outstanding + 1).saturating_sub(load.capacity);
     f64::from(ahead) * load.hold_seconds / f64::from(load.capacity.max(1))
 }
 
 /// How full the place would be with the request.
 fn fullness(load: PeerLoad) -> f64 {
-    let filled = f64::from(load.load + 1) / f64::from(load.capacity.max(1));
-    let full = if load.load >= load.capacity {
+    let utilisation = f64::from(load.outstanding + 1) / f64::from(load.capacity.max(1));
+    let penalty = if load.outstanding >= load.capacity {
         FULL_PENALTY
     } else {
         0.0
     };
-    filled + full
+    utilisation + penalty
 }
--- a/crates/steer/src/decide.rs
+++ b/crates/steer/src/decide.rs
@@ -9,7 +9,7 @@
 use filberthead_types::{Moment, NodeName, ResultCode, ServiceName};
 use rand::Rng;
 
-use crate::cost::Best;
+use crate::cost::Target;
 use crate::policy::{Class, Place, Policy, Running};
 use crate::{Decision, RequestInfo};
 
@@ -31,15 +31,15 @@
             return decision;
         }
         let draw = self.rng.random();
-        match self.best(now, req, class, objective, draw) {
-            Best::Here => self
+        match self.select_target(now, req, class, objective, draw) {
+            Target::Local => self
                 .place_here(now, req, class)
                 .unwrap_or_else(|| self.wait(req, class)),
-            Best::Entry(name) => self.forward(now, req, name),
-            Best::Nowhere if class == Class::Shifted && self.shift_waits(now, req) => {
+            Target::Entry(name) => self.forward(now, req, name),
+            Target::Unavailable if class == Class::Shifted && self.shift_waits(now, req) => {
                 self.wait(req, class)
             }
-            Best::Nowhere => self.refuse_here(now, req, class),
+            Target::Unavailable => self.refuse_here(now, req, class),
         }
     }
 
@@ -163,7 +163,7 @@
         let Some(addr) = self.peers.addr(&name) else {
             return refuse(ResultCode::NoEndpoint, RETRY_AFTER);
         };
-        self.peers.sent(now, &name, &req.service);
+        self.peers.record_sent(now, &name, &req.service);
         self.running.insert(
             req.id,
             Running {
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -11,20 +11,20 @@
 use crate::{EntryInfo, ServiceReport};
 
 /// How long an entry that refused gets nothing more for that service.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 
 /// Weight of a report in the mean filled part of an entry's slots: over about 2 s.
-const MEAN_GAIN: f64 = 0.1;
+const UTILISATION_GAIN: f64 = 0.1;
 
 #[derive(Debug)]
 pub(crate) struct PeerService {
     pub(crate) report: ServiceReport,
-    received: Moment,
+    received_at: Moment,
     /// When requests were sent that the report can't show yet and that haven't ended.
-    unseen: VecDeque<Moment>,
+    unreported: VecDeque<Moment>,
     paused_until: Moment,
     /// Mean filled part of its slots.
-    mean: f64,
+    mean_utilisation: f64,
 }
 
 /// Another entry's state for one service as a decision reckons with it.
@@ -32,13 +32,13 @@
 pub(crate) struct PeerLoad {
     pub(crate) capacity: u32,
     /// Running and waiting there, with what was sent since the report.
-    pub(crate) load: u32,
+    pub(crate) outstanding: u32,
     /// Running there by its report alone.
     pub(crate) running: u32,
     /// Whether the report is recent.
     pub(crate) fresh: bool,
     /// Mean filled part of its slots, by its reports.
-    pub(crate) mean: f64,
+    pub(crate) mean_utilisation: f64,
     pub(crate) shift_room: u32,
     pub(crate) hold_seconds: f64,
 }
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) info: EntryInfo,
-    pub(crate) hop: Duration,
+    pub(crate) rtt: Duration,
     /// No connection could be made since its last report. Its reports come from it by
     /// another way than requests reach it, and until one does, each attempt would cost
     /// its caller the time of a failed connection.
@@ -56,7 +56,7 @@
 
 impl Peer {
     fn new(info: EntryInfo, cfg: &Config) -> Self {
-        let hop = if info.region != cfg.region {
+        let rtt = if info.region != cfg.region {
             cfg.rtt_inter_region
         } else if info.failure_domain != cfg.failure_domain {
             cfg.rtt_region
@@ -65,7 +65,7 @@
         };
         Self {
             info,
-            hop,
+            rtt,
             unreachable: false,
             services: HashMap::new(),
         }
@@ -77,29 +77,29 @@
         &self,
         now: Moment,
         service: &ServiceName,
-        ttl: Duration,
+        report_ttl: Duration,
     ) -> Option<PeerLoad> {
         let state = self.services.get(service)?;
         if self.unreachable || state.report.capacity == 0 || now < state.paused_until {
             return None;
         }
-        let unseen = state.unseen.len() as u32;
-        let known = state.report.running + state.report.waiting + unseen;
+        let unreported = state.unreported.len() as u32;
+        let pending = state.report.running + state.report.waiting + unreported;
         // A report that is too old says neither idle nor dead: reckon with an entry
         // that is full but serves, so that it comes after those known to have room.
-        let stale = now.saturating_sub(state.received) >= ttl;
-        let load = if stale {
-            known.max(state.report.capacity)
+        let stale = now.saturating_sub(state.received_at) >= report_ttl;
+        let outstanding = if stale {
+            pending.max(state.report.capacity)
         } else {
-            known
+            pending
         };
         Some(PeerLoad {
             capacity: state.report.capacity,
-            load,
+            outstanding,
             running: state.report.running,
             fresh: !stale,
-            mean: state.mean,
-            shift_room: state.report.shift_room.saturating_sub(unseen),
+            mean_utilisation: state.mean_utilisation,
+            shift_room: state.report.shift_room.saturating_sub(unreported),
             hold_seconds: f64::from(state.report.hold_micros) * 1e-6,
         })
     }
@@ -109,26 +109,31 @@
         self.services.get(service).map(|state| state.report.slots)
     }
 
-    fn take(&mut self, now: Moment, report: ServiceReport) {
-        let hop = self.hop;
+    fn apply_report(&mut self, now: Moment, report: ServiceReport) {
+        let rtt = self.rtt;
         match self.services.get_mut(&report.service) {
             Some(state) => {
                 state.report = report;
-                state.mean += MEAN_GAIN * (state.report.filled() - state.mean);
-                state.received = now;
+                state.mean_utilisation +=
+                    UTILISATION_GAIN * (state.report.utilisation() - state.mean_utilisation);
+                state.received_at = now;
                 // Sent a round trip or longer ago: arrived before the report left.
-                while state.unseen.front().is_some_and(|&sent| sent + hop < now) {
-                    state.unseen.pop_front();
+                while state
+                    .unreported
+                    .front()
+                    .is_some_and(|&sent| sent + rtt < now)
+                {
+                    state.unreported.pop_front();
                 }
             }
             None => {
                 let service = report.service.clone();
                 let state = PeerService {
                     report,
-                    received: now,
-                    unseen: VecDeque::new(),
+                    received_at: now,
+                    unreported: VecDeque::new(),
                     paused_until: Moment::ZERO,
-                    mean: 0.0,
+                    mean_utilisation: 0.0,
                 };
                 self.services.insert(service, state);
             }
@@ -148,12 +153,12 @@
     }
 
     pub(crate) fn set(&mut self, infos: impl IntoIterator<Item = EntryInfo>, cfg: &Config) {
-        let mut old = std::mem::take(&mut self.by_name);
+        let mut previous = std::mem::take(&mut self.by_name);
         for info in infos {
             if info.name == cfg.node {
                 continue;
             }
-            let mut peer = match old.remove(&info.name) {
+            let mut peer = match previous.remove(&info.name) {
                 Some(peer) if peer.info.incarnation == info.incarnation => peer,
                 _ => Peer::new(info.clone(), cfg),
             };
@@ -166,7 +171,7 @@
         if let Some(peer) = self.by_name.get_mut(from) {
             peer.unreachable = false;
             for report in reports {
-                peer.take(now, report);
+                peer.apply_report(now, report);
             }
         }
     }
@@ -175,66 +180,67 @@
         self.by_name.get(name).map(|peer| peer.info.caller_addr)
     }
 
-    pub(crate) fn sent(&mut self, now: Moment, to: &NodeName, service: &ServiceName) {
+    pub(crate) fn record_sent(&mut self, now: Moment, to: &NodeName, service: &ServiceName) {
         let state = self
             .by_name
             .get_mut(to)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state {
-            state.unseen.push_back(now);
+            state.unreported.push_back(now);
         }
     }
 
     /// A request that was sent at `sent` has ended there.
-    pub(crate) fn finished(&mut self, by: &NodeName, service: &ServiceName, sent: Moment) {
+    pub(crate) fn record_finished(&mut self, by: &NodeName, service: &ServiceName, sent: Moment) {
         let state = self
             .by_name
             .get_mut(by)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state
-            && let Ok(place) = state.unseen.binary_search(&sent)
+            && let Ok(index) = state.unreported.binary_search(&sent)
         {
-            state.unseen.remove(place);
+            state.unreported.remove(index);
         }
     }
 
-    pub(crate) fn unreachable(&mut self, name: &NodeName) {
+    pub(crate) fn mark_unreachable(&mut self, name: &NodeName) {
         if let Some(peer) = self.by_name.get_mut(name) {
             peer.unreachable = true;
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Moment, by: &NodeName, service: &ServiceName) {
+    pub(crate) fn record_refusal(&mut self, now: Moment, by: &NodeName, service: &ServiceName) {
         let state = self
             .by_name
             .get_mut(by)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state {
-            state.paused_until = now + REFUSED_PAUSE;
+            state.paused_until = now + REFUSAL_PAUSE;
         }
     }
 
     /// Who gets this entry's reports: nearest first, then by rendezvous, so that in a
     /// large cluster each entry still hears from some of every region.
-    pub(crate) fn listeners(&self, cfg: &Config) -> Vec<NodeName> {
+    pub(crate) fn report_targets(&self, cfg: &Config) -> Vec<NodeName> {
         let mut ranked: Vec<_> = self
             .iter()
             .map(|peer| {
                 let key = Key::new()
                     .text(cfg.node.as_str())
                     .text(peer.info.name.as_str());
-                (peer.hop, key.hash(), &peer.info.name)
+                (peer.rtt, key.hash(), &peer.info.name)
             })
             .collect();
         ranked.sort();
-        let near = ranked
+        let in_region = ranked
             .iter()
-            .filter(|(hop, ..)| *hop < cfg.rtt_inter_region);
-        let far = ranked
+            .filter(|(rtt, ..)| *rtt < cfg.rtt_inter_region);
+        let elsewhere = ranked
             .iter()
-            .filter(|(hop, ..)| *hop >= cfg.rtt_inter_region);
-        near.take(cfg.report_fan_out / 2)
-            .chain(far)
+            .filter(|(rtt, ..)| *rtt >= cfg.rtt_inter_region);
+        in_region
+            .take(cfg.report_fan_out / 2)
+            .chain(elsewhere)
             .take(cfg.report_fan_out)
             .map(|(.., name)| (*name).clone())
             .collect()
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -174,10 +174,10 @@
         };
         match run.place {
             Place::Entry(name) => {
-                self.peers.finished(&name, &run.service, run.since);
+                self.peers.record_finished(&name, &run.service, run.since);
                 match kind {
-                    FinishKind::Shed => self.peers.refused(now, &name, &run.service),
-                    FinishKind::ConnectFailed => self.peers.unreachable(&name),
+                    FinishKind::Shed => self.peers.record_refusal(now, &name, &run.service),
+                    FinishKind::ConnectFailed => self.peers.mark_unreachable(&name),
                     _ => {}
                 }
                 Vec::new()
@@ -250,7 +250,7 @@
         self.regions.tick(now);
         self.refresh_owned_slots(now);
         self.tick_windows(now);
-        self.tick_loads(now);
+        self.update_loads(now);
         let mut actions = self.expire(now);
         for service in self.waiting_services() {
             actions.extend(self.dispatch(now, &service));
@@ -333,8 +333,8 @@
                 hold_micros: (pool.hold_time.seconds() * 1e6) as u32,
             })
             .collect();
-        let listeners = self.peers.listeners(&self.cfg).into_iter();
-        listeners
+        let targets = self.peers.report_targets(&self.cfg).into_iter();
+        targets
             .map(|to| Action::Send {
                 to,
                 message: Message::Report(reports.clone()),
