--- a/crates/steer/src/cost.rs
+++ b/crates/steer/src/cost.rs
@@ -95,7 +95,7 @@
         if !self.cfg.spillover || req.forwarded_by.is_some() {
             return local.map_or(Target::Unavailable, |local| local.target());
         }
-        let home = self.regions.home(&req.service, req.caller);
+        let home = self.regions.home_region(&req.service, req.caller);
         let is_in_region = |peer: &&Peer| peer.info.region == self.cfg.region;
         let in_region = self.peers.iter().filter(is_in_region);
         let in_region: Vec<_> = in_region
@@ -204,7 +204,7 @@
         }
         // Without a proven table nothing says which region may take what, so requests
         // stay in the failure domain, where the endpoints' own word is at hand.
-        if !self.regions.known() && info.failure_domain != self.cfg.failure_domain {
+        if !self.regions.has_table() && info.failure_domain != self.cfg.failure_domain {
             return None;
         }
         let load = peer.load(now, &req.service, self.cfg.report_ttl)?;
@@ -214,7 +214,7 @@
         }
         // A drained region still takes its own callers while the shift is held back.
         let own_caller = home.is_some_and(|home| *home == info.region);
-        if !own_caller && !self.regions.takes(&req.service, &info.region) {
+        if !own_caller && !self.regions.accepts_traffic(&req.service, &info.region) {
             return None;
         }
         let penalty = if info.failure_domain == self.cfg.failure_domain {
@@ -249,7 +249,7 @@
             }
             if self.cfg.adjust_weights {
                 let mut regions = std::mem::take(&mut self.regions);
-                regions.load(&service, |region| {
+                regions.record_loads(&service, |region| {
                     self.region_load(now, &service, region).utilisation()
                 });
                 self.regions = regions;
--- a/crates/steer/src/decide.rs
+++ b/crates/steer/src/decide.rs
@@ -10,14 +10,14 @@
 use rand::Rng;
 
 use crate::cost::Target;
-use crate::policy::{Class, Place, Policy, Running};
+use crate::policy::{Class, Location, Policy, Running};
 use crate::{Decision, RequestInfo};
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Policy {
     pub(crate) fn decide(&mut self, now: Moment, req: &RequestInfo) -> Decision {
-        if self.regions.known() && !self.regions.has(&req.service) {
+        if self.regions.has_table() && !self.regions.has_service(&req.service) {
             return refuse(ResultCode::UnknownService, RETRY_AFTER);
         }
         if req.deadline <= now {
@@ -26,32 +26,32 @@
         let class = self.class(req);
         let objective = self.regions.objective(&req.service, &self.cfg.region);
         if objective == Objective::Latency
-            && let Some(decision) = self.place_here(now, req, class)
+            && let Some(decision) = self.place_locally(now, req, class)
         {
             return decision;
         }
-        let draw = self.rng.random();
-        match self.select_target(now, req, class, objective, draw) {
+        let random_unit = self.rng.random();
+        match self.select_target(now, req, class, objective, random_unit) {
             Target::Local => self
-                .place_here(now, req, class)
-                .unwrap_or_else(|| self.wait(req, class)),
+                .place_locally(now, req, class)
+                .unwrap_or_else(|| self.enqueue(req, class)),
             Target::Entry(name) => self.forward(now, req, name),
-            Target::Unavailable if class == Class::Shifted && self.shift_waits(now, req) => {
-                self.wait(req, class)
+            Target::Unavailable if class == Class::Shifted && self.may_queue_shifted(now, req) => {
+                self.enqueue(req, class)
             }
-            Target::Unavailable => self.refuse_here(now, req, class),
+            Target::Unavailable => self.refuse_locally(now, req, class),
         }
     }
 
     /// Places the request at an own endpoint, if one has a slot and the row's limits
     /// leave room.
-    pub(crate) fn place_here(
+    pub(crate) fn place_locally(
         &mut self,
         now: Moment,
         req: &RequestInfo,
         class: Class,
     ) -> Option<Decision> {
-        let may_admit = self.ownership.in_force(now) || self.isolated(now);
+        let may_admit = self.ownership.in_force(now) || self.is_isolated(now);
         if !may_admit || !self.admits(now, &req.service, class) {
             return None;
         }
@@ -61,14 +61,14 @@
         pool.start(now, index, shifted);
         let info = std::sync::Arc::clone(&pool.endpoints[index].info);
         if shifted && let Some(window) = self.windows.get_mut(&req.service) {
-            window.started(now, pool.shifted_running);
+            window.record_start(now, pool.shifted_running);
         }
         self.running.insert(
             req.id,
             Running {
                 service: req.service.clone(),
-                place: Place::Endpoint(info.name.clone()),
-                since: now,
+                location: Location::Endpoint(info.name.clone()),
+                started_at: now,
                 shifted,
             },
         );
@@ -79,14 +79,14 @@
     fn admits(&self, now: Moment, service: &ServiceName, class: Class) -> bool {
         let pool = self.pools.get(service);
         let running = pool.map_or(0, |pool| pool.in_progress(now));
-        let within = running < self.limit_share(now, service);
-        within && (class == Class::Home || self.shift_room(now, service) > 0)
+        let within_limit = running < self.limit_share(now, service);
+        within_limit && (class == Class::Home || self.shift_room(now, service) > 0)
     }
 
     /// Whether a row limits the service, as far as this process has ever known. If
     /// none does, or it restarted cut off and has no part to go by, slots are the limit.
     fn is_limited(&self, service: &ServiceName) -> bool {
-        self.shares.has(service) || self.regions.has(service)
+        self.shares.has_part(service) || self.regions.has_service(service)
     }
 
     /// This entry's part of the row's limit.
@@ -133,7 +133,7 @@
 
     /// Whether a shifted request that has nowhere else to go may wait for the window,
     /// which turns over once a hold and grows. Its caller's home has failed then.
-    fn shift_waits(&self, now: Moment, req: &RequestInfo) -> bool {
+    fn may_queue_shifted(&self, now: Moment, req: &RequestInfo) -> bool {
         let (Some(pool), Some(window)) =
             (self.pools.get(&req.service), self.windows.get(&req.service))
         else {
@@ -143,12 +143,13 @@
         if window == 0 || self.capacity(now, &req.service) == 0 {
             return false;
         }
-        let turns = (pool.shifted_queue.len() + 1) as f64 / f64::from(window);
-        let left = req.deadline.saturating_sub(now).as_secs_f64();
-        pool.shifted_queue.len() < self.cfg.queue && turns * pool.hold_time.seconds() < left / 4.0
+        let rounds = (pool.shifted_queue.len() + 1) as f64 / f64::from(window);
+        let remaining = req.deadline.saturating_sub(now).as_secs_f64();
+        pool.shifted_queue.len() < self.cfg.queue
+            && rounds * pool.hold_time.seconds() < remaining / 4.0
     }
 
-    fn wait(&mut self, req: &RequestInfo, class: Class) -> Decision {
+    fn enqueue(&mut self, req: &RequestInfo, class: Class) -> Decision {
         let Some(pool) = self.pools.get_mut(&req.service) else {
             return refuse(ResultCode::NoEndpoint, RETRY_AFTER);
         };
@@ -168,19 +169,19 @@
             req.id,
             Running {
                 service: req.service.clone(),
-                place: Place::Entry(name.clone()),
-                since: now,
+                location: Location::Entry(name.clone()),
+                started_at: now,
                 shifted: false,
             },
         );
         Decision::Entry { name, addr }
     }
 
-    fn refuse_here(&mut self, now: Moment, req: &RequestInfo, class: Class) -> Decision {
+    fn refuse_locally(&mut self, now: Moment, req: &RequestInfo, class: Class) -> Decision {
         if let Some(window) = self.windows.get_mut(&req.service)
             && class == Class::Home
         {
-            window.refused();
+            window.record_refusal();
         }
         let Some(pool) = self.pools.get(&req.service) else {
             return refuse(ResultCode::NoEndpoint, RETRY_AFTER);
--- a/crates/steer/src/lookup.rs
+++ b/crates/steer/src/lookup.rs
@@ -15,11 +15,11 @@
 /// Entries that an answer names, at most.
 const MAX_ENTRIES: usize = 6;
 /// Entries of one region that it names, at most.
-const MAX_ENTRIES_A_REGION: usize = 3;
+const MAX_ENTRIES_PER_REGION: usize = 3;
 /// Weight of an entry that has not reported; small, but it may be the only one.
-const UNKNOWN_WEIGHT: f64 = 0.1;
+const UNREPORTED_WEIGHT: f64 = 0.1;
 /// Weight of an entry that has no slots for the service now.
-const NO_SLOT_WEIGHT: f64 = 1e-6;
+const NO_SLOTS_WEIGHT: f64 = 1e-6;
 
 struct Ranked<'a> {
     distance: f64,
@@ -33,8 +33,8 @@
         service: &ServiceName,
         caller: Option<IpAddr>,
     ) -> Vec<NodeName> {
-        let mut regions = self.regions.order(service, caller, &mut self.rng);
-        if regions.is_empty() && !self.regions.known() {
+        let mut regions = self.regions.region_order(service, caller, &mut self.rng);
+        if regions.is_empty() && !self.regions.has_table() {
             regions = vec![self.cfg.region.clone()];
         }
         let mut names = Vec::new();
@@ -60,11 +60,11 @@
         }
         let mut ranked = self.candidates(service, region, &key);
         ranked.sort_by(|a, b| a.distance.total_cmp(&b.distance));
-        spread(&mut ranked);
+        promote_other_domain(&mut ranked);
         ranked
             .iter()
-            .take(MAX_ENTRIES_A_REGION)
-            .map(|r| r.name.clone())
+            .take(MAX_ENTRIES_PER_REGION)
+            .map(|entry| entry.name.clone())
             .collect()
     }
 
@@ -91,13 +91,19 @@
             // An entry without slots for the service is named after all that have some,
             // and not left out: its whole region may just be starting, and callers who
             // were sent elsewhere meanwhile would keep that answer.
-            let weight = slots.map_or(UNKNOWN_WEIGHT, f64::from).max(NO_SLOT_WEIGHT);
+            let weight = slots
+                .map_or(UNREPORTED_WEIGHT, f64::from)
+                .max(NO_SLOTS_WEIGHT);
             add(&info.name, info.failure_domain.as_str(), weight);
         }
         if self.cfg.region == *region && !self.stopping {
             let slots = self.pools.get(service).map_or(0, |pool| pool.slots());
             let domain = self.cfg.failure_domain.as_str();
-            add(&self.cfg.node, domain, f64::from(slots).max(NO_SLOT_WEIGHT));
+            add(
+                &self.cfg.node,
+                domain,
+                f64::from(slots).max(NO_SLOTS_WEIGHT),
+            );
         }
         ranked
     }
@@ -105,14 +111,14 @@
 
 /// Moves the first entry of another failure domain to the second place, so that a
 /// caller whose first entry's failure domain fails has the next one in hand.
-fn spread(ranked: &mut [Ranked<'_>]) {
+fn promote_other_domain(ranked: &mut [Ranked<'_>]) {
     let Some((first, rest)) = ranked.split_first_mut() else {
         return;
     };
-    let other = rest
+    let index = rest
         .iter()
-        .position(|r| r.failure_domain != first.failure_domain);
-    if let Some(other) = other {
-        rest[..=other].rotate_right(1);
+        .position(|entry| entry.failure_domain != first.failure_domain);
+    if let Some(index) = index {
+        rest[..=index].rotate_right(1);
     }
 }
--- a/crates/steer/src/ownership.rs
+++ b/crates/steer/src/ownership.rs
@@ -18,9 +18,9 @@
 
 /// How long a process that starts waits for its first grant. Shorter than it refuses
 /// callers while no table is proven to it, so that it has slots when it opens.
-const FIRST_GRANT: Duration = Duration::from_secs(2);
+const FIRST_GRANT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Renewals whose moment of sending is kept; older ones are too late to be answered.
-const KEPT_SERIALS: u64 = 16;
+const MAX_TRACKED_SERIALS: u64 = 16;
 
 /// An entry's membership in its failure domain's roster.
 #[derive(Debug)]
@@ -30,22 +30,22 @@
     started: Moment,
     roster: Option<Roster>,
     serial: u64,
-    sent: BTreeMap<u64, Moment>,
-    control_until: Moment,
-    promised_by: BTreeMap<NodeName, Moment>,
-    promised_to: BTreeMap<NodeName, Moment>,
+    sent_at: BTreeMap<u64, Moment>,
+    control_lease_until: Moment,
+    promises_received: BTreeMap<NodeName, Moment>,
+    promises_given: BTreeMap<NodeName, Moment>,
     /// The member that control would have removed.
-    silent: Option<NodeName>,
+    suspect: Option<NodeName>,
     /// Members whose removal this one has confirmed by its roster. It promises them
     /// nothing before it learns that they were kept: two members that come back after
     /// each was removed would else put each other in force by the roster of before.
-    confirmed: BTreeSet<NodeName>,
+    confirmed_removals: BTreeSet<NodeName>,
 }
 
 impl Ownership {
     /// A member of no roster yet.
     pub fn new(now: Moment, node: NodeName, leased: bool) -> Self {
-        let alone = Roster {
+        let single_member = Roster {
             epoch: Epoch(0),
             members: vec![node.clone()],
         };
@@ -53,14 +53,14 @@
             node,
             leased,
             started: now,
-            roster: (!leased).then_some(alone),
+            roster: (!leased).then_some(single_member),
             serial: 0,
-            sent: BTreeMap::new(),
-            control_until: Moment::ZERO,
-            promised_by: BTreeMap::new(),
-            promised_to: BTreeMap::new(),
-            silent: None,
-            confirmed: BTreeSet::new(),
+            sent_at: BTreeMap::new(),
+            control_lease_until: Moment::ZERO,
+            promises_received: BTreeMap::new(),
+            promises_given: BTreeMap::new(),
+            suspect: None,
+            confirmed_removals: BTreeSet::new(),
         }
     }
 
@@ -93,92 +93,95 @@
     /// hasn't asked here either for as long as a promise holds. One that still asks is
     /// alive, and keeps its endpoints although control can't reach it.
     pub fn refusing(&self, now: Moment) -> Option<&NodeName> {
-        self.silent.as_ref().filter(|name| {
-            let until = self.promised_to.get(*name).copied();
+        self.suspect.as_ref().filter(|name| {
+            let until = self.promises_given.get(*name).copied();
             until.is_none_or(|until| now >= until)
         })
     }
 
     /// Tells control which member gets no more promises, and holds to it.
-    pub fn confirm(&mut self, now: Moment) -> Option<NodeName> {
+    pub fn confirm_removal(&mut self, now: Moment) -> Option<NodeName> {
         let refusing = self.refusing(now).cloned()?;
-        self.confirmed.insert(refusing.clone());
+        self.confirmed_removals.insert(refusing.clone());
         Some(refusing)
     }
 
     /// Members to whom a promise may still hold. A process that has just started may
     /// have promised anything before, so it names all of them.
-    pub fn promised(&self, now: Moment) -> Vec<NodeName> {
+    pub fn promise_holders(&self, now: Moment) -> Vec<NodeName> {
         if now < self.started + LEASE_DURATION + LEASE_MARGIN {
             let members = self.roster.iter().flat_map(|r| &r.members);
-            let refused = self.silent.iter();
-            return members.chain(refused).cloned().collect();
+            let suspect = self.suspect.iter();
+            return members.chain(suspect).cloned().collect();
         }
-        let holding = self.promised_to.iter().filter(|(_, until)| now < **until);
-        holding.map(|(name, _)| name.clone()).collect()
+        let unexpired = self
+            .promises_given
+            .iter()
+            .filter(|(_, until)| now < **until);
+        unexpired.map(|(name, _)| name.clone()).collect()
     }
 
     /// Numbers a renewal, or a question to a member, that is sent now.
     pub fn next_serial(&mut self, now: Moment) -> u64 {
         self.serial += 1;
-        self.sent.insert(self.serial, now);
-        let oldest = self.serial.saturating_sub(KEPT_SERIALS);
-        self.sent = self.sent.split_off(&oldest);
+        self.sent_at.insert(self.serial, now);
+        let oldest = self.serial.saturating_sub(MAX_TRACKED_SERIALS);
+        self.sent_at = self.sent_at.split_off(&oldest);
         self.serial
     }
 
     /// When the renewal of this number was sent, unless that is too long ago.
-    pub fn sent(&self, serial: u64) -> Option<Moment> {
-        self.sent.get(&serial).copied()
+    pub fn sent_at(&self, serial: u64) -> Option<Moment> {
+        self.sent_at.get(&serial).copied()
     }
 
     /// Takes in control's answer to a renewal.
-    pub fn granted(&mut self, grant: &Grant) {
-        self.silent = grant.refuse.clone();
+    pub fn apply_grant(&mut self, grant: &Grant) {
+        self.suspect = grant.refuse.clone();
         let Some(roster) = &grant.roster else { return };
-        let known = self.roster.as_ref().map_or(Epoch(0), |r| r.epoch);
-        if roster.epoch < known {
+        let current_epoch = self.roster.as_ref().map_or(Epoch(0), |r| r.epoch);
+        if roster.epoch < current_epoch {
             return;
         }
-        if roster.epoch > known {
+        if roster.epoch > current_epoch {
             self.roster = Some(roster.clone());
-            self.confirmed.clear();
+            self.confirmed_removals.clear();
         } else {
-            let kept = |name: &NodeName| roster.has(name) && grant.refuse.as_ref() != Some(name);
-            self.confirmed.retain(|name| !kept(name));
+            let is_kept = |name: &NodeName| roster.has(name) && grant.refuse.as_ref() != Some(name);
+            self.confirmed_removals.retain(|name| !is_kept(name));
         }
         if grant.leased
-            && let Some(sent) = self.sent.get(&grant.serial)
+            && let Some(sent_at) = self.sent_at.get(&grant.serial)
         {
-            self.control_until = self.control_until.max(*sent + LEASE_DURATION);
+            self.control_lease_until = self.control_lease_until.max(*sent_at + LEASE_DURATION);
         }
     }
 
     /// Answers another member's question: whether it gets a promise.
-    pub fn asked(&mut self, now: Moment, by: &NodeName, epoch: Epoch) -> bool {
+    pub fn grant_promise(&mut self, now: Moment, by: &NodeName, epoch: Epoch) -> bool {
         // A member that was removed while it was cut off still asks by its old roster; a
         // promise would put it back in force beside whoever has its endpoints now. One
         // that has restarted can't tell, so it promises nothing before it has a roster.
-        let both = |r: &Roster| r.has(by) && r.has(&self.node) && epoch.next() >= r.epoch;
-        let member = self.roster.as_ref().is_some_and(both);
-        if !member || self.confirmed.contains(by) || self.refusing(now) == Some(by) {
+        let covers_both = |r: &Roster| r.has(by) && r.has(&self.node) && epoch.next() >= r.epoch;
+        let is_member = self.roster.as_ref().is_some_and(covers_both);
+        if !is_member || self.confirmed_removals.contains(by) || self.refusing(now) == Some(by) {
             return false;
         }
-        self.promised_to
+        self.promises_given
             .insert(by.clone(), now + LEASE_DURATION + LEASE_MARGIN);
         true
     }
 
     /// Another member promises, in answer to the question of this number.
-    pub fn promised_from(&mut self, from: NodeName, serial: u64) {
-        if let Some(sent) = self.sent.get(&serial) {
-            let until = self.promised_by.entry(from).or_default();
-            *until = (*until).max(*sent + LEASE_DURATION);
+    pub fn record_promise(&mut self, from: NodeName, serial: u64) {
+        if let Some(sent_at) = self.sent_at.get(&serial) {
+            let until = self.promises_received.entry(from).or_default();
+            *until = (*until).max(*sent_at + LEASE_DURATION);
         }
     }
 
     /// Other members, to be asked for promises.
-    pub fn others(&self) -> Vec<NodeName> {
+    pub fn other_members(&self) -> Vec<NodeName> {
         let members = self.roster.iter().flat_map(|r| &r.members);
         members
             .filter(|name| **name != self.node)
@@ -197,15 +200,15 @@
         if !roster.has(&self.node) {
             return false;
         }
-        let promised = |name: &&NodeName| {
+        let has_promised = |name: &&NodeName| {
             **name == self.node
                 || self
-                    .promised_by
+                    .promises_received
                     .get(*name)
                     .is_some_and(|until| now < *until)
         };
-        let promises = roster.members.iter().filter(promised).count();
-        now < self.control_until || promises >= majority(roster.members.len())
+        let promises = roster.members.iter().filter(has_promised).count();
+        now < self.control_lease_until || promises >= majority(roster.members.len())
     }
 
     /// Whether this entry has long had neither control's lease nor a majority's promises.
@@ -213,7 +216,7 @@
     /// Every membership that it held has lapsed, and so has that of any member which
     /// relied on its promise. A member that control removed is not isolated: another
     /// one has its endpoints.
-    pub fn isolated(&self, now: Moment) -> bool {
+    pub fn is_isolated(&self, now: Moment) -> bool {
         if !self.leased || self.in_force(now) {
             return false;
         }
@@ -224,11 +227,13 @@
         // A process that has just started has no lease of its own to wait out; it only
         // gives control the time to answer.
         if self.roster.is_none() {
-            return now >= self.started + FIRST_GRANT;
+            return now >= self.started + FIRST_GRANT_TIMEOUT;
         }
-        let promised_until = self.promised_by.values().max().copied();
-        let since = self.control_until.max(promised_until.unwrap_or_default());
-        now >= since + LEASE_DURATION + LEASE_MARGIN
+        let promised_until = self.promises_received.values().max().copied();
+        let lapsed_since = self
+            .control_lease_until
+            .max(promised_until.unwrap_or_default());
+        now >= lapsed_since + LEASE_DURATION + LEASE_MARGIN
     }
 
     /// Whether this entry may admit now to what the key names: a service's endpoints in
@@ -245,7 +250,7 @@
             SlotOwnership::Endpoint if self.owns(now, info.name.as_str()) => info.slots,
             SlotOwnership::Split if self.in_force(now) => {
                 let members = self.roster.as_ref().map_or(&[][..], |r| &r.members);
-                split(&rank(members, &info.name), info.slots, &self.node)
+                split_slots(&rank_members(members, &info.name), info.slots, &self.node)
             }
             _ => 0,
         }
@@ -254,22 +259,22 @@
 
 fn owner<'a>(members: &'a [NodeName], key: &str) -> Option<&'a NodeName> {
     let key = Key::new().text(key);
-    let place = |entry: &&NodeName| (key.clone().text(entry.as_str()).hash(), (*entry).clone());
-    members.iter().min_by_key(place)
+    let rank_key = |entry: &&NodeName| (key.clone().text(entry.as_str()).hash(), (*entry).clone());
+    members.iter().min_by_key(rank_key)
 }
 
 /// Entries in the order of their claim to the endpoint.
-fn rank<'a>(members: &'a [NodeName], endpoint: &NodeName) -> Vec<&'a NodeName> {
+fn rank_members<'a>(members: &'a [NodeName], endpoint: &NodeName) -> Vec<&'a NodeName> {
     let key = Key::new().text(endpoint.as_str());
     let mut ranked: Vec<_> = members.iter().collect();
     ranked.sort_by_cached_key(|entry| (key.clone().text(entry.as_str()).hash(), (*entry).clone()));
     ranked
 }
 
-fn split(ranked: &[&NodeName], slots: u32, node: &NodeName) -> u32 {
-    let Some(place) = ranked.iter().position(|entry| *entry == node) else {
+fn split_slots(ranked: &[&NodeName], slots: u32, node: &NodeName) -> u32 {
+    let Some(position) = ranked.iter().position(|entry| *entry == node) else {
         return 0;
     };
     let holders = ranked.len() as u32;
-    slots / holders + u32::from((place as u32) < slots % holders)
+    slots / holders + u32::from((position as u32) < slots % holders)
 }
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -152,7 +152,7 @@
         self.by_name.values()
     }
 
-    pub(crate) fn set(&mut self, infos: impl IntoIterator<Item = EntryInfo>, cfg: &Config) {
+    pub(crate) fn set_entries(&mut self, infos: impl IntoIterator<Item = EntryInfo>, cfg: &Config) {
         let mut previous = std::mem::take(&mut self.by_name);
         for info in infos {
             if info.name == cfg.node {
@@ -167,7 +167,12 @@
         }
     }
 
-    pub(crate) fn report(&mut self, now: Moment, from: &NodeName, reports: Vec<ServiceReport>) {
+    pub(crate) fn record_reports(
+        &mut self,
+        now: Moment,
+        from: &NodeName,
+        reports: Vec<ServiceReport>,
+    ) {
         if let Some(peer) = self.by_name.get_mut(from) {
             peer.unreachable = false;
             for report in reports {
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -25,7 +25,7 @@
 
 /// Where a placed request runs.
 #[derive(Debug)]
-pub(crate) enum Place {
+pub(crate) enum Location {
     Endpoint(NodeName),
     Entry(NodeName),
 }
@@ -33,8 +33,8 @@
 #[derive(Debug)]
 pub(crate) struct Running {
     pub(crate) service: ServiceName,
-    pub(crate) place: Place,
-    pub(crate) since: Moment,
+    pub(crate) location: Location,
+    pub(crate) started_at: Moment,
     pub(crate) shifted: bool,
 }
 
@@ -90,11 +90,11 @@
     /// such request runs.
     pub fn is_shifted(&self, id: RequestId) -> Option<bool> {
         let run = self.running.get(&id)?;
-        matches!(run.place, Place::Endpoint(_)).then_some(run.shifted)
+        matches!(run.location, Location::Endpoint(_)).then_some(run.shifted)
     }
 
     pub(crate) fn class(&self, req: &RequestInfo) -> Class {
-        let home = self.regions.home(&req.service, req.caller);
+        let home = self.regions.home_region(&req.service, req.caller);
         match home {
             Some(region) if *region != self.cfg.region => Class::Shifted,
             _ => Class::Home,
@@ -119,12 +119,12 @@
     }
 
     /// Whether this entry serves on its own because nobody can be asked.
-    pub(crate) fn isolated(&self, now: Moment) -> bool {
-        self.cfg.serve_isolated && self.ownership.isolated(now)
+    pub(crate) fn is_isolated(&self, now: Moment) -> bool {
+        self.cfg.serve_isolated && self.ownership.is_isolated(now)
     }
 
     pub(crate) fn refresh_owned_slots(&mut self, now: Moment) {
-        let isolated = self.isolated(now);
+        let isolated = self.is_isolated(now);
         for endpoint in self.pools.values_mut().flat_map(|p| &mut p.endpoints) {
             // With nobody to ask, an owner that is beyond reach but alive can't be ruled
             // out. One request at a time, and only while the endpoint itself shows a
@@ -151,12 +151,12 @@
 
     fn set_entries(&mut self, now: Moment, entries: Vec<EntryInfo>) {
         self.ownership.set_entries(&entries, &self.cfg);
-        self.peers.set(entries, &self.cfg);
+        self.peers.set_entries(entries, &self.cfg);
         self.refresh_owned_slots(now);
     }
 
     fn set_table(&mut self, now: Moment, view: Arc<View>) {
-        self.regions.set(now, view);
+        self.regions.set_table(now, view);
         // A new row admits nothing before its parts are granted.
         self.next_renewal = now;
     }
@@ -169,12 +169,13 @@
         first_byte: Duration,
     ) -> Vec<Action> {
         let Some(run) = self.running.remove(&id) else {
-            self.forget_queued(id);
+            self.remove_queued(id);
             return Vec::new();
         };
-        match run.place {
-            Place::Entry(name) => {
-                self.peers.record_finished(&name, &run.service, run.since);
+        match run.location {
+            Location::Entry(name) => {
+                self.peers
+                    .record_finished(&name, &run.service, run.started_at);
                 match kind {
                     FinishKind::Shed => self.peers.record_refusal(now, &name, &run.service),
                     FinishKind::ConnectFailed => self.peers.mark_unreachable(&name),
@@ -182,16 +183,16 @@
                 }
                 Vec::new()
             }
-            Place::Endpoint(name) => {
+            Location::Endpoint(name) => {
                 let Some(pool) = self.pools.get_mut(&run.service) else {
                     return Vec::new();
                 };
-                let held = now.saturating_sub(run.since);
-                pool.finish(now, &name, run.shifted, kind, first_byte, held);
+                let hold_time = now.saturating_sub(run.started_at);
+                pool.finish(now, &name, run.shifted, kind, first_byte, hold_time);
                 if let Some(window) = self.windows.get_mut(&run.service) {
                     match kind {
-                        FinishKind::Answered => window.answered(first_byte),
-                        FinishKind::Shed => window.refused(),
+                        FinishKind::Answered => window.record_answer(first_byte),
+                        FinishKind::Shed => window.record_refusal(),
                         _ => {}
                     }
                 }
@@ -200,7 +201,7 @@
         }
     }
 
-    fn forget_queued(&mut self, id: RequestId) {
+    fn remove_queued(&mut self, id: RequestId) {
         for pool in self.pools.values_mut() {
             pool.home_queue.remove(id);
             pool.shifted_queue.remove(id);
@@ -211,7 +212,7 @@
     pub(crate) fn dispatch(&mut self, now: Moment, service: &ServiceName) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some((req, class)) = self.next_queued(now, service) {
-            let Some(decision) = self.place_here(now, &req, class) else {
+            let Some(decision) = self.place_locally(now, &req, class) else {
                 break;
             };
             if let Some(pool) = self.pools.get_mut(service) {
@@ -249,9 +250,9 @@
     fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.regions.tick(now);
         self.refresh_owned_slots(now);
-        self.tick_windows(now);
+        self.update_windows(now);
         self.update_loads(now);
-        let mut actions = self.expire(now);
+        let mut actions = self.expire_queued(now);
         for service in self.waiting_services() {
             actions.extend(self.dispatch(now, &service));
         }
@@ -267,7 +268,7 @@
         actions
     }
 
-    fn tick_windows(&mut self, now: Moment) {
+    fn update_windows(&mut self, now: Moment) {
         for (service, pool) in &self.pools {
             let capacity = pool.capacity(now, &self.cfg);
             let load = f64::from(pool.running) / f64::from(capacity.max(1));
@@ -284,7 +285,7 @@
         waiting.map(|(service, _)| service.clone()).collect()
     }
 
-    fn expire(&mut self, now: Moment) -> Vec<Action> {
+    fn expire_queued(&mut self, now: Moment) -> Vec<Action> {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
             let retry_after = Duration::from_secs_f64(pool.wait_seconds(now, &self.cfg));
@@ -342,13 +343,15 @@
             .collect()
     }
 
-    fn receive(&mut self, now: Moment, from: NodeName, message: Message) -> Vec<Action> {
+    fn handle_message(&mut self, now: Moment, from: NodeName, message: Message) -> Vec<Action> {
         match message {
-            Message::Report(reports) => self.peers.report(now, &from, reports),
-            Message::Grant(grant) => self.granted(now, &grant),
-            Message::Ask { serial, epoch } => return self.asked(now, from, epoch, serial),
+            Message::Report(reports) => self.peers.record_reports(now, &from, reports),
+            Message::Grant(grant) => self.handle_grant(now, &grant),
+            Message::Ask { serial, epoch } => {
+                return self.handle_promise_request(now, from, epoch, serial);
+            }
             Message::Promise { serial } => {
-                self.ownership.promised_from(from, serial);
+                self.ownership.record_promise(from, serial);
                 self.refresh_owned_slots(now);
             }
             Message::Renew(_) => {}
@@ -407,7 +410,7 @@
                 idle,
             } => self.with_endpoint(&endpoint, |e| e.set_connections(open, idle)),
             Event::Stop => self.stopping = true,
-            Event::Received { from, message } => return self.receive(now, from, message),
+            Event::Received { from, message } => return self.handle_message(now, from, message),
         }
         Vec::new()
     }
--- a/crates/steer/src/region.rs
+++ b/crates/steer/src/region.rs
@@ -23,13 +23,13 @@
 
 /// How long new weights have to stand until the traffic they moved counts as home.
 /// Long against a cached look-up and against the warming of a cache.
-const SETTLE_AFTER: Duration = Duration::from_secs(300);
+const SETTLE_TIME: Duration = Duration::from_secs(300);
 
 /// Headroom that even a full region is reckoned with, so that its weight stays finite
 /// and it keeps callers who know its endpoints' caches.
-const LEAST_HEADROOM: f64 = 0.1;
+const MIN_HEADROOM: f64 = 0.1;
 /// Most by which a weight is changed for relief.
-const MOST_RELIEF: f64 = 3.0;
+const MAX_ADJUSTMENT: f64 = 3.0;
 /// Weight of a tick in a region's mean load: a mean over some seconds, since callers
 /// come back for a new answer only then.
 const LOAD_GAIN: f64 = 0.03;
@@ -40,9 +40,9 @@
 struct ServiceWeights {
     current: Weights,
     stable: Weights,
-    changed: Moment,
+    changed_at: Moment,
     /// Mean filled part of the slots of each region, in the order of `current`.
-    loads: Vec<f64>,
+    mean_utilisation: Vec<f64>,
 }
 
 impl ServiceWeights {
@@ -51,20 +51,21 @@
     ///
     /// Weights are shares of traffic, but rendezvous deals out callers, of whom some
     /// send far more than others; and a region may have lost a part of its slots.
-    fn relieved(&self) -> impl Iterator<Item = (&Region, f64)> {
-        let sum: f64 = self.current.iter().map(|(_, weight)| weight).sum();
-        let loads = self.current.iter().zip(&self.loads);
-        let mean: f64 = loads.map(|((_, weight), load)| weight * load).sum::<f64>() / sum.max(1.0);
-        let headroom = |load: f64| (1.0 - load).max(LEAST_HEADROOM);
-        let weights = self.current.iter().zip(&self.loads);
+    fn load_adjusted(&self) -> impl Iterator<Item = (&Region, f64)> {
+        let total_weight: f64 = self.current.iter().map(|(_, weight)| weight).sum();
+        let loads = self.current.iter().zip(&self.mean_utilisation);
+        let mean_load: f64 =
+            loads.map(|((_, weight), load)| weight * load).sum::<f64>() / total_weight.max(1.0);
+        let headroom = |load: f64| (1.0 - load).max(MIN_HEADROOM);
+        let weights = self.current.iter().zip(&self.mean_utilisation);
         weights.map(move |((region, weight), load)| {
             // The root keeps the loop stable: with answers kept for long, callers act on
             // relief that was reckoned before the last ones moved, and at loads over a
             // half the plain ratio overshoots further each time.
-            let relief = (headroom(*load) / headroom(mean)).powf(0.75);
+            let adjustment = (headroom(*load) / headroom(mean_load)).powf(0.75);
             (
                 region,
-                weight * relief.clamp(1.0 / MOST_RELIEF, MOST_RELIEF),
+                weight * adjustment.clamp(1.0 / MAX_ADJUSTMENT, MAX_ADJUSTMENT),
             )
         })
     }
@@ -80,7 +81,7 @@
 }
 
 impl Regions {
-    pub(crate) fn set(&mut self, now: Moment, view: Arc<View>) {
+    pub(crate) fn set_table(&mut self, now: Moment, view: Arc<View>) {
         let mut services: HashMap<ServiceName, Weights> = HashMap::new();
         for (key, row) in &view.rows {
             let weight = f64::from(row.values.weight);
@@ -108,18 +109,18 @@
 
     fn set_service(&mut self, now: Moment, service: ServiceName, current: Weights) {
         match self.services.get_mut(&service) {
-            Some(known) if known.current == current => {}
-            Some(known) => {
-                known.loads = vec![0.0; current.len()];
-                known.current = current;
-                known.changed = now;
+            Some(existing) if existing.current == current => {}
+            Some(existing) => {
+                existing.mean_utilisation = vec![0.0; current.len()];
+                existing.current = current;
+                existing.changed_at = now;
             }
             None => {
                 let weights = ServiceWeights {
-                    loads: vec![0.0; current.len()],
+                    mean_utilisation: vec![0.0; current.len()],
                     stable: current.clone(),
                     current,
-                    changed: now,
+                    changed_at: now,
                 };
                 self.services.insert(service, weights);
             }
@@ -128,34 +129,34 @@
 
     pub(crate) fn tick(&mut self, now: Moment) {
         for weights in self.services.values_mut() {
-            if now >= weights.changed + SETTLE_AFTER && weights.stable != weights.current {
+            if now >= weights.changed_at + SETTLE_TIME && weights.stable != weights.current {
                 weights.stable = weights.current.clone();
             }
         }
     }
 
     /// Takes in the filled part of each region's slots; `None` for an unknown one.
-    pub(crate) fn load(
+    pub(crate) fn record_loads(
         &mut self,
         service: &ServiceName,
-        mut filled: impl FnMut(&Region) -> Option<f64>,
+        mut utilisation: impl FnMut(&Region) -> Option<f64>,
     ) {
         let Some(weights) = self.services.get_mut(service) else {
             return;
         };
-        for ((region, _), load) in weights.current.iter().zip(&mut weights.loads) {
-            if let Some(filled) = filled(region) {
-                *load += LOAD_GAIN * (filled.min(1.0) - *load);
+        for ((region, _), load) in weights.current.iter().zip(&mut weights.mean_utilisation) {
+            if let Some(utilisation) = utilisation(region) {
+                *load += LOAD_GAIN * (utilisation.min(1.0) - *load);
             }
         }
     }
 
     /// Whether a table is in force here.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn has_table(&self) -> bool {
         self.in_force
     }
 
-    pub(crate) fn has(&self, service: &ServiceName) -> bool {
+    pub(crate) fn has_service(&self, service: &ServiceName) -> bool {
         self.weights(service).is_some()
     }
 
@@ -173,7 +174,7 @@
     }
 
     /// Whether the region takes the service's traffic under the weights in force.
-    pub(crate) fn takes(&self, service: &ServiceName, region: &Region) -> bool {
+    pub(crate) fn accepts_traffic(&self, service: &ServiceName, region: &Region) -> bool {
         self.weights(service).is_none_or(|weights| {
             weights
                 .current
@@ -184,7 +185,11 @@
 
     /// The caller's home under the stable weights; `None` if the table doesn't name the
     /// service or the caller isn't known.
-    pub(crate) fn home(&self, service: &ServiceName, caller: Option<IpAddr>) -> Option<&Region> {
+    pub(crate) fn home_region(
+        &self,
+        service: &ServiceName,
+        caller: Option<IpAddr>,
+    ) -> Option<&Region> {
         let weights = self.weights(service)?;
         let key = Key::new().text(service.as_str()).address(caller?);
         let distances = weights
@@ -199,7 +204,7 @@
 
     /// Regions in the order in which the caller should use them, by weights in force.
     /// A caller that isn't known gets an order drawn at random by the same weights.
-    pub(crate) fn order(
+    pub(crate) fn region_order(
         &self,
         service: &ServiceName,
         caller: Option<IpAddr>,
@@ -214,7 +219,7 @@
             None => key.number(rng.next_u64()),
         };
         let mut ranked: Vec<_> = weights
-            .relieved()
+            .load_adjusted()
             .map(|(region, weight)| (key.clone().text(region.as_str()).distance(weight), region))
             .filter(|(distance, _)| distance.is_finite())
             .collect();
--- a/crates/steer/src/renewal.rs
+++ b/crates/steer/src/renewal.rs
@@ -10,7 +10,7 @@
     /// Asks control for leases, and the other members of the roster for promises.
     pub(crate) fn renew(&mut self, now: Moment) -> Vec<Action> {
         let serial = self.ownership.next_serial(now);
-        self.shares.asking(serial);
+        self.shares.record_renewal_sent(serial);
         let renew = Renew {
             incarnation: self.cfg.incarnation,
             region: self.cfg.region.clone(),
@@ -19,19 +19,23 @@
             serial,
             accepted: self.shares.accepted(),
             roster: self.ownership.roster().cloned(),
-            refusing: self.ownership.confirm(now),
-            promised: self.ownership.promised(now),
+            refusing: self.ownership.confirm_removal(now),
+            promised: self.ownership.promise_holders(now),
             leaving: self.stopping,
-            parts: self.shares.held(now),
+            parts: self.shares.held_parts(now),
             demand: self.demand(now),
         };
         let epoch = self.ownership.epoch().unwrap_or_default();
-        let questions = self.ownership.others().into_iter().map(|to| Action::Send {
-            to,
-            message: Message::Ask { serial, epoch },
-        });
+        let requests = self
+            .ownership
+            .other_members()
+            .into_iter()
+            .map(|to| Action::Send {
+                to,
+                message: Message::Ask { serial, epoch },
+            });
         let mut actions = vec![Action::SendControl(Message::Renew(renew))];
-        actions.extend(questions);
+        actions.extend(requests);
         actions
     }
 
@@ -47,15 +51,15 @@
         demand.collect()
     }
 
-    pub(crate) fn granted(&mut self, now: Moment, grant: &Grant) {
-        let Some(sent) = self.ownership.sent(grant.serial) else {
+    pub(crate) fn handle_grant(&mut self, now: Moment, grant: &Grant) {
+        let Some(sent_at) = self.ownership.sent_at(grant.serial) else {
             return;
         };
-        if self.shares.granted(grant, sent) {
-            let before = self.ownership.epoch();
-            self.ownership.granted(grant);
+        if self.shares.apply_grant(grant, sent_at) {
+            let previous_epoch = self.ownership.epoch();
+            self.ownership.apply_grant(grant);
             self.refresh_owned_slots(now);
-            if self.ownership.epoch() != before {
+            if self.ownership.epoch() != previous_epoch {
                 // Others wait for this entry's word that it follows, and its new
                 // endpoints are of no use before it has a share for them.
                 self.next_renewal = now;
@@ -64,14 +68,14 @@
     }
 
     /// Another member asks for a promise.
-    pub(crate) fn asked(
+    pub(crate) fn handle_promise_request(
         &mut self,
         now: Moment,
         by: NodeName,
         epoch: Epoch,
         serial: u64,
     ) -> Vec<Action> {
-        if !self.ownership.asked(now, &by, epoch) {
+        if !self.ownership.grant_promise(now, &by, epoch) {
             return Vec::new();
         }
         let message = Message::Promise { serial };
--- a/crates/steer/src/shares.rs
+++ b/crates/steer/src/shares.rs
@@ -11,7 +11,7 @@
 use crate::lease::{Grant, LEASE_DURATION, Part, ServiceParts};
 
 /// Renewals without answer that are remembered.
-const KEPT_RENEWALS: usize = 16;
+const MAX_PENDING_RENEWALS: usize = 16;
 
 /// Holds what control granted.
 #[derive(Debug, Default)]
@@ -19,15 +19,15 @@
     term: Epoch,
     accepted: u64,
     /// For each renewal not answered yet, the grant that was in force when it was sent.
-    asked_under: BTreeMap<u64, u64>,
-    until: Moment,
+    accepted_when_sent: BTreeMap<u64, u64>,
+    valid_until: Moment,
     parts: BTreeMap<ServiceName, ServiceParts>,
 }
 
 impl LeasedShares {
     /// Takes in a grant; `sent` is when the renewal that it answers was sent. Returns
     /// whether the grant is newer than what is held.
-    pub fn granted(&mut self, grant: &Grant, sent: Moment) -> bool {
+    pub fn apply_grant(&mut self, grant: &Grant, sent: Moment) -> bool {
         // A grant of an earlier leader, or one overtaken by a later one, would bring
         // back a share that has been given to another entry since.
         if grant.term < self.term || grant.serial <= self.accepted {
@@ -36,13 +36,13 @@
         // A renewal that was on its way while a cut came in reports what was held before
         // it; a new leader, which knows nothing else, would grant just that again, though
         // the cut was acknowledged and the part given to another entry.
-        if self.asked_under.get(&grant.serial) != Some(&self.accepted) {
+        if self.accepted_when_sent.get(&grant.serial) != Some(&self.accepted) {
             return false;
         }
-        self.asked_under = self.asked_under.split_off(&grant.serial);
+        self.accepted_when_sent = self.accepted_when_sent.split_off(&grant.serial);
         self.term = grant.term;
         self.accepted = grant.serial;
-        self.until = sent + LEASE_DURATION;
+        self.valid_until = sent + LEASE_DURATION;
         self.parts = grant
             .parts
             .iter()
@@ -52,15 +52,15 @@
     }
 
     /// Whether a part was granted for the service.
-    pub(crate) fn has(&self, service: &ServiceName) -> bool {
+    pub(crate) fn has_part(&self, service: &ServiceName) -> bool {
         self.parts.contains_key(service)
     }
 
     /// A renewal of this number is sent now.
-    pub fn asking(&mut self, serial: u64) {
-        self.asked_under.insert(serial, self.accepted);
-        if self.asked_under.len() > KEPT_RENEWALS {
-            self.asked_under.pop_first();
+    pub fn record_renewal_sent(&mut self, serial: u64) {
+        self.accepted_when_sent.insert(serial, self.accepted);
+        if self.accepted_when_sent.len() > MAX_PENDING_RENEWALS {
+            self.accepted_when_sent.pop_first();
         }
     }
 
@@ -76,7 +76,7 @@
 
     /// All parts, as renewals report them: of a lapsed share only the floor, since the
     /// rest may be another entry's by now, and a new leader grants what is reported.
-    pub fn held(&self, now: Moment) -> Vec<ServiceParts> {
+    pub fn held_parts(&self, now: Moment) -> Vec<ServiceParts> {
         let usable = |part: Part| Part {
             share: self.usable(now, Some(part)),
             floor: part.floor,
@@ -101,7 +101,7 @@
 
     fn usable(&self, now: Moment, part: Option<Part>) -> u32 {
         let part = part.unwrap_or_default();
-        if now < self.until {
+        if now < self.valid_until {
             part.share
         } else {
             part.floor
