--- a/crates/steer/src/lessor/mod.rs
+++ b/crates/steer/src/lessor/mod.rs
@@ -35,19 +35,19 @@
 
 /// The newest renewal of an entry.
 #[derive(Debug, Default)]
-struct Last {
+struct RenewalHistory {
     newest: Option<(Incarnation, u64)>,
-    earlier: Vec<Incarnation>,
+    earlier_incarnations: Vec<Incarnation>,
 }
 
 /// Grants leases to entries; a step function without I/O.
 #[derive(Debug)]
 pub struct Lessor {
     term: Epoch,
-    quiet_until: Moment,
+    frozen_until: Moment,
     max_request_duration: Duration,
     view: Arc<View>,
-    last: BTreeMap<NodeName, Last>,
+    renewals: BTreeMap<NodeName, RenewalHistory>,
     rosters: BTreeMap<FailureDomain, DomainRoster>,
     quotas: BTreeMap<RowKey, RowQuota>,
 }
@@ -62,10 +62,10 @@
             term,
             // Grants of the leader before may hold until then, and what was admitted
             // under them is reported by whoever renews here.
-            quiet_until: now + LEASE_DURATION + LEASE_MARGIN,
+            frozen_until: now + LEASE_DURATION + LEASE_MARGIN,
             max_request_duration,
             view: Arc::default(),
-            last: BTreeMap::new(),
+            renewals: BTreeMap::new(),
             rosters: BTreeMap::new(),
             quotas: BTreeMap::new(),
         }
@@ -93,9 +93,9 @@
     /// The rosters as they stand, for the next leader. Control must have them in its log
     /// before it sends a grant that follows a change of them.
     pub fn rosters(&self) -> Vec<StoredRoster> {
-        let known = self.rosters.iter();
-        known
-            .filter_map(|(domain, known)| known.kept(domain))
+        let rosters = self.rosters.iter();
+        rosters
+            .filter_map(|(domain, roster)| roster.to_stored(domain))
             .collect()
     }
 
@@ -107,12 +107,12 @@
     /// by their own promises; and what they hold of their region's limits would be given
     /// to others.
     pub fn restore(&mut self, rosters: impl IntoIterator<Item = StoredRoster>) {
-        for kept in rosters {
-            let (term, quiet_until) = (self.term, self.quiet_until);
-            let known = self.rosters.entry(kept.failure_domain.clone());
-            known
-                .or_insert_with(|| DomainRoster::new(kept.region.clone(), term, quiet_until))
-                .restore(kept);
+        for stored in rosters {
+            let (term, frozen_until) = (self.term, self.frozen_until);
+            let roster = self.rosters.entry(stored.failure_domain.clone());
+            roster
+                .or_insert_with(|| DomainRoster::new(stored.region.clone(), term, frozen_until))
+                .restore(stored);
         }
     }
 
@@ -140,26 +140,27 @@
                 parts: Vec::new(),
             };
         }
-        let quiet = now < self.quiet_until;
+        let frozen = now < self.frozen_until;
         let roster = self
             .rosters
             .entry(renew.failure_domain.clone())
             .or_insert_with(|| {
-                DomainRoster::new(renew.region.clone(), self.term, self.quiet_until)
+                DomainRoster::new(renew.region.clone(), self.term, self.frozen_until)
             });
-        let membership = roster.renew(now, quiet, from, renew);
+        let membership = roster.renew(now, frozen, from, renew);
         // What a member holds that this leader hasn't heard of is not known, so nothing
         // is raised in its region before it reports or is removed.
         let mut domains = self.rosters.values();
-        let unheard = domains.any(|d| *d.region() == renew.region && d.has_unheard());
-        let quiet = quiet || unheard;
+        let has_unreported =
+            domains.any(|d| *d.region() == renew.region && d.has_unreported_member());
+        let frozen = frozen || has_unreported;
         Grant {
             term: self.term,
             serial: renew.serial,
             roster: membership.roster,
             leased: membership.leased,
             refuse: membership.refuse,
-            parts: self.parts(now, quiet, from, renew),
+            parts: self.parts(now, frozen, from, renew),
         }
     }
 
@@ -167,29 +168,29 @@
     /// tells of promises, parts and requests as they were, and so does one of a start
     /// that the entry has left behind.
     fn is_newest(&mut self, from: &NodeName, renew: &Renew) -> bool {
-        let last = self.last.entry(from.clone()).or_default();
-        if last.earlier.contains(&renew.incarnation) {
+        let history = self.renewals.entry(from.clone()).or_default();
+        if history.earlier_incarnations.contains(&renew.incarnation) {
             return false;
         }
-        match last.newest {
+        match history.newest {
             Some((incarnation, serial)) if incarnation == renew.incarnation => {
                 let newer = renew.serial > serial;
                 if newer {
-                    last.newest = Some((incarnation, renew.serial));
+                    history.newest = Some((incarnation, renew.serial));
                 }
                 return newer;
             }
-            Some((incarnation, _)) => last.earlier.push(incarnation),
+            Some((incarnation, _)) => history.earlier_incarnations.push(incarnation),
             None => {}
         }
-        last.newest = Some((renew.incarnation, renew.serial));
+        history.newest = Some((renew.incarnation, renew.serial));
         true
     }
 
     fn parts(
         &mut self,
         now: Moment,
-        quiet: bool,
+        frozen: bool,
         from: &NodeName,
         renew: &Renew,
     ) -> Vec<ServiceParts> {
@@ -201,7 +202,7 @@
         rows.map(|(key, quota)| {
             let held = renew.parts.iter().find(|held| held.service == key.service);
             let demand = renew.demand.iter().find(|d| d.service == key.service);
-            let holder = |part: Option<Part>, running: u32, waiting: u32| Demand {
+            let demand_for = |part: Option<Part>, running: u32, waiting: u32| Demand {
                 incarnation: renew.incarnation,
                 accepted: renew.accepted,
                 serial: renew.serial,
@@ -210,15 +211,15 @@
                 running,
                 waiting,
                 max_request_duration,
-                quiet,
+                frozen,
                 failure_domain: renew.failure_domain.clone(),
             };
-            let limit = holder(
+            let limit = demand_for(
                 held.map(|held| held.limit),
                 demand.map_or(0, |d| d.running),
                 demand.map_or(0, |d| d.waiting),
             );
-            let shift = holder(
+            let shift = demand_for(
                 held.map(|held| held.shift),
                 demand.map_or(0, |d| d.shifted),
                 demand.map_or(0, |d| d.shifted_waiting),
@@ -241,10 +242,10 @@
         region: &Region,
         domains: impl IntoIterator<Item = &'a FailureDomain>,
     ) -> bool {
-        let mut here = self.rosters.values().filter(|r| r.region() == region);
+        let mut in_region = self.rosters.values().filter(|r| r.region() == region);
         let mut domains = domains.into_iter();
-        now >= self.quiet_until
-            && here.all(|roster| roster.slots_are_complete(now))
+        now >= self.frozen_until
+            && in_region.all(|roster| roster.slots_are_complete(now))
             && domains.all(|domain| self.rosters.contains_key(domain))
     }
 
--- a/crates/steer/src/lessor/quota.rs
+++ b/crates/steer/src/lessor/quota.rs
@@ -11,7 +11,7 @@
 const DEMAND_GAIN: f64 = 0.1;
 /// Part of a share that holds without a lease, so that entries whom control doesn't
 /// reach serve a steady day.
-const FLOOR_PART: f64 = 0.9;
+const FLOOR_FRACTION: f64 = 0.9;
 
 /// What a renewal says about one limit.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     pub(crate) running: u32,
     pub(crate) waiting: u32,
     pub(crate) max_request_duration: Duration,
-    pub(crate) quiet: bool,
+    pub(crate) frozen: bool,
     pub(crate) failure_domain: FailureDomain,
 }
 
@@ -33,19 +33,19 @@
 struct Holder {
     incarnation: Incarnation,
     failure_domain: FailureDomain,
-    heard: Moment,
+    last_seen: Moment,
     /// Grants that may be in force at the entry: the one that it accepted last and all
     /// later ones, which may still arrive.
-    sent: Vec<(u64, Part)>,
+    outstanding: Vec<(u64, Part)>,
     /// Requests in progress at its last renewal; over the share right after a cut.
     running: u32,
     /// From then on only floors can be in use.
-    lapses: Moment,
+    committed_until: Moment,
     /// Left over from the entry's earlier start.
     residue: u32,
     residue_until: Moment,
     slots: u32,
-    busy: f64,
+    mean_demand: f64,
     weight: f64,
 }
 
@@ -54,20 +54,20 @@
         Self {
             incarnation,
             failure_domain,
-            heard: Moment::ZERO,
-            sent: Vec::new(),
+            last_seen: Moment::ZERO,
+            outstanding: Vec::new(),
             running: 0,
-            lapses: Moment::ZERO,
+            committed_until: Moment::ZERO,
             residue: 0,
             residue_until: Moment::ZERO,
             slots: 0,
-            busy: 0.0,
+            mean_demand: 0.0,
             weight: 0.0,
         }
     }
 
     fn floor(&self) -> u32 {
-        let floors = self.sent.iter().map(|(_, part)| part.floor);
+        let floors = self.outstanding.iter().map(|(_, part)| part.floor);
         floors.max().unwrap_or(0)
     }
 
@@ -78,13 +78,13 @@
         } else {
             0
         };
-        let own = if now < self.lapses {
-            let shares = self.sent.iter().map(|(_, part)| part.share);
+        let leased = if now < self.committed_until {
+            let shares = self.outstanding.iter().map(|(_, part)| part.share);
             shares.max().unwrap_or(0).max(self.running)
         } else {
             self.floor()
         };
-        residue.max(own)
+        residue.max(leased)
     }
 
     /// A restarted entry holds nothing, but requests of its earlier start may run on.
@@ -95,40 +95,41 @@
         self.residue_until = now + max_request_duration;
     }
 
-    fn renewed(&mut self, now: Moment, demand: &Demand) {
-        if self.sent.is_empty() {
+    fn record_renewal(&mut self, now: Moment, demand: &Demand) {
+        if self.outstanding.is_empty() {
             // First heard by this keeper: what it holds is from the leader before.
-            self.sent.push((demand.accepted, demand.held));
+            self.outstanding.push((demand.accepted, demand.held));
         }
-        self.sent.retain(|(serial, _)| *serial >= demand.accepted);
+        self.outstanding
+            .retain(|(serial, _)| *serial >= demand.accepted);
         self.running = demand.running;
-        self.heard = now;
+        self.last_seen = now;
         // Requests admitted under a share run on after it has lapsed.
-        self.lapses = now + LEASE_DURATION + LEASE_MARGIN + demand.max_request_duration;
+        self.committed_until = now + LEASE_DURATION + LEASE_MARGIN + demand.max_request_duration;
         // Waiting counts up to the slots only: a long queue says no more than that.
-        let busy = demand.running + demand.waiting.min(demand.slots);
-        self.busy += DEMAND_GAIN * (f64::from(busy) - self.busy);
+        let in_use = demand.running + demand.waiting.min(demand.slots);
+        self.mean_demand += DEMAND_GAIN * (f64::from(in_use) - self.mean_demand);
         // Slots first, since a share beyond them is of no use.
         self.slots = demand.slots;
-        self.weight = f64::from(demand.slots) + self.busy;
+        self.weight = f64::from(demand.slots) + self.mean_demand;
     }
 
     /// Another entry admits to the endpoints that this one admitted to, and counts what
     /// is left there: nothing can run under this holder's name any more.
-    fn succeeded(&mut self, now: Moment) {
+    fn release_if_lapsed(&mut self, now: Moment) {
         self.residue = 0;
-        if now >= self.heard + LEASE_DURATION + LEASE_MARGIN {
-            self.sent.clear();
+        if now >= self.last_seen + LEASE_DURATION + LEASE_MARGIN {
+            self.outstanding.clear();
             self.running = 0;
         }
     }
 
-    fn send(&mut self, serial: u64, part: Part) {
-        match self.sent.last_mut() {
+    fn record_grant(&mut self, serial: u64, part: Part) {
+        match self.outstanding.last_mut() {
             // Grants that don't get through would pile up otherwise. The later number
             // only keeps the part for longer.
             Some((last, same)) if *same == part => *last = serial,
-            _ => self.sent.push((serial, part)),
+            _ => self.outstanding.push((serial, part)),
         }
     }
 }
@@ -162,28 +163,28 @@
         if holder.incarnation != demand.incarnation {
             holder.restart(now, demand.incarnation, demand.max_request_duration);
         }
-        holder.renewed(now, demand);
+        holder.record_renewal(now, demand);
         if demand.slots > 0 {
-            self.succeed(now, name, demand);
+            self.supersede_others(now, name, demand);
         }
-        let part = if demand.quiet {
+        let part = if demand.frozen {
             // Others may hold what this keeper hasn't heard of yet.
             demand.held
         } else {
             self.part(now, name)
         };
         if let Some(holder) = self.holders.get_mut(name) {
-            holder.send(demand.serial, part);
+            holder.record_grant(demand.serial, part);
         }
         part
     }
 
     /// The service's endpoints in a failure domain have one owner at a time. One that
     /// reports slots is it, so whoever was it before has lost them.
-    fn succeed(&mut self, now: Moment, name: &NodeName, demand: &Demand) {
+    fn supersede_others(&mut self, now: Moment, name: &NodeName, demand: &Demand) {
         for (other, holder) in &mut self.holders {
             if other != name && holder.failure_domain == demand.failure_domain {
-                holder.succeeded(now);
+                holder.release_if_lapsed(now);
             }
         }
         if let Some(owner) = self.holders.get_mut(name) {
@@ -194,40 +195,40 @@
     fn part(&self, now: Moment, name: &NodeName) -> Part {
         let others = self.holders.iter().filter(|(other, _)| *other != name);
         let taken: u32 = others.map(|(_, other)| other.committed(now)).sum();
-        let own = self.holders.get(name);
-        let residue = own.map_or(0, |own| {
-            let lasts = now < own.residue_until;
-            if lasts { own.residue } else { 0 }
+        let holder = self.holders.get(name);
+        let residue = holder.map_or(0, |holder| {
+            let lasts = now < holder.residue_until;
+            if lasts { holder.residue } else { 0 }
         });
         let free = self.total.saturating_sub(taken).saturating_sub(residue);
-        let share = self.target(name).min(free);
-        let floor = (f64::from(share) * FLOOR_PART) as u32;
+        let share = self.fair_share(name).min(free);
+        let floor = (f64::from(share) * FLOOR_FRACTION) as u32;
         Part { share, floor }
     }
 
     /// The entry's fair share: by slots and demand, but no more than its slots, and what
     /// that leaves goes to the others.
-    fn target(&self, name: &NodeName) -> u32 {
-        let mut open: Vec<_> = self.holders.iter().filter(|(_, h)| h.slots > 0).collect();
-        let mut left = self.total;
+    fn fair_share(&self, name: &NodeName) -> u32 {
+        let mut unassigned: Vec<_> = self.holders.iter().filter(|(_, h)| h.slots > 0).collect();
+        let mut remaining = self.total;
         loop {
-            let sum: f64 = open.iter().map(|(_, h)| h.weight).sum();
-            let fair = |holder: &Holder| f64::from(left) * holder.weight / sum;
-            let Some(own) = self.holders.get(name).filter(|own| own.slots > 0) else {
+            let sum: f64 = unassigned.iter().map(|(_, h)| h.weight).sum();
+            let proportional = |holder: &Holder| f64::from(remaining) * holder.weight / sum;
+            let Some(holder) = self.holders.get(name).filter(|holder| holder.slots > 0) else {
                 return 0;
             };
-            if fair(own) >= f64::from(own.slots) {
-                return own.slots.min(left);
+            if proportional(holder) >= f64::from(holder.slots) {
+                return holder.slots.min(remaining);
             }
-            let (full, rest): (Vec<_>, Vec<_>) = open
+            let (full, rest): (Vec<_>, Vec<_>) = unassigned
                 .into_iter()
-                .partition(|(_, h)| fair(h) >= f64::from(h.slots));
+                .partition(|(_, h)| proportional(h) >= f64::from(h.slots));
             if full.is_empty() {
-                return fair(own).ceil() as u32;
+                return proportional(holder).ceil() as u32;
             }
             let taken: u32 = full.iter().map(|(_, h)| h.slots).sum();
-            left = left.saturating_sub(taken);
-            open = rest;
+            remaining = remaining.saturating_sub(taken);
+            unassigned = rest;
         }
     }
 }
--- a/crates/steer/src/lessor/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -24,15 +24,15 @@
 use crate::lease::{LEASE_DURATION, LEASE_MARGIN, Renew, Roster, StoredRoster, majority};
 
 /// Silence after which an entry that isn't a member counts as gone.
-const RECENT: std::time::Duration = LEASE_DURATION;
+const RENEWAL_TIMEOUT: std::time::Duration = LEASE_DURATION;
 
 /// Renewals without an answer after which an entry's lease may have lapsed unnoticed: half
 /// of those that fit into a lease.
-const UNANSWERED: u64 = 3;
+const MAX_UNANSWERED: u64 = 3;
 
 #[derive(Debug)]
-struct Heard {
-    at: Moment,
+struct LastRenewal {
+    received_at: Moment,
     epoch: Epoch,
     /// Term of the leader whose word it follows.
     term: Epoch,
@@ -60,41 +60,41 @@
     roster: Option<Roster>,
     /// Whether no higher roster can exist.
     trusted: bool,
-    heard: BTreeMap<NodeName, Heard>,
+    last_renewals: BTreeMap<NodeName, LastRenewal>,
     /// When control's lease to a member lapses, by this clock and with margin.
-    lapses: BTreeMap<NodeName, Moment>,
+    lease_ends: BTreeMap<NodeName, Moment>,
     /// For members whose lease isn't known: granted by a leader before.
-    first_lapse: Moment,
+    inherited_lease_end: Moment,
     /// Promises of a member that has left may hold until then.
     no_removal_before: Moment,
     /// A leaving member that hasn't acknowledged its removal yet.
-    must_ack: Option<NodeName>,
+    awaiting_ack: Option<NodeName>,
     /// Members named by this keeper that no roster was granted to yet.
     joining: BTreeSet<NodeName>,
 }
 
 impl DomainRoster {
-    pub(crate) fn new(region: Region, term: Epoch, first_lapse: Moment) -> Self {
+    pub(crate) fn new(region: Region, term: Epoch, inherited_lease_end: Moment) -> Self {
         Self {
             region,
             term,
             roster: None,
             trusted: false,
-            heard: BTreeMap::new(),
-            lapses: BTreeMap::new(),
-            first_lapse,
-            no_removal_before: first_lapse,
-            must_ack: None,
+            last_renewals: BTreeMap::new(),
+            lease_ends: BTreeMap::new(),
+            inherited_lease_end,
+            no_removal_before: inherited_lease_end,
+            awaiting_ack: None,
             joining: BTreeSet::new(),
         }
     }
 
-    pub(crate) fn kept(&self, failure_domain: &FailureDomain) -> Option<StoredRoster> {
+    pub(crate) fn to_stored(&self, failure_domain: &FailureDomain) -> Option<StoredRoster> {
         Some(StoredRoster {
             failure_domain: failure_domain.clone(),
             region: self.region.clone(),
             roster: self.roster.clone()?,
-            leaving: self.must_ack.clone(),
+            leaving: self.awaiting_ack.clone(),
         })
     }
 
@@ -104,9 +104,9 @@
 
     /// Whether a member may be in force that this keeper hasn't heard of, so that
     /// nothing is known of the parts it holds.
-    pub(crate) fn has_unheard(&self) -> bool {
+    pub(crate) fn has_unreported_member(&self) -> bool {
         let mut members = self.roster.iter().flat_map(|r| &r.members);
-        members.any(|name| !self.heard.contains_key(name) && !self.joining.contains(name))
+        members.any(|name| !self.last_renewals.contains_key(name) && !self.joining.contains(name))
     }
 
     /// Whether the slots that the members reported last are all slots of the failure
@@ -116,59 +116,68 @@
         let Some(roster) = &self.roster else {
             return false;
         };
-        let mut staying = roster
+        let mut remaining = roster
             .members
             .iter()
-            .filter(|name| !self.has_left(now, name));
-        let holds = |name: &NodeName| self.heard.get(name).is_some_and(|h| self.holds(now, h));
-        let passing = self.must_ack.is_some()
+            .filter(|name| !self.has_stopped(now, name));
+        let holds_endpoints = |name: &NodeName| {
+            self.last_renewals
+                .get(name)
+                .is_some_and(|renewal| self.holds_endpoints(now, renewal))
+        };
+        let in_transition = self.awaiting_ack.is_some()
             || self.leaving_member().is_some()
-            || self.newcomer(now).is_some();
-        self.trusted && staying.all(holds) && self.has_one_list() && self.settled() && !passing
+            || self.joining_entry(now).is_some();
+        self.trusted
+            && remaining.all(holds_endpoints)
+            && self.lists_agree()
+            && self.is_settled()
+            && !in_transition
     }
 
     /// Whether a member said that it stops, and then fell silent: the last one keeps its
     /// endpoints to the end, and its place in the roster beyond that.
-    fn has_left(&self, now: Moment, name: &NodeName) -> bool {
-        let heard = self.heard.get(name);
-        heard.is_some_and(|heard| heard.leaving && now >= heard.at + RECENT)
+    fn has_stopped(&self, now: Moment, name: &NodeName) -> bool {
+        let renewal = self.last_renewals.get(name);
+        renewal
+            .is_some_and(|renewal| renewal.leaving && now >= renewal.received_at + RENEWAL_TIMEOUT)
     }
 
     /// Whether a member held its endpoints when it was last heard, and was so just now.
-    fn holds(&self, now: Moment, heard: &Heard) -> bool {
-        let leased = heard.term == self.term && heard.unanswered < UNANSWERED;
-        now < heard.at + RECENT && leased && !heard.services.is_empty()
+    fn holds_endpoints(&self, now: Moment, renewal: &LastRenewal) -> bool {
+        let leased = renewal.term == self.term && renewal.unanswered < MAX_UNANSWERED;
+        now < renewal.received_at + RENEWAL_TIMEOUT && leased && !renewal.services.is_empty()
     }
 
     /// Whether all members know of endpoints of the same services. While they don't,
     /// some haven't got the list yet by which they would own theirs.
-    fn has_one_list(&self) -> bool {
+    fn lists_agree(&self) -> bool {
         let members = self.roster.iter().flat_map(|r| &r.members);
-        let heard = members.filter_map(|name| self.heard.get(name));
-        let lists: BTreeSet<_> = heard.map(|heard| &heard.services).collect();
-        lists.len() <= 1
+        let renewals = members.filter_map(|name| self.last_renewals.get(name));
+        let service_sets: BTreeSet<_> = renewals.map(|renewal| &renewal.services).collect();
+        service_sets.len() <= 1
     }
 
     /// Takes over the roster of the leader before; no higher one was ever granted.
-    pub(crate) fn restore(&mut self, kept: StoredRoster) {
-        self.learn(kept.roster);
-        self.must_ack = kept.leaving;
+    pub(crate) fn restore(&mut self, stored: StoredRoster) {
+        self.adopt_if_newer(stored.roster);
+        self.awaiting_ack = stored.leaving;
         self.trusted = true;
     }
 
-    fn learn(&mut self, roster: Roster) {
-        let known = self.roster.as_ref().map_or(Epoch(0), |r| r.epoch);
-        if roster.epoch > known {
+    fn adopt_if_newer(&mut self, roster: Roster) {
+        let known_epoch = self.roster.as_ref().map_or(Epoch(0), |r| r.epoch);
+        if roster.epoch > known_epoch {
             self.roster = Some(roster);
             self.trusted = false;
         }
     }
 
     pub(crate) fn forget(&mut self, name: &NodeName) {
-        self.heard.remove(name);
-        self.lapses.remove(name);
-        if self.must_ack.as_ref() == Some(name) {
-            self.must_ack = None;
+        self.last_renewals.remove(name);
+        self.lease_ends.remove(name);
+        if self.awaiting_ack.as_ref() == Some(name) {
+            self.awaiting_ack = None;
         }
         if let Some(roster) = self.roster.as_mut()
             && roster.has(name)
@@ -181,22 +190,22 @@
     pub(crate) fn renew(
         &mut self,
         now: Moment,
-        quiet: bool,
+        frozen: bool,
         from: &NodeName,
         renew: &Renew,
     ) -> Membership {
-        self.hear(now, from, renew);
-        self.adopt(renew);
+        self.record_renewal(now, from, renew);
+        self.adopt_reported(renew);
         self.check_trust();
-        if !quiet {
-            self.change(now);
+        if !frozen {
+            self.update_roster(now);
         }
-        self.answer(now, from, renew)
+        self.membership_for(now, from, renew)
     }
 
-    fn hear(&mut self, now: Moment, from: &NodeName, renew: &Renew) {
-        let heard = Heard {
-            at: now,
+    fn record_renewal(&mut self, now: Moment, from: &NodeName, renew: &Renew) {
+        let renewal = LastRenewal {
+            received_at: now,
             epoch: renew.roster.as_ref().map_or(Epoch(0), |r| r.epoch),
             term: renew.term,
             refusing: renew.refusing.clone(),
@@ -205,23 +214,25 @@
             unanswered: renew.serial.saturating_sub(renew.accepted),
             services: renew.demand.iter().map(|d| d.service.clone()).collect(),
         };
-        self.heard.insert(from.clone(), heard);
+        self.last_renewals.insert(from.clone(), renewal);
         // A restarted entry, which follows no roster, admits to nothing either.
         let current = self.roster.as_ref().map(|r| r.epoch);
         let follows = renew
             .roster
             .as_ref()
             .is_none_or(|r| Some(r.epoch) == current);
-        if follows && self.must_ack.as_ref() == Some(from) {
-            self.must_ack = None;
+        if follows && self.awaiting_ack.as_ref() == Some(from) {
+            self.awaiting_ack = None;
             // What it promised to others as a member may hold for so long.
             self.no_removal_before = now + LEASE_DURATION + LEASE_MARGIN;
         }
     }
 
-    fn adopt(&mut self, renew: &Renew) {
-        let Some(theirs) = &renew.roster else { return };
-        self.learn(theirs.clone());
+    fn adopt_reported(&mut self, renew: &Renew) {
+        let Some(reported) = &renew.roster else {
+            return;
+        };
+        self.adopt_if_newer(reported.clone());
     }
 
     fn check_trust(&mut self) {
@@ -235,43 +246,45 @@
     }
 
     fn follows(&self, name: &NodeName, epoch: Epoch) -> bool {
-        self.heard.get(name).is_some_and(|h| h.epoch == epoch)
+        self.last_renewals
+            .get(name)
+            .is_some_and(|renewal| renewal.epoch == epoch)
     }
 
     /// Changes the roster by at most one member.
-    fn change(&mut self, now: Moment) {
+    fn update_roster(&mut self, now: Moment) {
         if self.roster.is_none() {
-            self.create(now);
+            self.create_roster(now);
             return;
         }
         if !self.trusted {
             return;
         }
         if let Some(name) = self.silent_member(now) {
-            if self.removable(&name) {
-                self.replace(|members| members.retain(|member| *member != name));
-                self.must_ack.take_if(|waiting| *waiting == name);
+            if self.can_remove(&name) {
+                self.replace_members(|members| members.retain(|member| *member != name));
+                self.awaiting_ack.take_if(|waiting| *waiting == name);
             }
-        } else if self.must_ack.is_none() && self.settled() {
-            self.change_settled(now);
+        } else if self.awaiting_ack.is_none() && self.is_settled() {
+            self.update_settled(now);
         }
     }
 
-    fn change_settled(&mut self, now: Moment) {
+    fn update_settled(&mut self, now: Moment) {
         if let Some(name) = self.leaving_member() {
-            self.replace(|members| members.retain(|member| *member != name));
-            self.must_ack = Some(name);
-        } else if let Some(name) = self.newcomer(now) {
+            self.replace_members(|members| members.retain(|member| *member != name));
+            self.awaiting_ack = Some(name);
+        } else if let Some(name) = self.joining_entry(now) {
             self.joining.insert(name.clone());
-            self.replace(|members| members.push(name));
+            self.replace_members(|members| members.push(name));
         }
     }
 
-    fn create(&mut self, now: Moment) {
+    fn create_roster(&mut self, now: Moment) {
         let members: Vec<_> = self
-            .heard
+            .last_renewals
             .iter()
-            .filter(|(_, heard)| !heard.leaving && now < heard.at + RECENT)
+            .filter(|(_, renewal)| !renewal.leaving && now < renewal.received_at + RENEWAL_TIMEOUT)
             .map(|(name, _)| name.clone())
             .collect();
         if !members.is_empty() {
@@ -281,15 +294,15 @@
         }
     }
 
-    fn replace(&mut self, change: impl FnOnce(&mut Vec<NodeName>)) {
+    fn replace_members(&mut self, edit: impl FnOnce(&mut Vec<NodeName>)) {
         if let Some(roster) = &mut self.roster {
-            change(&mut roster.members);
+            edit(&mut roster.members);
             roster.epoch = roster.epoch.next();
         }
     }
 
     /// Whether all members follow the roster.
-    fn settled(&self) -> bool {
+    fn is_settled(&self) -> bool {
         let Some(roster) = &self.roster else {
             return false;
         };
@@ -306,36 +319,49 @@
             return None;
         }
         let members = self.roster.iter().flat_map(|r| &r.members);
-        let mut candidates = members.chain(&self.must_ack);
-        let silent = |name: &&NodeName| {
-            let lapsed = now >= self.lapses.get(*name).copied().unwrap_or(self.first_lapse);
-            let heard = self.heard.get(*name).map(|heard| heard.at);
-            lapsed && heard.is_none_or(|at| now >= at + LEASE_DURATION + LEASE_MARGIN)
+        let mut candidates = members.chain(&self.awaiting_ack);
+        let is_silent = |name: &&NodeName| {
+            let lapsed = now
+                >= self
+                    .lease_ends
+                    .get(*name)
+                    .copied()
+                    .unwrap_or(self.inherited_lease_end);
+            let last_seen = self
+                .last_renewals
+                .get(*name)
+                .map(|renewal| renewal.received_at);
+            lapsed
+                && last_seen
+                    .is_none_or(|received_at| now >= received_at + LEASE_DURATION + LEASE_MARGIN)
         };
-        candidates.find(silent).cloned()
+        candidates.find(is_silent).cloned()
     }
 
     /// A member that is on its way to be silent: the others are told early, so that
     /// their confirmation is there when the lease lapses.
     fn suspect(&self, now: Moment) -> Option<NodeName> {
         let members = self.roster.iter().flat_map(|r| &r.members);
-        let mut candidates = members.chain(&self.must_ack);
-        let quiet = |name: &&NodeName| {
-            let heard = self.heard.get(*name).map(|heard| heard.at);
-            heard.is_none_or(|at| now >= at + LEASE_DURATION / 2)
+        let mut candidates = members.chain(&self.awaiting_ack);
+        let is_overdue = |name: &&NodeName| {
+            let last_seen = self
+                .last_renewals
+                .get(*name)
+                .map(|renewal| renewal.received_at);
+            last_seen.is_none_or(|received_at| now >= received_at + LEASE_DURATION / 2)
         };
-        candidates.find(quiet).cloned()
+        candidates.find(is_overdue).cloned()
     }
 
     /// Whether those who haven't confirmed are too few to keep the member in force.
-    fn removable(&self, name: &NodeName) -> bool {
+    fn can_remove(&self, name: &NodeName) -> bool {
         let Some(roster) = &self.roster else {
             return false;
         };
         let others: Vec<_> = roster
             .members
             .iter()
-            .chain(&self.must_ack)
+            .chain(&self.awaiting_ack)
             .filter(|other| *other != name)
             .collect();
         let unconfirmed = others
@@ -345,22 +371,26 @@
         // The member may still follow the roster from before the newest ones were named,
         // and so need fewer promises. Only those who follow the roster surely had one.
         let follows = |other: &&NodeName| self.follows(other, roster.epoch);
-        let old = others.iter().copied().filter(follows).count();
-        unconfirmed + 1 < majority(old + 1)
+        let followers = others.iter().copied().filter(follows).count();
+        unconfirmed + 1 < majority(followers + 1)
     }
 
     fn confirmed(&self, by: &NodeName, name: &NodeName) -> bool {
         // A word given to an earlier leader may have been taken back since.
-        self.heard.get(by).is_some_and(|heard| {
-            heard.term == self.term
-                && heard.refusing.as_ref() == Some(name)
-                && !heard.promised.contains(name)
+        self.last_renewals.get(by).is_some_and(|renewal| {
+            renewal.term == self.term
+                && renewal.refusing.as_ref() == Some(name)
+                && !renewal.promised.contains(name)
         })
     }
 
     fn leaving_member(&self) -> Option<NodeName> {
         let roster = self.roster.as_ref()?;
-        let leaving = |name: &&NodeName| self.heard.get(*name).is_some_and(|h| h.leaving);
+        let leaving = |name: &&NodeName| {
+            self.last_renewals
+                .get(*name)
+                .is_some_and(|renewal| renewal.leaving)
+        };
         // The last member keeps its endpoints to the end: nobody could take them.
         let others = roster.members.len() > 1;
         roster
@@ -370,59 +400,67 @@
             .cloned()
     }
 
-    fn newcomer(&self, now: Moment) -> Option<NodeName> {
+    fn joining_entry(&self, now: Moment) -> Option<NodeName> {
         let roster = self.roster.as_ref()?;
-        let fresh = |heard: &Heard| !heard.leaving && now < heard.at + RECENT;
-        self.heard
+        let is_recent =
+            |renewal: &LastRenewal| !renewal.leaving && now < renewal.received_at + RENEWAL_TIMEOUT;
+        self.last_renewals
             .iter()
-            .find(|(name, heard)| !roster.has(name) && fresh(heard))
+            .find(|(name, renewal)| !roster.has(name) && is_recent(renewal))
             .map(|(name, _)| name.clone())
     }
 
-    fn answer(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Membership {
+    fn membership_for(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Membership {
         let Some(roster) = self.roster.clone() else {
             return Membership::default();
         };
         let refuse = self.suspect(now).filter(|name| name != from);
-        let Some(told) = self.told(&roster, from, renew.roster.as_ref()) else {
+        let Some(next_roster) = self.next_roster(&roster, from, renew.roster.as_ref()) else {
             return Membership {
                 refuse,
                 ..Membership::default()
             };
         };
         self.joining.remove(from);
-        let leased = self.trusted && told.has(from);
+        let leased = self.trusted && next_roster.has(from);
         if leased {
-            self.lapses
+            self.lease_ends
                 .insert(from.clone(), now + LEASE_DURATION + LEASE_MARGIN);
         }
         Membership {
-            roster: Some(told),
+            roster: Some(next_roster),
             leased,
             refuse,
         }
     }
 
     /// The roster that the entry is to follow next, if any.
-    fn told(&self, top: &Roster, from: &NodeName, theirs: Option<&Roster>) -> Option<Roster> {
-        let others_wait = self.must_ack.as_ref().is_some_and(|name| name != from);
-        let stays = |theirs: &&Roster| {
-            theirs.epoch.next() == top.epoch && theirs.has(from) && !self.joining.contains(from)
+    fn next_roster(
+        &self,
+        newest: &Roster,
+        from: &NodeName,
+        followed: Option<&Roster>,
+    ) -> Option<Roster> {
+        let awaiting_others = self.awaiting_ack.as_ref().is_some_and(|name| name != from);
+        let was_member = |followed: &&Roster| {
+            followed.epoch.next() == newest.epoch
+                && followed.has(from)
+                && !self.joining.contains(from)
         };
-        if theirs.is_some_and(|theirs| theirs.epoch == top.epoch) {
-            return Some(top.clone());
+        if followed.is_some_and(|followed| followed.epoch == newest.epoch) {
+            return Some(newest.clone());
         }
         // One that was a member just before keeps what it has until the leaving member
         // has acknowledged, then it may gain.
-        if let Some(theirs) = theirs.filter(stays) {
-            let waiting = if others_wait { theirs } else { top };
-            return Some(waiting.clone());
+        if let Some(followed) = followed.filter(was_member) {
+            let next = if awaiting_others { followed } else { newest };
+            return Some(next.clone());
         }
         // Any other one gains everything that it is named for: a new one, a restarted
         // one, and one that was removed and named again while it was cut off. It waits
         // for all the others, who lose that.
-        let may_gain = !others_wait && self.others_follow(top, from);
-        may_gain.then(|| top.clone())
+        let may_gain = !awaiting_others && self.others_follow(newest, from);
+        may_gain.then(|| newest.clone())
     }
 
     /// Whether all other members follow the roster; those not yet granted any have
@@ -430,9 +468,9 @@
     fn others_follow(&self, roster: &Roster, name: &NodeName) -> bool {
         let mut others = roster.members.iter().filter(|other| *other != name);
         others.all(|other| {
-            self.heard
+            self.last_renewals
                 .get(other)
-                .is_some_and(|heard| heard.epoch == roster.epoch || heard.epoch == Epoch(0))
+                .is_some_and(|renewal| renewal.epoch == roster.epoch || renewal.epoch == Epoch(0))
         })
     }
 }
