--- a/crates/steer/tests/all/common.rs
+++ b/crates/steer/tests/all/common.rs
@@ -27,10 +27,10 @@
 }
 
 pub(crate) fn config(node: &str) -> Config {
-    place_config(node, "zagreb", "zagreb-a")
+    config_at(node, "zagreb", "zagreb-a")
 }
 
-pub(crate) fn place_config(node: &str, region: &str, domain: &str) -> Config {
+pub(crate) fn config_at(node: &str, region: &str, domain: &str) -> Config {
     let region = region.parse().unwrap_or_else(|e| panic!("{e}"));
     let domain = domain.parse().unwrap_or_else(|e| panic!("{e}"));
     Config::new(name(node), region, domain)
--- a/crates/steer/tests/all/main.rs
+++ b/crates/steer/tests/all/main.rs
@@ -1,8 +1,8 @@
 //! Tests of steering.
 
-mod broken;
+mod broken_connections;
 mod common;
 mod policy;
 mod random;
-mod slots;
+mod slot_counts;
 mod world;
--- a/crates/steer/tests/all/policy.rs
+++ b/crates/steer/tests/all/policy.rs
@@ -11,7 +11,7 @@
 };
 use filberthead_types::{Moment, NodeName, RequestId, ResultCode};
 
-const LATER: Moment = Duration::from_secs(30);
+const FAR_DEADLINE: Moment = Duration::from_secs(30);
 
 fn policy(cfg: Config, endpoints: &[&str]) -> Policy {
     let mut policy = Policy::new(Moment::ZERO, cfg);
@@ -23,18 +23,18 @@
     policy
 }
 
-fn warm(endpoints: &[&str]) -> Policy {
+fn warmed_up(endpoints: &[&str]) -> Policy {
     policy(config("e1").leased(false).slow_start(false), endpoints)
 }
 
-fn placed(decision: &Decision) -> Option<&NodeName> {
+fn endpoint_of(decision: &Decision) -> Option<&NodeName> {
     match decision {
         Decision::Endpoint(info) => Some(&info.name),
         _ => None,
     }
 }
 
-fn refusal(decision: &Decision) -> Option<ResultCode> {
+fn refusal_code(decision: &Decision) -> Option<ResultCode> {
     match decision {
         Decision::Refuse { code, .. } => Some(*code),
         _ => None,
@@ -52,28 +52,28 @@
 
 #[test]
 fn fills_every_slot_and_no_more() {
-    let mut policy = warm(&["a", "b"]);
+    let mut policy = warmed_up(&["a", "b"]);
     for id in 0..u128::from(2 * SLOTS) {
-        let decision = policy.place(Moment::ZERO, &request(id, LATER));
-        assert!(placed(&decision).is_some(), "{decision:?}");
+        let decision = policy.place(Moment::ZERO, &request(id, FAR_DEADLINE));
+        assert!(endpoint_of(&decision).is_some(), "{decision:?}");
     }
-    let decision = policy.place(Moment::ZERO, &request(99, LATER));
+    let decision = policy.place(Moment::ZERO, &request(99, FAR_DEADLINE));
     assert_eq!(decision, Decision::Queued);
 }
 
 #[test]
 fn a_freed_slot_goes_to_the_nearest_deadline() {
-    let mut policy = warm(&["a"]);
+    let mut policy = warmed_up(&["a"]);
     for id in 0..u128::from(SLOTS) {
-        policy.place(Moment::ZERO, &request(id, LATER));
+        policy.place(Moment::ZERO, &request(id, FAR_DEADLINE));
     }
-    policy.place(Moment::ZERO, &request(10, LATER));
-    policy.place(Moment::ZERO, &request(11, LATER / 2));
+    policy.place(Moment::ZERO, &request(10, FAR_DEADLINE));
+    policy.place(Moment::ZERO, &request(11, FAR_DEADLINE / 2));
     let actions = finish(&mut policy, ms(10), 0, FinishKind::Answered);
     let ids: Vec<_> = actions
         .iter()
         .filter_map(|action| match action {
-            Action::Place { id, decision } => placed(decision).map(|_| *id),
+            Action::Place { id, decision } => endpoint_of(decision).map(|_| *id),
             _ => None,
         })
         .collect();
@@ -82,12 +82,12 @@
 
 #[test]
 fn refuses_at_once_what_it_cannot_start_in_time() {
-    let mut policy = warm(&["a"]);
+    let mut policy = warmed_up(&["a"]);
     for id in 0..u128::from(SLOTS) {
-        policy.place(Moment::ZERO, &request(id, LATER));
+        policy.place(Moment::ZERO, &request(id, FAR_DEADLINE));
     }
     let decision = policy.place(Moment::ZERO, &request(9, ms(1)));
-    assert_eq!(refusal(&decision), Some(ResultCode::Overloaded));
+    assert_eq!(refusal_code(&decision), Some(ResultCode::Overloaded));
 }
 
 #[test]
@@ -97,37 +97,37 @@
         &["a"],
     );
     for id in 0..u128::from(SLOTS) {
-        policy.place(Moment::ZERO, &request(id, LATER));
+        policy.place(Moment::ZERO, &request(id, FAR_DEADLINE));
     }
     assert_eq!(
-        policy.place(Moment::ZERO, &request(8, LATER)),
+        policy.place(Moment::ZERO, &request(8, FAR_DEADLINE)),
         Decision::Queued
     );
-    let decision = policy.place(Moment::ZERO, &request(9, LATER));
-    assert_eq!(refusal(&decision), Some(ResultCode::Overloaded));
+    let decision = policy.place(Moment::ZERO, &request(9, FAR_DEADLINE));
+    assert_eq!(refusal_code(&decision), Some(ResultCode::Overloaded));
 }
 
 #[test]
 fn refuses_a_waiting_request_at_its_deadline() {
-    let mut policy = warm(&["a"]);
+    let mut policy = warmed_up(&["a"]);
     for id in 0..u128::from(SLOTS) {
-        policy.place(Moment::ZERO, &request(id, LATER));
+        policy.place(Moment::ZERO, &request(id, FAR_DEADLINE));
     }
     policy.place(Moment::ZERO, &request(9, ms(200)));
     let actions = policy.observe(ms(200), Event::Tick);
-    let refused = actions.iter().find_map(|action| match action {
-        Action::Place { id, decision } => refusal(decision).map(|code| (*id, code)),
+    let expired = actions.iter().find_map(|action| match action {
+        Action::Place { id, decision } => refusal_code(decision).map(|code| (*id, code)),
         _ => None,
     });
-    assert_eq!(refused, Some((RequestId(9), ResultCode::DeadlineBeforeRun)));
+    assert_eq!(expired, Some((RequestId(9), ResultCode::DeadlineBeforeRun)));
 }
 
 /// A visitor's requests go on to an endpoint that has said goodbye, and are cut when it
 /// stops. The endpoint says that it leaves; the platform's list, which lags, still has
 /// it as live; and an older answer to a probe arrives last and says ready.
 #[test]
-fn leaving_wins_over_every_later_word_of_the_same_start() {
-    let mut policy = warm(&["a"]);
+fn leaving_overrides_later_readings_of_the_same_incarnation() {
+    let mut policy = warmed_up(&["a"]);
     policy.observe(ms(10), reading("a", ms(5), 1));
     policy.observe(
         ms(30),
@@ -136,19 +136,19 @@
     policy.observe(ms(40), Event::Endpoints(vec![endpoint("a")]));
     policy.observe(ms(50), reading("a", ms(10), 1));
     policy.observe(ms(60), reading("a", ms(55), 1));
-    let decision = policy.place(ms(70), &request(1, LATER));
-    assert_eq!(refusal(&decision), Some(ResultCode::NoEndpoint));
+    let decision = policy.place(ms(70), &request(1, FAR_DEADLINE));
+    assert_eq!(refusal_code(&decision), Some(ResultCode::NoEndpoint));
 
     policy.observe(ms(80), reading("a", ms(75), 2));
-    let decision = policy.place(ms(90), &request(2, LATER));
-    assert_eq!(placed(&decision), Some(&name("a")));
+    let decision = policy.place(ms(90), &request(2, FAR_DEADLINE));
+    assert_eq!(endpoint_of(&decision), Some(&name("a")));
 }
 
 /// Everything of a failure domain stops at once although its endpoints serve well: the
 /// probes' answers are lost, all endpoints look dead, and nobody gets requests.
 #[test]
-fn doubts_the_probes_when_most_endpoints_fall_silent() {
-    let mut policy = warm(&["a", "b", "c"]);
+fn ignores_failed_probes_when_most_endpoints_fall_silent() {
+    let mut policy = warmed_up(&["a", "b", "c"]);
     for node in ["a", "b"] {
         for _ in 0..3 {
             let endpoint = name(node);
@@ -156,34 +156,34 @@
         }
     }
     for id in 0..u128::from(3 * SLOTS) {
-        let decision = policy.place(ms(20), &request(id, LATER));
-        assert!(placed(&decision).is_some(), "{decision:?}");
+        let decision = policy.place(ms(20), &request(id, FAR_DEADLINE));
+        assert!(endpoint_of(&decision).is_some(), "{decision:?}");
     }
 }
 
 #[test]
-fn passes_over_a_single_silent_endpoint() {
-    let mut policy = warm(&["a", "b", "c"]);
+fn skips_a_single_silent_endpoint() {
+    let mut policy = warmed_up(&["a", "b", "c"]);
     for _ in 0..3 {
         let endpoint = name("a");
         policy.observe(ms(10), Event::ProbeFailed { endpoint });
     }
     for id in 0..u128::from(2 * SLOTS) {
-        let decision = policy.place(ms(20), &request(id, LATER));
-        assert_ne!(placed(&decision), Some(&name("a")));
+        let decision = policy.place(ms(20), &request(id, FAR_DEADLINE));
+        assert_ne!(endpoint_of(&decision), Some(&name("a")));
     }
 }
 
 /// One endpoint refuses everything in no time and so always looks least loaded; a
 /// policy that trusts its counts alone sends it every request.
 #[test]
-fn leaves_an_endpoint_that_sheds_alone_for_longer_each_time() {
-    let mut policy = warm(&["a", "b"]);
+fn backs_off_exponentially_from_an_endpoint_that_sheds() {
+    let mut policy = warmed_up(&["a", "b"]);
     let mut to_shedding = 0;
     for id in 0..100 {
         let now = ms(20 * id as u64);
-        let decision = policy.place(now, &request(id, LATER));
-        let node = placed(&decision).cloned();
+        let decision = policy.place(now, &request(id, FAR_DEADLINE));
+        let node = endpoint_of(&decision).cloned();
         let sheds = node == Some(name("a"));
         to_shedding += u32::from(sheds);
         let kind = if sheds {
@@ -200,9 +200,9 @@
 fn gives_a_restarted_endpoint_its_slots_one_by_one() {
     let mut policy = policy(config("e1").leased(false), &["a"]);
     policy.observe(ms(1), reading("a", ms(1), 2));
-    let first = policy.place(ms(2), &request(1, LATER));
-    let second = policy.place(ms(2), &request(2, LATER));
-    assert!(placed(&first).is_some());
+    let first = policy.place(ms(2), &request(1, FAR_DEADLINE));
+    let second = policy.place(ms(2), &request(2, FAR_DEADLINE));
+    assert!(endpoint_of(&first).is_some());
     assert_eq!(second, Decision::Queued);
 }
 
@@ -229,8 +229,8 @@
             policy.observe(ms(2), reading(endpoint, ms(2), 1));
         }
         for id in 0..200 {
-            let decision = policy.place(ms(2), &request(id, LATER));
-            owned += u32::from(placed(&decision).is_some());
+            let decision = policy.place(ms(2), &request(id, FAR_DEADLINE));
+            owned += u32::from(endpoint_of(&decision).is_some());
         }
     }
     assert_eq!(owned, 20 * SLOTS);
@@ -238,16 +238,16 @@
 
 #[test]
 fn refuses_a_service_that_the_table_does_not_name() {
-    let mut policy = warm(&["a"]);
+    let mut policy = warmed_up(&["a"]);
     let empty = table(1, &[]);
     policy.observe(ms(1), empty);
-    let decision = policy.place(ms(2), &request(1, LATER));
-    assert_eq!(refusal(&decision), Some(ResultCode::UnknownService));
+    let decision = policy.place(ms(2), &request(1, FAR_DEADLINE));
+    assert_eq!(refusal_code(&decision), Some(ResultCode::UnknownService));
 }
 
 #[test]
 fn look_ups_name_no_drained_region_and_no_leaving_entry() {
-    let mut policy = warm(&["a"]);
+    let mut policy = warmed_up(&["a"]);
     let mut leaving = entry("e3", "zagreb", "zagreb-b");
     leaving.leaving = true;
     let entries = vec![
@@ -267,26 +267,29 @@
 /// Two entries fill the same endpoint: its owner dies, the next owner takes over and
 /// counts from zero, while requests of the first still hold their slots.
 #[test]
-fn a_new_owner_leaves_slots_to_the_requests_of_the_one_before() {
+fn a_new_owner_reserves_slots_for_requests_of_the_previous_owner() {
     let mut policy = Policy::new(Moment::ZERO, config("e1").leased(false).slow_start(false));
     policy.observe(ms(5), Event::Endpoints(vec![endpoint("a")]));
-    let decision = policy.place(ms(5), &request(1, LATER));
-    assert_eq!(refusal(&decision), Some(ResultCode::NoEndpoint));
+    let decision = policy.place(ms(5), &request(1, FAR_DEADLINE));
+    assert_eq!(refusal_code(&decision), Some(ResultCode::NoEndpoint));
 
     let two_of_three = reading_of("a", ms(6), 1, |reading| reading.load = 0.66);
     policy.observe(ms(8), two_of_three);
-    assert!(placed(&policy.place(ms(8), &request(2, LATER))).is_some());
-    assert_eq!(policy.place(ms(8), &request(3, LATER)), Decision::Queued);
+    assert!(endpoint_of(&policy.place(ms(8), &request(2, FAR_DEADLINE))).is_some());
+    assert_eq!(
+        policy.place(ms(8), &request(3, FAR_DEADLINE)),
+        Decision::Queued
+    );
 }
 
 /// An entry hears of a table version that it can't get hold of. Its weights may be old,
 /// so it must not send callers by them to a region that the new ones may drain.
 #[test]
-fn weights_that_are_not_proven_count_for_nothing() {
-    let mut policy = warm(&["a"]);
-    let own = entry("e1", "zagreb", "zagreb-a");
-    let other = entry("e2", "split", "split-a");
-    policy.observe(Moment::ZERO, Event::Entries(vec![own, other]));
+fn ignores_weights_that_are_not_proven_newest() {
+    let mut policy = warmed_up(&["a"]);
+    let local = entry("e1", "zagreb", "zagreb-a");
+    let remote = entry("e2", "split", "split-a");
+    policy.observe(Moment::ZERO, Event::Entries(vec![local, remote]));
     let look_up =
         |policy: &mut Policy, at| policy.look_up(at, &service(), crate::common::caller(1));
     let drained = [("zagreb", values(0, 9, 9)), ("split", values(10, 9, 9))];
@@ -294,8 +297,8 @@
     assert_eq!(look_up(&mut policy, ms(1)), [name("e2")]);
     policy.observe(ms(2), Event::NoTable);
     assert_eq!(look_up(&mut policy, ms(2)), [name("e1")]);
-    let decision = policy.place(ms(2), &request(1, LATER));
-    assert!(placed(&decision).is_some(), "{decision:?}");
+    let decision = policy.place(ms(2), &request(1, FAR_DEADLINE));
+    assert!(endpoint_of(&decision).is_some(), "{decision:?}");
     policy.observe(ms(3), table(2, &drained));
     assert_eq!(look_up(&mut policy, ms(3)), [name("e2")]);
 }
--- a/crates/steer/tests/all/random.rs
+++ b/crates/steer/tests/all/random.rs
@@ -8,20 +8,20 @@
 use rand::rngs::StdRng;
 
 use crate::common::ms;
-use crate::world::{Twin, World};
+use crate::world::{Variant, World};
 
 const SEEDS: u64 = 150;
 const STEPS: usize = 600;
 /// Near a seed with an order of events that few have.
-const RARE: u64 = 400;
+const RARE_ORDER_SEED: u64 = 400;
 
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
-    Wait(u8),
-    WaitMore(u8),
-    Flow,
-    FlowMore,
+    Advance(u8),
+    AdvanceMore(u8),
+    DeliverAll,
+    DeliverAllMore,
     Deliver(u8),
     Repeat(u8),
     Lose(u8),
@@ -35,16 +35,16 @@
 
 fn apply(world: &mut World, step: Step) {
     match step {
-        Step::Wait(n) | Step::WaitMore(n) => world.wait(ms(50 * u64::from(n % 16))),
-        Step::Flow | Step::FlowMore => world.flow(),
+        Step::Advance(n) | Step::AdvanceMore(n) => world.advance(ms(50 * u64::from(n % 16))),
+        Step::DeliverAll | Step::DeliverAllMore => world.deliver_all(),
         Step::Deliver(n) => world.deliver(usize::from(n), false),
         Step::Repeat(n) => world.deliver(usize::from(n), true),
         Step::Lose(n) => world.lose(usize::from(n)),
-        Step::Request(node, number) | Step::RequestMore(node, number) => {
-            world.request(usize::from(node % 4), u32::from(number));
+        Step::Request(node, caller_number) | Step::RequestMore(node, caller_number) => {
+            world.request(usize::from(node % 4), u32::from(caller_number));
         }
         Step::RequestsAtOnce(node) => {
-            (0..8).for_each(|number| world.request(usize::from(node % 4), number));
+            (0..8).for_each(|caller_number| world.request(usize::from(node % 4), caller_number));
         }
         Step::Answer(n) => world.answer(usize::from(n)),
         Step::Fault(n, which) => fault(world, usize::from(n), which),
@@ -65,12 +65,12 @@
         2 => world.suspend(n % 4, true),
         3 => world.stop(n % 4),
         // Control is cut off in one direction or both, an entry from one or all others.
-        4 | 5 => world.set_cut(n % 4, 4, true),
-        6 => world.set_cut(4, n % 4, true),
-        7 | 8 => world.set_cut(n % 4, (n / 4) % 4, true),
+        4 | 5 => world.set_blocked(n % 4, 4, true),
+        6 => world.set_blocked(4, n % 4, true),
+        7 | 8 => world.set_blocked(n % 4, (n / 4) % 4, true),
         9 => (0..5).for_each(|other| {
-            world.set_cut(n % 4, other, true);
-            world.set_cut(other, n % 4, true);
+            world.set_blocked(n % 4, other, true);
+            world.set_blocked(other, n % 4, true);
         }),
         _ => {}
     }
@@ -79,31 +79,31 @@
 struct Summary {
     started: u32,
     takeovers: u32,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
-fn run_seeds(twin: Twin) -> Summary {
-    run_from(0, twin)
+fn run_seeds(variant: Variant) -> Summary {
+    run_from_seed(0, variant)
 }
 
-fn run_from(first: u64, twin: Twin) -> Summary {
+fn run_from_seed(first: u64, variant: Variant) -> Summary {
     let options = Options::default().with_max_len(STEPS * 8);
     let mut summary = Summary {
         started: 0,
         takeovers: 0,
-        broken: None,
+        violation: None,
     };
     for seed in first..first + SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
-        let mut world = World::new(twin);
+        let mut world = World::new(variant);
         for _ in 0..STEPS {
             let Some(step) = Step::generate(&mut driver) else {
                 break;
             };
             apply(&mut world, step);
             world.check();
-            if let Some(broken) = world.broken {
-                summary.broken = Some(format!("seed {seed}: {broken}"));
+            if let Some(violation) = world.violation {
+                summary.violation = Some(format!("seed {seed}: {violation}"));
                 return summary;
             }
         }
@@ -115,58 +115,58 @@
 
 #[test]
 fn any_order_of_events_keeps_slots_limits_and_owners() {
-    let summary = run_seeds(Twin::default());
-    assert_eq!(summary.broken, None);
+    let summary = run_seeds(Variant::default());
+    assert_eq!(summary.violation, None);
     // A check of nothing would hold as well.
     assert!(summary.started > 1000, "{}", summary.started);
     assert!(summary.takeovers > 20, "{}", summary.takeovers);
 }
 
 #[test]
-fn a_leader_that_does_not_wait_breaks_a_rule() {
-    let twin = Twin {
-        hasty_leader: true,
-        ..Twin::default()
+fn a_leader_that_does_not_wait_violates_an_invariant() {
+    let variant = Variant {
+        leader_skips_wait: true,
+        ..Variant::default()
     };
-    assert!(run_from(RARE, twin).broken.is_some());
+    assert!(run_from_seed(RARE_ORDER_SEED, variant).violation.is_some());
 }
 
 #[test]
-fn leases_counted_by_a_slow_clock_break_a_rule() {
-    let twin = Twin {
+fn leases_measured_by_a_slow_clock_violate_an_invariant() {
+    let variant = Variant {
         slow_clock: true,
-        ..Twin::default()
+        ..Variant::default()
     };
-    assert!(run_seeds(twin).broken.is_some());
+    assert!(run_seeds(variant).violation.is_some());
 }
 
 #[test]
-fn shares_raised_before_cuts_are_acknowledged_break_a_rule() {
-    let twin = Twin {
+fn shares_raised_before_cuts_are_acknowledged_violate_an_invariant() {
+    let variant = Variant {
         presumed_acks: true,
-        ..Twin::default()
+        ..Variant::default()
     };
-    assert!(run_seeds(twin).broken.is_some());
+    assert!(run_seeds(variant).violation.is_some());
 }
 
 /// The entries of a failure domain are cut off together and go on by their promises.
 /// Control's next leader has never heard of them, and gives their endpoints to a new one.
 #[test]
-fn rosters_lost_with_their_leader_break_a_rule() {
-    let twin = Twin {
+fn rosters_lost_with_their_leader_violate_an_invariant() {
+    let variant = Variant {
         lost_rosters: true,
-        ..Twin::default()
+        ..Variant::default()
     };
-    assert!(run_seeds(twin).broken.is_some());
+    assert!(run_seeds(variant).violation.is_some());
 }
 
 /// Entries that are cut off from all others go on by what endpoints show. Each may fill
 /// one slot too many, and no more; membership still is in force at one entry only.
 #[test]
 fn isolated_entries_add_one_request_to_an_endpoint_at_most() {
-    let twin = Twin {
-        isolated_slot: true,
-        ..Twin::default()
+    let variant = Variant {
+        serves_isolated: true,
+        ..Variant::default()
     };
-    assert_eq!(run_seeds(twin).broken, None);
+    assert_eq!(run_seeds(variant).violation, None);
 }
--- a/crates/steer/tests/all/slots.rs
+++ b/crates/steer/tests/all/slot_counts.rs
@@ -7,8 +7,8 @@
 
 use crate::common::{SLOTS, name, service};
 
-const RUN: Duration = Duration::from_secs(60);
-const STEP: Duration = Duration::from_millis(500);
+const MAX_REQUEST_DURATION: Duration = Duration::from_secs(60);
+const RENEWAL_STEP: Duration = Duration::from_millis(500);
 
 /// An entry as control sees it: it follows what it is granted.
 struct Entry {
@@ -18,9 +18,9 @@
     accepted: u64,
     term: Epoch,
     roster: Option<Roster>,
-    deaf: bool,
+    ignores_grants: bool,
     leaving: bool,
-    listed: bool,
+    has_endpoint_list: bool,
 }
 
 impl Entry {
@@ -32,9 +32,9 @@
             accepted: 0,
             term: Epoch(0),
             roster: None,
-            deaf: false,
+            ignores_grants: false,
             leaving: false,
-            listed: true,
+            has_endpoint_list: true,
         }
     }
 
@@ -64,10 +64,14 @@
             promised: Vec::new(),
             leaving: self.leaving,
             parts: Vec::new(),
-            demand: self.listed.then_some(demand).into_iter().collect(),
+            demand: self
+                .has_endpoint_list
+                .then_some(demand)
+                .into_iter()
+                .collect(),
         };
         let grant = lessor.renew(now, &self.name, &renew);
-        if !self.deaf {
+        if !self.ignores_grants {
             self.accepted = grant.serial;
             self.term = grant.term;
             self.roster = grant.roster.or(self.roster.take());
@@ -80,139 +84,139 @@
 }
 
 /// A region with a leader that took over at the start.
-struct Site {
+struct TestRegion {
     now: Moment,
     lessor: Lessor,
     entries: Vec<Entry>,
     domains: Vec<FailureDomain>,
 }
 
-impl Site {
+impl TestRegion {
     fn new(entries: Vec<Entry>) -> Self {
         let now = Duration::from_secs(100);
         Self {
             now,
-            lessor: Lessor::new(now, Epoch(1), RUN),
+            lessor: Lessor::new(now, Epoch(1), MAX_REQUEST_DURATION),
             domains: entries.iter().map(Entry::domain).collect(),
             entries,
         }
     }
 
     fn next_leader(&mut self) {
-        self.lessor = Lessor::new(self.now, Epoch(2), RUN);
+        self.lessor = Lessor::new(self.now, Epoch(2), MAX_REQUEST_DURATION);
     }
 
-    /// Lets the entries that `heard` names renew for this long.
-    fn run(&mut self, time: Duration, heard: &[&str]) {
+    /// Lets the entries that `renewing` names renew for this long.
+    fn run(&mut self, time: Duration, renewing: &[&str]) {
         let end = self.now + time;
         while self.now < end {
-            self.now += STEP;
-            let renewing = self.entries.iter_mut();
-            for entry in renewing.filter(|entry| heard.contains(&entry.name.as_str())) {
+            self.now += RENEWAL_STEP;
+            let entries = self.entries.iter_mut();
+            for entry in entries.filter(|entry| renewing.contains(&entry.name.as_str())) {
                 entry.renew(self.now, &mut self.lessor);
             }
         }
     }
 
-    fn knows(&self) -> bool {
+    fn slots_are_complete(&self) -> bool {
         let domains = &self.domains;
         self.lessor.slots_are_complete(self.now, &region(), domains)
     }
 }
 
-fn two_domains() -> Site {
+fn region_of_two_domains() -> TestRegion {
     let entries = vec![Entry::new("a1", "zagreb-a"), Entry::new("b1", "zagreb-b")];
-    let mut site = Site::new(entries);
-    site.run(Duration::from_secs(10), &["a1", "b1"]);
-    assert!(site.knows());
-    site
+    let mut region = TestRegion::new(entries);
+    region.run(Duration::from_secs(10), &["a1", "b1"]);
+    assert!(region.slots_are_complete());
+    region
 }
 
 /// A new leader hears one of two entries. It knows the other one's failure domain by the
 /// directory alone, so what it has heard is not what the region has, however long that lasts.
 #[test]
-fn an_entry_that_the_new_leader_has_not_heard_is_missed() {
-    let mut site = two_domains();
-    site.next_leader();
+fn slots_are_incomplete_while_a_new_leader_lacks_an_entrys_renewal() {
+    let mut region = region_of_two_domains();
+    region.next_leader();
     for _ in 0..10 {
-        site.run(Duration::from_secs(1), &["a1"]);
-        assert!(!site.knows());
+        region.run(Duration::from_secs(1), &["a1"]);
+        assert!(!region.slots_are_complete());
     }
-    site.run(Duration::from_secs(2), &["a1", "b1"]);
-    assert!(site.knows());
+    region.run(Duration::from_secs(2), &["a1", "b1"]);
+    assert!(region.slots_are_complete());
 }
 
 /// A new leader that has a directory of old may not know some entries. All that are alive
 /// have renewed once the leases of the leader before have lapsed.
 #[test]
-fn a_new_leader_waits_until_all_may_have_renewed() {
-    let mut site = two_domains();
-    site.domains.clear();
-    site.next_leader();
-    site.run(LEASE_DURATION, &["a1", "b1"]);
-    assert!(!site.knows());
-    site.run(LEASE_MARGIN, &["a1", "b1"]);
-    assert!(site.knows());
+fn slots_are_incomplete_until_the_previous_leaders_leases_have_lapsed() {
+    let mut region = region_of_two_domains();
+    region.domains.clear();
+    region.next_leader();
+    region.run(LEASE_DURATION, &["a1", "b1"]);
+    assert!(!region.slots_are_complete());
+    region.run(LEASE_MARGIN, &["a1", "b1"]);
+    assert!(region.slots_are_complete());
 }
 
 /// An entry falls silent. What it said last says nothing of what it has now.
 #[test]
-fn a_silent_entry_is_missed() {
-    let mut site = two_domains();
-    site.run(LEASE_DURATION, &["a1"]);
-    assert!(!site.knows());
-    site.run(STEP, &["a1", "b1"]);
-    assert!(site.knows());
+fn slots_are_incomplete_while_an_entry_is_silent() {
+    let mut region = region_of_two_domains();
+    region.run(LEASE_DURATION, &["a1"]);
+    assert!(!region.slots_are_complete());
+    region.run(RENEWAL_STEP, &["a1", "b1"]);
+    assert!(region.slots_are_complete());
 }
 
 /// Control's answers don't reach an entry, so that its lease lapses and it owns nothing,
 /// while its renewals go on coming.
 #[test]
-fn an_entry_without_a_lease_has_not_said_what_it_owns() {
-    let mut site = two_domains();
-    site.entries[1].deaf = true;
-    site.run(LEASE_DURATION, &["a1", "b1"]);
-    assert!(!site.knows());
-    site.entries[1].deaf = false;
-    site.run(2 * STEP, &["a1", "b1"]);
-    assert!(site.knows());
+fn slots_are_incomplete_while_an_entry_has_no_lease() {
+    let mut region = region_of_two_domains();
+    region.entries[1].ignores_grants = true;
+    region.run(LEASE_DURATION, &["a1", "b1"]);
+    assert!(!region.slots_are_complete());
+    region.entries[1].ignores_grants = false;
+    region.run(2 * RENEWAL_STEP, &["a1", "b1"]);
+    assert!(region.slots_are_complete());
 }
 
 /// An entry starts and takes over endpoints of its neighbour: what the one gave up the
 /// other one doesn't own yet, until both follow the roster that names both.
 #[test]
-fn endpoints_on_their_way_between_entries_are_missed() {
+fn slots_are_incomplete_while_endpoints_move_between_entries() {
     let entries = vec![Entry::new("a1", "zagreb-a"), Entry::new("a2", "zagreb-a")];
-    let mut site = Site::new(entries);
-    site.run(Duration::from_secs(10), &["a1"]);
-    assert!(site.knows());
-    let mut missed = 0;
+    let mut region = TestRegion::new(entries);
+    region.run(Duration::from_secs(10), &["a1"]);
+    assert!(region.slots_are_complete());
+    let mut incomplete_steps = 0;
     for _ in 0..10 {
-        site.run(STEP, &["a1", "a2"]);
+        region.run(RENEWAL_STEP, &["a1", "a2"]);
         let follows = |entry: &Entry| entry.roster.as_ref().is_some_and(|r| r.members.len() == 2);
-        let told = site.entries.iter().all(follows);
-        assert!(told || !site.knows());
-        missed += u32::from(!site.knows());
+        let all_follow = region.entries.iter().all(follows);
+        assert!(all_follow || !region.slots_are_complete());
+        incomplete_steps += u32::from(!region.slots_are_complete());
     }
-    assert!(missed > 0 && site.knows());
+    assert!(incomplete_steps > 0 && region.slots_are_complete());
 }
 
 /// An entry that has no list of endpoints yet owns none, whatever there is.
 #[test]
-fn an_entry_without_a_list_has_not_said_what_it_owns() {
-    let mut site = two_domains();
-    site.entries[0].listed = false;
-    site.run(STEP, &["a1", "b1"]);
-    assert!(!site.knows());
+fn slots_are_incomplete_while_an_entry_has_no_endpoint_list() {
+    let mut region = region_of_two_domains();
+    region.entries[0].has_endpoint_list = false;
+    region.run(RENEWAL_STEP, &["a1", "b1"]);
+    assert!(!region.slots_are_complete());
 }
 
 /// The only entry of a failure domain stops in order. Nothing is left there to wait for.
 #[test]
-fn an_entry_that_was_stopped_in_order_is_not_missed() {
-    let mut site = two_domains();
-    site.entries[1].leaving = true;
-    site.run(2 * STEP, &["a1", "b1"]);
-    assert!(site.knows());
-    site.run(LEASE_DURATION, &["a1"]);
-    assert!(site.knows());
+fn slots_are_complete_after_a_planned_stop() {
+    let mut region = region_of_two_domains();
+    region.entries[1].leaving = true;
+    region.run(2 * RENEWAL_STEP, &["a1", "b1"]);
+    assert!(region.slots_are_complete());
+    region.run(LEASE_DURATION, &["a1"]);
+    assert!(region.slots_are_complete());
 }
--- a/crates/steer/tests/all/world.rs
+++ b/crates/steer/tests/all/world.rs
@@ -11,22 +11,22 @@
 use filberthead_types::{Epoch, Incarnation, Moment, NodeName, RequestId};
 
 use crate::common::{caller, endpoint, entry, ms, name, reading_of, request, service};
-use crate::common::{place_config, table, values};
+use crate::common::{config_at, table, values};
 
 pub(crate) const LIMIT: u32 = 7;
-pub(crate) const CAP: u32 = 2;
+pub(crate) const SHIFT_CAP: u32 = 2;
 /// Longest time for which a request runs.
-const RUN: Duration = Duration::from_secs(2);
+const MAX_REQUEST_DURATION: Duration = Duration::from_secs(2);
 const DOMAINS: [&str; 4] = ["zagreb-a", "zagreb-a", "zagreb-b", "zagreb-a"];
 const CONTROL: usize = DOMAINS.len();
 
 /// Where the rules are broken on purpose, to see that the checks can fail.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Twin {
+pub(crate) struct Variant {
     /// A new leader doesn't wait for what the one before has granted.
-    pub(crate) hasty_leader: bool,
+    pub(crate) leader_skips_wait: bool,
     /// Isolated entries fill a slot of each endpoint. No broken rule, but a looser one.
-    pub(crate) isolated_slot: bool,
+    pub(crate) serves_isolated: bool,
     /// Rosters aren't kept over a change of leader.
     pub(crate) lost_rosters: bool,
     /// The first entry's clock runs at a quarter of the rate, so its leases last longer.
@@ -42,11 +42,11 @@
     entry: usize,
     incarnation: u64,
     shifted: bool,
-    ends: Moment,
+    ends_at: Moment,
 }
 
 #[derive(Clone, Debug)]
-struct Letter {
+struct Envelope {
     from: usize,
     to: usize,
     message: Message,
@@ -59,20 +59,20 @@
 }
 
 pub(crate) struct World {
-    twin: Twin,
+    variant: Variant,
     pub(crate) now: Moment,
     nodes: Vec<Option<Node>>,
-    starts: [u64; DOMAINS.len()],
+    incarnations: [u64; DOMAINS.len()],
     lessor: Lessor,
     term: u64,
-    letters: Vec<Letter>,
-    cut: [[bool; DOMAINS.len() + 1]; DOMAINS.len() + 1],
+    in_flight: Vec<Envelope>,
+    blocked: [[bool; DOMAINS.len() + 1]; DOMAINS.len() + 1],
     running: BTreeMap<u128, Running>,
     requests: u128,
     pub(crate) started: u32,
     pub(crate) takeovers: u32,
     owners: BTreeMap<&'static str, usize>,
-    pub(crate) broken: Option<String>,
+    pub(crate) violation: Option<String>,
 }
 
 fn node_name(node: usize) -> NodeName {
@@ -89,37 +89,37 @@
     (0..count).map(info).collect()
 }
 
-fn rows() -> Event {
-    let row = values(1, LIMIT, CAP);
+fn table_event() -> Event {
+    let row = values(1, LIMIT, SHIFT_CAP);
     table(1, &[("zagreb", row), ("split", row)])
 }
 
 fn lessor(now: Moment, term: u64) -> Lessor {
-    let mut lessor = Lessor::new(now, Epoch(term), RUN);
-    if let Event::Table(view) = rows() {
+    let mut lessor = Lessor::new(now, Epoch(term), MAX_REQUEST_DURATION);
+    if let Event::Table(view) = table_event() {
         lessor.set_table(view);
     }
     lessor
 }
 
 impl World {
-    pub(crate) fn new(twin: Twin) -> Self {
+    pub(crate) fn new(variant: Variant) -> Self {
         let now = Duration::from_secs(100);
         let mut world = Self {
-            twin,
+            variant,
             now,
             nodes: (0..DOMAINS.len()).map(|_| None).collect(),
-            starts: [0; DOMAINS.len()],
+            incarnations: [0; DOMAINS.len()],
             lessor: lessor(now, 1),
             term: 1,
-            letters: Vec::new(),
-            cut: [[false; DOMAINS.len() + 1]; DOMAINS.len() + 1],
+            in_flight: Vec::new(),
+            blocked: [[false; DOMAINS.len() + 1]; DOMAINS.len() + 1],
             running: BTreeMap::new(),
             requests: 0,
             started: 0,
             takeovers: 0,
             owners: BTreeMap::new(),
-            broken: None,
+            violation: None,
         };
         // The last entry joins later.
         (0..DOMAINS.len() - 1).for_each(|node| world.start(node));
@@ -127,7 +127,7 @@
     }
 
     fn clock(&self, node: usize) -> Moment {
-        if self.twin.slow_clock && node == 0 {
+        if self.variant.slow_clock && node == 0 {
             self.now / 4
         } else {
             self.now
@@ -138,20 +138,20 @@
         if self.nodes[node].is_some() {
             return;
         }
-        self.starts[node] += 1;
-        let incarnation = self.starts[node];
-        let cfg: Config = place_config(&format!("e{node}"), "zagreb", DOMAINS[node])
+        self.incarnations[node] += 1;
+        let incarnation = self.incarnations[node];
+        let cfg: Config = config_at(&format!("e{node}"), "zagreb", DOMAINS[node])
             .incarnation(Incarnation(incarnation))
             .slow_start(false)
-            .max_request_duration(RUN)
-            .serve_isolated(self.twin.isolated_slot);
+            .max_request_duration(MAX_REQUEST_DURATION)
+            .serve_isolated(self.variant.serves_isolated);
         let policy = Policy::new(self.clock(node), cfg);
         self.nodes[node] = Some(Node {
             policy,
             incarnation,
             suspended: false,
         });
-        self.observe(node, rows());
+        self.observe(node, table_event());
         self.observe(node, Event::Endpoints(domain_endpoints(DOMAINS[node])));
         let infos: Vec<EntryInfo> = (0..DOMAINS.len())
             .map(|other| entry(&format!("e{other}"), "zagreb", DOMAINS[other]))
@@ -174,101 +174,101 @@
         self.observe(node, Event::Stop);
     }
 
-    pub(crate) fn set_cut(&mut self, one: usize, two: usize, cut: bool) {
-        self.cut[one][two] = cut;
+    pub(crate) fn set_blocked(&mut self, from: usize, to: usize, blocked: bool) {
+        self.blocked[from][to] = blocked;
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut = Default::default();
+        self.blocked = Default::default();
     }
 
     pub(crate) fn new_leader(&mut self) {
         self.term += 1;
-        let since = if self.twin.hasty_leader {
+        let since = if self.variant.leader_skips_wait {
             Moment::ZERO
         } else {
             self.now
         };
         let mut next = lessor(since, self.term);
-        if !self.twin.lost_rosters {
+        if !self.variant.lost_rosters {
             next.restore(self.lessor.rosters());
         }
         self.lessor = next;
     }
 
     /// Time passes; running entries tick, and requests end at their deadlines.
-    pub(crate) fn wait(&mut self, time: Duration) {
+    pub(crate) fn advance(&mut self, time: Duration) {
         self.now += time;
-        let ended = self.running.iter().filter(|(_, r)| r.ends <= self.now);
-        let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
-        for id in ended {
+        let finished = self.running.iter().filter(|(_, r)| r.ends_at <= self.now);
+        let finished: Vec<_> = finished.map(|(id, _)| *id).collect();
+        for id in finished {
             self.finish(id, FinishKind::Cancelled);
         }
         for node in 0..DOMAINS.len() {
-            if self.awake(node) {
+            if self.is_running(node) {
                 self.observe(node, Event::Tick);
             }
         }
     }
 
-    fn awake(&self, node: usize) -> bool {
+    fn is_running(&self, node: usize) -> bool {
         self.nodes[node]
             .as_ref()
             .is_some_and(|node| !node.suspended)
     }
 
     /// Delivers, repeats or loses the message at this place in the network.
-    pub(crate) fn deliver(&mut self, place: usize, keep: bool) {
-        if self.letters.is_empty() {
+    pub(crate) fn deliver(&mut self, index: usize, duplicate: bool) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let place = place % self.letters.len();
-        let letter = if keep {
-            self.letters[place].clone()
+        let index = index % self.in_flight.len();
+        let envelope = if duplicate {
+            self.in_flight[index].clone()
         } else {
-            self.letters.remove(place)
+            self.in_flight.remove(index)
         };
-        self.hand_over(letter);
+        self.dispatch(envelope);
     }
 
-    pub(crate) fn lose(&mut self, place: usize) {
-        if !self.letters.is_empty() {
-            let place = place % self.letters.len();
-            self.letters.remove(place);
+    pub(crate) fn lose(&mut self, index: usize) {
+        if !self.in_flight.is_empty() {
+            let index = index % self.in_flight.len();
+            self.in_flight.remove(index);
         }
     }
 
     /// Delivers everything, answers included.
-    pub(crate) fn flow(&mut self) {
+    pub(crate) fn deliver_all(&mut self) {
         for _ in 0..3 {
-            for letter in std::mem::take(&mut self.letters) {
-                self.hand_over(letter);
+            for envelope in std::mem::take(&mut self.in_flight) {
+                self.dispatch(envelope);
             }
         }
     }
 
-    fn hand_over(&mut self, letter: Letter) {
-        if self.cut[letter.from][letter.to] {
+    fn dispatch(&mut self, envelope: Envelope) {
+        if self.blocked[envelope.from][envelope.to] {
             return;
         }
-        if letter.to == CONTROL {
-            self.at_control(letter.from, letter.message);
-        } else if self.awake(letter.to) {
-            let from = if letter.from == CONTROL {
+        if envelope.to == CONTROL {
+            self.receive_at_control(envelope.from, envelope.message);
+        } else if self.is_running(envelope.to) {
+            let from = if envelope.from == CONTROL {
                 name("control")
             } else {
-                node_name(letter.from)
+                node_name(envelope.from)
             };
-            let message = letter.message;
-            self.observe(letter.to, Event::Received { from, message });
+            let message = envelope.message;
+            self.observe(envelope.to, Event::Received { from, message });
         }
     }
 
-    fn at_control(&mut self, from: usize, message: Message) {
+    fn receive_at_control(&mut self, from: usize, message: Message) {
         let Message::Renew(mut renew) = message else {
             return;
         };
-        if self.twin.presumed_acks {
+        if self.variant.presumed_acks {
             renew.accepted = renew.serial;
             for demand in &mut renew.demand {
                 demand.running = 0;
@@ -277,28 +277,28 @@
         }
         let grant = self.lessor.renew(self.now, &node_name(from), &renew);
         let message = Message::Grant(grant);
-        self.letters.push(Letter {
+        self.in_flight.push(Envelope {
             from: CONTROL,
             to: from,
             message,
         });
     }
 
-    pub(crate) fn request(&mut self, node: usize, number: u32) {
-        if !self.awake(node) {
+    pub(crate) fn request(&mut self, node: usize, caller_number: u32) {
+        if !self.is_running(node) {
             return;
         }
         self.requests += 1;
         let id = self.requests;
-        let mut req = request(id, self.clock(node) + RUN);
-        req.caller = caller(number);
+        let mut req = request(id, self.clock(node) + MAX_REQUEST_DURATION);
+        req.caller = caller(caller_number);
         // Nothing is forwarded: only what this entry admits itself is of interest.
         req.forwarded_by = Some(name("elsewhere"));
         let now = self.clock(node);
-        let Some(place) = self.nodes[node].as_mut() else {
+        let Some(process) = self.nodes[node].as_mut() else {
             return;
         };
-        let decision = place.policy.place(now, &req);
+        let decision = process.policy.place(now, &req);
         self.placed(node, id, decision);
     }
 
@@ -306,24 +306,24 @@
         let Decision::Endpoint(info) = decision else {
             return;
         };
-        let Some(place) = self.nodes[node].as_ref() else {
+        let Some(process) = self.nodes[node].as_ref() else {
             return;
         };
         self.started += 1;
-        let shifted = place.policy.is_shifted(RequestId(id)) == Some(true);
+        let shifted = process.policy.is_shifted(RequestId(id)) == Some(true);
         let run = Running {
             endpoint: info.name.clone(),
             entry: node,
-            incarnation: place.incarnation,
+            incarnation: process.incarnation,
             shifted,
-            ends: self.now + RUN,
+            ends_at: self.now + MAX_REQUEST_DURATION,
         };
         self.running.insert(id, run);
     }
 
-    pub(crate) fn answer(&mut self, place: usize) {
+    pub(crate) fn answer(&mut self, index: usize) {
         let count = self.running.len().max(1);
-        let id = self.running.keys().nth(place % count).copied();
+        let id = self.running.keys().nth(index % count).copied();
         if let Some(id) = id {
             self.finish(id, FinishKind::Answered);
         }
@@ -333,10 +333,10 @@
         let Some(run) = self.running.remove(&id) else {
             return;
         };
-        let same = self.nodes[run.entry]
+        let same_process = self.nodes[run.entry]
             .as_ref()
             .is_some_and(|node| node.incarnation == run.incarnation);
-        if same {
+        if same_process {
             let first_byte = ms(20);
             let id = RequestId(id);
             let event = Event::Finished {
@@ -350,16 +350,16 @@
 
     fn observe(&mut self, node: usize, event: Event) {
         let now = self.clock(node);
-        let Some(place) = self.nodes[node].as_mut() else {
+        let Some(process) = self.nodes[node].as_mut() else {
             return;
         };
-        for action in place.policy.observe(now, event) {
-            self.act(node, action);
+        for action in process.policy.observe(now, event) {
+            self.perform(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: Action) {
-        let letter = |to, message| Letter {
+    fn perform(&mut self, node: usize, action: Action) {
+        let envelope = |to, message| Envelope {
             from: node,
             to,
             message,
@@ -368,42 +368,42 @@
             Action::Place { id, decision } => self.placed(node, id.0, decision),
             Action::Send { to, message } => {
                 let to = (0..DOMAINS.len()).find(|other| node_name(*other) == to);
-                self.letters.extend(to.map(|to| letter(to, message)));
+                self.in_flight.extend(to.map(|to| envelope(to, message)));
             }
-            Action::SendControl(message) => self.letters.push(letter(CONTROL, message)),
+            Action::SendControl(message) => self.in_flight.push(envelope(CONTROL, message)),
             Action::Probe { endpoint } => {
                 let load = f64::from(self.load(&endpoint.name)) / f64::from(endpoint.slots);
                 let asked = self.clock(node);
-                let set = |reading: &mut filberthead_steer::Reading| reading.load = load;
-                let reading = reading_of(endpoint.name.as_str(), asked, 1, set);
+                let set_load = |reading: &mut filberthead_steer::Reading| reading.load = load;
+                let reading = reading_of(endpoint.name.as_str(), asked, 1, set_load);
                 self.observe(node, reading);
             }
         }
     }
 
     fn load(&self, endpoint: &NodeName) -> u32 {
-        let here = self.running.values().filter(|r| r.endpoint == *endpoint);
-        here.count() as u32
+        let at_endpoint = self.running.values().filter(|r| r.endpoint == *endpoint);
+        at_endpoint.count() as u32
     }
 
     /// Compares what runs with what may.
     pub(crate) fn check(&mut self) {
-        if self.twin.isolated_slot {
+        if self.variant.serves_isolated {
             return self.check_isolated();
         }
         for info in DOMAINS[1..3].iter().flat_map(|d| domain_endpoints(d)) {
             let load = self.load(&info.name);
             if load > info.slots {
-                self.broken = Some(format!("{load} requests at {}", info.name));
+                self.violation = Some(format!("{load} requests at {}", info.name));
             }
         }
-        let all = self.running.len() as u32;
-        if all > LIMIT {
-            self.broken = Some(format!("{all} requests in the region"));
+        let total = self.running.len() as u32;
+        if total > LIMIT {
+            self.violation = Some(format!("{total} requests in the region"));
         }
         let shifted = self.running.values().filter(|r| r.shifted).count() as u32;
-        if shifted > CAP {
-            self.broken = Some(format!("{shifted} shifted requests in the region"));
+        if shifted > SHIFT_CAP {
+            self.violation = Some(format!("{shifted} shifted requests in the region"));
         }
         self.check_owners();
     }
@@ -415,7 +415,7 @@
             for info in domain_endpoints(domain) {
                 let load = self.load(&info.name);
                 if load > info.slots + entries - 1 {
-                    self.broken = Some(format!("{load} requests at {}", info.name));
+                    self.violation = Some(format!("{load} requests at {}", info.name));
                 }
             }
         }
@@ -433,11 +433,11 @@
                 })
                 .collect();
             if owners.len() > 1 {
-                self.broken = Some(format!("{domain} has the owners {owners:?}"));
+                self.violation = Some(format!("{domain} has the owners {owners:?}"));
             }
             if let Some(owner) = owners.first() {
-                let before = self.owners.insert(domain, *owner);
-                self.takeovers += u32::from(before.is_some_and(|before| before != *owner));
+                let previous = self.owners.insert(domain, *owner);
+                self.takeovers += u32::from(previous.is_some_and(|previous| previous != *owner));
             }
         }
     }
