--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -99,7 +99,7 @@
         let (from, version) = (delta.from, self.version);
         ensure!(from == version, WrongVersionSnafu { from, version });
         for change in &delta.changes {
-            self.set(change);
+            self.apply_change(change);
         }
         self.version = delta.to;
         Ok(())
@@ -107,21 +107,21 @@
 
     /// What turns this map into a later one.
     pub fn delta_to(&self, later: &Self) -> BlockDelta {
-        let set = later.changes().filter(|change| {
+        let updated = later.all_blocks().filter(|change| {
             // A block that is there with the same site needs no word.
             self.get(&change.block) != change.site
         });
-        let gone = self
-            .changes()
+        let removed = self
+            .all_blocks()
             .filter(|change| later.get(&change.block).is_none());
-        let gone = gone.map(|change| BlockChange {
+        let removed = removed.map(|change| BlockChange {
             site: None,
             ..change
         });
         BlockDelta {
             from: self.version,
             to: later.version,
-            changes: set.chain(gone).collect(),
+            changes: updated.chain(removed).collect(),
         }
     }
 
@@ -133,7 +133,7 @@
         found.copied()
     }
 
-    fn set(&mut self, change: &BlockChange) {
+    fn apply_change(&mut self, change: &BlockChange) {
         match (change.block, change.site) {
             (IpNet::V4(block), Some(site)) => drop(self.v4.insert(block.trunc(), site)),
             (IpNet::V6(block), Some(site)) => drop(self.v6.insert(block.trunc(), site)),
@@ -143,7 +143,7 @@
     }
 
     /// Every block with its site.
-    fn changes(&self) -> impl Iterator<Item = BlockChange> {
+    fn all_blocks(&self) -> impl Iterator<Item = BlockChange> {
         let v4 = self.v4.iter();
         let v4 = v4.map(|(block, site)| (IpNet::V4(block), *site));
         let v6 = self.v6.iter();
--- a/crates/blocks/tests/map.rs
+++ b/crates/blocks/tests/map.rs
@@ -52,24 +52,26 @@
     }
 }
 
-fn made_of(changes: &[BlockChange], version: u64) -> BlockMap {
+fn map_from(changes: &[BlockChange], version: u64) -> BlockMap {
     let mut map = BlockMap::default();
-    let whole = BlockDelta {
+    let full_delta = BlockDelta {
         from: Version(0),
         to: Version(version),
         changes: changes.to_vec(),
     };
-    map.apply(&whole).expect("an empty map has version 0");
+    map.apply(&full_delta).expect("an empty map has version 0");
     map
 }
 
 /// The same by a list: the last word on each block, then the longest that holds it.
-fn site_by_list(changes: &[BlockChange], client: IpAddr) -> Option<Site> {
-    let last_word = |block: IpNet| {
+fn expected_site(changes: &[BlockChange], client: IpAddr) -> Option<Site> {
+    let latest_change = |block: IpNet| {
         let mut later = changes.iter().rev();
         later.find(|change| change.block.trunc() == block.trunc())
     };
-    let blocks = changes.iter().filter_map(|change| last_word(change.block));
+    let blocks = changes
+        .iter()
+        .filter_map(|change| latest_change(change.block));
     let holding = blocks.filter(|change| change.site.is_some() && change.block.contains(&client));
     holding.max_by_key(|change| change.block.prefix_len())?.site
 }
@@ -78,10 +80,10 @@
 fn the_longest_block_that_holds_the_client_counts() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let changes: Vec<_> = steps.iter().map(|step| step.change()).collect();
-        let map = made_of(&changes, 1);
+        let map = map_from(&changes, 1);
         for bits in 0..=u8::MAX {
             for client in [IpAddr::V4(v4(bits)), IpAddr::V6(v6(bits))] {
-                assert_eq!(map.site_of(client), site_by_list(&changes, client));
+                assert_eq!(map.site_of(client), expected_site(&changes, client));
             }
         }
     });
@@ -93,8 +95,8 @@
         .with_type::<(Vec<Step>, Vec<Step>)>()
         .for_each(|(older, newer)| {
             let changes = |steps: &[Step]| steps.iter().map(|s| s.change()).collect::<Vec<_>>();
-            let mut older = made_of(&changes(older), 3);
-            let newer = made_of(&changes(newer), 8);
+            let mut older = map_from(&changes(older), 3);
+            let newer = map_from(&changes(newer), 8);
             let delta = older.delta_to(&newer);
             older.apply(&delta).expect("made from this version");
             assert_eq!(older.version(), newer.version());
@@ -110,8 +112,8 @@
     let block = "192.0.2.0/24".parse().expect("a block");
     let site = Some(Site(4));
     let mut map = BlockMap::default();
-    let late = delta(1, &[BlockChange { block, site }]);
-    assert!(map.apply(&late).is_err());
+    let later_delta = delta(1, &[BlockChange { block, site }]);
+    assert!(map.apply(&later_delta).is_err());
     assert!(map.is_empty());
     assert_eq!(map.version(), Version(0));
 }
@@ -120,7 +122,7 @@
 fn an_ipv4_client_is_found_under_its_mapped_address() {
     let block = "192.0.2.0/24".parse().expect("a block");
     let site = Some(Site(4));
-    let map = made_of(&[BlockChange { block, site }], 1);
+    let map = map_from(&[BlockChange { block, site }], 1);
     let mapped = "::ffff:192.0.2.9".parse().expect("an address");
     assert_eq!(map.site_of(mapped), site);
 }
