--- a/crates/steer/src/decide.rs
+++ b/crates/steer/src/decide.rs
@@ -1,7 +1,7 @@
-//! Where one request goes.
+//! Placement of one request.
 //!
-//! Own endpoints come first, since they are counted exactly; other entries are known by
-//! reports, to which what was sent since is added; `cost` weighs them.
+//! Own endpoints come first, since their load is counted exactly. The load of other entries
+//! is taken from their reports plus the requests sent to them since; `cost` compares them.
 
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Places the request at an own endpoint, if one has a slot and the row's limits
-    /// leave room.
+    /// Places the request at an own endpoint, if one has a free slot and the row's limits
+    /// allow it.
     pub(crate) fn place_locally(
         &mut self,
         now: Moment,
@@ -75,7 +75,7 @@
         Some(Decision::Endpoint(info))
     }
 
-    /// Whether the row's limits leave room for one more request here.
+    /// Whether the row's limits allow one more request at the own endpoints.
     fn admits(&self, now: Moment, service: &ServiceName, class: Class) -> bool {
         let pool = self.pools.get(service);
         let running = pool.map_or(0, |pool| pool.in_progress(now));
@@ -83,13 +83,13 @@
         within_limit && (class == Class::Home || self.shift_room(now, service) > 0)
     }
 
-    /// Whether a row limits the service, as far as this process has ever known. If
-    /// none does, or it restarted cut off and has no part to go by, slots are the limit.
+    /// Whether a row limits the service, by the grants and tables that this process has
+    /// received. Otherwise, as after a restart without control, only slots are the limit.
     fn is_limited(&self, service: &ServiceName) -> bool {
         self.shares.has_part(service) || self.regions.has_service(service)
     }
 
-    /// This entry's part of the row's limit.
+    /// This entry's part of the row's limit; `u32::MAX` if nothing limits the service.
     pub(crate) fn limit_share(&self, now: Moment, service: &ServiceName) -> u32 {
         if self.cfg.leased && self.is_limited(service) {
             self.shares.limit(now, service)
@@ -98,7 +98,8 @@
         }
     }
 
-    /// This entry's part of the row's shift cap.
+    /// This entry's part of the row's shift cap, or without leases the whole cap; `u32::MAX`
+    /// if nothing limits the service.
     pub(crate) fn shift_share(&self, now: Moment, service: &ServiceName) -> u32 {
         if self.cfg.leased && self.is_limited(service) {
             return self.shares.shift(now, service);
@@ -107,7 +108,7 @@
         values.map_or(u32::MAX, |values| values.shift_cap)
     }
 
-    /// Shifted requests that may start now on top of those that run.
+    /// How many more shifted requests may start now.
     pub(crate) fn shift_room(&self, now: Moment, service: &ServiceName) -> u32 {
         let running = self
             .pools
@@ -119,7 +120,8 @@
             .saturating_sub(running)
     }
 
-    /// Slots that may be filled now within the row's limit.
+    /// Slots of usable endpoints that this entry may fill, within its part of the row's limit;
+    /// 0 during a planned stop.
     pub(crate) fn capacity(&self, now: Moment, service: &ServiceName) -> u32 {
         let slots = self
             .pools
@@ -131,8 +133,9 @@
         slots.min(self.limit_share(now, service))
     }
 
-    /// Whether a shifted request that has nowhere else to go may wait for the window,
-    /// which turns over once a hold and grows. Its caller's home has failed then.
+    /// Whether a shifted request without another target may wait for room in the shift
+    /// window, which clears about once per hold time and grows. This happens when the
+    /// caller's home region has failed.
     fn may_queue_shifted(&self, now: Moment, req: &RequestInfo) -> bool {
         let (Some(pool), Some(window)) =
             (self.pools.get(&req.service), self.windows.get(&req.service))
--- a/crates/steer/src/health.rs
+++ b/crates/steer/src/health.rs
@@ -1,13 +1,14 @@
-//! What is known about an endpoint's health, from several sources.
+//! An endpoint's health, combined from several sources.
 //!
-//! Each source lags or misleads in its own way, so none is taken for the truth:
+//! Each source can lag or be wrong, so none is relied on alone:
 //!
-//! - The outcomes of requests sent from here are first-hand and go before any report.
-//! - A reading counts with the time at which it was asked. One that is too old means
-//!   unknown, which is neither dead nor idle.
-//! - Leaving is sticky: whichever source says it first wins over all that still say
-//!   live, until the endpoint has started anew. The platform's list lags, in both
-//!   directions.
+//! - Outcomes of requests sent by this entry are direct evidence and take precedence over
+//!   any report.
+//! - A reading is dated by the time at which its probe was sent. Once it is too old, the
+//!   endpoint's state is unknown, which means neither dead nor idle.
+//! - Leaving is sticky: the first source that reports it overrides those that still report
+//!   the endpoint as live, until the endpoint restarts. The platform's list may lag behind
+//!   in both directions.
 
 use std::time::Duration;
 
@@ -15,22 +16,22 @@
 
 use crate::{FinishKind, Reading};
 
-/// Probes failed in a row that make an endpoint count as silent.
+/// Consecutive failed probes after which an endpoint is silent.
 const SILENT_THRESHOLD: u32 = 3;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Doublings of the back-off that the first broken connection starts with.
+/// Doublings of the backoff that are already applied to the first broken connection.
 const BROKEN_INITIAL_DOUBLINGS: u32 = 3;
 
-/// What an endpoint can be used for.
+/// Whether an endpoint may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Usability {
-    /// It takes requests as far as is known.
+    /// Nothing speaks against sending it requests.
     Usable,
-    /// It didn't answer probes; usable if most of its failure domain seems so.
+    /// It didn't answer probes. Still used if most endpoints of its pool are silent.
     Silent,
-    /// It takes no new requests.
+    /// It must not get new requests.
     Unusable,
 }
 
@@ -41,8 +42,8 @@
     consecutive_failed_connects: u32,
     consecutive_sheds: u32,
     consecutive_breaks: u32,
-    /// When a connection last broke with a request on it, if nothing has shown since that
-    /// the endpoint is alive.
+    /// When a connection last broke during a request; `None` once a later probe has shown
+    /// the endpoint to be ready.
     broken_at: Option<Moment>,
     backoff_until: Moment,
     listed_as_leaving: bool,
@@ -64,10 +65,10 @@
         }
     }
 
-    /// Takes in a probe's answer and tells whether the endpoint has started anew.
+    /// Records a probe's answer and returns whether the endpoint has restarted.
     pub(crate) fn record_reading(&mut self, reading: Reading) -> bool {
-        // Answers may overtake each other; an older one would bring back a state that
-        // the endpoint has left, such as ready before leaving.
+        // Answers may arrive out of order; an older one would restore an outdated state,
+        // such as ready before leaving.
         if self.reading.is_some_and(|last| last.asked >= reading.asked) {
             return false;
         }
@@ -102,8 +103,8 @@
         self.consecutive_failed_probes = self.consecutive_failed_probes.saturating_add(1);
     }
 
-    /// The platform's list shows the endpoint as leaving. Its later word that the
-    /// endpoint is live is ignored, because the list lags.
+    /// Records that the platform's list shows the endpoint as leaving. If the list shows
+    /// it as live again later, that is ignored, because the list lags.
     pub(crate) fn mark_leaving(&mut self) {
         self.listed_as_leaving = true;
         self.leaving_incarnation = self.reading.map(|reading| reading.incarnation);
@@ -125,9 +126,10 @@
                     self.consecutive_failed_connects.saturating_add(1);
                 self.back_off(now, self.consecutive_failed_connects);
             }
-            // A process that died may still have its connections accepted and reset, and
-            // each request that meets it so is lost, not merely refused. So it is left
-            // alone until a probe finds it alive, or for longer than a probe takes.
+            // After a process has died, a proxy in front of it may go on accepting and
+            // resetting connections, and a request on such a connection is lost, not merely
+            // refused. So the endpoint gets no requests until a probe shows it to be ready,
+            // or for longer than a probe takes.
             FinishKind::Broken => {
                 self.consecutive_breaks = self.consecutive_breaks.saturating_add(1);
                 self.broken_at = Some(now);
@@ -141,8 +143,8 @@
         }
     }
 
-    /// An endpoint that sheds while it looks idle would draw every request at once;
-    /// each further refusal in a row doubles the time for which it is left alone.
+    /// Starts a backoff that doubles with each consecutive failure. Without it, an endpoint
+    /// that sheds looks idle and would attract every request.
     fn back_off(&mut self, now: Moment, failures: u32) {
         let factor = 1_u32 << failures.saturating_sub(1).min(6);
         self.backoff_until = now + (INITIAL_BACKOFF * factor).min(MAX_BACKOFF);
@@ -152,9 +154,8 @@
         self.listed_as_leaving || self.leaving_incarnation.is_some()
     }
 
-    /// What the endpoint can be used for now. After a back-off it is tried again with a
-    /// real request even if no probe has come through, so that an endpoint recovers
-    /// while measurements are missing.
+    /// Whether the endpoint may get requests now. After a backoff it gets a real request
+    /// even if no probe has succeeded, so that it can recover while probes are lost.
     pub(crate) fn usability(&self, now: Moment, reading_ttl: Duration) -> Usability {
         if self.is_leaving() || now < self.backoff_until {
             return Usability::Unusable;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The newest reading, unless it is too old to say anything.
+    /// The newest reading; `None` if its probe was sent `reading_ttl` ago or earlier.
     pub(crate) fn fresh_reading(&self, now: Moment, reading_ttl: Duration) -> Option<Reading> {
         let fresh = |reading: &Reading| now.saturating_sub(reading.asked) < reading_ttl;
         self.reading.filter(fresh)
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Steering decisions as a step function free of I/O.
+//! Steering decisions as a step function without I/O.
 //!
-//! [`Steering`] is the border: the daemon feeds it what was observed and asks it where
-//! a request goes. Nothing here does I/O, so the same policy runs in the daemon, in the
-//! experiments against baselines, and under the fuzzer.
+//! [`Steering`] is the interface: the daemon passes observations to it as events and asks
+//! it for the placement of each request. Because nothing here does I/O, the same policy
+//! runs in the daemon, in experiments that compare it with baselines, and under the fuzzer.
 
 mod api;
 mod config;
--- a/crates/steer/src/lookup.rs
+++ b/crates/steer/src/lookup.rs
@@ -1,9 +1,9 @@
-//! Which entries a look-up names.
+//! Which entries a look-up returns.
 //!
-//! Callers keep an answer for its time to live, so answers differ as little as they
-//! can from one moment to the next: regions and entries stand in rendezvous order,
-//! which only the table and the set of live entries change. Load moves by spill-over
-//! between entries instead, which acts at once and needs no caller to come back.
+//! Callers cache an answer for its TTL, so answers are kept as stable as possible: regions
+//! and entries are in rendezvous order, which depends on the table, the regions' mean
+//! utilisation and the set of live entries. Short-term load is moved by spillover between
+//! entries, which takes effect at once and needs no new look-up.
 
 use std::net::IpAddr;
 
@@ -12,13 +12,14 @@
 use crate::hash::Key;
 use crate::policy::Policy;
 
-/// Entries that an answer names, at most.
+/// Most entries in an answer.
 const MAX_ENTRIES: usize = 6;
-/// Entries of one region that it names, at most.
+/// Most entries of one region in an answer.
 const MAX_ENTRIES_PER_REGION: usize = 3;
-/// Weight of an entry that has not reported; small, but it may be the only one.
+/// Weight of an entry that has not reported slots for the service. Above 0, since it may be
+/// the only entry.
 const UNREPORTED_WEIGHT: f64 = 0.1;
-/// Weight of an entry that has no slots for the service now.
+/// Weight of an entry that has no slots for the service.
 const NO_SLOTS_WEIGHT: f64 = 1e-6;
 
 struct Ranked<'a> {
@@ -88,9 +89,9 @@
                 continue;
             }
             let slots = peer.slots(service);
-            // An entry without slots for the service is named after all that have some,
-            // and not left out: its whole region may just be starting, and callers who
-            // were sent elsewhere meanwhile would keep that answer.
+            // An entry without slots for the service ranks last but is not left out: its
+            // whole region may just be starting, and callers that were sent to another
+            // region would cache that answer.
             let weight = slots
                 .map_or(UNREPORTED_WEIGHT, f64::from)
                 .max(NO_SLOTS_WEIGHT);
@@ -109,8 +110,8 @@
     }
 }
 
-/// Moves the first entry of another failure domain to the second place, so that a
-/// caller whose first entry's failure domain fails has the next one in hand.
+/// Moves the first entry of another failure domain to the second position, so that the
+/// caller has an alternative if the failure domain of its first entry fails.
 fn promote_other_domain(ranked: &mut [Ranked<'_>]) {
     let Some((first, rest)) = ranked.split_first_mut() else {
         return;
--- a/crates/steer/src/ownership.rs
+++ b/crates/steer/src/ownership.rs
@@ -1,10 +1,10 @@
-//! Which entry admits to which endpoint.
+//! Which entry admits requests to which endpoint.
 //!
-//! Every entry follows a roster of its failure domain, which names the owner of each
+//! Every entry follows a roster of its failure domain, which determines the owner of each
 //! endpoint, and admits only while its membership is in force: leased by control, or
-//! promised by a majority of the members. The lease is checked before each admission,
-//! by the clock of that moment, because a process that was suspended wakes with its
-//! lease long past and its queue full.
+//! backed by promises of a majority of the members. The lease is checked against the
+//! current time before each admission, because a process that was suspended may resume
+//! with an expired lease and a full queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,10 +16,11 @@
 use crate::lease::{Grant, LEASE_DURATION, LEASE_MARGIN, Roster, majority};
 use crate::{EndpointInfo, EntryInfo};
 
-/// How long a process that starts waits for its first grant. Shorter than it refuses
-/// callers while no table is proven to it, so that it has slots when it opens.
+/// How long a process waits for its first grant after its start before it counts as
+/// isolated. Shorter than the time for which it refuses callers for want of a proven
+/// table, so that it has slots once it admits them.
 const FIRST_GRANT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Renewals whose moment of sending is kept; older ones are too late to be answered.
+/// Serials whose time of sending is kept; an answer to an older one comes too late.
 const MAX_TRACKED_SERIALS: u64 = 16;
 
 /// An entry's membership in its failure domain's roster.
@@ -30,20 +31,23 @@
     started: Moment,
     roster: Option<Roster>,
     serial: u64,
+    /// When each of the newest renewals was sent, by serial.
     sent_at: BTreeMap<u64, Moment>,
     control_lease_until: Moment,
+    /// When the promise of each other member to this one expires.
     promises_received: BTreeMap<NodeName, Moment>,
+    /// When this member's promise to each other one expires, with the margin.
     promises_given: BTreeMap<NodeName, Moment>,
-    /// The member that control would have removed.
+    /// The member that control wants to remove, by its newest grant.
     suspect: Option<NodeName>,
-    /// Members whose removal this one has confirmed by its roster. It promises them
-    /// nothing before it learns that they were kept: two members that come back after
-    /// each was removed would else put each other in force by the roster of before.
+    /// Members whose removal this one has confirmed under its current roster. They get no
+    /// promises until a grant shows that they were kept: otherwise two removed members that
+    /// reconnect could put each other in force under the old roster.
     confirmed_removals: BTreeSet<NodeName>,
 }
 
 impl Ownership {
-    /// A member of no roster yet.
+    /// Starts without a roster; with `leased` false, as the only member.
     pub fn new(now: Moment, node: NodeName, leased: bool) -> Self {
         let single_member = Roster {
             epoch: Epoch(0),
@@ -64,8 +68,8 @@
         }
     }
 
-    /// Without leases the live entries are taken for the roster, which is exact only
-    /// while all of them see the same.
+    /// Without leases, uses the live entries as the roster. Ownership is exclusive then only
+    /// while all entries see the same set.
     pub(crate) fn set_entries(&mut self, entries: &[EntryInfo], cfg: &Config) {
         if self.leased {
             return;
@@ -79,19 +83,19 @@
         self.roster = Some(Roster { epoch, members });
     }
 
-    /// Epoch of the roster that is followed.
+    /// Epoch of the roster that this entry follows.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
         self.roster.as_ref().map(|roster| roster.epoch)
     }
 
-    /// The roster that is followed.
+    /// The roster that this entry follows.
     pub fn roster(&self) -> Option<&Roster> {
         self.roster.as_ref()
     }
 
-    /// The member that gets no more promises: one that control doesn't hear, and that
-    /// hasn't asked here either for as long as a promise holds. One that still asks is
-    /// alive, and keeps its endpoints although control can't reach it.
+    /// The member that gets no more promises: control has received no renewals from it, and
+    /// this entry's last promise to it has expired. A member that still requests promises is
+    /// alive, and keeps its endpoints although it can't reach control.
     pub fn refusing(&self, now: Moment) -> Option<&NodeName> {
         self.suspect.as_ref().filter(|name| {
             let until = self.promises_given.get(*name).copied();
@@ -99,15 +103,16 @@
         })
     }
 
-    /// Tells control which member gets no more promises, and holds to it.
+    /// Returns the member whose removal this entry confirms to control, and from now on
+    /// refuses it promises.
     pub fn confirm_removal(&mut self, now: Moment) -> Option<NodeName> {
         let refusing = self.refusing(now).cloned()?;
         self.confirmed_removals.insert(refusing.clone());
         Some(refusing)
     }
 
-    /// Members to whom a promise may still hold. A process that has just started may
-    /// have promised anything before, so it names all of them.
+    /// Members that may still hold a promise of this entry. A process that has just started
+    /// may have given promises before its restart, so it returns all members.
     pub fn promise_holders(&self, now: Moment) -> Vec<NodeName> {
         if now < self.started + LEASE_DURATION + LEASE_MARGIN {
             let members = self.roster.iter().flat_map(|r| &r.members);
@@ -121,7 +126,7 @@
         unexpired.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Numbers a renewal, or a question to a member, that is sent now.
+    /// Returns the serial for a renewal and the promise requests that are sent now.
     pub fn next_serial(&mut self, now: Moment) -> u64 {
         self.serial += 1;
         self.sent_at.insert(self.serial, now);
@@ -130,12 +135,12 @@
         self.serial
     }
 
-    /// When the renewal of this number was sent, unless that is too long ago.
+    /// When the renewal with this serial was sent; `None` if it is no longer tracked.
     pub fn sent_at(&self, serial: u64) -> Option<Moment> {
         self.sent_at.get(&serial).copied()
     }
 
-    /// Takes in control's answer to a renewal.
+    /// Applies control's answer to a renewal.
     pub fn apply_grant(&mut self, grant: &Grant) {
         self.suspect = grant.refuse.clone();
         let Some(roster) = &grant.roster else { return };
@@ -157,11 +162,12 @@
         }
     }
 
-    /// Answers another member's question: whether it gets a promise.
+    /// Handles another member's promise request; returns whether it gets the promise.
     pub fn grant_promise(&mut self, now: Moment, by: &NodeName, epoch: Epoch) -> bool {
-        // A member that was removed while it was cut off still asks by its old roster; a
-        // promise would put it back in force beside whoever has its endpoints now. One
-        // that has restarted can't tell, so it promises nothing before it has a roster.
+        // A member that was removed while it was partitioned still requests promises under
+        // its old roster. A promise would put it back in force alongside the new owner of
+        // its endpoints. After a restart an entry can't detect this, so it gives no promises
+        // before it has a roster.
         let covers_both = |r: &Roster| r.has(by) && r.has(&self.node) && epoch.next() >= r.epoch;
         let is_member = self.roster.as_ref().is_some_and(covers_both);
         if !is_member || self.confirmed_removals.contains(by) || self.refusing(now) == Some(by) {
@@ -172,7 +178,7 @@
         true
     }
 
-    /// Another member promises, in answer to the question of this number.
+    /// Records another member's promise, the answer to the request with this serial.
     pub fn record_promise(&mut self, from: NodeName, serial: u64) {
         if let Some(sent_at) = self.sent_at.get(&serial) {
             let until = self.promises_received.entry(from).or_default();
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Other members, to be asked for promises.
+    /// The other members, which are asked for promises.
     pub fn other_members(&self) -> Vec<NodeName> {
         let members = self.roster.iter().flat_map(|r| &r.members);
         members
@@ -189,7 +195,7 @@
             .collect()
     }
 
-    /// Whether this entry's membership is in force now.
+    /// Whether this entry's membership is in force: always without leases.
     pub fn in_force(&self, now: Moment) -> bool {
         if !self.leased {
             return true;
@@ -211,11 +217,12 @@
         now < self.control_lease_until || promises >= majority(roster.members.len())
     }
 
-    /// Whether this entry has long had neither control's lease nor a majority's promises.
+    /// Whether this entry has had neither a lease from control nor promises of a majority
+    /// for longer than a lease.
     ///
-    /// Every membership that it held has lapsed, and so has that of any member which
-    /// relied on its promise. A member that control removed is not isolated: another
-    /// one has its endpoints.
+    /// Its own membership has lapsed then, and so has that of every member that relied on
+    /// its promise. A member that control removed is not isolated: its endpoints have
+    /// another owner.
     pub fn is_isolated(&self, now: Moment) -> bool {
         if !self.leased || self.in_force(now) {
             return false;
@@ -224,8 +231,7 @@
         if removed {
             return false;
         }
-        // A process that has just started has no lease of its own to wait out; it only
-        // gives control the time to answer.
+        // After a start there is no lease of its own to wait out, only control's answer.
         if self.roster.is_none() {
             return now >= self.started + FIRST_GRANT_TIMEOUT;
         }
@@ -236,14 +242,14 @@
         now >= lapsed_since + LEASE_DURATION + LEASE_MARGIN
     }
 
-    /// Whether this entry may admit now to what the key names: a service's endpoints in
-    /// the failure domain, or one endpoint.
+    /// Whether this entry owns `key` and may admit to it now. The key is the name of a
+    /// service, for its endpoints in the failure domain, or of one endpoint.
     pub fn owns(&self, now: Moment, key: &str) -> bool {
         let owner = self.roster.as_ref().and_then(|r| owner(&r.members, key));
         owner == Some(&self.node) && self.in_force(now)
     }
 
-    /// Slots of the endpoint that this entry may fill.
+    /// Number of the endpoint's slots that this entry may fill.
     pub(crate) fn slots(&self, now: Moment, info: &EndpointInfo, cfg: &Config) -> u32 {
         match cfg.slot_ownership {
             SlotOwnership::Service if self.owns(now, info.service.as_str()) => info.slots,
@@ -263,7 +269,7 @@
     members.iter().min_by_key(rank_key)
 }
 
-/// Entries in the order of their claim to the endpoint.
+/// The members in rendezvous order for the endpoint.
 fn rank_members<'a>(members: &'a [NodeName], endpoint: &NodeName) -> Vec<&'a NodeName> {
     let key = Key::new().text(endpoint.as_str());
     let mut ranked: Vec<_> = members.iter().collect();
--- a/crates/steer/src/region.rs
+++ b/crates/steer/src/region.rs
@@ -1,13 +1,13 @@
-//! Which region a caller belongs to, by the weights in force and by the stable ones.
+//! Which region a caller belongs to, by the weights in force and by the stable weights.
 //!
-//! A caller's home is drawn by weighted rendezvous from its address, so every process
-//! finds the same one without a message, and a change of weights moves only as many
-//! callers as the weights' difference asks for.
+//! A caller's home region is chosen by weighted rendezvous hashing of its address, so
+//! every process computes the same one without communication, and a change of weights
+//! moves only as many callers as the weights differ by.
 //!
-//! A request is *shifted* where it runs outside of its caller's home under the stable
-//! weights: those that were in force before the latest change, until that change has
-//! settled. So the shift cap holds back just the traffic that a change of weights, a
-//! drain or a failure adds to a region, and never the region's own.
+//! A request is *shifted* if it runs outside of its caller's home region under the stable
+//! weights. These are the weights from before the latest change, until that change has
+//! settled. So the shift cap limits only the traffic that a change of weights, a drain or
+//! a failure adds to a region, never the region's own.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -21,19 +21,20 @@
 
 use crate::hash::Key;
 
-/// How long new weights have to stand until the traffic they moved counts as home.
-/// Long against a cached look-up and against the warming of a cache.
+/// How long new weights must be in force before the traffic that they moved counts as the
+/// region's own. Long compared to the lifetime of a cached look-up and to cache warm-up.
 const SETTLE_TIME: Duration = Duration::from_secs(300);
 
-/// Headroom that even a full region is reckoned with, so that its weight stays finite
-/// and it keeps callers who know its endpoints' caches.
+/// Headroom assumed even for a full region, so that the adjustment stays finite and the
+/// region keeps callers whose data its endpoints have cached.
 const MIN_HEADROOM: f64 = 0.1;
-/// Most by which a weight is changed for relief.
+/// Largest factor by which a weight is raised or lowered.
 const MAX_ADJUSTMENT: f64 = 3.0;
-/// Weight of a tick in a region's mean load: a mean over some seconds, since callers
-/// come back for a new answer only then.
+/// Weight of a tick in a region's mean utilisation. The mean spans several seconds, since
+/// callers repeat a look-up no sooner.
 const LOAD_GAIN: f64 = 0.03;
 
+/// Weights of a service's regions.
 type Weights = Vec<(Region, f64)>;
 
 #[derive(Debug)]
@@ -41,16 +42,16 @@
     current: Weights,
     stable: Weights,
     changed_at: Moment,
-    /// Mean filled part of the slots of each region, in the order of `current`.
+    /// Mean utilisation of each region's slots, in the order of `current`.
     mean_utilisation: Vec<f64>,
 }
 
 impl ServiceWeights {
-    /// The weights in force, with those of regions that are fuller than the others
-    /// reduced by the root of the headroom that they have left.
+    /// The weights in force, adjusted by each region's headroom relative to the headroom at
+    /// the mean utilisation of all regions.
     ///
-    /// Weights are shares of traffic, but rendezvous deals out callers, of whom some
-    /// send far more than others; and a region may have lost a part of its slots.
+    /// Weights are shares of traffic, but rendezvous hashing assigns callers, some of which
+    /// send far more than others, and a region may have lost some of its slots.
     fn load_adjusted(&self) -> impl Iterator<Item = (&Region, f64)> {
         let total_weight: f64 = self.current.iter().map(|(_, weight)| weight).sum();
         let loads = self.current.iter().zip(&self.mean_utilisation);
@@ -59,9 +60,9 @@
         let headroom = |load: f64| (1.0 - load).max(MIN_HEADROOM);
         let weights = self.current.iter().zip(&self.mean_utilisation);
         weights.map(move |((region, weight), load)| {
-            // The root keeps the loop stable: with answers kept for long, callers act on
-            // relief that was reckoned before the last ones moved, and at loads over a
-            // half the plain ratio overshoots further each time.
+            // The exponent keeps the loop stable: with look-ups that are cached for long,
+            // callers act on an adjustment from before the last callers moved, and at
+            // utilisations over a half the plain ratio overshoots further each time.
             let adjustment = (headroom(*load) / headroom(mean_load)).powf(0.75);
             (
                 region,
@@ -71,11 +72,12 @@
     }
 }
 
-/// The table's rows as steering uses them.
+/// The table's rows, and the weights that steering derives from them.
 #[derive(Debug, Default)]
 pub(crate) struct Regions {
     view: Option<Arc<View>>,
-    /// Whether weights may be acted on.
+    /// Whether weights may be used: false until a table version is in force, and while
+    /// none is proven to be the newest.
     in_force: bool,
     services: HashMap<ServiceName, ServiceWeights>,
 }
@@ -97,8 +99,8 @@
         self.in_force = true;
     }
 
-    /// Takes the weights out of force. They are kept, so that the next table is compared
-    /// with them and the traffic that it moves still counts as a shift.
+    /// Stops using the weights. They are kept for comparison with the next table, so that
+    /// traffic that it moves still counts as shifted.
     pub(crate) fn suspend(&mut self) {
         self.in_force = false;
     }
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Takes in the filled part of each region's slots; `None` for an unknown one.
+    /// Adds each region's current utilisation to its mean. `utilisation` returns `None` for a
+    /// region without fresh reports, whose mean stays as it is.
     pub(crate) fn record_loads(
         &mut self,
         service: &ServiceName,
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Whether a table is in force here.
+    /// Whether a table version is in force.
     pub(crate) fn has_table(&self) -> bool {
         self.in_force
     }
@@ -173,7 +176,8 @@
             .map_or_else(Objective::default, |values| values.objective)
     }
 
-    /// Whether the region takes the service's traffic under the weights in force.
+    /// Whether the region has a weight above 0 for the service, or no weights are in force
+    /// for it.
     pub(crate) fn accepts_traffic(&self, service: &ServiceName, region: &Region) -> bool {
         self.weights(service).is_none_or(|weights| {
             weights
@@ -183,8 +187,8 @@
         })
     }
 
-    /// The caller's home under the stable weights; `None` if the table doesn't name the
-    /// service or the caller isn't known.
+    /// The caller's home region under the stable weights; `None` if no weights are in force
+    /// for the service or the caller's address is unknown.
     pub(crate) fn home_region(
         &self,
         service: &ServiceName,
@@ -202,8 +206,8 @@
             .map(|(_, region)| region)
     }
 
-    /// Regions in the order in which the caller should use them, by weights in force.
-    /// A caller that isn't known gets an order drawn at random by the same weights.
+    /// Regions in the order in which the caller should use them, by the adjusted weights.
+    /// Without an address the order is drawn at random by the same weights.
     pub(crate) fn region_order(
         &self,
         service: &ServiceName,
--- a/crates/steer/src/renewal.rs
+++ b/crates/steer/src/renewal.rs
@@ -1,4 +1,4 @@
-//! How an entry keeps its leases: renewals to control, promises between members.
+//! Renewal of an entry's leases with control, and promises between roster members.
 
 use filberthead_types::{Epoch, Moment, NodeName};
 
@@ -7,7 +7,7 @@
 use crate::{Action, Message};
 
 impl Policy {
-    /// Asks control for leases, and the other members of the roster for promises.
+    /// Requests leases from control and promises from the other members of the roster.
     pub(crate) fn renew(&mut self, now: Moment) -> Vec<Action> {
         let serial = self.ownership.next_serial(now);
         self.shares.record_renewal_sent(serial);
@@ -60,14 +60,14 @@
             self.ownership.apply_grant(grant);
             self.refresh_owned_slots(now);
             if self.ownership.epoch() != previous_epoch {
-                // Others wait for this entry's word that it follows, and its new
-                // endpoints are of no use before it has a share for them.
+                // Other members wait until this entry reports that it follows the new roster,
+                // and it can't use its new endpoints before it has a share for them.
                 self.next_renewal = now;
             }
         }
     }
 
-    /// Another member asks for a promise.
+    /// Answers another member's promise request; sends nothing if it is refused.
     pub(crate) fn handle_promise_request(
         &mut self,
         now: Moment,
