--- a/crates/steer/src/cost.rs
+++ b/crates/steer/src/cost.rs
@@ -1,16 +1,17 @@
-//! What each place for a request costs.
+//! Selection of the entry that runs a request, by cost.
 //!
-//! Within the region the row's objective chooses: `latency` takes the place with the
-//! least expected time, `headroom` the one that is least full. Another region is
-//! taken when the hop costs less than the wait at home plus the price of a slot there.
+//! Within the region the row's objective decides: `latency` selects the entry with the
+//! lowest expected time, `headroom` the least full one. A request goes to another region
+//! if its expected time there, round trip included, is below the expected time in the own
+//! region plus the price of a slot in the own region.
 //!
-//! The price is the dual variable of the region's capacity. Without it every request
-//! chooses for itself alone: all of a full region's requests then wait for as long as
-//! the hop to another one takes, where sending away a few leaves the others next to no
-//! wait. It rises while the region's load is over the objective's target and falls
-//! below; a row that favours headroom has the lower target. The idea is from Dragster's
-//! online saddle point method; of its capacity estimates nothing is used here, because
-//! slots are counted exactly.
+//! The price is the dual variable of the region's capacity. Without it each request would
+//! minimise its own time only: all requests of a full region would then wait for as long
+//! as the round trip to another region takes, whereas moving a few of them leaves the
+//! others almost no wait. The price rises while the region's load is above the objective's
+//! target and falls while it is below; the `headroom` objective has the lower target. The
+//! idea is from Dragster's online saddle point method. Its capacity estimates aren't used,
+//! because slots are counted exactly.
 
 use std::time::Duration;
 
@@ -23,35 +24,40 @@
 use crate::policy::{Class, Policy};
 use crate::pool::Pool;
 
-/// Load difference, in parts of the slots, that is worth a hop within the failure
-/// domain, and to another one of the region.
+/// Difference in utilisation that outweighs forwarding to another entry of the failure
+/// domain, and to another failure domain of the region.
 const DOMAIN_PENALTY: f64 = 0.01;
 const REGION_PENALTY: f64 = 0.30;
-/// Added for a place that is full, so that any with a slot goes before it.
+/// Added for a full entry, so that any entry with a free slot ranks before it.
 const FULL_PENALTY: f64 = 1.0;
-/// Time that a part of the slots is worth between places that are equally quick.
+/// Seconds that a fullness of 1 adds to the cost under the `latency` objective, so that the
+/// emptier of two equally fast entries is selected.
 const FULLNESS_SECONDS: f64 = 0.002;
-/// Filled part of a region's slots above which their price rises.
+/// Load of a region, relative to its slots, above which the price of a slot rises.
 const LATENCY_TARGET_UTILISATION: f64 = 0.85;
 const HEADROOM_TARGET_UTILISATION: f64 = 0.80;
-/// Weight of a tick in the mean filled part of the own slots: over about 2 s.
+/// Weight of a tick in the mean utilisation of the own slots: a mean over about 2 s.
 const UTILISATION_GAIN: f64 = 0.05;
-/// Rise of the price at each tick, in seconds for each part of the slots over target.
+/// Change of the price at each tick: seconds per unit of load above the target.
 const PRICE_GAIN: f64 = 0.05;
 
-/// The best place for a request.
+/// The entry selected for a request.
 #[derive(Debug)]
 pub(crate) enum Target {
+    /// This entry.
     Local,
     Entry(NodeName),
+    /// No entry can run it in time.
     Unavailable,
 }
 
 #[derive(Debug)]
 struct Candidate<'a> {
+    /// Expected time of the request there: round trip, wait and hold time.
     seconds: f64,
+    /// Utilisation with the request, plus penalties.
     fullness: f64,
-    /// Mean filled part of its slots.
+    /// Mean utilisation of its slots.
     mean_utilisation: f64,
     /// `None` for this entry.
     peer: Option<&'a Peer>,
@@ -127,10 +133,11 @@
         }
     }
 
-    /// Levels the mean loads of a region's failure domains: of the requests that come to
-    /// the fuller one, half of the difference goes to the emptiest other one. By chance
-    /// and by means, since moments of a few slots say nothing, and a report that many
-    /// entries act on at once would only move the peak.
+    /// Evens out the mean utilisation of the entries in the region: a request at a fuller
+    /// entry goes to the least loaded other one with a probability of half the relative
+    /// difference. Means are used because momentary values of a few slots are noise, and the
+    /// choice is random because many entries that act on one report at once would only move
+    /// the peak.
     fn balance<'a>(
         &self,
         local: Candidate<'a>,
@@ -161,7 +168,7 @@
         }
     }
 
-    /// This entry, unless the request can't run or wait here.
+    /// This entry as a candidate; `None` if the request can't run or wait here.
     fn local_candidate(
         &self,
         now: Moment,
@@ -190,7 +197,7 @@
         starts_in_time.then(|| Candidate::new(load, Duration::ZERO, 0.0))
     }
 
-    /// Another entry, unless it can't take the request.
+    /// Another entry as a candidate; `None` if the request can't be sent there.
     fn peer_candidate<'a>(
         &self,
         now: Moment,
@@ -202,8 +209,8 @@
         if info.leaving || req.tried.contains(&info.name) {
             return None;
         }
-        // Without a proven table nothing says which region may take what, so requests
-        // stay in the failure domain, where the endpoints' own word is at hand.
+        // Without a proven table it is unknown which region may serve what, so requests
+        // stay in the failure domain, where the endpoints' own readings are available.
         if !self.regions.has_table() && info.failure_domain != self.cfg.failure_domain {
             return None;
         }
@@ -212,7 +219,7 @@
         if shifted && load.shift_room == 0 {
             return None;
         }
-        // A drained region still takes its own callers while the shift is held back.
+        // A drained region still serves its own callers until they may be shifted.
         let own_caller = home.is_some_and(|home| *home == info.region);
         if !own_caller && !self.regions.accepts_traffic(&req.service, &info.region) {
             return None;
@@ -231,8 +238,8 @@
         self.pools.get(&req.service).map_or(0.0, |pool| pool.price)
     }
 
-    /// Takes stock of the regions' loads, and moves the prices of slots by the load of
-    /// the own one.
+    /// Updates the regions' mean utilisations, and the price of a slot by the own region's
+    /// load.
     pub(crate) fn update_loads(&mut self, now: Moment) {
         let services: Vec<_> = self.pools.keys().cloned().collect();
         for service in services {
@@ -257,7 +264,8 @@
         }
     }
 
-    /// What a region's entries have reported.
+    /// Sum of the fresh reports of a region's entries, and of this entry's counts in its own
+    /// region.
     fn region_load(&self, now: Moment, service: &ServiceName, region: &Region) -> RegionLoad {
         let mut region_load = RegionLoad::default();
         if *region == self.cfg.region
@@ -280,21 +288,23 @@
     }
 }
 
-/// Slots of a region and what is in them.
+/// Slots of a region and the requests for them.
 #[derive(Clone, Copy, Debug, Default)]
 struct RegionLoad {
     capacity: u32,
-    /// Requests that run, as reported.
+    /// Running requests.
     running: u32,
-    /// Those, and all that wait or are on their way.
+    /// Running, queued and recently sent requests.
     outstanding: u32,
 }
 
 impl RegionLoad {
+    /// Outstanding requests per slot; over 1 with a queue. `None` without slots.
     fn load(self) -> Option<f64> {
         self.ratio(self.outstanding)
     }
 
+    /// Running requests per slot; `None` without slots.
     fn utilisation(self) -> Option<f64> {
         self.ratio(self.running)
     }
@@ -313,13 +323,14 @@
     pool.price = (pool.price + PRICE_GAIN * (load - target)).clamp(0.0, max_price);
 }
 
-/// Expected wait for a slot: every request ahead of those that run takes a turn.
+/// Expected wait for a slot, in seconds: the queue ahead shrinks by `capacity` requests per
+/// hold time.
 fn wait_seconds(load: PeerLoad) -> f64 {
     let ahead = (load.outstanding + 1).saturating_sub(load.capacity);
     f64::from(ahead) * load.hold_seconds / f64::from(load.capacity.max(1))
 }
 
-/// How full the place would be with the request.
+/// Utilisation with the request added, plus [`FULL_PENALTY`] without a free slot.
 fn fullness(load: PeerLoad) -> f64 {
     let utilisation = f64::from(load.outstanding + 1) / f64::from(load.capacity.max(1));
     let penalty = if load.outstanding >= load.capacity {
--- a/crates/steer/src/endpoint.rs
+++ b/crates/steer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of the own failure domain, with all that this entry counts about it.
+//! One endpoint of the own failure domain, with this entry's counts and estimates for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,38 @@
 
 /// Answers after which an endpoint in slow start gets one more slot.
 const ANSWERS_PER_SLOT: u32 = 4;
-/// Part of the concurrency that is left after a refusal by the endpoint.
+/// Factor by which a refusal by the endpoint reduces its concurrency.
 const SHED_FACTOR: f64 = 0.7;
 /// Concurrency regained with each answer.
 const CONCURRENCY_RECOVERY: f64 = 0.1;
-/// Latency against the service's mean from which an endpoint counts as slow.
+/// Multiple of the service's mean latency above which an endpoint counts as slow.
 const SLOW_FACTOR: f64 = 3.0;
-/// How often a slow endpoint gets one request, so that its recovery shows.
+/// Interval at which a slow endpoint gets one request, so that its recovery is noticed.
 const SLOW_TRIAL_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) info: Arc<EndpointInfo>,
     pub(crate) health: Health,
+    /// Requests that this entry runs there.
     pub(crate) running: u32,
+    /// Mean time to the first byte of an answer.
     pub(crate) latency: Mean,
     /// Slots that this entry may fill, from ownership.
     owned_slots: u32,
-    /// No longer on the list; kept until what runs there has ended.
+    /// No longer on the list; kept until its running requests have ended.
     pub(crate) delisted: bool,
     pub(crate) next_probe: Moment,
-    /// Requests of an earlier owner that may still run here: so many slots stay empty.
+    /// Requests of a previous owner that may still run there; as many slots stay reserved.
     inherited: u32,
+    /// When this entry took over the slots. Older readings don't lower `inherited`.
     inherited_since: Moment,
+    /// When `inherited` expires.
     inherited_until: Moment,
+    /// Answers since the start of slow start; `None` once it is over.
     slow_start_answers: Option<u32>,
+    /// Requests that the endpoint runs without refusing, at most its slots. Refusals lower
+    /// it, answers raise it.
     concurrency: f64,
     open_connections: u32,
     idle_connections: u32,
@@ -68,14 +75,14 @@
         }
     }
 
-    /// Whether the endpoint's own fresh word is that it is ready and has a free slot.
+    /// Whether a fresh reading of the endpoint shows it to be ready with a free slot.
     pub(crate) fn reports_free_slot(&self, now: Moment, reading_ttl: Duration) -> bool {
         let slots = f64::from(self.info.slots.max(1));
         let reading = self.health.fresh_reading(now, reading_ttl);
         reading.is_some_and(|reading| reading.ready && reading.load * slots <= slots - 1.0)
     }
 
-    /// Slots that may be filled now, whoever fills them.
+    /// Slots that this entry may fill now, those of its running requests included.
     pub(crate) fn capacity(&self, now: Moment) -> u32 {
         let inherited = self.inherited(now);
         let slow_start_limit = self
@@ -87,7 +94,7 @@
             .min((self.concurrency as u32).max(1))
     }
 
-    /// Requests of an earlier owner that may still run.
+    /// Requests of a previous owner that may still run there.
     pub(crate) fn inherited(&self, now: Moment) -> u32 {
         if now < self.inherited_until {
             self.inherited
@@ -105,9 +112,9 @@
         self.idle_connections > 0 || self.open_connections < self.info.connections
     }
 
-    /// An endpoint far slower than its like is passed over, but for one request now
-    /// and then: least-loaded choice would otherwise favour it whenever the quick ones
-    /// are busy for a moment.
+    /// Whether the endpoint is far slower than the service's mean and isn't due for a trial
+    /// request. It is skipped then: least-loaded selection would otherwise prefer it whenever
+    /// the fast ones are briefly busy.
     pub(crate) fn is_slow(&self, now: Moment, service_seconds: f64) -> bool {
         self.latency.settled()
             && self.latency.seconds() > SLOW_FACTOR * service_seconds
@@ -161,8 +168,8 @@
         self.lower_inherited(reading);
     }
 
-    /// The endpoint's own word on how full it is shows how many requests of an earlier
-    /// owner are left; a word from before the take-over shows nothing.
+    /// Lowers the number of inherited requests to the load that the endpoint reports. A
+    /// reading from before the takeover is ignored.
     fn lower_inherited(&mut self, reading: Reading) {
         if reading.asked >= self.inherited_since {
             let busy = (reading.load * f64::from(self.info.slots)).ceil() as u32;
@@ -176,10 +183,10 @@
 
     /// Sets the slots that this entry may fill.
     ///
-    /// Whoever admitted here until now may have died with requests running, and these
-    /// run on at the endpoint. Their slots stay empty until a reading shows fewer, or
-    /// until no deadline can be left; otherwise the new owner, which counts from zero,
-    /// would fill them twice.
+    /// The previous owner may have crashed while its requests go on running at the endpoint.
+    /// Their slots stay reserved until a reading shows fewer requests or all their deadlines
+    /// must have passed; otherwise the new owner, which counts from zero, would fill them
+    /// twice.
     pub(crate) fn set_owned_slots(
         &mut self,
         now: Moment,
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: what they report, and what has been sent to them since.
+//! Other entries: their reports, and the requests sent to them since.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,46 +10,51 @@
 use crate::hash::Key;
 use crate::{EntryInfo, ServiceReport};
 
-/// How long an entry that refused gets nothing more for that service.
+/// How long no more requests of a service are sent to an entry that refused one.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Weight of a report in the mean filled part of an entry's slots: over about 2 s.
+/// Weight of a report in the mean utilisation of an entry's slots: a mean over about 2 s.
 const UTILISATION_GAIN: f64 = 0.1;
 
 #[derive(Debug)]
 pub(crate) struct PeerService {
     pub(crate) report: ServiceReport,
     received_at: Moment,
-    /// When requests were sent that the report can't show yet and that haven't ended.
+    /// When each request was sent that is unfinished and too recent to be in the report.
     unreported: VecDeque<Moment>,
+    /// Until then it gets no requests, because it refused one.
     paused_until: Moment,
-    /// Mean filled part of its slots.
+    /// Mean utilisation of its slots.
     mean_utilisation: f64,
 }
 
-/// Another entry's state for one service as a decision reckons with it.
+/// An entry's state for one service, as placement decisions use it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerLoad {
+    /// Slots that it may fill now.
     pub(crate) capacity: u32,
-    /// Running and waiting there, with what was sent since the report.
+    /// Requests that run or wait there, and those sent since its report.
     pub(crate) outstanding: u32,
-    /// Running there by its report alone.
+    /// Requests that run there, by its report alone.
     pub(crate) running: u32,
     /// Whether the report is recent.
     pub(crate) fresh: bool,
-    /// Mean filled part of its slots, by its reports.
+    /// Mean utilisation of its slots, by its reports.
     pub(crate) mean_utilisation: f64,
+    /// How many more shifted requests it accepts.
     pub(crate) shift_room: u32,
+    /// Mean time for which a request holds a slot there.
     pub(crate) hold_seconds: f64,
 }
 
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) info: EntryInfo,
+    /// Round trip to it, assumed from its failure domain and region.
     pub(crate) rtt: Duration,
-    /// No connection could be made since its last report. Its reports come from it by
-    /// another way than requests reach it, and until one does, each attempt would cost
-    /// its caller the time of a failed connection.
+    /// Connecting to it has failed since its last report. Reports take another path than
+    /// requests, and until the next report each attempt would cost its caller the time of a
+    /// failed connection.
     unreachable: bool,
     services: HashMap<ServiceName, PeerService>,
 }
@@ -71,8 +76,8 @@
         }
     }
 
-    /// The entry's load, or `None` if it has never reported the service, has just
-    /// refused, or hasn't any room for the service at all.
+    /// The entry's load for the service; `None` if it hasn't reported the service, has just
+    /// refused a request, is unreachable or has no capacity.
     pub(crate) fn load(
         &self,
         now: Moment,
@@ -85,8 +90,8 @@
         }
         let unreported = state.unreported.len() as u32;
         let pending = state.report.running + state.report.waiting + unreported;
-        // A report that is too old says neither idle nor dead: reckon with an entry
-        // that is full but serves, so that it comes after those known to have room.
+        // An outdated report means neither idle nor dead. The entry is assumed to be full
+        // but serving, so that it ranks after those with free slots.
         let stale = now.saturating_sub(state.received_at) >= report_ttl;
         let outstanding = if stale {
             pending.max(state.report.capacity)
@@ -104,7 +109,7 @@
         })
     }
 
-    /// Slots that it last reported.
+    /// Slots in its last report; `None` if it hasn't reported the service.
     pub(crate) fn slots(&self, service: &ServiceName) -> Option<u32> {
         self.services.get(service).map(|state| state.report.slots)
     }
@@ -117,7 +122,7 @@
                 state.mean_utilisation +=
                     UTILISATION_GAIN * (state.report.utilisation() - state.mean_utilisation);
                 state.received_at = now;
-                // Sent a round trip or longer ago: arrived before the report left.
+                // Requests sent more than a round trip ago arrived before the report was sent.
                 while state
                     .unreported
                     .front()
@@ -141,7 +146,7 @@
     }
 }
 
-/// All other live entries.
+/// All other live entries, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     by_name: BTreeMap<NodeName, Peer>,
@@ -195,7 +200,7 @@
         }
     }
 
-    /// A request that was sent at `sent` has ended there.
+    /// Records the end of a request that was sent at `sent`.
     pub(crate) fn record_finished(&mut self, by: &NodeName, service: &ServiceName, sent: Moment) {
         let state = self
             .by_name
@@ -224,8 +229,10 @@
         }
     }
 
-    /// Who gets this entry's reports: nearest first, then by rendezvous, so that in a
-    /// large cluster each entry still hears from some of every region.
+    /// Entries that get this one's reports: up to half of the fan-out in the own region, the
+    /// nearest first, and the rest in other regions. Ties are broken by rendezvous hashing,
+    /// so that in a large cluster each entry still gets reports from some entries of every
+    /// region.
     pub(crate) fn report_targets(&self, cfg: &Config) -> Vec<NodeName> {
         let mut ranked: Vec<_> = self
             .iter()
--- a/crates/steer/src/pool.rs
+++ b/crates/steer/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one service in the own failure domain, and what waits for them.
+//! The endpoints of one service in the own failure domain, and the requests queued for them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,27 @@
 use crate::queue::Queue;
 use crate::{EndpointInfo, FinishKind};
 
-/// First guess of a service's latency, until answers have been seen.
+/// Latency assumed for a service and its endpoints before the first answers.
 const INITIAL_LATENCY: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Requests of this region's own callers that wait.
+    /// Queued requests whose home region is this one.
     pub(crate) home_queue: Queue,
-    /// Shifted requests that wait, apart because the shift cap may hold only them.
+    /// Queued shifted requests. Separate, because the shift cap may block only these.
     pub(crate) shifted_queue: Queue,
-    /// Time to the first byte of an answer.
+    /// Mean time to the first byte of an answer.
     pub(crate) latency: Mean,
-    /// Time for which a request holds its slot.
+    /// Mean time for which a request holds its slot.
     pub(crate) hold_time: Mean,
+    /// Requests that this entry runs at the endpoints, shifted ones included.
     pub(crate) running: u32,
     pub(crate) shifted_running: u32,
-    /// Price of a slot in the region, in seconds: what its use costs those who wait.
+    /// Price of a slot in the own region, in seconds: the waiting time that its use costs
+    /// other requests.
     pub(crate) price: f64,
-    /// Mean filled part of the slots here.
+    /// Mean utilisation of the own slots.
     pub(crate) mean_utilisation: f64,
 }
 
@@ -55,14 +57,15 @@
         (self.home_queue.len() + self.shifted_queue.len()) as u32
     }
 
-    /// Requests in progress at the endpoints that this entry admits to, those of an
-    /// earlier owner included.
+    /// Requests in progress at this entry's endpoints, including those that a previous owner
+    /// started.
     pub(crate) fn in_progress(&self, now: Moment) -> u32 {
         let inherited: u32 = self.endpoints.iter().map(|e| e.inherited(now)).sum();
         self.running + inherited
     }
 
-    /// Takes in the list of endpoints.
+    /// Applies a new list of endpoints. One that is no longer listed stays, without new
+    /// requests, until its running ones have ended.
     pub(crate) fn set_endpoints(&mut self, infos: &[Arc<EndpointInfo>], cfg: &Config) {
         for endpoint in &mut self.endpoints {
             endpoint.delisted = true;
@@ -95,9 +98,9 @@
             .find(|endpoint| endpoint.info.name == *name)
     }
 
-    /// Whether silence of probes says something about endpoints. When most of them fall
-    /// silent at once, the measurement is the likelier fault, and giving all of them up
-    /// would turn a lost probe into an outage.
+    /// Whether failed probes are taken as failed endpoints. When most endpoints are silent
+    /// at once, the probing is more likely at fault, and excluding them all would turn lost
+    /// probes into an outage.
     fn trusts_probe_failures(&self, now: Moment, cfg: &Config) -> bool {
         let silent = self
             .endpoints
@@ -107,7 +110,7 @@
         2 * silent <= self.endpoints.len()
     }
 
-    /// Slots of usable endpoints that this entry may fill.
+    /// Slots of usable endpoints that this entry may fill now, running requests included.
     pub(crate) fn capacity(&self, now: Moment, cfg: &Config) -> u32 {
         let trusts_probe_failures = self.trusts_probe_failures(now, cfg);
         self.endpoints
@@ -117,8 +120,8 @@
             .sum()
     }
 
-    /// All slots that this entry may fill when its endpoints are well; stable, unlike
-    /// [`Pool::capacity`], so that look-ups don't change with each back-off.
+    /// Slots that this entry may fill while all its endpoints are healthy. Unlike
+    /// [`Pool::capacity`] it doesn't change with each backoff, which keeps look-ups stable.
     pub(crate) fn slots(&self) -> u32 {
         self.endpoints
             .iter()
@@ -127,7 +130,8 @@
             .sum()
     }
 
-    /// Index of the endpoint that the next request would go to.
+    /// Index of the endpoint for the next request; `None` if none is usable with a free slot.
+    /// Endpoints in `tried` are skipped.
     pub(crate) fn pick(
         &self,
         now: Moment,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Expected time until a request that joins the queue gets a slot, in seconds.
+    /// Expected time in seconds until a newly queued request gets a slot.
     pub(crate) fn wait_seconds(&self, now: Moment, cfg: &Config) -> f64 {
         let capacity = self.capacity(now, cfg).max(1);
         f64::from(self.waiting() + 1) * self.hold_time.seconds() / f64::from(capacity)
--- a/crates/steer/src/queue.rs
+++ b/crates/steer/src/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for a slot, the next deadline first.
+//! Requests that wait for a slot, earliest deadline first.
 //!
-//! A queue under overload is where latency goes, so it is bounded, and a request whose
-//! deadline can't be met is refused on arrival, while its caller still has time to
-//! try elsewhere.
+//! Under overload a queue mostly adds latency, so its length is bounded by the caller of
+//! `push`, and a request whose deadline can't be met is refused on arrival, while its caller
+//! still has time to try elsewhere.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 
 use crate::RequestInfo;
 
-/// A bounded queue by deadline.
+/// A queue ordered by deadline, then by arrival.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     by_deadline: BTreeMap<(Moment, u64), RequestInfo>,
@@ -45,7 +45,7 @@
         Some(req)
     }
 
-    /// Takes out one request whose deadline has passed.
+    /// Removes and returns one request whose deadline has passed.
     pub(crate) fn pop_expired(&mut self, now: Moment) -> Option<RequestInfo> {
         let expired = self.front().is_some_and(|req| req.deadline <= now);
         if expired { self.pop() } else { None }
--- a/crates/steer/src/usage.rs
+++ b/crates/steer/src/usage.rs
@@ -1,4 +1,4 @@
-//! What is in use, for those who watch an entry.
+//! Slots and queues in use, for metrics.
 
 use filberthead_types::ServiceName;
 
