--- a/crates/steer/src/api.rs
+++ b/crates/steer/src/api.rs
@@ -1,4 +1,4 @@
-//! What goes into steering and what comes out of it.
+//! Inputs and outputs of steering.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -12,82 +12,82 @@
 
 use crate::lease::{Grant, Renew};
 
-/// An endpoint as the platform's list or the settings name it.
+/// An endpoint as the platform's list or the settings describe it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointInfo {
     /// Its name.
     pub name: NodeName,
-    /// Service that it runs.
+    /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     /// Its region.
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Number of connections that it accepts.
     pub connections: u32,
 }
 
-/// One reading of an endpoint's state, with its age known.
+/// An endpoint's state as a probe's answer reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
-    /// When the endpoint was asked.
+    /// When the probe was sent.
     pub asked: Moment,
-    /// Whether it says that it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it says that it is leaving.
+    /// Whether it has begun a planned stop.
     pub leaving: bool,
-    /// Its own word on how full it is, 0 to 1.
+    /// Utilisation that it reports, 0 to 1.
     pub load: f64,
-    /// Tells a restarted endpoint from its predecessor.
+    /// Differs after a restart of the endpoint.
     pub incarnation: Incarnation,
 }
 
 /// A request to be placed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestInfo {
-    /// Its id on every hop.
+    /// Its id, the same at every entry and endpoint.
     pub id: RequestId,
-    /// The service asked for.
+    /// The requested service.
     pub service: ServiceName,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// When its caller gives up.
+    /// When its caller stops waiting.
     pub deadline: Moment,
-    /// The caller's address, if it is known. It settles the caller's home region, so
-    /// an entry that forwards a request passes it on.
+    /// The caller's address; `None` if unknown. It determines the caller's home region, so
+    /// an entry passes it on when it forwards the request.
     pub caller: Option<IpAddr>,
     /// Endpoints and entries that have already failed or refused this request.
     pub tried: Vec<NodeName>,
-    /// The entry that handed it here, if it came from another one.
+    /// The entry that forwarded the request to this one; `None` if it came from a caller.
     pub forwarded_by: Option<NodeName>,
 }
 
-/// Where a request goes.
+/// The placement of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// To this endpoint, which has a slot reserved until [`Event::Finished`].
+    /// Send it to this endpoint, where a slot is reserved until [`Event::Finished`].
     Endpoint(Arc<EndpointInfo>),
-    /// To another entry, which admits to its own endpoints. It counts as running there
-    /// until [`Event::Finished`].
+    /// Forward it to another entry, which admits to its own endpoints. It counts as
+    /// running there until [`Event::Finished`].
     Entry {
         /// Its name.
         name: NodeName,
-        /// Where it takes forwarded requests.
+        /// The address at which it accepts forwarded requests.
         addr: SocketAddr,
     },
-    /// Into the bounded queue: [`Action::Place`] names its place later, at the latest
-    /// when its deadline makes waiting useless.
+    /// It waits in the bounded queue: [`Action::Place`] follows, at the latest with a refusal
+    /// at its deadline.
     Queued,
-    /// Nowhere; nothing ran.
+    /// Refuse it; nothing ran.
     Refuse {
-        /// Why.
+        /// The reason.
         code: ResultCode,
-        /// When the caller may come back.
+        /// The time after which the caller may retry.
         retry_after: Duration,
     },
 }
@@ -95,39 +95,39 @@
 /// How a request ended at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinishKind {
-    /// A whole answer that is no sign of overload.
+    /// A complete answer that doesn't signal overload.
     Answered,
     /// The endpoint, or the entry it was forwarded to, refused; nothing ran.
     Shed,
     /// No connection could be made; nothing was sent.
     ConnectFailed,
-    /// The connection broke, or the answer was cut.
+    /// The connection broke during the request, or the answer was incomplete.
     Broken,
     /// The caller or the deadline cancelled it.
     Cancelled,
 }
 
-/// What was observed.
+/// An observation that is passed to steering.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed. Sent at least every 100 ms.
     Tick,
     /// A table version is in force.
     Table(Arc<View>),
-    /// No table version may be acted on: none is proven to be the newest. Weights count
-    /// for nothing until the next [`Table`](Self::Table); limits known so far still hold.
+    /// No table version is proven to be the newest. Weights are ignored until the next
+    /// [`Table`](Self::Table); limits received so far still apply.
     NoTable,
-    /// The endpoints of this failure domain, as the platform's list has them.
+    /// The endpoints of this failure domain, from the platform's list.
     Endpoints(Vec<EndpointInfo>),
-    /// Names that the platform's list shows as leaving.
+    /// Names of endpoints that the platform's list shows as leaving.
     Leaving(Vec<NodeName>),
-    /// The entries known to be live, this one included: name, HTTP address, place.
+    /// All live entries, this one included.
     Entries(Vec<EntryInfo>),
     /// A probe was answered.
     Reading {
         /// The endpoint.
         endpoint: NodeName,
-        /// What it said.
+        /// Its answer.
         reading: Reading,
     },
     /// A probe failed.
@@ -135,46 +135,46 @@
         /// The endpoint.
         endpoint: NodeName,
     },
-    /// A placed request ended and its slot is free, or a queued one was given up by its
-    /// caller ([`FinishKind::Cancelled`]).
+    /// A placed request ended and its slot is free, or its caller cancelled a queued one
+    /// ([`FinishKind::Cancelled`]).
     Finished {
         /// The request.
         id: RequestId,
-        /// How.
+        /// How it ended.
         kind: FinishKind,
         /// Time from placement to the first byte of the answer.
         first_byte: Duration,
     },
     /// The connection pool of an endpoint has changed. Idle connections count towards
-    /// the endpoint's budget just as busy ones do.
+    /// the endpoint's limit just as busy ones do.
     Connections {
         /// The endpoint.
         endpoint: NodeName,
-        /// Connections open to it, idle ones included.
+        /// Open connections to it, idle ones included.
         open: u32,
-        /// Of these, idle ones that the next request can use.
+        /// Idle connections among them, which the next request can use.
         idle: u32,
     },
-    /// This entry starts its planned stop: it hands over what it owns.
+    /// This entry begins its planned stop: it hands over the endpoints that it owns.
     Stop,
-    /// A message of another entry or of control.
+    /// A message from another entry or from control arrived.
     Received {
-        /// Who sent it.
+        /// The sender.
         from: NodeName,
         /// The message.
         message: Message,
     },
 }
 
-/// An entry as steering sees it.
+/// An entry, as steering uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct EntryInfo {
     /// Its name.
     pub name: NodeName,
-    /// Drawn at its start.
+    /// Differs after a restart of the entry.
     pub incarnation: Incarnation,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub caller_addr: SocketAddr,
     /// Its region.
     pub region: Region,
@@ -184,98 +184,98 @@
     pub leaving: bool,
 }
 
-/// What to do next.
+/// Something that the daemon has to do for steering.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A queued request has its place, or its refusal.
+    /// Carry out the decision on a queued request.
     Place {
         /// The request.
         id: RequestId,
-        /// Where it goes.
+        /// Its placement or refusal.
         decision: Decision,
     },
     /// Send a message to another entry.
     Send {
-        /// To whom.
+        /// The recipient.
         to: NodeName,
         /// The message.
         message: Message,
     },
     /// Send a message to the control leader.
     SendControl(Message),
-    /// Ask an endpoint for a reading.
+    /// Probe an endpoint; [`Event::Reading`] or [`Event::ProbeFailed`] follows.
     Probe {
         /// The endpoint.
         endpoint: Arc<EndpointInfo>,
     },
 }
 
-/// What an entry tells others about its room for one service.
+/// An entry's capacity and load for one service, as it reports them to other entries.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceReport {
     /// The service.
     pub service: ServiceName,
-    /// Slots of endpoints that the entry admits to and that aren't leaving.
+    /// Slots that the entry owns at endpoints that aren't leaving.
     pub slots: u32,
-    /// Slots that the entry may fill now: without those of endpoints in back-off or
-    /// slow start, and within the row's limit.
+    /// Slots that the entry may fill now: without those that backoff or slow start
+    /// withhold, and within the row's limit.
     pub capacity: u32,
-    /// Of these, filled.
+    /// Requests that run at its endpoints.
     pub running: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub waiting: u32,
-    /// Shifted requests that it would take on top of those running.
+    /// How many more shifted requests it accepts.
     pub shift_room: u32,
     /// Mean time for which a request holds its slot, in microseconds.
     pub hold_micros: u32,
 }
 
 impl ServiceReport {
-    /// Filled part of the slots.
+    /// Utilisation of the slots that it may fill.
     pub(crate) fn utilisation(&self) -> f64 {
         f64::from(self.running) / f64::from(self.capacity.max(1))
     }
 }
 
-/// Messages of steering between entries and control.
+/// Messages of steering between entries, and between entries and control.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// An entry's room, to other entries.
+    /// An entry's capacity and load, to other entries.
     Report(Vec<ServiceReport>),
-    /// An entry asks control for its leases.
+    /// An entry's request for its leases, to control.
     Renew(Renew),
-    /// Control's answer.
+    /// Control's answer to a [`Renew`].
     Grant(Grant),
-    /// A member of a roster asks another one for a promise not to help remove it.
+    /// Requests another roster member's promise that it won't confirm the sender's removal.
     Ask {
-        /// Number of the question.
+        /// Serial of the request.
         serial: u64,
-        /// Epoch of the roster that the asking member follows.
+        /// Epoch of the roster that the sender follows.
         epoch: Epoch,
     },
-    /// The promise.
+    /// The promise that an [`Ask`](Self::Ask) requested.
     Promise {
-        /// Number of the question.
+        /// Serial of the request.
         serial: u64,
     },
 }
 
-/// An endpoint that the entry admits to, at the moment of asking.
+/// Current use of an endpoint by this entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointUsage {
     /// Its name.
     pub name: NodeName,
-    /// Slots that the entry may fill there; 0 if another one admits to it.
+    /// Slots that the entry may fill there; 0 if another entry owns it.
     pub slots: u32,
     /// Requests of this entry that run there.
     pub running: u32,
-    /// Whether it leaves.
+    /// Whether it is leaving or no longer listed.
     pub leaving: bool,
 }
 
-/// What an entry has in use of one service, at the moment of asking.
+/// Current use of one service by this entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceUsage {
     /// The service.
@@ -286,15 +286,15 @@
     pub endpoints: Vec<EndpointUsage>,
 }
 
-/// A policy that places requests.
+/// A policy that places requests and answers look-ups.
 pub trait Steering: Send {
-    /// Places a request. Must be called once for each attempt; a placement counts
-    /// against the place it names until [`Event::Finished`].
+    /// Places a request. Must be called once for each attempt; a placement counts as load of
+    /// its endpoint or entry until [`Event::Finished`].
     fn place(&mut self, now: Moment, req: &RequestInfo) -> Decision;
 
-    /// Names the entries that a caller should use for a service, best first. Entries
-    /// of more than one failure domain are listed where there are any. Callers cache
-    /// the answer, so a policy must reckon with answers that are still out.
+    /// Returns the entries that a caller should use for a service, best first. If possible
+    /// they are in more than one failure domain. Callers cache the answer, so a policy must
+    /// expect requests that follow earlier answers.
     fn look_up(
         &mut self,
         now: Moment,
@@ -302,11 +302,10 @@
         caller: Option<IpAddr>,
     ) -> Vec<NodeName>;
 
-    /// Takes in what was observed.
+    /// Applies an observation and returns what to do next.
     fn observe(&mut self, now: Moment, event: Event) -> Vec<Action>;
 
-    /// What is in use, for metrics; nothing is decided by it. A policy that doesn't
-    /// count says nothing.
+    /// Current use of slots and queues, for metrics only. Empty if the policy doesn't count.
     fn usage(&self) -> Vec<ServiceUsage> {
         Vec::new()
     }
--- a/crates/steer/src/config.rs
+++ b/crates/steer/src/config.rs
@@ -1,31 +1,31 @@
-//! Settings of the policy.
+//! Settings of a [`Policy`](crate::Policy).
 
 use std::time::Duration;
 
 use filberthead_types::{FailureDomain, Incarnation, NodeName, Region};
 
-/// How one of several endpoints with a free slot is chosen.
+/// How an endpoint is selected among those with a free slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum EndpointSelection {
-    /// The one with the most free slots of those counted here, the quicker one of equals.
+    /// The one on which this entry runs the fewest requests; among equals the fastest.
     #[default]
     LeastLoaded,
-    /// The better one of two drawn at random.
+    /// The less loaded of two drawn at random.
     PowerOfTwoChoices,
-    /// The one whose estimated latency times its load is lowest.
+    /// The one with the lowest product of estimated latency and load.
     LatencyTimesLoad,
 }
 
-/// Who may admit to an endpoint of a failure domain with several entries.
+/// How the entries of a failure domain divide its endpoints' slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SlotOwnership {
-    /// One entry admits to all of the failure domain's endpoints of a service; the
-    /// others hand requests to it.
+    /// For each service, one entry owns all of the failure domain's endpoints; the others
+    /// forward requests to it.
     #[default]
     Service,
-    /// One entry admits to all slots of an endpoint, drawn for each endpoint.
+    /// For each endpoint, one entry owns all its slots.
     Endpoint,
-    /// Each entry has a fixed part of every endpoint's slots.
+    /// Each entry owns an equal part of every endpoint's slots.
     Split,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Config {
-    /// Settings of the entry `node` at its place, the rest at its defaults.
+    /// Default settings for the entry `node` in the given region and failure domain.
     pub fn new(node: NodeName, region: Region, failure_domain: FailureDomain) -> Self {
         Self {
             node,
@@ -85,64 +85,64 @@
         }
     }
 
-    /// This start of the entry. Default 1; the daemon draws one at its start, and
-    /// control takes a new one for a restart, which holds no leases.
+    /// Identifies this start of the entry. Default 1; the daemon draws a random one at its
+    /// start. Control treats a different one as a restart, which holds no leases.
     #[must_use]
     pub fn incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// Whether endpoints, limits and shift caps are held by leases of control. Default
-    /// true. Without, the owner of an endpoint is drawn from the live entries, and rows'
-    /// limits aren't enforced: for one entry alone, and for measuring what leases cost.
+    /// Whether endpoints, limits and shift caps are held by leases from control. Default
+    /// true. If false, the owner of an endpoint is chosen among the live entries, and rows'
+    /// limits aren't enforced: for a single entry, and for measuring the cost of leases.
     #[must_use]
     pub fn leased(mut self, leased: bool) -> Self {
         self.leased = leased;
         self
     }
 
-    /// Whether an entry that has long had neither control nor a majority of its roster
-    /// fills one slot of each endpoint that itself shows a free one. Default false: then
-    /// it refuses, and no endpoint ever gets more requests than it has slots. With it,
-    /// an endpoint whose owner is alive beyond the cut may be sent one more, which it
-    /// refuses.
+    /// Whether an entry that has for long reached neither control nor a majority of its
+    /// roster fills one slot of each endpoint that reports a free one. Default false: it
+    /// refuses requests then, and no endpoint ever gets more requests than it has slots. If
+    /// true, an endpoint whose owner is alive on the other side of a network partition may
+    /// get one request too many, which it refuses.
     #[must_use]
     pub fn serve_isolated(mut self, serve: bool) -> Self {
         self.serve_isolated = serve;
         self
     }
 
-    /// Seed of the random choices. Default 0; the daemon draws one at its start.
+    /// Seed of the random number generator. Default 0; the daemon draws one at its start.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Requests of one service that wait for a slot, at most; further ones are refused
-    /// at once. Default 64.
+    /// Maximum number of requests of one service that wait for a slot; further ones are
+    /// refused at once. Default 64.
     #[must_use]
     pub fn queue(mut self, len: usize) -> Self {
         self.queue = len;
         self
     }
 
-    /// How an endpoint is chosen. Default [`EndpointSelection::LeastLoaded`].
+    /// How an endpoint is selected. Default [`EndpointSelection::LeastLoaded`].
     #[must_use]
     pub fn endpoint_selection(mut self, selection: EndpointSelection) -> Self {
         self.endpoint_selection = selection;
         self
     }
 
-    /// Who admits to an endpoint. Default [`SlotOwnership::Service`].
+    /// How entries divide slots. Default [`SlotOwnership::Service`].
     #[must_use]
     pub fn slot_ownership(mut self, ownership: SlotOwnership) -> Self {
         self.slot_ownership = ownership;
         self
     }
 
-    /// Whether requests may be handed to other entries. Default true; without, an entry
+    /// Whether requests may be forwarded to other entries. Default true; if false, an entry
     /// uses its own endpoints only.
     #[must_use]
     pub fn spillover(mut self, spillover: bool) -> Self {
@@ -150,30 +150,30 @@
         self
     }
 
-    /// Whether look-ups send fewer callers to regions that are fuller than others.
-    /// Default true; without, only the table's weights count.
+    /// Whether look-ups send fewer callers to regions with a higher utilisation than others.
+    /// Default true; if false, only the table's weights count.
     #[must_use]
     pub fn adjust_weights(mut self, adjust_weights: bool) -> Self {
         self.adjust_weights = adjust_weights;
         self
     }
 
-    /// Whether new and restarted endpoints get their slots one by one. Default true.
+    /// Whether the slots of new and restarted endpoints are used one by one. Default true.
     #[must_use]
     pub fn slow_start(mut self, slow_start: bool) -> Self {
         self.slow_start = slow_start;
         self
     }
 
-    /// Time between two probes of an endpoint. Default 1 s. An endpoint that says that
-    /// it is leaving is seen after this time at the latest.
+    /// Time between two probes of an endpoint, and so the longest time until a reading shows
+    /// its planned stop. Default 1 s.
     #[must_use]
     pub fn probe_interval(mut self, every: Duration) -> Self {
         self.probe_interval = every;
         self
     }
 
-    /// Age from which on a reading says nothing any more. Default 4 s.
+    /// Age at which a reading is outdated. Default 4 s.
     #[must_use]
     pub fn reading_ttl(mut self, ttl: Duration) -> Self {
         self.reading_ttl = ttl;
@@ -187,7 +187,7 @@
         self
     }
 
-    /// How many entries get this one's reports, at most. Default 16, so that a node's
+    /// Maximum number of entries that get this one's reports. Default 16, so that a node's
     /// messages don't grow with the number of nodes.
     #[must_use]
     pub fn report_fan_out(mut self, entries: usize) -> Self {
@@ -195,16 +195,16 @@
         self
     }
 
-    /// How long requests of an earlier owner may hold an endpoint's slots if no reading
-    /// shows them free. Default 10 s.
+    /// How long slots stay reserved for requests of a previous owner if no reading shows them
+    /// free. Default 10 s.
     #[must_use]
     pub fn max_request_duration(mut self, longest: Duration) -> Self {
         self.max_request_duration = longest;
         self
     }
 
-    /// Round trips to another entry of the own failure domain, of the own region, and
-    /// of another region. Defaults 0.4 ms, 3 ms, 70 ms.
+    /// Assumed round trips to another entry of the own failure domain, of another failure
+    /// domain of the own region, and of another region. Defaults 0.4 ms, 3 ms, 70 ms.
     #[must_use]
     pub fn round_trips(mut self, near: Duration, region: Duration, far: Duration) -> Self {
         self.rtt_domain = near;
--- a/crates/steer/src/estimate.rs
+++ b/crates/steer/src/estimate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Exponentially weighted mean of durations.
+/// Exponentially weighted moving average of durations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Mean {
     seconds: f64,
@@ -22,7 +22,7 @@
 
     pub(crate) fn add(&mut self, sample: Duration) {
         self.samples = self.samples.saturating_add(1);
-        // The first samples form a plain mean, so that the initial guess is soon gone.
+        // The first samples form a plain mean, so that the initial value has no weight.
         let gain = GAIN.max(1.0 / f64::from(self.samples));
         self.seconds += gain * (sample.as_secs_f64() - self.seconds);
     }
@@ -31,6 +31,7 @@
         self.seconds
     }
 
+    /// Whether there are enough samples for the mean to be compared with others.
     pub(crate) fn settled(&self) -> bool {
         self.samples >= 10
     }
--- a/crates/steer/src/hash.rs
+++ b/crates/steer/src/hash.rs
@@ -1,14 +1,14 @@
-//! Rendezvous hashing: who of several candidates a key belongs to.
+//! Rendezvous hashing: assigns a key to one of several candidates.
 //!
-//! Every process that knows the same candidates comes to the same answer without any
-//! message, and a candidate that comes or goes moves only its own keys. Sticky homes
-//! are what keeps endpoint caches warm and cached look-ups in line with new ones.
+//! Every process with the same candidates computes the same assignment without
+//! communication, and adding or removing a candidate moves only its own keys. Stable home
+//! regions keep endpoint caches warm and cached look-ups consistent with new ones.
 
 use std::net::IpAddr;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// A key in parts.
+/// A hash key that is built part by part.
 #[derive(Clone)]
 pub(crate) struct Key(Xxh3);
 
@@ -19,7 +19,7 @@
 
     pub(crate) fn text(mut self, part: &str) -> Self {
         self.0.update(part.as_bytes());
-        // A separator that no name contains keeps ("ab", "c") apart from ("a", "bc").
+        // A separator that no name contains, so that ("ab", "c") and ("a", "bc") differ.
         self.0.update(&[0]);
         self
     }
@@ -41,8 +41,8 @@
         self.0.digest()
     }
 
-    /// Distance of a candidate of this weight: the nearest one gets the key, and each
-    /// gets keys in proportion to its weight. Infinite for weight 0.
+    /// Distance of a candidate with this weight. The key belongs to the nearest candidate, so
+    /// each gets keys in proportion to its weight. Infinite for weight 0.
     pub(crate) fn distance(&self, weight: f64) -> f64 {
         if weight <= 0.0 {
             return f64::INFINITY;
--- a/crates/steer/src/lease.rs
+++ b/crates/steer/src/lease.rs
@@ -1,30 +1,30 @@
-//! Lease times, and the messages that leases are made of.
+//! Lease durations, and the messages for granting leases.
 //!
-//! A lease runs from the moment at which its holder *asked*, by the holder's clock, and
-//! is given up by its grantor a margin after the moment at which it *answered*, by the
-//! grantor's clock. So clocks need no common time, only rates that differ by less than
-//! the margin over one lease.
+//! For its holder a lease starts when the holder sent the request, by the holder's clock.
+//! For its grantor it starts when the grantor sent the answer, by the grantor's clock, and
+//! lasts longer by a margin. So clocks need not be synchronised; over one lease they only
+//! have to drift apart by less than the margin.
 
 use std::time::Duration;
 
 use filberthead_types::{Epoch, FailureDomain, Incarnation, NodeName, Region, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// How long a lease holds from the moment at which it was asked for.
+/// How long a lease lasts for its holder, from when the request was sent.
 pub const LEASE_DURATION: Duration = Duration::from_secs(3);
-/// What a grantor adds to it.
+/// How much longer it lasts for its grantor, from when the answer was sent.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(500);
-/// How often leases are asked for.
+/// Interval at which leases are renewed.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The entries that share the endpoints of a failure domain.
 ///
-/// Each endpoint has one owner among the members, by rendezvous hashing, so two rosters
-/// that differ by one member differ only by that member's endpoints.
+/// Each endpoint has one owner among the members, by rendezvous hashing, so between two
+/// rosters that differ by one member only that member's endpoints change their owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Roster {
-    /// Higher with each change.
+    /// Increases with each change of the members.
     pub epoch: Epoch,
     /// The members.
     pub members: Vec<NodeName>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A failure domain's roster as control keeps it for its next leader.
+/// A failure domain's roster as control stores it for its next leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredRoster {
@@ -47,60 +47,60 @@
     pub region: Region,
     /// The roster.
     pub roster: Roster,
-    /// A member that the roster no longer names and that hasn't acknowledged that yet.
+    /// A member that was removed and hasn't acknowledged the removal yet.
     pub leaving: Option<NodeName>,
 }
 
-/// Members that any decision about a roster of this size must include.
+/// Smallest majority of a roster with this many members.
 pub(crate) fn majority(members: usize) -> usize {
     members / 2 + 1
 }
 
-/// A part of a limit: what its holder may use while its lease holds, and for good.
+/// An entry's part of a limit, in requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
-    /// Requests in progress while the lease holds.
+    /// Most requests in progress while the lease is valid.
     pub share: u32,
-    /// Requests in progress without a lease; at most the share.
+    /// Most requests in progress without a valid lease; at most the share.
     pub floor: u32,
 }
 
-/// An entry's parts of a service's row in its region.
+/// An entry's parts of the limits in the row of a service and the entry's region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceParts {
     /// The service.
     pub service: ServiceName,
-    /// Of the limit.
+    /// Part of the row's limit.
     pub limit: Part,
-    /// Of the shift cap.
+    /// Part of the row's shift cap.
     pub shift: Part,
 }
 
-/// What an entry does and wants for one service.
+/// An entry's load and slots for one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceDemand {
     /// The service.
     pub service: ServiceName,
-    /// Slots that it owns.
+    /// Slots that the entry owns.
     pub slots: u32,
-    /// Requests in progress at its endpoints, those of an earlier owner included.
+    /// Requests in progress at its endpoints, those of a previous owner included.
     pub running: u32,
-    /// Requests that wait here for a slot.
+    /// Requests that wait at the entry for a slot.
     pub waiting: u32,
-    /// Of those in progress, shifted ones.
+    /// Shifted requests among those in progress.
     pub shifted: u32,
-    /// Of those that wait, shifted ones.
+    /// Shifted requests among those that wait.
     pub shifted_waiting: u32,
 }
 
-/// An entry asks control for its leases.
+/// An entry's request to control to renew its leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Renew {
-    /// The entry's start.
+    /// Identifies this start of the entry.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: Region,
@@ -108,21 +108,21 @@
     pub failure_domain: FailureDomain,
     /// Term of the newest grant that is in force at the entry.
     pub term: Epoch,
-    /// Number of this renewal; the grant carries it back.
+    /// Number of this renewal, which the grant returns.
     pub serial: u64,
-    /// Number of the newest grant that is in force at the entry; 0 for none.
+    /// Serial of the newest grant that is in force at the entry; 0 for none.
     pub accepted: u64,
-    /// The roster in force at the entry.
+    /// The roster that the entry follows; `None` after a start.
     pub roster: Option<Roster>,
-    /// The member to whom it gives no more promises.
+    /// The member to which it gives no more promises.
     pub refusing: Option<NodeName>,
-    /// Members to whom a promise of its may still hold.
+    /// Members that may still hold a promise of this entry.
     pub promised: Vec<NodeName>,
     /// Whether it is on a planned stop.
     pub leaving: bool,
-    /// What it holds.
+    /// The parts that it holds.
     pub parts: Vec<ServiceParts>,
-    /// What it does and wants.
+    /// Its load and slots for each service.
     pub demand: Vec<ServiceDemand>,
 }
 
@@ -130,16 +130,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Grant {
-    /// Term of the leader that grants; an entry that has seen a higher one ignores it.
+    /// Term of the leader that grants. An entry that has a grant of a higher term ignores
+    /// this one.
     pub term: Epoch,
-    /// Number of the renewal that is answered.
+    /// Serial of the renewal that this answers; 0 if that was outdated.
     pub serial: u64,
-    /// The roster that the entry is to follow, if it may know one.
+    /// The roster that the entry must follow; `None` while it may not follow any.
     pub roster: Option<Roster>,
-    /// Whether the entry's membership is leased with this grant.
+    /// Whether this grant leases the entry's membership.
     pub leased: bool,
-    /// The member to whom the entry is to give no more promises.
+    /// The member to which the entry must give no more promises.
     pub refuse: Option<NodeName>,
-    /// The entry's parts of every service's row in its region.
+    /// The entry's parts for every service with a row in its region.
     pub parts: Vec<ServiceParts>,
 }
--- a/crates/steer/src/lessor/mod.rs
+++ b/crates/steer/src/lessor/mod.rs
@@ -1,16 +1,16 @@
 //! Control's side of leases: rosters of failure domains and parts of limits.
 //!
-//! Two invariants carry the promises, in any order of events:
+//! Two invariants hold in any order of events:
 //!
-//! - The parts of a limit that entries may be using add up to no more than the limit.
-//!   A part is cut first, and raised elsewhere only after the cut was acknowledged, or
-//!   has lapsed and what ran under it has ended.
-//! - No two entries may admit to the same endpoint. A roster's losers follow it first
-//!   and its gainers only afterwards.
+//! - The parts of a limit that entries may be using add up to at most the limit. A part is
+//!   reduced first, and another one raised only after the reduction was acknowledged, or
+//!   after the reduced entry's lease has lapsed and the requests under it have ended.
+//! - No two entries may admit to the same endpoint. The members that lose endpoints by a
+//!   new roster follow it first, those that gain them only afterwards.
 //!
-//! The keeper runs on the control leader alone. A new leader takes over the rosters,
-//! learns from renewals what is held, renews just that, and changes nothing until every
-//! lease that its predecessor may have granted has lapsed.
+//! The lessor runs only on the control leader. A new leader restores the rosters, collects
+//! from renewals which parts are held, renews exactly these, and changes nothing until
+//! every lease that its predecessor may have granted has lapsed.
 
 mod quota;
 mod roster;
@@ -26,16 +26,17 @@
 use quota::{Demand, Quota};
 use roster::DomainRoster;
 
-/// Both quotas of a row.
+/// The quotas for a row's limit and shift cap.
 #[derive(Debug, Default)]
 struct RowQuota {
     limit: Quota,
     shift: Quota,
 }
 
-/// The newest renewal of an entry.
+/// Which renewals of an entry were handled.
 #[derive(Debug, Default)]
 struct RenewalHistory {
+    /// Incarnation and serial of the newest renewal; `None` before the first.
     newest: Option<(Incarnation, u64)>,
     earlier_incarnations: Vec<Incarnation>,
 }
@@ -44,6 +45,7 @@
 #[derive(Debug)]
 pub struct Lessor {
     term: Epoch,
+    /// Until then leases are only renewed, and rosters and parts don't change.
     frozen_until: Moment,
     max_request_duration: Duration,
     view: Arc<View>,
@@ -53,15 +55,15 @@
 }
 
 impl Lessor {
-    /// A keeper for a leader that has just won `term`.
+    /// The lessor of a leader that has just won `term`.
     ///
-    /// `max_request_duration` bounds how long a request may run on after its entry fell silent;
-    /// it must be at least the longest deadline that entries accept.
+    /// `max_request_duration` bounds how long a request may go on running after the last
+    /// renewal of its entry; it must be at least the longest deadline that entries accept.
     pub fn new(now: Moment, term: Epoch, max_request_duration: Duration) -> Self {
         Self {
             term,
-            // Grants of the leader before may hold until then, and what was admitted
-            // under them is reported by whoever renews here.
+            // Grants of the previous leader may be valid until then. The requests admitted
+            // under them are reported by the entries' renewals.
             frozen_until: now + LEASE_DURATION + LEASE_MARGIN,
             max_request_duration,
             view: Arc::default(),
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Takes in the table in force.
+    /// Sets the limits and shift caps by the table in force; ignores an older version.
     pub fn set_table(&mut self, view: Arc<View>) {
         if view.version < self.view.version {
             return;
@@ -90,8 +92,8 @@
         self.view = view;
     }
 
-    /// The rosters as they stand, for the next leader. Control must have them in its log
-    /// before it sends a grant that follows a change of them.
+    /// The current rosters, for the next leader. Control must have a changed roster in its log
+    /// before it sends a grant by it.
     pub fn rosters(&self) -> Vec<StoredRoster> {
         let rosters = self.rosters.iter();
         rosters
@@ -99,13 +101,12 @@
             .collect()
     }
 
-    /// Takes over the rosters of the leader before.
+    /// Restores the rosters of the previous leader.
     ///
-    /// Renewals tell a new leader of most rosters, but not of one whose members can't
-    /// reach it. Without its word a late-coming entry of the same failure domain would
-    /// get a roster of its own and share endpoints with members that are still in force
-    /// by their own promises; and what they hold of their region's limits would be given
-    /// to others.
+    /// A new leader gets most rosters from renewals, but not one whose members can't reach
+    /// it. Without that roster, a new entry of the same failure domain would get a roster of
+    /// its own and admit to the endpoints of members that are still in force by each other's
+    /// promises; and these members' parts of the region's limits would be granted again.
     pub fn restore(&mut self, rosters: impl IntoIterator<Item = StoredRoster>) {
         for stored in rosters {
             let (term, frozen_until) = (self.term, self.frozen_until);
@@ -116,7 +117,8 @@
         }
     }
 
-    /// An entry is gone for good, by the platform's word: nothing of it runs any more.
+    /// Removes an entry that the platform reports as permanently gone: none of its requests
+    /// run any more.
     pub fn forget(&mut self, name: &NodeName) {
         for roster in self.rosters.values_mut() {
             roster.forget(name);
@@ -130,7 +132,7 @@
     /// Answers a renewal.
     pub fn renew(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Grant {
         if !self.is_newest(from, renew) {
-            // No renewal has the number 0, so nobody takes this grant in.
+            // No renewal has the serial 0, so the entry ignores this grant.
             return Grant {
                 term: self.term,
                 serial: 0,
@@ -148,8 +150,8 @@
                 DomainRoster::new(renew.region.clone(), self.term, self.frozen_until)
             });
         let membership = roster.renew(now, frozen, from, renew);
-        // What a member holds that this leader hasn't heard of is not known, so nothing
-        // is raised in its region before it reports or is removed.
+        // The parts of a member that hasn't renewed with this leader are unknown, so
+        // nothing is raised in its region before it renews or is removed.
         let mut domains = self.rosters.values();
         let has_unreported =
             domains.any(|d| *d.region() == renew.region && d.has_unreported_member());
@@ -164,9 +166,9 @@
         }
     }
 
-    /// Whether nothing newer has been heard from the entry. A renewal that was overtaken
-    /// tells of promises, parts and requests as they were, and so does one of a start
-    /// that the entry has left behind.
+    /// Records a renewal; returns whether it is the newest one of the entry. One that arrives
+    /// after a later one, or after one of a later incarnation, reports outdated promises,
+    /// parts and requests.
     fn is_newest(&mut self, from: &NodeName, renew: &Renew) -> bool {
         let history = self.renewals.entry(from.clone()).or_default();
         if history.earlier_incarnations.contains(&renew.incarnation) {
@@ -233,9 +235,9 @@
         .collect()
     }
 
-    /// Whether the slots that entries of a region reported last are all its slots, so far
-    /// as can be known here. `domains` are failure domains of the region that are known
-    /// by other ways: one whose entries haven't renewed with this leader has slots too.
+    /// Whether the slots in the last renewals of a region's entries are all its slots, as far
+    /// as this leader can determine. `domains` are the region's failure domains from another
+    /// source: one whose entries haven't renewed with this leader has slots too.
     pub fn slots_are_complete<'a>(
         &self,
         now: Moment,
@@ -249,8 +251,9 @@
             && domains.all(|domain| self.rosters.contains_key(domain))
     }
 
-    /// Most requests that holders may have in progress under a row, by what was granted:
-    /// never more than the highest limit that was in force while a part of it may hold.
+    /// Maximum number of requests that entries may have in progress under a row's limit, by the
+    /// grants: never more than the highest limit that was in force while a granted part of it
+    /// may still be valid.
     pub fn committed(&self, now: Moment, key: &RowKey) -> u32 {
         self.quotas
             .get(key)
--- a/crates/steer/src/lessor/quota.rs
+++ b/crates/steer/src/lessor/quota.rs
@@ -1,4 +1,4 @@
-//! One limit, split into parts.
+//! One limit and its division among entries.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,45 +7,52 @@
 
 use crate::lease::{LEASE_DURATION, LEASE_MARGIN, Part};
 
-/// Weight of the newest demand in its mean.
+/// Weight of the newest demand in the mean demand.
 const DEMAND_GAIN: f64 = 0.1;
-/// Part of a share that holds without a lease, so that entries whom control doesn't
-/// reach serve a steady day.
+/// Fraction of a share that stays valid without a lease, so that entries without a
+/// connection to control can serve steady traffic.
 const FLOOR_FRACTION: f64 = 0.9;
 
-/// What a renewal says about one limit.
+/// The contents of a renewal that concern one limit.
 #[derive(Debug)]
 pub(crate) struct Demand {
     pub(crate) incarnation: Incarnation,
+    /// Serial of the newest grant in force at the entry; 0 for none.
     pub(crate) accepted: u64,
+    /// Serial of the renewal.
     pub(crate) serial: u64,
+    /// The part that the entry holds.
     pub(crate) held: Part,
     pub(crate) slots: u32,
     pub(crate) running: u32,
     pub(crate) waiting: u32,
     pub(crate) max_request_duration: Duration,
+    /// Whether the entry may only be granted what it holds.
     pub(crate) frozen: bool,
     pub(crate) failure_domain: FailureDomain,
 }
 
-/// What an entry may be using.
+/// An entry's use of the limit, as far as grants and renewals show it.
 #[derive(Debug)]
 struct Holder {
     incarnation: Incarnation,
     failure_domain: FailureDomain,
     last_seen: Moment,
-    /// Grants that may be in force at the entry: the one that it accepted last and all
-    /// later ones, which may still arrive.
+    /// Serials and parts of the grants that may be in force at the entry: the one that it
+    /// accepted last and all later ones, which may still arrive.
     outstanding: Vec<(u64, Part)>,
-    /// Requests in progress at its last renewal; over the share right after a cut.
+    /// Requests in progress at its last renewal; more than the share right after a reduction.
     running: u32,
-    /// From then on only floors can be in use.
+    /// Until then it may use shares, afterwards only floors.
     committed_until: Moment,
-    /// Left over from the entry's earlier start.
+    /// Requests that may still run from before the entry's last restart.
     residue: u32,
+    /// When `residue` expires.
     residue_until: Moment,
     slots: u32,
+    /// Moving average of its running and waiting requests.
     mean_demand: f64,
+    /// Its weight in the division of the limit.
     weight: f64,
 }
 
@@ -71,7 +78,7 @@
         floors.max().unwrap_or(0)
     }
 
-    /// Most requests that the entry may have in progress.
+    /// Maximum number of requests that the entry may have in progress.
     fn committed(&self, now: Moment) -> u32 {
         let residue = if now < self.residue_until {
             self.residue
@@ -87,7 +94,8 @@
         residue.max(leased)
     }
 
-    /// A restarted entry holds nothing, but requests of its earlier start may run on.
+    /// Resets the holder for a restarted entry: it holds nothing, but requests from before the
+    /// restart may still run.
     fn restart(&mut self, now: Moment, incarnation: Incarnation, max_request_duration: Duration) {
         let residue = self.committed(now);
         *self = Self::new(incarnation, self.failure_domain.clone());
@@ -97,7 +105,7 @@
 
     fn record_renewal(&mut self, now: Moment, demand: &Demand) {
         if self.outstanding.is_empty() {
-            // First heard by this keeper: what it holds is from the leader before.
+            // First renewal with this lessor: its part is from the previous leader.
             self.outstanding.push((demand.accepted, demand.held));
         }
         self.outstanding
@@ -106,16 +114,16 @@
         self.last_seen = now;
         // Requests admitted under a share run on after it has lapsed.
         self.committed_until = now + LEASE_DURATION + LEASE_MARGIN + demand.max_request_duration;
-        // Waiting counts up to the slots only: a long queue says no more than that.
+        // Waiting requests count up to the number of slots; a longer queue can't use more.
         let in_use = demand.running + demand.waiting.min(demand.slots);
         self.mean_demand += DEMAND_GAIN * (f64::from(in_use) - self.mean_demand);
-        // Slots first, since a share beyond them is of no use.
+        // Based on slots, since a share beyond them is of no use.
         self.slots = demand.slots;
         self.weight = f64::from(demand.slots) + self.mean_demand;
     }
 
-    /// Another entry admits to the endpoints that this one admitted to, and counts what
-    /// is left there: nothing can run under this holder's name any more.
+    /// Another entry now owns this one's endpoints and counts the requests that still run
+    /// there, so none have to be counted for this holder.
     fn release_if_lapsed(&mut self, now: Moment) {
         self.residue = 0;
         if now >= self.last_seen + LEASE_DURATION + LEASE_MARGIN {
@@ -126,15 +134,15 @@
 
     fn record_grant(&mut self, serial: u64, part: Part) {
         match self.outstanding.last_mut() {
-            // Grants that don't get through would pile up otherwise. The later number
-            // only keeps the part for longer.
+            // Otherwise grants that don't arrive would accumulate. The later serial only keeps
+            // the part for longer.
             Some((last, same)) if *same == part => *last = serial,
             _ => self.outstanding.push((serial, part)),
         }
     }
 }
 
-/// A limit with the entries that hold parts of it.
+/// A limit and the entries that hold parts of it.
 #[derive(Debug, Default)]
 pub(crate) struct Quota {
     total: u32,
@@ -154,7 +162,7 @@
         self.holders.values().map(|h| h.committed(now)).sum()
     }
 
-    /// Grants an entry its part.
+    /// Records an entry's renewal and returns the part that it is granted.
     pub(crate) fn grant(&mut self, now: Moment, name: &NodeName, demand: &Demand) -> Part {
         let holder = self
             .holders
@@ -168,7 +176,7 @@
             self.supersede_others(now, name, demand);
         }
         let part = if demand.frozen {
-            // Others may hold what this keeper hasn't heard of yet.
+            // Other entries may hold parts that they haven't reported yet.
             demand.held
         } else {
             self.part(now, name)
@@ -179,8 +187,8 @@
         part
     }
 
-    /// The service's endpoints in a failure domain have one owner at a time. One that
-    /// reports slots is it, so whoever was it before has lost them.
+    /// Releases the commitments of previous owners. A service's endpoints in a failure domain
+    /// have one owner at a time, and `name`, which reports slots, is the current one.
     fn supersede_others(&mut self, now: Moment, name: &NodeName, demand: &Demand) {
         for (other, holder) in &mut self.holders {
             if other != name && holder.failure_domain == demand.failure_domain {
@@ -206,8 +214,8 @@
         Part { share, floor }
     }
 
-    /// The entry's fair share: by slots and demand, but no more than its slots, and what
-    /// that leaves goes to the others.
+    /// The entry's fair share of the limit: in proportion to slots and demand, capped at its
+    /// slots. The excess of capped entries is divided among the others.
     fn fair_share(&self, name: &NodeName) -> u32 {
         let mut unassigned: Vec<_> = self.holders.iter().filter(|(_, h)| h.slots > 0).collect();
         let mut remaining = self.total;
--- a/crates/steer/src/lessor/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -1,21 +1,20 @@
 //! The roster of one failure domain.
 //!
 //! An entry admits to its endpoints while its membership is leased by control, or while
-//! a majority of the members, itself included, promise not to help remove it. So a
-//! failure domain that is cut off from control goes on, and so does an entry that is
-//! cut off from its peers only. An entry that has neither stops admitting when its last
-//! lease lapses.
+//! a majority of the members, itself included, promise not to confirm its removal. So a
+//! failure domain that is partitioned from control keeps serving, and so does an entry that
+//! is partitioned from its peers only. An entry with neither stops admitting when its last
+//! lease or promise expires.
 //!
 //! Why no endpoint ever has two owners:
 //!
-//! - A silent member is removed only after control's lease to it has lapsed and so many
-//!   of the others have confirmed, with their own promises lapsed, that those left are
-//!   no majority together with it.
-//! - A leaving member is removed by its own acknowledgement, before others gain.
-//! - A new member is granted the roster that names it only after all others follow it.
-//! - A new leader trusts the highest roster that it hears of only after a majority of
-//!   its members has reported it: a removal that it hasn't heard of would have needed
-//!   one of these.
+//! - A silent member is removed only after control's lease to it has lapsed, and after so
+//!   many other members have confirmed the removal, with their own promises to it expired,
+//!   that it has no majority together with the rest.
+//! - A leaving member must acknowledge its removal before others gain its endpoints.
+//! - A new member is granted the roster that includes it only after all others follow it.
+//! - A new leader trusts the highest roster among the renewals only after a majority of its
+//!   members has reported it: a later removal would have needed at least one of these.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,29 +22,32 @@
 
 use crate::lease::{LEASE_DURATION, LEASE_MARGIN, Renew, Roster, StoredRoster, majority};
 
-/// Silence after which an entry that isn't a member counts as gone.
+/// Time since its last renewal after which an entry counts as silent: it isn't added, and
+/// its slot counts are outdated.
 const RENEWAL_TIMEOUT: std::time::Duration = LEASE_DURATION;
 
-/// Renewals without an answer after which an entry's lease may have lapsed unnoticed: half
-/// of those that fit into a lease.
+/// Number of unanswered renewals from which on an entry's lease may have lapsed without
+/// control's notice: half of the renewals during a lease.
 const MAX_UNANSWERED: u64 = 3;
 
+/// An entry's last renewal with this lessor.
 #[derive(Debug)]
 struct LastRenewal {
     received_at: Moment,
+    /// Epoch of the roster that it follows; 0 for none.
     epoch: Epoch,
-    /// Term of the leader whose word it follows.
+    /// Term of its newest grant.
     term: Epoch,
     refusing: Option<NodeName>,
     promised: Vec<NodeName>,
     leaving: bool,
-    /// Renewals sent since the last one whose answer it took in.
+    /// Renewals that it sent since the last one whose answer it accepted.
     unanswered: u64,
-    /// Services whose endpoints it knows.
+    /// Services for which it has a list of endpoints.
     services: BTreeSet<ServiceName>,
 }
 
-/// What an entry is told.
+/// The part of a grant that concerns the roster.
 #[derive(Debug, Default)]
 pub(crate) struct Membership {
     pub(crate) roster: Option<Roster>,
@@ -53,23 +55,24 @@
     pub(crate) refuse: Option<NodeName>,
 }
 
+/// The roster of one failure domain, and its members' state by their renewals.
 #[derive(Debug)]
 pub(crate) struct DomainRoster {
     region: Region,
     term: Epoch,
     roster: Option<Roster>,
-    /// Whether no higher roster can exist.
+    /// Whether no roster with a higher epoch can exist.
     trusted: bool,
     last_renewals: BTreeMap<NodeName, LastRenewal>,
-    /// When control's lease to a member lapses, by this clock and with margin.
+    /// When control's lease to each member lapses, by this clock and with the margin.
     lease_ends: BTreeMap<NodeName, Moment>,
-    /// For members whose lease isn't known: granted by a leader before.
+    /// When leases that a previous leader granted have lapsed at the latest.
     inherited_lease_end: Moment,
-    /// Promises of a member that has left may hold until then.
+    /// Promises of a member that has left may be valid until then.
     no_removal_before: Moment,
-    /// A leaving member that hasn't acknowledged its removal yet.
+    /// A removed member, formerly leaving, that hasn't acknowledged its removal yet.
     awaiting_ack: Option<NodeName>,
-    /// Members named by this keeper that no roster was granted to yet.
+    /// Members that this lessor has added and that haven't been granted a roster yet.
     joining: BTreeSet<NodeName>,
 }
 
@@ -102,16 +105,16 @@
         &self.region
     }
 
-    /// Whether a member may be in force that this keeper hasn't heard of, so that
-    /// nothing is known of the parts it holds.
+    /// Whether a member may be in force that hasn't renewed with this lessor, so that its
+    /// parts are unknown.
     pub(crate) fn has_unreported_member(&self) -> bool {
         let mut members = self.roster.iter().flat_map(|r| &r.members);
         members.any(|name| !self.last_renewals.contains_key(name) && !self.joining.contains(name))
     }
 
-    /// Whether the slots that the members reported last are all slots of the failure
-    /// domain. They are not while one is silent, or endpoints are on their way from one
-    /// owner to the next, or a member holds none for want of a lease or of the list.
+    /// Whether the slots in the members' last renewals are all slots of the failure domain.
+    /// They are not while a member is silent, while endpoints move from one owner to another,
+    /// or while a member owns none because it lacks a lease or the list of endpoints.
     pub(crate) fn slots_are_complete(&self, now: Moment) -> bool {
         let Some(roster) = &self.roster else {
             return false;
@@ -135,22 +138,23 @@
             && !in_transition
     }
 
-    /// Whether a member said that it stops, and then fell silent: the last one keeps its
-    /// endpoints to the end, and its place in the roster beyond that.
+    /// Whether a member has announced its planned stop and then fallen silent. The last member
+    /// keeps its endpoints until it stops and stays in the roster afterwards.
     fn has_stopped(&self, now: Moment, name: &NodeName) -> bool {
         let renewal = self.last_renewals.get(name);
         renewal
             .is_some_and(|renewal| renewal.leaving && now >= renewal.received_at + RENEWAL_TIMEOUT)
     }
 
-    /// Whether a member held its endpoints when it was last heard, and was so just now.
+    /// Whether a member's last renewal is recent and shows that it holds a lease and has a list
+    /// of endpoints.
     fn holds_endpoints(&self, now: Moment, renewal: &LastRenewal) -> bool {
         let leased = renewal.term == self.term && renewal.unanswered < MAX_UNANSWERED;
         now < renewal.received_at + RENEWAL_TIMEOUT && leased && !renewal.services.is_empty()
     }
 
-    /// Whether all members know of endpoints of the same services. While they don't,
-    /// some haven't got the list yet by which they would own theirs.
+    /// Whether all members have endpoints of the same services. Otherwise some haven't received
+    /// the current list of endpoints, and don't own theirs yet.
     fn lists_agree(&self) -> bool {
         let members = self.roster.iter().flat_map(|r| &r.members);
         let renewals = members.filter_map(|name| self.last_renewals.get(name));
@@ -158,7 +162,7 @@
         service_sets.len() <= 1
     }
 
-    /// Takes over the roster of the leader before; no higher one was ever granted.
+    /// Restores the roster of the previous leader, which never granted a higher one.
     pub(crate) fn restore(&mut self, stored: StoredRoster) {
         self.adopt_if_newer(stored.roster);
         self.awaiting_ack = stored.leaving;
@@ -215,7 +219,7 @@
             services: renew.demand.iter().map(|d| d.service.clone()).collect(),
         };
         self.last_renewals.insert(from.clone(), renewal);
-        // A restarted entry, which follows no roster, admits to nothing either.
+        // A restarted entry follows no roster and so admits to no endpoint.
         let current = self.roster.as_ref().map(|r| r.epoch);
         let follows = renew
             .roster
@@ -223,7 +227,7 @@
             .is_none_or(|r| Some(r.epoch) == current);
         if follows && self.awaiting_ack.as_ref() == Some(from) {
             self.awaiting_ack = None;
-            // What it promised to others as a member may hold for so long.
+            // The promises that it gave as a member may be valid until then.
             self.no_removal_before = now + LEASE_DURATION + LEASE_MARGIN;
         }
     }
@@ -301,7 +305,7 @@
         }
     }
 
-    /// Whether all members follow the roster.
+    /// Whether all members follow the current roster.
     fn is_settled(&self) -> bool {
         let Some(roster) = &self.roster else {
             return false;
@@ -312,8 +316,8 @@
             .all(|name| self.follows(name, roster.epoch))
     }
 
-    /// A member without a lease that hasn't been heard of for as long as one holds, or a
-    /// leaving one whose acknowledgement doesn't come.
+    /// A member, or a leaving one that hasn't acknowledged its removal, whose lease has lapsed
+    /// and that hasn't renewed for the length of a lease.
     fn silent_member(&self, now: Moment) -> Option<NodeName> {
         if now < self.no_removal_before {
             return None;
@@ -338,8 +342,8 @@
         candidates.find(is_silent).cloned()
     }
 
-    /// A member that is on its way to be silent: the others are told early, so that
-    /// their confirmation is there when the lease lapses.
+    /// A member that hasn't renewed for half a lease. Grants name it to the other members
+    /// early, so that they have confirmed its removal when its lease lapses.
     fn suspect(&self, now: Moment) -> Option<NodeName> {
         let members = self.roster.iter().flat_map(|r| &r.members);
         let mut candidates = members.chain(&self.awaiting_ack);
@@ -353,7 +357,8 @@
         candidates.find(is_overdue).cloned()
     }
 
-    /// Whether those who haven't confirmed are too few to keep the member in force.
+    /// Whether the members that haven't confirmed the removal are too few to keep the member in
+    /// force by their promises.
     fn can_remove(&self, name: &NodeName) -> bool {
         let Some(roster) = &self.roster else {
             return false;
@@ -368,15 +373,16 @@
             .iter()
             .filter(|other| !self.confirmed(other, name))
             .count();
-        // The member may still follow the roster from before the newest ones were named,
-        // and so need fewer promises. Only those who follow the roster surely had one.
+        // The member may still follow a roster from before the newest members were added,
+        // and need fewer promises. Only members that follow the current roster are sure to be
+        // in the older one.
         let follows = |other: &&NodeName| self.follows(other, roster.epoch);
         let followers = others.iter().copied().filter(follows).count();
         unconfirmed + 1 < majority(followers + 1)
     }
 
     fn confirmed(&self, by: &NodeName, name: &NodeName) -> bool {
-        // A word given to an earlier leader may have been taken back since.
+        // A confirmation to an earlier leader may have been withdrawn since.
         self.last_renewals.get(by).is_some_and(|renewal| {
             renewal.term == self.term
                 && renewal.refusing.as_ref() == Some(name)
@@ -391,7 +397,7 @@
                 .get(*name)
                 .is_some_and(|renewal| renewal.leaving)
         };
-        // The last member keeps its endpoints to the end: nobody could take them.
+        // The last member keeps its endpoints until it stops: there is no other owner.
         let others = roster.members.len() > 1;
         roster
             .members
@@ -434,7 +440,7 @@
         }
     }
 
-    /// The roster that the entry is to follow next, if any.
+    /// The roster that the entry must follow next; `None` while it may not follow any.
     fn next_roster(
         &self,
         newest: &Roster,
@@ -450,21 +456,21 @@
         if followed.is_some_and(|followed| followed.epoch == newest.epoch) {
             return Some(newest.clone());
         }
-        // One that was a member just before keeps what it has until the leaving member
-        // has acknowledged, then it may gain.
+        // A member of the previous roster keeps following that until the leaving member has
+        // acknowledged its removal; then it may gain endpoints.
         if let Some(followed) = followed.filter(was_member) {
             let next = if awaiting_others { followed } else { newest };
             return Some(next.clone());
         }
-        // Any other one gains everything that it is named for: a new one, a restarted
-        // one, and one that was removed and named again while it was cut off. It waits
-        // for all the others, who lose that.
+        // Any other entry gains all its endpoints by this roster: a new one, a restarted one,
+        // and one that was removed and added again while it was partitioned. It waits until
+        // all other members, which lose these endpoints, follow the roster.
         let may_gain = !awaiting_others && self.others_follow(newest, from);
         may_gain.then(|| newest.clone())
     }
 
-    /// Whether all other members follow the roster; those not yet granted any have
-    /// nothing that could overlap.
+    /// Whether all other members follow the roster. Members without a roster own nothing that
+    /// could overlap.
     fn others_follow(&self, roster: &Roster, name: &NodeName) -> bool {
         let mut others = roster.members.iter().filter(|other| *other != name);
         others.all(|other| {
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy itself: joins what is known about endpoints, entries and the table.
+//! The policy: combines the state of endpoints, other entries and the table.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -23,13 +23,14 @@
     ServiceReport, ServiceUsage, Steering,
 };
 
-/// Where a placed request runs.
+/// Where a placed request was sent.
 #[derive(Debug)]
 pub(crate) enum Location {
     Endpoint(NodeName),
     Entry(NodeName),
 }
 
+/// A placed request that hasn't ended.
 #[derive(Debug)]
 pub(crate) struct Running {
     pub(crate) service: ServiceName,
@@ -38,14 +39,14 @@
     pub(crate) shifted: bool,
 }
 
-/// Whether a request belongs to this region under the stable weights.
+/// Whether a request's home region under the stable weights is this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Class {
     Home,
     Shifted,
 }
 
-/// Steering of an entry: exact counting at its own endpoints, reports from others.
+/// Steering of an entry, by exact counts at its own endpoints and reports of other entries.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) cfg: Config,
@@ -63,7 +64,7 @@
 }
 
 impl Policy {
-    /// A policy that knows nothing yet.
+    /// A policy without any observations.
     pub fn new(now: Moment, cfg: Config) -> Self {
         Self {
             pools: HashMap::new(),
@@ -81,13 +82,13 @@
         }
     }
 
-    /// Whether this entry may admit now to the service's endpoints in its failure domain.
+    /// Whether this entry owns the service's endpoints in its failure domain and may admit to
+    /// them now.
     pub fn owns(&self, now: Moment, service: &ServiceName) -> bool {
         self.ownership.owns(now, service.as_str())
     }
 
-    /// Whether a request that runs at an own endpoint counts as shifted; `None` if no
-    /// such request runs.
+    /// Whether a request counts as shifted; `None` unless it runs at an own endpoint.
     pub fn is_shifted(&self, id: RequestId) -> Option<bool> {
         let run = self.running.get(&id)?;
         matches!(run.location, Location::Endpoint(_)).then_some(run.shifted)
@@ -118,7 +119,8 @@
         self.refresh_owned_slots(now);
     }
 
-    /// Whether this entry serves on its own because nobody can be asked.
+    /// Whether this entry serves without a lease or promises, because it has reached neither
+    /// control nor a majority for long and is configured to do so.
     pub(crate) fn is_isolated(&self, now: Moment) -> bool {
         self.cfg.serve_isolated && self.ownership.is_isolated(now)
     }
@@ -126,10 +128,10 @@
     pub(crate) fn refresh_owned_slots(&mut self, now: Moment) {
         let isolated = self.is_isolated(now);
         for endpoint in self.pools.values_mut().flat_map(|p| &mut p.endpoints) {
-            // With nobody to ask, an owner that is beyond reach but alive can't be ruled
-            // out. One request at a time, and only while the endpoint itself shows a
-            // free slot, is the least that serves callers; were there an owner, it would
-            // be sent at most one request more than it has slots, which it refuses.
+            // An isolated entry can't rule out an owner that is alive but unreachable. So it
+            // uses one slot, and only while the endpoint itself reports a free one, the least
+            // that serves callers. If there is an owner, the endpoint gets at most one request
+            // more than it has slots, and refuses it.
             let slots = if isolated {
                 u32::from(endpoint.reports_free_slot(now, self.cfg.reading_ttl))
             } else {
@@ -157,7 +159,7 @@
 
     fn set_table(&mut self, now: Moment, view: Arc<View>) {
         self.regions.set_table(now, view);
-        // A new row admits nothing before its parts are granted.
+        // A new row admits nothing before its parts are granted, so renew at once.
         self.next_renewal = now;
     }
 
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Starts what waits for the service and now has a slot.
+    /// Places queued requests of the service while slots are free.
     pub(crate) fn dispatch(&mut self, now: Moment, service: &ServiceName) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some((req, class)) = self.next_queued(now, service) {
@@ -227,8 +229,8 @@
         actions
     }
 
-    /// The next waiting request that may start: of both queues the nearer deadline,
-    /// but a shifted one only if the shift window has room.
+    /// The queued request with the earliest deadline that may start: a shifted one only if
+    /// the shift window has room.
     fn next_queued(&self, now: Moment, service: &ServiceName) -> Option<(RequestInfo, Class)> {
         let pool = self.pools.get(service)?;
         let home = pool.home_queue.front();
@@ -305,8 +307,8 @@
         actions
     }
 
-    /// Probes whose time has come. Every entry of the failure domain probes, owner or
-    /// not, so that an endpoint's state is known when its ownership moves.
+    /// Probes that are due. Every entry of the failure domain probes all endpoints, owner or
+    /// not, so that it has a reading when it becomes the owner.
     fn probes(&mut self, now: Moment) -> Vec<Action> {
         let every = self.cfg.probe_interval;
         let endpoints = self.pools.values_mut().flat_map(|p| &mut p.endpoints);
--- a/crates/steer/src/round_robin.rs
+++ b/crates/steer/src/round_robin.rs
@@ -1,5 +1,5 @@
-//! Round robin over the endpoints of the own failure domain: the baseline that every
-//! other policy is measured against.
+//! Round robin over the endpoints of the own failure domain: the baseline for comparing
+//! policies.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The policy.
+/// Round robin placement without counting, queueing or health checks.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     endpoints: Vec<Arc<EndpointInfo>>,
--- a/crates/steer/src/shift.rs
+++ b/crates/steer/src/shift.rs
@@ -1,9 +1,9 @@
-//! How many shifted requests an entry takes at a moment.
+//! Admission window for shifted requests.
 //!
-//! Traffic that moves to another region finds its caches cold, so the same number of
-//! requests holds more slots there than at home. A window therefore starts at one
-//! request and grows by a factor only after a period in which it was used, nothing was
-//! refused or shed, slots were left, and latency stayed near its long-run mean. It
+//! Traffic that moves to another region meets cold caches there, so the same number of
+//! requests holds more slots than in its home region. The window therefore starts at one
+//! request and grows by a factor only after a period in which it was fully used, nothing
+//! was refused or shed, slots stayed free, and latency stayed near its long-run mean. It
 //! never exceeds this entry's share of the row's shift cap.
 
 use std::time::Duration;
@@ -13,23 +13,25 @@
 const MIN_WINDOW: f64 = 1.0;
 const GROWTH_FACTOR: f64 = 1.5;
 const SHRINK_FACTOR: f64 = 0.7;
-/// A period lasts for so many requests, one after the other: what the last step did to
-/// latency and refusals shows by then.
+/// Length of a period in mean hold times, within the bounds below: long enough for the last
+/// change of the window to show in latency and refusals.
 const PERIOD_IN_HOLD_TIMES: f64 = 10.0;
 const MIN_PERIOD: Duration = Duration::from_millis(200);
 const MAX_PERIOD: Duration = Duration::from_secs(4);
-/// Latency of a period against the long-run mean from which on it counts as strained.
+/// Multiple of the long-run mean latency above which a period counts as strained.
 const STRAINED_LATENCY: f64 = 2.0;
-/// Part of the slots filled from which on a region has no room to grow into.
+/// Mean utilisation of the entry's slots above which a period counts as strained.
 const STRAINED_LOAD: f64 = 0.95;
-/// After so long without shifted requests the next shift starts small again.
+/// Time without shifted requests after which the window starts at its minimum again.
 const RESET_AFTER: Duration = Duration::from_secs(60);
 
-/// What happened since the last period's end.
+/// Counts and sums of the current period.
 #[derive(Clone, Copy, Debug, Default)]
 struct Period {
+    /// Most shifted requests that ran at the same time.
     max_shifted: u32,
     answers: u32,
+    /// Sum of the answers' latencies.
     latency_seconds: f64,
     refusals: u32,
     load_sum: f64,
@@ -38,11 +40,12 @@
 
 #[derive(Debug)]
 pub(crate) struct ShiftWindow {
+    /// Shifted requests that may run at the same time.
     window: f64,
     period: Period,
     period_ends: Moment,
     last_used: Moment,
-    /// Long-run mean latency of home requests, in seconds.
+    /// Long-run mean latency of answers, in seconds; `None` before the first one.
     baseline: Option<f64>,
 }
 
@@ -75,8 +78,9 @@
         self.period.refusals += 1;
     }
 
-    /// Ends a period if it is time; `load` is the filled part of the entry's slots. Its
-    /// mean over the period counts: a few slots are all filled for moments on any day.
+    /// Records `load`, the utilisation of the entry's slots, and ends the period when it is
+    /// due. The mean load of the period decides, since a few slots are often all filled for
+    /// moments.
     pub(crate) fn tick(&mut self, now: Moment, load: f64, cap: u32, hold_seconds: f64) {
         self.period.load_sum += load;
         self.period.ticks += 1;
@@ -110,7 +114,8 @@
         period.refusals > 0 || slow || load > STRAINED_LOAD
     }
 
-    /// The mean moves slowly upwards, so that a cold region doesn't redefine normal.
+    /// Moves the baseline towards a period's mean latency; slowly upwards, so that cold caches
+    /// don't raise it.
     fn update_baseline(&mut self, mean_latency: Option<f64>) {
         let Some(mean_latency) = mean_latency else {
             return;
