--- a/crates/steer/src/lessor/quota.rs
+++ b/crates/steer/src/lessor/quota.rs
@@ -40,7 +40,7 @@
     last_seen: Moment,
     /// Serials and parts of the grants that may be in force at the entry: the one that it
     /// accepted last and all later ones, which may still arrive.
-    outstanding: Vec<(u64, Part)>,
+    grants: Vec<(u64, Part)>,
     /// Requests in progress at its last renewal; more than the share right after a reduction.
     running: u32,
     /// Until then it may use shares, afterwards only floors.
@@ -62,7 +62,7 @@
             incarnation,
             failure_domain,
             last_seen: Moment::ZERO,
-            outstanding: Vec::new(),
+            grants: Vec::new(),
             running: 0,
             committed_until: Moment::ZERO,
             residue: 0,
@@ -74,7 +74,7 @@
     }
 
     fn floor(&self) -> u32 {
-        let floors = self.outstanding.iter().map(|(_, part)| part.floor);
+        let floors = self.grants.iter().map(|(_, part)| part.floor);
         floors.max().unwrap_or(0)
     }
 
@@ -86,7 +86,7 @@
             0
         };
         let leased = if now < self.committed_until {
-            let shares = self.outstanding.iter().map(|(_, part)| part.share);
+            let shares = self.grants.iter().map(|(_, part)| part.share);
             shares.max().unwrap_or(0).max(self.running)
         } else {
             self.floor()
@@ -104,12 +104,11 @@
     }
 
     fn record_renewal(&mut self, now: Moment, demand: &Demand) {
-        if self.outstanding.is_empty() {
+        if self.grants.is_empty() {
             // First renewal with this lessor: its part is from the previous leader.
-            self.outstanding.push((demand.accepted, demand.held));
+            self.grants.push((demand.accepted, demand.held));
         }
-        self.outstanding
-            .retain(|(serial, _)| *serial >= demand.accepted);
+        self.grants.retain(|(serial, _)| *serial >= demand.accepted);
         self.running = demand.running;
         self.last_seen = now;
         // Requests admitted under a share run on after it has lapsed.
@@ -127,17 +126,17 @@
     fn release_if_lapsed(&mut self, now: Moment) {
         self.residue = 0;
         if now >= self.last_seen + LEASE_DURATION + LEASE_MARGIN {
-            self.outstanding.clear();
+            self.grants.clear();
             self.running = 0;
         }
     }
 
     fn record_grant(&mut self, serial: u64, part: Part) {
-        match self.outstanding.last_mut() {
+        match self.grants.last_mut() {
             // Otherwise grants that don't arrive would accumulate. The later serial only keeps
             // the part for longer.
             Some((last, same)) if *same == part => *last = serial,
-            _ => self.outstanding.push((serial, part)),
+            _ => self.grants.push((serial, part)),
         }
     }
 }
