--- a/crates/steer/examples/cost.rs
+++ b/crates/steer/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What steering costs: time of a decision, a look-up, a tick and a renewal, and memory
-//! of an entry's policy, at several sizes. Prints `name: value unit`, a line each.
+//! Measures the time of a decision, a look-up, a tick and a renewal, and the memory of an
+//! entry's policy, with several numbers of entries. Prints lines of `name: value unit`.
 
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -84,10 +84,10 @@
     })
 }
 
-/// Entries that report to one entry; the rest is known by name only.
+/// Number of entries that report to an entry; it has no load of the others.
 const REPORTING: usize = 16;
 
-/// A policy that knows so many entries.
+/// The policy of an entry in a cluster of `entries`.
 fn policy(entries: usize, regions: usize) -> Policy {
     let cfg = Config::new(parse("entry-0"), parse("region-0"), parse("domain-0"))
         .leased(false)
@@ -150,13 +150,14 @@
     }
 }
 
+/// Mean time of `f` in nanoseconds.
 fn nanos(rounds: u32, mut f: impl FnMut(u32)) -> f64 {
     let begin = Instant::now();
     (0..rounds).for_each(&mut f);
     begin.elapsed().as_nanos() as f64 / f64::from(rounds)
 }
 
-/// Bytes of memory that this process has in use, by the system's count of pages.
+/// Resident memory of this process in bytes, assuming pages of 4 KiB.
 fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|n| n.parse().ok());
@@ -199,7 +200,7 @@
         black_box(free.observe(now, Event::Tick));
     });
     print("tick", time / 1000.0, "us");
-    // Ten ticks a second, and a report from each listener's counterpart every 200 ms.
+    // Ten ticks per second; a tick sends reports every 200 ms.
     print("ticks_of_core", time * 10.0 / 1e9 * 100.0, "percent");
 
     const COPIES: u64 = 20;
@@ -210,7 +211,7 @@
     print("memory", bytes as f64 / 1024.0, "KiB");
 }
 
-/// Control answers the renewals of so many entries.
+/// Measures control's answers to the renewals of this many entries.
 fn lessor_cost(entries: usize, regions: usize) {
     let mut lessor = Lessor::new(Moment::ZERO, Epoch(1), Duration::from_secs(10));
     lessor.set_table(view(regions));
--- a/crates/steer/src/lessor/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -374,8 +374,8 @@
             .filter(|other| !self.confirmed(other, name))
             .count();
         // The member may still follow a roster from before the newest members were added,
-        // and need fewer promises. Only members that follow the current roster are sure to be
-        // in the older one.
+        // and so need fewer promises. Only members that follow the current roster certainly
+        // had one.
         let follows = |other: &&NodeName| self.follows(other, roster.epoch);
         let followers = others.iter().copied().filter(follows).count();
         unconfirmed + 1 < majority(followers + 1)
--- a/crates/steer/tests/all/broken_connections.rs
+++ b/crates/steer/tests/all/broken_connections.rs
@@ -12,9 +12,9 @@
     matches!(placed, Decision::Endpoint(_))
 }
 
-/// An endpoint's process dies, and what stands before it goes on accepting connections
-/// and resets each. A reader's request that meets it a moment later is lost with it. So
-/// nothing goes there until a probe that was sent after the break finds it alive.
+/// An endpoint's process dies, and a proxy in front of it goes on accepting connections and
+/// resets each one, so any request sent there is lost. The endpoint must get no requests
+/// until a probe that was sent after the break succeeds.
 #[test]
 fn an_endpoint_with_a_broken_connection_gets_no_request_before_a_later_probe_succeeds() {
     let mut policy = Policy::new(Moment::ZERO, config("e1").leased(false).slow_start(false));
@@ -27,7 +27,7 @@
         first_byte: ms(1),
     };
     policy.observe(ms(100), broken);
-    // An answer to a probe that was sent before the break proves nothing.
+    // The probe was sent before the break, so its answer doesn't count.
     policy.observe(ms(300), reading("a", ms(90), 1));
     assert!(!is_placed(&mut policy, ms(300), 2));
     policy.observe(ms(400), reading("a", ms(310), 1));
--- a/crates/steer/tests/all/common.rs
+++ b/crates/steer/tests/all/common.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of this package share.
+//! Builders shared by the tests of this package.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/steer/tests/all/policy.rs
+++ b/crates/steer/tests/all/policy.rs
@@ -1,4 +1,4 @@
-//! Placement at the own endpoints: counting, queueing, refusal, health.
+//! Placement at an entry's own endpoints: counting, queueing, refusal, health.
 
 use std::time::Duration;
 
@@ -122,9 +122,9 @@
     assert_eq!(expired, Some((RequestId(9), ResultCode::DeadlineBeforeRun)));
 }
 
-/// A visitor's requests go on to an endpoint that has said goodbye, and are cut when it
-/// stops. The endpoint says that it leaves; the platform's list, which lags, still has
-/// it as live; and an older answer to a probe arrives last and says ready.
+/// An endpoint reports that it is leaving. The platform's list lags and still shows it as
+/// live, and an older probe answer arrives last and reports ready. Requests that are sent
+/// there anyway would be cut off when it stops.
 #[test]
 fn leaving_overrides_later_readings_of_the_same_incarnation() {
     let mut policy = warmed_up(&["a"]);
@@ -144,8 +144,8 @@
     assert_eq!(endpoint_of(&decision), Some(&name("a")));
 }
 
-/// Everything of a failure domain stops at once although its endpoints serve well: the
-/// probes' answers are lost, all endpoints look dead, and nobody gets requests.
+/// Probe answers are lost, so most endpoints of a failure domain look dead although they
+/// serve well. Excluding them all would be an outage.
 #[test]
 fn ignores_failed_probes_when_most_endpoints_fall_silent() {
     let mut policy = warmed_up(&["a", "b", "c"]);
@@ -174,8 +174,8 @@
     }
 }
 
-/// One endpoint refuses everything in no time and so always looks least loaded; a
-/// policy that trusts its counts alone sends it every request.
+/// An endpoint refuses everything at once and so always looks least loaded. By its counts
+/// alone a policy would send it every request.
 #[test]
 fn backs_off_exponentially_from_an_endpoint_that_sheds() {
     let mut policy = warmed_up(&["a", "b"]);
@@ -264,8 +264,8 @@
     }
 }
 
-/// Two entries fill the same endpoint: its owner dies, the next owner takes over and
-/// counts from zero, while requests of the first still hold their slots.
+/// An endpoint's owner crashes, and the new owner counts from zero while requests of the
+/// previous one still hold slots. Without a reserve the endpoint would be overfilled.
 #[test]
 fn a_new_owner_reserves_slots_for_requests_of_the_previous_owner() {
     let mut policy = Policy::new(Moment::ZERO, config("e1").leased(false).slow_start(false));
@@ -282,8 +282,8 @@
     );
 }
 
-/// An entry hears of a table version that it can't get hold of. Its weights may be old,
-/// so it must not send callers by them to a region that the new ones may drain.
+/// An entry learns that there is a newer table version but can't fetch it. Its own weights may
+/// be outdated, so it must not send callers by them to a region that may be drained.
 #[test]
 fn ignores_weights_that_are_not_proven_newest() {
     let mut policy = warmed_up(&["a"]);
--- a/crates/steer/tests/all/random.rs
+++ b/crates/steer/tests/all/random.rs
@@ -1,6 +1,6 @@
-//! Random orders of events against what must always hold: requests at an endpoint stay
-//! within its slots and in the region within the row's limit and shift cap, and no two
-//! entries may admit to the same endpoints.
+//! Random sequences of events, checked against the invariants: requests at an endpoint stay
+//! within its slots, requests in the region stay within the row's limit and shift cap, and no
+//! two entries may admit to the same endpoints.
 
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{Options, Rng};
@@ -12,9 +12,11 @@
 
 const SEEDS: u64 = 150;
 const STEPS: usize = 600;
-/// Near a seed with an order of events that few have.
+/// First seed of a range in which one produces a rare order of events.
 const RARE_ORDER_SEED: u64 = 400;
 
+/// One step. A `…More` variant does the same as the one it is named after, which makes that
+/// step more frequent.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
@@ -48,7 +50,7 @@
         }
         Step::Answer(n) => world.answer(usize::from(n)),
         Step::Fault(n, which) => fault(world, usize::from(n), which),
-        // Seldom, so that faults last for several leases.
+        // Rarely, so that faults last for several leases.
         Step::Heal(n) if n < 24 => {
             world.heal();
             (0..4).for_each(|node| world.suspend(node, false));
@@ -64,7 +66,8 @@
         1 => world.crash(n % 4),
         2 => world.suspend(n % 4, true),
         3 => world.stop(n % 4),
-        // Control is cut off in one direction or both, an entry from one or all others.
+        // Blocks messages from an entry to control, from control to an entry, from one entry
+        // to another, or all messages of an entry.
         4 | 5 => world.set_blocked(n % 4, 4, true),
         6 => world.set_blocked(4, n % 4, true),
         7 | 8 => world.set_blocked(n % 4, (n / 4) % 4, true),
@@ -117,7 +120,7 @@
 fn any_order_of_events_keeps_slots_limits_and_owners() {
     let summary = run_seeds(Variant::default());
     assert_eq!(summary.violation, None);
-    // A check of nothing would hold as well.
+    // The checks would also pass if nothing happened.
     assert!(summary.started > 1000, "{}", summary.started);
     assert!(summary.takeovers > 20, "{}", summary.takeovers);
 }
@@ -149,8 +152,9 @@
     assert!(run_seeds(variant).violation.is_some());
 }
 
-/// The entries of a failure domain are cut off together and go on by their promises.
-/// Control's next leader has never heard of them, and gives their endpoints to a new one.
+/// The entries of a failure domain are partitioned from control together and keep serving by
+/// their promises. A new leader without their roster would grant their endpoints to a new
+/// entry.
 #[test]
 fn rosters_lost_with_their_leader_violate_an_invariant() {
     let variant = Variant {
@@ -160,8 +164,8 @@
     assert!(run_seeds(variant).violation.is_some());
 }
 
-/// Entries that are cut off from all others go on by what endpoints show. Each may fill
-/// one slot too many, and no more; membership still is in force at one entry only.
+/// Isolated entries serve by the endpoints' readings. Each may add at most one request to an
+/// endpoint, and still only one entry's membership is in force.
 #[test]
 fn isolated_entries_add_one_request_to_an_endpoint_at_most() {
     let variant = Variant {
--- a/crates/steer/tests/all/slot_counts.rs
+++ b/crates/steer/tests/all/slot_counts.rs
@@ -1,4 +1,4 @@
-//! When control knows all slots of a region.
+//! When the lessor has complete slot counts for a region.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const MAX_REQUEST_DURATION: Duration = Duration::from_secs(60);
 const RENEWAL_STEP: Duration = Duration::from_millis(500);
 
-/// An entry as control sees it: it follows what it is granted.
+/// An entry that renews with the lessor and follows the rosters that it is granted.
 struct Entry {
     name: NodeName,
     domain: &'static str,
@@ -18,6 +18,7 @@
     accepted: u64,
     term: Epoch,
     roster: Option<Roster>,
+    /// Whether grants to it are lost.
     ignores_grants: bool,
     leaving: bool,
     has_endpoint_list: bool,
@@ -83,7 +84,7 @@
     "zagreb".parse().expect("a name")
 }
 
-/// A region with a leader that took over at the start.
+/// A region and the lessor of its leader.
 struct TestRegion {
     now: Moment,
     lessor: Lessor,
@@ -106,7 +107,7 @@
         self.lessor = Lessor::new(self.now, Epoch(2), MAX_REQUEST_DURATION);
     }
 
-    /// Lets the entries that `renewing` names renew for this long.
+    /// Advances time; only the entries named in `renewing` renew.
     fn run(&mut self, time: Duration, renewing: &[&str]) {
         let end = self.now + time;
         while self.now < end {
@@ -132,8 +133,8 @@
     region
 }
 
-/// A new leader hears one of two entries. It knows the other one's failure domain by the
-/// directory alone, so what it has heard is not what the region has, however long that lasts.
+/// A new leader gets renewals from one of two entries, and has the other one's failure domain
+/// only from the directory. The counts must stay incomplete, however long that lasts.
 #[test]
 fn slots_are_incomplete_while_a_new_leader_lacks_an_entrys_renewal() {
     let mut region = region_of_two_domains();
@@ -146,8 +147,8 @@
     assert!(region.slots_are_complete());
 }
 
-/// A new leader that has a directory of old may not know some entries. All that are alive
-/// have renewed once the leases of the leader before have lapsed.
+/// A new leader with an outdated directory may miss some entries. All live ones have renewed
+/// once the previous leader's leases have lapsed.
 #[test]
 fn slots_are_incomplete_until_the_previous_leaders_leases_have_lapsed() {
     let mut region = region_of_two_domains();
@@ -159,7 +160,7 @@
     assert!(region.slots_are_complete());
 }
 
-/// An entry falls silent. What it said last says nothing of what it has now.
+/// An entry stops renewing. Its last renewal doesn't show what it owns now.
 #[test]
 fn slots_are_incomplete_while_an_entry_is_silent() {
     let mut region = region_of_two_domains();
@@ -169,8 +170,8 @@
     assert!(region.slots_are_complete());
 }
 
-/// Control's answers don't reach an entry, so that its lease lapses and it owns nothing,
-/// while its renewals go on coming.
+/// Grants don't reach an entry, so its lease lapses and it owns nothing, while its renewals
+/// still arrive.
 #[test]
 fn slots_are_incomplete_while_an_entry_has_no_lease() {
     let mut region = region_of_two_domains();
@@ -182,8 +183,8 @@
     assert!(region.slots_are_complete());
 }
 
-/// An entry starts and takes over endpoints of its neighbour: what the one gave up the
-/// other one doesn't own yet, until both follow the roster that names both.
+/// An entry starts and takes over endpoints of another one. Until both follow the roster with
+/// both, the endpoints that the one has given up aren't owned by the other yet.
 #[test]
 fn slots_are_incomplete_while_endpoints_move_between_entries() {
     let entries = vec![Entry::new("a1", "zagreb-a"), Entry::new("a2", "zagreb-a")];
@@ -201,7 +202,7 @@
     assert!(incomplete_steps > 0 && region.slots_are_complete());
 }
 
-/// An entry that has no list of endpoints yet owns none, whatever there is.
+/// An entry without a list of endpoints owns none, even if its failure domain has some.
 #[test]
 fn slots_are_incomplete_while_an_entry_has_no_endpoint_list() {
     let mut region = region_of_two_domains();
@@ -210,7 +211,8 @@
     assert!(!region.slots_are_complete());
 }
 
-/// The only entry of a failure domain stops in order. Nothing is left there to wait for.
+/// The only entry of a failure domain finishes a planned stop. Its silence must not make the
+/// counts incomplete.
 #[test]
 fn slots_are_complete_after_a_planned_stop() {
     let mut region = region_of_two_domains();
--- a/crates/steer/tests/all/world.rs
+++ b/crates/steer/tests/all/world.rs
@@ -1,5 +1,5 @@
-//! Entries of one region, control and the network between them, with the truth about
-//! what runs at each endpoint.
+//! A simulation of one region's entries, control and the network between them, with an exact
+//! record of the requests that run at each endpoint.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,24 +15,26 @@
 
 pub(crate) const LIMIT: u32 = 7;
 pub(crate) const SHIFT_CAP: u32 = 2;
-/// Longest time for which a request runs.
+/// Time after which a request ends at the latest.
 const MAX_REQUEST_DURATION: Duration = Duration::from_secs(2);
+/// Failure domain of each entry, by the entry's number.
 const DOMAINS: [&str; 4] = ["zagreb-a", "zagreb-a", "zagreb-b", "zagreb-a"];
+/// Control's number as sender and receiver of messages.
 const CONTROL: usize = DOMAINS.len();
 
-/// Where the rules are broken on purpose, to see that the checks can fail.
+/// Deviations from the protocol: faults that the checks must detect, and a setting.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Variant {
-    /// A new leader doesn't wait for what the one before has granted.
+    /// A new leader doesn't wait until the previous one's grants have lapsed.
     pub(crate) leader_skips_wait: bool,
-    /// Isolated entries fill a slot of each endpoint. No broken rule, but a looser one.
+    /// Isolated entries fill a slot of each endpoint. Not a fault: a looser bound applies.
     pub(crate) serves_isolated: bool,
-    /// Rosters aren't kept over a change of leader.
+    /// A new leader doesn't restore the rosters of the previous one.
     pub(crate) lost_rosters: bool,
     /// The first entry's clock runs at a quarter of the rate, so its leases last longer.
     pub(crate) slow_clock: bool,
-    /// Another entry gets a cut part before the cut is acknowledged: control takes every
-    /// grant for accepted at once.
+    /// A reduced part is granted to another entry before the reduction is acknowledged: control
+    /// treats every grant as accepted at once.
     pub(crate) presumed_acks: bool,
 }
 
@@ -159,7 +161,7 @@
         self.observe(node, Event::Entries(infos));
     }
 
-    /// The process dies; what it had sent to endpoints runs on there.
+    /// Ends the process; requests that it sent to endpoints go on running there.
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node] = None;
     }
@@ -196,7 +198,7 @@
         self.lessor = next;
     }
 
-    /// Time passes; running entries tick, and requests end at their deadlines.
+    /// Advances time: requests end at their deadlines, and running entries tick.
     pub(crate) fn advance(&mut self, time: Duration) {
         self.now += time;
         let finished = self.running.iter().filter(|(_, r)| r.ends_at <= self.now);
@@ -217,7 +219,7 @@
             .is_some_and(|node| !node.suspended)
     }
 
-    /// Delivers, repeats or loses the message at this place in the network.
+    /// Delivers the message in flight at this index, and keeps it in flight if `duplicate`.
     pub(crate) fn deliver(&mut self, index: usize, duplicate: bool) {
         if self.in_flight.is_empty() {
             return;
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Delivers everything, answers included.
+    /// Delivers all messages, and the answers to them.
     pub(crate) fn deliver_all(&mut self) {
         for _ in 0..3 {
             for envelope in std::mem::take(&mut self.in_flight) {
@@ -292,7 +294,7 @@
         let id = self.requests;
         let mut req = request(id, self.clock(node) + MAX_REQUEST_DURATION);
         req.caller = caller(caller_number);
-        // Nothing is forwarded: only what this entry admits itself is of interest.
+        // Marked as forwarded, so that this entry doesn't forward it again.
         req.forwarded_by = Some(name("elsewhere"));
         let now = self.clock(node);
         let Some(process) = self.nodes[node].as_mut() else {
@@ -386,7 +388,7 @@
         at_endpoint.count() as u32
     }
 
-    /// Compares what runs with what may.
+    /// Checks the running requests and the owners against the invariants.
     pub(crate) fn check(&mut self) {
         if self.variant.serves_isolated {
             return self.check_isolated();
@@ -408,7 +410,8 @@
         self.check_owners();
     }
 
-    /// Each entry of the failure domain but the owner may add one request.
+    /// Checks the looser bound: each entry of the failure domain but the owner may add one
+    /// request.
     fn check_isolated(&mut self) {
         for domain in ["zagreb-a", "zagreb-b"] {
             let entries = DOMAINS.iter().filter(|d| **d == domain).count() as u32;
