--- a/crates/blocks/examples/cost.rs
+++ b/crates/blocks/examples/cost.rs
@@ -1,7 +1,7 @@
-//! What the map costs at the size it is made for; prints `name: value unit` lines.
+//! Measures the map at the size that it is designed for; prints lines of `name: value unit`.
 //!
-//! Blocks are drawn in runs of neighbours, as allocations are: 1.5 million of IPv4, most
-//! of them /24, and 0.4 million of IPv6, most of them /48, to 61 sites.
+//! Blocks are generated in runs of adjacent ones, like address allocations: 1.5 million of
+//! IPv4, most of them /24, and 0.4 million of IPv6, most of them /48, with 61 sites.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::time::Instant;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process in bytes, assuming pages of 4 KiB.
 fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).map(str::parse::<u64>);
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which site the clients of an address block belong to.
+//! Maps client address blocks to sites.
 //!
-//! A block is an IPv4 or IPv6 prefix; of two that hold an address the longer one counts.
-//! The map is made for 1.9 million blocks: a look-up takes no lock and no message, and a
-//! change is shared as a [`BlockDelta`], never as the whole map. An empty map is fine;
-//! look-ups then go by the table's weights alone.
+//! A block is an IPv4 or IPv6 prefix; the longest prefix that contains an address decides.
+//! The map is designed for 1.9 million blocks: a look-up needs no lock and no communication,
+//! and a change is distributed as a [`BlockDelta`], never as the full map. The map may be
+//! empty; look-ups then use the table's weights alone.
 //!
-//! Invariant: two maps of one version are equal wherever they are, because a delta
-//! applies to exactly the version that it was made from.
+//! Invariant: all maps of one version are equal in every process, because a delta applies
+//! only to the version that it was made from.
 
 use std::net::IpAddr;
 
@@ -16,35 +16,35 @@
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-/// A place that clients are sent to, by its number in the list of sites.
+/// A site that clients are sent to, as an index in the list of sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Site(pub u16);
 
-/// A block and its site; `None` takes the block out of the map.
+/// A block and its new site; `None` removes the block from the map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BlockChange {
-    /// The block; bits behind its length count for nothing.
+    /// The block; bits after the prefix length are ignored.
     pub block: IpNet,
-    /// Where its clients belong.
+    /// The site of its clients.
     pub site: Option<Site>,
 }
 
-/// What turns a map of one version into a later one.
+/// The difference between a map and a later version of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BlockDelta {
-    /// Version that it applies to.
+    /// The version that it applies to.
     pub from: Version,
-    /// Version that it makes.
+    /// The version that it produces.
     pub to: Version,
-    /// The blocks that differ.
+    /// The blocks that differ, with their new sites.
     pub changes: Vec<BlockChange>,
 }
 
-/// A delta that doesn't begin at the map's version.
+/// The delta starts from another version than the map's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("a delta from version {from} doesn't apply to a map of version {version}"))]
@@ -53,7 +53,7 @@
     version: Version,
 }
 
-/// Client blocks and their sites.
+/// Client blocks and their sites, with longest prefix match.
 #[derive(Clone, Debug, Default)]
 pub struct BlockMap {
     version: Version,
@@ -62,12 +62,12 @@
 }
 
 impl BlockMap {
-    /// Version that the last delta made.
+    /// The version that the last applied delta produced; 0 for a new map.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Number of blocks.
+    /// Number of blocks of both address families.
     pub fn len(&self) -> usize {
         self.v4.len() + self.v6.len()
     }
@@ -77,10 +77,10 @@
         self.v4.is_empty() && self.v6.is_empty()
     }
 
-    /// The site of the longest block that holds the address.
+    /// The site of the longest block that contains the address; `None` if no block does.
     ///
-    /// A socket that listens on IPv6 shows an IPv4 client under a mapped address; it
-    /// belongs to the IPv4 block all the same.
+    /// A socket that listens on IPv6 reports IPv4 clients by IPv4-mapped addresses. These are
+    /// looked up as IPv4.
     pub fn site_of(&self, client: IpAddr) -> Option<Site> {
         let found = match client.to_canonical() {
             IpAddr::V4(addr) => self.v4.get_lpm(&Ipv4Net::from(addr)).map(|(_, site)| site),
@@ -89,12 +89,12 @@
         found.copied()
     }
 
-    /// Takes a delta in.
+    /// Applies a delta.
     ///
     /// # Errors
     ///
-    /// Fails, with the map as it was, if the delta begins at another version: what lies
-    /// between would be missing.
+    /// Fails and leaves the map unchanged if the delta starts from another version, since the
+    /// changes between the two would be missing.
     pub fn apply(&mut self, delta: &BlockDelta) -> Result<(), WrongVersionError> {
         let (from, version) = (delta.from, self.version);
         ensure!(from == version, WrongVersionSnafu { from, version });
@@ -105,10 +105,10 @@
         Ok(())
     }
 
-    /// What turns this map into a later one.
+    /// The delta from this map to a later one.
     pub fn delta_to(&self, later: &Self) -> BlockDelta {
         let updated = later.all_blocks().filter(|change| {
-            // A block that is there with the same site needs no word.
+            // Blocks with an unchanged site are left out.
             self.get(&change.block) != change.site
         });
         let removed = self
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Every block with its site.
+    /// All blocks with their sites.
     fn all_blocks(&self) -> impl Iterator<Item = BlockChange> {
         let v4 = self.v4.iter();
         let v4 = v4.map(|(block, site)| (IpNet::V4(block), *site));
--- a/crates/blocks/tests/map.rs
+++ b/crates/blocks/tests/map.rs
@@ -1,4 +1,4 @@
-//! The map against a list that is searched from end to end.
+//! Compares the map with a linear search of the list of changes.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
@@ -7,7 +7,7 @@
 use filberthead_types::Version;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 
-/// A change within a few addresses, so that blocks often hold each other.
+/// A change among few addresses, so that blocks often contain each other.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 struct Step {
@@ -34,11 +34,12 @@
     }
 }
 
-/// Addresses that differ in the first, middle and last bits.
+/// An IPv4 address that spreads `bits` over its first, middle and last bits.
 fn v4(bits: u8) -> Ipv4Addr {
     Ipv4Addr::new(bits & 0xc0, bits & 0x30, bits & 0x0c, bits & 0x03)
 }
 
+/// An IPv6 address likewise.
 fn v6(bits: u8) -> Ipv6Addr {
     let parts = [bits & 0xc0, bits & 0x30, bits & 0x0c, bits & 0x03].map(u16::from);
     Ipv6Addr::new(0x2001, 0xdb8, parts[0], parts[1], parts[2], 0, 0, parts[3])
@@ -63,7 +64,8 @@
     map
 }
 
-/// The same by a list: the last word on each block, then the longest that holds it.
+/// The site by linear search: the longest block that contains the client, by the latest change
+/// of each block.
 fn expected_site(changes: &[BlockChange], client: IpAddr) -> Option<Site> {
     let latest_change = |block: IpNet| {
         let mut later = changes.iter().rev();
@@ -105,8 +107,8 @@
         });
 }
 
-/// A node misses one delta and gets the next. Blocks of the missed one would keep
-/// sending clients to their old site, so the later one must be refused whole.
+/// A node misses one delta and gets the next. Blocks of the missed one would keep sending
+/// clients to their old site, so the later delta must be rejected as a whole.
 #[test]
 fn a_delta_after_a_missed_one_is_refused() {
     let block = "192.0.2.0/24".parse().expect("a block");
