--- a/crates/blocks/tests/map.rs
+++ b/crates/blocks/tests/map.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_longest_block_that_holds_the_client_counts() {
+fn the_longest_block_that_contains_the_client_decides() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let changes: Vec<_> = steps.iter().map(|step| step.change()).collect();
         let map = map_from(&changes, 1);
@@ -110,7 +110,7 @@
 /// A node misses one delta and gets the next. Blocks of the missed one would keep sending
 /// clients to their old site, so the later delta must be rejected as a whole.
 #[test]
-fn a_delta_after_a_missed_one_is_refused() {
+fn a_delta_after_a_missed_one_is_rejected() {
     let block = "192.0.2.0/24".parse().expect("a block");
     let site = Some(Site(4));
     let mut map = BlockMap::default();
--- a/crates/steer/examples/cost.rs
+++ b/crates/steer/examples/cost.rs
@@ -244,9 +244,9 @@
         }
     }
     let each = begin.elapsed().as_nanos() as f64 / f64::from(rounds) / entries as f64;
-    println!("keeper_renewal_{entries}_entries: {:.1} us", each / 1000.0);
+    println!("lessor_renewal_{entries}_entries: {:.1} us", each / 1000.0);
     let core = each * 2.0 * entries as f64 / 1e9 * 100.0;
-    println!("keeper_of_core_{entries}_entries: {core:.2} percent");
+    println!("lessor_of_core_{entries}_entries: {core:.2} percent");
 }
 
 fn main() {
