--- a/crates/steer/src/lessor/roster.rs
+++ b/crates/steer/src/lessor/roster.rs
@@ -239,6 +239,7 @@
         self.adopt_if_newer(reported.clone());
     }
 
+    /// Trusts the roster once a majority of its members follows it.
     fn check_trust(&mut self) {
         let Some(roster) = &self.roster else { return };
         let reported = roster
@@ -274,6 +275,7 @@
         }
     }
 
+    /// Removes a leaving member or else adds a joining entry. All members must follow the roster.
     fn update_settled(&mut self, now: Moment) {
         if let Some(name) = self.leaving_member() {
             self.replace_members(|members| members.retain(|member| *member != name));
@@ -284,6 +286,7 @@
         }
     }
 
+    /// Creates the first roster, with the entries that have renewed recently.
     fn create_roster(&mut self, now: Moment) {
         let members: Vec<_> = self
             .last_renewals
@@ -381,6 +384,8 @@
         unconfirmed + 1 < majority(followers + 1)
     }
 
+    /// Whether the member `by` has confirmed the removal of `name`, with its promise to it
+    /// expired.
     fn confirmed(&self, by: &NodeName, name: &NodeName) -> bool {
         // A confirmation to an earlier leader may have been withdrawn since.
         self.last_renewals.get(by).is_some_and(|renewal| {
@@ -390,6 +395,7 @@
         })
     }
 
+    /// A member on a planned stop, unless it is the only member.
     fn leaving_member(&self) -> Option<NodeName> {
         let roster = self.roster.as_ref()?;
         let leaving = |name: &&NodeName| {
@@ -406,6 +412,7 @@
             .cloned()
     }
 
+    /// An entry that has renewed recently and isn't a member.
     fn joining_entry(&self, now: Moment) -> Option<NodeName> {
         let roster = self.roster.as_ref()?;
         let is_recent =
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -3,6 +3,13 @@
 //! [`Steering`] is the interface: the daemon passes observations to it as events and asks
 //! it for the placement of each request. Because nothing here does I/O, the same policy
 //! runs in the daemon, in experiments that compare it with baselines, and under the fuzzer.
+//!
+//! - An *entry* is a process that accepts callers' requests and sends them to endpoints of
+//!   its failure domain or forwards them to other entries.
+//! - *Control* is the replicated service that grants leases to entries and holds the table.
+//! - A *row* of the table has the weight, limit, shift cap and objective of one service in
+//!   one region.
+//! - A *slot* is the capacity of an endpoint for one request at a time.
 
 mod api;
 mod config;
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -43,7 +43,7 @@
     pub(crate) mean_utilisation: f64,
     /// How many more shifted requests it accepts.
     pub(crate) shift_room: u32,
-    /// Mean time for which a request holds a slot there.
+    /// Mean time in seconds for which a request holds a slot there.
     pub(crate) hold_seconds: f64,
 }
 
