--- a/crates/steer/src/lessor/quota.rs
+++ b/crates/steer/src/lessor/quota.rs
@@ -216,26 +216,27 @@
     /// The entry's fair share of the limit: in proportion to slots and demand, capped at its
     /// slots. The excess of capped entries is divided among the others.
     fn fair_share(&self, name: &NodeName) -> u32 {
-        let mut unassigned: Vec<_> = self.holders.iter().filter(|(_, h)| h.slots > 0).collect();
+        let mut uncapped: Vec<_> = self.holders.iter().filter(|(_, h)| h.slots > 0).collect();
         let mut remaining = self.total;
         loop {
-            let sum: f64 = unassigned.iter().map(|(_, h)| h.weight).sum();
-            let proportional = |holder: &Holder| f64::from(remaining) * holder.weight / sum;
+            let total_weight: f64 = uncapped.iter().map(|(_, h)| h.weight).sum();
+            let proportional =
+                |holder: &Holder| f64::from(remaining) * holder.weight / total_weight;
             let Some(holder) = self.holders.get(name).filter(|holder| holder.slots > 0) else {
                 return 0;
             };
             if proportional(holder) >= f64::from(holder.slots) {
                 return holder.slots.min(remaining);
             }
-            let (full, rest): (Vec<_>, Vec<_>) = unassigned
+            let (capped, others): (Vec<_>, Vec<_>) = uncapped
                 .into_iter()
                 .partition(|(_, h)| proportional(h) >= f64::from(h.slots));
-            if full.is_empty() {
+            if capped.is_empty() {
                 return proportional(holder).ceil() as u32;
             }
-            let taken: u32 = full.iter().map(|(_, h)| h.slots).sum();
+            let taken: u32 = capped.iter().map(|(_, h)| h.slots).sum();
             remaining = remaining.saturating_sub(taken);
-            unassigned = rest;
+            uncapped = others;
         }
     }
 }
