--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -42,6 +42,7 @@
 /// Whether a request's home region under the stable weights is this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Class {
+    /// It is, or the home region is unknown.
     Home,
     Shifted,
 }
@@ -125,6 +126,7 @@
         self.cfg.serve_isolated && self.ownership.is_isolated(now)
     }
 
+    /// Sets the slots that this entry may fill at each endpoint, by its current membership.
     pub(crate) fn refresh_owned_slots(&mut self, now: Moment) {
         let isolated = self.is_isolated(now);
         for endpoint in self.pools.values_mut().flat_map(|p| &mut p.endpoints) {
--- a/crates/steer/src/pool.rs
+++ b/crates/steer/src/pool.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Queued requests whose home region is this one.
+    /// Queued requests that aren't shifted.
     pub(crate) home_queue: Queue,
     /// Queued shifted requests. Separate, because the shift cap may block only these.
     pub(crate) shifted_queue: Queue,
