--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -10,7 +10,7 @@
 
 use filberthead_operator::RowReading;
 use filberthead_peer::{Body, Origin};
-use filberthead_steer::{LEASE, Message, Renew, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, Lessor, Message, Renew, ServiceDemand};
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, Moment, NodeName, Region};
 
@@ -34,7 +34,7 @@
 /// The lessor of the current leadership, and the usage that renewals report.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    lessor: Option<(Epoch, ShareKeeper)>,
+    lessor: Option<(Epoch, Lessor)>,
     /// Usage by entry, from renewals in this leadership.
     usage: BTreeMap<NodeName, Usage>,
 }
@@ -54,7 +54,7 @@
         {
             return;
         }
-        let mut lessor = ShareKeeper::new(now, term, MAX_REQUEST_DURATION);
+        let mut lessor = Lessor::new(now, term, MAX_REQUEST_DURATION);
         lessor.set_table(view());
         self.lessor = Some((term, lessor));
         self.usage.clear();
@@ -110,7 +110,7 @@
         let in_region = domains
             .iter()
             .filter(|(_, domain_region)| *domain_region == region);
-        lessor.knows_slots(now, region, in_region.map(|(domain, _)| domain))
+        lessor.slots_are_complete(now, region, in_region.map(|(domain, _)| domain))
     }
 }
 
@@ -133,7 +133,7 @@
             add(&mut reading.shifted, demand.shifted);
             // Endpoints of an entry that has been silent for longer may have moved to other
             // entries, which count them now.
-            if age < LEASE {
+            if age < LEASE_DURATION {
                 add(&mut reading.slots, demand.slots);
             }
             let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
--- a/crates/steer/src/peers.rs
+++ b/crates/steer/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: what they report, and what has been sent to them since.
+//! Other entries: their reports, and the requests sent to them since.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,125 +10,135 @@
 use crate::hash::Key;
 use crate::{EntryInfo, ServiceReport};
 
-/// How long an entry that refused gets nothing more for that service.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+/// How long no more requests of a service are sent to an entry that refused one.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Weight of a report in the mean filled part of an entry's slots: over about 2 s.
-const MEAN_GAIN: f64 = 0.1;
+/// Weight of a report in the mean utilisation of an entry's slots: a mean over about 2 s.
+const UTILISATION_GAIN: f64 = 0.1;
 
 #[derive(Debug)]
 pub(crate) struct PeerService {
     pub(crate) report: ServiceReport,
-    received: Moment,
-    /// When requests were sent that the report can't show yet and that haven't ended.
-    unseen: VecDeque<Moment>,
+    received_at: Moment,
+    /// When each request was sent that is unfinished and too recent to be in the report.
+    unreported: VecDeque<Moment>,
+    /// Until then it gets no requests, because it refused one.
     paused_until: Moment,
-    /// Mean filled part of its slots.
-    mean: f64,
+    /// Mean utilisation of its slots.
+    mean_utilisation: f64,
 }
 
-/// Another entry's state for one service as a decision reckons with it.
+/// An entry's state for one service, as placement decisions use it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerLoad {
+    /// Slots that it may fill now.
     pub(crate) capacity: u32,
-    /// Running and waiting there, with what was sent since the report.
-    pub(crate) load: u32,
-    /// Running there by its report alone.
+    /// Requests that run or wait there, and those sent since its report.
+    pub(crate) outstanding: u32,
+    /// Requests that run there, by its report alone.
     pub(crate) running: u32,
     /// Whether the report is recent.
     pub(crate) fresh: bool,
-    /// Mean filled part of its slots, by its reports.
-    pub(crate) mean: f64,
+    /// Mean utilisation of its slots, by its reports.
+    pub(crate) mean_utilisation: f64,
+    /// How many more shifted requests it accepts.
     pub(crate) shift_room: u32,
+    /// Mean time in seconds for which a request holds a slot there.
     pub(crate) hold_seconds: f64,
 }
 
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) info: EntryInfo,
-    pub(crate) hop: Duration,
-    /// No connection could be made since its last report. Its reports come from it by
-    /// another way than requests reach it, and until one does, each attempt would cost
-    /// its caller the time of a failed connection.
+    /// Round trip to it, assumed from its failure domain and region.
+    pub(crate) rtt: Duration,
+    /// Connecting to it has failed since its last report. Reports take another path than
+    /// requests, and until the next report each attempt would cost its caller the time of a
+    /// failed connection.
     unreachable: bool,
     services: HashMap<ServiceName, PeerService>,
 }
 
 impl Peer {
     fn new(info: EntryInfo, cfg: &Config) -> Self {
-        let hop = if info.region != cfg.region {
-            cfg.hop_far
+        let rtt = if info.region != cfg.region {
+            cfg.rtt_inter_region
         } else if info.failure_domain != cfg.failure_domain {
-            cfg.hop_region
+            cfg.rtt_region
         } else {
-            cfg.hop_near
+            cfg.rtt_domain
         };
         Self {
             info,
-            hop,
+            rtt,
             unreachable: false,
             services: HashMap::new(),
         }
     }
 
-    /// The entry's load, or `None` if it has never reported the service, has just
-    /// refused, or hasn't any room for the service at all.
+    /// The entry's load for the service; `None` if it hasn't reported the service, has just
+    /// refused a request, is unreachable or has no capacity.
     pub(crate) fn load(
         &self,
         now: Moment,
         service: &ServiceName,
-        ttl: Duration,
+        report_ttl: Duration,
     ) -> Option<PeerLoad> {
         let state = self.services.get(service)?;
         if self.unreachable || state.report.capacity == 0 || now < state.paused_until {
             return None;
         }
-        let unseen = state.unseen.len() as u32;
-        let known = state.report.running + state.report.waiting + unseen;
-        // A report that is too old says neither idle nor dead: reckon with an entry
-        // that is full but serves, so that it comes after those known to have room.
-        let stale = now.saturating_sub(state.received) >= ttl;
-        let load = if stale {
-            known.max(state.report.capacity)
+        let unreported = state.unreported.len() as u32;
+        let pending = state.report.running + state.report.waiting + unreported;
+        // An outdated report means neither idle nor dead. The entry is assumed to be full
+        // but serving, so that it ranks after those with free slots.
+        let stale = now.saturating_sub(state.received_at) >= report_ttl;
+        let outstanding = if stale {
+            pending.max(state.report.capacity)
         } else {
-            known
+            pending
         };
         Some(PeerLoad {
             capacity: state.report.capacity,
-            load,
+            outstanding,
             running: state.report.running,
             fresh: !stale,
-            mean: state.mean,
-            shift_room: state.report.shift_room.saturating_sub(unseen),
+            mean_utilisation: state.mean_utilisation,
+            shift_room: state.report.shift_room.saturating_sub(unreported),
             hold_seconds: f64::from(state.report.hold_micros) * 1e-6,
         })
     }
 
-    /// Slots that it last reported.
+    /// Slots in its last report; `None` if it hasn't reported the service.
     pub(crate) fn slots(&self, service: &ServiceName) -> Option<u32> {
         self.services.get(service).map(|state| state.report.slots)
     }
 
-    fn take(&mut self, now: Moment, report: ServiceReport) {
-        let hop = self.hop;
+    fn apply_report(&mut self, now: Moment, report: ServiceReport) {
+        let rtt = self.rtt;
         match self.services.get_mut(&report.service) {
             Some(state) => {
                 state.report = report;
-                state.mean += MEAN_GAIN * (state.report.filled() - state.mean);
-                state.received = now;
-                // Sent a round trip or longer ago: arrived before the report left.
-                while state.unseen.front().is_some_and(|&sent| sent + hop < now) {
-                    state.unseen.pop_front();
+                state.mean_utilisation +=
+                    UTILISATION_GAIN * (state.report.utilisation() - state.mean_utilisation);
+                state.received_at = now;
+                // Requests sent more than a round trip ago arrived before the report was sent.
+                while state
+                    .unreported
+                    .front()
+                    .is_some_and(|&sent| sent + rtt < now)
+                {
+                    state.unreported.pop_front();
                 }
             }
             None => {
                 let service = report.service.clone();
                 let state = PeerService {
                     report,
-                    received: now,
-                    unseen: VecDeque::new(),
+                    received_at: now,
+                    unreported: VecDeque::new(),
                     paused_until: Moment::ZERO,
-                    mean: 0.0,
+                    mean_utilisation: 0.0,
                 };
                 self.services.insert(service, state);
             }
@@ -136,7 +146,7 @@
     }
 }
 
-/// All other live entries.
+/// All other live entries, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     by_name: BTreeMap<NodeName, Peer>,
@@ -147,13 +157,13 @@
         self.by_name.values()
     }
 
-    pub(crate) fn set(&mut self, infos: impl IntoIterator<Item = EntryInfo>, cfg: &Config) {
-        let mut old = std::mem::take(&mut self.by_name);
+    pub(crate) fn set_entries(&mut self, infos: impl IntoIterator<Item = EntryInfo>, cfg: &Config) {
+        let mut previous = std::mem::take(&mut self.by_name);
         for info in infos {
             if info.name == cfg.node {
                 continue;
             }
-            let mut peer = match old.remove(&info.name) {
+            let mut peer = match previous.remove(&info.name) {
                 Some(peer) if peer.info.incarnation == info.incarnation => peer,
                 _ => Peer::new(info.clone(), cfg),
             };
@@ -162,11 +172,16 @@
         }
     }
 
-    pub(crate) fn report(&mut self, now: Moment, from: &NodeName, reports: Vec<ServiceReport>) {
+    pub(crate) fn record_reports(
+        &mut self,
+        now: Moment,
+        from: &NodeName,
+        reports: Vec<ServiceReport>,
+    ) {
         if let Some(peer) = self.by_name.get_mut(from) {
             peer.unreachable = false;
             for report in reports {
-                peer.take(now, report);
+                peer.apply_report(now, report);
             }
         }
     }
@@ -175,62 +190,69 @@
         self.by_name.get(name).map(|peer| peer.info.caller_addr)
     }
 
-    pub(crate) fn sent(&mut self, now: Moment, to: &NodeName, service: &ServiceName) {
+    pub(crate) fn record_sent(&mut self, now: Moment, to: &NodeName, service: &ServiceName) {
         let state = self
             .by_name
             .get_mut(to)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state {
-            state.unseen.push_back(now);
+            state.unreported.push_back(now);
         }
     }
 
-    /// A request that was sent at `sent` has ended there.
-    pub(crate) fn finished(&mut self, by: &NodeName, service: &ServiceName, sent: Moment) {
+    /// Records the end of a request that was sent at `sent`.
+    pub(crate) fn record_finished(&mut self, by: &NodeName, service: &ServiceName, sent: Moment) {
         let state = self
             .by_name
             .get_mut(by)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state
-            && let Ok(place) = state.unseen.binary_search(&sent)
+            && let Ok(index) = state.unreported.binary_search(&sent)
         {
-            state.unseen.remove(place);
+            state.unreported.remove(index);
         }
     }
 
-    pub(crate) fn unreachable(&mut self, name: &NodeName) {
+    pub(crate) fn mark_unreachable(&mut self, name: &NodeName) {
         if let Some(peer) = self.by_name.get_mut(name) {
             peer.unreachable = true;
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Moment, by: &NodeName, service: &ServiceName) {
+    pub(crate) fn record_refusal(&mut self, now: Moment, by: &NodeName, service: &ServiceName) {
         let state = self
             .by_name
             .get_mut(by)
             .and_then(|peer| peer.services.get_mut(service));
         if let Some(state) = state {
-            state.paused_until = now + REFUSED_PAUSE;
+            state.paused_until = now + REFUSAL_PAUSE;
         }
     }
 
-    /// Who gets this entry's reports: nearest first, then by rendezvous, so that in a
-    /// large cluster each entry still hears from some of every region.
-    pub(crate) fn listeners(&self, cfg: &Config) -> Vec<NodeName> {
+    /// Entries that get this one's reports: up to half of the fan-out in the own region, the
+    /// nearest first, and the rest in other regions. Ties are broken by rendezvous hashing,
+    /// so that in a large cluster each entry still gets reports from some entries of every
+    /// region.
+    pub(crate) fn report_targets(&self, cfg: &Config) -> Vec<NodeName> {
         let mut ranked: Vec<_> = self
             .iter()
             .map(|peer| {
                 let key = Key::new()
                     .text(cfg.node.as_str())
                     .text(peer.info.name.as_str());
-                (peer.hop, key.hash(), &peer.info.name)
+                (peer.rtt, key.hash(), &peer.info.name)
             })
             .collect();
         ranked.sort();
-        let near = ranked.iter().filter(|(hop, ..)| *hop < cfg.hop_far);
-        let far = ranked.iter().filter(|(hop, ..)| *hop >= cfg.hop_far);
-        near.take(cfg.report_fan_out / 2)
-            .chain(far)
+        let in_region = ranked
+            .iter()
+            .filter(|(rtt, ..)| *rtt < cfg.rtt_inter_region);
+        let elsewhere = ranked
+            .iter()
+            .filter(|(rtt, ..)| *rtt >= cfg.rtt_inter_region);
+        in_region
+            .take(cfg.report_fan_out / 2)
+            .chain(elsewhere)
             .take(cfg.report_fan_out)
             .map(|(.., name)| (*name).clone())
             .collect()
