--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -8,15 +8,6 @@
 use filberthead_endpoint::RequestBody;
 use filberthead_place::{
     Attempts, Decision, EndpointId, NextAttempt, Object, Refusal, Request as PlacementRequest,
-<<<<<<< ours
-
-
-||||||| base
- Tries
-=======
- Tries,
-
->>>>>>> theirs
 };
 use filberthead_route::{Kind, Matched, Route};
 use filberthead_types::{ResultCode, ServiceName, header};
@@ -258,7 +249,11 @@
 
     /// The endpoint refused to run the request.
     fn after_not_run(&mut self, load_reported: bool, retry_body: Option<RequestBody>) -> Next {
-        let same = self.core.placer.borrow().may_retry_same_endpoint(load_reported);
+        let same = self
+            .core
+            .placer
+            .borrow()
+            .may_retry_same_endpoint(load_reported);
         let further = self.tries.record_refused(same);
         match retry_body.filter(|_| self.may_retry(further)) {
             Some(body) => Next::Retry(body),
