--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -113,7 +113,7 @@
     fn take_list(&mut self, list: Vec<filberthead_fleet::Endpoint>) {
         let now = self.clock.now();
         let replica = self.replica.status(now);
-        let before = self.fleet.registry.have().endpoints;
+        let before = self.fleet.registry.revisions().endpoints;
         let term = if replica.holds_lease {
             replica.term.0
         } else if before.seq == 0 {
@@ -125,7 +125,7 @@
         let out = self.fleet.registry.listed(now, term, list);
         self.fleet.note_unserved();
         self.tell(out);
-        let listed = self.fleet.registry.have().endpoints;
+        let listed = self.fleet.registry.revisions().endpoints;
         if listed == before {
             return;
         }
@@ -171,7 +171,7 @@
     pub(super) fn spread_orders(&mut self, now: Moment) {
         let held = self.machine.routes.newest().cloned();
         let revision = self.machine.routes_at;
-        let newer = revision > self.fleet.registry.have().routes;
+        let newer = revision > self.fleet.registry.revisions().routes;
         if let Some(change) = held.filter(|_| newer) {
             info!(version = change.version, revision, routes = change.table.routes.len();
                 "routes in force");
@@ -180,12 +180,12 @@
             let out = registry.set_routes(now, revision, change.version, table);
             self.tell(out);
         }
-        let held = self.fleet.registry.have();
+        let held = self.fleet.registry.revisions();
         if newer || self.machine.evacuated_at > held.evacuated {
             self.note_in_force();
         }
         let revision = self.machine.evacuated_at;
-        if revision > self.fleet.registry.have().evacuated {
+        if revision > self.fleet.registry.revisions().evacuated {
             info!(revision, domains:? = self.machine.evacuated; "evacuated failure domains");
         }
         let registry = &mut self.fleet.registry;
@@ -247,7 +247,7 @@
         }
         self.fleet.next_list = now + LIST_CATCH_UP;
         if let Some(leader) = self.leader_addr(now) {
-            let have = self.fleet.registry.have().endpoints;
+            let have = self.fleet.registry.revisions().endpoints;
             self.send(leader, Body::Fleet(Message::AskList(have)));
         }
     }
@@ -270,7 +270,7 @@
         let gateways = self.fleet.registry.ready(now);
         let replica = self.replica.status(now);
         let leads = replica.holds_lease;
-        let listless = self.fleet.registry.have().endpoints.seq == 0;
+        let listless = self.fleet.registry.revisions().endpoints.seq == 0;
         let reads = leads || (listless && replica.leader.is_none() && now >= LISTLESS);
         self.fleet.shown.send_if_modified(|shown| {
             let same = shown.reads == reads && *shown.gateways == *gateways;
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -279,7 +279,7 @@
         let news = News {
             from: heard.from,
             delay: member.delay(),
-            listed: member.have().endpoints,
+            listed: member.revisions().endpoints,
         };
         drop(member);
         for update in updates {
--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -71,7 +71,7 @@
 /// Which revisions somebody holds. 0 means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Have {
+pub struct Revisions {
     /// Index in the replicated log of the change that is in force.
     pub routes: u64,
     /// Index in the replicated log of the newest evacuation or end of one.
@@ -105,11 +105,17 @@
     }
 
     /// Raises what its receiver holds by what it tells whole.
-    pub(crate) fn raise(&self, have: &mut Have) {
+    pub(crate) fn raise(&self, revisions: &mut Revisions) {
         match (self, self.revision()) {
-            (Self::Evacuated { revision, .. }, _) => have.evacuated = have.evacuated.max(*revision),
-            (_, Some(Revision::Routes(revision))) => have.routes = have.routes.max(revision),
-            (_, Some(Revision::Endpoints(stamp))) => have.endpoints = have.endpoints.max(stamp),
+            (Self::Evacuated { revision, .. }, _) => {
+                revisions.evacuated = revisions.evacuated.max(*revision)
+            }
+            (_, Some(Revision::Routes(revision))) => {
+                revisions.routes = revisions.routes.max(revision)
+            }
+            (_, Some(Revision::Endpoints(stamp))) => {
+                revisions.endpoints = revisions.endpoints.max(stamp)
+            }
             (_, None) => {}
         }
     }
@@ -128,7 +134,7 @@
     }
 }
 
-impl Have {
+impl Revisions {
     /// Takes over what is newer in `other`.
     pub fn raise(&mut self, other: &Self) {
         self.routes = self.routes.max(other.routes);
@@ -186,7 +192,7 @@
     /// Whether callers may be sent to it.
     pub ready: bool,
     /// What it holds.
-    pub have: Have,
+    pub revisions: Revisions,
     /// What it was asked to carry.
     pub demand: Vec<Demand>,
     /// Thousandths of its link that are in use.
@@ -271,7 +277,7 @@
     /// What a replica holds, and who else there is.
     Notice {
         /// What it holds.
-        have: Have,
+        revisions: Revisions,
         /// Where the control replicas are.
         replicas: Vec<SocketAddr>,
         /// How many gateways are live in each failure domain, as it knows.
@@ -293,12 +299,12 @@
         /// The question of a report.
         question: u64,
         /// What it holds.
-        have: Have,
+        revisions: Revisions,
     },
     /// A replica tells the others of gateways that have reported to it.
     Roster(Vec<Relayed>),
     /// A gateway asks for all that is newer than this. Of what is long it gets the first part.
-    Ask(Have),
+    Ask(Revisions),
     /// A replica asks for the list of endpoints, or what has changed in it since this one.
     AskList(Stamp),
     /// A part of a long message.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -29,8 +29,8 @@
 mod routes;
 
 pub use api::{
-    Demand, Endpoint, EndpointChange, EndpointState, GatewayInfo, Have, Message, Order, OrderError,
-    Outbound, Part, Relayed, Report, Revision, Stamp,
+    Demand, Endpoint, EndpointChange, EndpointState, GatewayInfo, Message, Order, OrderError,
+    Outbound, Part, Relayed, Report, Revision, Revisions, Stamp,
 };
 pub use member::{Delay, Load, Member, Update};
 pub use registry::{Question, Registry};
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -153,12 +153,12 @@
     }
 
     /// What somebody lacks who holds the list with this stamp.
-    pub(crate) fn since(&self, now: Moment, have: Stamp) -> Option<Message> {
-        if self.stamp <= have {
+    pub(crate) fn since(&self, now: Moment, base: Stamp) -> Option<Message> {
+        if self.stamp <= base {
             return None;
         }
         let passed = now.saturating_sub(self.at);
-        let news = match self.change_since(have) {
+        let news = match self.change_since(base) {
             Some(mut change) => {
                 let fresh = |e: &Endpoint| self.by_id.get(&e.id).map(|e| aged(e, passed));
                 change.changed = change.changed.iter().filter_map(fresh).collect();
@@ -176,11 +176,11 @@
     }
 
     /// All changes from a stamp on as one, if they are all kept and shorter than the list.
-    fn change_since(&self, have: Stamp) -> Option<EndpointChange> {
-        if have.term == 0 {
+    fn change_since(&self, base: Stamp) -> Option<EndpointChange> {
+        if base.term == 0 {
             return None;
         }
-        let first = self.changes.iter().position(|(_, c)| c.from == have)?;
+        let first = self.changes.iter().position(|(_, c)| c.from == base)?;
         let mut changed = BTreeMap::new();
         let mut gone = BTreeMap::new();
         for (_, change) in self.changes.iter().skip(first) {
@@ -194,7 +194,7 @@
             }
         }
         (changed.len() + gone.len() < self.by_id.len()).then(|| EndpointChange {
-            from: have,
+            from: base,
             changed: changed.into_values().cloned().collect(),
             gone: gone.into_keys().cloned().collect(),
         })
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -10,7 +10,9 @@
 
 use crate::contacts::Contacts;
 use crate::parts::{Receiving, Taken};
-use crate::{Demand, Endpoint, EndpointChange, GatewayInfo, Have, Message, Outbound, Part, Report};
+use crate::{
+    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Part, Report, Revisions,
+};
 
 /// Time between reports: three fit into the silence after which a gateway is taken for
 /// dead, and a notice that was lost is made up for within it.
@@ -92,11 +94,11 @@
     /// When the first notice of all came.
     first_told: Option<Moment>,
     /// The newest of everything that anybody was heard to hold.
-    newest: Have,
-    have: Have,
+    newest: Revisions,
+    revisions: Revisions,
     /// The routes of that revision.
     routes: Option<Arc<Table>>,
-    asked: Option<(Have, Moment)>,
+    asked: Option<(Revisions, Moment)>,
     /// Long messages of which some parts are here.
     receiving: Receiving,
     /// When news was first heard of that isn't here yet.
@@ -128,8 +130,8 @@
             contacts: Contacts::new(seeds),
             heard: None,
             first_told: None,
-            newest: Have::default(),
-            have: Have::default(),
+            newest: Revisions::default(),
+            revisions: Revisions::default(),
             routes: None,
             asked: None,
             receiving: Receiving::default(),
@@ -144,8 +146,8 @@
     }
 
     /// What this gateway holds.
-    pub fn have(&self) -> Have {
-        self.have
+    pub fn revisions(&self) -> Revisions {
+        self.revisions
     }
 
     /// Whether it may serve by what it knows: it has routes and endpoints, the newest that
@@ -153,10 +155,10 @@
     /// changes passed. Where most can't be reached, what the others know has to do after
     /// a while.
     pub fn is_informed(&self, now: Moment) -> bool {
-        let has_all = self.have.routes > 0 && self.have.endpoints.seq > 0;
+        let has_all = self.revisions.routes > 0 && self.revisions.endpoints.seq > 0;
         let most = self.contacts.most_told();
         let waited = self.first_told.is_some_and(|at| now >= at + UNHEARD_OF);
-        has_all && ((most && !self.have.lacks(&self.newest)) || waited)
+        has_all && ((most && !self.revisions.lacks(&self.newest)) || waited)
     }
 
     /// Whether the routes held here were lately proved to be the newest that are accepted.
@@ -177,7 +179,7 @@
     pub fn proven_at(&self) -> Option<Moment> {
         let (revision, asked) = self.proven?;
         let newest = revision.max(self.newest.routes);
-        (self.have.routes >= newest).then_some(asked)
+        (self.revisions.routes >= newest).then_some(asked)
     }
 
     /// How long the news took that was taken in last.
@@ -223,7 +225,7 @@
         let report = Message::Report(Report {
             gateway: self.info.clone(),
             ready: self.ready,
-            have: self.have,
+            revisions: self.revisions,
             demand,
             link_milli,
             question,
@@ -262,10 +264,10 @@
         message: Message,
     ) -> (Vec<Outbound>, Vec<Update>) {
         self.heard = Some(now);
-        let held = self.have;
+        let held = self.revisions;
         let taken = self.take(now, from, message);
-        if self.have != held {
-            self.receiving.forget_held(&self.have);
+        if self.revisions != held {
+            self.receiving.forget_held(&self.revisions);
             self.note_delay(now);
         }
         taken
@@ -277,7 +279,7 @@
             since_heard_of: now.saturating_sub(since),
             questions: self.asks,
         };
-        if !self.have.lacks(&self.newest) {
+        if !self.revisions.lacks(&self.newest) {
             self.lacking = None;
             self.asks = 0;
         }
@@ -291,7 +293,7 @@
     ) -> (Vec<Outbound>, Vec<Update>) {
         match message {
             Message::Notice {
-                have,
+                revisions,
                 replicas,
                 gateways,
                 demand,
@@ -300,24 +302,27 @@
                 proves,
             } => {
                 self.contacts.told(now, from, &replicas);
-                self.noticed(now, from, have, (answers, proves));
+                self.noticed(now, from, revisions, (answers, proves));
                 let updates = vec![
                     Update::Gateways(gateways),
                     Update::Demand(demand),
                     Update::Links(link_milli),
                 ];
-                (self.ask(now, from, have), updates)
+                (self.ask(now, from, revisions), updates)
             }
-            Message::Proof { question, have } => {
-                self.newest.raise(&have);
-                self.prove(question, have.routes);
-                (self.ask(now, from, have), Vec::new())
+            Message::Proof {
+                question,
+                revisions,
+            } => {
+                self.newest.raise(&revisions);
+                self.prove(question, revisions.routes);
+                (self.ask(now, from, revisions), Vec::new())
             }
             Message::Routes {
                 revision,
                 version,
                 table,
-            } if revision > self.have.routes => {
+            } if revision > self.revisions.routes => {
                 let update = self.set_routes(revision, version, table);
                 (Vec::new(), vec![update])
             }
@@ -326,7 +331,7 @@
                 version,
                 from: older,
                 changes,
-            } if revision > self.have.routes => match self.changed_routes(older, &changes) {
+            } if revision > self.revisions.routes => match self.changed_routes(older, &changes) {
                 Changed::Table(table) => {
                     let update = self.set_routes(revision, version, table);
                     (Vec::new(), vec![update])
@@ -336,27 +341,27 @@
                     (self.ask(now, from, self.newest), Vec::new())
                 }
                 Changed::Invalid => {
-                    let whole = Have {
+                    let whole = Revisions {
                         routes: 0,
-                        ..self.have
+                        ..self.revisions
                     };
                     (vec![(from, Message::Ask(whole))], Vec::new())
                 }
             },
-            Message::Evacuated { revision, domains } if revision > self.have.evacuated => {
-                self.have.evacuated = revision;
+            Message::Evacuated { revision, domains } if revision > self.revisions.evacuated => {
+                self.revisions.evacuated = revision;
                 (Vec::new(), vec![Update::Evacuated(domains)])
             }
-            Message::Endpoints { stamp, list } if stamp > self.have.endpoints => {
-                self.have.endpoints = stamp;
+            Message::Endpoints { stamp, list } if stamp > self.revisions.endpoints => {
+                self.revisions.endpoints = stamp;
                 (Vec::new(), vec![Update::Endpoints(list)])
             }
-            Message::EndpointsChanged { stamp, change } if stamp > self.have.endpoints => {
-                if change.from != self.have.endpoints {
+            Message::EndpointsChanged { stamp, change } if stamp > self.revisions.endpoints => {
+                if change.from != self.revisions.endpoints {
                     self.newest.endpoints = self.newest.endpoints.max(stamp);
                     return (self.ask(now, from, self.newest), Vec::new());
                 }
-                self.have.endpoints = stamp;
+                self.revisions.endpoints = stamp;
                 (Vec::new(), vec![Update::EndpointsChanged(change)])
             }
             Message::Part(part) => self.take_part(now, from, part),
@@ -369,21 +374,21 @@
         &mut self,
         now: Moment,
         from: SocketAddr,
-        have: Have,
+        revisions: Revisions,
         (answers, proves): (Option<u64>, Option<u64>),
     ) {
         if let Some(asked) = answers.and_then(|question| self.asked_at(question)) {
             self.contacts.answered(now, from, asked);
         }
         self.first_told.get_or_insert(now);
-        self.newest.raise(&have);
+        self.newest.raise(&revisions);
         if let Some(question) = proves {
-            self.prove(question, have.routes);
+            self.prove(question, revisions.routes);
         }
     }
 
     fn set_routes(&mut self, revision: u64, version: u64, table: Arc<Table>) -> Update {
-        self.have.routes = revision;
+        self.revisions.routes = revision;
         self.routes = Some(Arc::clone(&table));
         Update::Routes {
             revision,
@@ -394,7 +399,10 @@
 
     /// The routes held here with changes of the routes of revision `from`.
     fn changed_routes(&self, from: u64, changes: &[Arc<Delta>]) -> Changed {
-        let held = self.routes.as_ref().filter(|_| from == self.have.routes);
+        let held = self
+            .routes
+            .as_ref()
+            .filter(|_| from == self.revisions.routes);
         let Some(mut table) = held.cloned() else {
             return Changed::Gap;
         };
@@ -413,7 +421,7 @@
         from: SocketAddr,
         part: Part,
     ) -> (Vec<Outbound>, Vec<Update>) {
-        if !self.have.is_before(part.revision) {
+        if !self.revisions.is_before(part.revision) {
             return (Vec::new(), Vec::new());
         }
         match self.receiving.take(now, from, part) {
@@ -434,12 +442,12 @@
 
     /// Asks for what a replica holds beyond this gateway, unless the same was asked of
     /// somebody a moment ago.
-    fn ask(&mut self, now: Moment, from: SocketAddr, theirs: Have) -> Vec<Outbound> {
-        if !self.have.lacks(&theirs) {
+    fn ask(&mut self, now: Moment, from: SocketAddr, theirs: Revisions) -> Vec<Outbound> {
+        if !self.revisions.lacks(&theirs) {
             return Vec::new();
         }
         self.lacking.get_or_insert(now);
-        let covered = self.receiving.covers(&self.have, &theirs);
+        let covered = self.receiving.covers(&self.revisions, &theirs);
         if !covered.lacks(&theirs) {
             return Vec::new();
         }
--- a/crates/fleet/src/parts.rs
+++ b/crates/fleet/src/parts.rs
@@ -17,7 +17,7 @@
 use filberthead_types::Moment;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Have, Message, Part, Revision};
+use crate::{Message, Part, Revision, Revisions};
 
 /// Bytes of a part.
 const PART_BYTES: usize = 8 * 1024;
@@ -202,8 +202,8 @@
 impl Receiving {
     /// Raises `have` to `theirs` where news is on its way already, so that it isn't asked for
     /// meanwhile. What came after it is asked for when it is here.
-    pub(crate) fn covers(&self, have: &Have, theirs: &Have) -> Have {
-        let mut covered = *have;
+    pub(crate) fn covers(&self, revisions: &Revisions, theirs: &Revisions) -> Revisions {
+        let mut covered = *revisions;
         for incoming in &self.0 {
             match incoming.revision {
                 Revision::Routes(_) => covered.routes = covered.routes.max(theirs.routes),
@@ -216,8 +216,9 @@
     }
 
     /// Gives up transfers of what is held by now.
-    pub(crate) fn forget_held(&mut self, have: &Have) {
-        self.0.retain(|incoming| have.is_before(incoming.revision));
+    pub(crate) fn forget_held(&mut self, revisions: &Revisions) {
+        self.0
+            .retain(|incoming| revisions.is_before(incoming.revision));
     }
 
     /// Takes in a part of news that isn't held yet.
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -13,8 +13,8 @@
 use crate::parts::Sending;
 use crate::routes::Routes;
 use crate::{
-    Demand, Endpoint, EndpointChange, GatewayInfo, Have, Message, Outbound, Relayed, Report,
-    Revision, Stamp,
+    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Relayed, Report, Revision,
+    Revisions, Stamp,
 };
 
 /// Silence after which a gateway is no longer named to callers: three reports, so that
@@ -36,7 +36,7 @@
     addr: SocketAddr,
     at: Moment,
     /// What the gateway holds, by its report and what it was sent since.
-    have: Have,
+    revisions: Revisions,
 }
 
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
 pub struct Registry {
     gateways: BTreeMap<NodeName, Seen>,
     replicas: Vec<SocketAddr>,
-    have: Have,
+    revisions: Revisions,
     routes: Routes,
     evacuated: BTreeSet<FailureDomain>,
     endpoints: List,
@@ -88,8 +88,8 @@
 
 impl Registry {
     /// What this replica holds.
-    pub fn have(&self) -> Have {
-        self.have
+    pub fn revisions(&self) -> Revisions {
+        self.revisions
     }
 
     /// Tells where the control replicas are, this one included.
@@ -105,10 +105,10 @@
         version: u64,
         table: Arc<Table>,
     ) -> Vec<Outbound> {
-        if revision <= self.have.routes {
+        if revision <= self.revisions.routes {
             return Vec::new();
         }
-        self.have.routes = revision;
+        self.revisions.routes = revision;
         self.routes.set(revision, version, table);
         self.announce(now)
     }
@@ -120,10 +120,10 @@
         revision: u64,
         domains: &BTreeSet<FailureDomain>,
     ) -> Vec<Outbound> {
-        if revision <= self.have.evacuated {
+        if revision <= self.revisions.evacuated {
             return Vec::new();
         }
-        self.have.evacuated = revision;
+        self.revisions.evacuated = revision;
         self.evacuated.clone_from(domains);
         self.announce(now)
     }
@@ -155,7 +155,7 @@
     }
 
     fn after(&mut self, now: Moment, taken: Taken) -> Vec<Outbound> {
-        self.have.endpoints = self.endpoints.stamp();
+        self.revisions.endpoints = self.endpoints.stamp();
         match taken {
             Taken::New => self.announce(now),
             Taken::Old | Taken::Gap => Vec::new(),
@@ -171,7 +171,7 @@
     ) -> Vec<Outbound> {
         let taken = self.endpoints.apply(now, stamp, change);
         if taken == Taken::Gap {
-            return vec![(from, Message::AskList(self.have.endpoints))];
+            return vec![(from, Message::AskList(self.revisions.endpoints))];
         }
         self.after(now, taken)
     }
@@ -191,9 +191,9 @@
                 self.relayed(now, gateways);
                 Vec::new()
             }
-            Message::Ask(have) => self.newer_than(now, &have, from),
-            Message::AskList(have) => {
-                let news = self.endpoints_for(now, have);
+            Message::Ask(revisions) => self.newer_than(now, &revisions, from),
+            Message::AskList(base) => {
+                let news = self.endpoints_for(now, base);
                 news.into_iter().map(|news| (from, news)).collect()
             }
             Message::AskPart { digest, index } => {
@@ -222,7 +222,7 @@
             direct: Some(Direct {
                 addr: from,
                 at: now,
-                have: report.have,
+                revisions: report.revisions,
             }),
             ready: report.ready,
             at: now,
@@ -291,45 +291,51 @@
     /// The answers to questions, once it is known that nothing newer than what is held here
     /// was accepted when they were taken.
     pub fn prove(&self, questions: Vec<Question>) -> Vec<Outbound> {
-        let have = self.have;
+        let revisions = self.revisions;
         let answer = |Question { from, number }| {
             let question = number;
-            (from, Message::Proof { question, have })
+            (
+                from,
+                Message::Proof {
+                    question,
+                    revisions,
+                },
+            )
         };
         questions.into_iter().map(answer).collect()
     }
 
-    fn newer_than(&mut self, now: Moment, have: &Have, to: SocketAddr) -> Vec<Outbound> {
-        let news = self.news(now, have);
+    fn newer_than(&mut self, now: Moment, revisions: &Revisions, to: SocketAddr) -> Vec<Outbound> {
+        let news = self.news(now, revisions);
         news.into_iter().map(|news| (to, news)).collect()
     }
 
     /// What somebody lacks who holds this; of what is long the first part. What changes where
     /// requests may go comes before what may be long.
-    fn news(&mut self, now: Moment, have: &Have) -> Vec<Message> {
+    fn news(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
         let endpoints = self
-            .endpoints_for(now, have.endpoints)
-            .map(|news| (Revision::Endpoints(have.endpoints), news));
+            .endpoints_for(now, revisions.endpoints)
+            .map(|news| (Revision::Endpoints(revisions.endpoints), news));
         let routes = self
             .routes
-            .since(have.routes)
-            .map(|news| (Revision::Routes(have.routes), news));
-        let evacuated = self.evacuated_for(have.evacuated);
+            .since(revisions.routes)
+            .map(|news| (Revision::Routes(revisions.routes), news));
+        let evacuated = self.evacuated_for(revisions.evacuated);
         let long = [endpoints, routes].into_iter().flatten();
         let long = long.map(|(from, news)| self.sending.begin(now, from, news));
         evacuated.into_iter().chain(long).collect()
     }
 
-    fn evacuated_for(&self, have: u64) -> Option<Message> {
-        (self.have.evacuated > have).then(|| Message::Evacuated {
-            revision: self.have.evacuated,
+    fn evacuated_for(&self, base: u64) -> Option<Message> {
+        (self.revisions.evacuated > base).then(|| Message::Evacuated {
+            revision: self.revisions.evacuated,
             domains: self.evacuated.clone(),
         })
     }
 
     /// What another replica lacks of the list if it holds `have`.
-    pub fn endpoints_for(&self, now: Moment, have: Stamp) -> Option<Message> {
-        self.endpoints.since(now, have)
+    pub fn endpoints_for(&self, now: Moment, base: Stamp) -> Option<Message> {
+        self.endpoints.since(now, base)
     }
 
     /// Tells the gateways that report here what is new: short news itself, and of what is long
@@ -338,12 +344,18 @@
         self.gateways
             .retain(|_, seen| now < seen.at + FORGOTTEN_AFTER);
         let mut notices: BTreeMap<FailureDomain, Message> = BTreeMap::new();
-        let mut news: Vec<(Have, Vec<Message>)> = Vec::new();
+        let mut news: Vec<(Revisions, Vec<Message>)> = Vec::new();
         let mut out = Vec::new();
-        for (domain, Direct { addr, have, .. }) in self.reached(now) {
-            let known = news.iter().position(|(held, _)| *held == have);
+        for (
+            domain,
+            Direct {
+                addr, revisions, ..
+            },
+        ) in self.reached(now)
+        {
+            let known = news.iter().position(|(held, _)| *held == revisions);
             let place = known.unwrap_or_else(|| {
-                news.push((have, self.news(now, &have)));
+                news.push((revisions, self.news(now, &revisions)));
                 news.len() - 1
             });
             let (long, short): (Vec<_>, Vec<_>) = news[place].1.iter().partition(is_part);
@@ -370,14 +382,14 @@
     /// Notes what gateways hold when these messages have arrived. The next report says whether
     /// they have.
     fn note_sent(&mut self, out: &[Outbound]) {
-        let mut sent: BTreeMap<SocketAddr, Have> = BTreeMap::new();
+        let mut sent: BTreeMap<SocketAddr, Revisions> = BTreeMap::new();
         for (to, message) in out {
             message.raise(sent.entry(*to).or_default());
         }
         let direct = self.gateways.values_mut().filter_map(|s| s.direct.as_mut());
         for direct in direct {
             if let Some(sent) = sent.get(&direct.addr) {
-                direct.have.raise(sent);
+                direct.revisions.raise(sent);
             }
         }
     }
@@ -394,7 +406,7 @@
         let held = sums.take().filter(|sums| now < sums.at + SUMS_KEPT);
         let sums = sums.insert(held.unwrap_or_else(|| self.sums(now)));
         Message::Notice {
-            have: self.have,
+            revisions: self.revisions,
             replicas: self.replicas.clone(),
             gateways: sums.gateways.clone(),
             demand: sums.demand.clone(),
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -48,14 +48,14 @@
     }
 
     /// What somebody lacks who holds revision `have`.
-    pub(crate) fn since(&self, have: u64) -> Option<Message> {
-        let table = self.table.as_ref().filter(|_| self.revision > have)?;
+    pub(crate) fn since(&self, base: u64) -> Option<Message> {
+        let table = self.table.as_ref().filter(|_| self.revision > base)?;
         let (revision, version) = (self.revision, self.version);
-        Some(match self.changes_since(have, table) {
+        Some(match self.changes_since(base, table) {
             Some(changes) => Message::RoutesChanged {
                 revision,
                 version,
-                from: have,
+                from: base,
                 changes,
             },
             None => Message::Routes {
@@ -67,8 +67,8 @@
     }
 
     /// The changes since a revision, if they are known and shorter than the table.
-    fn changes_since(&self, have: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
-        let first = self.changes.iter().position(|change| change.from == have)?;
+    fn changes_since(&self, base: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
+        let first = self.changes.iter().position(|change| change.from == base)?;
         let changes = self.changes.range(first..);
         let new: usize = changes
             .clone()
--- a/crates/fleet/tests/all/following.rs
+++ b/crates/fleet/tests/all/following.rs
@@ -120,14 +120,14 @@
     /// A replica that reaches the leader, and is reached, can prove what the leader holds too.
     fn deliver_proofs(&mut self) {
         let leader = self.leader;
-        let newest = self.replicas[&leader].have().routes;
+        let newest = self.replicas[&leader].revisions().routes;
         let addrs: Vec<_> = self.replicas.keys().copied().collect();
         let mut messages = Vec::new();
         for at in addrs {
             let reaches = self.reaches(at, leader) && self.reaches(leader, at);
             let registry = self.replicas.get_mut(&at).expect("a replica");
             let questions = registry.take_questions();
-            if reaches && registry.have().routes == newest {
+            if reaches && registry.revisions().routes == newest {
                 let out = registry.prove(questions);
                 messages.extend(out.into_iter().map(|out| (at, out)));
             }
@@ -259,7 +259,7 @@
         fleet.set_routes(6, &informed);
         fleet.run(2500);
         for (at, member) in &fleet.members {
-            assert_eq!(member.have().routes, 6, "{at} {both_ways}");
+            assert_eq!(member.revisions().routes, 6, "{at} {both_ways}");
             assert!(member.is_proven(fleet.now), "{at} {both_ways}");
         }
     }
--- a/crates/fleet/tests/all/links.rs
+++ b/crates/fleet/tests/all/links.rs
@@ -191,7 +191,7 @@
     fn list(&mut self, list: Vec<Endpoint>) {
         let [(leader, reader), (other, follower)] = &mut self.replicas;
         let (leader, other) = (*leader, *other);
-        let before = reader.have().endpoints;
+        let before = reader.revisions().endpoints;
         let told = reader.listed(self.now, 1, list);
         let news = reader.endpoints_for(self.now, before);
         let news = news.expect("the list has changed");
--- a/crates/fleet/tests/all/parts.rs
+++ b/crates/fleet/tests/all/parts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use filberthead_fleet::{Have, Load, Member, Message, Part, Registry, Revision, Update};
+use filberthead_fleet::{Load, Member, Message, Part, Registry, Revision, Revisions, Update};
 use filberthead_route::Table;
 
 use crate::links::table;
@@ -18,12 +18,12 @@
 
 /// The first part of a table, which a gateway has asked for.
 fn first_part(member: &mut Member, registry: &mut Registry) -> Message {
-    let news = notice(registry.have(), Vec::new());
+    let news = notice(registry.revisions(), Vec::new());
     let (out, _) = member.receive(ms(0), addr(CONTROL), news);
-    let [(_, Message::Ask(have))] = &out[..] else {
+    let [(_, Message::Ask(revisions))] = &out[..] else {
         panic!("a question: {out:?}");
     };
-    answer(registry, Message::Ask(*have))
+    answer(registry, Message::Ask(*revisions))
 }
 
 fn answer(registry: &mut Registry, question: Message) -> Message {
@@ -60,7 +60,7 @@
     let (mut member, mut lost) = (gateway(), registry(&routes));
     let part = first_part(&mut member, &mut lost);
     member.receive(ms(10), addr(CONTROL), part);
-    let news = notice(lost.have(), Vec::new());
+    let news = notice(lost.revisions(), Vec::new());
     let (out, _) = member.receive(ms(20), addr(OTHER), news.clone());
     assert_eq!(out, Vec::new(), "it is on its way");
     for at in [700, 1400, 2100] {
@@ -96,7 +96,7 @@
     let part = first_part(&mut member, &mut registry);
     let (out, _) = member.receive(ms(10), addr(CONTROL), part);
     registry.set_routes(ms(15), 6, 8, Arc::clone(&newer));
-    let news = Message::Ask(Have::default());
+    let news = Message::Ask(Revisions::default());
     let intruder = answer(&mut registry, news);
     let (asked, updates) = member.receive(ms(16), addr(OTHER), intruder);
     assert_eq!((asked, updates), (Vec::new(), Vec::new()));
@@ -120,7 +120,7 @@
     member.receive(ms(1), addr(CONTROL), part(0));
     let (_, updates) = member.receive(ms(2), addr(CONTROL), part(1));
     assert_eq!(updates, Vec::new());
-    assert_eq!(member.have().routes, 0);
+    assert_eq!(member.revisions().routes, 0);
 }
 
 /// Guards against evacuations that a gateway obeys only when a large table is through.
@@ -132,7 +132,7 @@
     member.receive(ms(10), addr(CONTROL), part);
     let domains = ["split-a".parse().expect("a name")].into();
     registry.set_evacuated(ms(20), 6, &domains);
-    let news = notice(registry.have(), Vec::new());
+    let news = notice(registry.revisions(), Vec::new());
     let (out, _) = member.receive(ms(30), addr(CONTROL), news);
     let [(_, question)] = &out[..] else {
         panic!("a question: {out:?}");
@@ -150,7 +150,7 @@
 fn a_transfer_of_what_is_held_by_now_is_given_up() {
     let (older, newer) = (table(1000), table(1001));
     let mut member = gateway();
-    let whole = answer(&mut registry(&older), Message::Ask(Have::default()));
+    let whole = answer(&mut registry(&older), Message::Ask(Revisions::default()));
     member.receive(ms(1), addr(CONTROL), whole);
     let routes = Message::Routes {
         revision: 5,
@@ -160,7 +160,7 @@
     member.receive(ms(2), addr(OTHER), routes);
     let mut further = registry(&newer);
     further.set_routes(ms(3), 6, 8, newer);
-    let news = notice(further.have(), Vec::new());
+    let news = notice(further.revisions(), Vec::new());
     let (out, _) = member.receive(ms(4), addr(OTHER), news);
-    assert!(matches!(out[..], [(_, Message::Ask(have))] if have.routes == 5));
+    assert!(matches!(out[..], [(_, Message::Ask(revisions))] if revisions.routes == 5));
 }
--- a/crates/fleet/tests/all/proofs.rs
+++ b/crates/fleet/tests/all/proofs.rs
@@ -20,7 +20,7 @@
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
     settle_with(ms(10), &mut member, &mut registry, false);
-    assert_eq!(member.have().routes, 5);
+    assert_eq!(member.revisions().routes, 5);
     assert!(!member.is_proven(ms(20)), "nobody can prove it");
     settle(ms(600), &mut member, &mut registry);
     assert!(member.is_proven(ms(610)));
@@ -84,7 +84,7 @@
     settle(ms(0), &mut member, &mut registry);
     assert!(member.is_proven(ms(10)));
     registry.set_routes(ms(100), 6, 8, Arc::new(Table::default()));
-    member.receive(ms(110), addr(3), notice(registry.have(), Vec::new()));
+    member.receive(ms(110), addr(3), notice(registry.revisions(), Vec::new()));
     assert!(!member.is_proven(ms(120)));
 }
 
--- a/crates/fleet/tests/all/spreading.rs
+++ b/crates/fleet/tests/all/spreading.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use filberthead_fleet::{
-    Delay, Endpoint, EndpointChange, GatewayInfo, Have, Load, Member, Message, Registry, Stamp,
-    Update,
+    Delay, Endpoint, EndpointChange, GatewayInfo, Load, Member, Message, Registry, Revisions,
+    Stamp, Update,
 };
 use filberthead_route::Table;
 
@@ -67,7 +67,7 @@
         member.receive(ms(2), addr(CONTROL), routes(8, 2)).1,
         Vec::new()
     );
-    assert_eq!(member.have().routes, 9);
+    assert_eq!(member.revisions().routes, 9);
 }
 
 /// While an endpoint warms up, each reading of the list shows another rest of its cold
@@ -76,12 +76,12 @@
 fn the_passing_of_cold_time_is_no_news() {
     let mut registry = Registry::default();
     registry.listed(ms(0), 1, vec![endpoint("a", 3000)]);
-    let first = registry.have().endpoints;
+    let first = registry.revisions().endpoints;
     registry.listed(ms(400), 1, vec![endpoint("a", 2650)]);
-    assert_eq!(registry.have().endpoints, first);
+    assert_eq!(registry.revisions().endpoints, first);
     // It has become cold again.
     registry.listed(ms(800), 1, vec![endpoint("a", 5000)]);
-    assert!(registry.have().endpoints > first);
+    assert!(registry.revisions().endpoints > first);
 }
 
 #[test]
@@ -108,7 +108,7 @@
     let mut registry = Registry::default();
     settle(ms(0), &mut member, &mut registry);
     registry.listed(ms(1), 1, vec![endpoint("a", 0)]);
-    let notice = notice(registry.have(), Vec::new());
+    let notice = notice(registry.revisions(), Vec::new());
     assert_eq!(
         member.receive(ms(2), addr(CONTROL), notice.clone()).0.len(),
         1
@@ -129,9 +129,9 @@
     behind.listed(ms(0), 1, vec![endpoint("a", 0)]);
     settle(ms(10), &mut member, &mut behind);
     assert!(!member.is_informed(ms(20)), "one of three has been heard");
-    let newer = filberthead_fleet::Have {
+    let newer = filberthead_fleet::Revisions {
         routes: 9,
-        ..behind.have()
+        ..behind.revisions()
     };
     let newer = notice(newer, vec![addr(CONTROL), addr(3), addr(4)]);
     member.receive(ms(30), addr(3), newer);
@@ -154,11 +154,11 @@
 
 /// What a replica tells somebody who holds this list.
 fn told(registry: &mut Registry, endpoints: Stamp) -> Message {
-    let have = Have {
+    let revisions = Revisions {
         endpoints,
-        ..registry.have()
+        ..registry.revisions()
     };
-    let mut out = registry.receive(ms(0), addr(GATEWAY), Message::Ask(have), false);
+    let mut out = registry.receive(ms(0), addr(GATEWAY), Message::Ask(revisions), false);
     out.pop().expect("it lacks the newest list").1
 }
 
@@ -169,13 +169,13 @@
 fn who_holds_an_older_list_is_told_what_has_changed() {
     let mut registry = Registry::default();
     registry.listed(ms(0), 4, list(0..100));
-    let first = registry.have().endpoints;
+    let first = registry.revisions().endpoints;
     registry.listed(ms(1), 4, list(1..101));
     registry.listed(ms(2), 4, list(2..102));
     let Message::EndpointsChanged { stamp, change } = told(&mut registry, first) else {
         panic!("the change alone");
     };
-    assert_eq!(stamp, registry.have().endpoints);
+    assert_eq!(stamp, registry.revisions().endpoints);
     assert_eq!(change.from, first);
     assert_eq!(change.changed, list(100..102));
     assert_eq!(change.gone, ["i-000", "i-001"]);
@@ -195,7 +195,7 @@
 fn lists_without_a_leader_are_never_told_as_changes() {
     let mut registry = Registry::default();
     registry.listed(ms(0), 0, list(0..100));
-    let first = registry.have().endpoints;
+    let first = registry.revisions().endpoints;
     registry.listed(ms(1), 0, list(0..101));
     assert!(matches!(
         told(&mut registry, first),
@@ -228,16 +228,16 @@
     let (mut member, mut registry) = (gateway(), Registry::default());
     member.receive(ms(1), addr(CONTROL), whole(7));
     assert_eq!(member.receive(ms(2), addr(CONTROL), change()).1, Vec::new());
-    assert_eq!(member.have().endpoints, stamp(7));
+    assert_eq!(member.revisions().endpoints, stamp(7));
     member.receive(ms(3), addr(CONTROL), whole(8));
     assert_eq!(member.receive(ms(4), addr(CONTROL), change()).1.len(), 1);
-    assert_eq!(member.have().endpoints, stamp(9));
+    assert_eq!(member.revisions().endpoints, stamp(9));
     registry.receive(ms(1), addr(CONTROL), whole(7), false);
     let out = registry.receive(ms(2), addr(CONTROL), change(), false);
     assert!(matches!(out[..], [(_, Message::AskList(held))] if held == stamp(7)));
     registry.receive(ms(3), addr(CONTROL), whole(8), false);
     registry.receive(ms(4), addr(CONTROL), change(), false);
-    assert_eq!(registry.have().endpoints, stamp(9));
+    assert_eq!(registry.revisions().endpoints, stamp(9));
 }
 
 /// Two failure domains, one of them crowded. Each gateway is told the mean of its own.
@@ -282,7 +282,7 @@
 fn a_gateway_tells_how_long_news_was_on_its_way() {
     let (mut member, mut registry) = (gateway(), Registry::default());
     registry.listed(ms(0), 1, vec![endpoint("a", 0)]);
-    let news = notice(registry.have(), Vec::new());
+    let news = notice(registry.revisions(), Vec::new());
     member.receive(ms(100), addr(CONTROL), news.clone());
     member.receive(ms(400), addr(3), news);
     let list = told(&mut registry, Stamp::default());
--- a/crates/fleet/tests/all/starts.rs
+++ b/crates/fleet/tests/all/starts.rs
@@ -48,11 +48,14 @@
 fn an_earlier_start_that_is_told_late_replaces_nothing() {
     let mut registry = Registry::default();
     registry.listed(ms(0), 1, vec![started("a", 200)]);
-    let held = registry.have().endpoints;
+    let held = registry.revisions().endpoints;
     let mut earlier = started("a", 100);
     earlier.state = EndpointState::Draining;
     registry.listed(ms(400), 1, vec![earlier, started("b", 100)]);
-    assert!(registry.have().endpoints > held, "the other one is news");
+    assert!(
+        registry.revisions().endpoints > held,
+        "the other one is news"
+    );
     let list = listed(ms(401), &mut registry);
     assert_eq!(list, [started("a", 200), started("b", 100)]);
 }
@@ -113,9 +116,9 @@
             registry.set_routes(ms(0), 5, 7, Arc::new(orders()));
             registry.listed(ms(0), 1, list.clone());
             assert_eq!(listed(ms(1), &mut registry), std::slice::from_ref(&better));
-            let held = registry.have().endpoints;
+            let held = registry.revisions().endpoints;
             registry.listed(ms(400), 1, list);
-            assert_eq!(registry.have().endpoints, held, "nothing is new");
+            assert_eq!(registry.revisions().endpoints, held, "nothing is new");
         }
     }
 }
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filberthead_fleet::{
-    Endpoint, EndpointState, GatewayInfo, Have, Load, Member, Message, Registry, Update,
+    Endpoint, EndpointState, GatewayInfo, Load, Member, Message, Registry, Revisions, Update,
 };
 use filberthead_types::Moment;
 
@@ -77,9 +77,9 @@
 }
 
 /// What a replica says that it holds, without proof.
-pub(crate) fn notice(have: Have, replicas: Vec<SocketAddr>) -> Message {
+pub(crate) fn notice(revisions: Revisions, replicas: Vec<SocketAddr>) -> Message {
     Message::Notice {
-        have,
+        revisions,
         replicas,
         gateways: Vec::new(),
         demand: Vec::new(),
--- a/crates/peer/examples/cost.rs
+++ b/crates/peer/examples/cost.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filberthead_fleet::{
-    Demand, Endpoint, EndpointState, GatewayInfo, Have, Message, Report, Stamp,
+    Demand, Endpoint, EndpointState, GatewayInfo, Message, Report, Revisions, Stamp,
 };
 use filberthead_peer::{Body, Envelope, Origin, cluster_id, encode};
 use filberthead_types::{FailureDomain, Incarnation, Region, ServiceName};
@@ -53,15 +53,15 @@
             caller_addr: addr(8548),
         },
         ready: true,
-        have: have(),
+        revisions: revisions(),
         demand: (0..3).map(demand).collect(),
         link_milli: 456,
         question: u64::MAX,
     })
 }
 
-fn have() -> Have {
-    Have {
+fn revisions() -> Revisions {
+    Revisions {
         routes: 12_345,
         evacuated: 12_300,
         endpoints: Stamp {
@@ -76,7 +76,7 @@
         (0..regions).map(|n| -> Region { format!("region-{n}").parse().expect("a name") });
     let demand = regions.flat_map(|r| (0..3).map(move |n| (r.clone(), service(n), 12_345)));
     Message::Notice {
-        have: have(),
+        revisions: revisions(),
         replicas: (0..replicas).map(addr).collect(),
         gateways: (0..domains).map(|n| (domain(n), 28)).collect(),
         demand: demand.collect(),
