--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -147,11 +147,11 @@
                 self.order(order, Asker::Replica { to, token }).await;
             }
             Message::OrderDone { token, result } => self.passed_done(token, result).await,
-            Message::Newest { token } => {
+            Message::ReadIndex { token } => {
                 let to = origin.addr;
                 self.prove(Reader::Replica { to, token }).await;
             }
-            Message::NewestIs { token, result } => self.asked_done(now, token, result),
+            Message::ReadIndexResult { token, result } => self.asked_done(now, token, result),
             other => {
                 let proven = self.replica.lease_until(now).is_some();
                 let registry = &mut self.fleet.registry;
@@ -248,7 +248,7 @@
         self.fleet.next_list = now + LIST_CATCH_UP;
         if let Some(leader) = self.leader_addr(now) {
             let have = self.fleet.registry.revisions().endpoints;
-            self.send(leader, Body::Fleet(Message::AskList(have)));
+            self.send(leader, Body::Fleet(Message::PullEndpoints(have)));
         }
     }
 
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -166,7 +166,7 @@
 
     fn ask_newest(&mut self, now: Moment, leader: SocketAddr, unproven: Unproven) {
         let token = self.fleet.token();
-        self.send(leader, Body::Fleet(Message::Newest { token }));
+        self.send(leader, Body::Fleet(Message::ReadIndex { token }));
         self.fleet.wait(now, Waiting::Asked(token, unproven));
     }
 
@@ -207,7 +207,7 @@
             }
             Reader::Replica { to, token } => {
                 let result = result.map(|()| self.applied);
-                self.send(to, Body::Fleet(Message::NewestIs { token, result }));
+                self.send(to, Body::Fleet(Message::ReadIndexResult { token, result }));
             }
         }
     }
--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -88,10 +88,10 @@
             Self::Notice { .. } => "notice",
             Self::Proof { .. } => "proof",
             Self::Roster(_) => "roster",
-            Self::Ask(_) => "ask",
-            Self::AskList(_) => "ask-list",
+            Self::Pull(_) => "ask",
+            Self::PullEndpoints(_) => "ask-list",
             Self::Part(_) => "part",
-            Self::AskPart { .. } => "ask-part",
+            Self::PullPart { .. } => "ask-part",
             Self::Routes { .. } => "routes",
             Self::RoutesChanged { .. } => "routes-changed",
             Self::Evacuated { .. } => "evacuated",
@@ -99,8 +99,8 @@
             Self::EndpointsChanged { .. } => "endpoints-changed",
             Self::Order { .. } => "order",
             Self::OrderDone { .. } => "order-done",
-            Self::Newest { .. } => "newest",
-            Self::NewestIs { .. } => "newest-is",
+            Self::ReadIndex { .. } => "newest",
+            Self::ReadIndexResult { .. } => "newest-is",
         }
     }
 
@@ -304,13 +304,13 @@
     /// A replica tells the others of gateways that have reported to it.
     Roster(Vec<Relayed>),
     /// A gateway asks for all that is newer than this. Of what is long it gets the first part.
-    Ask(Revisions),
+    Pull(Revisions),
     /// A replica asks for the list of endpoints, or what has changed in it since this one.
-    AskList(Stamp),
+    PullEndpoints(Stamp),
     /// A part of a long message.
     Part(Part),
     /// A gateway asks for a part of the message with this digest.
-    AskPart {
+    PullPart {
         /// The digest.
         digest: u64,
         /// Place of the part.
@@ -373,12 +373,12 @@
     },
     /// A replica that doesn't lead asks how far it must have applied the log to know
     /// everything accepted by now.
-    Newest {
+    ReadIndex {
         /// Comes back with the answer.
         token: u64,
     },
-    /// Answer to [`Message::Newest`], proved by the leader's lease.
-    NewestIs {
+    /// Answer to [`Message::ReadIndex`], proved by the leader's lease.
+    ReadIndexResult {
         /// Token of the question.
         token: u64,
         /// Index in the log.
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -345,7 +345,7 @@
                         routes: 0,
                         ..self.revisions
                     };
-                    (vec![(from, Message::Ask(whole))], Vec::new())
+                    (vec![(from, Message::Pull(whole))], Vec::new())
                 }
             },
             Message::Evacuated { revision, domains } if revision > self.revisions.evacuated => {
@@ -459,6 +459,6 @@
         }
         self.asked = Some((theirs, now));
         self.asks += 1;
-        vec![(from, Message::Ask(covered))]
+        vec![(from, Message::Pull(covered))]
     }
 }
--- a/crates/fleet/src/parts.rs
+++ b/crates/fleet/src/parts.rs
@@ -176,7 +176,7 @@
     }
 
     fn question(&self, index: usize) -> Message {
-        Message::AskPart {
+        Message::PullPart {
             digest: self.digest,
             index: index as u32,
         }
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -171,7 +171,7 @@
     ) -> Vec<Outbound> {
         let taken = self.endpoints.apply(now, stamp, change);
         if taken == Taken::Gap {
-            return vec![(from, Message::AskList(self.revisions.endpoints))];
+            return vec![(from, Message::PullEndpoints(self.revisions.endpoints))];
         }
         self.after(now, taken)
     }
@@ -191,12 +191,12 @@
                 self.relayed(now, gateways);
                 Vec::new()
             }
-            Message::Ask(revisions) => self.newer_than(now, &revisions, from),
-            Message::AskList(base) => {
+            Message::Pull(revisions) => self.newer_than(now, &revisions, from),
+            Message::PullEndpoints(base) => {
                 let news = self.endpoints_for(now, base);
                 news.into_iter().map(|news| (from, news)).collect()
             }
-            Message::AskPart { digest, index } => {
+            Message::PullPart { digest, index } => {
                 let part = self.sending.part(now, digest, index);
                 part.into_iter().map(|part| (from, part)).collect()
             }
--- a/crates/fleet/tests/all/parts.rs
+++ b/crates/fleet/tests/all/parts.rs
@@ -20,10 +20,10 @@
 fn first_part(member: &mut Member, registry: &mut Registry) -> Message {
     let news = notice(registry.revisions(), Vec::new());
     let (out, _) = member.receive(ms(0), addr(CONTROL), news);
-    let [(_, Message::Ask(revisions))] = &out[..] else {
+    let [(_, Message::Pull(revisions))] = &out[..] else {
         panic!("a question: {out:?}");
     };
-    answer(registry, Message::Ask(*revisions))
+    answer(registry, Message::Pull(*revisions))
 }
 
 fn answer(registry: &mut Registry, question: Message) -> Message {
@@ -35,7 +35,7 @@
 fn questions(out: Vec<(std::net::SocketAddr, Message)>) -> Vec<Message> {
     let messages = out.into_iter().map(|(_, message)| message);
     messages
-        .filter(|m| matches!(m, Message::AskPart { .. }))
+        .filter(|m| matches!(m, Message::PullPart { .. }))
         .collect()
 }
 
@@ -67,7 +67,7 @@
         member.tick(ms(at), Load::default);
     }
     let (out, _) = member.receive(ms(2200), addr(OTHER), news);
-    assert!(matches!(out[..], [(to, Message::Ask(_))] if to == addr(OTHER)));
+    assert!(matches!(out[..], [(to, Message::Pull(_))] if to == addr(OTHER)));
 }
 
 /// Guards against parts that are lost with a connection while the process at its other end
@@ -96,7 +96,7 @@
     let part = first_part(&mut member, &mut registry);
     let (out, _) = member.receive(ms(10), addr(CONTROL), part);
     registry.set_routes(ms(15), 6, 8, Arc::clone(&newer));
-    let news = Message::Ask(Revisions::default());
+    let news = Message::Pull(Revisions::default());
     let intruder = answer(&mut registry, news);
     let (asked, updates) = member.receive(ms(16), addr(OTHER), intruder);
     assert_eq!((asked, updates), (Vec::new(), Vec::new()));
@@ -150,7 +150,7 @@
 fn a_transfer_of_what_is_held_by_now_is_given_up() {
     let (older, newer) = (table(1000), table(1001));
     let mut member = gateway();
-    let whole = answer(&mut registry(&older), Message::Ask(Revisions::default()));
+    let whole = answer(&mut registry(&older), Message::Pull(Revisions::default()));
     member.receive(ms(1), addr(CONTROL), whole);
     let routes = Message::Routes {
         revision: 5,
@@ -162,5 +162,5 @@
     further.set_routes(ms(3), 6, 8, newer);
     let news = notice(further.revisions(), Vec::new());
     let (out, _) = member.receive(ms(4), addr(OTHER), news);
-    assert!(matches!(out[..], [(_, Message::Ask(revisions))] if revisions.routes == 5));
+    assert!(matches!(out[..], [(_, Message::Pull(revisions))] if revisions.routes == 5));
 }
--- a/crates/fleet/tests/all/spreading.rs
+++ b/crates/fleet/tests/all/spreading.rs
@@ -158,7 +158,7 @@
         endpoints,
         ..registry.revisions()
     };
-    let mut out = registry.receive(ms(0), addr(GATEWAY), Message::Ask(revisions), false);
+    let mut out = registry.receive(ms(0), addr(GATEWAY), Message::Pull(revisions), false);
     out.pop().expect("it lacks the newest list").1
 }
 
@@ -234,7 +234,7 @@
     assert_eq!(member.revisions().endpoints, stamp(9));
     registry.receive(ms(1), addr(CONTROL), whole(7), false);
     let out = registry.receive(ms(2), addr(CONTROL), change(), false);
-    assert!(matches!(out[..], [(_, Message::AskList(held))] if held == stamp(7)));
+    assert!(matches!(out[..], [(_, Message::PullEndpoints(held))] if held == stamp(7)));
     registry.receive(ms(3), addr(CONTROL), whole(8), false);
     registry.receive(ms(4), addr(CONTROL), change(), false);
     assert_eq!(registry.revisions().endpoints, stamp(9));
