--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filberthead_consensus::{Event, Proposal, ProposeError};
-use filberthead_fleet::{Message, Order, OrderError, Question};
+use filberthead_fleet::{Message, Order, OrderError, ProofRequest};
 use filberthead_peer::Body;
 use filberthead_route::Change;
 use filberthead_types::Moment;
@@ -63,7 +63,7 @@
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// Questions of gateways.
-    Questions(Vec<Question>),
+    Questions(Vec<ProofRequest>),
 }
 
 impl Fleet {
@@ -173,7 +173,7 @@
     /// Asks the leader for what proves the routes held here to gateways that report here.
     /// Without a leader they get no proof, and ask others.
     pub(super) fn ask_for_proofs(&mut self, now: Moment) {
-        let questions = self.fleet.registry.take_questions();
+        let questions = self.fleet.registry.take_proof_requests();
         let leader = self.leader_addr(now).filter(|_| !questions.is_empty());
         if let Some(leader) = leader {
             self.ask_newest(now, leader, Unproven::Questions(questions));
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filberthead_endpoint::Client;
-use filberthead_fleet::{Delay, Load, Member, Outbound, Stamp, Update};
+use filberthead_fleet::{Load, Member, Outbound, Stamp, Update, UpdateDelay};
 use filberthead_observe::{GatewayMetrics, LineAllowance};
 use filberthead_peer::Body;
 use filberthead_place::{Balance, LargeShare, Link, Placer};
@@ -71,7 +71,7 @@
 /// Where news came from, and how.
 struct News {
     from: SocketAddr,
-    delay: Delay,
+    delay: UpdateDelay,
     /// The list of endpoints that is held now.
     listed: Stamp,
 }
@@ -309,7 +309,7 @@
             delay,
             listed,
         } = *news;
-        let (questions, since_heard_of) = (delay.questions, delay.since_heard_of.as_millis());
+        let (questions, since_heard_of) = (delay.requests, delay.since_announced.as_millis());
         match update {
             Update::Routes {
                 revision,
--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -198,7 +198,7 @@
     /// Thousandths of its link that are in use.
     pub link_milli: u32,
     /// Comes back in the notice that answers it, if the replica can prove what that says.
-    pub question: u64,
+    pub id: u64,
 }
 
 /// What a gateway said about itself to another replica.
@@ -288,16 +288,16 @@
         /// average, of those that callers are sent to.
         link_milli: Option<u32>,
         /// The question of the report that this answers, if it answers one.
-        answers: Option<u64>,
+        answered_report: Option<u64>,
         /// The question of the report that this answers, if its sender could prove at that
         /// moment that nothing newer than what it holds is accepted.
-        proves: Option<u64>,
+        proven_report: Option<u64>,
     },
     /// A replica that doesn't lead has learned from the leader that nothing newer than what
     /// it holds was accepted when this question was asked.
     Proof {
         /// The question of a report.
-        question: u64,
+        proven_report: u64,
         /// What it holds.
         revisions: Revisions,
     },
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -32,5 +32,5 @@
     Demand, Endpoint, EndpointChange, EndpointState, GatewayInfo, Message, Order, OrderError,
     Outbound, Part, Relayed, Report, Revision, Revisions, Stamp,
 };
-pub use member::{Delay, Load, Member, Update};
-pub use registry::{Question, Registry};
+pub use member::{Load, Member, Update, UpdateDelay};
+pub use registry::{ProofRequest, Registry};
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -28,7 +28,7 @@
 /// within which a change is to be in force everywhere.
 const PROVEN_FOR: Duration = Duration::from_millis(1600);
 /// Questions that are remembered: as many reports as go out while a proof is good.
-const QUESTIONS: usize = 4;
+const TRACKED_REPORTS: usize = 4;
 
 /// What a gateway learns.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,11 +58,11 @@
 
 /// How long news took from when it was first heard of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Delay {
+pub struct UpdateDelay {
     /// Since a replica first said that it holds something newer.
-    pub since_heard_of: Duration,
+    pub since_announced: Duration,
     /// Questions for it.
-    pub questions: u32,
+    pub requests: u32,
 }
 
 /// What comes of changes of routes.
@@ -105,11 +105,11 @@
     lacking: Option<Moment>,
     /// Questions since then.
     asks: u32,
-    delay: Delay,
+    delay: UpdateDelay,
     next_report: Moment,
     /// The questions of the last reports, and when they were asked.
-    questions: VecDeque<(u64, Moment)>,
-    next_question: u64,
+    sent_reports: VecDeque<(u64, Moment)>,
+    next_report_id: u64,
     /// The revision of the routes that was last proved to be the newest, and when that was
     /// asked.
     proven: Option<(u64, Moment)>,
@@ -122,7 +122,7 @@
     pub fn new(
         info: GatewayInfo,
         seeds: impl IntoIterator<Item = SocketAddr>,
-        first_question: u64,
+        first_report_id: u64,
     ) -> Self {
         Self {
             info,
@@ -137,10 +137,10 @@
             receiving: Receiving::default(),
             lacking: None,
             asks: 0,
-            delay: Delay::default(),
+            delay: UpdateDelay::default(),
             next_report: Moment::ZERO,
-            questions: VecDeque::new(),
-            next_question: first_question,
+            sent_reports: VecDeque::new(),
+            next_report_id: first_report_id,
             proven: None,
         }
     }
@@ -183,7 +183,7 @@
     }
 
     /// How long the news took that was taken in last.
-    pub fn delay(&self) -> Delay {
+    pub fn delay(&self) -> UpdateDelay {
         self.delay
     }
 
@@ -221,34 +221,37 @@
         self.contacts.forget(self.heard.unwrap_or_default());
         let to = self.contacts.report(now, self.proven_at());
         let Load { demand, link_milli } = load();
-        let question = self.question(now);
+        let id = self.new_report_id(now);
         let report = Message::Report(Report {
             gateway: self.info.clone(),
             ready: self.ready,
             revisions: self.revisions,
             demand,
             link_milli,
-            question,
+            id,
         });
         to.into_iter().map(|to| (to, report.clone())).collect()
     }
 
-    fn question(&mut self, now: Moment) -> u64 {
-        let question = self.next_question;
-        self.next_question = question.wrapping_add(1);
-        self.questions.truncate(QUESTIONS - 1);
-        self.questions.push_front((question, now));
-        question
+    fn new_report_id(&mut self, now: Moment) -> u64 {
+        let id = self.next_report_id;
+        self.next_report_id = id.wrapping_add(1);
+        self.sent_reports.truncate(TRACKED_REPORTS - 1);
+        self.sent_reports.push_front((id, now));
+        id
     }
 
-    fn asked_at(&self, question: u64) -> Option<Moment> {
-        let asked = self.questions.iter().find(|(asked, _)| *asked == question);
+    fn report_sent_at(&self, report_id: u64) -> Option<Moment> {
+        let asked = self
+            .sent_reports
+            .iter()
+            .find(|(asked, _)| *asked == report_id);
         asked.map(|(_, at)| *at)
     }
 
     /// Takes in that routes of `revision` were the newest when this question was answered.
-    fn prove(&mut self, question: u64, revision: u64) {
-        let Some(at) = self.asked_at(question) else {
+    fn prove(&mut self, report_id: u64, revision: u64) {
+        let Some(at) = self.report_sent_at(report_id) else {
             return;
         };
         if self.proven.is_none_or(|(_, proven)| proven <= at) {
@@ -275,9 +278,9 @@
 
     fn note_delay(&mut self, now: Moment) {
         let since = self.lacking.unwrap_or(now);
-        self.delay = Delay {
-            since_heard_of: now.saturating_sub(since),
-            questions: self.asks,
+        self.delay = UpdateDelay {
+            since_announced: now.saturating_sub(since),
+            requests: self.asks,
         };
         if !self.revisions.lacks(&self.newest) {
             self.lacking = None;
@@ -298,11 +301,11 @@
                 gateways,
                 demand,
                 link_milli,
-                answers,
-                proves,
+                answered_report,
+                proven_report,
             } => {
                 self.contacts.told(now, from, &replicas);
-                self.noticed(now, from, revisions, (answers, proves));
+                self.noticed(now, from, revisions, (answered_report, proven_report));
                 let updates = vec![
                     Update::Gateways(gateways),
                     Update::Demand(demand),
@@ -311,11 +314,11 @@
                 (self.ask(now, from, revisions), updates)
             }
             Message::Proof {
-                question,
+                proven_report,
                 revisions,
             } => {
                 self.newest.raise(&revisions);
-                self.prove(question, revisions.routes);
+                self.prove(proven_report, revisions.routes);
                 (self.ask(now, from, revisions), Vec::new())
             }
             Message::Routes {
@@ -375,15 +378,15 @@
         now: Moment,
         from: SocketAddr,
         revisions: Revisions,
-        (answers, proves): (Option<u64>, Option<u64>),
+        (answered_report, proven_report): (Option<u64>, Option<u64>),
     ) {
-        if let Some(asked) = answers.and_then(|question| self.asked_at(question)) {
+        if let Some(asked) = answered_report.and_then(|id| self.report_sent_at(id)) {
             self.contacts.answered(now, from, asked);
         }
         self.first_told.get_or_insert(now);
         self.newest.raise(&revisions);
-        if let Some(question) = proves {
-            self.prove(question, revisions.routes);
+        if let Some(proven_report) = proven_report {
+            self.prove(proven_report, revisions.routes);
         }
     }
 
@@ -425,8 +428,8 @@
             return (Vec::new(), Vec::new());
         }
         match self.receiving.take(now, from, part) {
-            Taken::Ask(questions) => {
-                let out = questions.into_iter().map(|question| (from, question));
+            Taken::Ask(requests) => {
+                let out = requests.into_iter().map(|request| (from, request));
                 (out.collect(), Vec::new())
             }
             Taken::Whole(news) => {
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -28,7 +28,7 @@
 /// with them.
 const SUMS_KEPT: Duration = Duration::from_millis(100);
 /// Questions that may wait for the leader's word; further ones are asked again anyway.
-const MAX_QUESTIONS: usize = 1024;
+const MAX_PROOF_REQUESTS: usize = 1024;
 
 /// A report that came to this replica itself.
 #[derive(Clone, Copy, Debug)]
@@ -52,11 +52,11 @@
 
 /// The question of a gateway's report that waits for a proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ProofRequest {
     /// Who asked.
     pub from: SocketAddr,
     /// The question.
-    pub number: u64,
+    pub report_id: u64,
 }
 
 /// Sums over all gateways, as notices tell them.
@@ -80,7 +80,7 @@
     /// Long messages that gateways receive in parts.
     sending: Sending,
     /// Questions that this replica couldn't answer itself.
-    questions: Vec<Question>,
+    proof_requests: Vec<ProofRequest>,
     /// When other replicas were last told of gateways.
     relayed: Moment,
     sums: RefCell<Option<Sums>>,
@@ -216,7 +216,7 @@
         report: Report,
         proven: bool,
     ) -> Vec<Outbound> {
-        let question = report.question;
+        let id = report.id;
         let seen = Seen {
             info: report.gateway,
             direct: Some(Direct {
@@ -231,12 +231,12 @@
         };
         let domain = seen.info.domain.clone();
         self.note(seen);
-        if !proven && self.questions.len() < MAX_QUESTIONS {
-            let number = question;
-            self.questions.push(Question { from, number });
+        if !proven && self.proof_requests.len() < MAX_PROOF_REQUESTS {
+            let report_id = id;
+            self.proof_requests.push(ProofRequest { from, report_id });
         }
-        let proves = proven.then_some(question);
-        vec![(from, self.notice(now, &domain, Some(question), proves))]
+        let proven_report = proven.then_some(id);
+        vec![(from, self.notice(now, &domain, Some(id), proven_report))]
     }
 
     fn note(&mut self, seen: Seen) {
@@ -284,25 +284,25 @@
     }
 
     /// The questions that wait for a proof. They are not given again.
-    pub fn take_questions(&mut self) -> Vec<Question> {
-        std::mem::take(&mut self.questions)
+    pub fn take_proof_requests(&mut self) -> Vec<ProofRequest> {
+        std::mem::take(&mut self.proof_requests)
     }
 
     /// The answers to questions, once it is known that nothing newer than what is held here
     /// was accepted when they were taken.
-    pub fn prove(&self, questions: Vec<Question>) -> Vec<Outbound> {
+    pub fn prove(&self, proof_requests: Vec<ProofRequest>) -> Vec<Outbound> {
         let revisions = self.revisions;
-        let answer = |Question { from, number }| {
-            let question = number;
+        let answer = |ProofRequest { from, report_id }| {
+            let proven_report = report_id;
             (
                 from,
                 Message::Proof {
-                    question,
+                    proven_report,
                     revisions,
                 },
             )
         };
-        questions.into_iter().map(answer).collect()
+        proof_requests.into_iter().map(answer).collect()
     }
 
     fn newer_than(&mut self, now: Moment, revisions: &Revisions, to: SocketAddr) -> Vec<Outbound> {
@@ -399,8 +399,8 @@
         &self,
         now: Moment,
         domain: &FailureDomain,
-        answers: Option<u64>,
-        proves: Option<u64>,
+        answered_report: Option<u64>,
+        proven_report: Option<u64>,
     ) -> Message {
         let mut sums = self.sums.borrow_mut();
         let held = sums.take().filter(|sums| now < sums.at + SUMS_KEPT);
@@ -411,8 +411,8 @@
             gateways: sums.gateways.clone(),
             demand: sums.demand.clone(),
             link_milli: sums.links.get(domain).copied(),
-            answers,
-            proves,
+            answered_report,
+            proven_report,
         }
     }
 
--- a/crates/fleet/tests/all/following.rs
+++ b/crates/fleet/tests/all/following.rs
@@ -126,7 +126,7 @@
         for at in addrs {
             let reaches = self.reaches(at, leader) && self.reaches(leader, at);
             let registry = self.replicas.get_mut(&at).expect("a replica");
-            let questions = registry.take_questions();
+            let questions = registry.take_proof_requests();
             if reaches && registry.revisions().routes == newest {
                 let out = registry.prove(questions);
                 messages.extend(out.into_iter().map(|out| (at, out)));
@@ -330,10 +330,16 @@
         }
     }
     assert!(!member.is_proven(ms(5)));
-    let questions = registry.take_questions();
+    let questions = registry.take_proof_requests();
     assert_eq!(questions.len(), 1);
     for (_, proof) in registry.prove(questions) {
-        assert!(matches!(proof, Message::Proof { question: 100, .. }));
+        assert!(matches!(
+            proof,
+            Message::Proof {
+                proven_report: 100,
+                ..
+            }
+        ));
         member.receive(ms(6), replica_addr(0), proof);
     }
     assert!(member.is_proven(ms(7)));
--- a/crates/fleet/tests/all/spreading.rs
+++ b/crates/fleet/tests/all/spreading.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use filberthead_fleet::{
-    Delay, Endpoint, EndpointChange, GatewayInfo, Load, Member, Message, Registry, Revisions,
-    Stamp, Update,
+    Endpoint, EndpointChange, GatewayInfo, Load, Member, Message, Registry, Revisions, Stamp,
+    Update, UpdateDelay,
 };
 use filberthead_route::Table;
 
@@ -287,9 +287,9 @@
     member.receive(ms(400), addr(3), news);
     let list = told(&mut registry, Stamp::default());
     member.receive(ms(900), addr(3), list);
-    let delay = Delay {
-        since_heard_of: ms(800),
-        questions: 2,
+    let delay = UpdateDelay {
+        since_announced: ms(800),
+        requests: 2,
     };
     assert_eq!(member.delay(), delay);
 }
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -24,14 +24,14 @@
 }
 
 /// A gateway whose life numbers its questions from here.
-pub(crate) fn gateway_from(first_question: u64) -> Member {
+pub(crate) fn gateway_from(first_report_id: u64) -> Member {
     let info = GatewayInfo {
         name: "entry-1".parse().expect("a name"),
         region: "split".parse().expect("a name"),
         domain: "split-a".parse().expect("a name"),
         caller_addr: addr(80),
     };
-    Member::new(info, [addr(CONTROL)], first_question)
+    Member::new(info, [addr(CONTROL)], first_report_id)
 }
 
 pub(crate) fn endpoint(id: &str, cold_ms: u64) -> Endpoint {
@@ -84,7 +84,7 @@
         gateways: Vec::new(),
         demand: Vec::new(),
         link_milli: None,
-        answers: None,
-        proves: None,
+        answered_report: None,
+        proven_report: None,
     }
 }
--- a/crates/peer/examples/cost.rs
+++ b/crates/peer/examples/cost.rs
@@ -56,7 +56,7 @@
         revisions: revisions(),
         demand: (0..3).map(demand).collect(),
         link_milli: 456,
-        question: u64::MAX,
+        id: u64::MAX,
     })
 }
 
@@ -81,8 +81,8 @@
         gateways: (0..domains).map(|n| (domain(n), 28)).collect(),
         demand: demand.collect(),
         link_milli: Some(456),
-        answers: None,
-        proves: Some(u64::MAX),
+        answered_report: None,
+        proven_report: Some(u64::MAX),
     }
 }
 
