--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -87,7 +87,7 @@
 
     /// One line for each service that the list names and the routes in force don't.
     fn note_unserved(&mut self) {
-        for (service, endpoints) in self.registry.unserved() {
+        for (service, endpoints) in self.registry.unrouted_services() {
             if self.unserved.len() < UNSERVED && self.unserved.insert(service.clone()) {
                 info!(service:%, endpoints; "no request goes to endpoints of an unknown service");
             }
@@ -122,7 +122,7 @@
         } else {
             return;
         };
-        let out = self.fleet.registry.listed(now, term, list);
+        let out = self.fleet.registry.set_endpoints(now, term, list);
         self.fleet.note_unserved();
         self.tell(out);
         let listed = self.fleet.registry.revisions().endpoints;
@@ -131,7 +131,7 @@
         }
         info!(term = listed.term, seq = listed.seq; "list of endpoints changed");
         let replicas = self.book.to_greet();
-        if let Some(news) = self.fleet.registry.endpoints_for(now, before) {
+        if let Some(news) = self.fleet.registry.endpoints_since(now, before) {
             for to in replicas {
                 self.send(to, Body::Fleet(news.clone()));
             }
@@ -267,7 +267,7 @@
     }
 
     fn show(&mut self, now: Moment) {
-        let gateways = self.fleet.registry.ready(now);
+        let gateways = self.fleet.registry.ready_gateways(now);
         let replica = self.replica.status(now);
         let leads = replica.holds_lease;
         let listless = self.fleet.registry.revisions().endpoints.seq == 0;
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -232,7 +232,7 @@
     /// changed, and since control was last heard.
     pub(crate) fn ages(&self) -> (u128, u128) {
         let now = self.now();
-        let heard = self.member.borrow().heard().unwrap_or_default();
+        let heard = self.member.borrow().control_last_seen().unwrap_or_default();
         let since = |at: Moment| now.saturating_sub(at).as_millis();
         (since(self.listed_at.get()), since(heard))
     }
@@ -247,7 +247,7 @@
 
     /// How far this gateway has come, and whether what it knows does to serve by.
     pub(crate) fn standing(&self) -> (Phase, bool) {
-        let informed = self.member.borrow().is_informed(self.now());
+        let informed = self.member.borrow().is_synced(self.now());
         (*self.phase.borrow(), informed)
     }
 
@@ -289,7 +289,7 @@
     }
 
     fn serve_if_informed(&self, now: Moment) {
-        if !self.member.borrow().is_informed(now) {
+        if !self.member.borrow().is_synced(now) {
             return;
         }
         self.phase.send_if_modified(|phase| {
@@ -405,7 +405,9 @@
                 link_milli: self.link_milli(now),
             }
         });
-        let lost = member.heard().is_some_and(|at| now >= at + SILENT);
+        let lost = member
+            .control_last_seen()
+            .is_some_and(|at| now >= at + SILENT);
         if lost && !self.silent.replace(true) {
             warn!("no control replica is heard");
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -90,7 +90,7 @@
     info: GatewayInfo,
     ready: bool,
     contacts: Contacts,
-    heard: Option<Moment>,
+    control_last_seen: Option<Moment>,
     /// When the first notice of all came.
     first_told: Option<Moment>,
     /// The newest of everything that anybody was heard to hold.
@@ -128,7 +128,7 @@
             info,
             ready: false,
             contacts: Contacts::new(seeds),
-            heard: None,
+            control_last_seen: None,
             first_told: None,
             newest: Revisions::default(),
             revisions: Revisions::default(),
@@ -154,7 +154,7 @@
     /// most replicas know of. One replica alone may have been down while hundreds of
     /// changes passed. Where most can't be reached, what the others know has to do after
     /// a while.
-    pub fn is_informed(&self, now: Moment) -> bool {
+    pub fn is_synced(&self, now: Moment) -> bool {
         let has_all = self.revisions.routes > 0 && self.revisions.endpoints.seq > 0;
         let most = self.contacts.most_told();
         let waited = self.first_told.is_some_and(|at| now >= at + UNHEARD_OF);
@@ -188,8 +188,8 @@
     }
 
     /// When a control replica was last heard.
-    pub fn heard(&self) -> Option<Moment> {
-        self.heard
+    pub fn control_last_seen(&self) -> Option<Moment> {
+        self.control_last_seen
     }
 
     /// Says whether callers may be sent here; a change is reported at the next tick.
@@ -218,7 +218,8 @@
             return Vec::new();
         }
         self.next_report = now + REPORT_PERIOD;
-        self.contacts.forget(self.heard.unwrap_or_default());
+        self.contacts
+            .forget(self.control_last_seen.unwrap_or_default());
         let to = self.contacts.report(now, self.proven_at());
         let Load { demand, link_milli } = load();
         let id = self.new_report_id(now);
@@ -266,7 +267,7 @@
         from: SocketAddr,
         message: Message,
     ) -> (Vec<Outbound>, Vec<Update>) {
-        self.heard = Some(now);
+        self.control_last_seen = Some(now);
         let held = self.revisions;
         let taken = self.take(now, from, message);
         if self.revisions != held {
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -130,7 +130,7 @@
 
     /// Takes in a list of endpoints that this replica, the leader of `term`, has read
     /// just now. A list that tells nothing new keeps its stamp.
-    pub fn listed(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
+    pub fn set_endpoints(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
         let table = self.routes.table();
         let list = self.endpoints.settled(now, list, |s| is_served(table, s));
         let held = self.endpoints.stamp();
@@ -144,7 +144,7 @@
 
     /// How many endpoints the list names of each service that the routes in force don't
     /// know. No request goes to them.
-    pub fn unserved(&self) -> BTreeMap<&ServiceName, usize> {
+    pub fn unrouted_services(&self) -> BTreeMap<&ServiceName, usize> {
         let mut counts = BTreeMap::new();
         for service in self.endpoints.services() {
             if !is_served(self.routes.table(), service) {
@@ -193,7 +193,7 @@
             }
             Message::Pull(revisions) => self.newer_than(now, &revisions, from),
             Message::PullEndpoints(base) => {
-                let news = self.endpoints_for(now, base);
+                let news = self.endpoints_since(now, base);
                 news.into_iter().map(|news| (from, news)).collect()
             }
             Message::PullPart { digest, index } => {
@@ -314,7 +314,7 @@
     /// requests may go comes before what may be long.
     fn news(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
         let endpoints = self
-            .endpoints_for(now, revisions.endpoints)
+            .endpoints_since(now, revisions.endpoints)
             .map(|news| (Revision::Endpoints(revisions.endpoints), news));
         let routes = self
             .routes
@@ -334,7 +334,7 @@
     }
 
     /// What another replica lacks of the list if it holds `have`.
-    pub fn endpoints_for(&self, now: Moment, base: Stamp) -> Option<Message> {
+    pub fn endpoints_since(&self, now: Moment, base: Stamp) -> Option<Message> {
         self.endpoints.since(now, base)
     }
 
@@ -461,7 +461,7 @@
     }
 
     /// The gateways that callers may be sent to.
-    pub fn ready(&self, now: Moment) -> Vec<GatewayInfo> {
+    pub fn ready_gateways(&self, now: Moment) -> Vec<GatewayInfo> {
         let ready = |seen: &&Seen| seen.ready && seen.is_live(now);
         let gateways = self.gateways.values().filter(ready);
         gateways.map(|seen| seen.info.clone()).collect()
--- a/crates/fleet/tests/all/following.rs
+++ b/crates/fleet/tests/all/following.rs
@@ -204,7 +204,7 @@
     }
     fleet.run(10_000);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 40, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 40, "{at}");
     }
     // One stops, and is out of all answers within a second.
     fleet
@@ -214,13 +214,13 @@
         .set_ready(false);
     fleet.run(1000);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 39, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 39, "{at}");
     }
     // Another one dies without a word.
     fleet.down.insert(gateway_addr(8));
     fleet.run(2500);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 38, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 38, "{at}");
     }
 }
 
@@ -298,7 +298,7 @@
     let second = report(&mut member, ms(1300));
     here.receive(ms(1300), gateway_addr(1), second, false);
     here.receive(ms(1400), replica_addr(1), roster, false);
-    assert!(here.ready(ms(1400)).is_empty());
+    assert!(here.ready_gateways(ms(1400)).is_empty());
 }
 
 /// Guards against a gateway that goes on being named by what replicas tell each other.
--- a/crates/fleet/tests/all/links.rs
+++ b/crates/fleet/tests/all/links.rs
@@ -192,8 +192,8 @@
         let [(leader, reader), (other, follower)] = &mut self.replicas;
         let (leader, other) = (*leader, *other);
         let before = reader.revisions().endpoints;
-        let told = reader.listed(self.now, 1, list);
-        let news = reader.endpoints_for(self.now, before);
+        let told = reader.set_endpoints(self.now, 1, list);
+        let news = reader.endpoints_since(self.now, before);
         let news = news.expect("the list has changed");
         let relayed = follower.receive(self.now, leader, news, false);
         told.into_iter().for_each(|(_, m)| self.send(leader, m));
@@ -293,7 +293,7 @@
     world.set_routes(1, &table(routes));
     world.list(endpoints(None));
     world.run_until(ms(6000));
-    assert!(world.member.is_informed(world.now));
+    assert!(world.member.is_synced(world.now));
     world.bytes = 0;
     world.longest_wait = Duration::ZERO;
     world
@@ -415,7 +415,7 @@
     world.set_routes(1, &table(4222));
     world.list(endpoints(None));
     world.run_until(ms(10_000));
-    assert!(world.member.is_informed(world.now));
+    assert!(world.member.is_synced(world.now));
     assert!(
         world.longest_wait <= LONGEST_WAIT,
         "{:?}",
--- a/crates/fleet/tests/all/spreading.rs
+++ b/crates/fleet/tests/all/spreading.rs
@@ -20,9 +20,9 @@
         6,
         &BTreeSet::from(["split-a".parse().expect("a name")]),
     );
-    registry.listed(ms(0), 1, vec![endpoint("a", 0)]);
+    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
     let learned = settle(ms(10), &mut member, &mut registry);
-    assert!(member.is_informed(ms(10)));
+    assert!(member.is_synced(ms(10)));
     assert!(
         learned
             .iter()
@@ -75,12 +75,12 @@
 #[test]
 fn the_passing_of_cold_time_is_no_news() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 1, vec![endpoint("a", 3000)]);
+    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 3000)]);
     let first = registry.revisions().endpoints;
-    registry.listed(ms(400), 1, vec![endpoint("a", 2650)]);
+    registry.set_endpoints(ms(400), 1, vec![endpoint("a", 2650)]);
     assert_eq!(registry.revisions().endpoints, first);
     // It has become cold again.
-    registry.listed(ms(800), 1, vec![endpoint("a", 5000)]);
+    registry.set_endpoints(ms(800), 1, vec![endpoint("a", 5000)]);
     assert!(registry.revisions().endpoints > first);
 }
 
@@ -88,16 +88,16 @@
 fn a_gateway_that_falls_silent_or_stops_is_no_longer_named() {
     let (mut member, mut registry) = (gateway(), Registry::default());
     settle(ms(0), &mut member, &mut registry);
-    assert_eq!(registry.ready(ms(1)), Vec::new());
+    assert_eq!(registry.ready_gateways(ms(1)), Vec::new());
     member.set_ready(true);
     settle(ms(10), &mut member, &mut registry);
-    assert_eq!(registry.ready(ms(1000)).len(), 1);
-    assert_eq!(registry.ready(ms(2000)), Vec::new());
+    assert_eq!(registry.ready_gateways(ms(1000)).len(), 1);
+    assert_eq!(registry.ready_gateways(ms(2000)), Vec::new());
     settle(ms(2100), &mut member, &mut registry);
-    assert_eq!(registry.ready(ms(2200)).len(), 1);
+    assert_eq!(registry.ready_gateways(ms(2200)).len(), 1);
     member.set_ready(false);
     settle(ms(2210), &mut member, &mut registry);
-    assert_eq!(registry.ready(ms(2220)), Vec::new());
+    assert_eq!(registry.ready_gateways(ms(2220)), Vec::new());
 }
 
 /// Notices of several replicas name the same change at the same moment. It must be asked
@@ -107,7 +107,7 @@
     let mut member = gateway();
     let mut registry = Registry::default();
     settle(ms(0), &mut member, &mut registry);
-    registry.listed(ms(1), 1, vec![endpoint("a", 0)]);
+    registry.set_endpoints(ms(1), 1, vec![endpoint("a", 0)]);
     let notice = notice(registry.revisions(), Vec::new());
     assert_eq!(
         member.receive(ms(2), addr(CONTROL), notice.clone()).0.len(),
@@ -126,26 +126,26 @@
     let mut behind = Registry::default();
     behind.set_replicas(vec![addr(CONTROL), addr(3), addr(4)]);
     behind.set_routes(ms(0), 5, 1, Arc::new(Table::default()));
-    behind.listed(ms(0), 1, vec![endpoint("a", 0)]);
+    behind.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
     settle(ms(10), &mut member, &mut behind);
-    assert!(!member.is_informed(ms(20)), "one of three has been heard");
+    assert!(!member.is_synced(ms(20)), "one of three has been heard");
     let newer = filberthead_fleet::Revisions {
         routes: 9,
         ..behind.revisions()
     };
     let newer = notice(newer, vec![addr(CONTROL), addr(3), addr(4)]);
     member.receive(ms(30), addr(3), newer);
-    assert!(!member.is_informed(ms(40)), "newer routes are known of");
+    assert!(!member.is_synced(ms(40)), "newer routes are known of");
     let routes = Message::Routes {
         revision: 9,
         version: 2,
         table: Arc::new(Table::default()),
     };
     member.receive(ms(50), addr(3), routes);
-    assert!(member.is_informed(ms(60)));
+    assert!(member.is_synced(ms(60)));
     let mut alone = gateway();
     settle(ms(10), &mut alone, &mut behind);
-    assert!(alone.is_informed(ms(3000)), "nobody else is there");
+    assert!(alone.is_synced(ms(3000)), "nobody else is there");
 }
 
 fn list(ids: std::ops::Range<u32>) -> Vec<Endpoint> {
@@ -168,10 +168,10 @@
 #[test]
 fn who_holds_an_older_list_is_told_what_has_changed() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 4, list(0..100));
+    registry.set_endpoints(ms(0), 4, list(0..100));
     let first = registry.revisions().endpoints;
-    registry.listed(ms(1), 4, list(1..101));
-    registry.listed(ms(2), 4, list(2..102));
+    registry.set_endpoints(ms(1), 4, list(1..101));
+    registry.set_endpoints(ms(2), 4, list(2..102));
     let Message::EndpointsChanged { stamp, change } = told(&mut registry, first) else {
         panic!("the change alone");
     };
@@ -180,7 +180,7 @@
     assert_eq!(change.changed, list(100..102));
     assert_eq!(change.gone, ["i-000", "i-001"]);
     for step in 3..60 {
-        registry.listed(ms(u64::from(step)), 4, list(step..step + 100));
+        registry.set_endpoints(ms(u64::from(step)), 4, list(step..step + 100));
     }
     assert!(matches!(
         told(&mut registry, first),
@@ -194,14 +194,14 @@
 #[test]
 fn lists_without_a_leader_are_never_told_as_changes() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 0, list(0..100));
+    registry.set_endpoints(ms(0), 0, list(0..100));
     let first = registry.revisions().endpoints;
-    registry.listed(ms(1), 0, list(0..101));
+    registry.set_endpoints(ms(1), 0, list(0..101));
     assert!(matches!(
         told(&mut registry, first),
         Message::Endpoints { .. }
     ));
-    registry.listed(ms(2), 1, list(0..102));
+    registry.set_endpoints(ms(2), 1, list(0..102));
     assert!(matches!(
         told(&mut registry, first),
         Message::Endpoints { .. }
@@ -281,7 +281,7 @@
 #[test]
 fn a_gateway_tells_how_long_news_was_on_its_way() {
     let (mut member, mut registry) = (gateway(), Registry::default());
-    registry.listed(ms(0), 1, vec![endpoint("a", 0)]);
+    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
     let news = notice(registry.revisions(), Vec::new());
     member.receive(ms(100), addr(CONTROL), news.clone());
     member.receive(ms(400), addr(3), news);
--- a/crates/fleet/tests/all/starts.rs
+++ b/crates/fleet/tests/all/starts.rs
@@ -30,9 +30,9 @@
 #[test]
 fn a_new_start_under_the_same_identity_is_news() {
     let (mut member, mut registry) = (gateway(), Registry::default());
-    registry.listed(ms(0), 1, vec![started("a", 100), started("b", 100)]);
+    registry.set_endpoints(ms(0), 1, vec![started("a", 100), started("b", 100)]);
     settle(ms(1), &mut member, &mut registry);
-    registry.listed(ms(400), 1, vec![started("a", 350), started("b", 100)]);
+    registry.set_endpoints(ms(400), 1, vec![started("a", 350), started("b", 100)]);
     let learned = settle(ms(501), &mut member, &mut registry);
     let change = EndpointChange {
         from: Stamp { term: 1, seq: 1 },
@@ -47,11 +47,11 @@
 #[test]
 fn an_earlier_start_that_is_told_late_replaces_nothing() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 1, vec![started("a", 200)]);
+    registry.set_endpoints(ms(0), 1, vec![started("a", 200)]);
     let held = registry.revisions().endpoints;
     let mut earlier = started("a", 100);
     earlier.state = EndpointState::Draining;
-    registry.listed(ms(400), 1, vec![earlier, started("b", 100)]);
+    registry.set_endpoints(ms(400), 1, vec![earlier, started("b", 100)]);
     assert!(
         registry.revisions().endpoints > held,
         "the other one is news"
@@ -66,9 +66,9 @@
 #[test]
 fn an_earlier_start_that_stays_on_the_list_is_believed() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 1, vec![started("a", 9_000_000)]);
+    registry.set_endpoints(ms(0), 1, vec![started("a", 9_000_000)]);
     for now in (400..10_000).step_by(400) {
-        registry.listed(ms(now), 1, vec![started("a", 100)]);
+        registry.set_endpoints(ms(now), 1, vec![started("a", 100)]);
     }
     assert_eq!(listed(ms(10_000), &mut registry), [started("a", 100)]);
 }
@@ -77,9 +77,9 @@
 #[test]
 fn an_identity_that_was_gone_begins_anew() {
     let mut registry = Registry::default();
-    registry.listed(ms(0), 1, vec![started("a", 200)]);
-    registry.listed(ms(400), 1, Vec::new());
-    registry.listed(ms(800), 1, vec![started("a", 100)]);
+    registry.set_endpoints(ms(0), 1, vec![started("a", 200)]);
+    registry.set_endpoints(ms(400), 1, Vec::new());
+    registry.set_endpoints(ms(800), 1, vec![started("a", 100)]);
     assert_eq!(listed(ms(801), &mut registry), [started("a", 100)]);
 }
 
@@ -114,10 +114,10 @@
         ] {
             let mut registry = Registry::default();
             registry.set_routes(ms(0), 5, 7, Arc::new(orders()));
-            registry.listed(ms(0), 1, list.clone());
+            registry.set_endpoints(ms(0), 1, list.clone());
             assert_eq!(listed(ms(1), &mut registry), std::slice::from_ref(&better));
             let held = registry.revisions().endpoints;
-            registry.listed(ms(400), 1, list);
+            registry.set_endpoints(ms(400), 1, list);
             assert_eq!(registry.revisions().endpoints, held, "nothing is new");
         }
     }
@@ -132,12 +132,16 @@
         service: "lessons".parse().expect("a name"),
         ..endpoint("b", 0)
     };
-    registry.listed(ms(0), 1, vec![endpoint("a", 0), stranger.clone()]);
-    assert_eq!(registry.unserved().len(), 0, "there are no routes yet");
+    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0), stranger.clone()]);
+    assert_eq!(
+        registry.unrouted_services().len(),
+        0,
+        "there are no routes yet"
+    );
     registry.set_routes(ms(0), 5, 7, Arc::new(orders()));
-    let unserved = registry.unserved();
+    let unrouted = registry.unrouted_services();
     assert_eq!(
-        unserved.into_iter().collect::<Vec<_>>(),
+        unrouted.into_iter().collect::<Vec<_>>(),
         [(&stranger.service, 1)]
     );
     assert_eq!(listed(ms(1), &mut registry).len(), 2);
