--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -60,7 +60,7 @@
 const START_WINDOW: Duration = Duration::from_secs(600);
 /// Silence of the `state` duty after which the process counts as suspended. Spreading
 /// starts over after the same gap.
-const SUSPENDED: Duration = filberthead_spread::DEFAULT_STALL;
+const SUSPENDED: Duration = filberthead_spread::DEFAULT_SUSPEND_THRESHOLD;
 /// Connections of callers at the same time.
 const CALLER_CONNECTIONS: usize = 8192;
 
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -64,7 +64,7 @@
     fn new(duty: StateDuty) -> Self {
         let floor = Floor::new(duty.cfg.data.clone());
         let cfg = Config::builder()
-            .floor(floor.load())
+            .watermark(floor.load())
             .seed(rand::random())
             .build();
         let replicas = duty.cfg.replicas.iter();
--- a/crates/spread/src/api.rs
+++ b/crates/spread/src/api.rs
@@ -109,7 +109,7 @@
 /// A failure domain's line in the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Stamped {
+pub struct DomainRecord {
     /// Which of two lines is newer.
     pub stamp: Stamp,
     /// Live and leaving members, by name.
@@ -119,7 +119,7 @@
 /// What a node that answers a query is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Standing {
+pub enum Responder {
     /// Control leader whose lease was valid when it answered.
     Leader {
         /// Its term.
@@ -153,7 +153,7 @@
     /// Hash of the sender's directory.
     pub directory: Fingerprint,
     /// Who says so.
-    pub standing: Standing,
+    pub responder: Responder,
 }
 
 /// Messages of the spreading protocol.
@@ -201,7 +201,7 @@
         /// Newest term that the sender knows a leader of.
         term: Epoch,
         /// The lines.
-        lines: Vec<(FailureDomain, Stamped)>,
+        records: Vec<(FailureDomain, DomainRecord)>,
         /// Whether the receiver is to hand it on to all of its failure domain.
         push: bool,
     },
--- a/crates/spread/src/config.rs
+++ b/crates/spread/src/config.rs
@@ -4,22 +4,22 @@
 
 use filberthead_types::Version;
 
-/// Default of [`ConfigBuilder::stall`].
-pub const DEFAULT_STALL: Duration = Duration::from_secs(5);
+/// Default of [`ConfigBuilder::suspend_threshold`].
+pub const DEFAULT_SUSPEND_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// Times and bounds of a node or source.
 #[derive(Clone, Debug)]
 pub struct Config {
-    pub(crate) period: Duration,
-    pub(crate) member_silence: Duration,
-    pub(crate) leader_silence: Duration,
-    pub(crate) gossip: Duration,
-    pub(crate) far_gossip: Duration,
-    pub(crate) start_wait: Duration,
-    pub(crate) stall: Duration,
+    pub(crate) heartbeat_period: Duration,
+    pub(crate) member_timeout: Duration,
+    pub(crate) domain_timeout: Duration,
+    pub(crate) gossip_period: Duration,
+    pub(crate) remote_gossip_period: Duration,
+    pub(crate) start_timeout: Duration,
+    pub(crate) suspend_threshold: Duration,
     pub(crate) pull_retry: Duration,
     pub(crate) kept_deltas: usize,
-    pub(crate) floor: Version,
+    pub(crate) watermark: Version,
     pub(crate) seed: u64,
 }
 
@@ -34,16 +34,16 @@
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             cfg: Self {
-                period: Duration::from_secs(1),
-                member_silence: Duration::from_secs(3),
-                leader_silence: Duration::from_secs(6),
-                gossip: Duration::from_secs(2),
-                far_gossip: Duration::from_secs(10),
-                start_wait: Duration::from_secs(3),
-                stall: DEFAULT_STALL,
+                heartbeat_period: Duration::from_secs(1),
+                member_timeout: Duration::from_secs(3),
+                domain_timeout: Duration::from_secs(6),
+                gossip_period: Duration::from_secs(2),
+                remote_gossip_period: Duration::from_secs(10),
+                start_timeout: Duration::from_secs(3),
+                suspend_threshold: DEFAULT_SUSPEND_THRESHOLD,
                 pull_retry: Duration::from_millis(300),
                 kept_deltas: 512,
-                floor: Version(0),
+                watermark: Version(0),
                 seed: 0,
             },
         }
@@ -53,54 +53,54 @@
 impl ConfigBuilder {
     /// Time between two reports, and between two digests. Default 1 s.
     #[must_use]
-    pub fn period(mut self, period: Duration) -> Self {
-        self.cfg.period = period;
+    pub fn heartbeat_period(mut self, period: Duration) -> Self {
+        self.cfg.heartbeat_period = period;
         self
     }
 
     /// Silence after which nodes of one failure domain take each other for dead, and
     /// after which a relay looks for another leader. Default 3 s.
     #[must_use]
-    pub fn member_silence(mut self, silence: Duration) -> Self {
-        self.cfg.member_silence = silence;
+    pub fn member_timeout(mut self, silence: Duration) -> Self {
+        self.cfg.member_timeout = silence;
         self
     }
 
     /// Silence after which the leader takes a failure domain off the directory; long
     /// enough for it to have replaced a dead relay. Default 6 s.
     #[must_use]
-    pub fn leader_silence(mut self, silence: Duration) -> Self {
-        self.cfg.leader_silence = silence;
+    pub fn domain_timeout(mut self, silence: Duration) -> Self {
+        self.cfg.domain_timeout = silence;
         self
     }
 
     /// Time between two digests to a random node of the own failure domain. Default 2 s.
     #[must_use]
-    pub fn gossip(mut self, period: Duration) -> Self {
-        self.cfg.gossip = period;
+    pub fn gossip_period(mut self, period: Duration) -> Self {
+        self.cfg.gossip_period = period;
         self
     }
 
     /// Time between two digests to a random node of another failure domain. Default 10 s.
     #[must_use]
-    pub fn far_gossip(mut self, period: Duration) -> Self {
-        self.cfg.far_gossip = period;
+    pub fn remote_gossip_period(mut self, period: Duration) -> Self {
+        self.cfg.remote_gossip_period = period;
         self
     }
 
     /// How long a node that starts acts on nothing while no version is proven to it;
     /// after that it is [`Cautious`](crate::node::Readiness::Cautious). Default 3 s.
     #[must_use]
-    pub fn start_wait(mut self, wait: Duration) -> Self {
-        self.cfg.start_wait = wait;
+    pub fn start_timeout(mut self, wait: Duration) -> Self {
+        self.cfg.start_timeout = wait;
         self
     }
 
     /// Time between two steps after which a node takes itself for suspended and starts
     /// over. Default 5 s.
     #[must_use]
-    pub fn stall(mut self, stall: Duration) -> Self {
-        self.cfg.stall = stall;
+    pub fn suspend_threshold(mut self, suspend_threshold: Duration) -> Self {
+        self.cfg.suspend_threshold = suspend_threshold;
         self
     }
 
@@ -122,8 +122,8 @@
     /// Version that an earlier process of this node is known to have acted on, where a
     /// disk has kept it. Default 0.
     #[must_use]
-    pub fn floor(mut self, version: Version) -> Self {
-        self.cfg.floor = version;
+    pub fn watermark(mut self, version: Version) -> Self {
+        self.cfg.watermark = version;
         self
     }
 
--- a/crates/spread/src/directory.rs
+++ b/crates/spread/src/directory.rs
@@ -11,7 +11,7 @@
 use filberthead_types::{Epoch, FailureDomain};
 use serde::{Deserialize, Serialize};
 
-use crate::{Fingerprint, MemberInfo, Stamped};
+use crate::{DomainRecord, Fingerprint, MemberInfo};
 
 /// Orders the lines of one failure domain: by the term of the leader that wrote them,
 /// then by its count of lines written.
@@ -27,14 +27,14 @@
 /// A line for each failure domain.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    lines: BTreeMap<FailureDomain, Stamped>,
+    records: BTreeMap<FailureDomain, DomainRecord>,
     hash: Fingerprint,
 }
 
 impl Default for Directory {
     fn default() -> Self {
         let mut directory = Self {
-            lines: BTreeMap::new(),
+            records: BTreeMap::new(),
             hash: Fingerprint::default(),
         };
         directory.rehash();
@@ -44,18 +44,18 @@
 
 impl Directory {
     /// The line of a failure domain, if there is one.
-    pub fn line(&self, domain: &FailureDomain) -> Option<&Stamped> {
-        self.lines.get(domain)
+    pub fn record(&self, domain: &FailureDomain) -> Option<&DomainRecord> {
+        self.records.get(domain)
     }
 
     /// All lines.
-    pub fn lines(&self) -> impl Iterator<Item = (&FailureDomain, &Stamped)> {
-        self.lines.iter()
+    pub fn records(&self) -> impl Iterator<Item = (&FailureDomain, &DomainRecord)> {
+        self.records.iter()
     }
 
     /// All members, by failure domain and name.
     pub fn members(&self) -> impl Iterator<Item = &MemberInfo> {
-        self.lines.values().flat_map(|line| &line.members)
+        self.records.values().flat_map(|record| &record.members)
     }
 
     /// Equal for two directories whose lines have the same stamps. A stamp is written
@@ -65,20 +65,20 @@
     }
 
     pub(crate) fn stamps(&self) -> Vec<(FailureDomain, Stamp)> {
-        self.lines
+        self.records
             .iter()
-            .map(|(domain, line)| (domain.clone(), line.stamp))
+            .map(|(domain, record)| (domain.clone(), record.stamp))
             .collect()
     }
 
     /// Takes the lines that are newer than those held; says which.
     pub(crate) fn merge(
         &mut self,
-        lines: impl IntoIterator<Item = (FailureDomain, Stamped)>,
+        records: impl IntoIterator<Item = (FailureDomain, DomainRecord)>,
     ) -> Vec<FailureDomain> {
         let mut taken = Vec::new();
-        for (domain, line) in lines {
-            if self.merge_line(domain.clone(), line) {
+        for (domain, record) in records {
+            if self.merge_record(domain.clone(), record) {
                 taken.push(domain);
             }
         }
@@ -92,26 +92,26 @@
     pub(crate) fn newer_than(
         &self,
         have: &[(FailureDomain, Stamp)],
-    ) -> Vec<(FailureDomain, Stamped)> {
+    ) -> Vec<(FailureDomain, DomainRecord)> {
         let have: BTreeMap<_, _> = have
             .iter()
             .map(|(domain, stamp)| (domain, *stamp))
             .collect();
-        self.lines
+        self.records
             .iter()
-            .filter(|(domain, line)| have.get(domain).is_none_or(|stamp| *stamp < line.stamp))
-            .map(|(domain, line)| (domain.clone(), line.clone()))
+            .filter(|(domain, record)| have.get(domain).is_none_or(|stamp| *stamp < record.stamp))
+            .map(|(domain, record)| (domain.clone(), record.clone()))
             .collect()
     }
 
-    fn merge_line(&mut self, domain: FailureDomain, line: Stamped) -> bool {
-        match self.lines.entry(domain) {
+    fn merge_record(&mut self, domain: FailureDomain, record: DomainRecord) -> bool {
+        match self.records.entry(domain) {
             Entry::Vacant(e) => {
-                e.insert(line);
+                e.insert(record);
                 true
             }
-            Entry::Occupied(mut e) if e.get().stamp < line.stamp => {
-                e.insert(line);
+            Entry::Occupied(mut e) if e.get().stamp < record.stamp => {
+                e.insert(record);
                 true
             }
             Entry::Occupied(_) => false,
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod source;
 
 pub use api::{Answer, Digest, DigestKind, Leader, MemberInfo, Message, Report, Sender};
-pub use api::{Stamped, Standing};
-pub use config::{Config, ConfigBuilder, DEFAULT_STALL};
+pub use api::{DomainRecord, Responder};
+pub use config::{Config, ConfigBuilder, DEFAULT_SUSPEND_THRESHOLD};
 pub use directory::{Directory, Stamp};
 pub use fingerprint::Fingerprint;
--- a/crates/spread/src/node/domain.rs
+++ b/crates/spread/src/node/domain.rs
@@ -94,8 +94,8 @@
 impl Node {
     /// All other members of the failure domain that are known, live or not.
     pub(super) fn domain_peers(&self) -> BTreeMap<NodeName, MemberInfo> {
-        let line = self.directory.line(&self.me.failure_domain);
-        let listed = line.into_iter().flat_map(|line| &line.members);
+        let record = self.directory.record(&self.me.failure_domain);
+        let listed = record.into_iter().flat_map(|record| &record.members);
         let met = self.domain.met.values().map(|(member, _)| member);
         listed
             .chain(self.domain.roster().members())
@@ -118,18 +118,18 @@
         self.expire_members(now);
         self.announce(now, out);
         if now >= self.due.report {
-            self.due.report = now + self.cfg.period;
+            self.due.report = now + self.cfg.heartbeat_period;
             self.report(now, out);
         }
         if now >= self.due.digest {
-            self.due.digest = now + self.cfg.period;
+            self.due.digest = now + self.cfg.heartbeat_period;
             self.send_relay_digests(now, out);
         }
         self.gossip(now, out);
     }
 
     fn expire_members(&mut self, now: Moment) {
-        let silence = self.cfg.member_silence;
+        let silence = self.cfg.member_timeout;
         let mut lost = self.domain.reports.expire(now, silence);
         let fresh = |heard: Moment| now.saturating_sub(heard) < silence;
         let carried = self.domain.carried.len();
@@ -193,8 +193,8 @@
     /// would move every owner away from the others for a second. They count as live for
     /// as long as a silent member does. The relay that is given up is left out.
     fn carry_over(&mut self, now: Moment, before: &Roster) {
-        let line = self.directory.line(&self.me.failure_domain);
-        let listed = line.into_iter().flat_map(|line| &line.members);
+        let record = self.directory.record(&self.me.failure_domain);
+        let listed = record.into_iter().flat_map(|record| &record.members);
         let known: Vec<_> = before.members().iter().chain(listed).cloned().collect();
         for member in known {
             let link = self.domain.links.get(&member.name);
@@ -210,7 +210,7 @@
     /// Counts a member as live until it has had time to report. A relay that has just
     /// started has heard from nobody; without this it would publish itself alone.
     pub(super) fn carry_at_start(&mut self, now: Moment, member: &MemberInfo) {
-        let starting = now < self.proof.since() + self.cfg.member_silence;
+        let starting = now < self.proof.since() + self.cfg.member_timeout;
         if starting && member.name != self.me.name {
             let carried = (member.clone(), now);
             self.domain
@@ -229,12 +229,12 @@
 
     /// Whether an answer is overdue. One may get lost, so it isn't given up yet.
     pub(super) fn is_late(&self, now: Moment, link: &Link) -> bool {
-        let late = self.cfg.period + self.cfg.period / 2;
+        let late = self.cfg.heartbeat_period + self.cfg.heartbeat_period / 2;
         link.stopped || link.unanswered.is_some_and(|sent| now >= sent + late)
     }
 
     pub(super) fn is_silent(&self, now: Moment, link: &Link) -> bool {
-        let silence = self.cfg.member_silence;
+        let silence = self.cfg.member_timeout;
         link.stopped || link.unanswered.is_some_and(|sent| now >= sent + silence)
     }
 
@@ -258,13 +258,13 @@
     /// newest version that any node in it holds.
     fn gossip(&mut self, now: Moment, out: &mut Vec<Action>) {
         if now >= self.due.gossip {
-            self.due.gossip = now + self.cfg.gossip;
+            self.due.gossip = now + self.cfg.gossip_period;
             let peers = self.domain_peers().into_values();
             let peer = peers.map(|peer| peer.peer_addr).choose(&mut self.rng);
             self.send_peer_digest(peer, out);
         }
-        if now >= self.due.far_gossip {
-            self.due.far_gossip = now + self.cfg.far_gossip;
+        if now >= self.due.remote_gossip {
+            self.due.remote_gossip = now + self.cfg.remote_gossip_period;
             let own = &self.me.failure_domain;
             let members = self.directory.members();
             let far = members.filter(|member| member.failure_domain != *own);
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -104,15 +104,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// Version held.
-    pub held: Version,
+    pub version: Version,
     /// Newest version known to exist.
-    pub known: Version,
+    pub newest_known: Version,
     /// Which weights it may act on.
     pub readiness: Readiness,
     /// The control leader as far as known.
     pub leader: Option<Leader>,
     /// When a message of the leader last came here, straight or by the relay.
-    pub leader_heard: Option<Moment>,
+    pub leader_last_seen: Option<Moment>,
     /// The relay that it reports to; `None` if it reports to control.
     pub relay: Option<NodeName>,
     /// Whether the last node that compared holds other rows under the version held here.
@@ -127,14 +127,14 @@
     me: MemberInfo,
     contacts: Contacts,
     history: History,
-    known: Version,
+    newest_known: Version,
     pull: Pull,
     diverged: bool,
     directory: Directory,
     directory_asked: Option<Moment>,
     term: Epoch,
     leader: Option<Leader>,
-    leader_heard: Option<Moment>,
+    leader_last_seen: Option<Moment>,
     next_control: usize,
     proof: Proof,
     domain: Domain,
@@ -149,7 +149,7 @@
     report: Moment,
     digest: Moment,
     gossip: Moment,
-    far_gossip: Moment,
+    remote_gossip: Moment,
     probe: Moment,
 }
 
@@ -170,14 +170,14 @@
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         Self {
             history: History::new(cfg.kept_deltas),
-            known: cfg.floor,
+            newest_known: cfg.watermark,
             pull: Pull::default(),
             diverged: false,
             directory: Directory::default(),
             directory_asked: None,
             term: Epoch::default(),
             leader: None,
-            leader_heard: None,
+            leader_last_seen: None,
             next_control: 0,
             proof: Proof::new(&mut rng),
             domain: Domain::new(&me),
@@ -207,7 +207,7 @@
 
     /// The newest view held, proven or not. Its weights may be acted on only when an
     /// [`Action::InForce`] has handed it out; its limits are bounds at any time.
-    pub fn held(&self) -> &Arc<View> {
+    pub fn view(&self) -> &Arc<View> {
         self.history.view()
     }
 
@@ -228,11 +228,11 @@
     /// State for operators.
     pub fn status(&self) -> Status {
         Status {
-            held: self.history.version(),
-            known: self.known,
+            version: self.history.version(),
+            newest_known: self.newest_known,
             readiness: self.readiness(),
             leader: self.leader,
-            leader_heard: self.leader_heard,
+            leader_last_seen: self.leader_last_seen,
             relay: self.domain.relay().cloned(),
             diverged: self.diverged,
         }
@@ -243,7 +243,9 @@
             None => self.first_step(now, out),
             // A suspended process wakes with a view that may be hundreds of changes
             // old and a proof that says nothing of them: it is as good as restarted.
-            Some(last) if now.saturating_sub(last) > self.cfg.stall => self.start_over(now, out),
+            Some(last) if now.saturating_sub(last) > self.cfg.suspend_threshold => {
+                self.start_over(now, out)
+            }
             Some(_) => {}
         }
     }
@@ -278,8 +280,12 @@
             }
             Message::Table { view, table } => self.on_table(now, from, &view, table, out),
             Message::DirectoryPull { have } => self.on_directory_pull(from, &have, out),
-            Message::Directory { term, lines, push } => {
-                self.on_directory(now, term, lines, push, out);
+            Message::Directory {
+                term,
+                records,
+                push,
+            } => {
+                self.on_directory(now, term, records, push, out);
             }
             Message::Query { nonce, member } => self.on_query(now, from, nonce, member, out),
             Message::Answer(answer) => self.on_answer(now, from, answer, out),
--- a/crates/spread/src/node/proof.rs
+++ b/crates/spread/src/node/proof.rs
@@ -19,7 +19,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use crate::{Answer, Leader, MemberInfo, Message, Sender, Standing};
+use crate::{Answer, Leader, MemberInfo, Message, Responder, Sender};
 
 use super::{Action, Node, Readiness};
 
@@ -90,7 +90,7 @@
 
 impl Node {
     pub(super) fn tick_proof(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.proof.waited |= now >= self.proof.since + self.cfg.start_wait;
+        self.proof.waited |= now >= self.proof.since + self.cfg.start_timeout;
         if !self.proof.proven && now >= self.proof.query_due {
             self.query(now, out);
         }
@@ -98,7 +98,7 @@
 
     /// Asks everybody who could prove the newest version, or hold it.
     pub(super) fn query(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.proof.query_due = now + self.cfg.period;
+        self.proof.query_due = now + self.cfg.heartbeat_period;
         let message = Message::Query {
             nonce: self.proof.nonce,
             member: self.me.clone(),
@@ -128,7 +128,7 @@
         } else {
             Vec::new()
         };
-        let standing = Standing::Entry {
+        let responder = Responder::Entry {
             member: self.me.clone(),
             proven: self.readiness() == Readiness::Proven,
             peers,
@@ -139,7 +139,7 @@
                 nonce,
                 version: self.history.version(),
                 directory: self.directory.hash(),
-                standing,
+                responder,
             }),
         });
     }
@@ -154,18 +154,18 @@
         self.evidence(now, from.addr, answer.version, out);
         self.compare_directory(now, from, answer.directory, out);
         let fresh = answer.nonce == self.proof.nonce;
-        match answer.standing {
-            Standing::Leader { term } => {
+        match answer.responder {
+            Responder::Leader { term } => {
                 let addr = from.addr;
                 self.follow(now, Leader { term, addr });
                 self.proof.proven |= fresh;
             }
-            Standing::Follower { leader } => {
+            Responder::Follower { leader } => {
                 if let Some(leader) = leader {
                     self.hint_leader(leader);
                 }
             }
-            Standing::Entry {
+            Responder::Entry {
                 member,
                 proven,
                 peers,
--- a/crates/spread/src/node/relay.rs
+++ b/crates/spread/src/node/relay.rs
@@ -5,7 +5,7 @@
 use filberthead_types::{Epoch, FailureDomain, Moment};
 use rand::Rng;
 
-use crate::{Fingerprint, Leader, Message, Sender, Stamp, Stamped};
+use crate::{DomainRecord, Fingerprint, Leader, Message, Sender, Stamp};
 
 use super::{Action, Node, send};
 
@@ -16,10 +16,10 @@
         let mut within = |period| now + self.rng.random_range(Moment::ZERO..=period);
         // The first report goes out at once: a new entry is wanted soon.
         self.due.report = now;
-        self.due.digest = within(self.cfg.period);
-        self.due.gossip = within(self.cfg.gossip);
-        self.due.far_gossip = within(self.cfg.far_gossip);
-        self.due.probe = within(self.cfg.far_gossip);
+        self.due.digest = within(self.cfg.heartbeat_period);
+        self.due.gossip = within(self.cfg.gossip_period);
+        self.due.remote_gossip = within(self.cfg.remote_gossip_period);
+        self.due.probe = within(self.cfg.remote_gossip_period);
     }
 
     /// Follows a leader unless one of a later term is known.
@@ -29,7 +29,7 @@
         }
         self.term = leader.term;
         self.leader = Some(leader);
-        self.leader_heard = Some(now);
+        self.leader_last_seen = Some(now);
     }
 
     /// Takes somebody's word on who leads, until that replica itself has been heard.
@@ -74,8 +74,9 @@
     }
 
     pub(super) fn leader_is_silent(&self, now: Moment) -> bool {
-        let silence = self.cfg.member_silence;
-        self.leader_heard.is_none_or(|heard| now >= heard + silence)
+        let silence = self.cfg.member_timeout;
+        self.leader_last_seen
+            .is_none_or(|heard| now >= heard + silence)
     }
 
     fn next_control(&mut self) -> Option<SocketAddr> {
@@ -112,13 +113,13 @@
         have: &[(FailureDomain, Stamp)],
         out: &mut Vec<Action>,
     ) {
-        let lines = self.directory.newer_than(have);
-        if lines.is_empty() {
+        let records = self.directory.newer_than(have);
+        if records.is_empty() {
             return;
         }
         let message = Message::Directory {
             term: self.term,
-            lines,
+            records,
             push: false,
         };
         out.extend(send(from.addr, Some(message)));
@@ -132,7 +133,7 @@
         &mut self,
         now: Moment,
         term: Epoch,
-        lines: Vec<(FailureDomain, Stamped)>,
+        records: Vec<(FailureDomain, DomainRecord)>,
         push: bool,
         out: &mut Vec<Action>,
     ) {
@@ -141,17 +142,17 @@
             return;
         }
         self.term = self.term.max(term);
-        let taken = self.directory.merge(lines);
+        let taken = self.directory.merge(records);
         if taken.is_empty() {
             return;
         }
-        let line = |domain: FailureDomain| {
-            let line = self.directory.line(&domain)?.clone();
-            Some((domain, line))
+        let record = |domain: FailureDomain| {
+            let record = self.directory.record(&domain)?.clone();
+            Some((domain, record))
         };
         let message = Message::Directory {
             term: self.term,
-            lines: taken.into_iter().filter_map(line).collect(),
+            records: taken.into_iter().filter_map(record).collect(),
             push: false,
         };
         for to in self.behind_me(push) {
@@ -163,8 +164,11 @@
     }
 
     fn carry_listed(&mut self, now: Moment) {
-        let line = self.directory.line(&self.me.failure_domain);
-        for member in line.map(|line| line.members.clone()).unwrap_or_default() {
+        let record = self.directory.record(&self.me.failure_domain);
+        for member in record
+            .map(|record| record.members.clone())
+            .unwrap_or_default()
+        {
             self.carry_at_start(now, &member);
         }
     }
--- a/crates/spread/src/node/report.rs
+++ b/crates/spread/src/node/report.rs
@@ -39,7 +39,7 @@
     fn report_to_all(&mut self, now: Moment, with_members: bool, out: &mut Vec<Action>) {
         let probe = now >= self.due.probe;
         if probe {
-            self.due.probe = now + self.cfg.far_gossip;
+            self.due.probe = now + self.cfg.remote_gossip_period;
         }
         for (name, member) in self.earlier_members() {
             let link = self.domain.links.get(&name).copied().unwrap_or_default();
--- a/crates/spread/src/node/table.rs
+++ b/crates/spread/src/node/table.rs
@@ -26,7 +26,7 @@
 
 impl Node {
     pub(super) fn readiness(&self) -> Readiness {
-        let behind = self.history.version() < self.known;
+        let behind = self.history.version() < self.newest_known;
         if behind || !self.proof.is_proven() {
             return self.proof.unproven();
         }
@@ -44,7 +44,7 @@
         version: Version,
         out: &mut Vec<Action>,
     ) {
-        self.known = self.known.max(version);
+        self.newest_known = self.newest_known.max(version);
         if version <= self.history.version() {
             return;
         }
@@ -64,7 +64,7 @@
             return;
         }
         self.pull.asked = None;
-        if self.history.version() < self.known && !self.pull.tellers.is_empty() {
+        if self.history.version() < self.newest_known && !self.pull.tellers.is_empty() {
             self.pull.tellers.rotate_left(1);
             self.pull_from(now, self.pull.tellers[0], out);
         }
@@ -120,9 +120,9 @@
     /// else to the members that report here.
     fn advanced(&mut self, push: bool, out: &mut Vec<Action>) {
         let version = self.history.version();
-        self.known = self.known.max(version);
+        self.newest_known = self.newest_known.max(version);
         self.diverged = false;
-        if version == self.known {
+        if version == self.newest_known {
             self.pull = Pull::default();
         }
         let Some(mut step) = self.history.last_step() else {
--- a/crates/spread/src/source/mod.rs
+++ b/crates/spread/src/source/mod.rs
@@ -12,7 +12,7 @@
 use crate::history::History;
 use crate::reports::{Heard, Reported, Reports};
 use crate::{Answer, Config, Digest, DigestKind, Fingerprint, Leader, MemberInfo, Message};
-use crate::{Report, Sender, Stamp, Standing};
+use crate::{Report, Responder, Sender, Stamp};
 
 mod publish;
 
@@ -246,9 +246,9 @@
             Message::Report(report) => return self.on_report(now, from, report, out),
             Message::Digest(digest) => self.on_digest(&digest),
             Message::TablePull { have } => self.history.catch_up(have),
-            Message::DirectoryPull { have } => self.lines_since(&have),
-            Message::Directory { lines, .. } => {
-                self.directory.merge(lines);
+            Message::DirectoryPull { have } => self.records_since(&have),
+            Message::Directory { records, .. } => {
+                self.directory.merge(records);
                 None
             }
             Message::Query { nonce, .. } => Some(self.answer(nonce)),
@@ -306,19 +306,19 @@
         (leader && differs).then_some(Message::DirectoryPull { have })
     }
 
-    fn lines_since(&self, have: &[(FailureDomain, Stamp)]) -> Option<Message> {
-        let lines = self.directory.newer_than(have);
-        (!lines.is_empty()).then(|| Message::Directory {
+    fn records_since(&self, have: &[(FailureDomain, Stamp)]) -> Option<Message> {
+        let records = self.directory.newer_than(have);
+        (!records.is_empty()).then(|| Message::Directory {
             term: self.lead.map(|lead| lead.term).unwrap_or_default(),
-            lines,
+            records,
             push: false,
         })
     }
 
     fn answer(&self, nonce: u64) -> Message {
-        let standing = match self.lead {
-            Some(lead) => Standing::Leader { term: lead.term },
-            None => Standing::Follower {
+        let responder = match self.lead {
+            Some(lead) => Responder::Leader { term: lead.term },
+            None => Responder::Follower {
                 leader: self.leader,
             },
         };
@@ -326,7 +326,7 @@
             nonce,
             version: self.history.version(),
             directory: self.directory.hash(),
-            standing,
+            responder,
         })
     }
 
--- a/crates/spread/src/source/publish.rs
+++ b/crates/spread/src/source/publish.rs
@@ -7,7 +7,7 @@
 use filberthead_types::{FailureDomain, Moment};
 
 use crate::reports::Reporter;
-use crate::{MemberInfo, Message, Stamp, Stamped};
+use crate::{DomainRecord, MemberInfo, Message, Stamp};
 
 use super::{Action, Lead, Seen, Source};
 
@@ -22,7 +22,7 @@
         let Some(lead) = self.lead else {
             return;
         };
-        self.digest_due = now + self.cfg.period;
+        self.digest_due = now + self.cfg.heartbeat_period;
         let message = Message::Digest(self.digest(lead.term));
         self.send_to_all(now, &message, out);
     }
@@ -42,8 +42,8 @@
     /// domain by name. Each of them hands it on to all others, so a change that comes at
     /// the moment when a relay dies doesn't wait until that is noticed.
     pub(super) fn step_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
-        let lines = self.directory.lines();
-        let firsts = lines.flat_map(|(_, line)| line.members.iter().take(2));
+        let records = self.directory.records();
+        let firsts = records.flat_map(|(_, record)| record.members.iter().take(2));
         let mut addrs: BTreeSet<_> = firsts.map(|member| member.peer_addr).collect();
         addrs.append(&mut self.relays(now));
         addrs
@@ -53,7 +53,7 @@
     /// nobody has for more than two periods, to its first two members by name as well,
     /// so that a change doesn't wait until the death of a relay is certain.
     fn relays(&self, now: Moment) -> BTreeSet<SocketAddr> {
-        let late = self.cfg.period * 2;
+        let late = self.cfg.heartbeat_period * 2;
         let mut addrs = BTreeSet::new();
         let mut heard = BTreeSet::new();
         for reporter in self.reports.iter() {
@@ -62,9 +62,9 @@
                 heard.extend(reporter.roster.members().iter().map(|m| &m.failure_domain));
             }
         }
-        for (domain, line) in self.directory.lines() {
+        for (domain, record) in self.directory.records() {
             if !heard.contains(domain) {
-                let first = line
+                let first = record
                     .members
                     .iter()
                     .filter(|member| !self.reports_here(member));
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn expire_reports(&mut self, now: Moment) {
-        let silence = self.cfg.leader_silence;
+        let silence = self.cfg.domain_timeout;
         let silent = |reporter: &Reporter| now.saturating_sub(reporter.heard) >= silence;
         if self.reports.iter().any(silent) {
             self.remember();
@@ -114,31 +114,31 @@
         if now < self.check_due || now < self.published + PUBLISH_PAUSE {
             return;
         }
-        self.check_due = now + self.cfg.period;
-        let lines = self.changed_lines(now, lead);
-        if lines.is_empty() {
+        self.check_due = now + self.cfg.heartbeat_period;
+        let records = self.changed_records(now, lead);
+        if records.is_empty() {
             return;
         }
         self.published = now;
         self.remember();
-        self.directory.merge(lines.clone());
+        self.directory.merge(records.clone());
         let message = Message::Directory {
             term: lead.term,
-            lines,
+            records,
             push: true,
         };
         self.send_to_all(now, &message, out);
     }
 
-    fn changed_lines(&mut self, now: Moment, lead: Lead) -> Vec<(FailureDomain, Stamped)> {
+    fn changed_records(&mut self, now: Moment, lead: Lead) -> Vec<(FailureDomain, DomainRecord)> {
         let mut wanted = self.wanted_members(now, lead);
-        let listed = self.directory.lines().map(|(domain, _)| domain.clone());
+        let listed = self.directory.records().map(|(domain, _)| domain.clone());
         let domains: BTreeSet<_> = listed.chain(wanted.keys().cloned()).collect();
-        let mut lines = Vec::new();
+        let mut records = Vec::new();
         for domain in domains {
             let members = wanted.remove(&domain).unwrap_or_default();
-            let current = self.directory.line(&domain);
-            if current.map_or(&[][..], |line| &line.members) == members {
+            let current = self.directory.record(&domain);
+            if current.map_or(&[][..], |record| &record.members) == members {
                 continue;
             }
             self.number += 1;
@@ -146,9 +146,9 @@
                 term: lead.term,
                 number: self.number,
             };
-            lines.push((domain, Stamped { stamp, members }));
+            records.push((domain, DomainRecord { stamp, members }));
         }
-        lines
+        records
     }
 
     /// Members of each failure domain by name.
@@ -178,13 +178,13 @@
     /// of every failure domain, those without a reporter.
     fn settled_domains(&self, now: Moment, lead: Lead) -> BTreeSet<&FailureDomain> {
         let mut settled = BTreeSet::new();
-        if now >= lead.since + self.cfg.leader_silence {
-            settled.extend(self.directory.lines().map(|(domain, _)| domain));
+        if now >= lead.since + self.cfg.domain_timeout {
+            settled.extend(self.directory.records().map(|(domain, _)| domain));
         }
         let (seasoned, fresh): (Vec<_>, Vec<_>) = self
             .reports
             .iter()
-            .partition(|reporter| now >= reporter.since + self.cfg.member_silence);
+            .partition(|reporter| now >= reporter.since + self.cfg.member_timeout);
         for domain in fresh.into_iter().flat_map(Reporter::domains) {
             settled.remove(domain);
         }
--- a/crates/spread/tests/all/directory.rs
+++ b/crates/spread/tests/all/directory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_spread::{Message, Stamp, Stamped, node};
+use filberthead_spread::{DomainRecord, Message, Stamp, node};
 use filberthead_types::{Epoch, FailureDomain};
 
 use crate::network::Network;
@@ -210,10 +210,10 @@
     network.kill("split-1-b");
     let rest = without("split-1-b");
     network.run_until("taken off", |net| everybody_knows(net, &rest));
-    let line = line_of(&network, "split-1", Epoch(1), 0);
+    let record = record_of(&network, "split-1", Epoch(1), 0);
     let message = Message::Directory {
         term: Epoch(1),
-        lines: vec![line],
+        records: vec![record],
         push: false,
     };
     let from = network.entry("split-1-a").member.peer_addr;
@@ -224,14 +224,19 @@
 }
 
 /// The line of a failure domain with all of its entries, dead or alive.
-fn line_of(network: &Network, domain: &str, term: Epoch, number: u64) -> (FailureDomain, Stamped) {
+fn record_of(
+    network: &Network,
+    domain: &str,
+    term: Epoch,
+    number: u64,
+) -> (FailureDomain, DomainRecord) {
     let members = network.entries.values().map(|entry| entry.member.clone());
     let members = members.filter(|member| member.failure_domain.as_str() == domain);
-    let line = Stamped {
+    let record = DomainRecord {
         stamp: Stamp { term, number },
         members: members.collect(),
     };
-    (domain.parse().expect("valid name"), line)
+    (domain.parse().expect("valid name"), record)
 }
 
 /// Sends the entries of Zagreb a line from before the death, as by a leader of `term`.
@@ -242,12 +247,13 @@
 
 /// Sends the entries of Zagreb a line with these entries, as by a leader of `term`.
 fn push_directory(network: &mut Network, term: Epoch, domain: &str, names: &[&str]) {
-    let (domain, mut line) = line_of(network, domain, term, 1000);
-    line.members
+    let (domain, mut record) = record_of(network, domain, term, 1000);
+    record
+        .members
         .retain(|member| names.contains(&member.name.as_str()));
     let message = Message::Directory {
         term,
-        lines: vec![(domain, line)],
+        records: vec![(domain, record)],
         push: true,
     };
     let from = network.controls[0].addr;
--- a/crates/spread/tests/all/network.rs
+++ b/crates/spread/tests/all/network.rs
@@ -136,8 +136,8 @@
             controls: self.controls.iter().map(|control| control.addr).collect(),
             seeds: self.entries.values().map(|e| e.member.peer_addr).collect(),
         };
-        let floor = self.floors.as_ref().and_then(|floors| floors.get(name));
-        let cfg = Config::builder().floor(floor.copied().unwrap_or_default());
+        let watermark = self.floors.as_ref().and_then(|floors| floors.get(name));
+        let cfg = Config::builder().watermark(watermark.copied().unwrap_or_default());
         let cfg = cfg.seed(self.starts).build();
         self.down.remove(&member.peer_addr);
         let entry = Entry {
@@ -409,8 +409,8 @@
                 other => entry.take(other),
             }
         }
-        if self.unguarded && entry.in_force.last() != Some(&entry.node.held().version) {
-            entry.in_force.push(entry.node.held().version);
+        if self.unguarded && entry.in_force.last() != Some(&entry.node.view().version) {
+            entry.in_force.push(entry.node.view().version);
         }
         if let Some(floors) = &mut self.floors
             && let Some(version) = entry.in_force.last()
--- a/crates/spread/tests/all/restart.rs
+++ b/crates/spread/tests/all/restart.rs
@@ -4,7 +4,7 @@
 
 use filberthead_spread::node::Readiness;
 use filberthead_spread::source;
-use filberthead_spread::{Message, Standing};
+use filberthead_spread::{Message, Responder};
 use filberthead_types::Version;
 
 use crate::network::{Network, Packet};
@@ -192,7 +192,7 @@
         let Message::Answer(answer) = &packet.message else {
             return false;
         };
-        matches!(answer.standing, Standing::Leader { .. })
+        matches!(answer.responder, Responder::Leader { .. })
     };
     loop {
         network.tick();
--- a/crates/spread/tests/all/table.rs
+++ b/crates/spread/tests/all/table.rs
@@ -74,7 +74,7 @@
     network.run(Duration::from_secs(3));
     let entry = network.entry("zagreb-1-c");
     assert_eq!(entry.readiness, Readiness::Cautious);
-    assert_eq!(entry.node.status().known, version);
+    assert_eq!(entry.node.status().newest_known, version);
     network.filter = None;
     network.run_until("caught up", |net| net.all_at(version));
 }
@@ -276,7 +276,7 @@
     );
     network.deliver_past_cuts(from, to, Message::Table { view, table });
     let entry = network.entry("zagreb-1-c");
-    assert_eq!(entry.node.held().version, version);
+    assert_eq!(entry.node.view().version, version);
     assert_eq!(entry.acts_on(), Some(version));
 }
 
