--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -105,7 +105,7 @@
     }
 
     /// Raises what its receiver holds by what it tells whole.
-    pub(crate) fn raise(&self, revisions: &mut Revisions) {
+    pub(crate) fn advance(&self, revisions: &mut Revisions) {
         match (self, self.revision()) {
             (Self::Evacuated { revision, .. }, _) => {
                 revisions.evacuated = revisions.evacuated.max(*revision)
@@ -136,14 +136,14 @@
 
 impl Revisions {
     /// Takes over what is newer in `other`.
-    pub fn raise(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         self.routes = self.routes.max(other.routes);
         self.evacuated = self.evacuated.max(other.evacuated);
         self.endpoints = self.endpoints.max(other.endpoints);
     }
 
     /// Whether this revision is newer than what is held.
-    pub(crate) fn is_before(&self, revision: Revision) -> bool {
+    pub(crate) fn is_older_than(&self, revision: Revision) -> bool {
         match revision {
             Revision::Routes(revision) => revision > self.routes,
             Revision::Endpoints(stamp) => stamp > self.endpoints,
@@ -151,7 +151,7 @@
     }
 
     /// Whether anything in `other` is newer than here.
-    pub fn lacks(&self, other: &Self) -> bool {
+    pub fn is_behind(&self, other: &Self) -> bool {
         other.routes > self.routes
             || other.evacuated > self.evacuated
             || other.endpoints > self.endpoints
@@ -204,7 +204,7 @@
 /// What a gateway said about itself to another replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedReport {
     /// Who it is.
     pub gateway: GatewayInfo,
     /// Whether callers may be sent to it.
@@ -302,7 +302,7 @@
         revisions: Revisions,
     },
     /// A replica tells the others of gateways that have reported to it.
-    Roster(Vec<Relayed>),
+    Roster(Vec<RelayedReport>),
     /// A gateway asks for all that is newer than this. Of what is long it gets the first part.
     Pull(Revisions),
     /// A replica asks for the list of endpoints, or what has changed in it since this one.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use api::{
     Demand, Endpoint, EndpointChange, EndpointState, GatewayInfo, Message, Order, OrderError,
-    Outbound, Part, Relayed, Report, Revision, Revisions, Stamp,
+    Outbound, Part, RelayedReport, Report, Revision, Revisions, Stamp,
 };
 pub use member::{Load, Member, Update, UpdateDelay};
 pub use registry::{ProofRequest, Registry};
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -20,7 +20,7 @@
 
 /// A change of an endpoint's cold time by less than this is the passing of time seen
 /// through a clock of another machine, not news.
-const COLD_NOISE: Duration = Duration::from_millis(700);
+const COLD_TIME_TOLERANCE: Duration = Duration::from_millis(700);
 /// Changes that are kept: as many as come within some tens of seconds of a release. Who
 /// was away for longer gets the whole list.
 const KEPT_CHANGES: usize = 48;
@@ -28,33 +28,33 @@
 /// How long just an earlier start must have been read under an identity before it is
 /// believed again: several times what a platform's list lags. An endpoint's clock may have
 /// been ahead at the start that is held.
-const EARLIER_BELIEVED_AFTER: Duration = Duration::from_secs(3);
+const EARLIER_START_ACCEPTED_AFTER: Duration = Duration::from_secs(3);
 
 /// What became of news about the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum ListOutcome {
     /// It is held now.
-    New,
+    Applied,
     /// Something at least as new is held.
-    Old,
+    Stale,
     /// It is a change of a list that isn't held.
     Gap,
 }
 
 /// The list that a replica holds.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct List {
+pub(crate) struct EndpointList {
     stamp: Stamp,
     by_id: BTreeMap<String, Endpoint>,
     /// When cold times were as they stand.
-    at: Moment,
+    updated_at: Moment,
     /// From an older stamp to a newer one, without a gap, up to what is held.
     changes: VecDeque<(Stamp, EndpointChange)>,
     /// Since when readings have had only earlier starts of these.
-    earlier: BTreeMap<String, Moment>,
+    earlier_since: BTreeMap<String, Moment>,
 }
 
-impl List {
+impl EndpointList {
     pub(crate) fn stamp(&self) -> Stamp {
         self.stamp
     }
@@ -67,26 +67,26 @@
     /// What holds of a list that was read just now: one entry for each identity, and none of
     /// a start that is earlier than the one held. Replicas that show a restart may be behind,
     /// and entries of other writers may have an endpoint's identity.
-    pub(crate) fn settled(
+    pub(crate) fn reconcile(
         &mut self,
         now: Moment,
         list: Vec<Endpoint>,
         is_served: impl Fn(&ServiceName) -> bool,
     ) -> Vec<Endpoint> {
-        let mut best = one_for_each(list, &is_served);
-        let passed = now.saturating_sub(self.at);
-        let mut since = std::mem::take(&mut self.earlier);
-        for read in best.values_mut() {
-            let Some(held) = self.by_id.get(&read.id) else {
+        let mut best = deduplicate(list, &is_served);
+        let elapsed = now.saturating_sub(self.updated_at);
+        let mut since = std::mem::take(&mut self.earlier_since);
+        for entry in best.values_mut() {
+            let Some(current) = self.by_id.get(&entry.id) else {
                 continue;
             };
-            if read.incarnation >= held.incarnation || !is_served(&held.service) {
+            if entry.incarnation >= current.incarnation || !is_served(&current.service) {
                 continue;
             }
-            let since = since.remove(&read.id).unwrap_or(now);
-            if now < since + EARLIER_BELIEVED_AFTER {
-                self.earlier.insert(read.id.clone(), since);
-                *read = aged(held, passed);
+            let since = since.remove(&entry.id).unwrap_or(now);
+            if now < since + EARLIER_START_ACCEPTED_AFTER {
+                self.earlier_since.insert(entry.id.clone(), since);
+                *entry = aged(current, elapsed);
             }
         }
         best.into_values().collect()
@@ -94,25 +94,36 @@
 
     /// Whether a list that was read just now differs from this one by no more than the
     /// passing of time.
-    pub(crate) fn tells_nothing_new(&self, now: Moment, list: &[Endpoint]) -> bool {
-        let same = |e: &Endpoint| {
-            let held = self.by_id.get(&e.id);
-            held.is_some_and(|held| is_same(&aged(held, now.saturating_sub(self.at)), e))
+    pub(crate) fn is_unchanged(&self, now: Moment, list: &[Endpoint]) -> bool {
+        let is_unchanged = |e: &Endpoint| {
+            let current = self.by_id.get(&e.id);
+            current.is_some_and(|current| {
+                is_equivalent(&aged(current, now.saturating_sub(self.updated_at)), e)
+            })
         };
-        self.by_id.len() == list.len() && list.iter().all(same)
+        self.by_id.len() == list.len() && list.iter().all(is_unchanged)
     }
 
     /// Takes in a whole list.
-    pub(crate) fn replace(&mut self, now: Moment, stamp: Stamp, list: Vec<Endpoint>) -> Taken {
+    pub(crate) fn replace(
+        &mut self,
+        now: Moment,
+        stamp: Stamp,
+        list: Vec<Endpoint>,
+    ) -> ListOutcome {
         if stamp <= self.stamp {
-            return Taken::Old;
+            return ListOutcome::Stale;
         }
-        self.age(now);
+        self.advance_to(now);
         let by_id: BTreeMap<_, _> = list.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let held = |e: &&Endpoint| self.by_id.get(&e.id).is_some_and(|held| is_same(held, e));
+        let current = |e: &&Endpoint| {
+            self.by_id
+                .get(&e.id)
+                .is_some_and(|current| is_equivalent(current, e))
+        };
         let change = EndpointChange {
             from: self.stamp,
-            changed: by_id.values().filter(|e| !held(e)).cloned().collect(),
+            changed: by_id.values().filter(|e| !current(e)).cloned().collect(),
             gone: self
                 .by_id
                 .keys()
@@ -121,30 +132,35 @@
                 .collect(),
         };
         self.by_id = by_id;
-        self.keep(stamp, change);
-        Taken::New
+        self.push_change(stamp, change);
+        ListOutcome::Applied
     }
 
     /// Takes in a change.
-    pub(crate) fn apply(&mut self, now: Moment, stamp: Stamp, change: EndpointChange) -> Taken {
+    pub(crate) fn apply(
+        &mut self,
+        now: Moment,
+        stamp: Stamp,
+        change: EndpointChange,
+    ) -> ListOutcome {
         if stamp <= self.stamp {
-            return Taken::Old;
+            return ListOutcome::Stale;
         }
         if change.from != self.stamp {
-            return Taken::Gap;
+            return ListOutcome::Gap;
         }
-        self.age(now);
+        self.advance_to(now);
         for id in &change.gone {
             self.by_id.remove(id);
         }
         for endpoint in &change.changed {
             self.by_id.insert(endpoint.id.clone(), endpoint.clone());
         }
-        self.keep(stamp, change);
-        Taken::New
+        self.push_change(stamp, change);
+        ListOutcome::Applied
     }
 
-    fn keep(&mut self, stamp: Stamp, change: EndpointChange) {
+    fn push_change(&mut self, stamp: Stamp, change: EndpointChange) {
         self.stamp = stamp;
         self.changes.push_back((stamp, change));
         if self.changes.len() > KEPT_CHANGES {
@@ -157,11 +173,11 @@
         if self.stamp <= base {
             return None;
         }
-        let passed = now.saturating_sub(self.at);
-        let news = match self.change_since(base) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        let message = match self.change_since(base) {
             Some(mut change) => {
-                let fresh = |e: &Endpoint| self.by_id.get(&e.id).map(|e| aged(e, passed));
-                change.changed = change.changed.iter().filter_map(fresh).collect();
+                let refresh = |e: &Endpoint| self.by_id.get(&e.id).map(|e| aged(e, elapsed));
+                change.changed = change.changed.iter().filter_map(refresh).collect();
                 Message::EndpointsChanged {
                     stamp: self.stamp,
                     change,
@@ -169,10 +185,10 @@
             }
             None => Message::Endpoints {
                 stamp: self.stamp,
-                list: self.by_id.values().map(|e| aged(e, passed)).collect(),
+                list: self.by_id.values().map(|e| aged(e, elapsed)).collect(),
             },
         };
-        Some(news)
+        Some(message)
     }
 
     /// All changes from a stamp on as one, if they are all kept and shorter than the list.
@@ -200,16 +216,16 @@
         })
     }
 
-    fn age(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.at);
-        self.at = now;
+    fn advance_to(&mut self, now: Moment) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = now;
         for endpoint in self.by_id.values_mut() {
-            endpoint.cold_left = endpoint.cold_left.saturating_sub(passed);
+            endpoint.cold_left = endpoint.cold_left.saturating_sub(elapsed);
         }
     }
 }
 
-fn one_for_each(
+fn deduplicate(
     list: Vec<Endpoint>,
     is_served: impl Fn(&ServiceName) -> bool,
 ) -> BTreeMap<String, Endpoint> {
@@ -217,10 +233,10 @@
         rank(a, is_served(&a.service)) > rank(b, is_served(&b.service))
     };
     let mut best: BTreeMap<String, Endpoint> = BTreeMap::new();
-    for read in list {
-        let held = best.get(&read.id);
-        if held.is_none_or(|held| outranks(&read, held)) {
-            best.insert(read.id.clone(), read);
+    for entry in list {
+        let current = best.get(&entry.id);
+        if current.is_none_or(|current| outranks(&entry, current)) {
+            best.insert(entry.id.clone(), entry);
         }
     }
     best
@@ -240,17 +256,18 @@
     )
 }
 
-fn aged(e: &Endpoint, passed: Duration) -> Endpoint {
+fn aged(e: &Endpoint, elapsed: Duration) -> Endpoint {
     Endpoint {
-        cold_left: e.cold_left.saturating_sub(passed),
+        cold_left: e.cold_left.saturating_sub(elapsed),
         ..e.clone()
     }
 }
 
-fn is_same(a: &Endpoint, b: &Endpoint) -> bool {
-    let plain = |e: &Endpoint| Endpoint {
+fn is_equivalent(a: &Endpoint, b: &Endpoint) -> bool {
+    let without_cold_time = |e: &Endpoint| Endpoint {
         cold_left: Duration::ZERO,
         ..e.clone()
     };
-    a.cold_left.abs_diff(b.cold_left) < COLD_NOISE && plain(a) == plain(b)
+    a.cold_left.abs_diff(b.cold_left) < COLD_TIME_TOLERANCE
+        && without_cold_time(a) == without_cold_time(b)
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -9,7 +9,7 @@
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
 use crate::contacts::Contacts;
-use crate::parts::{Receiving, Taken};
+use crate::parts::{IncomingTransfers, PartOutcome};
 use crate::{
     Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Part, Report, Revisions,
 };
@@ -19,9 +19,9 @@
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 /// An answer to a question takes two ways between regions; asked sooner again, each
 /// change would come twice.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const PULL_RETRY: Duration = Duration::from_millis(250);
 /// How long a gateway that starts waits to hear from most replicas.
-const UNHEARD_OF: Duration = Duration::from_millis(1500);
+const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a proof that routes are the newest is good for, from when it was asked for: three
 /// reports, so that one that is lost or late doesn't end it; and much less than the time
@@ -66,7 +66,7 @@
 }
 
 /// What comes of changes of routes.
-enum Changed {
+enum PatchOutcome {
     /// The newer table.
     Table(Arc<Table>),
     /// They are changes of routes that aren't held.
@@ -92,19 +92,19 @@
     contacts: Contacts,
     control_last_seen: Option<Moment>,
     /// When the first notice of all came.
-    first_told: Option<Moment>,
+    first_notice: Option<Moment>,
     /// The newest of everything that anybody was heard to hold.
     newest: Revisions,
     revisions: Revisions,
     /// The routes of that revision.
     routes: Option<Arc<Table>>,
-    asked: Option<(Revisions, Moment)>,
+    last_pull: Option<(Revisions, Moment)>,
     /// Long messages of which some parts are here.
-    receiving: Receiving,
+    transfers: IncomingTransfers,
     /// When news was first heard of that isn't here yet.
-    lacking: Option<Moment>,
+    behind_since: Option<Moment>,
     /// Questions since then.
-    asks: u32,
+    pulls: u32,
     delay: UpdateDelay,
     next_report: Moment,
     /// The questions of the last reports, and when they were asked.
@@ -129,14 +129,14 @@
             ready: false,
             contacts: Contacts::new(seeds),
             control_last_seen: None,
-            first_told: None,
+            first_notice: None,
             newest: Revisions::default(),
             revisions: Revisions::default(),
             routes: None,
-            asked: None,
-            receiving: Receiving::default(),
-            lacking: None,
-            asks: 0,
+            last_pull: None,
+            transfers: IncomingTransfers::default(),
+            behind_since: None,
+            pulls: 0,
             delay: UpdateDelay::default(),
             next_report: Moment::ZERO,
             sent_reports: VecDeque::new(),
@@ -156,9 +156,11 @@
     /// a while.
     pub fn is_synced(&self, now: Moment) -> bool {
         let has_all = self.revisions.routes > 0 && self.revisions.endpoints.seq > 0;
-        let most = self.contacts.most_told();
-        let waited = self.first_told.is_some_and(|at| now >= at + UNHEARD_OF);
-        has_all && ((most && !self.revisions.lacks(&self.newest)) || waited)
+        let majority = self.contacts.majority_announced();
+        let timed_out = self
+            .first_notice
+            .is_some_and(|at| now >= at + MAJORITY_TIMEOUT);
+        has_all && ((majority && !self.revisions.is_behind(&self.newest)) || timed_out)
     }
 
     /// Whether the routes held here were lately proved to be the newest that are accepted.
@@ -208,7 +210,7 @@
 
     /// Reports if it is time. `load` is asked only then.
     pub fn tick(&mut self, now: Moment, load: impl FnOnce() -> Load) -> Vec<Outbound> {
-        let mut out = self.receiving.tick(now);
+        let mut out = self.transfers.tick(now);
         out.extend(self.report(now, load));
         out
     }
@@ -219,8 +221,8 @@
         }
         self.next_report = now + REPORT_PERIOD;
         self.contacts
-            .forget(self.control_last_seen.unwrap_or_default());
-        let to = self.contacts.report(now, self.proven_at());
+            .remove_unnamed(self.control_last_seen.unwrap_or_default());
+        let to = self.contacts.select(now, self.proven_at());
         let Load { demand, link_milli } = load();
         let id = self.new_report_id(now);
         let report = Message::Report(Report {
@@ -268,28 +270,28 @@
         message: Message,
     ) -> (Vec<Outbound>, Vec<Update>) {
         self.control_last_seen = Some(now);
-        let held = self.revisions;
-        let taken = self.take(now, from, message);
-        if self.revisions != held {
-            self.receiving.forget_held(&self.revisions);
-            self.note_delay(now);
+        let before = self.revisions;
+        let result = self.apply(now, from, message);
+        if self.revisions != before {
+            self.transfers.cancel_superseded(&self.revisions);
+            self.record_delay(now);
         }
-        taken
+        result
     }
 
-    fn note_delay(&mut self, now: Moment) {
-        let since = self.lacking.unwrap_or(now);
+    fn record_delay(&mut self, now: Moment) {
+        let since = self.behind_since.unwrap_or(now);
         self.delay = UpdateDelay {
             since_announced: now.saturating_sub(since),
-            requests: self.asks,
+            requests: self.pulls,
         };
-        if !self.revisions.lacks(&self.newest) {
-            self.lacking = None;
-            self.asks = 0;
+        if !self.revisions.is_behind(&self.newest) {
+            self.behind_since = None;
+            self.pulls = 0;
         }
     }
 
-    fn take(
+    fn apply(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -305,22 +307,22 @@
                 answered_report,
                 proven_report,
             } => {
-                self.contacts.told(now, from, &replicas);
-                self.noticed(now, from, revisions, (answered_report, proven_report));
+                self.contacts.record_notice(now, from, &replicas);
+                self.on_notice(now, from, revisions, (answered_report, proven_report));
                 let updates = vec![
                     Update::Gateways(gateways),
                     Update::Demand(demand),
                     Update::Links(link_milli),
                 ];
-                (self.ask(now, from, revisions), updates)
+                (self.pull(now, from, revisions), updates)
             }
             Message::Proof {
                 proven_report,
                 revisions,
             } => {
-                self.newest.raise(&revisions);
+                self.newest.merge(&revisions);
                 self.prove(proven_report, revisions.routes);
-                (self.ask(now, from, revisions), Vec::new())
+                (self.pull(now, from, revisions), Vec::new())
             }
             Message::Routes {
                 revision,
@@ -333,23 +335,23 @@
             Message::RoutesChanged {
                 revision,
                 version,
-                from: older,
+                from: base,
                 changes,
-            } if revision > self.revisions.routes => match self.changed_routes(older, &changes) {
-                Changed::Table(table) => {
+            } if revision > self.revisions.routes => match self.patch_routes(base, &changes) {
+                PatchOutcome::Table(table) => {
                     let update = self.set_routes(revision, version, table);
                     (Vec::new(), vec![update])
                 }
-                Changed::Gap => {
+                PatchOutcome::Gap => {
                     self.newest.routes = self.newest.routes.max(revision);
-                    (self.ask(now, from, self.newest), Vec::new())
+                    (self.pull(now, from, self.newest), Vec::new())
                 }
-                Changed::Invalid => {
-                    let whole = Revisions {
+                PatchOutcome::Invalid => {
+                    let without_routes = Revisions {
                         routes: 0,
                         ..self.revisions
                     };
-                    (vec![(from, Message::Pull(whole))], Vec::new())
+                    (vec![(from, Message::Pull(without_routes))], Vec::new())
                 }
             },
             Message::Evacuated { revision, domains } if revision > self.revisions.evacuated => {
@@ -363,18 +365,18 @@
             Message::EndpointsChanged { stamp, change } if stamp > self.revisions.endpoints => {
                 if change.from != self.revisions.endpoints {
                     self.newest.endpoints = self.newest.endpoints.max(stamp);
-                    return (self.ask(now, from, self.newest), Vec::new());
+                    return (self.pull(now, from, self.newest), Vec::new());
                 }
                 self.revisions.endpoints = stamp;
                 (Vec::new(), vec![Update::EndpointsChanged(change)])
             }
-            Message::Part(part) => self.take_part(now, from, part),
+            Message::Part(part) => self.apply_part(now, from, part),
             _ => (Vec::new(), Vec::new()),
         }
     }
 
     /// Takes in what a replica holds, and the questions that its notice answers and proves.
-    fn noticed(
+    fn on_notice(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -382,10 +384,10 @@
         (answered_report, proven_report): (Option<u64>, Option<u64>),
     ) {
         if let Some(asked) = answered_report.and_then(|id| self.report_sent_at(id)) {
-            self.contacts.answered(now, from, asked);
+            self.contacts.record_answer(now, from, asked);
         }
-        self.first_told.get_or_insert(now);
-        self.newest.raise(&revisions);
+        self.first_notice.get_or_insert(now);
+        self.newest.merge(&revisions);
         if let Some(proven_report) = proven_report {
             self.prove(proven_report, revisions.routes);
         }
@@ -402,67 +404,67 @@
     }
 
     /// The routes held here with changes of the routes of revision `from`.
-    fn changed_routes(&self, from: u64, changes: &[Arc<Delta>]) -> Changed {
-        let held = self
+    fn patch_routes(&self, from: u64, changes: &[Arc<Delta>]) -> PatchOutcome {
+        let current = self
             .routes
             .as_ref()
             .filter(|_| from == self.revisions.routes);
-        let Some(mut table) = held.cloned() else {
-            return Changed::Gap;
+        let Some(mut table) = current.cloned() else {
+            return PatchOutcome::Gap;
         };
         for change in changes {
             match change.apply(&table) {
                 Some(changed) => table = Arc::new(changed),
-                None => return Changed::Invalid,
+                None => return PatchOutcome::Invalid,
             }
         }
-        Changed::Table(table)
+        PatchOutcome::Table(table)
     }
 
-    fn take_part(
+    fn apply_part(
         &mut self,
         now: Moment,
         from: SocketAddr,
         part: Part,
     ) -> (Vec<Outbound>, Vec<Update>) {
-        if !self.revisions.is_before(part.revision) {
+        if !self.revisions.is_older_than(part.revision) {
             return (Vec::new(), Vec::new());
         }
-        match self.receiving.take(now, from, part) {
-            Taken::Ask(requests) => {
+        match self.transfers.accept(now, from, part) {
+            PartOutcome::Pull(requests) => {
                 let out = requests.into_iter().map(|request| (from, request));
                 (out.collect(), Vec::new())
             }
-            Taken::Whole(news) => {
-                let (mut out, updates) = self.take(now, from, *news);
+            PartOutcome::Complete(message) => {
+                let (mut out, updates) = self.apply(now, from, *message);
                 // What came after it wasn't asked for while it was on its way.
-                self.asked = None;
-                out.extend(self.ask(now, from, self.newest));
+                self.last_pull = None;
+                out.extend(self.pull(now, from, self.newest));
                 (out, updates)
             }
-            Taken::Useless => (Vec::new(), Vec::new()),
+            PartOutcome::Rejected => (Vec::new(), Vec::new()),
         }
     }
 
     /// Asks for what a replica holds beyond this gateway, unless the same was asked of
     /// somebody a moment ago.
-    fn ask(&mut self, now: Moment, from: SocketAddr, theirs: Revisions) -> Vec<Outbound> {
-        if !self.revisions.lacks(&theirs) {
+    fn pull(&mut self, now: Moment, from: SocketAddr, wanted: Revisions) -> Vec<Outbound> {
+        if !self.revisions.is_behind(&wanted) {
             return Vec::new();
         }
-        self.lacking.get_or_insert(now);
-        let covered = self.receiving.covers(&self.revisions, &theirs);
-        if !covered.lacks(&theirs) {
+        self.behind_since.get_or_insert(now);
+        let expected = self.transfers.with_pending(&self.revisions, &wanted);
+        if !expected.is_behind(&wanted) {
             return Vec::new();
         }
-        let under_way = self
-            .asked
-            .is_some_and(|(asked, at)| now < at + ASK_AGAIN && !asked.lacks(&theirs));
-        if under_way {
+        let is_pending = self
+            .last_pull
+            .is_some_and(|(pulled, at)| now < at + PULL_RETRY && !pulled.is_behind(&wanted));
+        if is_pending {
             return Vec::new();
         }
-        self.asked = Some((theirs, now));
-        self.asks += 1;
-        vec![(from, Message::Pull(covered))]
+        self.last_pull = Some((wanted, now));
+        self.pulls += 1;
+        vec![(from, Message::Pull(expected))]
     }
 }
--- a/crates/fleet/src/parts.rs
+++ b/crates/fleet/src/parts.rs
@@ -26,13 +26,13 @@
 /// Parts of the longest news that is taken in.
 const MAX_PARTS: u32 = 1024;
 /// Time without a part after which the missing ones are asked for again.
-const PART_OVERDUE: Duration = Duration::from_millis(600);
+const PART_TIMEOUT: Duration = Duration::from_millis(600);
 /// How often parts are asked for again before the transfer is given up.
-const MAX_REPEATS: u32 = 2;
+const MAX_RETRIES: u32 = 2;
 /// How long a replica keeps news that nobody asks for any more.
-const KEPT_FOR: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Age up to which the same bytes are sent to further gateways. They hold times that pass.
-const FRESH_FOR: Duration = Duration::from_secs(1);
+const REUSE_WINDOW: Duration = Duration::from_secs(1);
 
 /// News that is being sent.
 #[derive(Clone, Debug)]
@@ -41,8 +41,8 @@
     to: Revision,
     digest: u64,
     bytes: Arc<[u8]>,
-    made: Moment,
-    used: Moment,
+    encoded_at: Moment,
+    last_used: Moment,
 }
 
 impl Outgoing {
@@ -61,46 +61,50 @@
 
 /// The long news that a replica sends.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sending(Vec<Outgoing>);
+pub(crate) struct OutgoingTransfers(Vec<Outgoing>);
 
-impl Sending {
+impl OutgoingTransfers {
     /// What to send to a gateway that holds `from` and lacks this news: the news itself, or
     /// its first part.
-    pub(crate) fn begin(&mut self, now: Moment, from: Revision, news: Message) -> Message {
-        self.0.retain(|sent| now < sent.used + KEPT_FOR);
-        let Some(to) = news.revision() else {
-            return news;
+    pub(crate) fn begin(&mut self, now: Moment, from: Revision, message: Message) -> Message {
+        self.0
+            .retain(|outgoing| now < outgoing.last_used + IDLE_TIMEOUT);
+        let Some(to) = message.revision() else {
+            return message;
         };
-        let same = |sent: &&mut Outgoing| {
-            sent.from == from && sent.to == to && now < sent.made + FRESH_FOR
+        let is_same = |outgoing: &&mut Outgoing| {
+            outgoing.from == from && outgoing.to == to && now < outgoing.encoded_at + REUSE_WINDOW
         };
-        if let Some(sent) = self.0.iter_mut().find(same) {
-            sent.used = now;
-            return sent.part(0).unwrap_or(news);
+        if let Some(outgoing) = self.0.iter_mut().find(is_same) {
+            outgoing.last_used = now;
+            return outgoing.part(0).unwrap_or(message);
         }
         // What can't be encoded is left to the transport, which says so.
-        let bytes = postcard::to_stdvec(&news).unwrap_or_default();
+        let bytes = postcard::to_stdvec(&message).unwrap_or_default();
         if bytes.len() <= PART_BYTES {
-            return news;
+            return message;
         }
-        let sent = Outgoing {
+        let outgoing = Outgoing {
             from,
             to,
             digest: xxh3_64(&bytes),
             bytes: bytes.into(),
-            made: now,
-            used: now,
+            encoded_at: now,
+            last_used: now,
         };
-        let first = sent.part(0);
-        self.0.push(sent);
-        first.unwrap_or(news)
+        let first = outgoing.part(0);
+        self.0.push(outgoing);
+        first.unwrap_or(message)
     }
 
     /// A part, if the news is still held.
     pub(crate) fn part(&mut self, now: Moment, digest: u64, index: u32) -> Option<Message> {
-        let sent = self.0.iter_mut().find(|sent| sent.digest == digest)?;
-        sent.used = now;
-        sent.part(index)
+        let outgoing = self
+            .0
+            .iter_mut()
+            .find(|outgoing| outgoing.digest == digest)?;
+        outgoing.last_used = now;
+        outgoing.part(index)
     }
 }
 
@@ -112,21 +116,21 @@
     digest: u64,
     parts: Vec<Option<Vec<u8>>>,
     /// Parts that were asked for, from the first.
-    asked: usize,
+    pulled: usize,
     /// When a part last came or was last asked for again.
-    at: Moment,
-    repeats: u32,
+    last_activity: Moment,
+    retries: u32,
 }
 
 /// What came of a part.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Taken {
+pub(crate) enum PartOutcome {
     /// Ask for these parts.
-    Ask(Vec<Message>),
+    Pull(Vec<Message>),
     /// It was the last one; this is the news.
-    Whole(Box<Message>),
+    Complete(Box<Message>),
     /// It is of no use.
-    Useless,
+    Rejected,
 }
 
 impl Incoming {
@@ -136,108 +140,108 @@
             revision: part.revision,
             digest: part.digest,
             parts: vec![None; part.count as usize],
-            asked: 1,
-            at: now,
-            repeats: 0,
+            pulled: 1,
+            last_activity: now,
+            retries: 0,
         }
     }
 
-    fn take(&mut self, now: Moment, part: Part) -> Taken {
-        let Some(place) = self.parts.get_mut(part.index as usize) else {
-            return Taken::Useless;
+    fn accept(&mut self, now: Moment, part: Part) -> PartOutcome {
+        let Some(slot) = self.parts.get_mut(part.index as usize) else {
+            return PartOutcome::Rejected;
         };
-        if place.replace(part.bytes).is_some() {
-            return Taken::Useless;
+        if slot.replace(part.bytes).is_some() {
+            return PartOutcome::Rejected;
         }
-        self.at = now;
-        self.repeats = 0;
+        self.last_activity = now;
+        self.retries = 0;
         if self.parts.iter().all(Option::is_some) {
-            return self.whole();
+            return self.assemble();
         }
-        Taken::Ask(self.ask_further())
+        PartOutcome::Pull(self.pull_more())
     }
 
     /// Asks for further parts, as far as the window allows.
-    fn ask_further(&mut self) -> Vec<Message> {
+    fn pull_more(&mut self) -> Vec<Message> {
         let missing = self.missing().len();
-        let further = WINDOW.saturating_sub(missing);
-        let first = self.asked;
-        self.asked = (first + further).min(self.parts.len());
-        (first..self.asked)
-            .map(|index| self.question(index))
+        let additional = WINDOW.saturating_sub(missing);
+        let first = self.pulled;
+        self.pulled = (first + additional).min(self.parts.len());
+        (first..self.pulled)
+            .map(|index| self.pull_part(index))
             .collect()
     }
 
     /// Parts that were asked for and aren't here.
     fn missing(&self) -> Vec<usize> {
-        let asked = self.parts.iter().take(self.asked).enumerate();
-        let missing = asked.filter(|(_, part)| part.is_none());
+        let pulled = self.parts.iter().take(self.pulled).enumerate();
+        let missing = pulled.filter(|(_, part)| part.is_none());
         missing.map(|(index, _)| index).collect()
     }
 
-    fn question(&self, index: usize) -> Message {
+    fn pull_part(&self, index: usize) -> Message {
         Message::PullPart {
             digest: self.digest,
             index: index as u32,
         }
     }
 
-    fn whole(&self) -> Taken {
+    fn assemble(&self) -> PartOutcome {
         let parts: Vec<&[u8]> = self.parts.iter().flatten().map(Vec::as_slice).collect();
         let bytes = parts.concat();
         if xxh3_64(&bytes) != self.digest {
-            return Taken::Useless;
+            return PartOutcome::Rejected;
         }
         match postcard::from_bytes(&bytes) {
-            Ok(news) => Taken::Whole(Box::new(news)),
-            Err(_) => Taken::Useless,
+            Ok(message) => PartOutcome::Complete(Box::new(message)),
+            Err(_) => PartOutcome::Rejected,
         }
     }
 }
 
 /// The long news that a gateway receives: of routes and of endpoints, one each at most.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Receiving(VecDeque<Incoming>);
+pub(crate) struct IncomingTransfers(VecDeque<Incoming>);
 
-impl Receiving {
+impl IncomingTransfers {
     /// Raises `have` to `theirs` where news is on its way already, so that it isn't asked for
     /// meanwhile. What came after it is asked for when it is here.
-    pub(crate) fn covers(&self, revisions: &Revisions, theirs: &Revisions) -> Revisions {
-        let mut covered = *revisions;
+    pub(crate) fn with_pending(&self, revisions: &Revisions, wanted: &Revisions) -> Revisions {
+        let mut expected = *revisions;
         for incoming in &self.0 {
             match incoming.revision {
-                Revision::Routes(_) => covered.routes = covered.routes.max(theirs.routes),
+                Revision::Routes(_) => expected.routes = expected.routes.max(wanted.routes),
                 Revision::Endpoints(_) => {
-                    covered.endpoints = covered.endpoints.max(theirs.endpoints);
+                    expected.endpoints = expected.endpoints.max(wanted.endpoints);
                 }
             }
         }
-        covered
+        expected
     }
 
     /// Gives up transfers of what is held by now.
-    pub(crate) fn forget_held(&mut self, revisions: &Revisions) {
+    pub(crate) fn cancel_superseded(&mut self, revisions: &Revisions) {
         self.0
-            .retain(|incoming| revisions.is_before(incoming.revision));
+            .retain(|incoming| revisions.is_older_than(incoming.revision));
     }
 
     /// Takes in a part of news that isn't held yet.
-    pub(crate) fn take(&mut self, now: Moment, from: SocketAddr, part: Part) -> Taken {
-        let known = |incoming: &Incoming| incoming.digest == part.digest;
-        let place = match self.0.iter().position(known) {
-            Some(place) => place,
+    pub(crate) fn accept(&mut self, now: Moment, from: SocketAddr, part: Part) -> PartOutcome {
+        let has_digest = |incoming: &Incoming| incoming.digest == part.digest;
+        let index = match self.0.iter().position(has_digest) {
+            Some(index) => index,
             None if self.may_begin(&part) => {
                 self.0.push_back(Incoming::begin(now, from, &part));
                 self.0.len() - 1
             }
-            None => return Taken::Useless,
+            None => return PartOutcome::Rejected,
         };
-        let taken = self.0[place].take(now, part);
-        let done = self.0[place].parts.iter().all(Option::is_some);
-        if done {
-            self.0.remove(place);
+        let outcome = self.0[index].accept(now, part);
+        let is_complete = self.0[index].parts.iter().all(Option::is_some);
+        if is_complete {
+            self.0.remove(index);
         }
-        taken
+        outcome
     }
 
     fn may_begin(&self, part: &Part) -> bool {
@@ -250,15 +254,18 @@
     /// Asks again for parts that are overdue. Who doesn't send them is given up, and the
     /// news is asked for anew, of whoever speaks of it next.
     pub(crate) fn tick(&mut self, now: Moment) -> Vec<(SocketAddr, Message)> {
-        let overdue = |incoming: &Incoming| now >= incoming.at + PART_OVERDUE;
+        let overdue = |incoming: &Incoming| now >= incoming.last_activity + PART_TIMEOUT;
         self.0
-            .retain(|incoming| !overdue(incoming) || incoming.repeats < MAX_REPEATS);
+            .retain(|incoming| !overdue(incoming) || incoming.retries < MAX_RETRIES);
         let mut out = Vec::new();
         for incoming in self.0.iter_mut().filter(|incoming| overdue(incoming)) {
-            incoming.repeats += 1;
-            incoming.at = now;
-            let questions = incoming.missing().into_iter().map(|i| incoming.question(i));
-            out.extend(questions.map(|question| (incoming.from, question)));
+            incoming.retries += 1;
+            incoming.last_activity = now;
+            let pulls = incoming
+                .missing()
+                .into_iter()
+                .map(|i| incoming.pull_part(i));
+            out.extend(pulls.map(|pull| (incoming.from, pull)));
         }
         out
     }
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -9,43 +9,43 @@
 use filberthead_route::Table;
 use filberthead_types::{FailureDomain, Moment, NodeName, Region, ServiceName};
 
-use crate::list::{List, Taken};
-use crate::parts::Sending;
+use crate::list::{EndpointList, ListOutcome};
+use crate::parts::OutgoingTransfers;
 use crate::routes::Routes;
 use crate::{
-    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Relayed, Report, Revision,
-    Revisions, Stamp,
+    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, RelayedReport, Report,
+    Revision, Revisions, Stamp,
 };
 
 /// Silence after which a gateway is no longer named to callers: three reports, so that
 /// one that is lost or late takes nobody out of service.
-const LIVE_FOR: Duration = Duration::from_millis(1600);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Silence after which a gateway is forgotten. Its place in counts lasts this long, since
 /// one that is cut off from control may still be serving.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+const REMOVED_AFTER: Duration = Duration::from_secs(30);
 
 /// Time for which sums over all gateways are kept: each of hundreds of reports is answered
 /// with them.
-const SUMS_KEPT: Duration = Duration::from_millis(100);
+const TOTALS_TTL: Duration = Duration::from_millis(100);
 /// Questions that may wait for the leader's word; further ones are asked again anyway.
 const MAX_PROOF_REQUESTS: usize = 1024;
 
 /// A report that came to this replica itself.
 #[derive(Clone, Copy, Debug)]
-struct Direct {
+struct DirectReport {
     addr: SocketAddr,
-    at: Moment,
+    received_at: Moment,
     /// What the gateway holds, by its report and what it was sent since.
     revisions: Revisions,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct GatewayState {
     info: GatewayInfo,
     /// Its last report to this replica; none if only others heard it.
-    direct: Option<Direct>,
+    direct: Option<DirectReport>,
     ready: bool,
-    at: Moment,
+    last_seen: Moment,
     demand: Vec<Demand>,
     link_milli: u32,
 }
@@ -61,8 +61,8 @@
 
 /// Sums over all gateways, as notices tell them.
 #[derive(Clone, Debug)]
-struct Sums {
-    at: Moment,
+struct Totals {
+    computed_at: Moment,
     gateways: Vec<(FailureDomain, u32)>,
     demand: Vec<(Region, ServiceName, u32)>,
     links: BTreeMap<FailureDomain, u32>,
@@ -71,19 +71,19 @@
 /// What a control replica knows of gateways, and holds for them.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    gateways: BTreeMap<NodeName, Seen>,
+    gateways: BTreeMap<NodeName, GatewayState>,
     replicas: Vec<SocketAddr>,
     revisions: Revisions,
     routes: Routes,
     evacuated: BTreeSet<FailureDomain>,
-    endpoints: List,
+    endpoints: EndpointList,
     /// Long messages that gateways receive in parts.
-    sending: Sending,
+    transfers: OutgoingTransfers,
     /// Questions that this replica couldn't answer itself.
     proof_requests: Vec<ProofRequest>,
     /// When other replicas were last told of gateways.
-    relayed: Moment,
-    sums: RefCell<Option<Sums>>,
+    last_roster: Moment,
+    totals: RefCell<Option<Totals>>,
 }
 
 impl Registry {
@@ -132,14 +132,18 @@
     /// just now. A list that tells nothing new keeps its stamp.
     pub fn set_endpoints(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
         let table = self.routes.table();
-        let list = self.endpoints.settled(now, list, |s| is_served(table, s));
-        let held = self.endpoints.stamp();
-        if held.term == term && self.endpoints.tells_nothing_new(now, &list) {
+        let list = self.endpoints.reconcile(now, list, |s| is_served(table, s));
+        let current = self.endpoints.stamp();
+        if current.term == term && self.endpoints.is_unchanged(now, &list) {
             return Vec::new();
         }
-        let seq = if held.term == term { held.seq + 1 } else { 1 };
-        let taken = self.endpoints.replace(now, Stamp { term, seq }, list);
-        self.after(now, taken)
+        let seq = if current.term == term {
+            current.seq + 1
+        } else {
+            1
+        };
+        let outcome = self.endpoints.replace(now, Stamp { term, seq }, list);
+        self.announce_if_applied(now, outcome)
     }
 
     /// How many endpoints the list names of each service that the routes in force don't
@@ -154,26 +158,26 @@
         counts
     }
 
-    fn after(&mut self, now: Moment, taken: Taken) -> Vec<Outbound> {
+    fn announce_if_applied(&mut self, now: Moment, outcome: ListOutcome) -> Vec<Outbound> {
         self.revisions.endpoints = self.endpoints.stamp();
-        match taken {
-            Taken::New => self.announce(now),
-            Taken::Old | Taken::Gap => Vec::new(),
+        match outcome {
+            ListOutcome::Applied => self.announce(now),
+            ListOutcome::Stale | ListOutcome::Gap => Vec::new(),
         }
     }
 
-    fn changed(
+    fn apply_change(
         &mut self,
         now: Moment,
         from: SocketAddr,
         stamp: Stamp,
         change: EndpointChange,
     ) -> Vec<Outbound> {
-        let taken = self.endpoints.apply(now, stamp, change);
-        if taken == Taken::Gap {
+        let outcome = self.endpoints.apply(now, stamp, change);
+        if outcome == ListOutcome::Gap {
             return vec![(from, Message::PullEndpoints(self.revisions.endpoints))];
         }
-        self.after(now, taken)
+        self.announce_if_applied(now, outcome)
     }
 
     /// Takes in a message of a gateway or of another replica. `proven` says whether this
@@ -186,30 +190,35 @@
         proven: bool,
     ) -> Vec<Outbound> {
         match message {
-            Message::Report(report) => self.reported(now, from, report, proven),
+            Message::Report(report) => self.on_report(now, from, report, proven),
             Message::Roster(gateways) => {
-                self.relayed(now, gateways);
+                self.on_roster(now, gateways);
                 Vec::new()
             }
-            Message::Pull(revisions) => self.newer_than(now, &revisions, from),
+            Message::Pull(revisions) => self.updates_for(now, &revisions, from),
             Message::PullEndpoints(base) => {
-                let news = self.endpoints_since(now, base);
-                news.into_iter().map(|news| (from, news)).collect()
+                let messages = self.endpoints_since(now, base);
+                messages
+                    .into_iter()
+                    .map(|message| (from, message))
+                    .collect()
             }
             Message::PullPart { digest, index } => {
-                let part = self.sending.part(now, digest, index);
+                let part = self.transfers.part(now, digest, index);
                 part.into_iter().map(|part| (from, part)).collect()
             }
             Message::Endpoints { stamp, list } => {
-                let taken = self.endpoints.replace(now, stamp, list);
-                self.after(now, taken)
+                let outcome = self.endpoints.replace(now, stamp, list);
+                self.announce_if_applied(now, outcome)
+            }
+            Message::EndpointsChanged { stamp, change } => {
+                self.apply_change(now, from, stamp, change)
             }
-            Message::EndpointsChanged { stamp, change } => self.changed(now, from, stamp, change),
             _ => Vec::new(),
         }
     }
 
-    fn reported(
+    fn on_report(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -217,20 +226,20 @@
         proven: bool,
     ) -> Vec<Outbound> {
         let id = report.id;
-        let seen = Seen {
+        let gateway = GatewayState {
             info: report.gateway,
-            direct: Some(Direct {
+            direct: Some(DirectReport {
                 addr: from,
-                at: now,
+                received_at: now,
                 revisions: report.revisions,
             }),
             ready: report.ready,
-            at: now,
+            last_seen: now,
             demand: report.demand,
             link_milli: report.link_milli,
         };
-        let domain = seen.info.domain.clone();
-        self.note(seen);
+        let domain = gateway.info.domain.clone();
+        self.store(gateway);
         if !proven && self.proof_requests.len() < MAX_PROOF_REQUESTS {
             let report_id = id;
             self.proof_requests.push(ProofRequest { from, report_id });
@@ -239,27 +248,27 @@
         vec![(from, self.notice(now, &domain, Some(id), proven_report))]
     }
 
-    fn note(&mut self, seen: Seen) {
-        let held = self.gateways.insert(seen.info.name.clone(), seen);
-        if held.is_none() {
-            self.sums.replace(None);
+    fn store(&mut self, gateway: GatewayState) {
+        let current = self.gateways.insert(gateway.info.name.clone(), gateway);
+        if current.is_none() {
+            self.totals.replace(None);
         }
     }
 
     /// Takes in what another replica tells of gateways, as far as it is newer.
-    fn relayed(&mut self, now: Moment, gateways: Vec<Relayed>) {
+    fn on_roster(&mut self, now: Moment, gateways: Vec<RelayedReport>) {
         for relayed in gateways {
-            let at = now.saturating_sub(relayed.age);
-            let held = self.gateways.get(&relayed.gateway.name);
-            if held.is_some_and(|held| held.at >= at) {
+            let last_seen = now.saturating_sub(relayed.age);
+            let current = self.gateways.get(&relayed.gateway.name);
+            if current.is_some_and(|current| current.last_seen >= last_seen) {
                 continue;
             }
-            let direct = held.and_then(|held| held.direct);
-            self.note(Seen {
+            let direct = current.and_then(|current| current.direct);
+            self.store(GatewayState {
                 info: relayed.gateway,
                 direct,
                 ready: relayed.ready,
-                at,
+                last_seen,
                 demand: relayed.demand,
                 link_milli: relayed.link_milli,
             });
@@ -269,14 +278,18 @@
     /// What other replicas are to be told of gateways: all that have reported here since
     /// they were last told.
     pub fn roster(&mut self, now: Moment) -> Option<Message> {
-        let since = std::mem::replace(&mut self.relayed, now);
-        let reported = |seen: &&Seen| seen.direct.is_some_and(|d| d.at >= since && d.at < now);
-        let relayed = |seen: &Seen| Relayed {
-            gateway: seen.info.clone(),
-            ready: seen.ready,
-            demand: seen.demand.clone(),
-            link_milli: seen.link_milli,
-            age: now.saturating_sub(seen.at),
+        let since = std::mem::replace(&mut self.last_roster, now);
+        let reported = |gateway: &&GatewayState| {
+            gateway
+                .direct
+                .is_some_and(|d| d.received_at >= since && d.received_at < now)
+        };
+        let relayed = |gateway: &GatewayState| RelayedReport {
+            gateway: gateway.info.clone(),
+            ready: gateway.ready,
+            demand: gateway.demand.clone(),
+            link_milli: gateway.link_milli,
+            age: now.saturating_sub(gateway.last_seen),
         };
         let gateways = self.gateways.values().filter(reported);
         let gateways: Vec<_> = gateways.map(relayed).collect();
@@ -305,28 +318,28 @@
         proof_requests.into_iter().map(answer).collect()
     }
 
-    fn newer_than(&mut self, now: Moment, revisions: &Revisions, to: SocketAddr) -> Vec<Outbound> {
-        let news = self.news(now, revisions);
-        news.into_iter().map(|news| (to, news)).collect()
+    fn updates_for(&mut self, now: Moment, revisions: &Revisions, to: SocketAddr) -> Vec<Outbound> {
+        let messages = self.updates_since(now, revisions);
+        messages.into_iter().map(|message| (to, message)).collect()
     }
 
     /// What somebody lacks who holds this; of what is long the first part. What changes where
     /// requests may go comes before what may be long.
-    fn news(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
+    fn updates_since(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
         let endpoints = self
             .endpoints_since(now, revisions.endpoints)
-            .map(|news| (Revision::Endpoints(revisions.endpoints), news));
+            .map(|message| (Revision::Endpoints(revisions.endpoints), message));
         let routes = self
             .routes
             .since(revisions.routes)
-            .map(|news| (Revision::Routes(revisions.routes), news));
-        let evacuated = self.evacuated_for(revisions.evacuated);
+            .map(|message| (Revision::Routes(revisions.routes), message));
+        let evacuated = self.evacuated_since(revisions.evacuated);
         let long = [endpoints, routes].into_iter().flatten();
-        let long = long.map(|(from, news)| self.sending.begin(now, from, news));
+        let long = long.map(|(from, message)| self.transfers.begin(now, from, message));
         evacuated.into_iter().chain(long).collect()
     }
 
-    fn evacuated_for(&self, base: u64) -> Option<Message> {
+    fn evacuated_since(&self, base: u64) -> Option<Message> {
         (self.revisions.evacuated > base).then(|| Message::Evacuated {
             revision: self.revisions.evacuated,
             domains: self.evacuated.clone(),
@@ -342,23 +355,23 @@
     /// that it is there, since each of them hears several replicas.
     fn announce(&mut self, now: Moment) -> Vec<Outbound> {
         self.gateways
-            .retain(|_, seen| now < seen.at + FORGOTTEN_AFTER);
+            .retain(|_, gateway| now < gateway.last_seen + REMOVED_AFTER);
         let mut notices: BTreeMap<FailureDomain, Message> = BTreeMap::new();
-        let mut news: Vec<(Revisions, Vec<Message>)> = Vec::new();
+        let mut cache: Vec<(Revisions, Vec<Message>)> = Vec::new();
         let mut out = Vec::new();
         for (
             domain,
-            Direct {
+            DirectReport {
                 addr, revisions, ..
             },
-        ) in self.reached(now)
+        ) in self.reporting_gateways(now)
         {
-            let known = news.iter().position(|(held, _)| *held == revisions);
-            let place = known.unwrap_or_else(|| {
-                news.push((revisions, self.news(now, &revisions)));
-                news.len() - 1
+            let index = cache.iter().position(|(current, _)| *current == revisions);
+            let index = index.unwrap_or_else(|| {
+                cache.push((revisions, self.updates_since(now, &revisions)));
+                cache.len() - 1
             });
-            let (long, short): (Vec<_>, Vec<_>) = news[place].1.iter().partition(is_part);
+            let (long, short): (Vec<_>, Vec<_>) = cache[index].1.iter().partition(is_part);
             out.extend(short.into_iter().map(|message| (addr, message.clone())));
             if !long.is_empty() {
                 let notice = notices.entry(domain);
@@ -366,30 +379,32 @@
                 out.push((addr, notice.clone()));
             }
         }
-        self.note_sent(&out);
+        self.record_sent(&out);
         out
     }
 
     /// The failure domains and last reports of the gateways that report here.
-    fn reached(&self, now: Moment) -> Vec<(FailureDomain, Direct)> {
-        let live = |seen: &Seen| {
-            let direct = seen.direct.filter(|direct| now < direct.at + LIVE_FOR)?;
-            Some((seen.info.domain.clone(), direct))
+    fn reporting_gateways(&self, now: Moment) -> Vec<(FailureDomain, DirectReport)> {
+        let live = |gateway: &GatewayState| {
+            let direct = gateway
+                .direct
+                .filter(|direct| now < direct.received_at + LIVENESS_TIMEOUT)?;
+            Some((gateway.info.domain.clone(), direct))
         };
         self.gateways.values().filter_map(live).collect()
     }
 
     /// Notes what gateways hold when these messages have arrived. The next report says whether
     /// they have.
-    fn note_sent(&mut self, out: &[Outbound]) {
+    fn record_sent(&mut self, out: &[Outbound]) {
         let mut sent: BTreeMap<SocketAddr, Revisions> = BTreeMap::new();
         for (to, message) in out {
-            message.raise(sent.entry(*to).or_default());
+            message.advance(sent.entry(*to).or_default());
         }
         let direct = self.gateways.values_mut().filter_map(|s| s.direct.as_mut());
         for direct in direct {
             if let Some(sent) = sent.get(&direct.addr) {
-                direct.revisions.raise(sent);
+                direct.revisions.merge(sent);
             }
         }
     }
@@ -402,58 +417,64 @@
         answered_report: Option<u64>,
         proven_report: Option<u64>,
     ) -> Message {
-        let mut sums = self.sums.borrow_mut();
-        let held = sums.take().filter(|sums| now < sums.at + SUMS_KEPT);
-        let sums = sums.insert(held.unwrap_or_else(|| self.sums(now)));
+        let mut totals = self.totals.borrow_mut();
+        let current = totals
+            .take()
+            .filter(|totals| now < totals.computed_at + TOTALS_TTL);
+        let totals = totals.insert(current.unwrap_or_else(|| self.totals(now)));
         Message::Notice {
             revisions: self.revisions,
             replicas: self.replicas.clone(),
-            gateways: sums.gateways.clone(),
-            demand: sums.demand.clone(),
-            link_milli: sums.links.get(domain).copied(),
+            gateways: totals.gateways.clone(),
+            demand: totals.demand.clone(),
+            link_milli: totals.links.get(domain).copied(),
             answered_report,
             proven_report,
         }
     }
 
-    fn sums(&self, now: Moment) -> Sums {
-        Sums {
-            at: now,
-            gateways: self.counts(),
+    fn totals(&self, now: Moment) -> Totals {
+        Totals {
+            computed_at: now,
+            gateways: self.gateway_counts(),
             demand: self.demand(now),
-            links: self.links(now),
+            links: self.link_means(now),
         }
     }
 
     /// Gateways by failure domain. Those that fell silent lately count as well: they may
     /// be cut off from here and go on sending to endpoints.
-    fn counts(&self) -> Vec<(FailureDomain, u32)> {
+    fn gateway_counts(&self) -> Vec<(FailureDomain, u32)> {
         let mut counts = BTreeMap::new();
-        for seen in self.gateways.values() {
-            *counts.entry(seen.info.domain.clone()).or_insert(0) += 1;
+        for gateway in self.gateways.values() {
+            *counts.entry(gateway.info.domain.clone()).or_insert(0) += 1;
         }
         counts.into_iter().collect()
     }
 
     fn demand(&self, now: Moment) -> Vec<(Region, ServiceName, u32)> {
-        let mut sums: BTreeMap<(Region, ServiceName), u32> = BTreeMap::new();
-        for seen in self.gateways.values().filter(|seen| seen.is_live(now)) {
-            for demand in &seen.demand {
-                let key = (seen.info.region.clone(), demand.service.clone());
-                *sums.entry(key).or_default() += demand.busy_milli;
+        let mut by_service: BTreeMap<(Region, ServiceName), u32> = BTreeMap::new();
+        for gateway in self
+            .gateways
+            .values()
+            .filter(|gateway| gateway.is_live(now))
+        {
+            for demand in &gateway.demand {
+                let key = (gateway.info.region.clone(), demand.service.clone());
+                *by_service.entry(key).or_default() += demand.busy_milli;
             }
         }
         let flat = |((region, service), sum)| (region, service, sum);
-        sums.into_iter().map(flat).collect()
+        by_service.into_iter().map(flat).collect()
     }
 
     /// Mean use of the links of each failure domain's gateways.
-    fn links(&self, now: Moment) -> BTreeMap<FailureDomain, u32> {
-        let ready = |seen: &&Seen| seen.ready && seen.is_live(now);
+    fn link_means(&self, now: Moment) -> BTreeMap<FailureDomain, u32> {
+        let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let mut used: BTreeMap<FailureDomain, (u32, u32)> = BTreeMap::new();
-        for seen in self.gateways.values().filter(ready) {
-            let (sum, count) = used.entry(seen.info.domain.clone()).or_default();
-            *sum += seen.link_milli;
+        for gateway in self.gateways.values().filter(ready) {
+            let (sum, count) = used.entry(gateway.info.domain.clone()).or_default();
+            *sum += gateway.link_milli;
             *count += 1;
         }
         let mean = |(domain, (sum, count)): (FailureDomain, (u32, u32))| (domain, sum / count);
@@ -462,9 +483,9 @@
 
     /// The gateways that callers may be sent to.
     pub fn ready_gateways(&self, now: Moment) -> Vec<GatewayInfo> {
-        let ready = |seen: &&Seen| seen.ready && seen.is_live(now);
+        let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let gateways = self.gateways.values().filter(ready);
-        gateways.map(|seen| seen.info.clone()).collect()
+        gateways.map(|gateway| gateway.info.clone()).collect()
     }
 }
 
@@ -477,8 +498,8 @@
     table.is_none_or(|table| table.services.iter().any(|s| s.name == *service))
 }
 
-impl Seen {
+impl GatewayState {
     fn is_live(&self, now: Moment) -> bool {
-        now < self.at + LIVE_FOR
+        now < self.last_seen + LIVENESS_TIMEOUT
     }
 }
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -34,8 +34,8 @@
 
     /// Takes in a newer table.
     pub(crate) fn set(&mut self, revision: u64, version: u64, table: Arc<Table>) {
-        if let Some(held) = &self.table {
-            let delta = Arc::new(Delta::between(held, &table));
+        if let Some(current) = &self.table {
+            let delta = Arc::new(Delta::between(current, &table));
             let from = self.revision;
             self.changes.push_back(Change { from, delta });
         }
@@ -70,11 +70,11 @@
     fn changes_since(&self, base: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
         let first = self.changes.iter().position(|change| change.from == base)?;
         let changes = self.changes.range(first..);
-        let new: usize = changes
+        let added: usize = changes
             .clone()
             .map(|change| change.delta.new_routes())
             .sum();
         let changes = changes.map(|change| Arc::clone(&change.delta));
-        (new < table.routes.len()).then(|| changes.collect())
+        (added < table.routes.len()).then(|| changes.collect())
     }
 }
