--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -1,4 +1,4 @@
-//! Messages, and what they speak of.
+//! Messages between gateways and control, and their contents.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,79 +9,80 @@
 use filberthead_types::{FailureDomain, Incarnation, NodeName, Region, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// A message and where it goes.
+/// A message and its destination.
 pub type Outbound = (SocketAddr, Message);
 
-/// Whether an endpoint is to stay.
+/// Whether new requests may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has; it is to get nothing new.
+    /// It finishes its running requests and must receive no new ones.
     Draining,
 }
 
-/// An endpoint as the platform lists it.
+/// An endpoint as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its identity. One that restarts may have another, or keep it.
+    /// Its identity. A restart may keep it or change it.
     pub id: String,
-    /// The Unix millisecond of its start, which tells it from an earlier start under the
-    /// same identity; `None` if the platform doesn't tell.
+    /// Start time in Unix milliseconds, which distinguishes it from an earlier start under
+    /// the same identity; `None` if the platform doesn't provide it.
     pub incarnation: Option<Incarnation>,
-    /// Service that it runs.
+    /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens. Another endpoint may have the address after it.
+    /// Where it listens. A later endpoint may reuse the address.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Whether it is to stay.
+    /// Whether new requests may be sent to it.
     pub state: EndpointState,
-    /// How much longer it is cold, counted from when this was sent.
+    /// Remaining warm-up time at the moment of sending.
     pub cold_left: Duration,
 }
 
-/// Number of a list of endpoints: of two, the one of the higher term is newer, and within
-/// a term the one with the higher number.
+/// Version of the list of endpoints, ordered by term and then by sequence number.
+///
+/// The default, with both at 0, means no list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Stamp {
     /// Term of the leader that read the list.
     pub term: u64,
-    /// Counts the lists of that leader that differ from the one before.
+    /// Sequence number within the term, increased whenever the list has changed.
     pub seq: u64,
 }
 
-/// How one list of endpoints differs from another.
+/// Difference between two lists of endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointChange {
-    /// Number of the list that it changes.
+    /// Version of the list that it applies to.
     pub from: Stamp,
-    /// Endpoints that are new or not as they were.
+    /// Added or modified endpoints.
     pub changed: Vec<Endpoint>,
-    /// Identities of those that are on the list no more.
+    /// Identities of removed endpoints.
     pub gone: Vec<String>,
 }
 
-/// Which revisions somebody holds. 0 means none.
+/// The revisions that a process holds. 0 means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Revisions {
-    /// Index in the replicated log of the change that is in force.
+    /// Log index of the routes in force.
     pub routes: u64,
-    /// Index in the replicated log of the newest evacuation or end of one.
+    /// Log index of the newest change to the set of evacuated failure domains.
     pub evacuated: u64,
-    /// Newest list of endpoints.
+    /// Version of the newest list of endpoints.
     pub endpoints: Stamp,
 }
 
 impl Message {
-    /// Short stable name of the kind of message, as a metrics label.
+    /// Short stable name of the message kind, used as a metrics label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Report(_) => "report",
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Raises what its receiver holds by what it tells whole.
+    /// Advances the receiver's revisions by the state that this message carries completely.
     pub(crate) fn advance(&self, revisions: &mut Revisions) {
         match (self, self.revision()) {
             (Self::Evacuated { revision, .. }, _) => {
@@ -120,7 +121,8 @@
         }
     }
 
-    /// What its receiver holds then, for those that may be long.
+    /// The revision that the receiver reaches by applying this message; `None` for kinds that
+    /// are never split into parts.
     pub(crate) fn revision(&self) -> Option<Revision> {
         match self {
             Self::Routes { revision, .. } | Self::RoutesChanged { revision, .. } => {
@@ -135,14 +137,14 @@
 }
 
 impl Revisions {
-    /// Takes over what is newer in `other`.
+    /// Raises each revision to that of `other` where that is higher.
     pub fn merge(&mut self, other: &Self) {
         self.routes = self.routes.max(other.routes);
         self.evacuated = self.evacuated.max(other.evacuated);
         self.endpoints = self.endpoints.max(other.endpoints);
     }
 
-    /// Whether this revision is newer than what is held.
+    /// Whether `revision` is higher than the one held of the same kind.
     pub(crate) fn is_older_than(&self, revision: Revision) -> bool {
         match revision {
             Revision::Routes(revision) => revision > self.routes,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Whether anything in `other` is newer than here.
+    /// Whether any revision in `other` is higher.
     pub fn is_behind(&self, other: &Self) -> bool {
         other.routes > self.routes
             || other.evacuated > self.evacuated
@@ -158,7 +160,7 @@
     }
 }
 
-/// A gateway as others need to know it.
+/// Identity and location of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GatewayInfo {
@@ -168,103 +170,103 @@
     pub region: Region,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where it takes requests of callers.
+    /// Where it accepts requests from callers.
     pub caller_addr: SocketAddr,
 }
 
-/// What a gateway was asked to carry for a service.
+/// Load that callers offered to a gateway for one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Demand {
     /// The service.
     pub service: ServiceName,
-    /// Thousandths of a slot that its requests kept busy, on average, since the report
-    /// before; refused requests count as if they had run.
+    /// Average number of busy slots since the previous report, in thousandths; rejected
+    /// requests count as if they had run.
     pub busy_milli: u32,
 }
 
-/// What a gateway says about itself.
+/// State of a gateway, sent periodically to control.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Who it is.
+    /// The sender.
     pub gateway: GatewayInfo,
     /// Whether callers may be sent to it.
     pub ready: bool,
-    /// What it holds.
+    /// The revisions that it holds.
     pub revisions: Revisions,
-    /// What it was asked to carry.
+    /// Offered load for each service.
     pub demand: Vec<Demand>,
-    /// Thousandths of its link that are in use.
+    /// Utilisation of its network link in thousandths.
     pub link_milli: u32,
-    /// Comes back in the notice that answers it, if the replica can prove what that says.
+    /// Identifies the report in the notice and the proof that answer it.
     pub id: u64,
 }
 
-/// What a gateway said about itself to another replica.
+/// A gateway's report, as relayed by the control replica that received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayedReport {
-    /// Who it is.
+    /// The gateway that sent the report.
     pub gateway: GatewayInfo,
     /// Whether callers may be sent to it.
     pub ready: bool,
-    /// What it was asked to carry.
+    /// Offered load for each service.
     pub demand: Vec<Demand>,
-    /// Thousandths of its link that are in use.
+    /// Utilisation of its network link in thousandths.
     pub link_milli: u32,
-    /// Time since its report came, when this was sent.
+    /// Age of the report at the moment of relaying.
     pub age: Duration,
 }
 
-/// What somebody holds, or will hold, of something that spreads.
+/// Revision of one kind of state that may be sent in parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Revision {
-    /// Routes, by their index in the replicated log.
+    /// Log index of routes.
     Routes(u64),
-    /// A list of endpoints.
+    /// Version of a list of endpoints.
     Endpoints(Stamp),
 }
 
-/// A part of a message that is too long to be sent at once.
+/// One part of a message that is too long to be sent at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
-    /// Digest of the whole message as it is encoded.
+    /// Digest of the complete encoded message.
     pub digest: u64,
-    /// What its receiver will hold.
+    /// The revision that the receiver reaches with the complete message.
     pub revision: Revision,
-    /// Place of this part, from 0.
+    /// Index of this part, from 0.
     pub index: u32,
-    /// How many parts there are.
+    /// Number of parts of the message.
     pub count: u32,
-    /// Its bytes.
+    /// Content of this part.
     pub bytes: Vec<u8>,
 }
 
-/// What an operator wants.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Order {
-    /// Put routes in force.
+    /// Replaces the routes in force.
     Routes(Arc<Change>),
-    /// Send nothing more to the endpoints of a failure domain.
+    /// Stops sending requests to the endpoints of a failure domain.
     Evacuate(FailureDomain),
-    /// Take a failure domain back into service.
+    /// Ends the evacuation of a failure domain.
     Return(FailureDomain),
 }
 
-/// Why an order has no outcome. None of these is a refusal: the operator sends the order
-/// again.
+/// Why the outcome of an order isn't known. None of these is a rejection: the operator
+/// retries the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum OrderError {
-    /// No leader is known here, or the group is still being put together.
+    /// No leader is known, or the consensus group is still being formed.
     NoLeader,
-    /// It may take effect yet.
+    /// The order may still take effect.
     OutcomeUnknown,
-    /// Too much waits already.
+    /// Too many requests are queued.
     Busy,
 }
 
@@ -272,116 +274,118 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// A gateway makes itself known; answered by a notice.
+    /// Heartbeat of a gateway, answered by a notice.
     Report(Report),
-    /// What a replica holds, and who else there is.
+    /// State of a control replica: the answer to a report, and sent unasked when long updates
+    /// are available.
     Notice {
-        /// What it holds.
+        /// The revisions that it holds.
         revisions: Revisions,
-        /// Where the control replicas are.
+        /// Addresses of the control replicas.
         replicas: Vec<SocketAddr>,
-        /// How many gateways are live in each failure domain, as it knows.
+        /// Number of gateways in each failure domain, lately silent ones included.
         gateways: Vec<(FailureDomain, u32)>,
-        /// Busy slots that all gateways of a region asked for, in thousandths.
+        /// Total load of each service by region, in thousandths of a busy slot.
         demand: Vec<(Region, ServiceName, u32)>,
-        /// Thousandths of their links that gateways of the receiver's failure domain use on
-        /// average, of those that callers are sent to.
+        /// Mean link utilisation of the ready gateways in the receiver's failure domain, in
+        /// thousandths; `None` if there are none.
         link_milli: Option<u32>,
-        /// The question of the report that this answers, if it answers one.
+        /// Id of the report that this answers; `None` if sent unasked.
         answered_report: Option<u64>,
-        /// The question of the report that this answers, if its sender could prove at that
-        /// moment that nothing newer than what it holds is accepted.
+        /// Id of the report that this answers, if the sender could prove at that moment that
+        /// no newer revision than its own has been accepted.
         proven_report: Option<u64>,
     },
-    /// A replica that doesn't lead has learned from the leader that nothing newer than what
-    /// it holds was accepted when this question was asked.
+    /// A follower has learned from the leader that no newer revision than the follower's had
+    /// been accepted when this report arrived.
     Proof {
-        /// The question of a report.
+        /// Id of the report.
         proven_report: u64,
-        /// What it holds.
+        /// The revisions that the sender holds.
         revisions: Revisions,
     },
-    /// A replica tells the others of gateways that have reported to it.
+    /// A replica relays the reports of gateways to the other replicas.
     Roster(Vec<RelayedReport>),
-    /// A gateway asks for all that is newer than this. Of what is long it gets the first part.
+    /// A gateway requests everything newer than these revisions. Of a long message it receives
+    /// the first part.
     Pull(Revisions),
-    /// A replica asks for the list of endpoints, or what has changed in it since this one.
+    /// A replica requests the changes since this list of endpoints, or the complete list.
     PullEndpoints(Stamp),
-    /// A part of a long message.
+    /// One part of a long message.
     Part(Part),
-    /// A gateway asks for a part of the message with this digest.
+    /// A gateway requests a part of the message with this digest.
     PullPart {
-        /// The digest.
+        /// Digest of the complete message.
         digest: u64,
-        /// Place of the part.
+        /// Index of the part.
         index: u32,
     },
     /// The routes in force.
     Routes {
-        /// Their revision.
+        /// Their log index.
         revision: u64,
-        /// The operator's number of the change, for logs.
+        /// Version number that the operator gave the routes, for logs.
         version: u64,
         /// The table.
         table: Arc<Table>,
     },
-    /// What has changed in the routes.
+    /// Changes to the routes.
     RoutesChanged {
-        /// The revision that comes of it.
+        /// The revision after the changes.
         revision: u64,
-        /// The operator's number of the last change, for logs.
+        /// Version number that the operator gave the resulting routes, for logs.
         version: u64,
-        /// The revision that it changes.
+        /// The revision that the changes apply to.
         from: u64,
-        /// The changes, the oldest first.
+        /// The changes, oldest first.
         changes: Vec<Arc<Delta>>,
     },
     /// The evacuated failure domains.
     Evacuated {
-        /// Revision of the set.
+        /// Log index of the newest change to the set.
         revision: u64,
-        /// The set.
+        /// The complete set.
         domains: BTreeSet<FailureDomain>,
     },
-    /// All endpoints.
+    /// The complete list of endpoints.
     Endpoints {
-        /// Number of the list.
+        /// Version of the list.
         stamp: Stamp,
         /// The list.
         list: Vec<Endpoint>,
     },
-    /// What has changed in the list of endpoints.
+    /// A change to the list of endpoints.
     EndpointsChanged {
-        /// Number of the list that comes of it.
+        /// Version of the list after the change.
         stamp: Stamp,
         /// The change.
         change: EndpointChange,
     },
-    /// A replica that doesn't lead passes an order on to the leader.
+    /// A follower forwards an operator's order to the leader.
     Order {
-        /// Comes back with the outcome.
+        /// Correlates the outcome with the order.
         token: u64,
         /// The order.
         order: Order,
     },
-    /// What came of an order that was passed on.
+    /// Outcome of a forwarded order.
     OrderDone {
         /// Token of the order.
         token: u64,
         /// Its outcome.
         result: Result<(), OrderError>,
     },
-    /// A replica that doesn't lead asks how far it must have applied the log to know
-    /// everything accepted by now.
+    /// A follower requests the log index that it must have applied to hold everything accepted
+    /// so far.
     ReadIndex {
-        /// Comes back with the answer.
+        /// Correlates the answer with the request.
         token: u64,
     },
-    /// Answer to [`Message::ReadIndex`], proved by the leader's lease.
+    /// Answer to [`Message::ReadIndex`], backed by the leader's lease.
     ReadIndexResult {
-        /// Token of the question.
+        /// Token of the request.
         token: u64,
-        /// Index in the log.
+        /// The log index.
         result: Result<u64, OrderError>,
     },
 }
--- a/crates/fleet/src/contacts.rs
+++ b/crates/fleet/src/contacts.rs
@@ -1,11 +1,11 @@
 //! Which control replicas a gateway reports to.
 //!
-//! The load it answers: hundreds of gateways, each of which reported to every replica, so
-//! that a replica received all of their messages and their number grew with both. A gateway
-//! follows a few replicas, the nearest that answer, and these tell the others. As long as
-//! one of them proves that it holds the newest routes, nobody else is asked. When proofs
-//! stay away, because the replicas are gone, cut off or behind, more are asked with each
-//! report, and in the end all, so that a replica that can be reached is found.
+//! If hundreds of gateways reported to every replica, each replica would receive the messages
+//! of all gateways, and their total would grow with both numbers. So a gateway reports to a
+//! few replicas, the nearest that respond, and these relay the reports to the others. While
+//! one of them proves that it holds the newest routes, that is enough. When proofs stop,
+//! because the replicas are down, cut off or behind, each report goes to more of them, and in
+//! the end to all, so that a reachable replica is found.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,36 +13,35 @@
 
 use filberthead_types::Moment;
 
-/// Replicas that are followed while proofs come: one may be lost without a gap.
+/// Replicas that are reported to while proofs arrive: one may fail without a gap.
 const MIN_REPLICAS: usize = 2;
-/// Age of the last proof from which more replicas are asked: two reports, so that one lost
-/// message doesn't count.
+/// Age of the last proof from which more replicas are reported to: two report periods, so that
+/// one lost message makes no difference.
 const PROOF_STALE_AFTER: Duration = Duration::from_millis(1200);
-/// Time in which the number of replicas asked doubles while no proof comes.
+/// Time in which the number of replicas doubles while no proof arrives.
 const WIDENING_PERIOD: Duration = Duration::from_millis(250);
-/// Silence after a report from which a replica isn't preferred any more.
+/// Time after an unanswered report from which a replica counts as unresponsive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time between reports to a replica that isn't followed, so that one that has come back is
-/// found: each of a dozen within a minute.
+/// Time between reports to one of the other replicas, so that a recovered replica is found:
+/// each of a dozen is probed within a minute.
 const PROBE_PERIOD: Duration = Duration::from_secs(5);
-/// A replica that no notice has named for this long, while others came, is no longer reported
-/// to.
+/// A replica that no notice has listed for this long, while notices arrived, is removed.
 const REMOVED_AFTER: Duration = Duration::from_secs(30);
-/// Weight of a new observation of the way to a replica.
+/// Weight of a new sample in the moving average of a replica's round trip time.
 const RTT_WEIGHT: f64 = 0.25;
 
-/// What is known of a replica.
+/// State of one replica as seen by the gateway.
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
-    /// When it was last named or heard; never for one of the settings that wasn't.
+    /// When a notice last came from it or listed it; `None` if it is only in the settings.
     last_named: Option<Moment>,
-    /// Whether it has sent a notice.
+    /// Whether it has ever sent a notice.
     has_announced: bool,
-    /// When the first report was sent that it hasn't answered yet.
+    /// When the oldest report was sent that it hasn't answered yet.
     oldest_unanswered: Option<Moment>,
-    /// Seconds until it answers.
+    /// Moving average of its round trip time in seconds; `None` before its first answer.
     rtt: Option<f64>,
-    /// When it was last reported to.
+    /// When a report was last sent to it.
     last_report: Moment,
 }
 
@@ -53,7 +52,7 @@
     }
 }
 
-/// The replicas that a gateway knows.
+/// The control replicas that a gateway may report to.
 #[derive(Clone, Debug)]
 pub(crate) struct Contacts {
     seeds: BTreeSet<SocketAddr>,
@@ -72,7 +71,8 @@
         }
     }
 
-    /// Replaces the replicas of the settings. None at all means that they couldn't be read.
+    /// Replaces the replicas from the settings. An empty list means that the settings couldn't
+    /// be read, and is ignored.
     pub(crate) fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         let seeds: BTreeSet<_> = seeds.into_iter().collect();
         if seeds.is_empty() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes in a notice and the replicas that it names.
+    /// Records a notice from a replica and the replicas that it lists.
     pub(crate) fn record_notice(&mut self, now: Moment, from: SocketAddr, named: &[SocketAddr]) {
         for addr in named {
             self.replicas.entry(*addr).or_default().last_named = Some(now);
@@ -98,7 +98,7 @@
         contact.has_announced = true;
     }
 
-    /// Takes in the answer to a report that was sent at `asked`.
+    /// Records the answer to a report that was sent at `sent_at`.
     pub(crate) fn record_answer(&mut self, now: Moment, from: SocketAddr, sent_at: Moment) {
         let Some(contact) = self.replicas.get_mut(&from) else {
             return;
@@ -109,7 +109,7 @@
         contact.oldest_unanswered = None;
     }
 
-    /// Whether more than half of the replicas that were named have told what they hold.
+    /// Whether more than half of the listed replicas have announced their revisions.
     pub(crate) fn majority_announced(&self) -> bool {
         let named = self
             .replicas
@@ -121,8 +121,8 @@
         2 * announced > named
     }
 
-    /// Forgets replicas that weren't named for long, counted up to the last notice: while
-    /// none comes nobody is left out of any, and who is forgotten then may be the only one
+    /// Removes replicas that notices no longer list, counted up to the last notice: while no
+    /// notice arrives, none leaves a replica out, and the one removed might be the only one
     /// that can still be reached.
     pub(crate) fn remove_unnamed(&mut self, last_notice: Moment) {
         let seeds = &self.seeds;
@@ -137,7 +137,8 @@
         });
     }
 
-    /// Whom to report to now; `proof` is when the last proof was asked for that holds.
+    /// Replicas to report to now. `proof` is when the report that led to the newest valid proof
+    /// was sent.
     pub(crate) fn select(&mut self, now: Moment, proof: Option<Moment>) -> Vec<SocketAddr> {
         let mut order: Vec<_> = self.replicas.iter().map(|(addr, c)| (*addr, *c)).collect();
         order.sort_by(|(_, a), (_, b)| {
@@ -158,7 +159,7 @@
         chosen
     }
 
-    /// How many replicas are asked.
+    /// How many replicas to report to.
     fn width(&self, now: Moment, proof: Option<Moment>) -> usize {
         let Some(sent_at) = proof.filter(|_| self.majority_announced()) else {
             return usize::MAX;
@@ -171,8 +172,7 @@
             .map_or(usize::MAX, |times| MIN_REPLICAS.saturating_mul(times))
     }
 
-    /// One of those that aren't followed, from time to time: the one that was reported to
-    /// longest ago.
+    /// From time to time one of the other replicas: the one that was reported to longest ago.
     fn next_probe(&mut self, now: Moment, others: &[SocketAddr]) -> Option<SocketAddr> {
         if now < self.last_probe + PROBE_PERIOD {
             return None;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,24 +1,24 @@
-//! What gateways and control tell each other, as step functions free of I/O.
+//! State distribution between gateways and control replicas, as step functions free of I/O.
 //!
-//! A gateway reports to a few control replicas ([`Member`]) and to more of them while none
-//! proves that it is up to date; a replica answers with the revisions that it holds and
-//! tells the other replicas of the gateways that report to it ([`Registry`]). Whoever sees a
-//! higher revision than its own asks for it. So a gateway that is cut off from the leader
-//! still gets a change from any replica that has it, and no replica has to know which of
-//! its messages arrived.
+//! A gateway ([`Member`]) reports to a few control replicas, and to more of them while none
+//! proves that its routes are the newest. A replica ([`Registry`]) answers with the revisions
+//! that it holds and relays the reports to the other replicas. A process that sees a higher
+//! revision than its own pulls it from the sender. So a gateway that is cut off from the
+//! leader still receives a change from any replica that has it, and no replica has to track
+//! which of its messages arrived.
 //!
-//! Three things spread this way, each under a revision that only goes up:
+//! Three kinds of state are distributed, each under a revision that never decreases:
 //!
-//! - the routes in force and the evacuated failure domains, under their index in the
-//!   replicated log, so that all replicas number them alike;
-//! - the list of endpoints, which one leader reads and stamps with its term, so that
-//!   whatever a deposed leader still sends loses. Who holds an older list is told what has
-//!   changed since (`list`).
+//! - the routes in force and the set of evacuated failure domains, each under its index in
+//!   the replicated log, so that all replicas number them alike;
+//! - the list of endpoints, which the leader reads and stamps with its term, so that a list
+//!   from a deposed leader is always older. A holder of an older list receives only the
+//!   changes since then (`list`).
 //!
-//! What is long goes to gateways in parts, which they ask for (`parts`).
+//! Long messages are sent to gateways in parts, which they pull one by one (`parts`).
 //!
-//! Invariant: a [`Member`] never goes back to a lower revision of anything. A process that
-//! starts anew begins with nothing and serves nothing until it has both routes and list.
+//! Invariant: a [`Member`] never returns to a lower revision of any of these. A process
+//! starts without state and serves nothing until it has both routes and a list.
 
 mod api;
 mod contacts;
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,14 +1,14 @@
-//! The list of endpoints, and what has changed in it lately.
+//! The list of endpoints and its recent changes.
 //!
-//! The load it answers: a release replaces endpoints one after the other, and each step is
-//! a new list. At six hundred endpoints a list is 30 KB; sent whole to every gateway, steps
-//! of a second would fill a twentieth of a gateway's link and grow with the square of the
-//! deployment. So whoever holds a list is told only what has changed since.
+//! A release replaces endpoints one after the other, and each step makes a new list. With 600
+//! endpoints a list takes 30 KB; sending it to every gateway once a second would fill a
+//! twentieth of a gateway's link, and the cost would grow with the square of the deployment.
+//! So a process that holds a list receives only the changes since then.
 //!
-//! A stamp names the same content on every replica, since only the leader of a term gives
-//! stamps; so a change from one stamp to another may come from any of them. Lists that were
-//! read without a leader have no term, and replicas number them each on its own: nothing is
-//! ever told as a change of one of those.
+//! A stamp identifies the same content on every replica, since only the leader of a term
+//! assigns stamps; so a change between two stamps may come from any replica. Lists that were
+//! read without a leader have term 0 and are numbered by each replica on its own, so changes
+//! relative to such a list are never sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,39 +18,40 @@
 
 use crate::{Endpoint, EndpointChange, EndpointState, Message, Stamp};
 
-/// A change of an endpoint's cold time by less than this is the passing of time seen
-/// through a clock of another machine, not news.
+/// Smaller differences in an endpoint's remaining cold time come from clock differences
+/// between machines and don't count as a change.
 const COLD_TIME_TOLERANCE: Duration = Duration::from_millis(700);
-/// Changes that are kept: as many as come within some tens of seconds of a release. Who
-/// was away for longer gets the whole list.
+/// Number of changes kept: what a release makes within some tens of seconds. A process that
+/// missed more receives the complete list.
 const KEPT_CHANGES: usize = 48;
 
-/// How long just an earlier start must have been read under an identity before it is
-/// believed again: several times what a platform's list lags. An endpoint's clock may have
-/// been ahead at the start that is held.
+/// How long readings must show only an earlier start of an endpoint before it replaces the
+/// one held: several times the lag of a platform's list. The clock may have been ahead at the
+/// start that is held, so the earlier one can't be ignored for good.
 const EARLIER_START_ACCEPTED_AFTER: Duration = Duration::from_secs(3);
 
-/// What became of news about the list.
+/// Result of applying a list or a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListOutcome {
-    /// It is held now.
+    /// It was applied.
     Applied,
-    /// Something at least as new is held.
+    /// A list that is at least as new is already held.
     Stale,
-    /// It is a change of a list that isn't held.
+    /// The change is relative to a list that isn't held.
     Gap,
 }
 
-/// The list that a replica holds.
+/// The list that a replica holds, with its recent changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointList {
     stamp: Stamp,
     by_id: BTreeMap<String, Endpoint>,
-    /// When cold times were as they stand.
+    /// The moment to which the remaining cold times in `by_id` refer.
     updated_at: Moment,
-    /// From an older stamp to a newer one, without a gap, up to what is held.
+    /// Consecutive changes, oldest first, each with the stamp that it leads to; the last one
+    /// leads to `stamp`.
     changes: VecDeque<(Stamp, EndpointChange)>,
-    /// Since when readings have had only earlier starts of these.
+    /// Since when readings have shown only an earlier start of these endpoints, by identity.
     earlier_since: BTreeMap<String, Moment>,
 }
 
@@ -64,9 +65,9 @@
         self.by_id.values().map(|e| &e.service)
     }
 
-    /// What holds of a list that was read just now: one entry for each identity, and none of
-    /// a start that is earlier than the one held. Replicas that show a restart may be behind,
-    /// and entries of other writers may have an endpoint's identity.
+    /// Cleans up a list that was just read from the platform: one entry for each identity, and
+    /// none for an earlier start than the one held. The platform's replicas may lag behind a
+    /// restart, and other programs may write entries with an endpoint's identity.
     pub(crate) fn reconcile(
         &mut self,
         now: Moment,
@@ -92,8 +93,7 @@
         best.into_values().collect()
     }
 
-    /// Whether a list that was read just now differs from this one by no more than the
-    /// passing of time.
+    /// Whether a list that was just read differs from this one only by the passing of time.
     pub(crate) fn is_unchanged(&self, now: Moment, list: &[Endpoint]) -> bool {
         let is_unchanged = |e: &Endpoint| {
             let current = self.by_id.get(&e.id);
@@ -104,7 +104,7 @@
         self.by_id.len() == list.len() && list.iter().all(is_unchanged)
     }
 
-    /// Takes in a whole list.
+    /// Replaces the list if `stamp` is newer.
     pub(crate) fn replace(
         &mut self,
         now: Moment,
@@ -136,7 +136,7 @@
         ListOutcome::Applied
     }
 
-    /// Takes in a change.
+    /// Applies a change to the list.
     pub(crate) fn apply(
         &mut self,
         now: Moment,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// What somebody lacks who holds the list with this stamp.
+    /// The update for a process that holds the list of stamp `base`; `None` if it is up to date.
     pub(crate) fn since(&self, now: Moment, base: Stamp) -> Option<Message> {
         if self.stamp <= base {
             return None;
@@ -191,7 +191,8 @@
         Some(message)
     }
 
-    /// All changes from a stamp on as one, if they are all kept and shorter than the list.
+    /// All changes since `base` merged into one; `None` if some are no longer kept or the result
+    /// isn't shorter than the list.
     fn change_since(&self, base: Stamp) -> Option<EndpointChange> {
         if base.term == 0 {
             return None;
@@ -242,10 +243,10 @@
     best
 }
 
-/// Of two entries with one identity the one that ranks higher holds. In this order: one of a
-/// service that routes name, since the other gets no request in any case; the later start;
-/// one that drains, since nothing is sent where that may be true. The rest only makes the
-/// choice the same on every replica.
+/// Priority among entries with the same identity; the highest is kept. In this order: a
+/// service that has routes, since the other receives no requests anyway; the later start; a
+/// draining one, since sending to an endpoint that may be draining must be avoided. The rest
+/// only makes the choice deterministic across replicas.
 fn rank(e: &Endpoint, is_served: bool) -> impl Ord + '_ {
     (
         is_served,
--- a/crates/fleet/src/parts.rs
+++ b/crates/fleet/src/parts.rs
@@ -1,13 +1,13 @@
-//! News that is too long to be sent at once.
+//! Transfer of messages that are too long to be sent at once.
 //!
-//! The load it answers: a table of thousands of routes takes a gateway's link for a second,
-//! and everything else that the gateway receives waits behind it: news of endpoints that
-//! leave, requests, answers. So a replica sends the first part only, and the gateway asks
-//! for the others, a few at a time. What waits on its link is bounded by those few, and a
-//! link that is busy with requests slows the transfer down and not the requests.
+//! A table of thousands of routes occupies a gateway's link for a second, and everything else
+//! for the gateway queues behind it: updates about leaving endpoints, requests, responses. So
+//! a replica sends only the first part, and the gateway pulls the others, a few at a time.
+//! That bounds the queue on its link, and on a link that is busy with requests the transfer
+//! slows down instead of the requests.
 //!
-//! Parts are named by a digest of the whole, so that parts of different news never mix,
-//! whoever sent them.
+//! Parts carry a digest of the complete message, so that parts of different messages never
+//! mix, whichever replicas sent them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,22 +19,23 @@
 
 use crate::{Message, Part, Revision, Revisions};
 
-/// Bytes of a part.
+/// Size of a part.
 const PART_BYTES: usize = 8 * 1024;
-/// Parts that a gateway has asked for and not yet received, at most.
+/// Maximum number of parts that a gateway has pulled and not yet received.
 const WINDOW: usize = 2;
-/// Parts of the longest news that is taken in.
+/// Longest message that a gateway accepts, in parts.
 const MAX_PARTS: u32 = 1024;
-/// Time without a part after which the missing ones are asked for again.
+/// Time without a part after which the missing ones are pulled again.
 const PART_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often parts are asked for again before the transfer is given up.
+/// How often parts are pulled again before the transfer is abandoned.
 const MAX_RETRIES: u32 = 2;
-/// How long a replica keeps news that nobody asks for any more.
+/// How long a replica keeps an encoded message after the last pull.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Age up to which the same bytes are sent to further gateways. They hold times that pass.
+/// Age up to which an encoded message is reused for further gateways. It contains remaining
+/// times, which become outdated.
 const REUSE_WINDOW: Duration = Duration::from_secs(1);
 
-/// News that is being sent.
+/// A long message that gateways are pulling.
 #[derive(Clone, Debug)]
 struct Outgoing {
     from: Revision,
@@ -59,13 +60,13 @@
     }
 }
 
-/// The long news that a replica sends.
+/// The long messages that a replica is sending.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutgoingTransfers(Vec<Outgoing>);
 
 impl OutgoingTransfers {
-    /// What to send to a gateway that holds `from` and lacks this news: the news itself, or
-    /// its first part.
+    /// What to send to a gateway that holds `from` and needs `message`: the message itself, or
+    /// its first part if it is too long.
     pub(crate) fn begin(&mut self, now: Moment, from: Revision, message: Message) -> Message {
         self.0
             .retain(|outgoing| now < outgoing.last_used + IDLE_TIMEOUT);
@@ -79,7 +80,7 @@
             outgoing.last_used = now;
             return outgoing.part(0).unwrap_or(message);
         }
-        // What can't be encoded is left to the transport, which says so.
+        // A message that can't be encoded is returned as it is: the transport reports the error.
         let bytes = postcard::to_stdvec(&message).unwrap_or_default();
         if bytes.len() <= PART_BYTES {
             return message;
@@ -97,7 +98,7 @@
         first.unwrap_or(message)
     }
 
-    /// A part, if the news is still held.
+    /// The part, if the message is still kept.
     pub(crate) fn part(&mut self, now: Moment, digest: u64, index: u32) -> Option<Message> {
         let outgoing = self
             .0
@@ -108,28 +109,28 @@
     }
 }
 
-/// News of which some parts are here.
+/// A long message of which some parts have been received.
 #[derive(Clone, Debug)]
 struct Incoming {
     from: SocketAddr,
     revision: Revision,
     digest: u64,
     parts: Vec<Option<Vec<u8>>>,
-    /// Parts that were asked for, from the first.
+    /// Number of parts pulled so far, counted from the first.
     pulled: usize,
-    /// When a part last came or was last asked for again.
+    /// When a part was last received or pulled again.
     last_activity: Moment,
     retries: u32,
 }
 
-/// What came of a part.
+/// Result of receiving a part.
 #[derive(Debug, PartialEq)]
 pub(crate) enum PartOutcome {
-    /// Ask for these parts.
+    /// Accepted; pull these parts next.
     Pull(Vec<Message>),
-    /// It was the last one; this is the news.
+    /// It was the last missing part; this is the message.
     Complete(Box<Message>),
-    /// It is of no use.
+    /// It is a duplicate, belongs to no transfer, or the message is damaged.
     Rejected,
 }
 
@@ -161,7 +162,7 @@
         PartOutcome::Pull(self.pull_more())
     }
 
-    /// Asks for further parts, as far as the window allows.
+    /// Pulls further parts, as far as the window allows.
     fn pull_more(&mut self) -> Vec<Message> {
         let missing = self.missing().len();
         let additional = WINDOW.saturating_sub(missing);
@@ -172,7 +173,7 @@
             .collect()
     }
 
-    /// Parts that were asked for and aren't here.
+    /// Parts that were pulled and haven't been received.
     fn missing(&self) -> Vec<usize> {
         let pulled = self.parts.iter().take(self.pulled).enumerate();
         let missing = pulled.filter(|(_, part)| part.is_none());
@@ -199,13 +200,13 @@
     }
 }
 
-/// The long news that a gateway receives: of routes and of endpoints, one each at most.
+/// The long messages that a gateway is receiving: at most one of routes and one of endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IncomingTransfers(VecDeque<Incoming>);
 
 impl IncomingTransfers {
-    /// Raises `have` to `theirs` where news is on its way already, so that it isn't asked for
-    /// meanwhile. What came after it is asked for when it is here.
+    /// Raises `revisions` to `wanted` where a transfer is already running, so that nothing is
+    /// pulled twice. Newer state is pulled once that transfer is complete.
     pub(crate) fn with_pending(&self, revisions: &Revisions, wanted: &Revisions) -> Revisions {
         let mut expected = *revisions;
         for incoming in &self.0 {
@@ -219,13 +220,13 @@
         expected
     }
 
-    /// Gives up transfers of what is held by now.
+    /// Drops transfers of state that is no longer newer than `revisions`.
     pub(crate) fn cancel_superseded(&mut self, revisions: &Revisions) {
         self.0
             .retain(|incoming| revisions.is_older_than(incoming.revision));
     }
 
-    /// Takes in a part of news that isn't held yet.
+    /// Accepts a part of a message that is newer than the state held.
     pub(crate) fn accept(&mut self, now: Moment, from: SocketAddr, part: Part) -> PartOutcome {
         let has_digest = |incoming: &Incoming| incoming.digest == part.digest;
         let index = match self.0.iter().position(has_digest) {
@@ -251,8 +252,8 @@
         part.index == 0 && part.count <= MAX_PARTS && !self.0.iter().any(same_kind)
     }
 
-    /// Asks again for parts that are overdue. Who doesn't send them is given up, and the
-    /// news is asked for anew, of whoever speaks of it next.
+    /// Pulls overdue parts again. After too many retries a transfer is abandoned, and the
+    /// message is pulled anew from the next replica that announces it.
     pub(crate) fn tick(&mut self, now: Moment) -> Vec<(SocketAddr, Message)> {
         let overdue = |incoming: &Incoming| now >= incoming.last_activity + PART_TIMEOUT;
         self.0
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -1,4 +1,4 @@
-//! The table of routes, and how it has changed lately.
+//! The table of routes and its recent changes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::Message;
 
-/// Changes that are kept. Who was away for longer gets the whole table.
+/// Number of changes kept. A process that missed more receives the complete table.
 const KEPT_CHANGES: usize = 16;
 
-/// What made one revision of another.
+/// The change from one revision to the next.
 #[derive(Clone, Debug)]
 struct Change {
     from: u64,
@@ -23,7 +23,7 @@
     revision: u64,
     version: u64,
     table: Option<Arc<Table>>,
-    /// Without a gap, up to what is held.
+    /// Consecutive changes, oldest first; the last one leads to `revision`.
     changes: VecDeque<Change>,
 }
 
@@ -32,7 +32,7 @@
         self.table.as_deref()
     }
 
-    /// Takes in a newer table.
+    /// Replaces the table with a newer one.
     pub(crate) fn set(&mut self, revision: u64, version: u64, table: Arc<Table>) {
         if let Some(current) = &self.table {
             let delta = Arc::new(Delta::between(current, &table));
@@ -47,7 +47,7 @@
         self.table = Some(table);
     }
 
-    /// What somebody lacks who holds revision `have`.
+    /// The update for a process that holds revision `base`; `None` if it is up to date.
     pub(crate) fn since(&self, base: u64) -> Option<Message> {
         let table = self.table.as_ref().filter(|_| self.revision > base)?;
         let (revision, version) = (self.revision, self.version);
@@ -66,7 +66,8 @@
         })
     }
 
-    /// The changes since a revision, if they are known and shorter than the table.
+    /// The changes since revision `base`; `None` if some are no longer kept or they aren't
+    /// shorter than the table.
     fn changes_since(&self, base: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
         let first = self.changes.iter().position(|change| change.from == base)?;
         let changes = self.changes.range(first..);
