--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! The gateway side: reports, and asks for what it lacks.
+//! The gateway side: reports to control replicas and pulls missing updates.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -14,111 +14,112 @@
     Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Part, Report, Revisions,
 };
 
-/// Time between reports: three fit into the silence after which a gateway is taken for
-/// dead, and a notice that was lost is made up for within it.
+/// Time between reports: three fit into the silence after which a gateway counts as dead, and
+/// a lost notice is replaced within one period.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
-/// An answer to a question takes two ways between regions; asked sooner again, each
-/// change would come twice.
+/// Time after which an update is pulled again. A pull takes a round trip between regions; with
+/// a shorter time each change would arrive twice.
 const PULL_RETRY: Duration = Duration::from_millis(250);
-/// How long a gateway that starts waits to hear from most replicas.
+/// How long a starting gateway waits for notices from a majority of replicas.
 const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a proof that routes are the newest is good for, from when it was asked for: three
-/// reports, so that one that is lost or late doesn't end it; and much less than the time
-/// within which a change is to be in force everywhere.
+/// How long a proof that routes are the newest remains valid, counted from the report that
+/// requested it: three report periods, so that one lost or late report doesn't end it, and
+/// much less than the time within which a change must be in force everywhere.
 const PROVEN_FOR: Duration = Duration::from_millis(1600);
-/// Questions that are remembered: as many reports as go out while a proof is good.
+/// Number of recent reports whose send times are kept: as many as are sent while a proof is
+/// valid.
 const TRACKED_REPORTS: usize = 4;
 
-/// What a gateway learns.
+/// State that a gateway has received from control.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// Routes to put in force.
     Routes {
-        /// Their revision.
+        /// Their log index.
         revision: u64,
-        /// The operator's number.
+        /// Version number that the operator gave them, for logs.
         version: u64,
         /// The table.
         table: Arc<Table>,
     },
-    /// The failure domains that are evacuated from now on.
+    /// The complete set of evacuated failure domains.
     Evacuated(BTreeSet<FailureDomain>),
-    /// The endpoints there are.
+    /// The complete list of endpoints.
     Endpoints(Vec<Endpoint>),
-    /// What has changed in them.
+    /// A change to the list of endpoints.
     EndpointsChanged(EndpointChange),
-    /// How many gateways there are in each failure domain.
+    /// Number of gateways in each failure domain.
     Gateways(Vec<(FailureDomain, u32)>),
-    /// What all gateways of each region were asked to carry.
+    /// Total load of each service by region, in thousandths of a busy slot.
     Demand(Vec<(Region, ServiceName, u32)>),
-    /// Thousandths of their links that gateways of this failure domain use on average.
+    /// Mean link utilisation of the gateways in this failure domain, in thousandths.
     Links(Option<u32>),
 }
 
-/// How long news took from when it was first heard of.
+/// How long an update took to arrive after it was first announced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateDelay {
-    /// Since a replica first said that it holds something newer.
+    /// Time since a replica first announced a newer revision.
     pub since_announced: Duration,
-    /// Questions for it.
+    /// Number of pulls that were sent for it.
     pub requests: u32,
 }
 
-/// What comes of changes of routes.
+/// Result of applying changes to the routes held.
 enum PatchOutcome {
-    /// The newer table.
+    /// The resulting table.
     Table(Arc<Table>),
-    /// They are changes of routes that aren't held.
+    /// The changes apply to another revision than the one held.
     Gap,
-    /// They don't fit the routes that they name, so only a whole table helps.
+    /// The changes don't match the routes held, so the complete table is needed.
     Invalid,
 }
 
-/// What a gateway carries.
+/// Current load of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// What it was asked to carry.
+    /// Offered load for each service.
     pub demand: Vec<Demand>,
-    /// Thousandths of its link that are in use.
+    /// Utilisation of its network link in thousandths.
     pub link_milli: u32,
 }
 
-/// What a gateway knows of control.
+/// A gateway's connection to control and the revisions that it has received.
 #[derive(Clone, Debug)]
 pub struct Member {
     info: GatewayInfo,
     ready: bool,
     contacts: Contacts,
     control_last_seen: Option<Moment>,
-    /// When the first notice of all came.
+    /// When the first notice since the start arrived.
     first_notice: Option<Moment>,
-    /// The newest of everything that anybody was heard to hold.
+    /// The highest revisions that any replica has announced.
     newest: Revisions,
     revisions: Revisions,
-    /// The routes of that revision.
+    /// The routes of revision `revisions.routes`.
     routes: Option<Arc<Table>>,
     last_pull: Option<(Revisions, Moment)>,
-    /// Long messages of which some parts are here.
+    /// Long messages that are being received.
     transfers: IncomingTransfers,
-    /// When news was first heard of that isn't here yet.
+    /// Since when a newer revision has been announced than the one held.
     behind_since: Option<Moment>,
-    /// Questions since then.
+    /// Number of pulls since then.
     pulls: u32,
     delay: UpdateDelay,
     next_report: Moment,
-    /// The questions of the last reports, and when they were asked.
+    /// Ids and send times of the last reports, newest first.
     sent_reports: VecDeque<(u64, Moment)>,
     next_report_id: u64,
-    /// The revision of the routes that was last proved to be the newest, and when that was
-    /// asked.
+    /// The revision of routes that was last proved to be the newest, and when the report that
+    /// requested the proof was sent.
     proven: Option<(u64, Moment)>,
 }
 
 impl Member {
-    /// Starts with the replicas of the settings. Questions are numbered from
-    /// `first_question`, which is to be drawn anew for each life of the process, so that an
-    /// answer to an earlier life answers nothing.
+    /// Starts with the replicas from the settings. Report ids count up from `first_report_id`,
+    /// which must be random for each start of the process, so that answers to an earlier
+    /// process are ignored.
     pub fn new(
         info: GatewayInfo,
         seeds: impl IntoIterator<Item = SocketAddr>,
@@ -145,15 +146,15 @@
         }
     }
 
-    /// What this gateway holds.
+    /// The revisions that this gateway holds.
     pub fn revisions(&self) -> Revisions {
         self.revisions
     }
 
-    /// Whether it may serve by what it knows: it has routes and endpoints, the newest that
-    /// most replicas know of. One replica alone may have been down while hundreds of
-    /// changes passed. Where most can't be reached, what the others know has to do after
-    /// a while.
+    /// Whether this gateway may start to serve: it has routes and endpoints, and they are the
+    /// newest that a majority of replicas has announced. A single replica may have been down
+    /// during hundreds of changes. If a majority can't be reached, the gateway serves after a
+    /// timeout with what it has.
     pub fn is_synced(&self, now: Moment) -> bool {
         let has_all = self.revisions.routes > 0 && self.revisions.endpoints.seq > 0;
         let majority = self.contacts.majority_announced();
@@ -163,38 +164,38 @@
         has_all && ((majority && !self.revisions.is_behind(&self.newest)) || timed_out)
     }
 
-    /// Whether the routes held here were lately proved to be the newest that are accepted.
+    /// Whether the routes held were recently proved to be the newest that are accepted.
     ///
-    /// Only then may it be said that something is *not* in them. A gateway that is cut off,
-    /// or has started beside replicas that are behind, goes on by what it has, which may
-    /// lack what was added since.
+    /// Only then may the gateway answer that a route does *not* exist. A gateway that is cut
+    /// off, or that started with replicas that are behind, continues with the routes it has,
+    /// which may lack later additions.
     ///
-    /// A proof counts from when it was asked for and not from when it came: held up on its
-    /// way, it says nothing about the present.
+    /// A proof is valid from when it was requested, not from when it arrived: a delayed one
+    /// says nothing about the present.
     pub fn is_proven(&self, now: Moment) -> bool {
         self.proven_at()
             .is_some_and(|asked| now < asked + PROVEN_FOR)
     }
 
-    /// When that was last asked which proved the routes held here, if anything did and nobody
-    /// was heard to hold newer ones.
+    /// When the report was sent that led to the newest proof of the routes held; `None` without
+    /// a proof, or if newer routes have been announced.
     pub fn proven_at(&self) -> Option<Moment> {
         let (revision, asked) = self.proven?;
         let newest = revision.max(self.newest.routes);
         (self.revisions.routes >= newest).then_some(asked)
     }
 
-    /// How long the news took that was taken in last.
+    /// How long the last applied update took to arrive.
     pub fn delay(&self) -> UpdateDelay {
         self.delay
     }
 
-    /// When a control replica was last heard.
+    /// When the last message from a control replica arrived; `None` if none has.
     pub fn control_last_seen(&self) -> Option<Moment> {
         self.control_last_seen
     }
 
-    /// Says whether callers may be sent here; a change is reported at the next tick.
+    /// Sets whether callers may be sent here. A change is reported at the next tick.
     pub fn set_ready(&mut self, ready: bool) {
         if self.ready != ready {
             self.ready = ready;
@@ -202,13 +203,14 @@
         }
     }
 
-    /// Replaces the replicas of the settings, when these have changed. None at all means
-    /// that they couldn't be read, and changes nothing.
+    /// Replaces the replicas from the settings after a change. An empty list means that they
+    /// couldn't be read, and is ignored.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.contacts.set_seeds(seeds);
     }
 
-    /// Reports if it is time. `load` is asked only then.
+    /// Sends reports that are due and overdue pulls of parts. `load` is called only for a
+    /// report.
     pub fn tick(&mut self, now: Moment, load: impl FnOnce() -> Load) -> Vec<Outbound> {
         let mut out = self.transfers.tick(now);
         out.extend(self.report(now, load));
@@ -252,7 +254,7 @@
         asked.map(|(_, at)| *at)
     }
 
-    /// Takes in that routes of `revision` were the newest when this question was answered.
+    /// Records that routes of `revision` were the newest when this report was answered.
     fn prove(&mut self, report_id: u64, revision: u64) {
         let Some(at) = self.report_sent_at(report_id) else {
             return;
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Takes in a message of a control replica.
+    /// Handles a message from a control replica.
     pub fn receive(
         &mut self,
         now: Moment,
@@ -375,7 +377,7 @@
         }
     }
 
-    /// Takes in what a replica holds, and the questions that its notice answers and proves.
+    /// Records a replica's revisions, and the report that its notice answers or proves.
     fn on_notice(
         &mut self,
         now: Moment,
@@ -403,7 +405,7 @@
         }
     }
 
-    /// The routes held here with changes of the routes of revision `from`.
+    /// Applies changes relative to revision `from` to the routes held.
     fn patch_routes(&self, from: u64, changes: &[Arc<Delta>]) -> PatchOutcome {
         let current = self
             .routes
@@ -437,7 +439,7 @@
             }
             PartOutcome::Complete(message) => {
                 let (mut out, updates) = self.apply(now, from, *message);
-                // What came after it wasn't asked for while it was on its way.
+                // Newer revisions weren't pulled during the transfer.
                 self.last_pull = None;
                 out.extend(self.pull(now, from, self.newest));
                 (out, updates)
@@ -446,8 +448,8 @@
         }
     }
 
-    /// Asks for what a replica holds beyond this gateway, unless the same was asked of
-    /// somebody a moment ago.
+    /// Pulls revisions up to `wanted` from a replica, unless they were just pulled from any
+    /// replica.
     fn pull(&mut self, now: Moment, from: SocketAddr, wanted: Revisions) -> Vec<Outbound> {
         if !self.revisions.is_behind(&wanted) {
             return Vec::new();
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! The control side: which gateways are live, and what they are to be told.
+//! The control side: tracks the gateways and sends them the updates that they need.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,32 +17,34 @@
     Revision, Revisions, Stamp,
 };
 
-/// Silence after which a gateway is no longer named to callers: three reports, so that
-/// one that is lost or late takes nobody out of service.
+/// Silence after which a gateway is no longer returned to callers: three report periods, so
+/// that one lost or late report takes no gateway out of service.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1600);
-/// Silence after which a gateway is forgotten. Its place in counts lasts this long, since
-/// one that is cut off from control may still be serving.
+/// Silence after which a gateway is removed. Until then it still counts as a gateway of its
+/// failure domain, since one that is cut off from control may still be serving.
 const REMOVED_AFTER: Duration = Duration::from_secs(30);
 
-/// Time for which sums over all gateways are kept: each of hundreds of reports is answered
-/// with them.
+/// How long totals over all gateways are cached: every answer to hundreds of reports contains
+/// them.
 const TOTALS_TTL: Duration = Duration::from_millis(100);
-/// Questions that may wait for the leader's word; further ones are asked again anyway.
+/// Proof requests that may wait for the leader. Further ones are dropped: the next report
+/// requests a proof again.
 const MAX_PROOF_REQUESTS: usize = 1024;
 
-/// A report that came to this replica itself.
+/// The last report that a gateway sent to this replica itself.
 #[derive(Clone, Copy, Debug)]
 struct DirectReport {
     addr: SocketAddr,
     received_at: Moment,
-    /// What the gateway holds, by its report and what it was sent since.
+    /// Revisions that the gateway holds, according to its report and the updates sent since.
     revisions: Revisions,
 }
 
+/// State of a gateway from its newest report, direct or relayed.
 #[derive(Clone, Debug)]
 struct GatewayState {
     info: GatewayInfo,
-    /// Its last report to this replica; none if only others heard it.
+    /// Its last report to this replica; `None` if it has reported only to others.
     direct: Option<DirectReport>,
     ready: bool,
     last_seen: Moment,
@@ -50,16 +52,16 @@
     link_milli: u32,
 }
 
-/// The question of a gateway's report that waits for a proof.
+/// A report of a gateway that waits for a proof from the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProofRequest {
-    /// Who asked.
+    /// The gateway's address.
     pub from: SocketAddr,
-    /// The question.
+    /// Id of the report.
     pub report_id: u64,
 }
 
-/// Sums over all gateways, as notices tell them.
+/// Totals over all gateways, as sent in notices.
 #[derive(Clone, Debug)]
 struct Totals {
     computed_at: Moment,
@@ -68,7 +70,8 @@
     links: BTreeMap<FailureDomain, u32>,
 }
 
-/// What a control replica knows of gateways, and holds for them.
+/// State of the gateways as seen by a control replica, and the routes, evacuations and
+/// endpoints that it distributes to them.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     gateways: BTreeMap<NodeName, GatewayState>,
@@ -77,27 +80,27 @@
     routes: Routes,
     evacuated: BTreeSet<FailureDomain>,
     endpoints: EndpointList,
-    /// Long messages that gateways receive in parts.
+    /// Long messages that gateways pull in parts.
     transfers: OutgoingTransfers,
-    /// Questions that this replica couldn't answer itself.
+    /// Reports that this replica couldn't answer with a proof.
     proof_requests: Vec<ProofRequest>,
-    /// When other replicas were last told of gateways.
+    /// When reports were last relayed to the other replicas.
     last_roster: Moment,
     totals: RefCell<Option<Totals>>,
 }
 
 impl Registry {
-    /// What this replica holds.
+    /// The revisions that this replica holds.
     pub fn revisions(&self) -> Revisions {
         self.revisions
     }
 
-    /// Tells where the control replicas are, this one included.
+    /// Sets the addresses of all control replicas, this one included.
     pub fn set_replicas(&mut self, replicas: Vec<SocketAddr>) {
         self.replicas = replicas;
     }
 
-    /// Takes in the routes in force, applied at `revision` of the log.
+    /// Sets the routes in force, applied at log index `revision`.
     pub fn set_routes(
         &mut self,
         now: Moment,
@@ -113,7 +116,7 @@
         self.announce(now)
     }
 
-    /// Takes in the evacuated failure domains, as of `revision` of the log.
+    /// Sets the evacuated failure domains as of log index `revision`.
     pub fn set_evacuated(
         &mut self,
         now: Moment,
@@ -128,8 +131,8 @@
         self.announce(now)
     }
 
-    /// Takes in a list of endpoints that this replica, the leader of `term`, has read
-    /// just now. A list that tells nothing new keeps its stamp.
+    /// Sets the list of endpoints that this replica, the leader of `term`, has just read. An
+    /// unchanged list keeps its stamp.
     pub fn set_endpoints(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
         let table = self.routes.table();
         let list = self.endpoints.reconcile(now, list, |s| is_served(table, s));
@@ -146,8 +149,8 @@
         self.announce_if_applied(now, outcome)
     }
 
-    /// How many endpoints the list names of each service that the routes in force don't
-    /// know. No request goes to them.
+    /// Number of listed endpoints of each service without routes in force. They receive no
+    /// requests.
     pub fn unrouted_services(&self) -> BTreeMap<&ServiceName, usize> {
         let mut counts = BTreeMap::new();
         for service in self.endpoints.services() {
@@ -180,8 +183,8 @@
         self.announce_if_applied(now, outcome)
     }
 
-    /// Takes in a message of a gateway or of another replica. `proven` says whether this
-    /// replica can prove at this moment that nothing newer than what it holds is accepted.
+    /// Handles a message from a gateway or another replica. `proven` is whether this replica
+    /// can prove at this moment that no newer revision than its own has been accepted.
     pub fn receive(
         &mut self,
         now: Moment,
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Takes in what another replica tells of gateways, as far as it is newer.
+    /// Applies relayed reports that are newer than the ones held.
     fn on_roster(&mut self, now: Moment, gateways: Vec<RelayedReport>) {
         for relayed in gateways {
             let last_seen = now.saturating_sub(relayed.age);
@@ -275,8 +278,8 @@
         }
     }
 
-    /// What other replicas are to be told of gateways: all that have reported here since
-    /// they were last told.
+    /// The message that relays reports to the other replicas: those received here since the
+    /// last call; `None` if there are none.
     pub fn roster(&mut self, now: Moment) -> Option<Message> {
         let since = std::mem::replace(&mut self.last_roster, now);
         let reported = |gateway: &&GatewayState| {
@@ -296,13 +299,13 @@
         (!gateways.is_empty()).then_some(Message::Roster(gateways))
     }
 
-    /// The questions that wait for a proof. They are not given again.
+    /// Removes and returns the reports that wait for a proof.
     pub fn take_proof_requests(&mut self) -> Vec<ProofRequest> {
         std::mem::take(&mut self.proof_requests)
     }
 
-    /// The answers to questions, once it is known that nothing newer than what is held here
-    /// was accepted when they were taken.
+    /// The proofs for these reports. Called once the leader has confirmed that no newer
+    /// revision than the ones held here had been accepted when the requests were taken.
     pub fn prove(&self, proof_requests: Vec<ProofRequest>) -> Vec<Outbound> {
         let revisions = self.revisions;
         let answer = |ProofRequest { from, report_id }| {
@@ -323,8 +326,8 @@
         messages.into_iter().map(|message| (to, message)).collect()
     }
 
-    /// What somebody lacks who holds this; of what is long the first part. What changes where
-    /// requests may go comes before what may be long.
+    /// The updates for a process that holds these revisions; of long ones the first part.
+    /// Evacuations and endpoints precede routes, which may be long.
     fn updates_since(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
         let endpoints = self
             .endpoints_since(now, revisions.endpoints)
@@ -346,13 +349,15 @@
         })
     }
 
-    /// What another replica lacks of the list if it holds `have`.
+    /// The update for a replica that holds the list of endpoints `base`; `None` if it is up to
+    /// date.
     pub fn endpoints_since(&self, now: Moment, base: Stamp) -> Option<Message> {
         self.endpoints.since(now, base)
     }
 
-    /// Tells the gateways that report here what is new: short news itself, and of what is long
-    /// that it is there, since each of them hears several replicas.
+    /// Sends updates to the gateways that report here. Short updates are sent as they are; for
+    /// long ones only a notice, since each gateway receives it from several replicas and pulls
+    /// from one.
     fn announce(&mut self, now: Moment) -> Vec<Outbound> {
         self.gateways
             .retain(|_, gateway| now < gateway.last_seen + REMOVED_AFTER);
@@ -383,7 +388,7 @@
         out
     }
 
-    /// The failure domains and last reports of the gateways that report here.
+    /// Failure domain and last report of each live gateway that reports to this replica.
     fn reporting_gateways(&self, now: Moment) -> Vec<(FailureDomain, DirectReport)> {
         let live = |gateway: &GatewayState| {
             let direct = gateway
@@ -394,8 +399,8 @@
         self.gateways.values().filter_map(live).collect()
     }
 
-    /// Notes what gateways hold when these messages have arrived. The next report says whether
-    /// they have.
+    /// Advances the recorded revisions of gateways as if these messages had arrived. Their next
+    /// report corrects that if they haven't.
     fn record_sent(&mut self, out: &[Outbound]) {
         let mut sent: BTreeMap<SocketAddr, Revisions> = BTreeMap::new();
         for (to, message) in out {
@@ -409,7 +414,7 @@
         }
     }
 
-    /// A notice for gateways of a failure domain, which may prove what it says.
+    /// A notice for a gateway of `domain`.
     fn notice(
         &self,
         now: Moment,
@@ -442,8 +447,8 @@
         }
     }
 
-    /// Gateways by failure domain. Those that fell silent lately count as well: they may
-    /// be cut off from here and go on sending to endpoints.
+    /// Number of gateways by failure domain. Lately silent ones are included: they may be cut
+    /// off from this replica and still be sending requests to endpoints.
     fn gateway_counts(&self) -> Vec<(FailureDomain, u32)> {
         let mut counts = BTreeMap::new();
         for gateway in self.gateways.values() {
@@ -468,7 +473,7 @@
         by_service.into_iter().map(flat).collect()
     }
 
-    /// Mean use of the links of each failure domain's gateways.
+    /// Mean link utilisation of the ready gateways by failure domain, in thousandths.
     fn link_means(&self, now: Moment) -> BTreeMap<FailureDomain, u32> {
         let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let mut used: BTreeMap<FailureDomain, (u32, u32)> = BTreeMap::new();
@@ -481,7 +486,7 @@
         used.into_iter().map(mean).collect()
     }
 
-    /// The gateways that callers may be sent to.
+    /// The live gateways that accept callers.
     pub fn ready_gateways(&self, now: Moment) -> Vec<GatewayInfo> {
         let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let gateways = self.gateways.values().filter(ready);
@@ -493,7 +498,7 @@
     matches!(message, Message::Part(_))
 }
 
-/// Before there are routes any service may come to be known.
+/// Whether the routes define this service. Without a table every service counts as defined.
 fn is_served(table: Option<&Table>, service: &ServiceName) -> bool {
     table.is_none_or(|table| table.services.iter().any(|s| s.name == *service))
 }
