--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -116,14 +116,14 @@
         }
         self.advance_to(now);
         let by_id: BTreeMap<_, _> = list.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let current = |e: &&Endpoint| {
+        let is_current = |e: &&Endpoint| {
             self.by_id
                 .get(&e.id)
                 .is_some_and(|current| is_equivalent(current, e))
         };
         let change = EndpointChange {
             from: self.stamp,
-            changed: by_id.values().filter(|e| !current(e)).cloned().collect(),
+            changed: by_id.values().filter(|e| !is_current(e)).cloned().collect(),
             gone: self
                 .by_id
                 .keys()
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -247,15 +247,12 @@
     }
 
     fn report_sent_at(&self, report_id: u64) -> Option<Moment> {
-        let asked = self
-            .sent_reports
-            .iter()
-            .find(|(asked, _)| *asked == report_id);
-        asked.map(|(_, at)| *at)
+        let report = self.sent_reports.iter().find(|(id, _)| *id == report_id);
+        report.map(|(_, at)| *at)
     }
 
     /// Records that routes of `revision` were the newest when this report was answered.
-    fn prove(&mut self, report_id: u64, revision: u64) {
+    fn record_proof(&mut self, report_id: u64, revision: u64) {
         let Some(at) = self.report_sent_at(report_id) else {
             return;
         };
@@ -323,7 +320,7 @@
                 revisions,
             } => {
                 self.newest.merge(&revisions);
-                self.prove(proven_report, revisions.routes);
+                self.record_proof(proven_report, revisions.routes);
                 (self.pull(now, from, revisions), Vec::new())
             }
             Message::Routes {
@@ -385,13 +382,13 @@
         revisions: Revisions,
         (answered_report, proven_report): (Option<u64>, Option<u64>),
     ) {
-        if let Some(asked) = answered_report.and_then(|id| self.report_sent_at(id)) {
-            self.contacts.record_answer(now, from, asked);
+        if let Some(sent_at) = answered_report.and_then(|id| self.report_sent_at(id)) {
+            self.contacts.record_answer(now, from, sent_at);
         }
         self.first_notice.get_or_insert(now);
         self.newest.merge(&revisions);
         if let Some(proven_report) = proven_report {
-            self.prove(proven_report, revisions.routes);
+            self.record_proof(proven_report, revisions.routes);
         }
     }
 
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -371,7 +371,7 @@
             },
         ) in self.reporting_gateways(now)
         {
-            let index = cache.iter().position(|(current, _)| *current == revisions);
+            let index = cache.iter().position(|(key, _)| *key == revisions);
             let index = index.unwrap_or_else(|| {
                 cache.push((revisions, self.updates_since(now, &revisions)));
                 cache.len() - 1
--- a/crates/fleet/tests/all/main.rs
+++ b/crates/fleet/tests/all/main.rs
@@ -1,9 +1,9 @@
 //! What spreads between gateways and control.
 
-mod following;
-mod links;
+mod narrow_link;
 mod parts;
 mod proofs;
-mod spreading;
-mod starts;
+mod reporting;
+mod restarts;
 mod support;
+mod updates;
--- a/crates/fleet/tests/all/links.rs
+++ b/crates/fleet/tests/all/narrow_link.rs
@@ -11,21 +11,21 @@
 
 use crate::support::{CONTROL, GATEWAY, addr, endpoint, gateway, ms};
 
-const OTHER: u16 = 3;
+const OTHER_REPLICA: u16 = 3;
 const STEP: Duration = Duration::from_millis(5);
 /// What callers and endpoints leave of a link of 2 Mbit/s.
 const BYTES_PER_S: f64 = 200_000.0;
-const WAY: Duration = Duration::from_millis(12);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(12);
 const ENVELOPE_BYTES: usize = 60;
 /// Part of the 3 s in which an endpoint that leaves must be left alone that the way from
 /// control to gateways may take. The rest is for reading the list and for requests that are
 /// on their way.
-const NEWS_WITHIN: Duration = Duration::from_millis(750);
+const UPDATE_DEADLINE: Duration = Duration::from_millis(750);
 /// Time within which a change of routes must be in force.
-const ROUTES_WITHIN: Duration = Duration::from_millis(2500);
+const ROUTES_DEADLINE: Duration = Duration::from_millis(2500);
 /// Longest wait that messages of control may add for requests on the same link: a part of the
 /// shortest objective there is.
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
 
 fn route(number: u32) -> Route {
     Route {
@@ -77,13 +77,13 @@
 const SEGMENT_BYTES: usize = 1500;
 
 /// A message that the link hasn't sent yet.
-struct Waiting {
+struct Queued {
     message: Message,
-    left: usize,
+    remaining: usize,
 }
 
 /// A message on its way to the gateway.
-struct OnItsWay {
+struct InFlight {
     arrives: Moment,
     from: SocketAddr,
     message: Message,
@@ -92,15 +92,15 @@
 /// The gateway's link, which sends what waits on each connection in turn.
 #[derive(Default)]
 struct Link {
-    connections: [VecDeque<Waiting>; 2],
-    turn: usize,
+    connections: [VecDeque<Queued>; 2],
+    next_connection: usize,
     /// Bytes that may be sent by now.
     credit: f64,
 }
 
 impl Link {
     fn backlog(&self) -> usize {
-        self.connections.iter().flatten().map(|w| w.left).sum()
+        self.connections.iter().flatten().map(|w| w.remaining).sum()
     }
 
     /// Sends for a step; returns what has gone out whole, and on which connection.
@@ -112,18 +112,18 @@
                 self.credit = 0.0;
                 return sent;
             }
-            self.turn = (self.turn + 1) % self.connections.len();
-            let connection = &mut self.connections[self.turn];
+            self.next_connection = (self.next_connection + 1) % self.connections.len();
+            let connection = &mut self.connections[self.next_connection];
             let Some(first) = connection.front_mut() else {
                 continue;
             };
-            let segment = first.left.min(SEGMENT_BYTES);
-            first.left -= segment;
+            let segment = first.remaining.min(SEGMENT_BYTES);
+            first.remaining -= segment;
             self.credit -= segment as f64;
-            if first.left == 0
+            if first.remaining == 0
                 && let Some(first) = connection.pop_front()
             {
-                sent.push((self.turn, first.message));
+                sent.push((self.next_connection, first.message));
             }
         }
         sent
@@ -136,23 +136,23 @@
     ENVELOPE_BYTES + buf.len()
 }
 
-struct World {
+struct Simulation {
     now: Moment,
     member: Member,
     replicas: [(SocketAddr, Registry); 2],
-    to_gateway: VecDeque<OnItsWay>,
+    to_gateway: VecDeque<InFlight>,
     to_control: VecDeque<(Moment, SocketAddr, Message)>,
     link: Link,
     bytes: usize,
-    longest_wait: Duration,
-    learned: Vec<(Moment, Update)>,
+    max_queue_time: Duration,
+    updates: Vec<(Moment, Update)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let replicas = [CONTROL, OTHER].map(|port| {
+        let replicas = [CONTROL, OTHER_REPLICA].map(|port| {
             let mut registry = Registry::default();
-            registry.set_replicas(vec![addr(CONTROL), addr(OTHER)]);
+            registry.set_replicas(vec![addr(CONTROL), addr(OTHER_REPLICA)]);
             (addr(port), registry)
         });
         Self {
@@ -163,8 +163,8 @@
             to_control: VecDeque::new(),
             link: Link::default(),
             bytes: 0,
-            longest_wait: Duration::ZERO,
-            learned: Vec::new(),
+            max_queue_time: Duration::ZERO,
+            updates: Vec::new(),
         }
     }
 
@@ -172,9 +172,12 @@
         let len = length(&message);
         self.bytes += len;
         let connection = usize::from(from != addr(CONTROL));
-        self.link.connections[connection].push_back(Waiting { message, left: len });
+        self.link.connections[connection].push_back(Queued {
+            message,
+            remaining: len,
+        });
         let wait = self.link.backlog() as f64 / BYTES_PER_S;
-        self.longest_wait = self.longest_wait.max(Duration::from_secs_f64(wait));
+        self.max_queue_time = self.max_queue_time.max(Duration::from_secs_f64(wait));
     }
 
     fn set_routes(&mut self, revision: u64, table: &Arc<Table>) {
@@ -192,11 +195,11 @@
         let [(leader, reader), (other, follower)] = &mut self.replicas;
         let (leader, other) = (*leader, *other);
         let before = reader.revisions().endpoints;
-        let told = reader.set_endpoints(self.now, 1, list);
-        let news = reader.endpoints_since(self.now, before);
-        let news = news.expect("the list has changed");
-        let relayed = follower.receive(self.now, leader, news, false);
-        told.into_iter().for_each(|(_, m)| self.send(leader, m));
+        let pushed = reader.set_endpoints(self.now, 1, list);
+        let update = reader.endpoints_since(self.now, before);
+        let update = update.expect("the list has changed");
+        let relayed = follower.receive(self.now, leader, update, false);
+        pushed.into_iter().for_each(|(_, m)| self.send(leader, m));
         relayed.into_iter().for_each(|(_, m)| self.send(other, m));
     }
 
@@ -212,7 +215,7 @@
     }
 
     /// Loses all that waits for the link, as a connection that is made anew does.
-    fn lose_what_waits(&mut self) {
+    fn drop_queued(&mut self) {
         self.link.connections.iter_mut().for_each(VecDeque::clear);
     }
 
@@ -225,10 +228,10 @@
 
     fn step(&mut self) {
         let reports = self.member.tick(self.now, Load::default);
-        self.ask(reports);
+        self.send_to_control(reports);
         for (connection, message) in self.link.step() {
-            self.to_gateway.push_back(OnItsWay {
-                arrives: self.now + WAY,
+            self.to_gateway.push_back(InFlight {
+                arrives: self.now + ONE_WAY_DELAY,
                 from: self.replicas[connection].0,
                 message,
             });
@@ -236,13 +239,13 @@
         while let Some(first) = self.to_gateway.front()
             && first.arrives <= self.now
         {
-            let Some(OnItsWay { from, message, .. }) = self.to_gateway.pop_front() else {
+            let Some(InFlight { from, message, .. }) = self.to_gateway.pop_front() else {
                 return;
             };
             let (out, updates) = self.member.receive(self.now, from, message);
             let now = self.now;
-            self.learned.extend(updates.into_iter().map(|u| (now, u)));
-            self.ask(out);
+            self.updates.extend(updates.into_iter().map(|u| (now, u)));
+            self.send_to_control(out);
         }
         while let Some((arrives, to, _)) = self.to_control.front()
             && *arrives <= self.now
@@ -258,139 +261,145 @@
         }
     }
 
-    fn ask(&mut self, out: Vec<(SocketAddr, Message)>) {
-        let arrives = self.now + WAY;
+    fn send_to_control(&mut self, out: Vec<(SocketAddr, Message)>) {
+        let arrives = self.now + ONE_WAY_DELAY;
         let out = out.into_iter().map(|(to, m)| (arrives, to, m));
         self.to_control.extend(out);
     }
 
     /// When the gateway learned that an endpoint leaves.
-    fn learned_leaving(&self, id: &str) -> Option<Moment> {
+    fn received_leaving_at(&self, id: &str) -> Option<Moment> {
         let leaves = |e: &Endpoint| e.id == id && e.state == EndpointState::Draining;
-        let says = |update: &Update| match update {
+        let lists_leaving = |update: &Update| match update {
             Update::Endpoints(list) => list.iter().any(leaves),
             Update::EndpointsChanged(change) => change.changed.iter().any(leaves),
             _ => false,
         };
-        let first = self.learned.iter().find(|(_, update)| says(update));
+        let first = self
+            .updates
+            .iter()
+            .find(|(_, update)| lists_leaving(update));
         first.map(|(at, _)| *at)
     }
 
     /// When the gateway had these routes.
-    fn learned_routes(&self, wanted: &Table) -> Option<Moment> {
-        let has = |update: &Update| match update {
+    fn received_routes_at(&self, wanted: &Table) -> Option<Moment> {
+        let has_table = |update: &Update| match update {
             Update::Routes { table, .. } => **table == *wanted,
             _ => false,
         };
-        let first = self.learned.iter().find(|(_, update)| has(update));
+        let first = self.updates.iter().find(|(_, update)| has_table(update));
         first.map(|(at, _)| *at)
     }
 }
 
 /// A gateway that serves by routes and endpoints.
-fn serving(routes: u32) -> World {
-    let mut world = World::new();
-    world.set_routes(1, &table(routes));
-    world.list(endpoints(None));
-    world.run_until(ms(6000));
-    assert!(world.member.is_synced(world.now));
-    world.bytes = 0;
-    world.longest_wait = Duration::ZERO;
-    world
+fn serving_gateway(routes: u32) -> Simulation {
+    let mut sim = Simulation::new();
+    sim.set_routes(1, &table(routes));
+    sim.list(endpoints(None));
+    sim.run_until(ms(6000));
+    assert!(sim.member.is_synced(sim.now));
+    sim.bytes = 0;
+    sim.max_queue_time = Duration::ZERO;
+    sim
 }
 
 /// Guards against tables of routes that fill a gateway's link, so that it goes on sending
 /// requests to endpoints that have long said that they leave.
 #[test]
-fn a_large_change_of_routes_holds_up_no_news_of_endpoints() {
-    let mut world = serving(2822);
+fn a_large_change_of_routes_does_not_delay_endpoint_updates() {
+    let mut sim = serving_gateway(2822);
     let (grown, further) = (table(4222), table(4223));
-    world.set_routes(2, &grown);
-    world.run_until(ms(6600));
-    world.set_routes(3, &further);
-    world.run_until(ms(6700));
-    world.list(endpoints(Some("i-00000007")));
-    world.run_until(ms(20_000));
-    let leaving = world.learned_leaving("i-00000007").expect("it is told");
+    sim.set_routes(2, &grown);
+    sim.run_until(ms(6600));
+    sim.set_routes(3, &further);
+    sim.run_until(ms(6700));
+    sim.list(endpoints(Some("i-00000007")));
+    sim.run_until(ms(20_000));
+    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
     assert!(
-        leaving <= ms(6700) + NEWS_WITHIN,
+        leaving <= ms(6700) + UPDATE_DEADLINE,
         "learned only at {leaving:?}"
     );
-    let routes = world.learned_routes(&further).expect("they are told");
+    let routes = sim.received_routes_at(&further).expect("they are told");
     assert!(
-        routes <= ms(6600) + ROUTES_WITHIN,
+        routes <= ms(6600) + ROUTES_DEADLINE,
         "learned only at {routes:?}"
     );
     assert!(
-        world.longest_wait <= LONGEST_WAIT,
+        sim.max_queue_time <= MAX_QUEUE_TIME,
         "{:?}",
-        world.longest_wait
+        sim.max_queue_time
     );
 }
 
 /// Guards against asking for a large table again while it is on its way.
 #[test]
 fn a_large_table_is_sent_once() {
-    let mut world = World::new();
+    let mut sim = Simulation::new();
     let routes = table(4222);
-    world.set_routes(1, &routes);
-    world.list(endpoints(None));
-    world.run_until(ms(10_000));
-    assert!(world.learned_routes(&routes).is_some());
+    sim.set_routes(1, &routes);
+    sim.list(endpoints(None));
+    sim.run_until(ms(10_000));
+    assert!(sim.received_routes_at(&routes).is_some());
     let once = postcard::to_stdvec(&*routes).expect("it can be encoded");
     let bound = once.len() + once.len() / 4;
-    assert!(world.bytes <= bound, "{} of {bound} bytes", world.bytes);
+    assert!(sim.bytes <= bound, "{} of {bound} bytes", sim.bytes);
 }
 
 /// Guards against whole tables for each change of a few routes.
 #[test]
-fn a_change_of_routes_takes_what_has_changed() {
-    let mut world = serving(2822);
+fn a_change_of_routes_sends_only_the_difference() {
+    let mut sim = serving_gateway(2822);
     let further = table(4223);
-    world.set_routes(2, &table(4222));
-    world.run_until(ms(6600));
-    world.set_routes(3, &further);
-    world.run_until(ms(10_000));
-    assert!(world.learned_routes(&further).is_some());
+    sim.set_routes(2, &table(4222));
+    sim.run_until(ms(6600));
+    sim.set_routes(3, &further);
+    sim.run_until(ms(10_000));
+    assert!(sim.received_routes_at(&further).is_some());
     let new = (2822..4223).map(route).collect::<Vec<_>>();
     let once = postcard::to_stdvec(&new).expect("it can be encoded");
     let bound = once.len() + once.len() / 4;
-    assert!(world.bytes <= bound, "{} of {bound} bytes", world.bytes);
+    assert!(sim.bytes <= bound, "{} of {bound} bytes", sim.bytes);
 }
 
 /// Guards against short news that waits three times on a busy link: as a notice, as the
 /// question for it and as the answer.
 #[test]
-fn news_of_endpoints_takes_one_way() {
-    let mut world = serving(22);
-    world.list(endpoints(Some("i-00000007")));
-    world.run_until(ms(7000));
-    let leaving = world.learned_leaving("i-00000007").expect("it is told");
-    assert!(leaving < ms(6000) + 2 * WAY, "learned only at {leaving:?}");
+fn an_endpoint_update_takes_one_network_trip() {
+    let mut sim = serving_gateway(22);
+    sim.list(endpoints(Some("i-00000007")));
+    sim.run_until(ms(7000));
+    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    assert!(
+        leaving < ms(6000) + 2 * ONE_WAY_DELAY,
+        "learned only at {leaving:?}"
+    );
 }
 
 /// Guards against an evacuation that waits as news of endpoints did.
 #[test]
-fn an_evacuation_takes_one_way() {
-    let mut world = serving(22);
-    world.evacuate(2);
-    world.run_until(ms(7000));
+fn an_evacuation_takes_one_network_trip() {
+    let mut sim = serving_gateway(22);
+    sim.evacuate(2);
+    sim.run_until(ms(7000));
     let evacuated = |update: &Update| matches!(update, Update::Evacuated(_));
-    let first = world.learned.iter().find(|(_, update)| evacuated(update));
+    let first = sim.updates.iter().find(|(_, update)| evacuated(update));
     let (at, _) = first.expect("it is told");
-    assert!(*at < ms(6000) + 2 * WAY, "learned only at {at:?}");
+    assert!(*at < ms(6000) + 2 * ONE_WAY_DELAY, "learned only at {at:?}");
 }
 
 /// Guards against news that is lost for good if the push is.
 #[test]
-fn news_whose_push_is_lost_comes_with_the_next_report() {
-    let mut world = serving(22);
-    world.list(endpoints(Some("i-00000007")));
-    world.lose_what_waits();
-    world.run_until(ms(7000));
-    let leaving = world.learned_leaving("i-00000007").expect("it is told");
+fn a_lost_update_is_repeated_after_the_next_report() {
+    let mut sim = serving_gateway(22);
+    sim.list(endpoints(Some("i-00000007")));
+    sim.drop_queued();
+    sim.run_until(ms(7000));
+    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
     assert!(
-        leaving < ms(6000) + NEWS_WITHIN,
+        leaving < ms(6000) + UPDATE_DEADLINE,
         "learned only at {leaving:?}"
     );
 }
@@ -398,27 +407,30 @@
 /// Guards against a gateway that is told a change of a list that it doesn't hold, and waits
 /// for its next report to ask for what is between.
 #[test]
-fn a_gateway_asks_at_once_for_what_it_lacks_before_a_change() {
-    let mut world = serving(22);
-    world.list(endpoints(Some("i-00000006")));
-    world.lose_what_waits();
-    world.list(endpoints(Some("i-00000007")));
-    world.run_until(ms(7000));
-    let leaving = world.learned_leaving("i-00000007").expect("it is told");
-    assert!(leaving < ms(6000) + 8 * WAY, "learned only at {leaving:?}");
+fn a_gateway_pulls_missing_changes_at_once() {
+    let mut sim = serving_gateway(22);
+    sim.list(endpoints(Some("i-00000006")));
+    sim.drop_queued();
+    sim.list(endpoints(Some("i-00000007")));
+    sim.run_until(ms(7000));
+    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    assert!(
+        leaving < ms(6000) + 8 * ONE_WAY_DELAY,
+        "learned only at {leaving:?}"
+    );
 }
 
 /// Guards against a gateway whose requests wait for seconds behind a table of routes.
 #[test]
 fn requests_do_not_wait_behind_a_large_table() {
-    let mut world = World::new();
-    world.set_routes(1, &table(4222));
-    world.list(endpoints(None));
-    world.run_until(ms(10_000));
-    assert!(world.member.is_synced(world.now));
+    let mut sim = Simulation::new();
+    sim.set_routes(1, &table(4222));
+    sim.list(endpoints(None));
+    sim.run_until(ms(10_000));
+    assert!(sim.member.is_synced(sim.now));
     assert!(
-        world.longest_wait <= LONGEST_WAIT,
+        sim.max_queue_time <= MAX_QUEUE_TIME,
         "{:?}",
-        world.longest_wait
+        sim.max_queue_time
     );
 }
--- a/crates/fleet/tests/all/parts.rs
+++ b/crates/fleet/tests/all/parts.rs
@@ -5,10 +5,10 @@
 use filberthead_fleet::{Load, Member, Message, Part, Registry, Revision, Revisions, Update};
 use filberthead_route::Table;
 
-use crate::links::table;
+use crate::narrow_link::table;
 use crate::support::{CONTROL, GATEWAY, addr, gateway, ms, notice};
 
-const OTHER: u16 = 3;
+const OTHER_REPLICA: u16 = 3;
 
 fn registry(routes: &Arc<Table>) -> Registry {
     let mut registry = Registry::default();
@@ -18,21 +18,21 @@
 
 /// The first part of a table, which a gateway has asked for.
 fn first_part(member: &mut Member, registry: &mut Registry) -> Message {
-    let news = notice(registry.revisions(), Vec::new());
-    let (out, _) = member.receive(ms(0), addr(CONTROL), news);
+    let announcement = notice(registry.revisions(), Vec::new());
+    let (out, _) = member.receive(ms(0), addr(CONTROL), announcement);
     let [(_, Message::Pull(revisions))] = &out[..] else {
         panic!("a question: {out:?}");
     };
     answer(registry, Message::Pull(*revisions))
 }
 
-fn answer(registry: &mut Registry, question: Message) -> Message {
-    let mut out = registry.receive(ms(10), addr(GATEWAY), question, true);
+fn answer(registry: &mut Registry, pull: Message) -> Message {
+    let mut out = registry.receive(ms(10), addr(GATEWAY), pull, true);
     out.pop().expect("an answer").1
 }
 
 /// The questions for parts in what a gateway sends.
-fn questions(out: Vec<(std::net::SocketAddr, Message)>) -> Vec<Message> {
+fn part_pulls(out: Vec<(std::net::SocketAddr, Message)>) -> Vec<Message> {
     let messages = out.into_iter().map(|(_, message)| message);
     messages
         .filter(|m| matches!(m, Message::PullPart { .. }))
@@ -40,50 +40,50 @@
 }
 
 /// Carries questions and parts until there are no more; returns what was learned.
-fn finish(member: &mut Member, registry: &mut Registry, out: Vec<Message>) -> Vec<Update> {
-    let mut open = out;
-    let mut learned = Vec::new();
-    while let Some(question) = open.pop() {
-        let part = answer(registry, question);
-        let (out, updates) = member.receive(ms(20), addr(CONTROL), part);
-        open.extend(questions(out));
-        learned.extend(updates);
+fn finish_transfer(member: &mut Member, registry: &mut Registry, out: Vec<Message>) -> Vec<Update> {
+    let mut pending = out;
+    let mut updates = Vec::new();
+    while let Some(pull) = pending.pop() {
+        let part = answer(registry, pull);
+        let (out, received) = member.receive(ms(20), addr(CONTROL), part);
+        pending.extend(part_pulls(out));
+        updates.extend(received);
     }
-    learned
+    updates
 }
 
 /// Guards against a replica that dies, or a connection that is lost, with a table half
 /// received: the gateway would wait for the rest for ever.
 #[test]
-fn a_transfer_whose_sender_falls_silent_is_begun_with_another_one() {
+fn a_transfer_whose_sender_stops_restarts_with_another_replica() {
     let routes = table(1000);
     let (mut member, mut lost) = (gateway(), registry(&routes));
     let part = first_part(&mut member, &mut lost);
     member.receive(ms(10), addr(CONTROL), part);
-    let news = notice(lost.revisions(), Vec::new());
-    let (out, _) = member.receive(ms(20), addr(OTHER), news.clone());
+    let announcement = notice(lost.revisions(), Vec::new());
+    let (out, _) = member.receive(ms(20), addr(OTHER_REPLICA), announcement.clone());
     assert_eq!(out, Vec::new(), "it is on its way");
     for at in [700, 1400, 2100] {
         member.tick(ms(at), Load::default);
     }
-    let (out, _) = member.receive(ms(2200), addr(OTHER), news);
-    assert!(matches!(out[..], [(to, Message::Pull(_))] if to == addr(OTHER)));
+    let (out, _) = member.receive(ms(2200), addr(OTHER_REPLICA), announcement);
+    assert!(matches!(out[..], [(to, Message::Pull(_))] if to == addr(OTHER_REPLICA)));
 }
 
 /// Guards against parts that are lost with a connection while the process at its other end
 /// goes on: all others would be received again.
 #[test]
-fn a_lost_part_alone_is_asked_for_again() {
+fn only_a_lost_part_is_pulled_again() {
     let routes = table(1000);
     let (mut member, mut registry) = (gateway(), registry(&routes));
     let part = first_part(&mut member, &mut registry);
     let (lost, _) = member.receive(ms(10), addr(CONTROL), part);
-    let lost = questions(lost);
+    let lost = part_pulls(lost);
     assert!(!lost.is_empty());
-    let again = questions(member.tick(ms(700), Load::default));
+    let again = part_pulls(member.tick(ms(700), Load::default));
     assert_eq!(again, lost);
-    let learned = finish(&mut member, &mut registry, again);
-    assert!(matches!(&learned[..], [Update::Routes { table, .. }] if *table == routes));
+    let updates = finish_transfer(&mut member, &mut registry, again);
+    assert!(matches!(&updates[..], [Update::Routes { table, .. }] if *table == routes));
 }
 
 /// Guards against a table put together from parts of two: routes change while an older table
@@ -96,17 +96,17 @@
     let part = first_part(&mut member, &mut registry);
     let (out, _) = member.receive(ms(10), addr(CONTROL), part);
     registry.set_routes(ms(15), 6, 8, Arc::clone(&newer));
-    let news = Message::Pull(Revisions::default());
-    let intruder = answer(&mut registry, news);
-    let (asked, updates) = member.receive(ms(16), addr(OTHER), intruder);
+    let announcement = Message::Pull(Revisions::default());
+    let foreign_part = answer(&mut registry, announcement);
+    let (asked, updates) = member.receive(ms(16), addr(OTHER_REPLICA), foreign_part);
     assert_eq!((asked, updates), (Vec::new(), Vec::new()));
-    let learned = finish(&mut member, &mut registry, questions(out));
-    assert!(matches!(&learned[..], [Update::Routes { table, .. }] if *table == older));
+    let updates = finish_transfer(&mut member, &mut registry, part_pulls(out));
+    assert!(matches!(&updates[..], [Update::Routes { table, .. }] if *table == older));
 }
 
 /// Guards against damaged parts that are taken for routes.
 #[test]
-fn parts_that_do_not_make_up_their_whole_are_dropped() {
+fn parts_that_do_not_match_their_digest_are_dropped() {
     let mut member = gateway();
     let part = |index| {
         Message::Part(Part {
@@ -125,19 +125,19 @@
 
 /// Guards against evacuations that a gateway obeys only when a large table is through.
 #[test]
-fn an_evacuation_goes_before_a_table_that_is_on_its_way() {
+fn an_evacuation_overtakes_a_table_in_transfer() {
     let routes = table(1000);
     let (mut member, mut registry) = (gateway(), registry(&routes));
     let part = first_part(&mut member, &mut registry);
     member.receive(ms(10), addr(CONTROL), part);
     let domains = ["split-a".parse().expect("a name")].into();
     registry.set_evacuated(ms(20), 6, &domains);
-    let news = notice(registry.revisions(), Vec::new());
-    let (out, _) = member.receive(ms(30), addr(CONTROL), news);
-    let [(_, question)] = &out[..] else {
+    let announcement = notice(registry.revisions(), Vec::new());
+    let (out, _) = member.receive(ms(30), addr(CONTROL), announcement);
+    let [(_, pull)] = &out[..] else {
         panic!("a question: {out:?}");
     };
-    let out = registry.receive(ms(40), addr(GATEWAY), question.clone(), true);
+    let out = registry.receive(ms(40), addr(GATEWAY), pull.clone(), true);
     assert!(matches!(
         out[..],
         [(_, Message::Evacuated { revision: 6, .. })]
@@ -147,20 +147,20 @@
 /// Guards against a transfer that nobody needs any more, because the gateway got the news in
 /// another way, and that keeps it from asking for what comes next.
 #[test]
-fn a_transfer_of_what_is_held_by_now_is_given_up() {
+fn a_superseded_transfer_is_dropped() {
     let (older, newer) = (table(1000), table(1001));
     let mut member = gateway();
-    let whole = answer(&mut registry(&older), Message::Pull(Revisions::default()));
-    member.receive(ms(1), addr(CONTROL), whole);
+    let first = answer(&mut registry(&older), Message::Pull(Revisions::default()));
+    member.receive(ms(1), addr(CONTROL), first);
     let routes = Message::Routes {
         revision: 5,
         version: 7,
         table: older,
     };
-    member.receive(ms(2), addr(OTHER), routes);
-    let mut further = registry(&newer);
-    further.set_routes(ms(3), 6, 8, newer);
-    let news = notice(further.revisions(), Vec::new());
-    let (out, _) = member.receive(ms(4), addr(OTHER), news);
+    member.receive(ms(2), addr(OTHER_REPLICA), routes);
+    let mut newer_replica = registry(&newer);
+    newer_replica.set_routes(ms(3), 6, 8, newer);
+    let announcement = notice(newer_replica.revisions(), Vec::new());
+    let (out, _) = member.receive(ms(4), addr(OTHER_REPLICA), announcement);
     assert!(matches!(out[..], [(_, Message::Pull(revisions))] if revisions.routes == 5));
 }
--- a/crates/fleet/tests/all/proofs.rs
+++ b/crates/fleet/tests/all/proofs.rs
@@ -8,25 +8,25 @@
 use filberthead_types::Moment;
 
 use crate::support::{
-    CONTROL, GATEWAY, addr, gateway, gateway_from, ms, notice, settle, settle_with,
+    CONTROL, GATEWAY, addr, exchange, exchange_with, gateway, gateway_from, ms, notice,
 };
 
 /// A gateway that nobody has told that its routes are the newest, or that was told so too long
 /// ago, by somebody who knows of newer ones, or in answer to another life of the process, must
 /// not tell callers for good that a route doesn't exist.
 #[test]
-fn routes_are_the_newest_only_while_that_is_proved() {
+fn routes_count_as_newest_only_while_proven() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
-    settle_with(ms(10), &mut member, &mut registry, false);
+    exchange_with(ms(10), &mut member, &mut registry, false);
     assert_eq!(member.revisions().routes, 5);
     assert!(!member.is_proven(ms(20)), "nobody can prove it");
-    settle(ms(600), &mut member, &mut registry);
+    exchange(ms(600), &mut member, &mut registry);
     assert!(member.is_proven(ms(610)));
     assert!(member.is_proven(ms(2190)));
     assert!(!member.is_proven(ms(2200)), "control has fallen silent");
-    settle(ms(3000), &mut member, &mut registry);
+    exchange(ms(3000), &mut member, &mut registry);
     assert!(member.is_proven(ms(3010)));
     assert!(!gateway().is_proven(ms(3010)), "another life knows nothing");
 }
@@ -43,13 +43,13 @@
 /// A cut holds the leader's answer up, and it arrives after operators have accepted newer
 /// routes. It proved something when it was asked for, and nothing when it comes.
 #[test]
-fn a_proof_that_comes_late_proves_nothing() {
+fn a_late_proof_is_ignored() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
-    settle_with(ms(0), &mut member, &mut registry, false);
-    let held_up = answer(ms(600), &mut member, &mut registry);
-    for notice in held_up {
+    exchange_with(ms(0), &mut member, &mut registry, false);
+    let delayed = answer(ms(600), &mut member, &mut registry);
+    for notice in delayed {
         member.receive(ms(2300), addr(CONTROL), notice);
     }
     assert!(!member.is_proven(ms(2300)));
@@ -58,11 +58,11 @@
 /// Now and then an answer of the leader is lost. A gateway in touch must go on denying what
 /// there isn't, or its callers come back for nothing.
 #[test]
-fn a_lost_answer_ends_no_proof() {
+fn a_lost_answer_does_not_end_a_proof() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     for now in (100..20_000).step_by(100) {
         let answers = answer(ms(now), &mut member, &mut registry);
         let lost = (now / 500) % 2 == 0;
@@ -77,11 +77,11 @@
 /// gateway hears of them from somebody else, and their table is lost. It knows by then that it
 /// lacks something.
 #[test]
-fn who_knows_of_newer_routes_holds_no_proof() {
+fn an_announcement_of_newer_routes_ends_a_proof() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     assert!(member.is_proven(ms(10)));
     registry.set_routes(ms(100), 6, 8, Arc::new(Table::default()));
     member.receive(ms(110), addr(3), notice(registry.revisions(), Vec::new()));
@@ -91,21 +91,21 @@
 /// The leader holds newer routes than the gateway. Its word is no proof of those that the
 /// gateway has, until they have come.
 #[test]
-fn a_proof_of_newer_routes_proves_no_older_ones() {
+fn a_proof_of_newer_routes_does_not_cover_older_ones() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = gateway();
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     assert!(member.is_proven(ms(10)));
     registry.set_routes(ms(500), 6, 8, Arc::new(Table::default()));
     let answers = answer(ms(600), &mut member, &mut registry);
-    let mut asks = Vec::new();
+    let mut pulls = Vec::new();
     for notice in answers {
-        asks.extend(member.receive(ms(610), addr(CONTROL), notice).0);
+        pulls.extend(member.receive(ms(610), addr(CONTROL), notice).0);
     }
     assert!(!member.is_proven(ms(620)));
-    for (_, ask) in asks {
-        for (_, routes) in registry.receive(ms(630), addr(GATEWAY), ask, false) {
+    for (_, pull) in pulls {
+        for (_, routes) in registry.receive(ms(630), addr(GATEWAY), pull, false) {
             member.receive(ms(640), addr(CONTROL), routes);
         }
     }
@@ -115,44 +115,44 @@
 /// A gateway is killed, and its successor at the same address gets the answer to a report of
 /// the one before. It says nothing about what the new one holds.
 #[test]
-fn a_proof_for_an_earlier_life_proves_nothing() {
+fn a_proof_for_an_earlier_process_is_ignored() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
-    let mut before = gateway();
-    let held_up = answer(ms(600), &mut before, &mut registry);
-    let mut after = gateway_from(9000);
-    settle_with(ms(0), &mut after, &mut registry, false);
-    for notice in held_up {
-        after.receive(ms(10), addr(CONTROL), notice);
+    let mut previous = gateway();
+    let delayed = answer(ms(600), &mut previous, &mut registry);
+    let mut successor = gateway_from(9000);
+    exchange_with(ms(0), &mut successor, &mut registry, false);
+    for notice in delayed {
+        successor.receive(ms(10), addr(CONTROL), notice);
     }
-    assert!(!after.is_proven(ms(20)));
+    assert!(!successor.is_proven(ms(20)));
 }
 
 /// A gateway is cut off from everybody for a minute, and the replicas that its settings name
 /// have been replaced since it started. It must go on reporting to those that it learned of:
 /// it had forgotten them by the end of the cut, and nobody could reach it ever again.
 #[test]
-fn a_gateway_that_is_cut_off_for_long_forgets_nobody() {
+fn a_gateway_that_is_cut_off_keeps_all_replicas() {
     let mut registry = Registry::default();
     registry.set_replicas(vec![addr(3), addr(4)]);
     let mut member = gateway();
-    settle(ms(0), &mut member, &mut registry);
-    let reached = member.tick(ms(60_000), Load::default);
-    let reached: BTreeSet<_> = reached.into_iter().map(|(to, _)| to).collect();
-    assert!(reached.contains(&addr(3)) && reached.contains(&addr(4)));
+    exchange(ms(0), &mut member, &mut registry);
+    let targets = member.tick(ms(60_000), Load::default);
+    let targets: BTreeSet<_> = targets.into_iter().map(|(to, _)| to).collect();
+    assert!(targets.contains(&addr(3)) && targets.contains(&addr(4)));
 }
 
 /// A replica is taken out of the group while the gateway hears the others. It is no longer
 /// reported to after a while.
 #[test]
-fn a_gateway_forgets_replicas_that_the_others_no_longer_name() {
+fn a_gateway_removes_replicas_that_notices_no_longer_list() {
     let mut registry = Registry::default();
     registry.set_replicas(vec![addr(CONTROL), addr(3)]);
     let mut member = gateway();
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     registry.set_replicas(vec![addr(CONTROL)]);
-    settle(ms(20_000), &mut member, &mut registry);
-    settle(ms(40_000), &mut member, &mut registry);
-    let reached = member.tick(ms(60_000), Load::default);
-    assert!(reached.iter().all(|(to, _)| *to == addr(CONTROL)));
+    exchange(ms(20_000), &mut member, &mut registry);
+    exchange(ms(40_000), &mut member, &mut registry);
+    let targets = member.tick(ms(60_000), Load::default);
+    assert!(targets.iter().all(|(to, _)| *to == addr(CONTROL)));
 }
--- a/crates/fleet/tests/all/following.rs
+++ b/crates/fleet/tests/all/reporting.rs
@@ -126,9 +126,9 @@
         for at in addrs {
             let reaches = self.reaches(at, leader) && self.reaches(leader, at);
             let registry = self.replicas.get_mut(&at).expect("a replica");
-            let questions = registry.take_proof_requests();
+            let proof_requests = registry.take_proof_requests();
             if reaches && registry.revisions().routes == newest {
-                let out = registry.prove(questions);
+                let out = registry.prove(proof_requests);
                 messages.extend(out.into_iter().map(|out| (at, out)));
             }
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    fn are_proven(&self) -> bool {
+    fn all_proven(&self) -> bool {
         let mut up = self
             .members
             .iter()
@@ -164,7 +164,7 @@
     }
 
     /// Messages that the busiest replica receives in a second.
-    fn busiest_per_s(&mut self) -> u64 {
+    fn max_messages_per_s(&mut self) -> u64 {
         self.received.clear();
         self.run(10_000);
         self.received.values().max().copied().unwrap_or(0) / 10
@@ -174,12 +174,12 @@
 /// Guards against load of control that grows with gateways times replicas: every gateway
 /// reported twice a second to every replica.
 #[test]
-fn messages_at_a_replica_follow_gateways_divided_by_replicas() {
+fn message_load_does_not_grow_with_gateways_times_replicas() {
     for (gateways, replicas) in [(11, 3), (100, 5), (300, 9), (600, 9)] {
         let mut fleet = Fleet::new(gateways, replicas);
         fleet.run(5000);
-        assert!(fleet.are_proven());
-        let busiest = fleet.busiest_per_s();
+        assert!(fleet.all_proven());
+        let busiest = fleet.max_messages_per_s();
         let rosters = 5 * u64::from(replicas);
         assert!(
             busiest < 2 * u64::from(gateways) + rosters,
@@ -197,7 +197,7 @@
 
 /// Guards against gateways that only some replicas know of: look-ups there left them out.
 #[test]
-fn every_replica_knows_every_gateway() {
+fn every_replica_lists_every_gateway() {
     let mut fleet = Fleet::new(40, 9);
     for member in fleet.members.values_mut() {
         member.set_ready(true);
@@ -226,17 +226,17 @@
 
 /// Guards against gateways that lose touch when the replicas that they follow end.
 #[test]
-fn other_replicas_are_followed_when_some_die() {
-    for dead in [vec![1, 2], vec![1, 2, 3, 4], vec![1, 2, 3, 4, 5, 6, 7, 8]] {
+fn gateways_switch_to_other_replicas_when_some_fail() {
+    for failed in [vec![1, 2], vec![1, 2, 3, 4], vec![1, 2, 3, 4, 5, 6, 7, 8]] {
         let mut fleet = Fleet::new(20, 9);
         fleet.run(5000);
         fleet
             .down
-            .extend(dead.iter().map(|number| replica_addr(*number)));
+            .extend(failed.iter().map(|number| replica_addr(*number)));
         for passed in 0..40 {
             fleet.run(100);
             // One report and its proof are lost; asking others takes two more.
-            assert!(fleet.are_proven() || passed < 16, "{dead:?} {passed}");
+            assert!(fleet.all_proven() || passed < 16, "{failed:?} {passed}");
         }
     }
 }
@@ -244,7 +244,7 @@
 /// Guards against gateways that stay with a replica which answers but has lost the leader,
 /// both ways or one way, and so miss newer routes.
 #[test]
-fn replicas_that_have_lost_the_leader_are_left() {
+fn gateways_leave_replicas_that_lost_the_leader() {
     for both_ways in [true, false] {
         let mut fleet = Fleet::new(20, 9);
         fleet.run(5000);
@@ -255,8 +255,8 @@
                 fleet.cut.insert((*at, fleet.leader));
             }
         }
-        let informed: Vec<_> = [0, 5, 6, 7, 8].map(replica_addr).to_vec();
-        fleet.set_routes(6, &informed);
+        let connected: Vec<_> = [0, 5, 6, 7, 8].map(replica_addr).to_vec();
+        fleet.set_routes(6, &connected);
         fleet.run(2500);
         for (at, member) in &fleet.members {
             assert_eq!(member.revisions().routes, 6, "{at} {both_ways}");
@@ -267,7 +267,7 @@
 
 /// Guards against a replica that has come back and is asked by nobody any more.
 #[test]
-fn a_replica_that_has_come_back_is_found() {
+fn a_recovered_replica_is_found() {
     let mut fleet = Fleet::new(20, 9);
     fleet.run(5000);
     fleet
@@ -280,59 +280,59 @@
     fleet.down.insert(replica_addr(0));
     fleet.leader = replica_addr(4);
     fleet.run(3000);
-    assert!(fleet.are_proven());
+    assert!(fleet.all_proven());
 }
 
 /// Guards against relayed words of a gateway that put newer ones of its own back.
 #[test]
 fn a_relayed_report_does_not_replace_a_newer_one() {
-    let mut here = Registry::default();
-    let mut there = Registry::default();
+    let mut local = Registry::default();
+    let mut remote = Registry::default();
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     member.set_ready(true);
     let report = |member: &mut Member, now| member.tick(now, Load::default).remove(0).1;
     let first = report(&mut member, ms(1000));
-    there.receive(ms(1000), gateway_addr(1), first, false);
-    let roster = there.roster(ms(1250)).expect("a gateway has reported");
+    remote.receive(ms(1000), gateway_addr(1), first, false);
+    let roster = remote.roster(ms(1250)).expect("a gateway has reported");
     member.set_ready(false);
     let second = report(&mut member, ms(1300));
-    here.receive(ms(1300), gateway_addr(1), second, false);
-    here.receive(ms(1400), replica_addr(1), roster, false);
-    assert!(here.ready_gateways(ms(1400)).is_empty());
+    local.receive(ms(1300), gateway_addr(1), second, false);
+    local.receive(ms(1400), replica_addr(1), roster, false);
+    assert!(local.ready_gateways(ms(1400)).is_empty());
 }
 
 /// Guards against a gateway that goes on being named by what replicas tell each other.
 #[test]
-fn a_relayed_gateway_is_not_relayed_again() {
-    let mut here = Registry::default();
-    let mut there = Registry::default();
+fn a_relayed_report_is_not_relayed_again() {
+    let mut local = Registry::default();
+    let mut remote = Registry::default();
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     let report = member.tick(ms(1000), Load::default).remove(0).1;
-    there.receive(ms(1000), gateway_addr(1), report, false);
-    let roster = there.roster(ms(1100)).expect("a gateway has reported");
-    here.receive(ms(1200), replica_addr(1), roster, false);
-    assert_eq!(here.roster(ms(1300)), None);
-    assert_eq!(there.roster(ms(1400)), None, "told once");
+    remote.receive(ms(1000), gateway_addr(1), report, false);
+    let roster = remote.roster(ms(1100)).expect("a gateway has reported");
+    local.receive(ms(1200), replica_addr(1), roster, false);
+    assert_eq!(local.roster(ms(1300)), None);
+    assert_eq!(remote.roster(ms(1400)), None, "told once");
 }
 
 /// Guards against proofs for gateways whose replica is behind the leader.
 #[test]
-fn a_proof_names_what_its_sender_holds() {
+fn a_proof_carries_its_senders_revisions() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     let report = member.tick(ms(0), Load::default).remove(0).1;
     for (_, message) in registry.receive(ms(1), gateway_addr(1), report, false) {
-        for (_, ask) in member.receive(ms(2), replica_addr(0), message).0 {
-            for (_, routes) in registry.receive(ms(3), gateway_addr(1), ask, false) {
+        for (_, pull) in member.receive(ms(2), replica_addr(0), message).0 {
+            for (_, routes) in registry.receive(ms(3), gateway_addr(1), pull, false) {
                 member.receive(ms(4), replica_addr(0), routes);
             }
         }
     }
     assert!(!member.is_proven(ms(5)));
-    let questions = registry.take_proof_requests();
-    assert_eq!(questions.len(), 1);
-    for (_, proof) in registry.prove(questions) {
+    let proof_requests = registry.take_proof_requests();
+    assert_eq!(proof_requests.len(), 1);
+    for (_, proof) in registry.prove(proof_requests) {
         assert!(matches!(
             proof,
             Message::Proof {
--- a/crates/fleet/tests/all/starts.rs
+++ b/crates/fleet/tests/all/restarts.rs
@@ -5,7 +5,7 @@
 use filberthead_types::{Incarnation, Moment};
 use std::sync::Arc;
 
-use crate::support::{addr, endpoint, gateway, ms, settle};
+use crate::support::{addr, endpoint, exchange, gateway, ms};
 
 fn started(id: &str, at: u64) -> Endpoint {
     Endpoint {
@@ -15,9 +15,9 @@
 }
 
 /// What a gateway that knows nothing learns of the list.
-fn listed(now: Moment, registry: &mut Registry) -> Vec<Endpoint> {
-    let learned = settle(now, &mut gateway(), registry);
-    let mut lists = learned.into_iter().filter_map(|update| match update {
+fn received_list(now: Moment, registry: &mut Registry) -> Vec<Endpoint> {
+    let updates = exchange(now, &mut gateway(), registry);
+    let mut lists = updates.into_iter().filter_map(|update| match update {
         Update::Endpoints(list) => Some(list),
         _ => None,
     });
@@ -28,35 +28,35 @@
 /// the same identity, address and service. Gateways must hear of it, since it knows nothing
 /// of what it had.
 #[test]
-fn a_new_start_under_the_same_identity_is_news() {
+fn a_restart_under_the_same_identity_is_a_change() {
     let (mut member, mut registry) = (gateway(), Registry::default());
     registry.set_endpoints(ms(0), 1, vec![started("a", 100), started("b", 100)]);
-    settle(ms(1), &mut member, &mut registry);
+    exchange(ms(1), &mut member, &mut registry);
     registry.set_endpoints(ms(400), 1, vec![started("a", 350), started("b", 100)]);
-    let learned = settle(ms(501), &mut member, &mut registry);
+    let updates = exchange(ms(501), &mut member, &mut registry);
     let change = EndpointChange {
         from: Stamp { term: 1, seq: 1 },
         changed: vec![started("a", 350)],
         gone: Vec::new(),
     };
-    assert!(learned.contains(&Update::EndpointsChanged(change)));
+    assert!(updates.contains(&Update::EndpointsChanged(change)));
 }
 
 /// The list is answered from several copies, and one of them still shows the earlier start.
 /// It must not take the place of the newer one, nor be announced.
 #[test]
-fn an_earlier_start_that_is_told_late_replaces_nothing() {
+fn an_earlier_start_that_is_read_late_replaces_nothing() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 1, vec![started("a", 200)]);
-    let held = registry.revisions().endpoints;
+    let stamp = registry.revisions().endpoints;
     let mut earlier = started("a", 100);
     earlier.state = EndpointState::Draining;
     registry.set_endpoints(ms(400), 1, vec![earlier, started("b", 100)]);
     assert!(
-        registry.revisions().endpoints > held,
+        registry.revisions().endpoints > stamp,
         "the other one is news"
     );
-    let list = listed(ms(401), &mut registry);
+    let list = received_list(ms(401), &mut registry);
     assert_eq!(list, [started("a", 200), started("b", 100)]);
 }
 
@@ -64,49 +64,52 @@
 /// entry with a moment far in the future was no endpoint's. What the list goes on showing
 /// must be believed in the end, or the endpoint would be lost for as long as it lives.
 #[test]
-fn an_earlier_start_that_stays_on_the_list_is_believed() {
+fn an_earlier_start_that_stays_on_the_list_is_accepted() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 1, vec![started("a", 9_000_000)]);
     for now in (400..10_000).step_by(400) {
         registry.set_endpoints(ms(now), 1, vec![started("a", 100)]);
     }
-    assert_eq!(listed(ms(10_000), &mut registry), [started("a", 100)]);
+    assert_eq!(
+        received_list(ms(10_000), &mut registry),
+        [started("a", 100)]
+    );
 }
 
 /// A start under an identity that has left the list owes nothing to what was there before.
 #[test]
-fn an_identity_that_was_gone_begins_anew() {
+fn an_identity_that_left_the_list_accepts_any_start() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 1, vec![started("a", 200)]);
     registry.set_endpoints(ms(400), 1, Vec::new());
     registry.set_endpoints(ms(800), 1, vec![started("a", 100)]);
-    assert_eq!(listed(ms(801), &mut registry), [started("a", 100)]);
+    assert_eq!(received_list(ms(801), &mut registry), [started("a", 100)]);
 }
 
 /// Two entries of a list have one identity: the earlier start of an endpoint is still on it
 /// beside the new one, or somebody else's entry borrows the identity. Which one holds must
 /// not depend on their order, and a gateway must never see both.
 #[test]
-fn of_two_entries_with_one_identity_the_better_one_holds() {
-    let good = started("a", 100);
+fn of_two_entries_with_one_identity_the_higher_priority_is_kept() {
+    let plain = started("a", 100);
     let foreign = Endpoint {
         service: "nobody-routes-this".parse().expect("a name"),
         ..started("a", 900)
     };
     let draining = Endpoint {
         state: EndpointState::Draining,
-        ..good.clone()
+        ..plain.clone()
     };
-    let elsewhere = Endpoint {
+    let other_address = Endpoint {
         addr: addr(9090),
-        ..good.clone()
+        ..plain.clone()
     };
     for (better, worse) in [
         (started("a", 200), draining.clone()),
-        (good.clone(), foreign),
-        (good.clone(), endpoint("a", 0)),
-        (draining, good.clone()),
-        (good, elsewhere),
+        (plain.clone(), foreign),
+        (plain.clone(), endpoint("a", 0)),
+        (draining, plain.clone()),
+        (plain, other_address),
     ] {
         for list in [
             vec![better.clone(), worse.clone()],
@@ -115,10 +118,13 @@
             let mut registry = Registry::default();
             registry.set_routes(ms(0), 5, 7, Arc::new(orders()));
             registry.set_endpoints(ms(0), 1, list.clone());
-            assert_eq!(listed(ms(1), &mut registry), std::slice::from_ref(&better));
-            let held = registry.revisions().endpoints;
+            assert_eq!(
+                received_list(ms(1), &mut registry),
+                std::slice::from_ref(&better)
+            );
+            let stamp = registry.revisions().endpoints;
             registry.set_endpoints(ms(400), 1, list);
-            assert_eq!(registry.revisions().endpoints, held, "nothing is new");
+            assert_eq!(registry.revisions().endpoints, stamp, "nothing is new");
         }
     }
 }
@@ -128,11 +134,11 @@
 #[test]
 fn endpoints_of_an_unknown_service_are_counted() {
     let mut registry = Registry::default();
-    let stranger = Endpoint {
+    let unknown = Endpoint {
         service: "lessons".parse().expect("a name"),
         ..endpoint("b", 0)
     };
-    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0), stranger.clone()]);
+    registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0), unknown.clone()]);
     assert_eq!(
         registry.unrouted_services().len(),
         0,
@@ -142,9 +148,9 @@
     let unrouted = registry.unrouted_services();
     assert_eq!(
         unrouted.into_iter().collect::<Vec<_>>(),
-        [(&stranger.service, 1)]
+        [(&unknown.service, 1)]
     );
-    assert_eq!(listed(ms(1), &mut registry).len(), 2);
+    assert_eq!(received_list(ms(1), &mut registry).len(), 2);
 }
 
 /// A table that knows the service of [`endpoint`].
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -49,12 +49,12 @@
 
 /// Carries messages between one gateway and one replica until both are silent, and
 /// returns what the gateway learned.
-pub(crate) fn settle(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Update> {
-    settle_with(now, member, registry, true)
+pub(crate) fn exchange(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Update> {
+    exchange_with(now, member, registry, true)
 }
 
 /// As [`settle`], with a replica that can prove what it holds or can't.
-pub(crate) fn settle_with(
+pub(crate) fn exchange_with(
     now: Moment,
     member: &mut Member,
     registry: &mut Registry,
@@ -65,15 +65,15 @@
         .into_iter()
         .map(|(_, m)| m)
         .collect();
-    let mut learned = Vec::new();
+    let mut updates = Vec::new();
     while let Some(message) = to_control.pop() {
         for (_, answer) in registry.receive(now, addr(GATEWAY), message, proven) {
-            let (out, updates) = member.receive(now, addr(CONTROL), answer);
+            let (out, received) = member.receive(now, addr(CONTROL), answer);
             to_control.extend(out.into_iter().map(|(_, m)| m));
-            learned.extend(updates);
+            updates.extend(received);
         }
     }
-    learned
+    updates
 }
 
 /// What a replica says that it holds, without proof.
--- a/crates/fleet/tests/all/spreading.rs
+++ b/crates/fleet/tests/all/updates.rs
@@ -9,10 +9,10 @@
 };
 use filberthead_route::Table;
 
-use crate::support::{CONTROL, GATEWAY, addr, endpoint, gateway, ms, notice, settle};
+use crate::support::{CONTROL, GATEWAY, addr, endpoint, exchange, gateway, ms, notice};
 
 #[test]
-fn a_gateway_that_starts_learns_everything_within_one_report() {
+fn a_starting_gateway_receives_everything_after_one_report() {
     let (mut member, mut registry) = (gateway(), Registry::default());
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     registry.set_evacuated(
@@ -21,21 +21,21 @@
         &BTreeSet::from(["split-a".parse().expect("a name")]),
     );
     registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
-    let learned = settle(ms(10), &mut member, &mut registry);
+    let updates = exchange(ms(10), &mut member, &mut registry);
     assert!(member.is_synced(ms(10)));
     assert!(
-        learned
+        updates
             .iter()
             .any(|u| matches!(u, Update::Routes { version: 7, .. }))
     );
-    assert!(learned.iter().any(|u| matches!(u, Update::Evacuated(_))));
-    assert!(learned.iter().any(|u| matches!(u, Update::Endpoints(_))));
+    assert!(updates.iter().any(|u| matches!(u, Update::Evacuated(_))));
+    assert!(updates.iter().any(|u| matches!(u, Update::Endpoints(_))));
 }
 
 /// A deposed leader that doesn't know it yet sends the list that it has read, in which an
 /// endpoint that has left meanwhile is still ready. The gateway must not go back to it.
 #[test]
-fn the_list_of_a_deposed_leader_loses() {
+fn the_list_of_a_deposed_leader_is_ignored() {
     let mut member = gateway();
     let newer = Message::Endpoints {
         stamp: Stamp { term: 4, seq: 1 },
@@ -73,7 +73,7 @@
 /// While an endpoint warms up, each reading of the list shows another rest of its cold
 /// time. That alone must not send the whole list to every gateway each time.
 #[test]
-fn the_passing_of_cold_time_is_no_news() {
+fn passing_cold_time_is_not_a_change() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 1, vec![endpoint("a", 3000)]);
     let first = registry.revisions().endpoints;
@@ -85,28 +85,28 @@
 }
 
 #[test]
-fn a_gateway_that_falls_silent_or_stops_is_no_longer_named() {
+fn a_silent_or_stopping_gateway_is_not_listed() {
     let (mut member, mut registry) = (gateway(), Registry::default());
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     assert_eq!(registry.ready_gateways(ms(1)), Vec::new());
     member.set_ready(true);
-    settle(ms(10), &mut member, &mut registry);
+    exchange(ms(10), &mut member, &mut registry);
     assert_eq!(registry.ready_gateways(ms(1000)).len(), 1);
     assert_eq!(registry.ready_gateways(ms(2000)), Vec::new());
-    settle(ms(2100), &mut member, &mut registry);
+    exchange(ms(2100), &mut member, &mut registry);
     assert_eq!(registry.ready_gateways(ms(2200)).len(), 1);
     member.set_ready(false);
-    settle(ms(2210), &mut member, &mut registry);
+    exchange(ms(2210), &mut member, &mut registry);
     assert_eq!(registry.ready_gateways(ms(2220)), Vec::new());
 }
 
 /// Notices of several replicas name the same change at the same moment. It must be asked
 /// of one of them, and of another one only if no answer comes.
 #[test]
-fn a_change_is_asked_once() {
+fn a_change_is_pulled_once() {
     let mut member = gateway();
     let mut registry = Registry::default();
-    settle(ms(0), &mut member, &mut registry);
+    exchange(ms(0), &mut member, &mut registry);
     registry.set_endpoints(ms(1), 1, vec![endpoint("a", 0)]);
     let notice = notice(registry.revisions(), Vec::new());
     assert_eq!(
@@ -121,13 +121,13 @@
 /// accepted changes. The gateway hears it first and must not serve by its routes, unless
 /// nobody else can be heard.
 #[test]
-fn a_gateway_that_starts_serves_by_no_single_replicas_routes() {
+fn a_starting_gateway_does_not_serve_a_single_replicas_routes() {
     let mut member = gateway();
     let mut behind = Registry::default();
     behind.set_replicas(vec![addr(CONTROL), addr(3), addr(4)]);
     behind.set_routes(ms(0), 5, 1, Arc::new(Table::default()));
     behind.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
-    settle(ms(10), &mut member, &mut behind);
+    exchange(ms(10), &mut member, &mut behind);
     assert!(!member.is_synced(ms(20)), "one of three has been heard");
     let newer = filberthead_fleet::Revisions {
         routes: 9,
@@ -144,7 +144,7 @@
     member.receive(ms(50), addr(3), routes);
     assert!(member.is_synced(ms(60)));
     let mut alone = gateway();
-    settle(ms(10), &mut alone, &mut behind);
+    exchange(ms(10), &mut alone, &mut behind);
     assert!(alone.is_synced(ms(3000)), "nobody else is there");
 }
 
@@ -153,7 +153,7 @@
 }
 
 /// What a replica tells somebody who holds this list.
-fn told(registry: &mut Registry, endpoints: Stamp) -> Message {
+fn update_for(registry: &mut Registry, endpoints: Stamp) -> Message {
     let revisions = Revisions {
         endpoints,
         ..registry.revisions()
@@ -166,13 +166,13 @@
 /// whole to every gateway, lists took a tenth of a small VM's link. A gateway that was away
 /// for longer than changes are kept gets the whole list.
 #[test]
-fn who_holds_an_older_list_is_told_what_has_changed() {
+fn holders_of_an_older_list_receive_only_changes() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 4, list(0..100));
     let first = registry.revisions().endpoints;
     registry.set_endpoints(ms(1), 4, list(1..101));
     registry.set_endpoints(ms(2), 4, list(2..102));
-    let Message::EndpointsChanged { stamp, change } = told(&mut registry, first) else {
+    let Message::EndpointsChanged { stamp, change } = update_for(&mut registry, first) else {
         panic!("the change alone");
     };
     assert_eq!(stamp, registry.revisions().endpoints);
@@ -183,7 +183,7 @@
         registry.set_endpoints(ms(u64::from(step)), 4, list(step..step + 100));
     }
     assert!(matches!(
-        told(&mut registry, first),
+        update_for(&mut registry, first),
         Message::Endpoints { .. }
     ));
 }
@@ -192,18 +192,18 @@
 /// read alike though one has seen an endpoint more. A change of the one's list must never
 /// be told to a gateway that holds the other's: it would lack an endpoint for good.
 #[test]
-fn lists_without_a_leader_are_never_told_as_changes() {
+fn lists_read_without_a_leader_are_sent_complete() {
     let mut registry = Registry::default();
     registry.set_endpoints(ms(0), 0, list(0..100));
     let first = registry.revisions().endpoints;
     registry.set_endpoints(ms(1), 0, list(0..101));
     assert!(matches!(
-        told(&mut registry, first),
+        update_for(&mut registry, first),
         Message::Endpoints { .. }
     ));
     registry.set_endpoints(ms(2), 1, list(0..102));
     assert!(matches!(
-        told(&mut registry, first),
+        update_for(&mut registry, first),
         Message::Endpoints { .. }
     ));
 }
@@ -211,7 +211,7 @@
 /// A change of a list that a gateway or replica doesn't hold must not be taken: it holds
 /// nothing of what came between. A replica asks at once for what it lacks.
 #[test]
-fn a_change_of_another_list_is_not_taken() {
+fn a_change_to_another_list_is_not_applied() {
     let stamp = |seq| Stamp { term: 4, seq };
     let change = || Message::EndpointsChanged {
         stamp: stamp(9),
@@ -221,28 +221,28 @@
             gone: Vec::new(),
         },
     };
-    let whole = |seq| Message::Endpoints {
+    let complete = |seq| Message::Endpoints {
         stamp: stamp(seq),
         list: list(0..2),
     };
     let (mut member, mut registry) = (gateway(), Registry::default());
-    member.receive(ms(1), addr(CONTROL), whole(7));
+    member.receive(ms(1), addr(CONTROL), complete(7));
     assert_eq!(member.receive(ms(2), addr(CONTROL), change()).1, Vec::new());
     assert_eq!(member.revisions().endpoints, stamp(7));
-    member.receive(ms(3), addr(CONTROL), whole(8));
+    member.receive(ms(3), addr(CONTROL), complete(8));
     assert_eq!(member.receive(ms(4), addr(CONTROL), change()).1.len(), 1);
     assert_eq!(member.revisions().endpoints, stamp(9));
-    registry.receive(ms(1), addr(CONTROL), whole(7), false);
+    registry.receive(ms(1), addr(CONTROL), complete(7), false);
     let out = registry.receive(ms(2), addr(CONTROL), change(), false);
-    assert!(matches!(out[..], [(_, Message::PullEndpoints(held))] if held == stamp(7)));
-    registry.receive(ms(3), addr(CONTROL), whole(8), false);
+    assert!(matches!(out[..], [(_, Message::PullEndpoints(base))] if base == stamp(7)));
+    registry.receive(ms(3), addr(CONTROL), complete(8), false);
     registry.receive(ms(4), addr(CONTROL), change(), false);
     assert_eq!(registry.revisions().endpoints, stamp(9));
 }
 
 /// Two failure domains, one of them crowded. Each gateway is told the mean of its own.
 #[test]
-fn a_gateway_is_told_how_busy_its_neighbours_are() {
+fn a_gateway_receives_the_mean_link_utilisation_of_its_failure_domain() {
     let member = |name: &str, domain: &str| {
         let info = GatewayInfo {
             name: name.parse().expect("a name"),
@@ -255,7 +255,7 @@
         member
     };
     let mut registry = Registry::default();
-    let mut told = |member: &mut Member, now, link_milli| {
+    let mut link_mean = |member: &mut Member, now, link_milli| {
         let load = || Load {
             link_milli,
             ..Load::default()
@@ -270,22 +270,22 @@
             _ => None,
         })
     };
-    let mut near = [member("a-1", "split-a"), member("a-2", "split-a")];
-    let mut far = member("b-1", "split-b");
-    assert_eq!(told(&mut near[0], ms(1), 800), Some(Some(800)));
-    assert_eq!(told(&mut near[1], ms(2), 200), Some(Some(500)));
-    assert_eq!(told(&mut far, ms(3), 100), Some(Some(100)));
+    let mut same_domain = [member("a-1", "split-a"), member("a-2", "split-a")];
+    let mut other_domain = member("b-1", "split-b");
+    assert_eq!(link_mean(&mut same_domain[0], ms(1), 800), Some(Some(800)));
+    assert_eq!(link_mean(&mut same_domain[1], ms(2), 200), Some(Some(500)));
+    assert_eq!(link_mean(&mut other_domain, ms(3), 100), Some(Some(100)));
 }
 
 /// An on-call engineer can't tell a list that was read late from one that was long on its way.
 #[test]
-fn a_gateway_tells_how_long_news_was_on_its_way() {
+fn a_gateway_measures_the_delay_of_an_update() {
     let (mut member, mut registry) = (gateway(), Registry::default());
     registry.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
-    let news = notice(registry.revisions(), Vec::new());
-    member.receive(ms(100), addr(CONTROL), news.clone());
-    member.receive(ms(400), addr(3), news);
-    let list = told(&mut registry, Stamp::default());
+    let announcement = notice(registry.revisions(), Vec::new());
+    member.receive(ms(100), addr(CONTROL), announcement.clone());
+    member.receive(ms(400), addr(3), announcement);
+    let list = update_for(&mut registry, Stamp::default());
     member.receive(ms(900), addr(3), list);
     let delay = UpdateDelay {
         since_announced: ms(800),
