--- a/crates/fleet/tests/all/main.rs
+++ b/crates/fleet/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! What spreads between gateways and control.
+//! Tests of state distribution between gateways and control replicas.
 
 mod narrow_link;
 mod parts;
--- a/crates/fleet/tests/all/narrow_link.rs
+++ b/crates/fleet/tests/all/narrow_link.rs
@@ -1,4 +1,4 @@
-//! A gateway behind a narrow link, and two replicas that tell it of routes and endpoints.
+//! A gateway behind a narrow link that receives routes and endpoints from two replicas.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 
 const OTHER_REPLICA: u16 = 3;
 const STEP: Duration = Duration::from_millis(5);
-/// What callers and endpoints leave of a link of 2 Mbit/s.
+/// The share of a 2 Mbit/s link that traffic of callers and endpoints leaves free.
 const BYTES_PER_S: f64 = 200_000.0;
 const ONE_WAY_DELAY: Duration = Duration::from_millis(12);
 const ENVELOPE_BYTES: usize = 60;
-/// Part of the 3 s in which an endpoint that leaves must be left alone that the way from
-/// control to gateways may take. The rest is for reading the list and for requests that are
-/// on their way.
+/// Time within which an endpoint update must reach the gateway: the share of the 3 s after
+/// which a leaving endpoint must receive no more requests. The rest is for reading the list
+/// and for requests in flight.
 const UPDATE_DEADLINE: Duration = Duration::from_millis(750);
 /// Time within which a change of routes must be in force.
 const ROUTES_DEADLINE: Duration = Duration::from_millis(2500);
-/// Longest wait that messages of control may add for requests on the same link: a part of the
-/// shortest objective there is.
+/// Maximum queueing delay that control messages may cause for requests on the same link: a
+/// fraction of the shortest latency objective.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
 
 fn route(number: u32) -> Route {
@@ -73,28 +73,28 @@
     .collect()
 }
 
-/// What the link sends of one connection before it turns to the next one.
+/// Bytes that the link sends for one connection before it serves the next one.
 const SEGMENT_BYTES: usize = 1500;
 
-/// A message that the link hasn't sent yet.
+/// A message that is queued for the link, with the number of bytes left to send.
 struct Queued {
     message: Message,
     remaining: usize,
 }
 
-/// A message on its way to the gateway.
+/// A message in flight to the gateway.
 struct InFlight {
     arrives: Moment,
     from: SocketAddr,
     message: Message,
 }
 
-/// The gateway's link, which sends what waits on each connection in turn.
+/// The gateway's link, which serves the queues of its connections round-robin.
 #[derive(Default)]
 struct Link {
     connections: [VecDeque<Queued>; 2],
     next_connection: usize,
-    /// Bytes that may be sent by now.
+    /// Bytes that may be sent now.
     credit: f64,
 }
 
@@ -103,7 +103,7 @@
         self.connections.iter().flatten().map(|w| w.remaining).sum()
     }
 
-    /// Sends for a step; returns what has gone out whole, and on which connection.
+    /// Sends for one step; returns the messages sent completely, with their connections.
     fn step(&mut self) -> Vec<(usize, Message)> {
         let mut sent = Vec::new();
         self.credit += BYTES_PER_S * STEP.as_secs_f64();
@@ -130,7 +130,7 @@
     }
 }
 
-/// What a message takes on the link.
+/// Size of a message on the link.
 fn length(message: &Message) -> usize {
     let buf = postcard::to_stdvec(message).expect("it can be encoded");
     ENVELOPE_BYTES + buf.len()
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The first replica leads and has read this list; the other one takes it over.
+    /// The first replica, the leader, has read this list, and the other one receives it.
     fn list(&mut self, list: Vec<Endpoint>) {
         let [(leader, reader), (other, follower)] = &mut self.replicas;
         let (leader, other) = (*leader, *other);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Loses all that waits for the link, as a connection that is made anew does.
+    /// Drops all queued messages, as when a connection is replaced.
     fn drop_queued(&mut self) {
         self.link.connections.iter_mut().for_each(VecDeque::clear);
     }
@@ -267,7 +267,7 @@
         self.to_control.extend(out);
     }
 
-    /// When the gateway learned that an endpoint leaves.
+    /// When the gateway received the update that an endpoint is leaving.
     fn received_leaving_at(&self, id: &str) -> Option<Moment> {
         let leaves = |e: &Endpoint| e.id == id && e.state == EndpointState::Draining;
         let lists_leaving = |update: &Update| match update {
@@ -282,7 +282,7 @@
         first.map(|(at, _)| *at)
     }
 
-    /// When the gateway had these routes.
+    /// When the gateway received these routes.
     fn received_routes_at(&self, wanted: &Table) -> Option<Moment> {
         let has_table = |update: &Update| match update {
             Update::Routes { table, .. } => **table == *wanted,
@@ -293,7 +293,7 @@
     }
 }
 
-/// A gateway that serves by routes and endpoints.
+/// A simulation whose gateway has received routes and endpoints.
 fn serving_gateway(routes: u32) -> Simulation {
     let mut sim = Simulation::new();
     sim.set_routes(1, &table(routes));
@@ -305,8 +305,8 @@
     sim
 }
 
-/// Guards against tables of routes that fill a gateway's link, so that it goes on sending
-/// requests to endpoints that have long said that they leave.
+/// Guards against tables of routes that fill a gateway's link, so that it keeps sending
+/// requests to endpoints that have long been announced as leaving.
 #[test]
 fn a_large_change_of_routes_does_not_delay_endpoint_updates() {
     let mut sim = serving_gateway(2822);
@@ -317,15 +317,19 @@
     sim.run_until(ms(6700));
     sim.list(endpoints(Some("i-00000007")));
     sim.run_until(ms(20_000));
-    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    let leaving = sim
+        .received_leaving_at("i-00000007")
+        .expect("the gateway is updated");
     assert!(
         leaving <= ms(6700) + UPDATE_DEADLINE,
-        "learned only at {leaving:?}"
+        "received only at {leaving:?}"
     );
-    let routes = sim.received_routes_at(&further).expect("they are told");
+    let routes = sim
+        .received_routes_at(&further)
+        .expect("the gateway is updated");
     assert!(
         routes <= ms(6600) + ROUTES_DEADLINE,
-        "learned only at {routes:?}"
+        "received only at {routes:?}"
     );
     assert!(
         sim.max_queue_time <= MAX_QUEUE_TIME,
@@ -334,7 +338,7 @@
     );
 }
 
-/// Guards against asking for a large table again while it is on its way.
+/// Guards against pulling a large table again while it is being transferred.
 #[test]
 fn a_large_table_is_sent_once() {
     let mut sim = Simulation::new();
@@ -348,7 +352,7 @@
     assert!(sim.bytes <= bound, "{} of {bound} bytes", sim.bytes);
 }
 
-/// Guards against whole tables for each change of a few routes.
+/// Guards against sending the complete table for each change of a few routes.
 #[test]
 fn a_change_of_routes_sends_only_the_difference() {
     let mut sim = serving_gateway(2822);
@@ -364,21 +368,23 @@
     assert!(sim.bytes <= bound, "{} of {bound} bytes", sim.bytes);
 }
 
-/// Guards against short news that waits three times on a busy link: as a notice, as the
-/// question for it and as the answer.
+/// Guards against short updates that cross a busy link three times: as a notice, a pull and
+/// an answer.
 #[test]
 fn an_endpoint_update_takes_one_network_trip() {
     let mut sim = serving_gateway(22);
     sim.list(endpoints(Some("i-00000007")));
     sim.run_until(ms(7000));
-    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    let leaving = sim
+        .received_leaving_at("i-00000007")
+        .expect("the gateway is updated");
     assert!(
         leaving < ms(6000) + 2 * ONE_WAY_DELAY,
-        "learned only at {leaving:?}"
+        "received only at {leaving:?}"
     );
 }
 
-/// Guards against an evacuation that waits as news of endpoints did.
+/// Guards against an evacuation that crosses a busy link three times.
 #[test]
 fn an_evacuation_takes_one_network_trip() {
     let mut sim = serving_gateway(22);
@@ -386,26 +392,31 @@
     sim.run_until(ms(7000));
     let evacuated = |update: &Update| matches!(update, Update::Evacuated(_));
     let first = sim.updates.iter().find(|(_, update)| evacuated(update));
-    let (at, _) = first.expect("it is told");
-    assert!(*at < ms(6000) + 2 * ONE_WAY_DELAY, "learned only at {at:?}");
+    let (at, _) = first.expect("the gateway is updated");
+    assert!(
+        *at < ms(6000) + 2 * ONE_WAY_DELAY,
+        "received only at {at:?}"
+    );
 }
 
-/// Guards against news that is lost for good if the push is.
+/// Guards against updates that are lost for good when the push is lost.
 #[test]
 fn a_lost_update_is_repeated_after_the_next_report() {
     let mut sim = serving_gateway(22);
     sim.list(endpoints(Some("i-00000007")));
     sim.drop_queued();
     sim.run_until(ms(7000));
-    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    let leaving = sim
+        .received_leaving_at("i-00000007")
+        .expect("the gateway is updated");
     assert!(
         leaving < ms(6000) + UPDATE_DEADLINE,
-        "learned only at {leaving:?}"
+        "received only at {leaving:?}"
     );
 }
 
-/// Guards against a gateway that is told a change of a list that it doesn't hold, and waits
-/// for its next report to ask for what is between.
+/// Guards against a gateway that receives a change to a list that it doesn't hold, and waits
+/// for its next report before it pulls the changes in between.
 #[test]
 fn a_gateway_pulls_missing_changes_at_once() {
     let mut sim = serving_gateway(22);
@@ -413,14 +424,16 @@
     sim.drop_queued();
     sim.list(endpoints(Some("i-00000007")));
     sim.run_until(ms(7000));
-    let leaving = sim.received_leaving_at("i-00000007").expect("it is told");
+    let leaving = sim
+        .received_leaving_at("i-00000007")
+        .expect("the gateway is updated");
     assert!(
         leaving < ms(6000) + 8 * ONE_WAY_DELAY,
-        "learned only at {leaving:?}"
+        "received only at {leaving:?}"
     );
 }
 
-/// Guards against a gateway whose requests wait for seconds behind a table of routes.
+/// Guards against requests that wait for seconds behind a table of routes.
 #[test]
 fn requests_do_not_wait_behind_a_large_table() {
     let mut sim = Simulation::new();
--- a/crates/fleet/tests/all/parts.rs
+++ b/crates/fleet/tests/all/parts.rs
@@ -1,4 +1,4 @@
-//! Long messages that gateways receive in parts.
+//! Long messages that gateways pull in parts.
 
 use std::sync::Arc;
 
@@ -16,12 +16,12 @@
     registry
 }
 
-/// The first part of a table, which a gateway has asked for.
+/// The first part of a table, in answer to the gateway's pull.
 fn first_part(member: &mut Member, registry: &mut Registry) -> Message {
     let announcement = notice(registry.revisions(), Vec::new());
     let (out, _) = member.receive(ms(0), addr(CONTROL), announcement);
     let [(_, Message::Pull(revisions))] = &out[..] else {
-        panic!("a question: {out:?}");
+        panic!("a pull: {out:?}");
     };
     answer(registry, Message::Pull(*revisions))
 }
@@ -31,7 +31,7 @@
     out.pop().expect("an answer").1
 }
 
-/// The questions for parts in what a gateway sends.
+/// The pulls of parts among the messages that a gateway sends.
 fn part_pulls(out: Vec<(std::net::SocketAddr, Message)>) -> Vec<Message> {
     let messages = out.into_iter().map(|(_, message)| message);
     messages
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// Carries questions and parts until there are no more; returns what was learned.
+/// Delivers pulls and parts until none are left; returns the updates received.
 fn finish_transfer(member: &mut Member, registry: &mut Registry, out: Vec<Message>) -> Vec<Update> {
     let mut pending = out;
     let mut updates = Vec::new();
@@ -52,8 +52,8 @@
     updates
 }
 
-/// Guards against a replica that dies, or a connection that is lost, with a table half
-/// received: the gateway would wait for the rest for ever.
+/// Guards against a replica that dies, or a connection that is lost, in the middle of a
+/// transfer: the gateway would wait for the rest forever.
 #[test]
 fn a_transfer_whose_sender_stops_restarts_with_another_replica() {
     let routes = table(1000);
@@ -62,7 +62,7 @@
     member.receive(ms(10), addr(CONTROL), part);
     let announcement = notice(lost.revisions(), Vec::new());
     let (out, _) = member.receive(ms(20), addr(OTHER_REPLICA), announcement.clone());
-    assert_eq!(out, Vec::new(), "it is on its way");
+    assert_eq!(out, Vec::new(), "a transfer is running");
     for at in [700, 1400, 2100] {
         member.tick(ms(at), Load::default);
     }
@@ -70,8 +70,8 @@
     assert!(matches!(out[..], [(to, Message::Pull(_))] if to == addr(OTHER_REPLICA)));
 }
 
-/// Guards against parts that are lost with a connection while the process at its other end
-/// goes on: all others would be received again.
+/// Guards against parts that are lost with a connection while the sender keeps running: all
+/// other parts would be transferred again.
 #[test]
 fn only_a_lost_part_is_pulled_again() {
     let routes = table(1000);
@@ -86,8 +86,8 @@
     assert!(matches!(&updates[..], [Update::Routes { table, .. }] if *table == routes));
 }
 
-/// Guards against a table put together from parts of two: routes change while an older table
-/// is on its way.
+/// Guards against a table assembled from parts of two: routes change while an older table is
+/// being transferred.
 #[test]
 fn parts_of_different_tables_never_mix() {
     let older = table(1000);
@@ -104,7 +104,7 @@
     assert!(matches!(&updates[..], [Update::Routes { table, .. }] if *table == older));
 }
 
-/// Guards against damaged parts that are taken for routes.
+/// Guards against damaged parts that are applied as routes.
 #[test]
 fn parts_that_do_not_match_their_digest_are_dropped() {
     let mut member = gateway();
@@ -123,7 +123,7 @@
     assert_eq!(member.revisions().routes, 0);
 }
 
-/// Guards against evacuations that a gateway obeys only when a large table is through.
+/// Guards against evacuations that take effect only after a large table has been transferred.
 #[test]
 fn an_evacuation_overtakes_a_table_in_transfer() {
     let routes = table(1000);
@@ -135,7 +135,7 @@
     let announcement = notice(registry.revisions(), Vec::new());
     let (out, _) = member.receive(ms(30), addr(CONTROL), announcement);
     let [(_, pull)] = &out[..] else {
-        panic!("a question: {out:?}");
+        panic!("a pull: {out:?}");
     };
     let out = registry.receive(ms(40), addr(GATEWAY), pull.clone(), true);
     assert!(matches!(
@@ -144,8 +144,8 @@
     ));
 }
 
-/// Guards against a transfer that nobody needs any more, because the gateway got the news in
-/// another way, and that keeps it from asking for what comes next.
+/// Guards against a transfer that is no longer needed, because the gateway received the table
+/// from another replica, and that keeps it from pulling the next one.
 #[test]
 fn a_superseded_transfer_is_dropped() {
     let (older, newer) = (table(1000), table(1001));
--- a/crates/fleet/tests/all/proofs.rs
+++ b/crates/fleet/tests/all/proofs.rs
@@ -1,4 +1,4 @@
-//! When routes count as the newest, and whom a gateway reports to.
+//! When routes count as the newest, and which replicas a gateway keeps reporting to.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
     CONTROL, GATEWAY, addr, exchange, exchange_with, gateway, gateway_from, ms, notice,
 };
 
-/// A gateway that nobody has told that its routes are the newest, or that was told so too long
-/// ago, by somebody who knows of newer ones, or in answer to another life of the process, must
-/// not tell callers for good that a route doesn't exist.
+/// A gateway must not permanently deny to callers that a route exists while it has no proof
+/// that its routes are the newest: none was received, it is too old, newer routes have been
+/// announced since, or it answered an earlier process.
 #[test]
 fn routes_count_as_newest_only_while_proven() {
     let mut registry = Registry::default();
@@ -21,17 +21,17 @@
     let mut member = gateway();
     exchange_with(ms(10), &mut member, &mut registry, false);
     assert_eq!(member.revisions().routes, 5);
-    assert!(!member.is_proven(ms(20)), "nobody can prove it");
+    assert!(!member.is_proven(ms(20)), "no replica can prove it");
     exchange(ms(600), &mut member, &mut registry);
     assert!(member.is_proven(ms(610)));
     assert!(member.is_proven(ms(2190)));
-    assert!(!member.is_proven(ms(2200)), "control has fallen silent");
+    assert!(!member.is_proven(ms(2200)), "control is silent");
     exchange(ms(3000), &mut member, &mut registry);
     assert!(member.is_proven(ms(3010)));
-    assert!(!gateway().is_proven(ms(3010)), "another life knows nothing");
+    assert!(!gateway().is_proven(ms(3010)), "a new process has no proof");
 }
 
-/// The reports of a gateway, and what a replica that can prove what it holds answers.
+/// The answers of a replica that can prove its revisions to a gateway's reports.
 fn answer(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Message> {
     let reports = member.tick(now, Load::default);
     let answers = reports
@@ -40,8 +40,8 @@
     answers.map(|(_, message)| message).collect()
 }
 
-/// A cut holds the leader's answer up, and it arrives after operators have accepted newer
-/// routes. It proved something when it was asked for, and nothing when it comes.
+/// A cut delays the leader's answer until newer routes have been accepted. The proof was valid
+/// when it was requested, but not when it arrives.
 #[test]
 fn a_late_proof_is_ignored() {
     let mut registry = Registry::default();
@@ -55,8 +55,8 @@
     assert!(!member.is_proven(ms(2300)));
 }
 
-/// Now and then an answer of the leader is lost. A gateway in touch must go on denying what
-/// there isn't, or its callers come back for nothing.
+/// Now and then an answer of the leader is lost. A connected gateway must keep denying routes
+/// that don't exist, or its callers retry in vain.
 #[test]
 fn a_lost_answer_does_not_end_a_proof() {
     let mut registry = Registry::default();
@@ -73,9 +73,9 @@
     }
 }
 
-/// The leader proves the gateway's routes, and right after that newer ones are accepted. The
-/// gateway hears of them from somebody else, and their table is lost. It knows by then that it
-/// lacks something.
+/// The leader proves the gateway's routes, and newer ones are accepted right after. Another
+/// replica announces them, but the table is lost. The gateway must count as behind from the
+/// announcement on.
 #[test]
 fn an_announcement_of_newer_routes_ends_a_proof() {
     let mut registry = Registry::default();
@@ -88,8 +88,8 @@
     assert!(!member.is_proven(ms(120)));
 }
 
-/// The leader holds newer routes than the gateway. Its word is no proof of those that the
-/// gateway has, until they have come.
+/// The leader holds newer routes than the gateway. Its proof doesn't cover the gateway's routes
+/// until the newer ones have arrived.
 #[test]
 fn a_proof_of_newer_routes_does_not_cover_older_ones() {
     let mut registry = Registry::default();
@@ -112,8 +112,8 @@
     assert!(member.is_proven(ms(650)));
 }
 
-/// A gateway is killed, and its successor at the same address gets the answer to a report of
-/// the one before. It says nothing about what the new one holds.
+/// A gateway is killed, and its successor at the same address receives the answer to a report
+/// of the previous process. It proves nothing about the successor's routes.
 #[test]
 fn a_proof_for_an_earlier_process_is_ignored() {
     let mut registry = Registry::default();
@@ -128,9 +128,9 @@
     assert!(!successor.is_proven(ms(20)));
 }
 
-/// A gateway is cut off from everybody for a minute, and the replicas that its settings name
-/// have been replaced since it started. It must go on reporting to those that it learned of:
-/// it had forgotten them by the end of the cut, and nobody could reach it ever again.
+/// A gateway is cut off from all replicas for a minute, and the replicas in its settings have
+/// been replaced since it started. It must keep reporting to those that notices listed: if it
+/// removed them during the cut, it could never reach control again.
 #[test]
 fn a_gateway_that_is_cut_off_keeps_all_replicas() {
     let mut registry = Registry::default();
@@ -142,8 +142,8 @@
     assert!(targets.contains(&addr(3)) && targets.contains(&addr(4)));
 }
 
-/// A replica is taken out of the group while the gateway hears the others. It is no longer
-/// reported to after a while.
+/// A replica is removed from the group while the gateway receives notices from the others.
+/// After a while the gateway must stop reporting to it.
 #[test]
 fn a_gateway_removes_replicas_that_notices_no_longer_list() {
     let mut registry = Registry::default();
--- a/crates/fleet/tests/all/reporting.rs
+++ b/crates/fleet/tests/all/reporting.rs
@@ -1,4 +1,4 @@
-//! Whom gateways report to, and how replicas learn of the gateways that others hear.
+//! Which replicas gateways report to, and how replicas relay the reports to each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 
 use crate::support::{addr, ms};
 
-/// Time between two steps of the fleet below.
+/// Simulated time between two steps.
 const STEP_MS: u64 = 50;
-/// How often replicas tell each other of gateways, in steps.
+/// Steps between two rosters of a replica.
 const ROSTER_STEPS: u64 = 5;
 
-/// Gateways and replicas with a network that can be cut, and a count of messages.
+/// Gateways and replicas on a network whose links can be cut, with message counts.
 struct Fleet {
     now: Moment,
     members: BTreeMap<SocketAddr, Member>,
     replicas: BTreeMap<SocketAddr, Registry>,
     leader: SocketAddr,
-    /// Links that carry nothing, by sender and receiver.
+    /// Cut links, as sender and receiver.
     cut: BTreeSet<(SocketAddr, SocketAddr)>,
     down: BTreeSet<SocketAddr>,
-    /// Messages that replicas received from gateways and from each other.
+    /// Number of messages that each replica received from gateways and other replicas.
     received: BTreeMap<SocketAddr, u64>,
 }
 
@@ -84,7 +84,7 @@
         replica == self.leader
     }
 
-    /// Carries messages until nobody has any.
+    /// Delivers messages until none are left.
     fn deliver(&mut self, mut messages: Vec<(SocketAddr, Outbound)>) {
         while let Some((from, (to, message))) = messages.pop() {
             if !self.reaches(from, to) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A replica that reaches the leader, and is reached, can prove what the leader holds too.
+    /// A replica with a link to the leader in both directions can prove the leader's revisions.
     fn deliver_proofs(&mut self) {
         let leader = self.leader;
         let newest = self.replicas[&leader].revisions().routes;
@@ -163,7 +163,7 @@
         up.all(|(_, member)| member.is_proven(self.now))
     }
 
-    /// Messages that the busiest replica receives in a second.
+    /// Messages per second at the replica that receives most.
     fn max_messages_per_s(&mut self) -> u64 {
         self.received.clear();
         self.run(10_000);
@@ -171,8 +171,8 @@
     }
 }
 
-/// Guards against load of control that grows with gateways times replicas: every gateway
-/// reported twice a second to every replica.
+/// Guards against load on control that grows with gateways times replicas, as when every
+/// gateway reports to every replica twice a second.
 #[test]
 fn message_load_does_not_grow_with_gateways_times_replicas() {
     for (gateways, replicas) in [(11, 3), (100, 5), (300, 9), (600, 9)] {
@@ -186,7 +186,7 @@
             "{gateways}, {replicas}: {busiest}"
         );
         let received = fleet.received.values().sum::<u64>() / 10;
-        // Two reports a second to two replicas, a look around, rosters among replicas.
+        // Two reports a second to two replicas, probes of others, rosters among replicas.
         let expected = 5 * u64::from(gateways) + rosters * u64::from(replicas);
         assert!(
             received <= expected,
@@ -195,7 +195,8 @@
     }
 }
 
-/// Guards against gateways that only some replicas know of: look-ups there left them out.
+/// Guards against gateways that only some replicas list: look-ups at the others would omit
+/// them.
 #[test]
 fn every_replica_lists_every_gateway() {
     let mut fleet = Fleet::new(40, 9);
@@ -206,7 +207,7 @@
     for (at, registry) in &fleet.replicas {
         assert_eq!(registry.ready_gateways(fleet.now).len(), 40, "{at}");
     }
-    // One stops, and is out of all answers within a second.
+    // A stopping gateway is removed from all answers within a second.
     fleet
         .members
         .get_mut(&gateway_addr(7))
@@ -216,7 +217,7 @@
     for (at, registry) in &fleet.replicas {
         assert_eq!(registry.ready_gateways(fleet.now).len(), 39, "{at}");
     }
-    // Another one dies without a word.
+    // Another one dies without a final report.
     fleet.down.insert(gateway_addr(8));
     fleet.run(2500);
     for (at, registry) in &fleet.replicas {
@@ -224,7 +225,7 @@
     }
 }
 
-/// Guards against gateways that lose touch when the replicas that they follow end.
+/// Guards against gateways that lose control when the replicas that they report to fail.
 #[test]
 fn gateways_switch_to_other_replicas_when_some_fail() {
     for failed in [vec![1, 2], vec![1, 2, 3, 4], vec![1, 2, 3, 4, 5, 6, 7, 8]] {
@@ -235,14 +236,14 @@
             .extend(failed.iter().map(|number| replica_addr(*number)));
         for passed in 0..40 {
             fleet.run(100);
-            // One report and its proof are lost; asking others takes two more.
+            // One report and its proof are lost; reaching other replicas takes two more reports.
             assert!(fleet.all_proven() || passed < 16, "{failed:?} {passed}");
         }
     }
 }
 
-/// Guards against gateways that stay with a replica which answers but has lost the leader,
-/// both ways or one way, and so miss newer routes.
+/// Guards against gateways that stay with a replica that responds but is cut off from the
+/// leader, in both directions or one, and so miss newer routes.
 #[test]
 fn gateways_leave_replicas_that_lost_the_leader() {
     for both_ways in [true, false] {
@@ -265,7 +266,7 @@
     }
 }
 
-/// Guards against a replica that has come back and is asked by nobody any more.
+/// Guards against a recovered replica that no gateway reports to any more.
 #[test]
 fn a_recovered_replica_is_found() {
     let mut fleet = Fleet::new(20, 9);
@@ -275,7 +276,7 @@
         .extend((0..=8).filter(|n| *n != 0).map(replica_addr));
     fleet.run(5000);
     fleet.down.clear();
-    // The look around finds each of nine within a minute.
+    // Probing reaches each of nine within a minute.
     fleet.run(60_000);
     fleet.down.insert(replica_addr(0));
     fleet.leader = replica_addr(4);
@@ -283,7 +284,7 @@
     assert!(fleet.all_proven());
 }
 
-/// Guards against relayed words of a gateway that put newer ones of its own back.
+/// Guards against a relayed report that overwrites a newer direct one.
 #[test]
 fn a_relayed_report_does_not_replace_a_newer_one() {
     let mut local = Registry::default();
@@ -301,7 +302,7 @@
     assert!(local.ready_gateways(ms(1400)).is_empty());
 }
 
-/// Guards against a gateway that goes on being named by what replicas tell each other.
+/// Guards against a dead gateway that stays listed because replicas keep relaying its report.
 #[test]
 fn a_relayed_report_is_not_relayed_again() {
     let mut local = Registry::default();
@@ -312,10 +313,10 @@
     let roster = remote.roster(ms(1100)).expect("a gateway has reported");
     local.receive(ms(1200), replica_addr(1), roster, false);
     assert_eq!(local.roster(ms(1300)), None);
-    assert_eq!(remote.roster(ms(1400)), None, "told once");
+    assert_eq!(remote.roster(ms(1400)), None, "relayed once");
 }
 
-/// Guards against proofs for gateways whose replica is behind the leader.
+/// Guards against proofs that cover newer routes than the replica sending them holds.
 #[test]
 fn a_proof_carries_its_senders_revisions() {
     let mut registry = Registry::default();
--- a/crates/fleet/tests/all/restarts.rs
+++ b/crates/fleet/tests/all/restarts.rs
@@ -1,4 +1,4 @@
-//! Starts of endpoints under one identity, and entries of another writer.
+//! Restarts of endpoints under the same identity, and list entries written by other programs.
 
 use filberthead_fleet::{Endpoint, EndpointChange, EndpointState, Registry, Stamp, Update};
 use filberthead_route::{Service, Table};
@@ -14,7 +14,7 @@
     }
 }
 
-/// What a gateway that knows nothing learns of the list.
+/// The list as received by a gateway that has just started.
 fn received_list(now: Moment, registry: &mut Registry) -> Vec<Endpoint> {
     let updates = exchange(now, &mut gateway(), registry);
     let mut lists = updates.into_iter().filter_map(|update| match update {
@@ -24,9 +24,9 @@
     lists.next().expect("a list")
 }
 
-/// An endpoint crashes and starts again so quickly that the list never shows it gone, with
-/// the same identity, address and service. Gateways must hear of it, since it knows nothing
-/// of what it had.
+/// An endpoint crashes and restarts so quickly that the list never shows it gone, with the
+/// same identity, address and service. Gateways must receive the change, since the new process
+/// has lost the state of the old one.
 #[test]
 fn a_restart_under_the_same_identity_is_a_change() {
     let (mut member, mut registry) = (gateway(), Registry::default());
@@ -42,8 +42,8 @@
     assert!(updates.contains(&Update::EndpointsChanged(change)));
 }
 
-/// The list is answered from several copies, and one of them still shows the earlier start.
-/// It must not take the place of the newer one, nor be announced.
+/// The platform serves the list from several copies, and one of them still shows the earlier
+/// start. It must not replace the newer one, nor be announced.
 #[test]
 fn an_earlier_start_that_is_read_late_replaces_nothing() {
     let mut registry = Registry::default();
@@ -54,15 +54,15 @@
     registry.set_endpoints(ms(400), 1, vec![earlier, started("b", 100)]);
     assert!(
         registry.revisions().endpoints > stamp,
-        "the other one is news"
+        "the other endpoint is new"
     );
     let list = received_list(ms(401), &mut registry);
     assert_eq!(list, [started("a", 200), started("b", 100)]);
 }
 
-/// An endpoint's clock was ahead when it started, and is right when it starts again; or an
-/// entry with a moment far in the future was no endpoint's. What the list goes on showing
-/// must be believed in the end, or the endpoint would be lost for as long as it lives.
+/// An endpoint's clock was ahead at its start and is right after a restart, or an entry with a
+/// time far in the future came from another program. The start that the list keeps showing
+/// must be accepted eventually, or the endpoint would never receive requests.
 #[test]
 fn an_earlier_start_that_stays_on_the_list_is_accepted() {
     let mut registry = Registry::default();
@@ -76,7 +76,7 @@
     );
 }
 
-/// A start under an identity that has left the list owes nothing to what was there before.
+/// After an identity has left the list, its former start time no longer matters.
 #[test]
 fn an_identity_that_left_the_list_accepts_any_start() {
     let mut registry = Registry::default();
@@ -86,9 +86,9 @@
     assert_eq!(received_list(ms(801), &mut registry), [started("a", 100)]);
 }
 
-/// Two entries of a list have one identity: the earlier start of an endpoint is still on it
-/// beside the new one, or somebody else's entry borrows the identity. Which one holds must
-/// not depend on their order, and a gateway must never see both.
+/// Two entries of a list have the same identity: the earlier start of an endpoint is still
+/// listed beside the new one, or another program's entry uses the identity. Which one is kept
+/// must not depend on their order, and a gateway must never receive both.
 #[test]
 fn of_two_entries_with_one_identity_the_higher_priority_is_kept() {
     let plain = started("a", 100);
@@ -124,13 +124,17 @@
             );
             let stamp = registry.revisions().endpoints;
             registry.set_endpoints(ms(400), 1, list);
-            assert_eq!(registry.revisions().endpoints, stamp, "nothing is new");
+            assert_eq!(
+                registry.revisions().endpoints,
+                stamp,
+                "the list is unchanged"
+            );
         }
     }
 }
 
-/// An entry names a service that isn't known, as one that another program wrote may. It is
-/// told apart, for the log, but stays: the next routes may know the service.
+/// An entry names a service without routes, as one written by another program may. It is
+/// counted separately, for the log, but kept: the next routes may define the service.
 #[test]
 fn endpoints_of_an_unknown_service_are_counted() {
     let mut registry = Registry::default();
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A gateway and a replica, and messages between them.
+//! Helpers: a gateway and a replica that exchange messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     gateway_from(100)
 }
 
-/// A gateway whose life numbers its questions from here.
+/// A gateway whose report ids start at `first_report_id`.
 pub(crate) fn gateway_from(first_report_id: u64) -> Member {
     let info = GatewayInfo {
         name: "entry-1".parse().expect("a name"),
@@ -47,13 +47,13 @@
     }
 }
 
-/// Carries messages between one gateway and one replica until both are silent, and
-/// returns what the gateway learned.
+/// Delivers messages between one gateway and one replica until neither sends any, and
+/// returns the updates that the gateway received.
 pub(crate) fn exchange(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Update> {
     exchange_with(now, member, registry, true)
 }
 
-/// As [`settle`], with a replica that can prove what it holds or can't.
+/// As [`exchange`]; `proven` is whether the replica can prove its revisions.
 pub(crate) fn exchange_with(
     now: Moment,
     member: &mut Member,
@@ -76,7 +76,7 @@
     updates
 }
 
-/// What a replica says that it holds, without proof.
+/// A notice with these revisions and without a proof.
 pub(crate) fn notice(revisions: Revisions, replicas: Vec<SocketAddr>) -> Message {
     Message::Notice {
         revisions,
--- a/crates/fleet/tests/all/updates.rs
+++ b/crates/fleet/tests/all/updates.rs
@@ -1,4 +1,4 @@
-//! Reports, notices and what spreads with them.
+//! Reports, notices and the updates that follow from them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
     assert!(updates.iter().any(|u| matches!(u, Update::Endpoints(_))));
 }
 
-/// A deposed leader that doesn't know it yet sends the list that it has read, in which an
-/// endpoint that has left meanwhile is still ready. The gateway must not go back to it.
+/// A leader that has been deposed without noticing sends the list that it has read, in which
+/// an endpoint that has left since is still ready. The gateway must not apply it.
 #[test]
 fn the_list_of_a_deposed_leader_is_ignored() {
     let mut member = gateway();
@@ -49,8 +49,8 @@
     assert_eq!(member.receive(ms(2), addr(CONTROL), older).1, Vec::new());
 }
 
-/// Routes that were superseded come late from a replica that is behind. Within one life
-/// of the process they must never be in force again.
+/// Superseded routes arrive late from a replica that is behind. Within one process they must
+/// never be in force again.
 #[test]
 fn routes_never_go_back() {
     let mut member = gateway();
@@ -70,8 +70,8 @@
     assert_eq!(member.revisions().routes, 9);
 }
 
-/// While an endpoint warms up, each reading of the list shows another rest of its cold
-/// time. That alone must not send the whole list to every gateway each time.
+/// While an endpoint warms up, each reading of the list shows a different remaining cold time.
+/// That alone must not cause an update to every gateway each time.
 #[test]
 fn passing_cold_time_is_not_a_change() {
     let mut registry = Registry::default();
@@ -79,7 +79,7 @@
     let first = registry.revisions().endpoints;
     registry.set_endpoints(ms(400), 1, vec![endpoint("a", 2650)]);
     assert_eq!(registry.revisions().endpoints, first);
-    // It has become cold again.
+    // The endpoint has become cold again.
     registry.set_endpoints(ms(800), 1, vec![endpoint("a", 5000)]);
     assert!(registry.revisions().endpoints > first);
 }
@@ -100,8 +100,8 @@
     assert_eq!(registry.ready_gateways(ms(2220)), Vec::new());
 }
 
-/// Notices of several replicas name the same change at the same moment. It must be asked
-/// of one of them, and of another one only if no answer comes.
+/// Several replicas announce the same change at the same moment. It must be pulled from one
+/// of them, and from another one only if no answer arrives.
 #[test]
 fn a_change_is_pulled_once() {
     let mut member = gateway();
@@ -117,9 +117,9 @@
     assert_eq!(member.receive(ms(400), addr(3), notice).0.len(), 1);
 }
 
-/// A gateway and a control VM start together, and that VM was down while the others
-/// accepted changes. The gateway hears it first and must not serve by its routes, unless
-/// nobody else can be heard.
+/// A gateway and a control VM start together, and that VM was down while the others accepted
+/// changes. Its notice reaches the gateway first; the gateway must not serve by its routes
+/// unless no other replica responds.
 #[test]
 fn a_starting_gateway_does_not_serve_a_single_replicas_routes() {
     let mut member = gateway();
@@ -128,14 +128,17 @@
     behind.set_routes(ms(0), 5, 1, Arc::new(Table::default()));
     behind.set_endpoints(ms(0), 1, vec![endpoint("a", 0)]);
     exchange(ms(10), &mut member, &mut behind);
-    assert!(!member.is_synced(ms(20)), "one of three has been heard");
+    assert!(
+        !member.is_synced(ms(20)),
+        "one of three replicas has responded"
+    );
     let newer = filberthead_fleet::Revisions {
         routes: 9,
         ..behind.revisions()
     };
     let newer = notice(newer, vec![addr(CONTROL), addr(3), addr(4)]);
     member.receive(ms(30), addr(3), newer);
-    assert!(!member.is_synced(ms(40)), "newer routes are known of");
+    assert!(!member.is_synced(ms(40)), "newer routes are announced");
     let routes = Message::Routes {
         revision: 9,
         version: 2,
@@ -145,26 +148,26 @@
     assert!(member.is_synced(ms(60)));
     let mut alone = gateway();
     exchange(ms(10), &mut alone, &mut behind);
-    assert!(alone.is_synced(ms(3000)), "nobody else is there");
+    assert!(alone.is_synced(ms(3000)), "no other replica responds");
 }
 
 fn list(ids: std::ops::Range<u32>) -> Vec<Endpoint> {
     ids.map(|id| endpoint(&format!("i-{id:03}"), 0)).collect()
 }
 
-/// What a replica tells somebody who holds this list.
+/// The update that a replica sends to a holder of this list.
 fn update_for(registry: &mut Registry, endpoints: Stamp) -> Message {
     let revisions = Revisions {
         endpoints,
         ..registry.revisions()
     };
     let mut out = registry.receive(ms(0), addr(GATEWAY), Message::Pull(revisions), false);
-    out.pop().expect("it lacks the newest list").1
+    out.pop().expect("an update to the newest list").1
 }
 
-/// During a release each endpoint that is replaced makes a new list of six hundred. Sent
-/// whole to every gateway, lists took a tenth of a small VM's link. A gateway that was away
-/// for longer than changes are kept gets the whole list.
+/// During a release each replaced endpoint makes a new list of 600. Complete lists for every
+/// gateway would take a tenth of a small VM's link. A gateway that was disconnected for longer
+/// than changes are kept receives the complete list.
 #[test]
 fn holders_of_an_older_list_receive_only_changes() {
     let mut registry = Registry::default();
@@ -173,7 +176,7 @@
     registry.set_endpoints(ms(1), 4, list(1..101));
     registry.set_endpoints(ms(2), 4, list(2..102));
     let Message::EndpointsChanged { stamp, change } = update_for(&mut registry, first) else {
-        panic!("the change alone");
+        panic!("only the change is sent");
     };
     assert_eq!(stamp, registry.revisions().endpoints);
     assert_eq!(change.from, first);
@@ -188,9 +191,9 @@
     ));
 }
 
-/// Two replicas that hear no leader read the list each for itself, and number what they
-/// read alike though one has seen an endpoint more. A change of the one's list must never
-/// be told to a gateway that holds the other's: it would lack an endpoint for good.
+/// Two replicas without a leader each read the list themselves and give the same number to
+/// different lists. A change relative to one must never reach a gateway that holds the other:
+/// it would miss an endpoint for good.
 #[test]
 fn lists_read_without_a_leader_are_sent_complete() {
     let mut registry = Registry::default();
@@ -208,8 +211,8 @@
     ));
 }
 
-/// A change of a list that a gateway or replica doesn't hold must not be taken: it holds
-/// nothing of what came between. A replica asks at once for what it lacks.
+/// A change to a list that a gateway or replica doesn't hold must not be applied, since the
+/// changes in between would be missing. A replica pulls them at once.
 #[test]
 fn a_change_to_another_list_is_not_applied() {
     let stamp = |seq| Stamp { term: 4, seq };
@@ -240,7 +243,7 @@
     assert_eq!(registry.revisions().endpoints, stamp(9));
 }
 
-/// Two failure domains, one of them crowded. Each gateway is told the mean of its own.
+/// With two failure domains, one of them busier, each gateway receives the mean of its own.
 #[test]
 fn a_gateway_receives_the_mean_link_utilisation_of_its_failure_domain() {
     let member = |name: &str, domain: &str| {
@@ -277,7 +280,8 @@
     assert_eq!(link_mean(&mut other_domain, ms(3), 100), Some(Some(100)));
 }
 
-/// An on-call engineer can't tell a list that was read late from one that was long on its way.
+/// Without the delay an on-call engineer can't distinguish a list that was read late from one
+/// that was transferred slowly.
 #[test]
 fn a_gateway_measures_the_delay_of_an_update() {
     let (mut member, mut registry) = (gateway(), Registry::default());
