--- a/crates/spread/src/api.rs
+++ b/crates/spread/src/api.rs
@@ -63,7 +63,7 @@
     /// Hash of the sender's directory.
     pub directory: Fingerprint,
     /// Members with another version than the sender: place in the roster, version.
-    pub others: Vec<(u16, Version)>,
+    pub other_versions: Vec<(u16, Version)>,
     /// The members by name, in the first report to a receiver, after a change and when
     /// asked for.
     pub members: Option<Vec<MemberInfo>>,
@@ -173,7 +173,7 @@
     /// Asks for what is newer than a version.
     TablePull {
         /// Version that the sender holds; `None` asks for a whole table.
-        have: Option<Version>,
+        base: Option<Version>,
     },
     /// Rows that changed.
     Delta {
@@ -194,7 +194,7 @@
     /// Asks for the lines of the directory that are newer than these.
     DirectoryPull {
         /// Stamps that the sender holds.
-        have: Vec<(FailureDomain, Stamp)>,
+        stamps: Vec<(FailureDomain, Stamp)>,
     },
     /// Lines of the directory.
     Directory {
--- a/crates/spread/src/directory.rs
+++ b/crates/spread/src/directory.rs
@@ -76,30 +76,30 @@
         &mut self,
         records: impl IntoIterator<Item = (FailureDomain, DomainRecord)>,
     ) -> Vec<FailureDomain> {
-        let mut taken = Vec::new();
+        let mut updated = Vec::new();
         for (domain, record) in records {
             if self.merge_record(domain.clone(), record) {
-                taken.push(domain);
+                updated.push(domain);
             }
         }
-        if !taken.is_empty() {
+        if !updated.is_empty() {
             self.rehash();
         }
-        taken
+        updated
     }
 
     /// The lines that are newer than the stamps, or have none there.
     pub(crate) fn newer_than(
         &self,
-        have: &[(FailureDomain, Stamp)],
+        stamps: &[(FailureDomain, Stamp)],
     ) -> Vec<(FailureDomain, DomainRecord)> {
-        let have: BTreeMap<_, _> = have
+        let held: BTreeMap<_, _> = stamps
             .iter()
             .map(|(domain, stamp)| (domain, *stamp))
             .collect();
         self.records
             .iter()
-            .filter(|(domain, record)| have.get(domain).is_none_or(|stamp| *stamp < record.stamp))
+            .filter(|(domain, record)| held.get(domain).is_none_or(|stamp| *stamp < record.stamp))
             .map(|(domain, record)| (domain.clone(), record.clone()))
             .collect()
     }
--- a/crates/spread/src/node/domain.rs
+++ b/crates/spread/src/node/domain.rs
@@ -24,11 +24,11 @@
 const ROSTER_PAUSE: Duration = Duration::from_millis(100);
 /// How many silences long a node met by its query stays known without any list of
 /// members naming it.
-const ACQUAINTANCE: u32 = 10;
+const DISCOVERED_TTL_FACTOR: u32 = 10;
 
 /// What a node knows of an earlier member that it reports to.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Link {
+pub(super) struct Upstream {
     /// When the oldest report was sent that it hasn't answered.
     pub(super) unanswered: Option<Moment>,
     /// Whether it has ever answered.
@@ -42,15 +42,15 @@
 pub(super) struct Domain {
     pub(super) reports: Reports,
     /// Members that this node reports for, itself included.
-    pub(super) reported: Roster,
+    pub(super) reported_roster: Roster,
     /// Members as the relay has sent them.
-    pub(super) received: Option<Roster>,
+    pub(super) relay_roster: Option<Roster>,
     /// Members that this node counts as live on taking over, until they have had time
     /// to report here.
-    carried: BTreeMap<NodeName, (MemberInfo, Moment)>,
+    assumed_live: BTreeMap<NodeName, (MemberInfo, Moment)>,
     /// Members known because they have asked, or have been named in an answer.
-    met: BTreeMap<NodeName, (MemberInfo, Moment)>,
-    pub(super) links: BTreeMap<NodeName, Link>,
+    discovered: BTreeMap<NodeName, (MemberInfo, Moment)>,
+    pub(super) upstreams: BTreeMap<NodeName, Upstream>,
     pub(super) relay: Option<NodeName>,
     /// When a changed roster may be sent on; `None` if nothing has changed.
     pub(super) announce_due: Option<Moment>,
@@ -58,14 +58,14 @@
 }
 
 impl Domain {
-    pub(super) fn new(me: &MemberInfo) -> Self {
+    pub(super) fn new(local: &MemberInfo) -> Self {
         Self {
             reports: Reports::default(),
-            reported: Roster::new(vec![me.clone()]),
-            received: None,
-            carried: BTreeMap::new(),
-            met: BTreeMap::new(),
-            links: BTreeMap::new(),
+            reported_roster: Roster::new(vec![local.clone()]),
+            relay_roster: None,
+            assumed_live: BTreeMap::new(),
+            discovered: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
             relay: None,
             announce_due: None,
             announced: Moment::ZERO,
@@ -79,13 +79,13 @@
 
     /// Live members of the failure domain.
     pub(super) fn roster(&self) -> &Roster {
-        match (&self.relay, &self.received) {
-            (Some(_), Some(received)) => received,
-            _ => &self.reported,
+        match (&self.relay, &self.relay_roster) {
+            (Some(_), Some(relay_roster)) => relay_roster,
+            _ => &self.reported_roster,
         }
     }
 
-    fn changed(&mut self, now: Moment) {
+    fn schedule_announcement(&mut self, now: Moment) {
         let due = now.max(self.announced + ROSTER_PAUSE);
         self.announce_due.get_or_insert(due);
     }
@@ -94,23 +94,25 @@
 impl Node {
     /// All other members of the failure domain that are known, live or not.
     pub(super) fn domain_peers(&self) -> BTreeMap<NodeName, MemberInfo> {
-        let record = self.directory.record(&self.me.failure_domain);
+        let record = self.directory.record(&self.local.failure_domain);
         let listed = record.into_iter().flat_map(|record| &record.members);
-        let met = self.domain.met.values().map(|(member, _)| member);
+        let discovered = self.domain.discovered.values().map(|(member, _)| member);
         listed
             .chain(self.domain.roster().members())
-            .chain(met)
-            .filter(|member| member.name != self.me.name)
+            .chain(discovered)
+            .filter(|member| member.name != self.local.name)
             .map(|member| (member.name.clone(), member.clone()))
             .collect()
     }
 
     /// Takes note of a member of the failure domain that a query or answer has named.
-    pub(super) fn meet(&mut self, now: Moment, member: MemberInfo) {
-        let same_domain = member.failure_domain == self.me.failure_domain;
-        if same_domain && member.name != self.me.name {
-            self.carry_at_start(now, &member);
-            self.domain.met.insert(member.name.clone(), (member, now));
+    pub(super) fn discover(&mut self, now: Moment, member: MemberInfo) {
+        let same_domain = member.failure_domain == self.local.failure_domain;
+        if same_domain && member.name != self.local.name {
+            self.assume_live_at_start(now, &member);
+            self.domain
+                .discovered
+                .insert(member.name.clone(), (member, now));
         }
     }
 
@@ -131,31 +133,36 @@
     fn expire_members(&mut self, now: Moment) {
         let silence = self.cfg.member_timeout;
         let mut lost = self.domain.reports.expire(now, silence);
-        let fresh = |heard: Moment| now.saturating_sub(heard) < silence;
-        let carried = self.domain.carried.len();
-        self.domain.carried.retain(|_, (_, heard)| fresh(*heard));
-        lost |= self.domain.carried.len() < carried;
-        let known = |heard: Moment| now.saturating_sub(heard) < silence * ACQUAINTANCE;
-        self.domain.met.retain(|_, (_, heard)| known(*heard));
+        let is_recent = |since: Moment| now.saturating_sub(since) < silence;
+        let before = self.domain.assumed_live.len();
+        self.domain
+            .assumed_live
+            .retain(|_, (_, since)| is_recent(*since));
+        lost |= self.domain.assumed_live.len() < before;
+        let is_known = |since: Moment| now.saturating_sub(since) < silence * DISCOVERED_TTL_FACTOR;
+        self.domain
+            .discovered
+            .retain(|_, (_, since)| is_known(*since));
         if lost {
-            self.refresh_reported(now);
+            self.rebuild_reported_roster(now);
         }
     }
 
     /// Works out anew whom this node reports for.
-    pub(super) fn refresh_reported(&mut self, now: Moment) {
+    pub(super) fn rebuild_reported_roster(&mut self, now: Moment) {
         let reported = self.domain.reports.members().into_values();
-        let mut members = vec![self.me.clone()];
+        let mut members = vec![self.local.clone()];
         members.extend(reported.map(|reported| reported.info.clone()));
         // After those who report here: of two with one name the first stays.
-        let carried = self.domain.carried.values();
-        members.extend(carried.map(|(member, _)| member.clone()));
-        let own = |member: &MemberInfo| member.failure_domain == self.me.failure_domain;
-        members.retain(own);
+        let assumed = self.domain.assumed_live.values();
+        members.extend(assumed.map(|(member, _)| member.clone()));
+        let in_own_domain =
+            |member: &MemberInfo| member.failure_domain == self.local.failure_domain;
+        members.retain(in_own_domain);
         let roster = Roster::new(members);
-        if roster.hash() != self.domain.reported.hash() {
-            self.domain.reported = roster;
-            self.domain.changed(now);
+        if roster.hash() != self.domain.reported_roster.hash() {
+            self.domain.reported_roster = roster;
+            self.domain.schedule_announcement(now);
         }
     }
 
@@ -164,11 +171,11 @@
     pub(super) fn choose_relay(&mut self, now: Moment, out: &mut Vec<Action>) {
         let earlier = self.earlier_members();
         self.domain
-            .links
+            .upstreams
             .retain(|name, _| earlier.contains_key(name));
         let answers = |name: &&NodeName| {
-            let link = self.domain.links.get(*name);
-            link.is_some_and(|link| link.answered && !self.is_silent(now, link))
+            let upstream = self.domain.upstreams.get(*name);
+            upstream.is_some_and(|upstream| upstream.answered && !self.is_silent(now, upstream))
         };
         let relay = earlier.keys().find(answers).cloned();
         if relay == self.domain.relay {
@@ -176,7 +183,7 @@
         }
         let before = self.domain.roster().clone();
         self.domain.relay = relay;
-        self.domain.received = None;
+        self.domain.relay_roster = None;
         if let Some(relay) = self
             .domain
             .relay
@@ -185,62 +192,68 @@
         {
             out.extend(send(relay.peer_addr, Some(Message::RosterPull)));
         }
-        self.carry_over(now, &before);
+        self.assume_live_from(now, &before);
     }
 
     /// Guards against a live set that collapses when a relay dies or comes back: its
     /// successor knows only those who have reported to it yet, and publishing just them
     /// would move every owner away from the others for a second. They count as live for
     /// as long as a silent member does. The relay that is given up is left out.
-    fn carry_over(&mut self, now: Moment, before: &Roster) {
-        let record = self.directory.record(&self.me.failure_domain);
+    fn assume_live_from(&mut self, now: Moment, before: &Roster) {
+        let record = self.directory.record(&self.local.failure_domain);
         let listed = record.into_iter().flat_map(|record| &record.members);
-        let known: Vec<_> = before.members().iter().chain(listed).cloned().collect();
-        for member in known {
-            let link = self.domain.links.get(&member.name);
-            let given_up = link.is_some_and(|link| self.is_silent(now, link));
-            if member.name != self.me.name && !given_up {
-                let carried = (member.clone(), now);
-                self.domain.carried.entry(member.name).or_insert(carried);
+        let candidates: Vec<_> = before.members().iter().chain(listed).cloned().collect();
+        for member in candidates {
+            let upstream = self.domain.upstreams.get(&member.name);
+            let is_lost = upstream.is_some_and(|upstream| self.is_silent(now, upstream));
+            if member.name != self.local.name && !is_lost {
+                let assumed = (member.clone(), now);
+                self.domain
+                    .assumed_live
+                    .entry(member.name)
+                    .or_insert(assumed);
             }
         }
-        self.refresh_reported(now);
+        self.rebuild_reported_roster(now);
     }
 
     /// Counts a member as live until it has had time to report. A relay that has just
     /// started has heard from nobody; without this it would publish itself alone.
-    pub(super) fn carry_at_start(&mut self, now: Moment, member: &MemberInfo) {
-        let starting = now < self.proof.since() + self.cfg.member_timeout;
-        if starting && member.name != self.me.name {
-            let carried = (member.clone(), now);
+    pub(super) fn assume_live_at_start(&mut self, now: Moment, member: &MemberInfo) {
+        let starting = now < self.proof.started_at() + self.cfg.member_timeout;
+        if starting && member.name != self.local.name {
+            let assumed = (member.clone(), now);
             self.domain
-                .carried
+                .assumed_live
                 .entry(member.name.clone())
-                .or_insert(carried);
-            self.refresh_reported(now);
+                .or_insert(assumed);
+            self.rebuild_reported_roster(now);
         }
     }
 
     pub(super) fn earlier_members(&self) -> BTreeMap<NodeName, MemberInfo> {
         let mut peers = self.domain_peers();
-        peers.retain(|name, _| *name < self.me.name);
+        peers.retain(|name, _| *name < self.local.name);
         peers
     }
 
     /// Whether an answer is overdue. One may get lost, so it isn't given up yet.
-    pub(super) fn is_late(&self, now: Moment, link: &Link) -> bool {
+    pub(super) fn is_late(&self, now: Moment, upstream: &Upstream) -> bool {
         let late = self.cfg.heartbeat_period + self.cfg.heartbeat_period / 2;
-        link.stopped || link.unanswered.is_some_and(|sent| now >= sent + late)
+        upstream.stopped || upstream.unanswered.is_some_and(|sent| now >= sent + late)
     }
 
-    pub(super) fn is_silent(&self, now: Moment, link: &Link) -> bool {
+    pub(super) fn is_silent(&self, now: Moment, upstream: &Upstream) -> bool {
         let silence = self.cfg.member_timeout;
-        link.stopped || link.unanswered.is_some_and(|sent| now >= sent + silence)
+        upstream.stopped
+            || upstream
+                .unanswered
+                .is_some_and(|sent| now >= sent + silence)
     }
 
     /// Where a step or a line of the directory is handed on: to those who report here,
     /// or to the whole failure domain.
-    pub(super) fn behind_me(&self, whole_domain: bool) -> Vec<SocketAddr> {
+    pub(super) fn downstream(&self, whole_domain: bool) -> Vec<SocketAddr> {
         let reporters = self.domain.reports.iter();
         let mut addrs: Vec<_> = reporters.map(|reporter| reporter.sender.addr).collect();
         if whole_domain {
@@ -249,7 +262,7 @@
         }
         addrs.sort_unstable();
         addrs.dedup();
-        addrs.retain(|addr| *addr != self.me.peer_addr);
+        addrs.retain(|addr| *addr != self.local.peer_addr);
         addrs
     }
 
@@ -265,7 +278,7 @@
         }
         if now >= self.due.remote_gossip {
             self.due.remote_gossip = now + self.cfg.remote_gossip_period;
-            let own = &self.me.failure_domain;
+            let own = &self.local.failure_domain;
             let members = self.directory.members();
             let far = members.filter(|member| member.failure_domain != *own);
             let peer = far.map(|peer| peer.peer_addr).choose(&mut self.rng);
@@ -281,17 +294,21 @@
 
     /// A process that stops as planned says so, and is given up without a wait.
     pub(super) fn on_bye(&mut self, now: Moment, from: &Sender, out: &mut Vec<Action>) {
-        let same = |member: &MemberInfo| {
+        let is_sender = |member: &MemberInfo| {
             member.name == from.name && member.incarnation == from.incarnation
         };
         let domain = &mut self.domain;
         domain.reports.remove(from);
-        domain.carried.retain(|_, (member, _)| !same(member));
-        domain.met.retain(|_, (member, _)| !same(member));
-        if let Some(link) = domain.links.get_mut(&from.name) {
-            link.stopped = true;
+        domain
+            .assumed_live
+            .retain(|_, (member, _)| !is_sender(member));
+        domain
+            .discovered
+            .retain(|_, (member, _)| !is_sender(member));
+        if let Some(upstream) = domain.upstreams.get_mut(&from.name) {
+            upstream.stopped = true;
         }
-        self.refresh_reported(now);
+        self.rebuild_reported_roster(now);
         if self.domain.relay.as_ref() == Some(&from.name) {
             self.report(now, out);
         }
@@ -299,13 +316,13 @@
 
     /// Says that this node leaves, at once and to everybody who reports it.
     pub(super) fn leave(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.me.leaving = true;
-        self.refresh_reported(now);
+        self.local.leaving = true;
+        self.rebuild_reported_roster(now);
         self.announce(now, out);
     }
 
     pub(super) fn stop(&mut self, out: &mut Vec<Action>) {
-        let mut addrs = self.behind_me(true);
+        let mut addrs = self.downstream(true);
         addrs.extend(self.leader.map(|leader| leader.addr));
         let bye = |to| Action::Send {
             to,
--- a/crates/spread/src/node/relay.rs
+++ b/crates/spread/src/node/leader.rs
@@ -12,7 +12,7 @@
 impl Node {
     /// Starts periodic messages at random moments of their periods, so that nodes that
     /// were started together don't all report at one moment.
-    pub(super) fn spread_out_dues(&mut self, now: Moment) {
+    pub(super) fn jitter_due_times(&mut self, now: Moment) {
         let mut within = |period| now + self.rng.random_range(Moment::ZERO..=period);
         // The first report goes out at once: a new entry is wanted soon.
         self.due.report = now;
@@ -34,7 +34,7 @@
 
     /// Takes somebody's word on who leads, until that replica itself has been heard.
     pub(super) fn hint_leader(&mut self, leader: Leader) {
-        let newer = self.leader.is_none_or(|known| known.term < leader.term);
+        let newer = self.leader.is_none_or(|current| current.term < leader.term);
         if newer && leader.term >= self.term {
             self.leader = Some(leader);
         }
@@ -49,9 +49,9 @@
         let Some(leader) = leader else {
             return;
         };
-        let known = self.leader;
+        let current = self.leader;
         self.hint_leader(leader);
-        if self.leader != known {
+        if self.leader != current {
             self.report_to_control(now, true, out);
         }
     }
@@ -64,11 +64,11 @@
         with_members: bool,
         out: &mut Vec<Action>,
     ) {
-        let silent = self.leader_is_silent(now);
+        let is_silent = self.leader_is_silent(now);
         if let Some(leader) = self.leader {
-            self.send_report(leader.addr, with_members || silent, out);
+            self.send_report(leader.addr, with_members || is_silent, out);
         }
-        if silent && let Some(to) = self.next_control() {
+        if is_silent && let Some(to) = self.next_control() {
             self.send_report(to, true, out);
         }
     }
@@ -76,7 +76,7 @@
     pub(super) fn leader_is_silent(&self, now: Moment) -> bool {
         let silence = self.cfg.member_timeout;
         self.leader_last_seen
-            .is_none_or(|heard| now >= heard + silence)
+            .is_none_or(|last_seen| now >= last_seen + silence)
     }
 
     fn next_control(&mut self) -> Option<SocketAddr> {
@@ -96,24 +96,24 @@
         out: &mut Vec<Action>,
     ) {
         let retry = self.cfg.pull_retry;
-        let waits = self
-            .directory_asked
-            .is_some_and(|asked| now < asked + retry);
-        if directory == self.directory.hash() || waits {
+        let is_pending = self
+            .directory_pulled_at
+            .is_some_and(|pulled_at| now < pulled_at + retry);
+        if directory == self.directory.hash() || is_pending {
             return;
         }
-        self.directory_asked = Some(now);
-        let have = self.directory.stamps();
-        out.extend(send(from.addr, Some(Message::DirectoryPull { have })));
+        self.directory_pulled_at = Some(now);
+        let stamps = self.directory.stamps();
+        out.extend(send(from.addr, Some(Message::DirectoryPull { stamps })));
     }
 
     pub(super) fn on_directory_pull(
         &self,
         from: &Sender,
-        have: &[(FailureDomain, Stamp)],
+        stamps: &[(FailureDomain, Stamp)],
         out: &mut Vec<Action>,
     ) {
-        let records = self.directory.newer_than(have);
+        let records = self.directory.newer_than(stamps);
         if records.is_empty() {
             return;
         }
@@ -137,13 +137,13 @@
         push: bool,
         out: &mut Vec<Action>,
     ) {
-        self.directory_asked = None;
+        self.directory_pulled_at = None;
         if push && term < self.term {
             return;
         }
         self.term = self.term.max(term);
-        let taken = self.directory.merge(records);
-        if taken.is_empty() {
+        let updated = self.directory.merge(records);
+        if updated.is_empty() {
             return;
         }
         let record = |domain: FailureDomain| {
@@ -152,24 +152,24 @@
         };
         let message = Message::Directory {
             term: self.term,
-            records: taken.into_iter().filter_map(record).collect(),
+            records: updated.into_iter().filter_map(record).collect(),
             push: false,
         };
-        for to in self.behind_me(push) {
+        for to in self.downstream(push) {
             out.extend(send(to, Some(message.clone())));
         }
-        self.carry_listed(now);
+        self.assume_listed_live(now);
         // A member that has just become known may stand before this node.
         self.due.report = self.due.report.min(now + self.cfg.pull_retry);
     }
 
-    fn carry_listed(&mut self, now: Moment) {
-        let record = self.directory.record(&self.me.failure_domain);
+    fn assume_listed_live(&mut self, now: Moment) {
+        let record = self.directory.record(&self.local.failure_domain);
         for member in record
             .map(|record| record.members.clone())
             .unwrap_or_default()
         {
-            self.carry_at_start(now, &member);
+            self.assume_live_at_start(now, &member);
         }
     }
 }
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The part of spreading that runs on each entry.
 
 mod domain;
+mod leader;
 mod proof;
-mod relay;
 mod report;
 mod table;
 
@@ -124,14 +124,14 @@
 pub struct Node {
     cfg: Config,
     rng: StdRng,
-    me: MemberInfo,
+    local: MemberInfo,
     contacts: Contacts,
     history: History,
     newest_known: Version,
     pull: Pull,
     diverged: bool,
     directory: Directory,
-    directory_asked: Option<Moment>,
+    directory_pulled_at: Option<Moment>,
     term: Epoch,
     leader: Option<Leader>,
     leader_last_seen: Option<Moment>,
@@ -139,8 +139,8 @@
     proof: Proof,
     domain: Domain,
     due: Due,
-    last_step: Option<Moment>,
-    shown: Shown,
+    last_step_at: Option<Moment>,
+    notified: Notified,
 }
 
 /// When periodic messages go out next.
@@ -155,7 +155,7 @@
 
 /// What the owner has been told.
 #[derive(Debug, Default)]
-struct Shown {
+struct Notified {
     in_force: Option<Version>,
     readiness: Readiness,
     diverged: bool,
@@ -166,7 +166,7 @@
 
 impl Node {
     /// A node that holds nothing and is [`Readiness::Starting`].
-    pub fn new(cfg: Config, me: MemberInfo, contacts: Contacts) -> Self {
+    pub fn new(cfg: Config, local: MemberInfo, contacts: Contacts) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         Self {
             history: History::new(cfg.kept_deltas),
@@ -174,19 +174,19 @@
             pull: Pull::default(),
             diverged: false,
             directory: Directory::default(),
-            directory_asked: None,
+            directory_pulled_at: None,
             term: Epoch::default(),
             leader: None,
             leader_last_seen: None,
             next_control: 0,
             proof: Proof::new(&mut rng),
-            domain: Domain::new(&me),
+            domain: Domain::new(&local),
             due: Due::default(),
-            last_step: None,
-            shown: Shown::default(),
+            last_step_at: None,
+            notified: Notified::default(),
             cfg,
             rng,
-            me,
+            local,
             contacts,
         }
     }
@@ -194,14 +194,14 @@
     /// Says what to do after an event.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.begin(now, &mut out);
+        self.begin_step(now, &mut out);
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Received { from, message } => self.receive(now, &from, message, &mut out),
             Event::Leave => self.leave(now, &mut out),
             Event::Stop => self.stop(&mut out),
         }
-        self.show(&mut out);
+        self.notify(&mut out);
         out
     }
 
@@ -238,24 +238,24 @@
         }
     }
 
-    fn begin(&mut self, now: Moment, out: &mut Vec<Action>) {
-        match self.last_step.replace(now) {
+    fn begin_step(&mut self, now: Moment, out: &mut Vec<Action>) {
+        match self.last_step_at.replace(now) {
             None => self.first_step(now, out),
             // A suspended process wakes with a view that may be hundreds of changes
             // old and a proof that says nothing of them: it is as good as restarted.
             Some(last) if now.saturating_sub(last) > self.cfg.suspend_threshold => {
-                self.start_over(now, out)
+                self.restart(now, out)
             }
             Some(_) => {}
         }
     }
 
     fn first_step(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.spread_out_dues(now);
-        self.start_over(now, out);
+        self.jitter_due_times(now);
+        self.restart(now, out);
     }
 
-    fn start_over(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn restart(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.proof = Proof::new(&mut self.rng);
         self.proof.start(now);
         self.query(now, out);
@@ -274,12 +274,14 @@
             Message::RosterPull => self.send_roster(from.addr, out),
             Message::Roster(members) => self.on_roster(now, from, members, out),
             Message::Digest(digest) => self.on_digest(now, from, &digest, out),
-            Message::TablePull { have } => out.extend(send(from.addr, self.history.catch_up(have))),
+            Message::TablePull { base } => {
+                out.extend(send(from.addr, self.history.update_since(base)))
+            }
             Message::Delta { delta, table, push } => {
                 self.on_delta(now, from, &delta, table, push, out);
             }
             Message::Table { view, table } => self.on_table(now, from, &view, table, out),
-            Message::DirectoryPull { have } => self.on_directory_pull(from, &have, out),
+            Message::DirectoryPull { stamps } => self.on_directory_pull(from, &stamps, out),
             Message::Directory {
                 term,
                 records,
@@ -295,41 +297,41 @@
     }
 
     /// Tells the owner what has changed.
-    fn show(&mut self, out: &mut Vec<Action>) {
+    fn notify(&mut self, out: &mut Vec<Action>) {
         let readiness = self.readiness();
-        self.show_in_force(readiness, out);
-        if self.shown.readiness != readiness {
-            self.shown.readiness = readiness;
+        self.notify_in_force(readiness, out);
+        if self.notified.readiness != readiness {
+            self.notified.readiness = readiness;
             out.push(Action::Readiness(readiness));
         }
-        self.show_diverged(out);
-        self.show_entries(out);
+        self.notify_diverged(out);
+        self.notify_entries(out);
     }
 
     /// Guards against old weights after a restart or a lost message: a view goes out
     /// only while it is proven to be the newest one this node can know of. Its version
     /// can't go down, because [`History`] never goes back.
-    fn show_in_force(&mut self, readiness: Readiness, out: &mut Vec<Action>) {
+    fn notify_in_force(&mut self, readiness: Readiness, out: &mut Vec<Action>) {
         let version = self.history.version();
-        if readiness != Readiness::Proven || self.shown.in_force == Some(version) {
+        if readiness != Readiness::Proven || self.notified.in_force == Some(version) {
             return;
         }
-        self.shown.in_force = Some(version);
+        self.notified.in_force = Some(version);
         out.push(Action::InForce(Arc::clone(self.history.view())));
     }
 
-    fn show_diverged(&mut self, out: &mut Vec<Action>) {
-        let shown = std::mem::replace(&mut self.shown.diverged, self.diverged);
-        if self.diverged && !shown {
+    fn notify_diverged(&mut self, out: &mut Vec<Action>) {
+        let notified = std::mem::replace(&mut self.notified.diverged, self.diverged);
+        if self.diverged && !notified {
             out.push(Action::Diverged);
         }
     }
 
-    fn show_entries(&mut self, out: &mut Vec<Action>) {
+    fn notify_entries(&mut self, out: &mut Vec<Action>) {
         let roster = self.domain.roster().hash();
-        let made_of = (self.directory.hash(), roster, self.me.leaving);
-        if self.shown.entries != Some(made_of) {
-            self.shown.entries = Some(made_of);
+        let key = (self.directory.hash(), roster, self.local.leaving);
+        if self.notified.entries != Some(key) {
+            self.notified.entries = Some(key);
             out.push(Action::Entries(self.entries()));
         }
     }
@@ -337,7 +339,7 @@
     /// Other failure domains as the leader has published them, the own one as its
     /// members see each other: a failure domain that is cut off has nobody else to ask.
     fn entries(&self) -> Vec<MemberInfo> {
-        let own = &self.me.failure_domain;
+        let own = &self.local.failure_domain;
         let others = self
             .directory
             .members()
@@ -346,7 +348,7 @@
             .chain(self.domain.roster().members())
             .map(|member| (&member.name, member))
             .collect();
-        entries.insert(&self.me.name, &self.me);
+        entries.insert(&self.local.name, &self.local);
         entries.into_values().cloned().collect()
     }
 }
--- a/crates/spread/src/node/proof.rs
+++ b/crates/spread/src/node/proof.rs
@@ -26,31 +26,31 @@
 #[derive(Debug)]
 pub(super) struct Proof {
     nonce: u64,
-    since: Moment,
+    started_at: Moment,
     query_due: Moment,
-    waited: bool,
+    timed_out: bool,
     proven: bool,
     /// Whether each member of the failure domain that has answered is proven itself.
     answers: BTreeMap<NodeName, bool>,
     /// Members of the failure domain that those know of.
-    named: BTreeSet<NodeName>,
+    known_peers: BTreeSet<NodeName>,
 }
 
 impl Proof {
     pub(super) fn new(rng: &mut StdRng) -> Self {
         Self {
             nonce: rng.random(),
-            since: Moment::ZERO,
+            started_at: Moment::ZERO,
             query_due: Moment::ZERO,
-            waited: false,
+            timed_out: false,
             proven: false,
             answers: BTreeMap::new(),
-            named: BTreeSet::new(),
+            known_peers: BTreeSet::new(),
         }
     }
 
     pub(super) fn start(&mut self, now: Moment) {
-        self.since = now;
+        self.started_at = now;
     }
 
     pub(super) fn is_proven(&self) -> bool {
@@ -58,39 +58,44 @@
     }
 
     /// When the node started, or woke.
-    pub(super) fn since(&self) -> Moment {
-        self.since
+    pub(super) fn started_at(&self) -> Moment {
+        self.started_at
     }
 
     /// What the node is while it can't act on weights.
     pub(super) fn unproven(&self) -> Readiness {
-        if self.waited {
+        if self.timed_out {
             Readiness::Cautious
         } else {
             Readiness::Starting
         }
     }
 
-    fn take_peer(&mut self, me: &MemberInfo, member: &MemberInfo, proven: bool) {
-        if member.failure_domain == me.failure_domain && member.name != me.name {
+    fn record_answer(&mut self, local: &MemberInfo, member: &MemberInfo, proven: bool) {
+        if member.failure_domain == local.failure_domain && member.name != local.name {
             self.answers.insert(member.name.clone(), proven);
         }
     }
 
-    fn take_names<'a>(&mut self, me: &MemberInfo, peers: impl Iterator<Item = &'a MemberInfo>) {
-        let others = peers.filter(|peer| peer.name != me.name);
-        self.named.extend(others.map(|peer| peer.name.clone()));
+    fn add_known_peers<'a>(
+        &mut self,
+        local: &MemberInfo,
+        peers: impl Iterator<Item = &'a MemberInfo>,
+    ) {
+        let others = peers.filter(|peer| peer.name != local.name);
+        self.known_peers
+            .extend(others.map(|peer| peer.name.clone()));
     }
 
     fn all_peers_proven(&self) -> bool {
         let proven = |name| self.answers.get(name) == Some(&true);
-        !self.answers.is_empty() && self.named.iter().all(proven)
+        !self.answers.is_empty() && self.known_peers.iter().all(proven)
     }
 }
 
 impl Node {
     pub(super) fn tick_proof(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.proof.waited |= now >= self.proof.since + self.cfg.start_timeout;
+        self.proof.timed_out |= now >= self.proof.started_at + self.cfg.start_timeout;
         if !self.proof.proven && now >= self.proof.query_due {
             self.query(now, out);
         }
@@ -101,12 +106,12 @@
         self.proof.query_due = now + self.cfg.heartbeat_period;
         let message = Message::Query {
             nonce: self.proof.nonce,
-            member: self.me.clone(),
+            member: self.local.clone(),
         };
         let fixed = self.contacts.controls.iter().chain(&self.contacts.seeds);
         let mut addrs: BTreeSet<_> = fixed.copied().collect();
         addrs.extend(self.domain_peers().values().map(|peer| peer.peer_addr));
-        addrs.remove(&self.me.peer_addr);
+        addrs.remove(&self.local.peer_addr);
         out.extend(addrs.into_iter().map(|to| Action::Send {
             to,
             message: message.clone(),
@@ -121,15 +126,15 @@
         member: MemberInfo,
         out: &mut Vec<Action>,
     ) {
-        let same_domain = member.failure_domain == self.me.failure_domain;
-        self.meet(now, member);
+        let same_domain = member.failure_domain == self.local.failure_domain;
+        self.discover(now, member);
         let peers = if same_domain {
             self.domain_peers().into_values().collect()
         } else {
             Vec::new()
         };
         let responder = Responder::Entry {
-            member: self.me.clone(),
+            member: self.local.clone(),
             proven: self.readiness() == Readiness::Proven,
             peers,
         };
@@ -151,14 +156,14 @@
         answer: Answer,
         out: &mut Vec<Action>,
     ) {
-        self.evidence(now, from.addr, answer.version, out);
+        self.record_holder(now, from.addr, answer.version, out);
         self.compare_directory(now, from, answer.directory, out);
-        let fresh = answer.nonce == self.proof.nonce;
+        let is_current = answer.nonce == self.proof.nonce;
         match answer.responder {
             Responder::Leader { term } => {
                 let addr = from.addr;
                 self.follow(now, Leader { term, addr });
-                self.proof.proven |= fresh;
+                self.proof.proven |= is_current;
             }
             Responder::Follower { leader } => {
                 if let Some(leader) = leader {
@@ -169,31 +174,31 @@
                 member,
                 proven,
                 peers,
-            } => self.on_peer_answer(now, fresh, member, proven, peers, out),
+            } => self.on_peer_answer(now, is_current, member, proven, peers, out),
         }
     }
 
     fn on_peer_answer(
         &mut self,
         now: Moment,
-        fresh: bool,
+        is_current: bool,
         member: MemberInfo,
         proven: bool,
         peers: Vec<MemberInfo>,
         out: &mut Vec<Action>,
     ) {
-        if fresh {
-            self.proof.take_peer(&self.me, &member, proven);
-            self.proof.take_names(&self.me, peers.iter());
+        if is_current {
+            self.proof.record_answer(&self.local, &member, proven);
+            self.proof.add_known_peers(&self.local, peers.iter());
         }
         let before = self.domain_peers().len();
-        self.meet(now, member);
-        peers.into_iter().for_each(|peer| self.meet(now, peer));
-        let known = self.domain_peers();
-        self.proof.take_names(&self.me, known.values());
+        self.discover(now, member);
+        peers.into_iter().for_each(|peer| self.discover(now, peer));
+        let discovered = self.domain_peers();
+        self.proof.add_known_peers(&self.local, discovered.values());
         if self.proof.all_peers_proven() {
             self.proof.proven = true;
-        } else if known.len() > before {
+        } else if discovered.len() > before {
             self.query(now, out);
         }
     }
--- a/crates/spread/src/node/report.rs
+++ b/crates/spread/src/node/report.rs
@@ -4,11 +4,11 @@
 
 use filberthead_types::{Moment, Version};
 
-use crate::reports::Heard;
+use crate::reports::ReportOutcome;
 use crate::roster::Roster;
 use crate::{DigestKind, Fingerprint, Leader, MemberInfo, Message, Report, Sender};
 
-use super::domain::Link;
+use super::domain::Upstream;
 use super::{Action, Node, send};
 
 impl Node {
@@ -42,16 +42,21 @@
             self.due.probe = now + self.cfg.remote_gossip_period;
         }
         for (name, member) in self.earlier_members() {
-            let link = self.domain.links.get(&name).copied().unwrap_or_default();
-            if self.is_silent(now, &link) && !probe {
+            let upstream = self
+                .domain
+                .upstreams
+                .get(&name)
+                .copied()
+                .unwrap_or_default();
+            if self.is_silent(now, &upstream) && !probe {
                 continue;
             }
-            let first = !link.answered;
+            let first = !upstream.answered;
             self.send_report(member.peer_addr, with_members || first, out);
-            let link = self.domain.links.entry(name).or_default();
-            link.unanswered.get_or_insert(now);
-            let link = *link;
-            if !self.is_late(now, &link) {
+            let upstream = self.domain.upstreams.entry(name).or_default();
+            upstream.unanswered.get_or_insert(now);
+            let upstream = *upstream;
+            if !self.is_late(now, &upstream) {
                 return;
             }
         }
@@ -59,12 +64,12 @@
     }
 
     pub(super) fn send_report(&self, to: SocketAddr, with_members: bool, out: &mut Vec<Action>) {
-        let reported = &self.domain.reported;
+        let reported = &self.domain.reported_roster;
         let report = Report {
             version: self.history.version(),
             roster: reported.hash(),
             directory: self.directory.hash(),
-            others: self.other_versions(),
+            other_versions: self.other_versions(),
             members: with_members.then(|| reported.members().to_vec()),
         };
         out.extend(send(to, Some(Message::Report(report))));
@@ -72,14 +77,14 @@
 
     fn other_versions(&self) -> Vec<(u16, Version)> {
         let versions = self.domain.reports.members();
-        let mine = self.history.version();
-        let members = self.domain.reported.members().iter().zip(0..);
+        let own_version = self.history.version();
+        let members = self.domain.reported_roster.members().iter().zip(0..);
         members
-            .filter(|(member, _)| member.name != self.me.name)
-            .filter_map(|(member, place)| {
+            .filter(|(member, _)| member.name != self.local.name)
+            .filter_map(|(member, index)| {
                 let version = versions.get(&member.name).map(|reported| reported.version);
                 let version = version.unwrap_or_default();
-                (version != mine).then_some((place, version))
+                (version != own_version).then_some((index, version))
             })
             .collect()
     }
@@ -92,21 +97,21 @@
         out: &mut Vec<Action>,
     ) {
         let (version, directory) = (report.version, report.directory);
-        match self.domain.reports.take(now, from, report) {
-            Heard::Outdated => return,
+        match self.domain.reports.record(now, from, report) {
+            ReportOutcome::Superseded => return,
             // It waits to learn whether it has been heard.
-            Heard::First => {
+            ReportOutcome::NewReporter => {
                 self.send_relay_digest(now, from.addr, out);
-                self.refresh_reported(now);
+                self.rebuild_reported_roster(now);
             }
-            Heard::Changed => self.refresh_reported(now),
-            Heard::Known => {}
+            ReportOutcome::MembersChanged => self.rebuild_reported_roster(now),
+            ReportOutcome::Unchanged => {}
         }
-        let known = self.domain.reports.get(&from.name);
-        if known.is_some_and(|reporter| !reporter.roster_known()) {
+        let reporter = self.domain.reports.get(&from.name);
+        if reporter.is_some_and(|reporter| !reporter.has_current_roster()) {
             out.extend(send(from.addr, Some(Message::ReportPull)));
         }
-        self.evidence(now, from.addr, version, out);
+        self.record_holder(now, from.addr, version, out);
         self.compare_directory(now, from, directory, out);
         self.announce(now, out);
     }
@@ -121,7 +126,7 @@
         if self.domain.relay.as_ref() != Some(&from.name) {
             return;
         }
-        self.domain.received = Some(Roster::new(members));
+        self.domain.relay_roster = Some(Roster::new(members));
         let roster = Message::Roster(self.domain.roster().members().to_vec());
         for reporter in self.domain.reports.iter() {
             out.extend(send(reporter.sender.addr, Some(roster.clone())));
@@ -139,11 +144,11 @@
         leader: Option<Leader>,
         out: &mut Vec<Action>,
     ) {
-        if from.name >= self.me.name {
+        if from.name >= self.local.name {
             return;
         }
-        let link = self.domain.links.entry(from.name.clone()).or_default();
-        *link = Link {
+        let upstream = self.domain.upstreams.entry(from.name.clone()).or_default();
+        *upstream = Upstream {
             unanswered: None,
             answered: true,
             stopped: false,
@@ -155,8 +160,8 @@
         if let Some(leader) = leader {
             self.follow(now, leader);
         }
-        let received = self.domain.received.as_ref();
-        if received.is_none_or(|received| received.hash() != roster) {
+        let relay_roster = self.domain.relay_roster.as_ref();
+        if relay_roster.is_none_or(|relay_roster| relay_roster.hash() != roster) {
             out.extend(send(from.addr, Some(Message::RosterPull)));
         }
     }
--- a/crates/spread/src/node/table.rs
+++ b/crates/spread/src/node/table.rs
@@ -6,22 +6,22 @@
 use filberthead_table::{View, ViewDelta};
 use filberthead_types::{Moment, Version};
 
-use crate::history::Offered;
+use crate::history::OfferOutcome;
 use crate::{Digest, DigestKind, Fingerprint, Leader, Message, Sender};
 
 use super::{Action, Node, Readiness, send};
 
 /// Most nodes remembered as holding a newer version.
-const KEPT_TELLERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// A request for a newer table that is under way.
 #[derive(Debug, Default)]
 pub(super) struct Pull {
-    asked: Option<Moment>,
+    pulled_at: Option<Moment>,
     /// Who holds a newer version than this node, last heard last.
-    tellers: Vec<SocketAddr>,
+    holders: Vec<SocketAddr>,
     /// Whether a delta has failed, so that only a whole table helps.
-    whole: bool,
+    full_table: bool,
 }
 
 impl Node {
@@ -37,7 +37,7 @@
     ///
     /// Only what a node holds itself counts as evidence, so that whoever makes this
     /// node wait for a version can also hand it over.
-    pub(super) fn evidence(
+    pub(super) fn record_holder(
         &mut self,
         now: Moment,
         holder: SocketAddr,
@@ -48,34 +48,38 @@
         if version <= self.history.version() {
             return;
         }
-        self.pull.tellers.retain(|addr| *addr != holder);
-        self.pull.tellers.push(holder);
-        if self.pull.tellers.len() > KEPT_TELLERS {
-            self.pull.tellers.remove(0);
+        self.pull.holders.retain(|addr| *addr != holder);
+        self.pull.holders.push(holder);
+        if self.pull.holders.len() > MAX_HOLDERS {
+            self.pull.holders.remove(0);
         }
-        if self.pull.asked.is_none() {
+        if self.pull.pulled_at.is_none() {
             self.pull_from(now, holder, out);
         }
     }
 
     pub(super) fn tick_table(&mut self, now: Moment, out: &mut Vec<Action>) {
         let retry = self.cfg.pull_retry;
-        if self.pull.asked.is_none_or(|asked| now < asked + retry) {
+        if self
+            .pull
+            .pulled_at
+            .is_none_or(|pulled_at| now < pulled_at + retry)
+        {
             return;
         }
-        self.pull.asked = None;
-        if self.history.version() < self.newest_known && !self.pull.tellers.is_empty() {
-            self.pull.tellers.rotate_left(1);
-            self.pull_from(now, self.pull.tellers[0], out);
+        self.pull.pulled_at = None;
+        if self.history.version() < self.newest_known && !self.pull.holders.is_empty() {
+            self.pull.holders.rotate_left(1);
+            self.pull_from(now, self.pull.holders[0], out);
         }
     }
 
     fn pull_from(&mut self, now: Moment, holder: SocketAddr, out: &mut Vec<Action>) {
-        self.pull.asked = Some(now);
-        let have = (!self.pull.whole).then(|| self.history.version());
+        self.pull.pulled_at = Some(now);
+        let base = (!self.pull.full_table).then(|| self.history.version());
         out.push(Action::Send {
             to: holder,
-            message: Message::TablePull { have },
+            message: Message::TablePull { base },
         });
     }
 
@@ -88,15 +92,15 @@
         push: bool,
         out: &mut Vec<Action>,
     ) {
-        match self.history.offer_delta(delta, table) {
-            Offered::Taken => self.advanced(push, out),
-            Offered::Old => {}
-            Offered::Unusable => {
+        match self.history.apply_delta(delta, table) {
+            OfferOutcome::Applied => self.propagate(push, out),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Unusable => {
                 // With the steps before it missing, a delta from here on does; if this
                 // delta began here and still failed, only a whole table can help.
-                self.pull.whole |= delta.from == self.history.version();
-                self.pull.asked = None;
-                self.evidence(now, from.addr, delta.to, out);
+                self.pull.full_table |= delta.from == self.history.version();
+                self.pull.pulled_at = None;
+                self.record_holder(now, from.addr, delta.to, out);
             }
         }
     }
@@ -109,30 +113,30 @@
         table: Fingerprint,
         out: &mut Vec<Action>,
     ) {
-        match self.history.offer_view(view, table) {
-            Offered::Taken => self.advanced(false, out),
-            Offered::Old => {}
-            Offered::Unusable => self.evidence(now, from.addr, view.version, out),
+        match self.history.apply_view(view, table) {
+            OfferOutcome::Applied => self.propagate(false, out),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Unusable => self.record_holder(now, from.addr, view.version, out),
         }
     }
 
     /// Hands a step on: a push of the leader to the whole failure domain, whatever
     /// else to the members that report here.
-    fn advanced(&mut self, push: bool, out: &mut Vec<Action>) {
+    fn propagate(&mut self, push: bool, out: &mut Vec<Action>) {
         let version = self.history.version();
         self.newest_known = self.newest_known.max(version);
         self.diverged = false;
         if version == self.newest_known {
             self.pull = Pull::default();
         }
-        let Some(mut step) = self.history.last_step() else {
+        let Some(mut message) = self.history.last_delta() else {
             return;
         };
-        if let Message::Delta { push, .. } = &mut step {
+        if let Message::Delta { push, .. } = &mut message {
             *push = false;
         }
-        for to in self.behind_me(push) {
-            out.extend(send(to, Some(step.clone())));
+        for to in self.downstream(push) {
+            out.extend(send(to, Some(message.clone())));
         }
     }
 
@@ -143,7 +147,7 @@
         digest: &Digest,
         out: &mut Vec<Action>,
     ) {
-        self.evidence(now, from.addr, digest.version, out);
+        self.record_holder(now, from.addr, digest.version, out);
         self.compare_table(digest);
         self.compare_directory(now, from, digest.directory, out);
         match digest.kind {
--- a/crates/spread/src/reports.rs
+++ b/crates/spread/src/reports.rs
@@ -11,24 +11,24 @@
 
 /// What a report asks of its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum ReportOutcome {
     /// The same members as before.
-    Known,
+    Unchanged,
     /// Other members than before.
-    Changed,
+    MembersChanged,
     /// The sender wasn't known: it waits for an answer.
-    First,
+    NewReporter,
     /// Of a process that has been replaced by a newer one.
-    Outdated,
+    Superseded,
 }
 
 /// A member as somebody reported it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reported<'a> {
+pub(crate) struct ReportedMember<'a> {
     pub(crate) info: &'a MemberInfo,
     pub(crate) version: Version,
-    pub(crate) heard: Moment,
-    direct: bool,
+    pub(crate) last_seen: Moment,
+    is_direct: bool,
 }
 
 #[derive(Debug)]
@@ -36,31 +36,31 @@
     pub(crate) sender: Sender,
     /// When it began to report.
     pub(crate) since: Moment,
-    pub(crate) heard: Moment,
+    pub(crate) last_seen: Moment,
     pub(crate) roster: Roster,
     version: Version,
-    wanted: Fingerprint,
-    others: BTreeMap<u16, Version>,
-    replaced: Option<Incarnation>,
+    expected_hash: Fingerprint,
+    other_versions: BTreeMap<u16, Version>,
+    replaced_incarnation: Option<Incarnation>,
 }
 
 impl Reporter {
-    fn new(now: Moment, sender: Sender, replaced: Option<Incarnation>) -> Self {
+    fn new(now: Moment, sender: Sender, replaced_incarnation: Option<Incarnation>) -> Self {
         Self {
             sender,
             since: now,
-            heard: now,
+            last_seen: now,
             roster: Roster::default(),
             version: Version(0),
-            wanted: Fingerprint::default(),
-            others: BTreeMap::new(),
-            replaced,
+            expected_hash: Fingerprint::default(),
+            other_versions: BTreeMap::new(),
+            replaced_incarnation,
         }
     }
 
     /// Whether the members that it reports for are known.
-    pub(crate) fn roster_known(&self) -> bool {
-        self.roster.hash() == self.wanted
+    pub(crate) fn has_current_roster(&self) -> bool {
+        self.roster.hash() == self.expected_hash
     }
 
     /// Failure domains of the members that it reports for; as a rule it is one.
@@ -70,25 +70,28 @@
     }
 
     fn update(&mut self, now: Moment, sender: &Sender, report: Report) {
-        self.heard = now;
+        self.last_seen = now;
         self.sender.addr = sender.addr;
         // Messages may overtake each other; versions in force only go up.
         self.version = self.version.max(report.version);
-        self.wanted = report.roster;
-        self.others = report.others.into_iter().collect();
+        self.expected_hash = report.roster;
+        self.other_versions = report.other_versions.into_iter().collect();
         if let Some(members) = report.members {
             self.roster = Roster::new(members);
         }
     }
 
-    fn members(&self) -> impl Iterator<Item = Reported<'_>> {
-        self.roster.members().iter().zip(0..).map(|(info, place)| {
-            let other = self.others.get(&place).filter(|_| self.roster_known());
-            Reported {
+    fn members(&self) -> impl Iterator<Item = ReportedMember<'_>> {
+        self.roster.members().iter().zip(0..).map(|(info, index)| {
+            let other = self
+                .other_versions
+                .get(&index)
+                .filter(|_| self.has_current_roster());
+            ReportedMember {
                 info,
                 version: other.copied().unwrap_or(self.version),
-                heard: self.heard,
-                direct: info.name == self.sender.name,
+                last_seen: self.last_seen,
+                is_direct: info.name == self.sender.name,
             }
         })
     }
@@ -118,32 +121,39 @@
     /// A report of a process that was replaced may arrive after those of its successor,
     /// left over in a buffer. Taken in, it would show the dead process as live again;
     /// incarnations have no order, so the one replaced last is remembered.
-    pub(crate) fn take(&mut self, now: Moment, sender: &Sender, report: Report) -> Heard {
-        let (first, replaced) = match self.reporters.get(&sender.name) {
-            Some(known) if known.sender.incarnation == sender.incarnation => (false, None),
-            Some(known) if known.replaced == Some(sender.incarnation) => return Heard::Outdated,
-            Some(known) => (true, Some(known.sender.incarnation)),
+    pub(crate) fn record(&mut self, now: Moment, sender: &Sender, report: Report) -> ReportOutcome {
+        let (is_new, replaced_incarnation) = match self.reporters.get(&sender.name) {
+            Some(existing) if existing.sender.incarnation == sender.incarnation => (false, None),
+            Some(existing) if existing.replaced_incarnation == Some(sender.incarnation) => {
+                return ReportOutcome::Superseded;
+            }
+            Some(existing) => (true, Some(existing.sender.incarnation)),
             None => (true, None),
         };
-        if first {
-            let reporter = Reporter::new(now, sender.clone(), replaced);
+        if is_new {
+            let reporter = Reporter::new(now, sender.clone(), replaced_incarnation);
             self.reporters.insert(sender.name.clone(), reporter);
         }
-        let changed = report.members.is_some();
+        let has_members = report.members.is_some();
         if let Some(reporter) = self.reporters.get_mut(&sender.name) {
             reporter.update(now, sender, report);
         }
-        match (first, changed) {
-            (true, _) => Heard::First,
-            (false, true) => Heard::Changed,
-            (false, false) => Heard::Known,
+        match (is_new, has_members) {
+            (true, _) => ReportOutcome::NewReporter,
+            (false, true) => ReportOutcome::MembersChanged,
+            (false, false) => ReportOutcome::Unchanged,
         }
     }
 
     /// Forgets a process that has said that it stops.
     pub(crate) fn remove(&mut self, sender: &Sender) {
-        let same = |known: &Reporter| known.sender.incarnation == sender.incarnation;
-        if self.reporters.get(&sender.name).is_some_and(same) {
+        let is_same_process =
+            |existing: &Reporter| existing.sender.incarnation == sender.incarnation;
+        if self
+            .reporters
+            .get(&sender.name)
+            .is_some_and(is_same_process)
+        {
             self.reporters.remove(&sender.name);
         }
     }
@@ -153,18 +163,18 @@
     pub(crate) fn expire(&mut self, now: Moment, silence: Duration) -> bool {
         let before = self.reporters.len();
         self.reporters
-            .retain(|_, reporter| now.saturating_sub(reporter.heard) < silence);
+            .retain(|_, reporter| now.saturating_sub(reporter.last_seen) < silence);
         self.reporters.len() < before
     }
 
     /// All members reported, each once. What a process says of itself goes before what
     /// others say of it, then what was heard last.
-    pub(crate) fn members(&self) -> BTreeMap<&NodeName, Reported<'_>> {
-        let mut members = BTreeMap::<&NodeName, Reported<'_>>::new();
+    pub(crate) fn members(&self) -> BTreeMap<&NodeName, ReportedMember<'_>> {
+        let mut members = BTreeMap::<&NodeName, ReportedMember<'_>>::new();
         for reported in self.reporters.values().flat_map(Reporter::members) {
-            let rank = |r: &Reported<'_>| (r.direct, r.heard);
-            let known = members.get(&reported.info.name);
-            if known.is_none_or(|known| rank(known) < rank(&reported)) {
+            let rank = |r: &ReportedMember<'_>| (r.is_direct, r.last_seen);
+            let existing = members.get(&reported.info.name);
+            if existing.is_none_or(|existing| rank(existing) < rank(&reported)) {
                 members.insert(&reported.info.name, reported);
             }
         }
--- a/crates/spread/src/source/mod.rs
+++ b/crates/spread/src/source/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::directory::Directory;
 use crate::history::History;
-use crate::reports::{Heard, Reported, Reports};
+use crate::reports::{ReportOutcome, ReportedMember, Reports};
 use crate::{Answer, Config, Digest, DigestKind, Fingerprint, Leader, MemberInfo, Message};
 use crate::{Report, Responder, Sender, Stamp};
 
@@ -75,24 +75,24 @@
 
 /// What was last heard of an entry.
 #[derive(Clone, Debug)]
-struct Seen {
+struct LastReport {
     info: MemberInfo,
     version: Version,
-    heard: Moment,
+    last_seen: Moment,
 }
 
-impl From<Reported<'_>> for Seen {
-    fn from(reported: Reported<'_>) -> Self {
+impl From<ReportedMember<'_>> for LastReport {
+    fn from(reported: ReportedMember<'_>) -> Self {
         Self {
             info: reported.info.clone(),
             version: reported.version,
-            heard: reported.heard,
+            last_seen: reported.last_seen,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Lead {
+struct Leadership {
     term: Epoch,
     until: Moment,
     since: Moment,
@@ -107,18 +107,18 @@
     history: History,
     reports: Reports,
     directory: Directory,
-    number: u64,
-    lead: Option<Lead>,
+    stamp_number: u64,
+    lead: Option<Leadership>,
     leader: Option<Leader>,
     /// What this leader has last heard of each entry, those gone included.
-    seen: BTreeMap<NodeName, Seen>,
+    last_reports: BTreeMap<NodeName, LastReport>,
     /// Entries that have said that they stop.
     stopped: BTreeMap<NodeName, Incarnation>,
     digest_due: Moment,
     /// When to look for changed lines, at the latest.
     check_due: Moment,
     published: Moment,
-    shown: Fingerprint,
+    notified: Fingerprint,
 }
 
 impl Source {
@@ -128,15 +128,15 @@
         Self {
             history: History::new(cfg.kept_deltas),
             reports: Reports::default(),
-            number: 0,
+            stamp_number: 0,
             lead: None,
             leader: None,
-            seen: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             stopped: BTreeMap::new(),
             digest_due: Moment::ZERO,
             check_due: Moment::ZERO,
             published: Moment::ZERO,
-            shown: directory.hash(),
+            notified: directory.hash(),
             cfg,
             replicas,
             directory,
@@ -155,14 +155,14 @@
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Committed(view) => self.commit(now, view, &mut out),
-            Event::Lead { term, until } => self.take_lead(now, term, until, &mut out),
+            Event::Lead { term, until } => self.become_leader(now, term, until, &mut out),
             Event::Follow { leader } => {
                 self.lead = None;
                 self.leader = leader;
             }
             Event::Received { from, message } => self.receive(now, &from, message, &mut out),
         }
-        self.show(&mut out);
+        self.notify(&mut out);
         out
     }
 
@@ -173,18 +173,18 @@
 
     /// Every entry with the version in force there, by name.
     pub fn status(&self, now: Moment) -> Vec<MemberStatus> {
-        let mut seen = self.seen.clone();
+        let mut last_reports = self.last_reports.clone();
         let reported = self.reports.members().into_iter();
-        seen.extend(reported.map(|(name, last)| (name.clone(), Seen::from(last))));
-        let gone = seen.values().map(|last| (&last.info, false));
+        last_reports.extend(reported.map(|(name, last)| (name.clone(), LastReport::from(last))));
+        let gone = last_reports.values().map(|last| (&last.info, false));
         let listed = self.directory.members().map(|member| (member, true));
         let mut status = BTreeMap::new();
         for (member, live) in gone.chain(listed) {
-            let last = seen.get(&member.name);
+            let last = last_reports.get(&member.name);
             let member_status = MemberStatus {
                 member: member.clone(),
                 version: last.map(|last| last.version),
-                age: last.map(|last| now.saturating_sub(last.heard)),
+                age: last.map(|last| now.saturating_sub(last.last_seen)),
                 live,
             };
             status.insert(member.name.clone(), member_status);
@@ -201,14 +201,14 @@
         }
     }
 
-    fn take_lead(&mut self, now: Moment, term: Epoch, until: Moment, out: &mut Vec<Action>) {
+    fn become_leader(&mut self, now: Moment, term: Epoch, until: Moment, out: &mut Vec<Action>) {
         match &mut self.lead {
             Some(lead) if lead.term == term => lead.until = until,
             _ => {
                 let since = now;
-                self.lead = Some(Lead { term, until, since });
+                self.lead = Some(Leadership { term, until, since });
                 self.reports.clear();
-                self.seen.clear();
+                self.last_reports.clear();
                 self.stopped.clear();
                 self.send_digests(now, out);
             }
@@ -227,15 +227,15 @@
     }
 
     fn commit(&mut self, now: Moment, view: Arc<View>, out: &mut Vec<Action>) {
-        self.history.advance(view);
+        self.history.apply_committed(view);
         if self.lead.is_none() {
             return;
         }
-        let Some(step) = self.history.last_step() else {
+        let Some(delta) = self.history.last_delta() else {
             return;
         };
-        for to in self.step_targets(now) {
-            let message = step.clone();
+        for to in self.delta_targets(now) {
+            let message = delta.clone();
             out.push(Action::Send { to, message });
         }
     }
@@ -245,8 +245,8 @@
         let reply = match message {
             Message::Report(report) => return self.on_report(now, from, report, out),
             Message::Digest(digest) => self.on_digest(&digest),
-            Message::TablePull { have } => self.history.catch_up(have),
-            Message::DirectoryPull { have } => self.records_since(&have),
+            Message::TablePull { base } => self.history.update_since(base),
+            Message::DirectoryPull { stamps } => self.records_since(&stamps),
             Message::Directory { records, .. } => {
                 self.directory.merge(records);
                 None
@@ -278,22 +278,22 @@
             return reply(Message::NotLeader { leader });
         };
         let directory = report.directory;
-        match self.reports.take(now, from, report) {
-            Heard::Outdated => return,
-            Heard::First => {
+        match self.reports.record(now, from, report) {
+            ReportOutcome::Superseded => return,
+            ReportOutcome::NewReporter => {
                 reply(Message::Digest(self.digest(lead.term)));
                 self.check_due = now;
             }
-            Heard::Changed => self.check_due = now,
-            Heard::Known => {}
+            ReportOutcome::MembersChanged => self.check_due = now,
+            ReportOutcome::Unchanged => {}
         }
-        let known = self.reports.get(&from.name);
-        if known.is_some_and(|reporter| !reporter.roster_known()) {
+        let reporter = self.reports.get(&from.name);
+        if reporter.is_some_and(|reporter| !reporter.has_current_roster()) {
             reply(Message::ReportPull);
         }
         if directory != self.directory.hash() {
-            let have = self.directory.stamps();
-            reply(Message::DirectoryPull { have });
+            let stamps = self.directory.stamps();
+            reply(Message::DirectoryPull { stamps });
         }
     }
 
@@ -302,12 +302,12 @@
     fn on_digest(&self, digest: &Digest) -> Option<Message> {
         let leader = matches!(digest.kind, DigestKind::Leader { .. });
         let differs = digest.directory != self.directory.hash();
-        let have = self.directory.stamps();
-        (leader && differs).then_some(Message::DirectoryPull { have })
+        let stamps = self.directory.stamps();
+        (leader && differs).then_some(Message::DirectoryPull { stamps })
     }
 
-    fn records_since(&self, have: &[(FailureDomain, Stamp)]) -> Option<Message> {
-        let records = self.directory.newer_than(have);
+    fn records_since(&self, stamps: &[(FailureDomain, Stamp)]) -> Option<Message> {
+        let records = self.directory.newer_than(stamps);
         (!records.is_empty()).then(|| Message::Directory {
             term: self.lead.map(|lead| lead.term).unwrap_or_default(),
             records,
@@ -339,9 +339,9 @@
         }
     }
 
-    fn show(&mut self, out: &mut Vec<Action>) {
-        if self.shown != self.directory.hash() {
-            self.shown = self.directory.hash();
+    fn notify(&mut self, out: &mut Vec<Action>) {
+        if self.notified != self.directory.hash() {
+            self.notified = self.directory.hash();
             out.push(Action::Entries(self.directory.members().cloned().collect()));
         }
     }
--- a/crates/spread/src/source/publish.rs
+++ b/crates/spread/src/source/publish.rs
@@ -9,13 +9,13 @@
 use crate::reports::Reporter;
 use crate::{DomainRecord, MemberInfo, Message, Stamp};
 
-use super::{Action, Lead, Seen, Source};
+use super::{Action, LastReport, Leadership, Source};
 
 /// Shortest time between two publications, so that a failure domain that starts up
 /// makes a few of them and not one for each member.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(200);
 /// Most entries that are shown after they were taken off the directory.
-const KEPT_GONE: usize = 256;
+const MAX_REMOVED_KEPT: usize = 256;
 
 impl Source {
     pub(super) fn send_digests(&mut self, now: Moment, out: &mut Vec<Action>) {
@@ -41,10 +41,10 @@
     /// Where a step goes: to the relays, and to the first two members of each failure
     /// domain by name. Each of them hands it on to all others, so a change that comes at
     /// the moment when a relay dies doesn't wait until that is noticed.
-    pub(super) fn step_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
+    pub(super) fn delta_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
         let records = self.directory.records();
-        let firsts = records.flat_map(|(_, record)| record.members.iter().take(2));
-        let mut addrs: BTreeSet<_> = firsts.map(|member| member.peer_addr).collect();
+        let first_members = records.flat_map(|(_, record)| record.members.iter().take(2));
+        let mut addrs: BTreeSet<_> = first_members.map(|member| member.peer_addr).collect();
         addrs.append(&mut self.relays(now));
         addrs
     }
@@ -55,15 +55,15 @@
     fn relays(&self, now: Moment) -> BTreeSet<SocketAddr> {
         let late = self.cfg.heartbeat_period * 2;
         let mut addrs = BTreeSet::new();
-        let mut heard = BTreeSet::new();
+        let mut reporting = BTreeSet::new();
         for reporter in self.reports.iter() {
             addrs.insert(reporter.sender.addr);
-            if now.saturating_sub(reporter.heard) < late {
-                heard.extend(reporter.roster.members().iter().map(|m| &m.failure_domain));
+            if now.saturating_sub(reporter.last_seen) < late {
+                reporting.extend(reporter.roster.members().iter().map(|m| &m.failure_domain));
             }
         }
         for (domain, record) in self.directory.records() {
-            if !heard.contains(domain) {
+            if !reporting.contains(domain) {
                 let first = record
                     .members
                     .iter()
@@ -80,9 +80,9 @@
 
     pub(super) fn expire_reports(&mut self, now: Moment) {
         let silence = self.cfg.domain_timeout;
-        let silent = |reporter: &Reporter| now.saturating_sub(reporter.heard) >= silence;
+        let silent = |reporter: &Reporter| now.saturating_sub(reporter.last_seen) >= silence;
         if self.reports.iter().any(silent) {
-            self.remember();
+            self.save_last_reports();
             self.reports.expire(now, silence);
             self.check_due = now;
         }
@@ -90,19 +90,22 @@
 
     /// Keeps what was last heard of each entry, so that one that has gone can still be
     /// shown with its last version.
-    fn remember(&mut self) {
+    fn save_last_reports(&mut self) {
         let reported = self.reports.members().into_iter();
-        let reported = reported.map(|(name, last)| (name.clone(), Seen::from(last)));
-        self.seen.extend(reported);
+        let reported = reported.map(|(name, last)| (name.clone(), LastReport::from(last)));
+        self.last_reports.extend(reported);
         let listed: BTreeSet<_> = self.directory.members().map(|m| &m.name).collect();
-        let gone = self.seen.iter().filter(|(name, _)| !listed.contains(name));
-        let mut gone: Vec<_> = gone
-            .map(|(name, last)| (last.heard, name.clone()))
+        let removed = self
+            .last_reports
+            .iter()
+            .filter(|(name, _)| !listed.contains(name));
+        let mut removed: Vec<_> = removed
+            .map(|(name, last)| (last.last_seen, name.clone()))
             .collect();
-        gone.sort();
-        let excess = gone.len().saturating_sub(KEPT_GONE);
-        for (_, name) in gone.into_iter().take(excess) {
-            self.seen.remove(&name);
+        removed.sort();
+        let excess = removed.len().saturating_sub(MAX_REMOVED_KEPT);
+        for (_, name) in removed.into_iter().take(excess) {
+            self.last_reports.remove(&name);
         }
     }
 
@@ -120,7 +123,7 @@
             return;
         }
         self.published = now;
-        self.remember();
+        self.save_last_reports();
         self.directory.merge(records.clone());
         let message = Message::Directory {
             term: lead.term,
@@ -130,21 +133,25 @@
         self.send_to_all(now, &message, out);
     }
 
-    fn changed_records(&mut self, now: Moment, lead: Lead) -> Vec<(FailureDomain, DomainRecord)> {
-        let mut wanted = self.wanted_members(now, lead);
+    fn changed_records(
+        &mut self,
+        now: Moment,
+        lead: Leadership,
+    ) -> Vec<(FailureDomain, DomainRecord)> {
+        let mut target = self.target_members(now, lead);
         let listed = self.directory.records().map(|(domain, _)| domain.clone());
-        let domains: BTreeSet<_> = listed.chain(wanted.keys().cloned()).collect();
+        let domains: BTreeSet<_> = listed.chain(target.keys().cloned()).collect();
         let mut records = Vec::new();
         for domain in domains {
-            let members = wanted.remove(&domain).unwrap_or_default();
+            let members = target.remove(&domain).unwrap_or_default();
             let current = self.directory.record(&domain);
             if current.map_or(&[][..], |record| &record.members) == members {
                 continue;
             }
-            self.number += 1;
+            self.stamp_number += 1;
             let stamp = Stamp {
                 term: lead.term,
-                number: self.number,
+                number: self.stamp_number,
             };
             records.push((domain, DomainRecord { stamp, members }));
         }
@@ -157,7 +164,11 @@
     /// of every failure domain, and a relay that has just started hasn't heard of every
     /// member behind it. All others would vanish from answers for some seconds. Until a
     /// failure domain has settled, members are added and updated but none is taken off.
-    fn wanted_members(&self, now: Moment, lead: Lead) -> BTreeMap<FailureDomain, Vec<MemberInfo>> {
+    fn target_members(
+        &self,
+        now: Moment,
+        lead: Leadership,
+    ) -> BTreeMap<FailureDomain, Vec<MemberInfo>> {
         let settled = self.settled_domains(now, lead);
         let reported = self.reports.members();
         let kept = self.directory.members();
@@ -165,30 +176,30 @@
         let mut members: BTreeMap<_, _> = kept.map(|member| (&member.name, member)).collect();
         members.extend(reported.values().map(|last| (&last.info.name, last.info)));
         members.retain(|name, member| self.stopped.get(*name) != Some(&member.incarnation));
-        let mut wanted = BTreeMap::<FailureDomain, Vec<MemberInfo>>::new();
+        let mut target = BTreeMap::<FailureDomain, Vec<MemberInfo>>::new();
         for member in members.into_values() {
             let domain = member.failure_domain.clone();
-            wanted.entry(domain).or_default().push(member.clone());
+            target.entry(domain).or_default().push(member.clone());
         }
-        wanted
+        target
     }
 
     /// Failure domains about which silence says something: those with a reporter that
     /// has had time to hear of every member, and once this leader has had time to hear
     /// of every failure domain, those without a reporter.
-    fn settled_domains(&self, now: Moment, lead: Lead) -> BTreeSet<&FailureDomain> {
+    fn settled_domains(&self, now: Moment, lead: Leadership) -> BTreeSet<&FailureDomain> {
         let mut settled = BTreeSet::new();
         if now >= lead.since + self.cfg.domain_timeout {
             settled.extend(self.directory.records().map(|(domain, _)| domain));
         }
-        let (seasoned, fresh): (Vec<_>, Vec<_>) = self
+        let (mature, recent): (Vec<_>, Vec<_>) = self
             .reports
             .iter()
             .partition(|reporter| now >= reporter.since + self.cfg.member_timeout);
-        for domain in fresh.into_iter().flat_map(Reporter::domains) {
+        for domain in recent.into_iter().flat_map(Reporter::domains) {
             settled.remove(domain);
         }
-        settled.extend(seasoned.into_iter().flat_map(Reporter::domains));
+        settled.extend(mature.into_iter().flat_map(Reporter::domains));
         settled
     }
 }
--- a/crates/spread/tests/all/basics.rs
+++ b/crates/spread/tests/all/basics.rs
@@ -72,7 +72,7 @@
         version: Version(0),
         roster: filberthead_spread::Fingerprint::of(&[&relay]),
         directory: network.leader().source.directory().hash(),
-        others: Vec::new(),
+        other_versions: Vec::new(),
         members: None,
     };
     let (to, message) = (network.leader().addr, Message::Report(report));
--- a/crates/spread/tests/all/directory.rs
+++ b/crates/spread/tests/all/directory.rs
@@ -315,7 +315,7 @@
         version: network.table.version,
         roster: filberthead_spread::Fingerprint::of(&[&old]),
         directory: filberthead_spread::Fingerprint::default(),
-        others: Vec::new(),
+        other_versions: Vec::new(),
         members: Some(vec![old.clone()]),
     };
     let from = filberthead_spread::Sender {
