--- a/crates/spread/examples/cost.rs
+++ b/crates/spread/examples/cost.rs
@@ -19,7 +19,7 @@
 
 const STEP: Duration = Duration::from_millis(100);
 const LEASE: Duration = Duration::from_millis(500);
-const SETTLE: Duration = Duration::from_secs(30);
+const WARMUP: Duration = Duration::from_secs(30);
 const IDLE: Duration = Duration::from_secs(60);
 const CHANGES: u32 = 60;
 const CHANGES_A_DAY: f64 = 1300.0;
@@ -37,7 +37,7 @@
 
 /// What a process has spent.
 #[derive(Clone, Copy, Default)]
-struct Spent {
+struct Usage {
     bytes: u64,
     messages: u64,
     /// On messages, codec included, and on ticks.
@@ -46,13 +46,13 @@
     message_time: Duration,
 }
 
-impl Spent {
-    fn on_message(&mut self, time: Duration) {
+impl Usage {
+    fn add_message(&mut self, time: Duration) {
         self.time += time;
         self.message_time += time;
     }
 
-    fn on_step(&mut self, is_tick: bool, time: Duration) {
+    fn add_step(&mut self, is_tick: bool, time: Duration) {
         self.time += time;
         if !is_tick {
             self.message_time += time;
@@ -77,13 +77,13 @@
 struct Peer {
     process: Process,
     origin: Origin,
-    spent: Spent,
+    usage: Usage,
 }
 
 struct Cluster {
     now: Moment,
     peers: Vec<Peer>,
-    places: HashMap<SocketAddr, usize>,
+    index_by_addr: HashMap<SocketAddr, usize>,
     queue: Vec<(SocketAddr, Vec<u8>)>,
     view: View,
     regions: usize,
@@ -113,28 +113,28 @@
     let print = |name: &str, value: f64, unit: &str| println!("{prefix}_{name}: {value:.1} {unit}");
     let rss = resident_bytes();
     let mut cluster = Cluster::new(size);
-    cluster.run(SETTLE);
+    cluster.run(WARMUP);
     assert_eq!(
         cluster.in_force, size.nodes,
         "every entry acts on the table"
     );
-    let grown = resident_bytes().saturating_sub(rss);
-    let before = cluster.spent();
+    let memory_growth = resident_bytes().saturating_sub(rss);
+    let before = cluster.usage();
     cluster.run(IDLE);
     let idle = cluster.costs(&before);
     let seconds = IDLE.as_secs_f64();
-    for (role, spent) in [
+    for (role, usage) in [
         ("entry", idle.entry),
         ("relay", idle.relay),
         ("leader", idle.leader),
     ] {
-        print(&format!("{role}_idle"), spent.bytes as f64 / seconds, "B/s");
-        let share = spent.time.as_secs_f64() / seconds * 100.0;
+        print(&format!("{role}_idle"), usage.bytes as f64 / seconds, "B/s");
+        let share = usage.time.as_secs_f64() / seconds * 100.0;
         println!("{prefix}_{role}_idle_core: {share:.4} %");
-        let each = spent.message_time.as_nanos() as f64 / spent.messages.max(1) as f64;
+        let each = usage.message_time.as_nanos() as f64 / usage.messages.max(1) as f64;
         print(&format!("{role}_message"), each, "ns");
     }
-    let before = cluster.spent();
+    let before = cluster.usage();
     for _ in 0..CHANGES {
         cluster.change();
         cluster.run(Duration::from_secs(1));
@@ -157,7 +157,7 @@
     if size.nodes >= 200 {
         print(
             "memory_a_node",
-            grown as f64 / size.nodes as f64 / 1024.0,
+            memory_growth as f64 / size.nodes as f64 / 1024.0,
             "KiB",
         );
     }
@@ -165,9 +165,9 @@
 
 /// Costs by role: the mean of plain entries, the relay and the leader that spent most.
 struct Costs {
-    entry: Spent,
-    relay: Spent,
-    leader: Spent,
+    entry: Usage,
+    relay: Usage,
+    leader: Usage,
 }
 
 impl Cluster {
@@ -175,40 +175,40 @@
         let mut cluster = Self {
             now: Moment::ZERO,
             peers: Vec::new(),
-            places: HashMap::new(),
+            index_by_addr: HashMap::new(),
             queue: Vec::new(),
             view: first_view(size),
             regions: size.regions,
             in_force: 0,
         };
-        let controls: Vec<_> = (0..CONTROLS).map(|place| addr(1, place)).collect();
-        for (place, own) in controls.iter().enumerate() {
+        let controls: Vec<_> = (0..CONTROLS).map(|index| addr(1, index)).collect();
+        for (index, own) in controls.iter().enumerate() {
             let others = controls.iter().copied().filter(|addr| addr != own);
             let source = Source::new(Config::builder().build(), others.collect());
-            let name = format!("control-{place}");
+            let name = format!("control-{index}");
             cluster.add(Process::Control(Box::new(source)), &name, *own);
         }
-        for place in 0..size.nodes {
-            cluster.add_entry(size, place, &controls);
+        for index in 0..size.nodes {
+            cluster.add_entry(size, index, &controls);
         }
         cluster.commit();
         cluster
     }
 
-    fn add_entry(&mut self, size: &Size, place: usize, controls: &[SocketAddr]) {
-        let domain = place % size.domains;
+    fn add_entry(&mut self, size: &Size, index: usize, controls: &[SocketAddr]) {
+        let domain = index % size.domains;
         let region = domain * size.regions / size.domains;
         let member = MemberInfo {
-            name: format!("region-{region}-d{domain}-entry-{place:03}")
+            name: format!("region-{region}-d{domain}-entry-{index:03}")
                 .parse()
                 .expect("valid name"),
             incarnation: Incarnation(
                 CLUSTER
                     .0
-                    .rotate_left(u32::try_from(place % 64).unwrap_or(0)),
+                    .rotate_left(u32::try_from(index % 64).unwrap_or(0)),
             ),
-            peer_addr: addr(2, place),
-            caller_addr: addr(3, place),
+            peer_addr: addr(2, index),
+            caller_addr: addr(3, index),
             region: format!("region-{region}").parse().expect("valid name"),
             failure_domain: format!("region-{region}-d{domain}")
                 .parse()
@@ -217,9 +217,9 @@
         };
         let contacts = Contacts {
             controls: controls.to_vec(),
-            seeds: (0..size.domains).map(|place| addr(2, place)).collect(),
+            seeds: (0..size.domains).map(|index| addr(2, index)).collect(),
         };
-        let cfg = Config::builder().seed(place as u64).build();
+        let cfg = Config::builder().seed(index as u64).build();
         let (name, at) = (member.name.to_string(), member.peer_addr);
         let node = Node::new(cfg, member, contacts);
         self.add(Process::Entry(Box::new(node)), &name, at);
@@ -232,11 +232,11 @@
             addr,
             replica: None,
         };
-        self.places.insert(addr, self.peers.len());
+        self.index_by_addr.insert(addr, self.peers.len());
         self.peers.push(Peer {
             process,
             origin,
-            spent: Spent::default(),
+            usage: Usage::default(),
         });
     }
 
@@ -247,34 +247,34 @@
             for (to, buf) in std::mem::take(&mut self.queue) {
                 self.deliver(to, &buf);
             }
-            for place in 0..self.peers.len() {
-                self.tick(place);
+            for index in 0..self.peers.len() {
+                self.tick(index);
             }
         }
     }
 
-    fn tick(&mut self, place: usize) {
-        if place == 0 {
+    fn tick(&mut self, index: usize) {
+        if index == 0 {
             let until = self.now + LEASE;
             let term = Epoch(1);
             self.control_step(0, source::Event::Lead { term, until });
         }
-        match self.peers[place].process {
-            Process::Entry(_) => self.entry_step(place, node::Event::Tick),
-            Process::Control(_) => self.control_step(place, source::Event::Tick),
+        match self.peers[index].process {
+            Process::Entry(_) => self.entry_step(index, node::Event::Tick),
+            Process::Control(_) => self.control_step(index, source::Event::Tick),
         }
     }
 
     fn deliver(&mut self, to: SocketAddr, buf: &[u8]) {
-        let Some(place) = self.places.get(&to).copied() else {
+        let Some(index) = self.index_by_addr.get(&to).copied() else {
             return;
         };
         let start = Instant::now();
         let envelope = decode(CLUSTER, buf).expect("what was encoded can be decoded");
-        let spent = &mut self.peers[place].spent;
-        spent.on_message(start.elapsed());
-        spent.bytes += buf.len() as u64;
-        spent.messages += 1;
+        let usage = &mut self.peers[index].usage;
+        usage.add_message(start.elapsed());
+        usage.bytes += buf.len() as u64;
+        usage.messages += 1;
         let Body::Spread(message) = envelope.body else {
             return;
         };
@@ -283,25 +283,25 @@
             incarnation: envelope.origin.incarnation,
             addr: envelope.origin.addr,
         };
-        match self.peers[place].process {
-            Process::Entry(_) => self.entry_step(place, node::Event::Received { from, message }),
+        match self.peers[index].process {
+            Process::Entry(_) => self.entry_step(index, node::Event::Received { from, message }),
             Process::Control(_) => {
-                self.control_step(place, source::Event::Received { from, message });
+                self.control_step(index, source::Event::Received { from, message });
             }
         }
     }
 
-    fn entry_step(&mut self, place: usize, event: node::Event) {
-        let Process::Entry(node) = &mut self.peers[place].process else {
+    fn entry_step(&mut self, index: usize, event: node::Event) {
+        let Process::Entry(node) = &mut self.peers[index].process else {
             return;
         };
         let is_tick = matches!(event, node::Event::Tick);
         let start = Instant::now();
         let actions = node.step(self.now, event);
-        self.peers[place].spent.on_step(is_tick, start.elapsed());
+        self.peers[index].usage.add_step(is_tick, start.elapsed());
         for action in actions {
             match action {
-                node::Action::Send { to, message } => self.send(place, to, message),
+                node::Action::Send { to, message } => self.send(index, to, message),
                 node::Action::InForce(view) => {
                     self.in_force += usize::from(view.version == self.view.version);
                 }
@@ -310,23 +310,23 @@
         }
     }
 
-    fn control_step(&mut self, place: usize, event: source::Event) {
-        let Process::Control(source) = &mut self.peers[place].process else {
+    fn control_step(&mut self, index: usize, event: source::Event) {
+        let Process::Control(source) = &mut self.peers[index].process else {
             return;
         };
         let is_tick = !matches!(event, source::Event::Received { .. });
         let start = Instant::now();
         let actions = source.step(self.now, event);
-        self.peers[place].spent.on_step(is_tick, start.elapsed());
+        self.peers[index].usage.add_step(is_tick, start.elapsed());
         for action in actions {
             if let source::Action::Send { to, message } = action {
-                self.send(place, to, message);
+                self.send(index, to, message);
             }
         }
     }
 
-    fn send(&mut self, place: usize, to: SocketAddr, message: Message) {
-        let peer = &mut self.peers[place];
+    fn send(&mut self, index: usize, to: SocketAddr, message: Message) {
+        let peer = &mut self.peers[index];
         let start = Instant::now();
         let envelope = Envelope {
             origin: peer.origin.clone(),
@@ -335,9 +335,9 @@
             body: Body::Spread(message),
         };
         let buf = encode(CLUSTER, &envelope).expect("every message can be encoded");
-        peer.spent.on_message(start.elapsed());
-        peer.spent.bytes += buf.len() as u64;
-        peer.spent.messages += 1;
+        peer.usage.add_message(start.elapsed());
+        peer.usage.bytes += buf.len() as u64;
+        peer.usage.messages += 1;
         self.queue.push((to, buf));
     }
 
@@ -357,49 +357,49 @@
     fn commit(&mut self) {
         self.in_force = 0;
         let view = Arc::new(self.view.clone());
-        for place in 0..CONTROLS {
-            self.control_step(place, source::Event::Committed(Arc::clone(&view)));
+        for index in 0..CONTROLS {
+            self.control_step(index, source::Event::Committed(Arc::clone(&view)));
         }
     }
 
-    fn spent(&self) -> Vec<Spent> {
-        self.peers.iter().map(|peer| peer.spent).collect()
+    fn usage(&self) -> Vec<Usage> {
+        self.peers.iter().map(|peer| peer.usage).collect()
     }
 
-    fn costs(&self, before: &[Spent]) -> Costs {
+    fn costs(&self, before: &[Usage]) -> Costs {
         let mut costs = Costs {
-            entry: Spent::default(),
-            relay: Spent::default(),
-            leader: self.peers[0].spent.since(before[0]),
+            entry: Usage::default(),
+            relay: Usage::default(),
+            leader: self.peers[0].usage.since(before[0]),
         };
-        let mut plain = 0;
+        let mut entry_count = 0;
         for (peer, before) in self.peers.iter().zip(before) {
             let Process::Entry(node) = &peer.process else {
                 continue;
             };
-            let spent = peer.spent.since(*before);
+            let usage = peer.usage.since(*before);
             if node.status().relay.is_none() {
-                if spent.bytes > costs.relay.bytes {
-                    costs.relay = spent;
+                if usage.bytes > costs.relay.bytes {
+                    costs.relay = usage;
                 }
                 continue;
             }
-            plain += 1;
-            costs.entry.bytes += spent.bytes;
-            costs.entry.messages += spent.messages;
-            costs.entry.time += spent.time;
-            costs.entry.message_time += spent.message_time;
+            entry_count += 1;
+            costs.entry.bytes += usage.bytes;
+            costs.entry.messages += usage.messages;
+            costs.entry.time += usage.time;
+            costs.entry.message_time += usage.message_time;
         }
-        costs.entry.bytes /= plain;
-        costs.entry.messages /= plain;
-        costs.entry.message_time /= u32::try_from(plain).unwrap_or(u32::MAX);
-        costs.entry.time /= u32::try_from(plain).unwrap_or(u32::MAX);
+        costs.entry.bytes /= entry_count;
+        costs.entry.messages /= entry_count;
+        costs.entry.message_time /= u32::try_from(entry_count).unwrap_or(u32::MAX);
+        costs.entry.time /= u32::try_from(entry_count).unwrap_or(u32::MAX);
         costs
     }
 }
 
-fn addr(kind: u8, place: usize) -> SocketAddr {
-    let [high, low] = u16::try_from(place).unwrap_or(0).to_be_bytes();
+fn addr(kind: u8, index: usize) -> SocketAddr {
+    let [high, low] = u16::try_from(index).unwrap_or(0).to_be_bytes();
     SocketAddr::from(([10, kind, high, low], 7400 + u16::from(kind)))
 }
 
--- a/crates/spread/tests/all/basics.rs
+++ b/crates/spread/tests/all/basics.rs
@@ -33,17 +33,19 @@
 }
 
 #[test]
-fn every_entry_learns_of_every_other() {
+fn every_entry_lists_every_other() {
     let mut network = Network::new(&ELEVEN);
     network.run_until("all known", |net| {
-        net.entries.values().all(|entry| entry.knows() == ELEVEN)
+        net.entries
+            .values()
+            .all(|entry| entry.listed_names() == ELEVEN)
     });
     network.run(Duration::from_secs(20));
     assert!(
         network
             .entries
             .values()
-            .all(|entry| entry.knows() == ELEVEN)
+            .all(|entry| entry.listed_names() == ELEVEN)
     );
 }
 
@@ -76,7 +78,7 @@
         members: None,
     };
     let (to, message) = (network.leader().addr, Message::Report(report));
-    network.deliver_past_cuts(relay.peer_addr, to, message);
+    network.deliver_ignoring_cuts(relay.peer_addr, to, message);
     let status = network.leader().source.status(network.now);
     assert!(status.iter().all(|member| member.version == Some(version)));
 }
--- a/crates/spread/tests/all/directory.rs
+++ b/crates/spread/tests/all/directory.rs
@@ -19,16 +19,16 @@
 fn settled() -> Network {
     let mut network = Network::new(&SIX);
     network.run(Duration::from_secs(12));
-    assert!(everybody_knows(&network, &SIX));
+    assert!(all_list(&network, &SIX));
     network
 }
 
-fn everybody_knows(network: &Network, names: &[&str]) -> bool {
+fn all_list(network: &Network, names: &[&str]) -> bool {
     let mut up = network
         .entries
         .values()
         .filter(|entry| network.is_up(entry));
-    up.all(|entry| entry.knows() == names)
+    up.all(|entry| entry.listed_names() == names)
 }
 
 /// Whether every entry that is up sees `name` as leaving.
@@ -43,10 +43,10 @@
 /// others of its failure domain must not be taken for dead with it, even if it was the
 /// relay for all of them.
 #[test]
-fn a_dead_relay_goes_and_takes_nobody_with_it() {
+fn a_dead_relay_is_removed_without_its_members() {
     let mut network = settled();
     network.kill("zagreb-1-a");
-    let rest = [
+    let remaining = [
         "split-1-a",
         "split-1-b",
         "zagreb-1-b",
@@ -54,15 +54,18 @@
         "zagreb-1-d",
     ];
     let start = network.now;
-    while !everybody_knows(&network, &rest) {
+    while !all_list(&network, &remaining) {
         network.tick();
         for entry in network
             .entries
             .values()
             .filter(|entry| network.is_up(entry))
         {
-            let knows = entry.knows();
-            assert!(rest.iter().all(|name| knows.contains(name)), "{knows:?}");
+            let listed_names = entry.listed_names();
+            assert!(
+                remaining.iter().all(|name| listed_names.contains(name)),
+                "{listed_names:?}"
+            );
         }
         assert!(network.now - start < Duration::from_secs(15));
     }
@@ -71,11 +74,11 @@
 /// The relay restarts at once. It has heard from nobody, and must not publish that it
 /// is the only one left: all others would vanish from answers for some seconds.
 #[test]
-fn a_restarted_relay_takes_nobody_off() {
+fn a_restarted_relay_removes_no_entries() {
     let mut network = settled();
     network.kill("zagreb-1-a");
     network.start("zagreb-1-a");
-    let rest = [
+    let remaining = [
         "split-1-a",
         "split-1-b",
         "zagreb-1-b",
@@ -85,30 +88,33 @@
     for _ in 0..600 {
         network.tick();
         for (name, entry) in &network.entries {
-            let knows = entry.knows();
-            if name == "zagreb-1-a" && !knows.contains(&"split-1-a") {
+            let listed_names = entry.listed_names();
+            if name == "zagreb-1-a" && !listed_names.contains(&"split-1-a") {
                 // It is still learning; that it doesn't publish that is checked below.
                 continue;
             }
-            assert!(rest.iter().all(|name| knows.contains(name)), "{knows:?}");
+            assert!(
+                remaining.iter().all(|name| listed_names.contains(name)),
+                "{listed_names:?}"
+            );
         }
     }
-    assert!(everybody_knows(&network, &SIX));
+    assert!(all_list(&network, &SIX));
 }
 
 /// An entry begins a planned stop, and later ends. It has to be out of look-ups at
 /// other entries at once, and gone soon after it has ended.
 #[test]
-fn an_entry_that_leaves_is_known_to_leave_within_a_second() {
+fn a_leaving_entry_is_announced_within_a_second() {
     for name in ["zagreb-1-a", "zagreb-1-c", "split-1-b"] {
         let mut network = settled();
         network.step_entry(name, node::Event::Leave);
         let took = network.run_until("leaving", |net| leaving_everywhere(net, name));
         assert!(took < Duration::from_secs(1), "{name}: {took:?}");
         network.step_entry(name, node::Event::Stop);
-        network.kill_without_loss(name);
-        let rest: Vec<_> = SIX.into_iter().filter(|other| *other != name).collect();
-        let took = network.run_until("gone", |net| everybody_knows(net, &rest));
+        network.kill_keeping_packets(name);
+        let remaining: Vec<_> = SIX.into_iter().filter(|other| *other != name).collect();
+        let took = network.run_until("gone", |net| all_list(net, &remaining));
         assert!(took < Duration::from_secs(3), "{name}: {took:?}");
     }
 }
@@ -117,7 +123,7 @@
 /// taken over. The new leader has heard from nobody; it has to make itself known, or the
 /// entry stays in look-ups until each relay has noticed by itself.
 #[test]
-fn an_entry_that_leaves_right_after_a_change_of_leader_is_known_to_leave() {
+fn an_entry_leaving_right_after_an_election_is_announced() {
     let mut network = settled();
     let old = [network.controls[0].addr];
     let others: Vec<_> = network.addresses().filter(|a| *a != old[0]).collect();
@@ -132,18 +138,18 @@
 /// A failure domain is cut off and one of its entries dies. Inside, callers must not be
 /// sent to the dead one, nor be kept from those that live; outside, nobody is sent in.
 #[test]
-fn a_domain_that_is_cut_off_judges_its_own_members() {
+fn a_domain_that_is_cut_off_tracks_its_own_members() {
     let mut network = settled();
     network.cut_off("zagreb-1");
     network.kill("zagreb-1-b");
     network.run(Duration::from_secs(20));
-    let inside = network.entry("zagreb-1-d").knows();
+    let inside = network.entry("zagreb-1-d").listed_names();
     assert!(!inside.contains(&"zagreb-1-b"), "{inside:?}");
     for live in ["zagreb-1-a", "zagreb-1-c", "zagreb-1-d"] {
         assert!(inside.contains(&live), "{inside:?}");
     }
     assert_eq!(
-        network.entry("split-1-a").knows(),
+        network.entry("split-1-a").listed_names(),
         ["split-1-a", "split-1-b"]
     );
 }
@@ -152,26 +158,26 @@
 /// elected, an entry dies and is taken off. The old leader goes on publishing the list
 /// with the dead entry in it; callers must not be sent there again.
 #[test]
-fn a_deposed_leader_does_not_bring_back_a_dead_entry() {
+fn a_deposed_leader_does_not_restore_a_dead_entry() {
     let mut network = settled();
     depose_and_kill(&mut network);
     for _ in 0..200 {
         network.tick();
         push_old_directory(&mut network, Epoch(1));
-        let rest = without("split-1-b");
-        assert!(everybody_knows(&network, &rest));
+        let remaining = without("split-1-b");
+        assert!(all_list(&network, &remaining));
     }
 }
 
 /// The twin: the same with the old leader's messages under the new leader's term, which
 /// is what a leader that knows no terms would send. The dead entry comes back.
 #[test]
-fn without_terms_a_deposed_leader_brings_back_a_dead_entry() {
+fn without_terms_a_deposed_leader_restores_a_dead_entry() {
     let mut network = settled();
     depose_and_kill(&mut network);
     push_old_directory(&mut network, Epoch(2));
     network.tick();
-    assert!(!everybody_knows(&network, &without("split-1-b")));
+    assert!(!all_list(&network, &without("split-1-b")));
 }
 
 fn without(name: &str) -> Vec<&'static str> {
@@ -182,8 +188,8 @@
     network.elect(1, 2);
     network.run(Duration::from_secs(8));
     network.kill("split-1-b");
-    let rest = without("split-1-b");
-    network.run_until("taken off", |net| everybody_knows(net, &rest));
+    let remaining = without("split-1-b");
+    network.run_until("taken off", |net| all_list(net, &remaining));
 }
 
 /// A leader is cut off from the reports of one failure domain, and a new one is elected
@@ -191,25 +197,25 @@
 /// entries, and publishes that the failure domain is gone. Callers must go on finding
 /// the entries there.
 #[test]
-fn a_deposed_leader_does_not_take_off_live_entries() {
+fn a_deposed_leader_does_not_remove_live_entries() {
     let mut network = settled();
     network.elect(1, 2);
     network.run(Duration::from_secs(3));
     for _ in 0..200 {
         network.tick();
         push_directory(&mut network, Epoch(1), "split-1", &[]);
-        assert!(everybody_knows(&network, &SIX));
+        assert!(all_list(&network, &SIX));
     }
 }
 
 /// A line of the directory arrives late, after a newer one, from a peer. It must not
 /// bring back an entry that the newer one has taken off.
 #[test]
-fn a_late_line_of_the_directory_does_not_replace_a_newer_one() {
+fn a_late_directory_record_does_not_replace_a_newer_one() {
     let mut network = settled();
     network.kill("split-1-b");
-    let rest = without("split-1-b");
-    network.run_until("taken off", |net| everybody_knows(net, &rest));
+    let remaining = without("split-1-b");
+    network.run_until("taken off", |net| all_list(net, &remaining));
     let record = record_of(&network, "split-1", Epoch(1), 0);
     let message = Message::Directory {
         term: Epoch(1),
@@ -218,9 +224,9 @@
     };
     let from = network.entry("split-1-a").member.peer_addr;
     for to in network.addrs_in("zagreb-1") {
-        network.deliver_past_cuts(from, to, message.clone());
+        network.deliver_ignoring_cuts(from, to, message.clone());
     }
-    assert!(everybody_knows(&network, &rest));
+    assert!(all_list(&network, &remaining));
 }
 
 /// The line of a failure domain with all of its entries, dead or alive.
@@ -258,22 +264,22 @@
     };
     let from = network.controls[0].addr;
     for to in network.addrs_in("zagreb-1") {
-        network.deliver_past_cuts(from, to, message.clone());
+        network.deliver_ignoring_cuts(from, to, message.clone());
     }
 }
 
 /// All control replicas are restarted at once and remember nobody. The entries' lists
 /// must not shrink while the new leader learns of everybody anew.
 #[test]
-fn a_leader_without_memory_takes_nobody_off() {
+fn a_leader_without_state_removes_no_entries() {
     let mut network = settled();
-    for place in 0..3 {
-        network.restart_control(place);
+    for index in 0..3 {
+        network.restart_control(index);
     }
     network.elect(2, 2);
     for _ in 0..600 {
         network.tick();
-        assert!(everybody_knows(&network, &SIX));
+        assert!(all_list(&network, &SIX));
     }
     let status = network.leader().source.status(network.now);
     assert_eq!(status.len(), SIX.len());
@@ -287,24 +293,24 @@
 /// While no replica leads, a whole failure domain dies. The next leader has never heard
 /// of it but for the lists of the others; it has to take it off all the same.
 #[test]
-fn a_domain_that_died_while_nobody_led_is_taken_off() {
+fn a_domain_that_died_without_a_leader_is_removed() {
     let mut network = settled();
-    for place in 0..3 {
-        network.restart_control(place);
-        network.controls[place].leads = None;
+    for index in 0..3 {
+        network.restart_control(index);
+        network.controls[index].leads = None;
     }
     network.kill("split-1-a");
     network.kill("split-1-b");
     network.run(Duration::from_secs(5));
     network.elect(2, 2);
-    let rest = &SIX[2..];
-    network.run_until("taken off", |net| everybody_knows(net, rest));
+    let remaining = &SIX[2..];
+    network.run_until("taken off", |net| all_list(net, remaining));
 }
 
 /// A report of a process that has been replaced comes late, out of a buffer. The list
 /// must go on naming its successor.
 #[test]
-fn a_late_report_does_not_bring_back_an_earlier_process() {
+fn a_late_report_does_not_restore_an_earlier_process() {
     let mut network = settled();
     let old = network.entry("zagreb-1-c").member.clone();
     network.kill("zagreb-1-c");
--- a/crates/spread/tests/all/network.rs
+++ b/crates/spread/tests/all/network.rs
@@ -61,19 +61,19 @@
     cut: BTreeSet<(SocketAddr, SocketAddr)>,
     pub(crate) filter: Option<Filter>,
     down: BTreeSet<SocketAddr>,
-    starts: u64,
+    start_count: u64,
     /// Versions that entries have kept on a disk, if they keep any.
-    floors: Option<BTreeMap<String, Version>>,
+    watermarks: Option<BTreeMap<String, Version>>,
     /// Processes that get no time, as if stopped by a signal.
     pub(crate) suspended: BTreeSet<String>,
     /// Makes every entry act on whatever it holds, as if nothing guarded it.
-    pub(crate) unguarded: bool,
+    pub(crate) skip_proof: bool,
 }
 
-fn addr(kind: u8, place: usize) -> SocketAddr {
+fn addr(kind: u8, index: usize) -> SocketAddr {
     SocketAddr::from((
         [10, kind, 0, 1],
-        7000 + u16::try_from(place).expect("few nodes"),
+        7000 + u16::try_from(index).expect("few nodes"),
     ))
 }
 
@@ -95,17 +95,17 @@
             cut: BTreeSet::new(),
             filter: None,
             down: BTreeSet::new(),
-            starts: 0,
-            floors: None,
+            start_count: 0,
+            watermarks: None,
             suspended: BTreeSet::new(),
-            unguarded: false,
+            skip_proof: false,
         };
-        let addrs: Vec<_> = (0..3).map(|place| addr(1, place)).collect();
-        for (place, own) in addrs.iter().enumerate() {
+        let addrs: Vec<_> = (0..3).map(|index| addr(1, index)).collect();
+        for (index, own) in addrs.iter().enumerate() {
             let others = addrs.iter().copied().filter(|addr| addr != own).collect();
             network.controls.push(Control {
                 source: Source::new(Config::builder().build(), others),
-                name: format!("control-{place}").parse().expect("valid name"),
+                name: format!("control-{index}").parse().expect("valid name"),
                 addr: *own,
                 leads: None,
                 leader: None,
@@ -121,13 +121,13 @@
 
     /// Starts an entry, or starts it anew with nothing but its settings.
     pub(crate) fn start(&mut self, name: &str) {
-        self.starts += 1;
-        let place = self.place(name);
+        self.start_count += 1;
+        let index = self.index(name);
         let member = MemberInfo {
             name: name.parse().expect("valid name"),
-            incarnation: Incarnation(self.starts),
-            peer_addr: addr(2, place),
-            caller_addr: addr(3, place),
+            incarnation: Incarnation(self.start_count),
+            peer_addr: addr(2, index),
+            caller_addr: addr(3, index),
             region: domain_of(domain_of(name)).parse().expect("valid name"),
             failure_domain: domain_of(name).parse().expect("valid name"),
             leaving: false,
@@ -136,9 +136,12 @@
             controls: self.controls.iter().map(|control| control.addr).collect(),
             seeds: self.entries.values().map(|e| e.member.peer_addr).collect(),
         };
-        let watermark = self.floors.as_ref().and_then(|floors| floors.get(name));
+        let watermark = self
+            .watermarks
+            .as_ref()
+            .and_then(|watermarks| watermarks.get(name));
         let cfg = Config::builder().watermark(watermark.copied().unwrap_or_default());
-        let cfg = cfg.seed(self.starts).build();
+        let cfg = cfg.seed(self.start_count).build();
         self.down.remove(&member.peer_addr);
         let entry = Entry {
             node: Node::new(cfg, member.clone(), contacts),
@@ -153,9 +156,9 @@
         self.entries.insert(name.to_owned(), entry);
     }
 
-    fn place(&self, name: &str) -> usize {
-        let known = self.entries.get(name);
-        known.map_or(self.entries.len(), |entry| {
+    fn index(&self, name: &str) -> usize {
+        let existing = self.entries.get(name);
+        existing.map_or(self.entries.len(), |entry| {
             usize::from(entry.member.peer_addr.port()) - 7000
         })
     }
@@ -168,14 +171,14 @@
     }
 
     /// Makes a replica the leader; the others learn of it.
-    pub(crate) fn elect(&mut self, place: usize, term: u64) {
+    pub(crate) fn elect(&mut self, index: usize, term: u64) {
         let term = Epoch(term);
-        let addr = self.controls[place].addr;
+        let addr = self.controls[index].addr;
         for control in &mut self.controls {
             control.leads = None;
             control.leader = Some(Leader { term, addr });
         }
-        self.controls[place].leads = Some(term);
+        self.controls[index].leads = Some(term);
     }
 
     /// Takes a row to a new weight; the change is accepted and reaches all replicas.
@@ -206,9 +209,9 @@
             None => self.table.rows.remove(&key(region)),
         };
         let view = Arc::new(self.table.clone());
-        for place in 0..self.controls.len() {
-            if self.controls[place].replicates {
-                self.step_control(place, source::Event::Committed(Arc::clone(&view)));
+        for index in 0..self.controls.len() {
+            if self.controls[index].replicates {
+                self.step_control(index, source::Event::Committed(Arc::clone(&view)));
             }
         }
         version
@@ -242,14 +245,19 @@
     }
 
     /// Hands over a message as if it had been on its way before any cut.
-    pub(crate) fn deliver_past_cuts(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
+    pub(crate) fn deliver_ignoring_cuts(
+        &mut self,
+        from: SocketAddr,
+        to: SocketAddr,
+        message: Message,
+    ) {
         let cut = std::mem::take(&mut self.cut);
         self.deliver(Packet { from, to, message });
         self.cut = cut;
     }
 
     /// Ends a process; what it has sent and what is sent to it isn't touched.
-    pub(crate) fn kill_without_loss(&mut self, name: &str) {
+    pub(crate) fn kill_keeping_packets(&mut self, name: &str) {
         let addr = self.entries[name].member.peer_addr;
         self.down.insert(addr);
     }
@@ -293,8 +301,8 @@
         for packet in packets {
             self.deliver(packet);
         }
-        for place in 0..self.controls.len() {
-            self.tick_control(place);
+        for index in 0..self.controls.len() {
+            self.tick_control(index);
         }
         let names: Vec<_> = self.entries.keys().cloned().collect();
         for name in names {
@@ -305,24 +313,24 @@
     }
 
     /// Lets every entry keep the version that it acts on, from now on.
-    pub(crate) fn keep_floors(&mut self) {
-        self.floors = Some(BTreeMap::new());
+    pub(crate) fn persist_watermarks(&mut self) {
+        self.watermarks = Some(BTreeMap::new());
     }
 
     /// Loses everything that a control replica holds, as if it had been restarted. Its
     /// log gives it back the table.
-    pub(crate) fn restart_control(&mut self, place: usize) {
-        let own = self.controls[place].addr;
+    pub(crate) fn restart_control(&mut self, index: usize) {
+        let own = self.controls[index].addr;
         let others = self.controls.iter().map(|control| control.addr);
         let others = others.filter(|addr| *addr != own).collect();
-        self.controls[place].source = Source::new(Config::builder().build(), others);
+        self.controls[index].source = Source::new(Config::builder().build(), others);
         let view = Arc::new(self.table.clone());
-        self.step_control(place, source::Event::Committed(view));
+        self.step_control(index, source::Event::Committed(view));
     }
 
-    fn tick_control(&mut self, place: usize) {
+    fn tick_control(&mut self, index: usize) {
         let until = self.now + LEASE;
-        let control = &self.controls[place];
+        let control = &self.controls[index];
         if self.suspended.contains(control.name.as_str()) {
             return;
         }
@@ -332,14 +340,14 @@
                 leader: control.leader,
             },
         };
-        self.step_control(place, event);
-        self.step_control(place, source::Event::Tick);
+        self.step_control(index, event);
+        self.step_control(index, source::Event::Tick);
     }
 
     /// Hands a packet to its receiver unless a cut or the filter eats it.
     pub(crate) fn deliver(&mut self, packet: Packet) {
-        let ends = [packet.from, packet.to];
-        if self.cut.contains(&(ends[0], ends[1])) || self.down.contains(&ends[1]) {
+        let link = [packet.from, packet.to];
+        if self.cut.contains(&(link[0], link[1])) || self.down.contains(&link[1]) {
             return;
         }
         if let Some(filter) = &mut self.filter
@@ -352,8 +360,8 @@
         };
         let message = packet.message;
         let control = self.controls.iter().position(|c| c.addr == packet.to);
-        if let Some(place) = control {
-            return self.step_control(place, source::Event::Received { from, message });
+        if let Some(index) = control {
+            return self.step_control(index, source::Event::Received { from, message });
         }
         let name = self.name_of(packet.to).expect("an address of the test");
         self.step_entry(&name, node::Event::Received { from, message });
@@ -382,8 +390,8 @@
         found.map(|(name, _)| name.clone())
     }
 
-    pub(crate) fn step_control(&mut self, place: usize, event: source::Event) {
-        let control = &mut self.controls[place];
+    pub(crate) fn step_control(&mut self, index: usize, event: source::Event) {
+        let control = &mut self.controls[index];
         let from = control.addr;
         if self.suspended.contains(control.name.as_str()) {
             return;
@@ -406,16 +414,16 @@
                 node::Action::Send { to, message } => {
                     self.queue.push_back(packet(from, to, &message));
                 }
-                other => entry.take(other),
+                other => entry.record(other),
             }
         }
-        if self.unguarded && entry.in_force.last() != Some(&entry.node.view().version) {
+        if self.skip_proof && entry.in_force.last() != Some(&entry.node.view().version) {
             entry.in_force.push(entry.node.view().version);
         }
-        if let Some(floors) = &mut self.floors
+        if let Some(watermarks) = &mut self.watermarks
             && let Some(version) = entry.in_force.last()
         {
-            floors.insert(name.to_owned(), *version);
+            watermarks.insert(name.to_owned(), *version);
         }
     }
 
@@ -442,7 +450,7 @@
 impl Entry {
     /// Checks on the way that no version goes down and that none is handed out before
     /// the node says that it is proven.
-    fn take(&mut self, action: node::Action) {
+    fn record(&mut self, action: node::Action) {
         match action {
             node::Action::Send { .. } => {}
             node::Action::InForce(view) => {
@@ -467,7 +475,7 @@
     }
 
     /// Names of the entries that it knows to be live or leaving.
-    pub(crate) fn knows(&self) -> Vec<&str> {
+    pub(crate) fn listed_names(&self) -> Vec<&str> {
         self.entries
             .iter()
             .map(|member| member.name.as_str())
--- a/crates/spread/tests/all/random.rs
+++ b/crates/spread/tests/all/random.rs
@@ -14,7 +14,7 @@
 /// Something that happens.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
-enum Happening {
+enum Operation {
     Change { region: u8, weight: u8 },
     Remove { region: u8 },
     Pass { steps: u8 },
@@ -25,7 +25,7 @@
     Heal,
     Kill { entry: u8 },
     Restart { entry: u8 },
-    Elect { place: u8 },
+    Elect { replica: u8 },
 }
 
 /// What a run has seen so far.
@@ -34,52 +34,52 @@
     accepted: BTreeMap<Version, View>,
     term: u64,
     /// Version that each entry's earlier processes have acted on.
-    acted: BTreeMap<&'static str, Version>,
+    acted_on: BTreeMap<&'static str, Version>,
 }
 
 impl Checker {
     fn new() -> Self {
         let mut network = Network::new(&FIVE);
-        network.keep_floors();
+        network.persist_watermarks();
         network.run(Duration::from_secs(2));
         let accepted = BTreeMap::from([(Version(0), network.table.clone())]);
         Self {
             network,
             accepted,
             term: 1,
-            acted: BTreeMap::new(),
+            acted_on: BTreeMap::new(),
         }
     }
 
-    fn apply(&mut self, happening: Happening) {
+    fn apply(&mut self, operation: Operation) {
         let network = &mut self.network;
-        match happening {
-            Happening::Change { region, weight } => {
+        match operation {
+            Operation::Change { region, weight } => {
                 network.change(&format!("r{}", region % 4), u32::from(weight));
             }
-            Happening::Remove { region } => {
+            Operation::Remove { region } => {
                 network.remove(&format!("r{}", region % 4));
             }
-            Happening::Pass { steps } => {
+            Operation::Pass { steps } => {
                 network.run(Duration::from_millis(50) * u32::from(steps));
             }
-            Happening::Lose { nth } => drop(take(network, nth)),
-            Happening::Duplicate { nth } => {
-                if let Some(packet) = take(network, nth) {
+            Operation::Lose { nth } => drop(take_packet(network, nth)),
+            Operation::Duplicate { nth } => {
+                if let Some(packet) = take_packet(network, nth) {
                     network.queue.extend([packet.clone(), packet]);
                 }
             }
-            Happening::Delay { nth } => {
-                let packet = take(network, nth);
+            Operation::Delay { nth } => {
+                let packet = take_packet(network, nth);
                 network.queue.extend(packet);
             }
-            Happening::CutOff { second } => network.cut_off(if second { "b-1" } else { "a-1" }),
-            Happening::Heal => network.heal(),
-            Happening::Kill { entry } => network.kill(name(entry)),
-            Happening::Restart { entry } => self.restart(name(entry)),
-            Happening::Elect { place } => {
+            Operation::CutOff { second } => network.cut_off(if second { "b-1" } else { "a-1" }),
+            Operation::Heal => network.heal(),
+            Operation::Kill { entry } => network.kill(name(entry)),
+            Operation::Restart { entry } => self.restart(name(entry)),
+            Operation::Elect { replica } => {
                 self.term += 1;
-                network.elect(usize::from(place % 3), self.term);
+                network.elect(usize::from(replica % 3), self.term);
             }
         }
         let table = self.network.table.clone();
@@ -89,8 +89,8 @@
     fn restart(&mut self, name: &'static str) {
         let entry = self.network.entry(name);
         if let Some(version) = entry.in_force.last() {
-            let acted = self.acted.entry(name).or_default();
-            *acted = (*acted).max(*version);
+            let acted_on = self.acted_on.entry(name).or_default();
+            *acted_on = (*acted_on).max(*version);
         }
         self.network.start(name);
     }
@@ -101,8 +101,11 @@
         for (name, entry) in &self.network.entries {
             let Some(view) = &entry.view else { continue };
             assert_eq!(Some(&**view), self.accepted.get(&view.version));
-            let acted = self.acted.get(name.as_str()).copied();
-            assert!(entry.in_force.first().copied() >= acted, "{name} reverted");
+            let acted_on = self.acted_on.get(name.as_str()).copied();
+            assert!(
+                entry.in_force.first().copied() >= acted_on,
+                "{name} reverted"
+            );
         }
     }
 
@@ -116,7 +119,7 @@
         }
         let newest = self.network.table.version;
         self.network.run_until("converged", |net| {
-            net.all_at(newest) && net.entries.values().all(|e| e.knows() == FIVE)
+            net.all_at(newest) && net.entries.values().all(|e| e.listed_names() == FIVE)
         });
         for entry in self.network.entries.values() {
             assert_eq!(entry.view.as_deref(), Some(&self.network.table));
@@ -128,20 +131,20 @@
     FIVE[usize::from(entry) % FIVE.len()]
 }
 
-fn take(network: &mut Network, nth: u8) -> Option<crate::network::Packet> {
-    let place = usize::from(nth) % network.queue.len().max(1);
-    network.queue.remove(place)
+fn take_packet(network: &mut Network, nth: u8) -> Option<crate::network::Packet> {
+    let index = usize::from(nth) % network.queue.len().max(1);
+    network.queue.remove(index)
 }
 
 #[test]
 fn versions_only_go_up_and_everybody_converges() {
     check!()
         .with_iterations(400)
-        .with_type::<Vec<Happening>>()
-        .for_each(|happenings| {
+        .with_type::<Vec<Operation>>()
+        .for_each(|operations| {
             let mut checker = Checker::new();
-            for happening in happenings.iter().take(64) {
-                checker.apply(*happening);
+            for operation in operations.iter().take(64) {
+                checker.apply(*operation);
                 checker.check();
             }
             checker.converge();
--- a/crates/spread/tests/all/restart.rs
+++ b/crates/spread/tests/all/restart.rs
@@ -48,9 +48,9 @@
 /// The twin of the test above with the guard taken off: an entry that acts on whatever
 /// it holds. It shows that the check can fail.
 #[test]
-fn without_the_guard_a_restarted_entry_acts_on_old_weights() {
+fn without_a_proof_a_restarted_entry_acts_on_old_weights() {
     let mut network = settled();
-    network.unguarded = true;
+    network.skip_proof = true;
     restart_after_300_changes(&mut network, "zagreb-1-b");
     let newest = network.table.version;
     network.run_until("caught up", |net| net.all_at(newest));
@@ -60,7 +60,7 @@
 /// As above, but the answers of control are slow and those of an entry that has been
 /// cut off with the old table are quick. The old table must not be acted on.
 #[test]
-fn a_quick_answer_with_an_old_table_is_not_believed() {
+fn a_fast_answer_with_an_old_table_is_not_trusted() {
     let mut network = settled();
     network.kill("zagreb-1-b");
     let old = [network.entry("zagreb-1-a").member.peer_addr];
@@ -76,8 +76,8 @@
         let ends = [packet.from, packet.to];
         !ends.contains(&new) || !ends.contains(&old)
     }));
-    let deaf = network.entry("zagreb-1-b").member.peer_addr;
-    network.cut(&[deaf], &[new]);
+    let restarted = network.entry("zagreb-1-b").member.peer_addr;
+    network.cut(&[restarted], &[new]);
     network.start("zagreb-1-b");
     network.run(Duration::from_secs(30));
     assert_eq!(first_version(&network, "zagreb-1-b"), None);
@@ -155,7 +155,7 @@
 /// An entry restarts alone and reaches nobody. It says so after a bounded time, and
 /// acts on nothing.
 #[test]
-fn an_entry_that_reaches_nobody_is_cautious_after_a_while() {
+fn an_isolated_entry_becomes_cautious() {
     let mut network = settled();
     network.cut_off("split-1");
     network.kill("split-1-a");
@@ -178,7 +178,7 @@
     network.kill("split-1-a");
     network.start("split-1-a");
     network.run(Duration::from_secs(1));
-    network.deliver_past_cuts(stale.from, stale.to, stale.message);
+    network.deliver_ignoring_cuts(stale.from, stale.to, stale.message);
     network.run(Duration::from_secs(10));
     assert_eq!(network.entry("split-1-a").readiness, Readiness::Cautious);
     assert_eq!(first_version(&network, "split-1-a"), None);
@@ -205,7 +205,7 @@
 /// An entry is stopped by a signal for half a minute and then continued. It doesn't
 /// know that it was; the weights it holds are old.
 #[test]
-fn an_entry_that_was_suspended_starts_over() {
+fn a_suspended_entry_starts_over() {
     let mut network = settled();
     network.suspended.insert("zagreb-1-b".to_owned());
     network.run(Duration::from_secs(30));
@@ -225,7 +225,7 @@
 /// change. When the first one wakes, it takes itself for the leader; its word must not
 /// let an entry start on the old table.
 #[test]
-fn a_leader_past_its_lease_proves_nothing() {
+fn a_leader_with_an_expired_lease_proves_nothing() {
     let mut network = settled();
     network.suspended.insert("control-0".to_owned());
     network.elect(1, 2);
@@ -246,7 +246,7 @@
         network.step_control(0, event);
         let answers: Vec<_> = network.queue.drain(..).filter(|p| p.from == from).collect();
         for answer in answers {
-            network.deliver_past_cuts(answer.from, answer.to, answer.message);
+            network.deliver_ignoring_cuts(answer.from, answer.to, answer.message);
         }
     }
     assert_eq!(first_version(&network, "split-1-a"), None);
@@ -282,14 +282,14 @@
 /// domain is cut off, and keeps the number of that version on its disk. Its neighbours
 /// prove an older one to it, which it must not act on.
 #[test]
-fn a_version_kept_on_disk_is_a_floor() {
+fn a_persisted_watermark_is_a_lower_bound() {
     let mut network = Network::new(&FOUR);
-    network.keep_floors();
+    network.persist_watermarks();
     network.run(Duration::from_secs(10));
-    let alone = network.entry("zagreb-1-a").member.peer_addr;
+    let isolated = network.entry("zagreb-1-a").member.peer_addr;
     let neighbours = ["zagreb-1-b", "zagreb-1-c"].map(|n| network.entry(n).member.peer_addr);
-    network.cut(&[alone], &neighbours);
-    let outside: Vec<_> = network.addresses().filter(|a| *a != alone).collect();
+    network.cut(&[isolated], &neighbours);
+    let outside: Vec<_> = network.addresses().filter(|a| *a != isolated).collect();
     network.cut(&neighbours, &outside);
     network.change("zagreb", 2);
     network.run(Duration::from_millis(300));
--- a/crates/spread/tests/all/table.rs
+++ b/crates/spread/tests/all/table.rs
@@ -11,7 +11,7 @@
 use crate::network::Network;
 
 /// Time within which a change has to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(14);
+const CHANGE_DEADLINE: Duration = Duration::from_secs(14);
 
 const SIX: [&str; 6] = [
     "split-1-a",
@@ -33,11 +33,11 @@
 /// off by itself. Once the link is back, the entry acts on the newest rows. The cause
 /// of trouble would be a delta that doesn't reach back far enough.
 #[test]
-fn an_entry_that_missed_too_much_gets_a_whole_table() {
+fn an_entry_too_far_behind_gets_a_full_table() {
     let mut network = settled(&SIX);
-    let alone = [network.entry("zagreb-1-c").member.peer_addr];
-    let others: Vec<_> = network.addresses().filter(|a| *a != alone[0]).collect();
-    network.cut(&alone, &others);
+    let isolated = [network.entry("zagreb-1-c").member.peer_addr];
+    let others: Vec<_> = network.addresses().filter(|a| *a != isolated[0]).collect();
+    network.cut(&isolated, &others);
     for weight in 0..600 {
         network.change("zagreb", weight);
         network.run(Duration::from_millis(50));
@@ -45,30 +45,30 @@
     let version = network.table.version;
     assert_eq!(network.entry("zagreb-1-c").acts_on(), Some(Version(0)));
     network.heal();
-    let whole = Rc::new(Cell::new(0));
-    let seen = Rc::clone(&whole);
+    let full_tables = Rc::new(Cell::new(0));
+    let counter = Rc::clone(&full_tables);
     network.filter = Some(Box::new(move |packet| {
-        seen.set(seen.get() + u32::from(matches!(packet.message, Message::Table { .. })));
+        counter.set(counter.get() + u32::from(matches!(packet.message, Message::Table { .. })));
         true
     }));
     network.run_until("caught up", |net| net.all_at(version));
     let view = network.entry("zagreb-1-c").view.clone().expect("a view");
     assert_eq!(*view, network.table);
-    assert!(whole.get() > 0, "no whole table was sent");
+    assert!(full_tables.get() > 0, "no whole table was sent");
 }
 
 /// A push is lost on its way to one entry. The entry hears of the version by the next
 /// heartbeat; until it has the rows it must not act on those it has.
 #[test]
-fn an_entry_that_hears_of_a_version_it_lacks_stops_using_the_old_one() {
+fn an_entry_that_learns_of_a_newer_version_stops_using_the_old_one() {
     let mut network = settled(&SIX);
-    let deaf = network.entry("zagreb-1-c").member.peer_addr;
+    let target = network.entry("zagreb-1-c").member.peer_addr;
     network.filter = Some(Box::new(move |packet| {
         let rows = matches!(
             packet.message,
             Message::Delta { .. } | Message::Table { .. }
         );
-        !(rows && packet.to == deaf)
+        !(rows && packet.to == target)
     }));
     let version = network.change("zagreb", 5);
     network.run(Duration::from_secs(3));
@@ -82,7 +82,7 @@
 /// The relay of a failure domain dies, and an operator makes a change at that moment.
 /// The change has to be in force at the others in time all the same.
 #[test]
-fn a_change_gets_past_a_relay_that_has_just_died() {
+fn a_change_bypasses_a_relay_that_has_just_died() {
     let mut network = settled(&SIX);
     network.kill("zagreb-1-a");
     for weight in 0..5 {
@@ -96,14 +96,14 @@
 /// A rack dies with the first three members of a failure domain, each of which would be
 /// relay after the one before it.
 #[test]
-fn a_change_gets_past_three_relays_that_die_together() {
+fn a_change_bypasses_three_relays_that_die_together() {
     let mut network = settled(&SIX);
     for name in ["zagreb-1-a", "zagreb-1-b", "zagreb-1-c"] {
         network.kill(name);
     }
     let version = network.change("zagreb", 5);
     let took = network.run_until("in force", |net| net.all_at(version));
-    assert!(took < IN_FORCE / 2, "{took:?}");
+    assert!(took < CHANGE_DEADLINE / 2, "{took:?}");
 }
 
 /// The leader dies and another replica takes over. What it accepts has to reach the
@@ -127,7 +127,7 @@
 #[test]
 fn a_domain_that_is_cut_off_agrees_on_its_newest_version() {
     let mut network = settled(&SIX);
-    let lucky = network.entry("zagreb-1-d").member.peer_addr;
+    let receiver = network.entry("zagreb-1-d").member.peer_addr;
     network.cut_off("zagreb-1");
     let version = network.change("zagreb", 5);
     // The one delta that still got through.
@@ -137,7 +137,7 @@
         push: false,
     };
     let from = network.controls[0].addr;
-    network.deliver_past_cuts(from, lucky, delta);
+    network.deliver_ignoring_cuts(from, receiver, delta);
     let inside = ["zagreb-1-a", "zagreb-1-b", "zagreb-1-c", "zagreb-1-d"];
     network.run_until("agreed", |net| {
         let acts = |name| net.entry(name).acts_on() == Some(version);
@@ -177,28 +177,42 @@
 /// A member can send to its relay but hears nothing from it: the relay takes it for
 /// live, and it would wait for changes that never arrive.
 #[test]
-fn a_member_that_does_not_hear_its_relay_finds_another() {
+fn a_member_that_receives_nothing_from_its_relay_switches() {
     let mut network = settled(&SIX);
     network.cut_one_way("zagreb-1-a", "zagreb-1-c");
     network.run(Duration::from_secs(5));
     let version = network.change("zagreb", 5);
     let took = network.run_until("in force", |net| net.all_at(version));
     assert!(took < Duration::from_secs(1), "{took:?}");
-    let everywhere = |net: &Network| net.entries.values().all(|e| e.knows().len() == SIX.len());
+    let everywhere = |net: &Network| {
+        net.entries
+            .values()
+            .all(|e| e.listed_names().len() == SIX.len())
+    };
     assert!(everywhere(&network));
 }
 
 /// The other way round: the relay takes the member for dead, though it lives.
 #[test]
-fn a_member_that_its_relay_does_not_hear_is_reported_by_another() {
+fn a_member_whose_reports_are_lost_is_reported_by_another() {
     let mut network = settled(&SIX);
     network.cut_one_way("zagreb-1-c", "zagreb-1-a");
     network.run(Duration::from_secs(10));
     let version = network.change("zagreb", 5);
     let took = network.run_until("in force", |net| net.all_at(version));
     assert!(took < Duration::from_secs(1), "{took:?}");
-    assert!(network.entry("split-1-a").knows().contains(&"zagreb-1-c"));
-    assert!(network.entry("zagreb-1-a").knows().contains(&"zagreb-1-c"));
+    assert!(
+        network
+            .entry("split-1-a")
+            .listed_names()
+            .contains(&"zagreb-1-c")
+    );
+    assert!(
+        network
+            .entry("zagreb-1-a")
+            .listed_names()
+            .contains(&"zagreb-1-c")
+    );
 }
 
 /// Two entries of a failure domain that is cut off can't reach each other, only a third
@@ -220,7 +234,7 @@
     let view = std::sync::Arc::new(network.table.clone());
     let table = filberthead_spread::Fingerprint::of(&*view);
     let from = network.controls[0].addr;
-    network.deliver_past_cuts(from, a, Message::Table { view, table });
+    network.deliver_ignoring_cuts(from, a, Message::Table { view, table });
     network.run_until("agreed", |net| {
         let mut inside = names[..3].iter();
         inside.all(|name| net.entry(name).acts_on() == Some(version))
@@ -253,7 +267,7 @@
     let view = std::sync::Arc::new(network.table.clone());
     let table = filberthead_spread::Fingerprint::of(&*view);
     let from = network.controls[0].addr;
-    network.deliver_past_cuts(from, inside[0], Message::Table { view, table });
+    network.deliver_ignoring_cuts(from, inside[0], Message::Table { view, table });
     network.run_until("agreed", |net| {
         let mut inside = names[..4].iter();
         inside.all(|name| net.entry(name).acts_on() == Some(version))
@@ -263,7 +277,7 @@
 /// A whole table that an entry had asked for arrives after newer deltas have passed it
 /// by. The entry must not go back to it.
 #[test]
-fn a_whole_table_that_arrives_late_does_not_take_an_entry_back() {
+fn a_late_full_table_is_ignored() {
     let mut network = settled(&SIX);
     network.change("zagreb", 1);
     let view = std::sync::Arc::new(network.table.clone());
@@ -274,7 +288,7 @@
         network.controls[0].addr,
         network.entry("zagreb-1-c").member.peer_addr,
     );
-    network.deliver_past_cuts(from, to, Message::Table { view, table });
+    network.deliver_ignoring_cuts(from, to, Message::Table { view, table });
     let entry = network.entry("zagreb-1-c");
     assert_eq!(entry.node.view().version, version);
     assert_eq!(entry.acts_on(), Some(version));
@@ -284,7 +298,7 @@
 /// members has seen the row come. What brings the relay up to date names no such row;
 /// handed on to that member as it is, it would leave the row there for good.
 #[test]
-fn a_row_that_came_and_went_is_gone_everywhere() {
+fn a_row_added_and_removed_is_gone_everywhere() {
     let mut network = settled(&SIX);
     network.change("zagreb", 1);
     network.run(Duration::from_secs(2));
@@ -306,7 +320,7 @@
         );
         !(rows && packet.to == relay) || controls.contains(&packet.from)
     }));
-    network.deliver_past_cuts(
+    network.deliver_ignoring_cuts(
         network.controls[0].addr,
         member,
         Message::Table { view, table },
@@ -343,7 +357,7 @@
     };
     network.filter = None;
     let from = network.entry("zagreb-1-a").member.peer_addr;
-    network.deliver_past_cuts(from, victim, delta);
+    network.deliver_ignoring_cuts(from, victim, delta);
     assert_eq!(network.entry("zagreb-1-c").acts_on(), None);
     network.run_until("caught up", |net| net.all_at(version));
     let view = network.entry("zagreb-1-c").view.clone().expect("a view");
@@ -353,14 +367,14 @@
 /// The memory of an entry is damaged, so that it steers by a row that nobody else has
 /// under the version. Nothing mends that by itself; an operator has to hear of it.
 #[test]
-fn other_rows_under_the_same_version_are_noticed() {
+fn different_rows_under_the_same_version_are_detected() {
     let mut network = settled(&SIX);
     let mut damaged = network.table.clone();
     damaged.version = Version(1);
     let table = filberthead_spread::Fingerprint::of(&damaged);
     let view = std::sync::Arc::new(damaged);
     let victim = network.entry("zagreb-1-c").member.peer_addr;
-    network.deliver_past_cuts(victim, victim, Message::Table { view, table });
+    network.deliver_ignoring_cuts(victim, victim, Message::Table { view, table });
     assert!(!network.entries.values().any(|entry| entry.diverged));
     network.change("zagreb", 5);
     network.run(Duration::from_secs(3));
