--- a/crates/spread/src/api.rs
+++ b/crates/spread/src/api.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about versions and members.
+//! Messages of the distribution protocol and their contents.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,34 +9,34 @@
 
 use crate::{Fingerprint, Stamp};
 
-/// A running entry as its peers and callers know it.
+/// Identity, addresses and location of a running entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Its name from its settings.
+    /// Its name, from its settings.
     pub name: NodeName,
-    /// Drawn at its start.
+    /// Identifies its process; random at each start.
     pub incarnation: Incarnation,
-    /// Where peers reach it.
+    /// Where it accepts messages from peers.
     pub peer_addr: SocketAddr,
-    /// Where callers and other entries reach it over HTTP.
+    /// Where it accepts HTTP requests from callers and other entries.
     pub caller_addr: SocketAddr,
     /// Its region.
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it is on a planned stop.
+    /// Whether it is in a planned stop.
     pub leaving: bool,
 }
 
-/// Who sent a message, as the transport's envelope says.
+/// Sender of a message, from the transport's envelope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// Its name.
     pub name: NodeName,
-    /// Drawn at its start.
+    /// Identifies its process; random at each start.
     pub incarnation: Incarnation,
-    /// Where an answer goes.
+    /// Where to send an answer.
     pub addr: SocketAddr,
 }
 
@@ -46,53 +46,54 @@
 pub struct Leader {
     /// Its term.
     pub term: Epoch,
-    /// Where it takes messages of other processes.
+    /// Where it accepts messages from other processes.
     pub addr: SocketAddr,
 }
 
-/// Heartbeat of a node to the one above it: a member to its relay, a relay to the
-/// leader. Its size doesn't depend on how many members stand behind the sender, but
-/// for those that lag.
+/// Heartbeat towards the leader: from a member to its relay, from a relay to the leader.
+///
+/// Its size doesn't depend on how many members the sender reports for, except for those
+/// with another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
     /// Version in force at the sender.
     pub version: Version,
-    /// Hash of the members that the sender reports for, itself included.
+    /// Hash of the list of members that the sender reports for, itself included.
     pub roster: Fingerprint,
     /// Hash of the sender's directory.
     pub directory: Fingerprint,
-    /// Members with another version than the sender: place in the roster, version.
+    /// Members with another version than the sender, as index in that list and version.
     pub other_versions: Vec<(u16, Version)>,
-    /// The members by name, in the first report to a receiver, after a change and when
-    /// asked for.
+    /// That list, sorted by name. Sent in the first report to a receiver, after a change and
+    /// on request; `None` otherwise.
     pub members: Option<Vec<MemberInfo>>,
 }
 
-/// In which part a digest is sent.
+/// Role in which a digest is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum DigestKind {
-    /// By the leader, to relays and other replicas.
+    /// From the leader to relays and other replicas.
     Leader {
         /// The leader's term.
         term: Epoch,
     },
-    /// By a relay, to the members that report to it.
+    /// From a relay to the members that report to it.
     Relay {
-        /// Hash of the live members of the failure domain.
+        /// Hash of the list of live members of the failure domain.
         roster: Fingerprint,
-        /// The leader as far as known.
+        /// The leader, if known.
         leader: Option<Leader>,
     },
-    /// Between any two nodes, to find out who has something newer.
+    /// Between any two nodes, to detect which of them holds newer state.
     Peer {
-        /// Whether it answers a digest; such a one isn't answered again.
+        /// Whether it answers a digest. Answers aren't answered again.
         reply: bool,
     },
 }
 
-/// What the sender holds, in brief.
+/// Summary of the sender's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Digest {
@@ -102,21 +103,21 @@
     pub table: Fingerprint,
     /// Hash of the directory.
     pub directory: Fingerprint,
-    /// The sender's part.
+    /// Role of the sender.
     pub kind: DigestKind,
 }
 
-/// A failure domain's line in the directory.
+/// Directory record of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DomainRecord {
-    /// Which of two lines is newer.
+    /// Orders the records of a failure domain; the higher one is newer.
     pub stamp: Stamp,
-    /// Live and leaving members, by name.
+    /// Live and leaving members, sorted by name.
     pub members: Vec<MemberInfo>,
 }
 
-/// What a node that answers a query is.
+/// Role of the process that answers a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Responder {
@@ -127,17 +128,17 @@
     },
     /// Control replica that doesn't lead.
     Follower {
-        /// The leader as far as known.
+        /// The leader, if known.
         leader: Option<Leader>,
     },
     /// Entry.
     Entry {
         /// The entry itself.
         member: MemberInfo,
-        /// Whether its own version is proven.
+        /// Whether its version is proven to be the newest.
         proven: bool,
-        /// To an asker of its failure domain: all members there that it knows, heard
-        /// of lately or not.
+        /// All members of the failure domain that it knows, live or not; empty if the query
+        /// came from another failure domain.
         peers: Vec<MemberInfo>,
     },
 }
@@ -146,79 +147,79 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
-    /// From the query.
+    /// Nonce of the query.
     pub nonce: u64,
     /// Version that the sender holds.
     pub version: Version,
     /// Hash of the sender's directory.
     pub directory: Fingerprint,
-    /// Who says so.
+    /// Role of the sender.
     pub responder: Responder,
 }
 
-/// Messages of the spreading protocol.
+/// Messages of the distribution protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
     /// Heartbeat towards the leader.
     Report(Report),
-    /// Asks for a report with its members.
+    /// Requests a report that includes the list of members.
     ReportPull,
-    /// Asks for the live members of the failure domain.
+    /// Requests the live members of the failure domain.
     RosterPull,
-    /// Live members of the failure domain by name, as its relay knows them.
+    /// Live members of the failure domain as seen by its relay, sorted by name.
     Roster(Vec<MemberInfo>),
-    /// Heartbeat away from the leader, or between peers.
+    /// Heartbeat from the leader, from a relay, or between peers.
     Digest(Digest),
-    /// Asks for what is newer than a version.
+    /// Requests the changes since a version.
     TablePull {
-        /// Version that the sender holds; `None` asks for a whole table.
+        /// Version that the sender holds; `None` requests the full table.
         base: Option<Version>,
     },
     /// Rows that changed.
     Delta {
         /// The rows.
         delta: ViewDelta,
-        /// Hash of the view after them.
+        /// Hash of the resulting view.
         table: Fingerprint,
-        /// Whether the receiver is to hand it on to all of its failure domain.
+        /// Whether the receiver forwards it to its whole failure domain.
         push: bool,
     },
-    /// A whole table, for a node that is too far behind.
+    /// The full table, for a node that is too far behind.
     Table {
         /// The table.
         view: Arc<View>,
         /// Its hash.
         table: Fingerprint,
     },
-    /// Asks for the lines of the directory that are newer than these.
+    /// Requests the directory records that are newer than these.
     DirectoryPull {
-        /// Stamps that the sender holds.
+        /// Stamps of the records that the sender holds.
         stamps: Vec<(FailureDomain, Stamp)>,
     },
-    /// Lines of the directory.
+    /// Directory records.
     Directory {
-        /// Newest term that the sender knows a leader of.
+        /// Highest term of a leader known to the sender.
         term: Epoch,
-        /// The lines.
+        /// The records.
         records: Vec<(FailureDomain, DomainRecord)>,
-        /// Whether the receiver is to hand it on to all of its failure domain.
+        /// Whether the receiver forwards it to its whole failure domain.
         push: bool,
     },
-    /// A node that starts asks for the newest version.
+    /// A starting node requests the newest version.
     Query {
-        /// Comes back in the answer; drawn anew at each start.
+        /// Correlates the answer with this start of the node; random at each start.
         nonce: u64,
-        /// The sender, so that its peers know it at once.
+        /// The sender, so that its peers discover it at once.
         member: MemberInfo,
     },
     /// Answer to a query.
     Answer(Answer),
-    /// Answer of a control replica that doesn't lead to a report.
+    /// Answer of a follower to a report.
     NotLeader {
-        /// The leader as far as known.
+        /// The leader, if known.
         leader: Option<Leader>,
     },
-    /// The sender stops now.
+    /// The sender is stopping now.
     Bye,
 }
--- a/crates/spread/src/config.rs
+++ b/crates/spread/src/config.rs
@@ -1,4 +1,4 @@
-//! Times and bounds.
+//! Timeouts and limits.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// Default of [`ConfigBuilder::suspend_threshold`].
 pub const DEFAULT_SUSPEND_THRESHOLD: Duration = Duration::from_secs(5);
 
-/// Times and bounds of a node or source.
+/// Timeouts and limits of a node or source.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub(crate) heartbeat_period: Duration,
@@ -30,7 +30,7 @@
 }
 
 impl Config {
-    /// Starts from the defaults that each method names.
+    /// A builder with the defaults given at each method.
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             cfg: Self {
@@ -58,23 +58,23 @@
         self
     }
 
-    /// Silence after which nodes of one failure domain take each other for dead, and
-    /// after which a relay looks for another leader. Default 3 s.
+    /// Silence after which nodes of one failure domain consider each other dead, and after
+    /// which a relay looks for another leader. Default 3 s.
     #[must_use]
     pub fn member_timeout(mut self, silence: Duration) -> Self {
         self.cfg.member_timeout = silence;
         self
     }
 
-    /// Silence after which the leader takes a failure domain off the directory; long
-    /// enough for it to have replaced a dead relay. Default 6 s.
+    /// Silence after which the leader removes a failure domain from the directory; long
+    /// enough for the domain to replace a dead relay first. Default 6 s.
     #[must_use]
     pub fn domain_timeout(mut self, silence: Duration) -> Self {
         self.cfg.domain_timeout = silence;
         self
     }
 
-    /// Time between two digests to a random node of the own failure domain. Default 2 s.
+    /// Time between two digests to a random node of the same failure domain. Default 2 s.
     #[must_use]
     pub fn gossip_period(mut self, period: Duration) -> Self {
         self.cfg.gossip_period = period;
@@ -88,30 +88,30 @@
         self
     }
 
-    /// How long a node that starts acts on nothing while no version is proven to it;
-    /// after that it is [`Cautious`](crate::node::Readiness::Cautious). Default 3 s.
+    /// How long a starting node serves nothing while no version is proven; after that it is
+    /// [`Cautious`](crate::node::Readiness::Cautious). Default 3 s.
     #[must_use]
     pub fn start_timeout(mut self, wait: Duration) -> Self {
         self.cfg.start_timeout = wait;
         self
     }
 
-    /// Time between two steps after which a node takes itself for suspended and starts
-    /// over. Default 5 s.
+    /// Time between two steps after which a node assumes that its process was suspended and
+    /// starts over. Default 5 s.
     #[must_use]
     pub fn suspend_threshold(mut self, suspend_threshold: Duration) -> Self {
         self.cfg.suspend_threshold = suspend_threshold;
         self
     }
 
-    /// Time after which something asked for is asked for again. Default 300 ms.
+    /// Time after which an unanswered pull is repeated. Default 300 ms.
     #[must_use]
     pub fn pull_retry(mut self, retry: Duration) -> Self {
         self.cfg.pull_retry = retry;
         self
     }
 
-    /// Steps of the table that are kept; a node further behind gets a whole table.
+    /// Number of table deltas that are kept; a node further behind receives the full table.
     /// Default 512.
     #[must_use]
     pub fn kept_deltas(mut self, steps: usize) -> Self {
@@ -119,15 +119,15 @@
         self
     }
 
-    /// Version that an earlier process of this node is known to have acted on, where a
-    /// disk has kept it. Default 0.
+    /// Highest version that an earlier process of this node acted on, if persisted on disk.
+    /// The node acts on no lower one. Default 0.
     #[must_use]
     pub fn watermark(mut self, version: Version) -> Self {
         self.cfg.watermark = version;
         self
     }
 
-    /// Seed of the random choices. Default 0; daemons draw one.
+    /// Seed of the random number generator. Default 0; daemons use a random one.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.cfg.seed = seed;
--- a/crates/spread/src/directory.rs
+++ b/crates/spread/src/directory.rs
@@ -1,9 +1,9 @@
 //! The live and leaving entries of all failure domains.
 //!
-//! Each failure domain has a line of its own with a stamp, and the higher stamp wins.
-//! So two directories merge in any order to the same result, a leader that has just
-//! taken over may publish a failure domain that has reported to it without knowing the
-//! others, and a deposed leader's lines lose against its successor's.
+//! Each failure domain has its own record with a stamp, and the higher stamp wins. So
+//! directories merge to the same result in any order, a new leader can publish a failure
+//! domain that has reported to it without having the others, and a deposed leader's
+//! records lose against its successor's.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -13,18 +13,18 @@
 
 use crate::{DomainRecord, Fingerprint, MemberInfo};
 
-/// Orders the lines of one failure domain: by the term of the leader that wrote them,
-/// then by its count of lines written.
+/// Orders the records of a failure domain by the term of the leader that wrote them, then
+/// by a counter of that leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Stamp {
     /// Term of the leader.
     pub term: Epoch,
-    /// Counts the lines that the leader wrote.
+    /// Number of records that the leader had written, this one included.
     pub number: u64,
 }
 
-/// A line for each failure domain.
+/// The records of all failure domains.
 #[derive(Clone, Debug)]
 pub struct Directory {
     records: BTreeMap<FailureDomain, DomainRecord>,
@@ -43,23 +43,23 @@
 }
 
 impl Directory {
-    /// The line of a failure domain, if there is one.
+    /// The record of a failure domain; `None` if it has none.
     pub fn record(&self, domain: &FailureDomain) -> Option<&DomainRecord> {
         self.records.get(domain)
     }
 
-    /// All lines.
+    /// All records, sorted by failure domain.
     pub fn records(&self) -> impl Iterator<Item = (&FailureDomain, &DomainRecord)> {
         self.records.iter()
     }
 
-    /// All members, by failure domain and name.
+    /// All members, sorted by failure domain and name.
     pub fn members(&self) -> impl Iterator<Item = &MemberInfo> {
         self.records.values().flat_map(|record| &record.members)
     }
 
-    /// Equal for two directories whose lines have the same stamps. A stamp is written
-    /// once, so their members are the same as well.
+    /// Hash over the stamps of all records. Each stamp is assigned once, so directories with
+    /// equal hashes have the same members.
     pub fn hash(&self) -> Fingerprint {
         self.hash
     }
@@ -71,7 +71,7 @@
             .collect()
     }
 
-    /// Takes the lines that are newer than those held; says which.
+    /// Applies the records that are newer than those held; returns their failure domains.
     pub(crate) fn merge(
         &mut self,
         records: impl IntoIterator<Item = (FailureDomain, DomainRecord)>,
@@ -88,7 +88,7 @@
         updated
     }
 
-    /// The lines that are newer than the stamps, or have none there.
+    /// The records that are newer than `stamps`, or missing there.
     pub(crate) fn newer_than(
         &self,
         stamps: &[(FailureDomain, Stamp)],
--- a/crates/spread/src/history.rs
+++ b/crates/spread/src/history.rs
@@ -1,4 +1,4 @@
-//! The newest view held, with the steps that led to it.
+//! The newest view held, with the deltas that led to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 
 use crate::{Fingerprint, Message};
 
-/// What came of a view or delta that was offered.
+/// Result of applying a view or delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferOutcome {
-    /// It is held now.
+    /// It was applied.
     Applied,
-    /// Nothing new.
+    /// A version that is at least as new is already held.
     Stale,
-    /// Steps before it are missing, or its hash is wrong: a whole table is needed.
+    /// Earlier deltas are missing or its hash is wrong, so the full table is needed.
     Unusable,
 }
 
-/// The newest view held. Its version only goes up.
+/// The newest view held. Its version only increases.
 #[derive(Debug)]
 pub(crate) struct History {
     view: Arc<View>,
@@ -52,7 +52,7 @@
         self.hash
     }
 
-    /// Takes a view that the caller knows to be genuine.
+    /// Applies a committed view from the local state machine.
     pub(crate) fn apply_committed(&mut self, view: Arc<View>) -> OfferOutcome {
         if view.version <= self.version() {
             return OfferOutcome::Stale;
@@ -62,7 +62,7 @@
         OfferOutcome::Applied
     }
 
-    /// Takes a whole view of another node.
+    /// Applies a full view from another process.
     pub(crate) fn apply_view(&mut self, view: &Arc<View>, hash: Fingerprint) -> OfferOutcome {
         if view.version <= self.version() {
             return OfferOutcome::Stale;
@@ -74,8 +74,8 @@
         OfferOutcome::Applied
     }
 
-    /// Takes a delta of another node. The hash of the result is compared with the one
-    /// that the sender computed, so that a lost or doubled row can't go unnoticed.
+    /// Applies a delta from another process. The hash of the result is compared with the
+    /// sender's, so that a missing or duplicated row is detected.
     pub(crate) fn apply_delta(&mut self, delta: &ViewDelta, hash: Fingerprint) -> OfferOutcome {
         if delta.to <= self.version() {
             return OfferOutcome::Stale;
@@ -90,8 +90,8 @@
         OfferOutcome::Applied
     }
 
-    /// What brings a node that holds `have` to the version held here, or `None` if it
-    /// is no older.
+    /// The update for a node that holds version `base`, or nothing usable if `None`. Returns
+    /// `None` if the node is up to date.
     pub(crate) fn update_since(&self, base: Option<Version>) -> Option<Message> {
         let Some(base) = base else {
             return Some(self.full_table());
@@ -109,7 +109,7 @@
         ))
     }
 
-    /// The last step, to be handed on.
+    /// The last delta, marked to be forwarded.
     pub(crate) fn last_delta(&self) -> Option<Message> {
         self.deltas.back().map(|delta| Message::Delta {
             delta: delta.clone(),
@@ -134,8 +134,8 @@
     }
 
     fn install(&mut self, view: Arc<View>, hash: Fingerprint) {
-        // Computed from the two views, not taken from the message, so that the steps
-        // kept here follow each other without a gap whatever a message spanned.
+        // Computed from the two views instead of taken from the message, so that the kept
+        // deltas are consecutive whatever range a message covered.
         self.deltas.push_back(self.view.delta_to(&view));
         if self.deltas.len() > self.max_deltas {
             self.deltas.pop_front();
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,19 +1,20 @@
-//! Spreading of table versions and of the directory of entries, as step functions free
-//! of I/O.
+//! Distribution of table versions and of the directory of entries, as step functions
+//! free of I/O.
 //!
-//! A [`source::Source`] runs on each control replica and speaks while that replica
-//! leads; a [`node::Node`] runs on each entry. The entries of a failure domain report
-//! to the first of them by name, which reports for all of them to the leader and hands
-//! on what comes from there. `docs/design/spreading.md` gives the ways weighed.
+//! A [`source::Source`] runs on each control replica and publishes while that replica
+//! leads; a [`node::Node`] runs on each entry. The entries of a failure domain report to
+//! the first of them by name, the relay. It reports to the leader for all of them and
+//! forwards the leader's updates. `docs/design/spreading.md` compares the alternatives.
 //!
-//! Invariants relied on:
+//! Invariants:
 //!
-//! - A source is fed committed views only. Two views of one version are equal wherever
-//!   they come from, so a table may be taken from anybody, a deposed leader included.
-//! - Versions in force at a node only go up, and a node that has seen proof that a
-//!   version exists acts on no lower one, not even after a restart.
-//! - A failure domain's line in the directory has a [`Stamp`] with the leader's term;
-//!   the higher stamp wins everywhere, so a deposed leader's line loses.
+//! - A source receives committed views only. Two views of the same version are equal
+//!   wherever they come from, so a table may be accepted from any process, a deposed
+//!   leader included.
+//! - Versions in force at a node only increase, and a node that has evidence of a version
+//!   acts on no lower one, not even after a restart.
+//! - A failure domain's record in the directory has a [`Stamp`] with the leader's term;
+//!   the higher stamp wins everywhere, so a deposed leader's record is ignored.
 
 mod api;
 mod config;
--- a/crates/spread/src/reports.rs
+++ b/crates/spread/src/reports.rs
@@ -1,5 +1,5 @@
-//! Who reports here, and for which members: kept by a relay for the members behind it
-//! and by the leader for the relays.
+//! The reports that a process receives: at a relay those of members, at the leader those of
+//! relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::roster::Roster;
 use crate::{Fingerprint, MemberInfo, Report, Sender};
 
-/// What a report asks of its receiver.
+/// Result of recording a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportOutcome {
-    /// The same members as before.
+    /// It contains no list of members.
     Unchanged,
-    /// Other members than before.
+    /// It contains a list of members.
     MembersChanged,
-    /// The sender wasn't known: it waits for an answer.
+    /// The sender is new and waits for an answer.
     NewReporter,
-    /// Of a process that has been replaced by a newer one.
+    /// Its process has been replaced by a newer one; the report was ignored.
     Superseded,
 }
 
-/// A member as somebody reported it.
+/// A member as reported by itself or another process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedMember<'a> {
     pub(crate) info: &'a MemberInfo,
@@ -31,10 +31,11 @@
     is_direct: bool,
 }
 
+/// A process that reports here, and its last report.
 #[derive(Debug)]
 pub(crate) struct Reporter {
     pub(crate) sender: Sender,
-    /// When it began to report.
+    /// When its first report arrived.
     pub(crate) since: Moment,
     pub(crate) last_seen: Moment,
     pub(crate) roster: Roster,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Whether the members that it reports for are known.
+    /// Whether `roster` is the list of members that its last report refers to.
     pub(crate) fn has_current_roster(&self) -> bool {
         self.roster.hash() == self.expected_hash
     }
 
-    /// Failure domains of the members that it reports for; as a rule it is one.
+    /// Failure domains of the members that it reports for; normally one.
     pub(crate) fn domains(&self) -> impl Iterator<Item = &FailureDomain> {
         let members = self.roster.members().iter();
         members.map(|member| &member.failure_domain)
@@ -72,7 +73,7 @@
     fn update(&mut self, now: Moment, sender: &Sender, report: Report) {
         self.last_seen = now;
         self.sender.addr = sender.addr;
-        // Messages may overtake each other; versions in force only go up.
+        // Messages may be reordered; versions in force only increase.
         self.version = self.version.max(report.version);
         self.expected_hash = report.roster;
         self.other_versions = report.other_versions.into_iter().collect();
@@ -97,7 +98,7 @@
     }
 }
 
-/// Everybody who reports here.
+/// All processes that report here, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     reporters: BTreeMap<NodeName, Reporter>,
@@ -116,11 +117,11 @@
         self.reporters.get(name)
     }
 
-    /// Takes in a report.
+    /// Records a report.
     ///
-    /// A report of a process that was replaced may arrive after those of its successor,
-    /// left over in a buffer. Taken in, it would show the dead process as live again;
-    /// incarnations have no order, so the one replaced last is remembered.
+    /// A report of a replaced process may be delayed in a buffer and arrive after those of
+    /// its successor. If it were recorded, the dead process would count as live again.
+    /// Incarnations have no order, so the one replaced last is kept to recognise it.
     pub(crate) fn record(&mut self, now: Moment, sender: &Sender, report: Report) -> ReportOutcome {
         let (is_new, replaced_incarnation) = match self.reporters.get(&sender.name) {
             Some(existing) if existing.sender.incarnation == sender.incarnation => (false, None),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Forgets a process that has said that it stops.
+    /// Removes a process that is stopping.
     pub(crate) fn remove(&mut self, sender: &Sender) {
         let is_same_process =
             |existing: &Reporter| existing.sender.incarnation == sender.incarnation;
@@ -158,8 +159,7 @@
         }
     }
 
-    /// Forgets who has been silent for so long.
-    /// Says whether there was any.
+    /// Removes processes that have been silent for `silence`; returns whether there were any.
     pub(crate) fn expire(&mut self, now: Moment, silence: Duration) -> bool {
         let before = self.reporters.len();
         self.reporters
@@ -167,8 +167,8 @@
         self.reporters.len() < before
     }
 
-    /// All members reported, each once. What a process says of itself goes before what
-    /// others say of it, then what was heard last.
+    /// All reported members, each once. A process's report about itself has priority over
+    /// reports of others, and then the newest report.
     pub(crate) fn members(&self) -> BTreeMap<&NodeName, ReportedMember<'_>> {
         let mut members = BTreeMap::<&NodeName, ReportedMember<'_>>::new();
         for reported in self.reporters.values().flat_map(Reporter::members) {
--- a/crates/spread/src/roster.rs
+++ b/crates/spread/src/roster.rs
@@ -1,8 +1,8 @@
-//! Members by name, with the hash by which two lists are compared.
+//! A list of members sorted by name, with a hash to compare lists.
 
 use crate::{Fingerprint, MemberInfo};
 
-/// Members in the order of their names, no name twice.
+/// Members sorted by name, without duplicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Roster {
     members: Vec<MemberInfo>,
@@ -10,7 +10,7 @@
 }
 
 impl Roster {
-    /// Sorts the members; of two with one name the first stays.
+    /// Sorts the members; of several with the same name the first is kept.
     pub(crate) fn new(mut members: Vec<MemberInfo>) -> Self {
         members.sort_by(|a, b| a.name.cmp(&b.name));
         members.dedup_by(|later, first| later.name == first.name);
