--- a/crates/spread/src/history.rs
+++ b/crates/spread/src/history.rs
@@ -90,8 +90,8 @@
         OfferOutcome::Applied
     }
 
-    /// The update for a node that holds version `base`, or nothing usable if `None`. Returns
-    /// `None` if the node is up to date.
+    /// The update for a node that holds version `base`, or the full table if that is `None`.
+    /// Returns `None` if the node is up to date.
     pub(crate) fn update_since(&self, base: Option<Version>) -> Option<Message> {
         let Some(base) = base else {
             return Some(self.full_table());
--- a/crates/spread/src/node/domain.rs
+++ b/crates/spread/src/node/domain.rs
@@ -1,10 +1,10 @@
-//! The failure domain: who is live in it, and whom to report to.
+//! The failure domain: its live members, and the relay that this node reports to.
 //!
-//! The members stand in the order of their names. Each reports to the first one that
-//! answers it, and to control if none stands before it. Nobody has to agree on that: a
-//! member that can't reach the first one reports to the next, which counts it in its
-//! own report, and so on. Reports only ever go to an earlier name, so they make a tree
-//! and a dead member can't be kept alive by two nodes that report it to each other.
+//! Members are ordered by name. Each reports to the first one that answers, its relay, and
+//! to control if there is no earlier one. This needs no agreement: a member that can't
+//! reach the first one reports to the next, which includes it in its own report, and so on.
+//! Reports only go to an earlier name, so they form a tree, and a dead member can't be kept
+//! alive by two nodes that report it to each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,40 +19,40 @@
 
 use super::{Action, Node, send};
 
-/// Shortest time between two messages about a changed roster to one receiver, so that
-/// the start of a whole failure domain doesn't make a message for each pair.
+/// Minimum time between two announcements of a changed roster, so that the start of a whole
+/// failure domain doesn't cause a message for each pair of members.
 const ROSTER_PAUSE: Duration = Duration::from_millis(100);
-/// How many silences long a node met by its query stays known without any list of
-/// members naming it.
+/// How long a discovered member is kept while no list contains it, in multiples of the
+/// member timeout.
 const DISCOVERED_TTL_FACTOR: u32 = 10;
 
-/// What a node knows of an earlier member that it reports to.
+/// State of an earlier member that this node reports to or has reported to.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Upstream {
-    /// When the oldest report was sent that it hasn't answered.
+    /// When the oldest unanswered report was sent.
     pub(super) unanswered: Option<Moment>,
     /// Whether it has ever answered.
     pub(super) answered: bool,
-    /// Whether it has said that it stops.
+    /// Whether it has announced its stop.
     pub(super) stopped: bool,
 }
 
-/// The failure domain as this node sees it.
+/// The failure domain as seen by this node.
 #[derive(Debug)]
 pub(super) struct Domain {
     pub(super) reports: Reports,
     /// Members that this node reports for, itself included.
     pub(super) reported_roster: Roster,
-    /// Members as the relay has sent them.
+    /// Members as sent by the relay; `None` until it has sent them.
     pub(super) relay_roster: Option<Roster>,
-    /// Members that this node counts as live on taking over, until they have had time
-    /// to report here.
+    /// Members assumed live after a start or a change of relay, until they have had time to
+    /// report here, with the moment from which that time counts.
     assumed_live: BTreeMap<NodeName, (MemberInfo, Moment)>,
-    /// Members known because they have asked, or have been named in an answer.
+    /// Members that sent a query or were listed in an answer, and when.
     discovered: BTreeMap<NodeName, (MemberInfo, Moment)>,
     pub(super) upstreams: BTreeMap<NodeName, Upstream>,
     pub(super) relay: Option<NodeName>,
-    /// When a changed roster may be sent on; `None` if nothing has changed.
+    /// When a changed roster may be announced; `None` if it hasn't changed.
     pub(super) announce_due: Option<Moment>,
     pub(super) announced: Moment,
 }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whom this node reports to; `None` if to control.
+    /// The relay that this node reports to; `None` if it reports to control.
     pub(super) fn relay(&self) -> Option<&NodeName> {
         self.relay.as_ref()
     }
@@ -92,7 +92,7 @@
 }
 
 impl Node {
-    /// All other members of the failure domain that are known, live or not.
+    /// All other known members of the failure domain, live or not.
     pub(super) fn domain_peers(&self) -> BTreeMap<NodeName, MemberInfo> {
         let record = self.directory.record(&self.local.failure_domain);
         let listed = record.into_iter().flat_map(|record| &record.members);
@@ -105,7 +105,7 @@
             .collect()
     }
 
-    /// Takes note of a member of the failure domain that a query or answer has named.
+    /// Records a member of the failure domain found in a query or answer.
     pub(super) fn discover(&mut self, now: Moment, member: MemberInfo) {
         let same_domain = member.failure_domain == self.local.failure_domain;
         if same_domain && member.name != self.local.name {
@@ -148,12 +148,12 @@
         }
     }
 
-    /// Works out anew whom this node reports for.
+    /// Recomputes the members that this node reports for.
     pub(super) fn rebuild_reported_roster(&mut self, now: Moment) {
         let reported = self.domain.reports.members().into_values();
         let mut members = vec![self.local.clone()];
         members.extend(reported.map(|reported| reported.info.clone()));
-        // After those who report here: of two with one name the first stays.
+        // After the members that report here: of two with the same name the first is kept.
         let assumed = self.domain.assumed_live.values();
         members.extend(assumed.map(|(member, _)| member.clone()));
         let in_own_domain =
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Decides whose word counts on who is live: the first member that answers. It may
-    /// miss one answer; reports go to the next one as well by then.
+    /// Chooses the relay, whose list of live members counts: the first member that answers.
+    /// It may miss one answer, since late members are bypassed by reporting to the next one.
     pub(super) fn choose_relay(&mut self, now: Moment, out: &mut Vec<Action>) {
         let earlier = self.earlier_members();
         self.domain
@@ -195,10 +195,10 @@
         self.assume_live_from(now, &before);
     }
 
-    /// Guards against a live set that collapses when a relay dies or comes back: its
-    /// successor knows only those who have reported to it yet, and publishing just them
-    /// would move every owner away from the others for a second. They count as live for
-    /// as long as a silent member does. The relay that is given up is left out.
+    /// Assumes the known members to be live after a change of relay, for as long as a silent
+    /// member would count as live; the lost relay is excluded. A new relay has received
+    /// reports from only some of them, and publishing just those would move all ownership
+    /// away from the other members for a second.
     fn assume_live_from(&mut self, now: Moment, before: &Roster) {
         let record = self.directory.record(&self.local.failure_domain);
         let listed = record.into_iter().flat_map(|record| &record.members);
@@ -217,8 +217,8 @@
         self.rebuild_reported_roster(now);
     }
 
-    /// Counts a member as live until it has had time to report. A relay that has just
-    /// started has heard from nobody; without this it would publish itself alone.
+    /// Assumes a member to be live until it has had time to report. A relay that has just
+    /// started has received no reports and would otherwise publish only itself.
     pub(super) fn assume_live_at_start(&mut self, now: Moment, member: &MemberInfo) {
         let starting = now < self.proof.started_at() + self.cfg.member_timeout;
         if starting && member.name != self.local.name {
@@ -237,7 +237,7 @@
         peers
     }
 
-    /// Whether an answer is overdue. One may get lost, so it isn't given up yet.
+    /// Whether an answer is overdue. One answer may be lost, so the member isn't silent yet.
     pub(super) fn is_late(&self, now: Moment, upstream: &Upstream) -> bool {
         let late = self.cfg.heartbeat_period + self.cfg.heartbeat_period / 2;
         upstream.stopped || upstream.unanswered.is_some_and(|sent| now >= sent + late)
@@ -251,8 +251,8 @@
                 .is_some_and(|sent| now >= sent + silence)
     }
 
-    /// Where a step or a line of the directory is handed on: to those who report here,
-    /// or to the whole failure domain.
+    /// Where to forward a delta or a directory record: to the members that report here, or to
+    /// the whole failure domain.
     pub(super) fn downstream(&self, whole_domain: bool) -> Vec<SocketAddr> {
         let reporters = self.domain.reports.iter();
         let mut addrs: Vec<_> = reporters.map(|reporter| reporter.sender.addr).collect();
@@ -266,9 +266,9 @@
         addrs
     }
 
-    /// Compares with a random member of the failure domain, and more rarely with one
-    /// of another, so that whatever is cut off from the leader still agrees on the
-    /// newest version that any node in it holds.
+    /// Sends a digest to a random member of the failure domain, and more rarely to one of
+    /// another, so that nodes that are cut off from the leader together still converge on the
+    /// newest version that any of them holds.
     fn gossip(&mut self, now: Moment, out: &mut Vec<Action>) {
         if now >= self.due.gossip {
             self.due.gossip = now + self.cfg.gossip_period;
@@ -292,7 +292,7 @@
         out.extend(to.map(|to| Action::Send { to, message }));
     }
 
-    /// A process that stops as planned says so, and is given up without a wait.
+    /// Removes a process that announces its planned stop, without waiting for a timeout.
     pub(super) fn on_bye(&mut self, now: Moment, from: &Sender, out: &mut Vec<Action>) {
         let is_sender = |member: &MemberInfo| {
             member.name == from.name && member.incarnation == from.incarnation
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Says that this node leaves, at once and to everybody who reports it.
+    /// Announces at once that this node is leaving.
     pub(super) fn leave(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.local.leaving = true;
         self.rebuild_reported_roster(now);
--- a/crates/spread/src/node/leader.rs
+++ b/crates/spread/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! The way to the leader and the directory that comes from it.
+//! Tracks the control leader and applies the directory that it publishes.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use super::{Action, Node, send};
 
 impl Node {
-    /// Starts periodic messages at random moments of their periods, so that nodes that
-    /// were started together don't all report at one moment.
+    /// Schedules the first periodic messages at random moments of their periods, so that
+    /// nodes started together don't all send at the same moment.
     pub(super) fn jitter_due_times(&mut self, now: Moment) {
         let mut within = |period| now + self.rng.random_range(Moment::ZERO..=period);
-        // The first report goes out at once: a new entry is wanted soon.
+        // The first report is due at once, so that a new entry is published soon.
         self.due.report = now;
         self.due.digest = within(self.cfg.heartbeat_period);
         self.due.gossip = within(self.cfg.gossip_period);
@@ -32,7 +32,7 @@
         self.leader_last_seen = Some(now);
     }
 
-    /// Takes somebody's word on who leads, until that replica itself has been heard.
+    /// Accepts another process's hint at a newer leader until that replica itself responds.
     pub(super) fn hint_leader(&mut self, leader: Leader) {
         let newer = self.leader.is_none_or(|current| current.term < leader.term);
         if newer && leader.term >= self.term {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Reports to the leader; while it is unknown or silent, to one control replica
-    /// after the other, each of which answers with what it knows of the leader.
+    /// Reports to the leader; while it is unknown or silent also to the control replicas in
+    /// turn, each of which answers with the leader that it knows.
     pub(super) fn report_to_control(
         &mut self,
         now: Moment,
@@ -86,8 +86,8 @@
         next.copied()
     }
 
-    /// Asks for the sender's directory if it differs; the sender finds out by itself
-    /// whether it lacks something.
+    /// Pulls the sender's directory if it differs from the one held. The sender compares them
+    /// on its own.
     pub(super) fn compare_directory(
         &mut self,
         now: Moment,
@@ -125,10 +125,11 @@
         out.extend(send(from.addr, Some(message)));
     }
 
-    /// Guards against a leader that was deposed and doesn't know: what it publishes
-    /// would bring back entries that its successor has taken off. Its term is lower
-    /// than the one known here, so its push is ignored; where the successor isn't known
-    /// yet, the successor's stamps win as soon as they come.
+    /// Applies directory records and forwards those that are newer.
+    ///
+    /// A leader that was deposed without noticing would restore entries that its successor
+    /// has removed. Its term is lower than the one known here, so its push is ignored; where
+    /// the successor isn't known yet, the successor's stamps win once they arrive.
     pub(super) fn on_directory(
         &mut self,
         now: Moment,
@@ -159,7 +160,7 @@
             out.extend(send(to, Some(message.clone())));
         }
         self.assume_listed_live(now);
-        // A member that has just become known may stand before this node.
+        // A newly known member may precede this node by name and become its relay.
         self.due.report = self.due.report.min(now + self.cfg.pull_retry);
     }
 
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The part of spreading that runs on each entry.
+//! The part of the distribution protocol that runs on each entry.
 
 mod domain;
 mod leader;
@@ -23,44 +23,44 @@
 use self::proof::Proof;
 use self::table::Pull;
 
-/// What happened.
+/// Input of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[expect(
     clippy::large_enum_variant,
     reason = "an event lives for one step only"
 )]
 pub enum Event {
-    /// Time has passed. Sent at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
-    /// A message came in.
+    /// A message has arrived.
     Received {
-        /// Who sent it.
+        /// Its sender.
         from: Sender,
         /// The message.
         message: Message,
     },
     /// This process begins a planned stop.
     Leave,
-    /// This process ends now; the last event of a planned stop.
+    /// This process is ending; the last event of a planned stop.
     Stop,
 }
 
-/// Which weights the node may act on.
+/// Which weights a node may act on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Readiness {
-    /// None: the node has just started and asks for the newest version.
+    /// None: the node has just started and is querying the newest version.
     #[default]
     Starting,
     /// None, but it may serve: the newest version isn't proven, or a newer one than the
-    /// one held is known to exist. Serve endpoints of the own failure domain that
-    /// report themselves ready, by even share, and move nothing across regions.
+    /// one held is known to exist. Requests go evenly to endpoints of the same failure
+    /// domain that report themselves ready, and never to other regions.
     Cautious,
-    /// Those of the view in force.
+    /// The weights of the view in force.
     Proven,
 }
 
 impl Readiness {
-    /// The name, as operators see it.
+    /// The name shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -70,56 +70,56 @@
     }
 }
 
-/// What to do next.
+/// Output of a step, carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// Its destination.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Act on this view from now on. Versions only go up.
+    /// Act on this view from now on. Versions only increase.
     InForce(Arc<View>),
     /// The live and leaving entries of all failure domains, this one included.
     Entries(Vec<MemberInfo>),
     /// The readiness has changed.
     Readiness(Readiness),
-    /// Another node holds other rows under the version held here: the memory of one of
-    /// the two is damaged, and an operator should restart both.
+    /// Another node holds different rows under the same version: the memory of one of the
+    /// two is corrupted, and an operator should restart both.
     Diverged,
 }
 
-/// Addresses that a node learns from its settings.
+/// Addresses from a node's settings.
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
     /// The control replicas.
     pub controls: Vec<SocketAddr>,
-    /// Entries to ask at start.
+    /// Entries to query at start.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// State of a node as shown to operators.
+/// State of a node, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Version held.
+    /// Version of the view held.
     pub version: Version,
     /// Newest version known to exist.
     pub newest_known: Version,
     /// Which weights it may act on.
     pub readiness: Readiness,
-    /// The control leader as far as known.
+    /// The control leader, if known.
     pub leader: Option<Leader>,
-    /// When a message of the leader last came here, straight or by the relay.
+    /// When the leader was last known to be live, from its own message or the relay's.
     pub leader_last_seen: Option<Moment>,
     /// The relay that it reports to; `None` if it reports to control.
     pub relay: Option<NodeName>,
-    /// Whether the last node that compared holds other rows under the version held here.
+    /// Whether the last node compared with holds different rows under the same version.
     pub diverged: bool,
 }
 
-/// The spreading state of one entry.
+/// Distribution state of one entry.
 #[derive(Debug)]
 pub struct Node {
     cfg: Config,
@@ -143,7 +143,7 @@
     notified: Notified,
 }
 
-/// When periodic messages go out next.
+/// When periodic messages are due next.
 #[derive(Debug, Default)]
 struct Due {
     report: Moment,
@@ -153,19 +153,19 @@
     probe: Moment,
 }
 
-/// What the owner has been told.
+/// State that was last passed to the owner in actions.
 #[derive(Debug, Default)]
 struct Notified {
     in_force: Option<Version>,
     readiness: Readiness,
     diverged: bool,
-    /// Hashes of the directory and of the failure domain's roster, and whether this
-    /// entry leaves: what the entries are made of.
+    /// Hashes of the directory and of the failure domain's roster, and whether this entry
+    /// is leaving: everything that the list of entries depends on.
     entries: Option<(Fingerprint, Fingerprint, bool)>,
 }
 
 impl Node {
-    /// A node that holds nothing and is [`Readiness::Starting`].
+    /// Creates a node without state, which is [`Readiness::Starting`].
     pub fn new(cfg: Config, local: MemberInfo, contacts: Contacts) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         Self {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Says what to do after an event.
+    /// Processes an event and returns what to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.begin_step(now, &mut out);
@@ -205,22 +205,22 @@
         out
     }
 
-    /// The newest view held, proven or not. Its weights may be acted on only when an
-    /// [`Action::InForce`] has handed it out; its limits are bounds at any time.
+    /// The newest view held, proven or not. Its weights may be acted on only after an
+    /// [`Action::InForce`] with it; its limits apply at any time.
     pub fn view(&self) -> &Arc<View> {
         self.history.view()
     }
 
-    /// The control leader as far as known.
+    /// The control leader, if known.
     pub fn leader(&self) -> Option<Leader> {
         self.leader
     }
 
-    /// Whether nothing newer than the view held can have been in force for longer than a
-    /// leader takes to be missed: the view is proven, and the leader, which says what it
-    /// holds itself, is heard. Only then does what the view lacks not exist.
+    /// Whether the view held is the newest, up to the time after which a leader counts as
+    /// silent: the view is proven, and the leader, which announces its own version, is live.
+    /// Only then may the node answer that something missing from the view doesn't exist.
     ///
-    /// A node that is cut off stays [`Readiness::Proven`]: it may act on what it knows.
+    /// A node that is cut off stays [`Readiness::Proven`]: it may act on the view it holds.
     pub fn is_current(&self, now: Moment) -> bool {
         self.readiness() == Readiness::Proven && !self.leader_is_silent(now)
     }
@@ -241,8 +241,8 @@
     fn begin_step(&mut self, now: Moment, out: &mut Vec<Action>) {
         match self.last_step_at.replace(now) {
             None => self.first_step(now, out),
-            // A suspended process wakes with a view that may be hundreds of changes
-            // old and a proof that says nothing of them: it is as good as restarted.
+            // A suspended process resumes with a view that may be hundreds of changes old
+            // and a proof that doesn't cover them, so it starts over.
             Some(last) if now.saturating_sub(last) > self.cfg.suspend_threshold => {
                 self.restart(now, out)
             }
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Tells the owner what has changed.
+    /// Passes changed state to the owner.
     fn notify(&mut self, out: &mut Vec<Action>) {
         let readiness = self.readiness();
         self.notify_in_force(readiness, out);
@@ -308,9 +308,9 @@
         self.notify_entries(out);
     }
 
-    /// Guards against old weights after a restart or a lost message: a view goes out
-    /// only while it is proven to be the newest one this node can know of. Its version
-    /// can't go down, because [`History`] never goes back.
+    /// Passes a view to the owner only while it is proven to be the newest that this node
+    /// knows of, so that a restart or a lost message never brings old weights into force.
+    /// The version can't decrease, because that of [`History`] never does.
     fn notify_in_force(&mut self, readiness: Readiness, out: &mut Vec<Action>) {
         let version = self.history.version();
         if readiness != Readiness::Proven || self.notified.in_force == Some(version) {
@@ -336,8 +336,8 @@
         }
     }
 
-    /// Other failure domains as the leader has published them, the own one as its
-    /// members see each other: a failure domain that is cut off has nobody else to ask.
+    /// The entries of other failure domains as published by the leader, and those of the own
+    /// one as seen by its members, since a domain that is cut off has no other source.
     fn entries(&self) -> Vec<MemberInfo> {
         let own = &self.local.failure_domain;
         let others = self
--- a/crates/spread/src/node/proof.rs
+++ b/crates/spread/src/node/proof.rs
@@ -1,16 +1,15 @@
-//! What lets a node that has started act on a version.
+//! Proof that a starting node needs before it acts on a version.
 //!
 //! A version is proven by either of
 //!
 //! - the answer of a control leader whose lease is valid: no other replica can have
-//!   accepted a change that the leader doesn't know, so what it holds is the newest;
+//!   accepted a change that the leader doesn't hold, so its version is the newest;
 //! - the answers of all other members of the failure domain, at least one, each proven
-//!   itself. Then nobody there acts on anything newer, and since a member is dropped
-//!   from the lists of the others only on the leader's word, which comes with the
-//!   leader's version, no member that an earlier process of this node had its version
-//!   from can be missing.
+//!   itself. Then no member acts on a newer version. A member is removed from the lists of
+//!   the others only by the leader, whose messages carry the leader's version; so no member
+//!   that gave its version to an earlier process of this node can be missing.
 //!
-//! A nonce ties the answers to this start: an answer to an earlier process may be as
+//! A nonce ties the answers to this start, since an answer to an earlier process may be as
 //! old as that process. In either case the node must then also hold the version.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,6 +22,7 @@
 
 use super::{Action, Node, Readiness};
 
+/// State of the proof since the last start.
 #[derive(Debug)]
 pub(super) struct Proof {
     nonce: u64,
@@ -32,7 +32,7 @@
     proven: bool,
     /// Whether each member of the failure domain that has answered is proven itself.
     answers: BTreeMap<NodeName, bool>,
-    /// Members of the failure domain that those know of.
+    /// Members of the failure domain listed in the answers or known otherwise.
     known_peers: BTreeSet<NodeName>,
 }
 
@@ -57,12 +57,12 @@
         self.proven
     }
 
-    /// When the node started, or woke.
+    /// When the node started, or resumed after a suspension.
     pub(super) fn started_at(&self) -> Moment {
         self.started_at
     }
 
-    /// What the node is while it can't act on weights.
+    /// Readiness of the node while its version isn't proven.
     pub(super) fn unproven(&self) -> Readiness {
         if self.timed_out {
             Readiness::Cautious
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Asks everybody who could prove the newest version, or hold it.
+    /// Queries all processes that could prove or hold the newest version.
     pub(super) fn query(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.proof.query_due = now + self.cfg.heartbeat_period;
         let message = Message::Query {
--- a/crates/spread/src/node/report.rs
+++ b/crates/spread/src/node/report.rs
@@ -1,4 +1,4 @@
-//! Heartbeats within the failure domain: reports towards the leader, digests away from it.
+//! Heartbeats within the failure domain: reports towards the leader, digests from the relay.
 
 use std::net::SocketAddr;
 
@@ -12,9 +12,8 @@
 use super::{Action, Node, send};
 
 impl Node {
-    /// Sends a changed roster to the node above and to the members below at once
-    /// rather than with the next heartbeat, because a member that leaves must be out of
-    /// answers soon.
+    /// Sends a changed roster upstream and downstream at once instead of with the next
+    /// heartbeat, because a leaving member must soon be removed from answers.
     pub(super) fn announce(&mut self, now: Moment, out: &mut Vec<Action>) {
         if self.domain.announce_due.is_none_or(|due| now < due) {
             return;
@@ -33,9 +32,9 @@
         self.report_to_all(now, false, out);
     }
 
-    /// Reports to the first earlier member that isn't late with its answer. Those late
-    /// get the report as well until they count as silent, and then once in a while, so
-    /// that one that comes back is found.
+    /// Reports to the first earlier member whose answer isn't late. Late members receive the
+    /// report as well until they count as silent, and silent ones from time to time, so that
+    /// a recovered one is found.
     fn report_to_all(&mut self, now: Moment, with_members: bool, out: &mut Vec<Action>) {
         let probe = now >= self.due.probe;
         if probe {
@@ -99,7 +98,7 @@
         let (version, directory) = (report.version, report.directory);
         match self.domain.reports.record(now, from, report) {
             ReportOutcome::Superseded => return,
-            // It waits to learn whether it has been heard.
+            // A new reporter waits for an answer.
             ReportOutcome::NewReporter => {
                 self.send_relay_digest(now, from.addr, out);
                 self.rebuild_reported_roster(now);
@@ -134,8 +133,8 @@
         self.choose_relay(now, out);
     }
 
-    /// A relay sends these only to members whose reports reach it, so one that arrives
-    /// shows that both directions work.
+    /// A relay sends digests only to members whose reports it receives, so an arriving one
+    /// shows that both directions of the link work.
     pub(super) fn on_relay_digest(
         &mut self,
         now: Moment,
@@ -178,7 +177,7 @@
     }
 
     fn send_relay_digest(&self, now: Moment, to: SocketAddr, out: &mut Vec<Action>) {
-        // One that is silent here as well is no news to the receiver.
+        // A leader that is silent here too is of no use to the receiver.
         let leader = self.leader.filter(|_| !self.leader_is_silent(now));
         let roster = self.domain.roster().hash();
         let kind = DigestKind::Relay { roster, leader };
--- a/crates/spread/src/node/table.rs
+++ b/crates/spread/src/node/table.rs
@@ -1,4 +1,4 @@
-//! Holding the newest table: evidence of versions, catching up, handing on.
+//! Keeps the newest table: tracks newer versions, pulls them and forwards deltas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 
 use super::{Action, Node, Readiness, send};
 
-/// Most nodes remembered as holding a newer version.
+/// Maximum number of nodes remembered as holding a newer version.
 const MAX_HOLDERS: usize = 4;
 
-/// A request for a newer table that is under way.
+/// State of pulling a newer table.
 #[derive(Debug, Default)]
 pub(super) struct Pull {
     pulled_at: Option<Moment>,
-    /// Who holds a newer version than this node, last heard last.
+    /// Nodes that hold a newer version than this one, most recent last.
     holders: Vec<SocketAddr>,
-    /// Whether a delta has failed, so that only a whole table helps.
+    /// Whether a delta couldn't be applied, so that the full table is needed.
     full_table: bool,
 }
 
@@ -33,10 +33,10 @@
         Readiness::Proven
     }
 
-    /// Takes note that `holder` holds `version`.
+    /// Records that `holder` holds `version`.
     ///
-    /// Only what a node holds itself counts as evidence, so that whoever makes this
-    /// node wait for a version can also hand it over.
+    /// Only versions held by the sender itself are recorded, so that a process that makes this
+    /// node wait for a version can also send it.
     pub(super) fn record_holder(
         &mut self,
         now: Moment,
@@ -96,8 +96,9 @@
             OfferOutcome::Applied => self.propagate(push, out),
             OfferOutcome::Stale => {}
             OfferOutcome::Unusable => {
-                // With the steps before it missing, a delta from here on does; if this
-                // delta began here and still failed, only a whole table can help.
+                // If earlier deltas are missing, a delta from the version held here is
+                // enough. If this one started there and still failed, only the full table
+                // helps.
                 self.pull.full_table |= delta.from == self.history.version();
                 self.pull.pulled_at = None;
                 self.record_holder(now, from.addr, delta.to, out);
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Hands a step on: a push of the leader to the whole failure domain, whatever
-    /// else to the members that report here.
+    /// Forwards the newest delta: a push from the leader to the whole failure domain, any
+    /// other update to the members that report here.
     fn propagate(&mut self, push: bool, out: &mut Vec<Action>) {
         let version = self.history.version();
         self.newest_known = self.newest_known.max(version);
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Two views of one version can differ only if the memory of one of the processes is
-    /// damaged. Which one can't be told here, so this node just says so.
+    /// Detects different views of the same version. They can differ only if the memory of one
+    /// of the processes is corrupted; which one is unknown, so the node only reports it.
     fn compare_table(&mut self, digest: &Digest) {
         if digest.version == self.history.version() {
             self.diverged = digest.table != self.history.hash();
--- a/crates/spread/src/source/mod.rs
+++ b/crates/spread/src/source/mod.rs
@@ -1,4 +1,4 @@
-//! The part of spreading that runs on each control replica.
+//! The part of the distribution protocol that runs on each control replica.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 
 mod publish;
 
-/// What happened.
+/// Input of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed. Sent at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
-    /// The replica's state machine has reached this version; committed state only. Hand
-    /// it in before the operator who sent the change gets an answer.
+    /// The replica's state machine has committed this version. Must be sent before the operator
+    /// who made the change receives an answer.
     Committed(Arc<View>),
-    /// The replica leads, its lease is valid until then, and it has applied every entry
-    /// of earlier terms. Repeat it as the lease is renewed.
+    /// The replica leads with a lease valid until `until`, and has applied all log entries of
+    /// earlier terms. Repeated as the lease is renewed.
     Lead {
         /// Its term.
         term: Epoch,
@@ -34,24 +34,24 @@
     },
     /// The replica doesn't lead.
     Follow {
-        /// The leader as far as known.
+        /// The leader, if known.
         leader: Option<Leader>,
     },
-    /// A message came in.
+    /// A message has arrived.
     Received {
-        /// Who sent it.
+        /// Its sender.
         from: Sender,
         /// The message.
         message: Message,
     },
 }
 
-/// What to do next.
+/// Output of a step, carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// Its destination.
         to: SocketAddr,
         /// The message.
         message: Message,
@@ -60,20 +60,20 @@
     Entries(Vec<MemberInfo>),
 }
 
-/// An entry as `status` shows it.
+/// State of an entry as returned by [`Source::status`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
     /// The entry.
     pub member: MemberInfo,
-    /// Version in force there; `None` if this leader hasn't heard of it yet.
+    /// Version in force there; `None` if no report of it has reached this leader.
     pub version: Option<Version>,
-    /// How long ago it was last heard of, straight or by its relay.
+    /// Time since its last report, direct or through its relay; `None` if there was none.
     pub age: Option<Duration>,
-    /// Whether it stands in the directory.
+    /// Whether it is in the directory.
     pub live: bool,
 }
 
-/// What was last heard of an entry.
+/// State of an entry from its last report.
 #[derive(Clone, Debug)]
 struct LastReport {
     info: MemberInfo,
@@ -91,6 +91,7 @@
     }
 }
 
+/// Term, lease and begin of this replica's leadership.
 #[derive(Clone, Copy, Debug)]
 struct Leadership {
     term: Epoch,
@@ -98,11 +99,11 @@
     since: Moment,
 }
 
-/// The spreading state of one control replica.
+/// Distribution state of one control replica.
 #[derive(Debug)]
 pub struct Source {
     cfg: Config,
-    /// Where the other control replicas take messages.
+    /// Addresses of the other control replicas.
     replicas: Vec<SocketAddr>,
     history: History,
     reports: Reports,
@@ -110,19 +111,19 @@
     stamp_number: u64,
     lead: Option<Leadership>,
     leader: Option<Leader>,
-    /// What this leader has last heard of each entry, those gone included.
+    /// Last reports received by this leader, by entry, removed entries included.
     last_reports: BTreeMap<NodeName, LastReport>,
-    /// Entries that have said that they stop.
+    /// Entries that have announced their stop.
     stopped: BTreeMap<NodeName, Incarnation>,
     digest_due: Moment,
-    /// When to look for changed lines, at the latest.
+    /// When to check for changed records, at the latest.
     check_due: Moment,
     published: Moment,
     notified: Fingerprint,
 }
 
 impl Source {
-    /// A source that doesn't lead.
+    /// Creates a source that doesn't lead.
     pub fn new(cfg: Config, replicas: Vec<SocketAddr>) -> Self {
         let directory = Directory::default();
         Self {
@@ -143,12 +144,12 @@
         }
     }
 
-    /// Tells where the other control replicas are, after a replacement.
+    /// Sets the addresses of the other control replicas after a replacement.
     pub fn set_replicas(&mut self, replicas: Vec<SocketAddr>) {
         self.replicas = replicas;
     }
 
-    /// Says what to do after an event.
+    /// Processes an event and returns what to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.check_lease(now);
@@ -171,7 +172,7 @@
         &self.directory
     }
 
-    /// Every entry with the version in force there, by name.
+    /// All entries with the version in force at each, sorted by name.
     pub fn status(&self, now: Moment) -> Vec<MemberStatus> {
         let mut last_reports = self.last_reports.clone();
         let reported = self.reports.members().into_iter();
@@ -192,9 +193,9 @@
         status.into_values().collect()
     }
 
-    /// Guards against a replica that was suspended or cut off and still takes itself
-    /// for the leader: its lease has run out by its own clock, so it stops proving and
-    /// publishing before it looks at anything else.
+    /// Ends the leadership when the lease has expired by the local clock, before anything else
+    /// is processed. A replica that was suspended or cut off must not prove or publish as if
+    /// it still led.
     fn check_lease(&mut self, now: Moment) {
         if self.lead.is_some_and(|lead| now >= lead.until) {
             self.lead = None;
@@ -258,7 +259,7 @@
                 self.check_due = now;
                 None
             }
-            // Between entries only, or for entries only.
+            // Sent only between entries, or only to entries.
             Message::ReportPull
             | Message::RosterPull
             | Message::Roster(_)
@@ -297,8 +298,8 @@
         }
     }
 
-    /// A replica that doesn't lead keeps a copy of the leader's directory: when it
-    /// takes over, it knows whom to tell.
+    /// Pulls the leader's directory if it differs. A follower keeps a copy, so that it has the
+    /// addresses of entries when it becomes the leader.
     fn on_digest(&self, digest: &Digest) -> Option<Message> {
         let leader = matches!(digest.kind, DigestKind::Leader { .. });
         let differs = digest.directory != self.directory.hash();
--- a/crates/spread/src/source/publish.rs
+++ b/crates/spread/src/source/publish.rs
@@ -1,4 +1,4 @@
-//! What the leader sends on its own account: digests and lines of the directory.
+//! Messages that the leader initiates: digests, deltas and directory records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use super::{Action, LastReport, Leadership, Source};
 
-/// Shortest time between two publications, so that a failure domain that starts up
-/// makes a few of them and not one for each member.
+/// Minimum time between two publications, so that a starting failure domain causes a few of
+/// them and not one for each member.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(200);
-/// Most entries that are shown after they were taken off the directory.
+/// Maximum number of entries that status still shows after their removal from the directory.
 const MAX_REMOVED_KEPT: usize = 256;
 
 impl Source {
@@ -38,9 +38,9 @@
         }));
     }
 
-    /// Where a step goes: to the relays, and to the first two members of each failure
-    /// domain by name. Each of them hands it on to all others, so a change that comes at
-    /// the moment when a relay dies doesn't wait until that is noticed.
+    /// Where deltas are sent: to the relays, and to the first two members of each failure
+    /// domain by name. Each of them forwards it to all others, so that a change during the
+    /// failure of a relay doesn't wait until that is detected.
     pub(super) fn delta_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
         let records = self.directory.records();
         let first_members = records.flat_map(|(_, record)| record.members.iter().take(2));
@@ -49,9 +49,9 @@
         addrs
     }
 
-    /// Where a digest goes: to whoever reports for a failure domain. While
-    /// nobody has for more than two periods, to its first two members by name as well,
-    /// so that a change doesn't wait until the death of a relay is certain.
+    /// Where digests are sent: to all processes that report here. If no report for a failure
+    /// domain has arrived within two periods, also to its first two members by name, so that
+    /// a change doesn't wait until the failure of a relay is certain.
     fn relays(&self, now: Moment) -> BTreeSet<SocketAddr> {
         let late = self.cfg.heartbeat_period * 2;
         let mut addrs = BTreeSet::new();
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Keeps what was last heard of each entry, so that one that has gone can still be
-    /// shown with its last version.
+    /// Saves the last report of each entry, so that status can show a removed entry with its
+    /// last version.
     fn save_last_reports(&mut self) {
         let reported = self.reports.members().into_iter();
         let reported = reported.map(|(name, last)| (name.clone(), LastReport::from(last)));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Brings the directory up to what is reported.
+    /// Updates the directory from the reports and publishes the changed records.
     pub(super) fn publish(&mut self, now: Moment, out: &mut Vec<Action>) {
         let Some(lead) = self.lead else {
             return;
@@ -158,12 +158,12 @@
         records
     }
 
-    /// Members of each failure domain by name.
+    /// The members to publish for each failure domain, sorted by name.
     ///
-    /// Guards against publishing too few: a leader that has just taken over hasn't heard
-    /// of every failure domain, and a relay that has just started hasn't heard of every
-    /// member behind it. All others would vanish from answers for some seconds. Until a
-    /// failure domain has settled, members are added and updated but none is taken off.
+    /// A new leader hasn't received reports from every failure domain, and a relay that has
+    /// just started hasn't received them from every member. Publishing only the reported
+    /// members would remove all others from answers for some seconds. So until a failure
+    /// domain has settled, members are added and updated but not removed.
     fn target_members(
         &self,
         now: Moment,
@@ -184,9 +184,9 @@
         target
     }
 
-    /// Failure domains about which silence says something: those with a reporter that
-    /// has had time to hear of every member, and once this leader has had time to hear
-    /// of every failure domain, those without a reporter.
+    /// Failure domains in which unreported members can be removed: those with a reporter that
+    /// has had time to receive reports from all members, and, once this leader has had time to
+    /// receive reports from all failure domains, those without a reporter.
     fn settled_domains(&self, now: Moment, lead: Leadership) -> BTreeSet<&FailureDomain> {
         let mut settled = BTreeSet::new();
         if now >= lead.since + self.cfg.domain_timeout {
