--- a/crates/spread/examples/cost.rs
+++ b/crates/spread/examples/cost.rs
@@ -1,9 +1,9 @@
-//! What spreading costs: bytes a second, processor time and memory a node.
+//! Cost of the distribution protocol: bytes per second, CPU time and memory per node.
 //!
-//! Runs nodes and sources of three sizes in one process, each message through the codec
-//! and its envelope, and prints `name: value unit` lines. Bytes are those of the encoded
-//! envelopes, sent and received, without the framing of nng and TCP. Processor time is
-//! that of the step functions and the codec.
+//! Runs nodes and sources at several cluster sizes in one process, encodes and decodes each
+//! message in its envelope, and prints `name: value unit` lines. Bytes count the encoded
+//! envelopes, sent and received, without the framing of nng and TCP. CPU time covers the
+//! step functions and the codec.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 const CONTROLS: usize = 3;
 const CLUSTER: ClusterId = ClusterId(0x9e37_79b9_7f4a_7c15);
 
-/// A size to run at.
+/// A cluster size.
 struct Size {
     nodes: usize,
     domains: usize,
@@ -35,14 +35,14 @@
     regions: usize,
 }
 
-/// What a process has spent.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Default)]
 struct Usage {
     bytes: u64,
     messages: u64,
-    /// On messages, codec included, and on ticks.
+    /// CPU time for messages, codec included, and for ticks.
     time: Duration,
-    /// On messages alone.
+    /// CPU time for messages only.
     message_time: Duration,
 }
 
@@ -87,7 +87,7 @@
     queue: Vec<(SocketAddr, Vec<u8>)>,
     view: View,
     regions: usize,
-    /// Entries at the newest version.
+    /// Number of entries that act on the newest version.
     in_force: usize,
 }
 
@@ -153,7 +153,7 @@
         let day = idle + change * CHANGES_A_DAY / SECONDS_A_DAY;
         print(&format!("{role}_at_1300_changes_a_day"), day, "B/s");
     }
-    // With few nodes the allocator's own steps hide what a node takes.
+    // With few nodes the allocator's granularity hides the memory of a node.
     if size.nodes >= 200 {
         print(
             "memory_a_node",
@@ -163,7 +163,8 @@
     }
 }
 
-/// Costs by role: the mean of plain entries, the relay and the leader that spent most.
+/// Usage by role: the mean of the entries that aren't relays, the relay that sent and received
+/// most, and the leader.
 struct Costs {
     entry: Usage,
     relay: Usage,
@@ -330,7 +331,7 @@
         let start = Instant::now();
         let envelope = Envelope {
             origin: peer.origin.clone(),
-            // Two bytes, as after some hundred messages.
+            // Encoded in two bytes, as after some hundred messages.
             received: 1000,
             body: Body::Spread(message),
         };
--- a/crates/spread/tests/all/basics.rs
+++ b/crates/spread/tests/all/basics.rs
@@ -1,4 +1,4 @@
-//! What spreading does when nothing fails.
+//! Behaviour without faults.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 #[test]
 fn every_entry_lists_every_other() {
     let mut network = Network::new(&ELEVEN);
-    network.run_until("all known", |net| {
+    network.run_until("all listed", |net| {
         net.entries
             .values()
             .all(|entry| entry.listed_names() == ELEVEN)
--- a/crates/spread/tests/all/directory.rs
+++ b/crates/spread/tests/all/directory.rs
@@ -1,4 +1,4 @@
-//! Who is live and who leaves, under faults.
+//! The directory of live and leaving entries under faults.
 
 use std::time::Duration;
 
@@ -39,9 +39,8 @@
     })
 }
 
-/// An entry dies. Callers must not be sent there for longer than a few seconds, and the
-/// others of its failure domain must not be taken for dead with it, even if it was the
-/// relay for all of them.
+/// An entry dies. Within a few seconds callers must no longer be sent there, and the other
+/// members of its failure domain must stay listed, even if it was their relay.
 #[test]
 fn a_dead_relay_is_removed_without_its_members() {
     let mut network = settled();
@@ -71,8 +70,8 @@
     }
 }
 
-/// The relay restarts at once. It has heard from nobody, and must not publish that it
-/// is the only one left: all others would vanish from answers for some seconds.
+/// The relay restarts at once. It has received no reports yet and must not publish itself as
+/// the only member: all others would be missing from answers for some seconds.
 #[test]
 fn a_restarted_relay_removes_no_entries() {
     let mut network = settled();
@@ -90,7 +89,8 @@
         for (name, entry) in &network.entries {
             let listed_names = entry.listed_names();
             if name == "zagreb-1-a" && !listed_names.contains(&"split-1-a") {
-                // It is still learning; that it doesn't publish that is checked below.
+                // It is still starting; that it publishes no such list is checked at the
+                // other entries.
                 continue;
             }
             assert!(
@@ -102,8 +102,8 @@
     assert!(all_list(&network, &SIX));
 }
 
-/// An entry begins a planned stop, and later ends. It has to be out of look-ups at
-/// other entries at once, and gone soon after it has ended.
+/// An entry begins a planned stop and later ends. All other entries must show it as leaving
+/// within a second, and remove it soon after it has ended.
 #[test]
 fn a_leaving_entry_is_announced_within_a_second() {
     for name in ["zagreb-1-a", "zagreb-1-c", "split-1-b"] {
@@ -119,9 +119,9 @@
     }
 }
 
-/// The leader dies, and an entry begins a planned stop just after another replica has
-/// taken over. The new leader has heard from nobody; it has to make itself known, or the
-/// entry stays in look-ups until each relay has noticed by itself.
+/// The leader dies, and an entry begins a planned stop just after another replica has become
+/// the leader. The new leader has received no reports; it must announce itself, or the entry
+/// stays in look-ups until each relay detects the failure.
 #[test]
 fn an_entry_leaving_right_after_an_election_is_announced() {
     let mut network = settled();
@@ -135,8 +135,8 @@
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
 
-/// A failure domain is cut off and one of its entries dies. Inside, callers must not be
-/// sent to the dead one, nor be kept from those that live; outside, nobody is sent in.
+/// A failure domain is cut off and one of its entries dies. Entries inside must list the live
+/// members without the dead one; entries outside must list none of them.
 #[test]
 fn a_domain_that_is_cut_off_tracks_its_own_members() {
     let mut network = settled();
@@ -155,8 +155,8 @@
 }
 
 /// A leader is cut off from the entries' reports but still reaches them. A new one is
-/// elected, an entry dies and is taken off. The old leader goes on publishing the list
-/// with the dead entry in it; callers must not be sent there again.
+/// elected, and an entry dies and is removed. The old leader keeps publishing a record with
+/// the dead entry; callers must not be sent there again.
 #[test]
 fn a_deposed_leader_does_not_restore_a_dead_entry() {
     let mut network = settled();
@@ -169,8 +169,8 @@
     }
 }
 
-/// The twin: the same with the old leader's messages under the new leader's term, which
-/// is what a leader that knows no terms would send. The dead entry comes back.
+/// Counterpart of the test above: the old leader's messages carry the new leader's term, as
+/// if terms didn't exist. The dead entry is restored.
 #[test]
 fn without_terms_a_deposed_leader_restores_a_dead_entry() {
     let mut network = settled();
@@ -189,13 +189,12 @@
     network.run(Duration::from_secs(8));
     network.kill("split-1-b");
     let remaining = without("split-1-b");
-    network.run_until("taken off", |net| all_list(net, &remaining));
+    network.run_until("removed", |net| all_list(net, &remaining));
 }
 
-/// A leader is cut off from the reports of one failure domain, and a new one is elected
-/// that hears everybody and so has nothing to publish. The old one still reaches the
-/// entries, and publishes that the failure domain is gone. Callers must go on finding
-/// the entries there.
+/// A leader is cut off from the reports of one failure domain, and a new one is elected that
+/// receives all reports and so has nothing to publish. The old one still reaches the entries
+/// and publishes that the failure domain is gone. Its entries must stay listed.
 #[test]
 fn a_deposed_leader_does_not_remove_live_entries() {
     let mut network = settled();
@@ -208,14 +207,14 @@
     }
 }
 
-/// A line of the directory arrives late, after a newer one, from a peer. It must not
-/// bring back an entry that the newer one has taken off.
+/// A directory record from a peer arrives late, after a newer one. It must not restore an
+/// entry that the newer one has removed.
 #[test]
 fn a_late_directory_record_does_not_replace_a_newer_one() {
     let mut network = settled();
     network.kill("split-1-b");
     let remaining = without("split-1-b");
-    network.run_until("taken off", |net| all_list(net, &remaining));
+    network.run_until("removed", |net| all_list(net, &remaining));
     let record = record_of(&network, "split-1", Epoch(1), 0);
     let message = Message::Directory {
         term: Epoch(1),
@@ -229,7 +228,7 @@
     assert!(all_list(&network, &remaining));
 }
 
-/// The line of a failure domain with all of its entries, dead or alive.
+/// A record of a failure domain with all of its entries, dead or alive.
 fn record_of(
     network: &Network,
     domain: &str,
@@ -245,13 +244,13 @@
     (domain.parse().expect("valid name"), record)
 }
 
-/// Sends the entries of Zagreb a line from before the death, as by a leader of `term`.
+/// Sends the entries of Zagreb a record from before the death, as from a leader of `term`.
 fn push_old_directory(network: &mut Network, term: Epoch) {
     let all = ["split-1-a", "split-1-b"];
     push_directory(network, term, "split-1", &all);
 }
 
-/// Sends the entries of Zagreb a line with these entries, as by a leader of `term`.
+/// Sends the entries of Zagreb a record with these entries, as from a leader of `term`.
 fn push_directory(network: &mut Network, term: Epoch, domain: &str, names: &[&str]) {
     let (domain, mut record) = record_of(network, domain, term, 1000);
     record
@@ -268,8 +267,8 @@
     }
 }
 
-/// All control replicas are restarted at once and remember nobody. The entries' lists
-/// must not shrink while the new leader learns of everybody anew.
+/// All control replicas restart at once and lose the directory. The entries' lists must not
+/// shrink while the new leader receives the first reports.
 #[test]
 fn a_leader_without_state_removes_no_entries() {
     let mut network = settled();
@@ -290,8 +289,8 @@
     );
 }
 
-/// While no replica leads, a whole failure domain dies. The next leader has never heard
-/// of it but for the lists of the others; it has to take it off all the same.
+/// A whole failure domain dies while no replica leads. The next leader has it only from the
+/// directories of other entries, and must remove it nevertheless.
 #[test]
 fn a_domain_that_died_without_a_leader_is_removed() {
     let mut network = settled();
@@ -304,11 +303,11 @@
     network.run(Duration::from_secs(5));
     network.elect(2, 2);
     let remaining = &SIX[2..];
-    network.run_until("taken off", |net| all_list(net, remaining));
+    network.run_until("removed", |net| all_list(net, remaining));
 }
 
-/// A report of a process that has been replaced comes late, out of a buffer. The list
-/// must go on naming its successor.
+/// A report of a replaced process is delayed in a buffer and arrives late. The list must
+/// keep its successor.
 #[test]
 fn a_late_report_does_not_restore_an_earlier_process() {
     let mut network = settled();
--- a/crates/spread/tests/all/main.rs
+++ b/crates/spread/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of spreading: nodes and sources joined by queues of messages.
+//! Tests of the distribution protocol: nodes and sources connected by a message queue.
 
 mod basics;
 mod directory;
--- a/crates/spread/tests/all/network.rs
+++ b/crates/spread/tests/all/network.rs
@@ -1,7 +1,7 @@
-//! Nodes and sources joined by queues of messages.
+//! Simulated network of nodes and sources, connected by a message queue.
 //!
-//! A message arrives one step after it was sent, unless its link is cut. Every message
-//! goes through the codec, so that what arrives is what the wire would carry.
+//! A message arrives one step after it was sent, unless its link is cut. Every message is
+//! encoded and decoded, as on the wire.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 pub(crate) const STEP: Duration = Duration::from_millis(50);
 const LEASE: Duration = Duration::from_millis(500);
 
-/// An entry and everything that it has told its owner.
+/// An entry and the state from its actions.
 pub(crate) struct Entry {
     pub(crate) node: Node,
     pub(crate) member: MemberInfo,
@@ -40,7 +40,7 @@
     pub(crate) replicates: bool,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Packet {
     pub(crate) from: SocketAddr,
@@ -48,25 +48,25 @@
     pub(crate) message: Message,
 }
 
-/// What a test may do to a message on its way.
+/// Decides whether a message is delivered.
 pub(crate) type Filter = Box<dyn FnMut(&Packet) -> bool>;
 
 pub(crate) struct Network {
     pub(crate) now: Moment,
     pub(crate) entries: BTreeMap<String, Entry>,
     pub(crate) controls: Vec<Control>,
-    /// What is accepted.
+    /// The table with all accepted changes.
     pub(crate) table: View,
     pub(crate) queue: VecDeque<Packet>,
     cut: BTreeSet<(SocketAddr, SocketAddr)>,
     pub(crate) filter: Option<Filter>,
     down: BTreeSet<SocketAddr>,
     start_count: u64,
-    /// Versions that entries have kept on a disk, if they keep any.
+    /// Versions that entries have persisted; `None` if they persist none.
     watermarks: Option<BTreeMap<String, Version>>,
-    /// Processes that get no time, as if stopped by a signal.
+    /// Processes that aren't stepped, as if stopped by a signal.
     pub(crate) suspended: BTreeSet<String>,
-    /// Makes every entry act on whatever it holds, as if nothing guarded it.
+    /// Makes every entry act on the view it holds, proven or not.
     pub(crate) skip_proof: bool,
 }
 
@@ -83,8 +83,8 @@
 }
 
 impl Network {
-    /// Three control replicas, of which the first leads, and these entries; names are
-    /// like `zagreb-1-a` for an entry of the failure domain `zagreb-1`.
+    /// Three control replicas, of which the first leads, and these entries. An entry of the
+    /// failure domain `zagreb-1` has a name like `zagreb-1-a`.
     pub(crate) fn new(names: &[&str]) -> Self {
         let mut network = Self {
             now: Moment::from_secs(1000),
@@ -119,7 +119,7 @@
         network
     }
 
-    /// Starts an entry, or starts it anew with nothing but its settings.
+    /// Starts or restarts an entry with nothing but its settings and persisted version.
     pub(crate) fn start(&mut self, name: &str) {
         self.start_count += 1;
         let index = self.index(name);
@@ -170,7 +170,7 @@
         self.queue.retain(|packet| packet.to != addr);
     }
 
-    /// Makes a replica the leader; the others learn of it.
+    /// Makes a replica the leader and announces it to the others.
     pub(crate) fn elect(&mut self, index: usize, term: u64) {
         let term = Epoch(term);
         let addr = self.controls[index].addr;
@@ -181,7 +181,7 @@
         self.controls[index].leads = Some(term);
     }
 
-    /// Takes a row to a new weight; the change is accepted and reaches all replicas.
+    /// Sets the weight of a row; the change is committed at all replicas.
     pub(crate) fn change(&mut self, region: &str, weight: u32) -> Version {
         self.edit(
             region,
@@ -238,13 +238,13 @@
         self.cut(&inside, &outside);
     }
 
-    /// Peer addresses of everybody.
+    /// Peer addresses of all processes.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let controls = self.controls.iter().map(|control| control.addr);
         controls.chain(self.entries.values().map(|entry| entry.member.peer_addr))
     }
 
-    /// Hands over a message as if it had been on its way before any cut.
+    /// Delivers a message as if it had been in flight before any cut.
     pub(crate) fn deliver_ignoring_cuts(
         &mut self,
         from: SocketAddr,
@@ -256,13 +256,13 @@
         self.cut = cut;
     }
 
-    /// Ends a process; what it has sent and what is sent to it isn't touched.
+    /// Ends a process without dropping the messages queued from or to it.
     pub(crate) fn kill_keeping_packets(&mut self, name: &str) {
         let addr = self.entries[name].member.peer_addr;
         self.down.insert(addr);
     }
 
-    /// Mends every link.
+    /// Repairs every link and removes the filter.
     pub(crate) fn heal(&mut self) {
         self.cut.clear();
         self.filter = None;
@@ -276,7 +276,7 @@
         inside.map(|(_, entry)| entry.member.peer_addr).collect()
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -294,7 +294,7 @@
         self.now - start
     }
 
-    /// One step of time: everything on its way arrives, then everybody ticks.
+    /// One step of time: all messages in flight arrive, then all processes tick.
     pub(crate) fn tick(&mut self) {
         self.now += STEP;
         let packets: Vec<_> = self.queue.drain(..).collect();
@@ -312,13 +312,12 @@
         }
     }
 
-    /// Lets every entry keep the version that it acts on, from now on.
+    /// From now on every entry persists the version that it acts on.
     pub(crate) fn persist_watermarks(&mut self) {
         self.watermarks = Some(BTreeMap::new());
     }
 
-    /// Loses everything that a control replica holds, as if it had been restarted. Its
-    /// log gives it back the table.
+    /// Restarts a control replica, which loses all state but the table, which its log restores.
     pub(crate) fn restart_control(&mut self, index: usize) {
         let own = self.controls[index].addr;
         let others = self.controls.iter().map(|control| control.addr);
@@ -344,7 +343,7 @@
         self.step_control(index, source::Event::Tick);
     }
 
-    /// Hands a packet to its receiver unless a cut or the filter eats it.
+    /// Delivers a packet to its receiver unless a cut or the filter drops it.
     pub(crate) fn deliver(&mut self, packet: Packet) {
         let link = [packet.from, packet.to];
         if self.cut.contains(&(link[0], link[1])) || self.down.contains(&link[1]) {
@@ -448,8 +447,7 @@
 }
 
 impl Entry {
-    /// Checks on the way that no version goes down and that none is handed out before
-    /// the node says that it is proven.
+    /// Records an action, and checks that versions in force only increase.
     fn record(&mut self, action: node::Action) {
         match action {
             node::Action::Send { .. } => {}
@@ -468,13 +466,13 @@
         }
     }
 
-    /// Version whose weights the entry uses now, if any.
+    /// Version whose weights the entry uses now; `None` while it isn't proven.
     pub(crate) fn acts_on(&self) -> Option<Version> {
         let version = self.in_force.last().copied();
         version.filter(|_| self.readiness == Readiness::Proven)
     }
 
-    /// Names of the entries that it knows to be live or leaving.
+    /// Names of the entries that it lists as live or leaving.
     pub(crate) fn listed_names(&self) -> Vec<&str> {
         self.entries
             .iter()
--- a/crates/spread/tests/all/random.rs
+++ b/crates/spread/tests/all/random.rs
@@ -11,7 +11,7 @@
 
 const FIVE: [&str; 5] = ["a-1-a", "a-1-b", "a-1-c", "b-1-a", "b-1-b"];
 
-/// Something that happens.
+/// A change, fault or pause.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Operation {
@@ -28,12 +28,12 @@
     Elect { replica: u8 },
 }
 
-/// What a run has seen so far.
+/// A run and the state that its checks need.
 struct Checker {
     network: Network,
     accepted: BTreeMap<Version, View>,
     term: u64,
-    /// Version that each entry's earlier processes have acted on.
+    /// Highest version that each entry's earlier processes have acted on.
     acted_on: BTreeMap<&'static str, Version>,
 }
 
@@ -95,8 +95,8 @@
         self.network.start(name);
     }
 
-    /// Every view acted on is one that was accepted, and no process acts on less than
-    /// an earlier one of its name. That versions only go up is checked by the network.
+    /// Checks that every view acted on has been accepted, and that no process acts on a lower
+    /// version than an earlier one of its name. The network checks that versions only increase.
     fn check(&self) {
         for (name, entry) in &self.network.entries {
             let Some(view) = &entry.view else { continue };
@@ -109,7 +109,8 @@
         }
     }
 
-    /// With all faults mended, everybody comes to the newest version and knows everybody.
+    /// Repairs all faults and checks that every entry reaches the newest version and lists all
+    /// entries.
     fn converge(&mut self) {
         self.network.heal();
         for name in FIVE {
--- a/crates/spread/tests/all/restart.rs
+++ b/crates/spread/tests/all/restart.rs
@@ -1,4 +1,4 @@
-//! Entries that start, or wake, after changes have passed them by.
+//! Entries that start, or resume after a suspension, after having missed changes.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     network
 }
 
-/// Takes the table through 300 changes while `name` is dead, then starts it again.
+/// Makes 300 changes while `name` is dead, then restarts it.
 fn restart_after_300_changes(network: &mut Network, name: &str) {
     network.kill(name);
     for weight in 0..300 {
@@ -32,8 +32,8 @@
     network.entry(name).in_force.first().copied()
 }
 
-/// An entry is down for 300 changes. When it serves again, no caller may be steered by
-/// weights from before any of them, not even for the first request.
+/// An entry is down for 300 changes. When it serves again, no request, not even the first,
+/// may be routed by the weights from before.
 #[test]
 fn an_entry_restarted_after_300_changes_acts_on_none_of_the_old_weights() {
     let mut network = settled();
@@ -45,8 +45,8 @@
     assert_eq!(log, &[Readiness::Proven]);
 }
 
-/// The twin of the test above with the guard taken off: an entry that acts on whatever
-/// it holds. It shows that the check can fail.
+/// Counterpart of the test above without the proof: the entry acts on the view it holds.
+/// Shows that the check can fail.
 #[test]
 fn without_a_proof_a_restarted_entry_acts_on_old_weights() {
     let mut network = settled();
@@ -57,8 +57,8 @@
     assert!(first_version(&network, "zagreb-1-b") < Some(newest));
 }
 
-/// As above, but the answers of control are slow and those of an entry that has been
-/// cut off with the old table are quick. The old table must not be acted on.
+/// As above, but control answers slowly, and an entry that was cut off with the old table
+/// answers quickly. The old table must not be acted on.
 #[test]
 fn a_fast_answer_with_an_old_table_is_not_trusted() {
     let mut network = settled();
@@ -70,7 +70,7 @@
     network.run(Duration::from_secs(5));
     network.heal();
     network.cut_off("zagreb-1");
-    // Only the one with the old table answers; the other one, zagreb-1-c, has the new.
+    // Only the entry with the old table answers; zagreb-1-c has the new one.
     let (old, new) = (old[0], network.entry("zagreb-1-c").member.peer_addr);
     network.filter = Some(Box::new(move |packet| {
         let ends = [packet.from, packet.to];
@@ -88,8 +88,8 @@
     assert_eq!(first_version(&network, "zagreb-1-b"), Some(newest));
 }
 
-/// An entry restarts in a failure domain that is cut off. All of its neighbours answer
-/// that they act on one version, so it joins them.
+/// An entry restarts in a failure domain that is cut off. All other members answer that
+/// they act on the same version, so it acts on it too.
 #[test]
 fn a_restart_in_a_domain_that_is_cut_off_joins_its_neighbours() {
     let mut network = settled();
@@ -107,8 +107,8 @@
     );
 }
 
-/// As above, but a neighbour is dead that may have held something newer. The entry says
-/// that nothing is proven and goes on asking.
+/// As above, but a dead member may have held a newer version. The entry stays cautious and
+/// keeps querying.
 #[test]
 fn a_silent_neighbour_keeps_a_restarted_entry_cautious() {
     let mut network = settled();
@@ -129,8 +129,8 @@
     network.run_until("proven", |net| net.all_at(Version(0)));
 }
 
-/// Every entry of a failure domain restarts while it is cut off. They must not prove to
-/// each other that the empty table which all of them hold is the newest.
+/// All entries of a failure domain restart while it is cut off. They must not prove to each
+/// other that the empty table that all of them hold is the newest.
 #[test]
 fn restarted_entries_do_not_prove_each_other() {
     let mut network = settled();
@@ -152,8 +152,8 @@
     network.run_until("proven", |net| net.all_at(Version(1)));
 }
 
-/// An entry restarts alone and reaches nobody. It says so after a bounded time, and
-/// acts on nothing.
+/// An entry restarts and reaches no other process. It becomes cautious within a bounded
+/// time and acts on no version.
 #[test]
 fn an_isolated_entry_becomes_cautious() {
     let mut network = settled();
@@ -166,8 +166,8 @@
     assert_eq!(first_version(&network, "split-1-a"), None);
 }
 
-/// An answer to an earlier process of the same name arrives late at its successor. It
-/// is as old as that process and proves nothing.
+/// An answer to an earlier process arrives late at its successor of the same name. It may
+/// be as old as that process and proves nothing.
 #[test]
 fn an_answer_to_an_earlier_process_proves_nothing() {
     let mut network = settled();
@@ -184,7 +184,7 @@
     assert_eq!(first_version(&network, "split-1-a"), None);
 }
 
-/// Restarts an entry and keeps the leader's answer to it.
+/// Restarts an entry and returns the leader's answer to its query.
 fn capture_leader_answer(network: &mut Network) -> Packet {
     network.kill("split-1-a");
     network.start("split-1-a");
@@ -202,8 +202,8 @@
     }
 }
 
-/// An entry is stopped by a signal for half a minute and then continued. It doesn't
-/// know that it was; the weights it holds are old.
+/// An entry is suspended by a signal for half a minute and then resumed, with old weights
+/// and without being notified.
 #[test]
 fn a_suspended_entry_starts_over() {
     let mut network = settled();
@@ -221,9 +221,9 @@
     network.run_until("proven", |net| net.all_at(newest));
 }
 
-/// A control replica is suspended while it leads. Another takes over and accepts a
-/// change. When the first one wakes, it takes itself for the leader; its word must not
-/// let an entry start on the old table.
+/// A control replica is suspended while it leads. Another becomes the leader and accepts a
+/// change. When the first one resumes, it still considers itself the leader; its answer must
+/// not let an entry start with the old table.
 #[test]
 fn a_leader_with_an_expired_lease_proves_nothing() {
     let mut network = settled();
@@ -235,8 +235,8 @@
     network.kill("split-1-a");
     network.start("split-1-a");
     network.run(Duration::from_millis(100));
-    // It wakes, and the first thing that it finds is the question of the entry, before
-    // its clock or its colleagues have told it anything.
+    // It resumes and processes the entry's query first, before any tick or message of
+    // another replica.
     let queries = drain_queries(&mut network);
     network.suspended.clear();
     assert!(!queries.is_empty());
@@ -255,7 +255,7 @@
     assert_eq!(first_version(&network, "split-1-a"), Some(newest));
 }
 
-/// Takes the questions to the first control replica off the queue.
+/// Collects the queries sent to the first control replica during 40 steps.
 fn drain_queries(network: &mut Network) -> Vec<Packet> {
     let addr = network.controls[0].addr;
     let mut queries = Vec::new();
@@ -278,9 +278,9 @@
     source::Event::Received { from, message }
 }
 
-/// The only entry of its failure domain that had the newest version restarts while the
-/// domain is cut off, and keeps the number of that version on its disk. Its neighbours
-/// prove an older one to it, which it must not act on.
+/// The only entry of its failure domain with the newest version restarts while the domain
+/// is cut off, and has persisted the number of that version. The other members prove an
+/// older version to it, which it must not act on.
 #[test]
 fn a_persisted_watermark_is_a_lower_bound() {
     let mut network = Network::new(&FOUR);
--- a/crates/spread/tests/all/table.rs
+++ b/crates/spread/tests/all/table.rs
@@ -1,4 +1,4 @@
-//! Changes that meet lost messages, dead relays and cuts.
+//! Changes of the table under lost messages, dead relays and cuts.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 use crate::network::Network;
 
-/// Time within which a change has to be in force everywhere.
+/// Time within which a change must be in force everywhere.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(14);
 
 const SIX: [&str; 6] = [
@@ -29,9 +29,9 @@
     network
 }
 
-/// Operators make more changes than any node keeps the steps of while one entry is cut
-/// off by itself. Once the link is back, the entry acts on the newest rows. The cause
-/// of trouble would be a delta that doesn't reach back far enough.
+/// While one entry is cut off, operators make more changes than any node keeps deltas for.
+/// Once the link is repaired, the entry must act on the newest rows, although no delta reaches
+/// back far enough.
 #[test]
 fn an_entry_too_far_behind_gets_a_full_table() {
     let mut network = settled(&SIX);
@@ -54,11 +54,11 @@
     network.run_until("caught up", |net| net.all_at(version));
     let view = network.entry("zagreb-1-c").view.clone().expect("a view");
     assert_eq!(*view, network.table);
-    assert!(full_tables.get() > 0, "no whole table was sent");
+    assert!(full_tables.get() > 0, "no full table was sent");
 }
 
-/// A push is lost on its way to one entry. The entry hears of the version by the next
-/// heartbeat; until it has the rows it must not act on those it has.
+/// A push to one entry is lost. The next heartbeat announces the version; until the entry
+/// has received the rows it must not act on its old ones.
 #[test]
 fn an_entry_that_learns_of_a_newer_version_stops_using_the_old_one() {
     let mut network = settled(&SIX);
@@ -79,8 +79,8 @@
     network.run_until("caught up", |net| net.all_at(version));
 }
 
-/// The relay of a failure domain dies, and an operator makes a change at that moment.
-/// The change has to be in force at the others in time all the same.
+/// The relay of a failure domain dies, and an operator makes a change at that moment. It must
+/// still be in force at the other entries in time.
 #[test]
 fn a_change_bypasses_a_relay_that_has_just_died() {
     let mut network = settled(&SIX);
@@ -93,8 +93,8 @@
     }
 }
 
-/// A rack dies with the first three members of a failure domain, each of which would be
-/// relay after the one before it.
+/// A rack fails with the first three members of a failure domain, each of which would be the
+/// next relay.
 #[test]
 fn a_change_bypasses_three_relays_that_die_together() {
     let mut network = settled(&SIX);
@@ -106,8 +106,8 @@
     assert!(took < CHANGE_DEADLINE / 2, "{took:?}");
 }
 
-/// The leader dies and another replica takes over. What it accepts has to reach the
-/// entries although none of them has been told of it.
+/// The leader dies and another replica becomes the leader. A change that it accepts must
+/// reach the entries although none of them has a message from it yet.
 #[test]
 fn a_change_of_a_new_leader_is_in_force_in_time() {
     let mut network = settled(&SIX);
@@ -121,16 +121,16 @@
     assert!(took < Duration::from_secs(1), "{took:?}");
 }
 
-/// A failure domain is cut off while a change is being handed out in it, so that one of
-/// its entries has the change and the others don't. They would serve by two tables for
-/// as long as the cut lasts; they have to agree on the newer one by themselves.
+/// A failure domain is cut off while a change is being distributed in it, so that one of its
+/// entries has the change and the others don't. They must converge on the newer table by
+/// themselves, or they would serve by two tables until the cut is repaired.
 #[test]
 fn a_domain_that_is_cut_off_agrees_on_its_newest_version() {
     let mut network = settled(&SIX);
     let receiver = network.entry("zagreb-1-d").member.peer_addr;
     network.cut_off("zagreb-1");
     let version = network.change("zagreb", 5);
-    // The one delta that still got through.
+    // The only delta that still arrives.
     let delta = Message::Delta {
         delta: filberthead_table::View::default().delta_to(&network.table),
         table: filberthead_spread::Fingerprint::of(&network.table),
@@ -145,8 +145,8 @@
     });
 }
 
-/// A row is removed while one entry is cut off. When it is back, and an entry that
-/// still holds the row as well, the row must not return at either.
+/// A row is removed while a failure domain is cut off whose entries still hold it. After the
+/// cut is repaired, the row must not return at any entry.
 #[test]
 fn a_removed_row_stays_removed() {
     let mut network = settled(&SIX);
@@ -174,8 +174,8 @@
     }
 }
 
-/// A member can send to its relay but hears nothing from it: the relay takes it for
-/// live, and it would wait for changes that never arrive.
+/// A member can send to its relay but receives nothing from it. The relay considers it live,
+/// and the member would wait for changes that never arrive.
 #[test]
 fn a_member_that_receives_nothing_from_its_relay_switches() {
     let mut network = settled(&SIX);
@@ -192,7 +192,7 @@
     assert!(everywhere(&network));
 }
 
-/// The other way round: the relay takes the member for dead, though it lives.
+/// The opposite direction is cut: the relay considers a live member dead.
 #[test]
 fn a_member_whose_reports_are_lost_is_reported_by_another() {
     let mut network = settled(&SIX);
@@ -215,10 +215,9 @@
     );
 }
 
-/// Two entries of a failure domain that is cut off can't reach each other, only a third
-/// that both reach. The one before the third in the order of names has the newest
-/// change, and is its relay; the other one reports to nobody and hears of nothing. All
-/// three have to come to one version.
+/// Two entries of a failure domain that is cut off can't reach each other, but both reach a
+/// third one. The first by name is the relay of the third and has the newest change; the
+/// other one has no relay and receives nothing. All three must converge on one version.
 #[test]
 fn entries_that_reach_each_other_only_through_a_third_agree() {
     let names = ["zagreb-1-a", "zagreb-1-b", "zagreb-1-c", "split-1-a"];
@@ -241,9 +240,9 @@
     });
 }
 
-/// Two failure domains of a region are cut off together from everything else, and one
-/// of them has a change that the other lacks. Callers there would be steered by two
-/// tables for as long as the cut lasts.
+/// Two failure domains of a region are cut off together, and only one of them has received a
+/// change. They must converge, or requests there would be routed by two tables until the cut
+/// is repaired.
 #[test]
 fn two_domains_that_are_cut_off_together_agree() {
     let names = [
@@ -274,8 +273,8 @@
     });
 }
 
-/// A whole table that an entry had asked for arrives after newer deltas have passed it
-/// by. The entry must not go back to it.
+/// A full table that an entry has pulled arrives after newer deltas have overtaken it. The
+/// entry must ignore it.
 #[test]
 fn a_late_full_table_is_ignored() {
     let mut network = settled(&SIX);
@@ -294,9 +293,9 @@
     assert_eq!(entry.acts_on(), Some(version));
 }
 
-/// A row comes and goes while the relay of a failure domain is deaf, but one of its
-/// members has seen the row come. What brings the relay up to date names no such row;
-/// handed on to that member as it is, it would leave the row there for good.
+/// A row is added and removed while the relay of a failure domain receives no updates, but one
+/// of its members has received the added row. The relay's catch-up delta doesn't contain the
+/// row; forwarded unchanged, it would leave the row at that member for good.
 #[test]
 fn a_row_added_and_removed_is_gone_everywhere() {
     let mut network = settled(&SIX);
@@ -335,9 +334,8 @@
     }
 }
 
-/// A delta is damaged in the memory of a relay, so that a row is missing from it. The
-/// entry that gets it has to notice and ask for the whole table, or it would steer by a
-/// row that its neighbours don't have.
+/// A delta loses a row through memory corruption at a relay. The entry that receives it must
+/// detect that and pull the full table, or it would route by other rows than its peers.
 #[test]
 fn a_damaged_delta_is_not_applied() {
     let mut network = settled(&SIX);
@@ -364,8 +362,8 @@
     assert_eq!(*view, network.table);
 }
 
-/// The memory of an entry is damaged, so that it steers by a row that nobody else has
-/// under the version. Nothing mends that by itself; an operator has to hear of it.
+/// The memory of an entry is corrupted, so that it routes by a row that no other entry has
+/// under the same version. Nothing repairs that automatically, so operators must be notified.
 #[test]
 fn different_rows_under_the_same_version_are_detected() {
     let mut network = settled(&SIX);
