--- a/crates/spread/tests/all/random.rs
+++ b/crates/spread/tests/all/random.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn versions_only_go_up_and_everybody_converges() {
+fn versions_never_decrease_and_all_entries_converge() {
     check!()
         .with_iterations(400)
         .with_type::<Vec<Operation>>()
