--- a/crates/fleet/src/api.rs
+++ b/crates/fleet/src/api.rs
@@ -106,17 +106,11 @@
     }
 
     /// Advances the receiver's revisions by the state that this message carries completely.
-    pub(crate) fn advance(&self, revisions: &mut Revisions) {
+    pub(crate) fn advance(&self, held: &mut Revisions) {
         match (self, self.revision()) {
-            (Self::Evacuated { revision, .. }, _) => {
-                revisions.evacuated = revisions.evacuated.max(*revision)
-            }
-            (_, Some(Revision::Routes(revision))) => {
-                revisions.routes = revisions.routes.max(revision)
-            }
-            (_, Some(Revision::Endpoints(stamp))) => {
-                revisions.endpoints = revisions.endpoints.max(stamp)
-            }
+            (Self::Evacuated { revision, .. }, _) => held.evacuated = held.evacuated.max(*revision),
+            (_, Some(Revision::Routes(revision))) => held.routes = held.routes.max(revision),
+            (_, Some(Revision::Endpoints(stamp))) => held.endpoints = held.endpoints.max(stamp),
             (_, None) => {}
         }
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -174,15 +174,15 @@
     /// says nothing about the present.
     pub fn is_proven(&self, now: Moment) -> bool {
         self.proven_at()
-            .is_some_and(|asked| now < asked + PROVEN_FOR)
+            .is_some_and(|requested_at| now < requested_at + PROVEN_FOR)
     }
 
     /// When the report was sent that led to the newest proof of the routes held; `None` without
     /// a proof, or if newer routes have been announced.
     pub fn proven_at(&self) -> Option<Moment> {
-        let (revision, asked) = self.proven?;
+        let (revision, requested_at) = self.proven?;
         let newest = revision.max(self.newest.routes);
-        (self.revisions.routes >= newest).then_some(asked)
+        (self.revisions.routes >= newest).then_some(requested_at)
     }
 
     /// How long the last applied update took to arrive.
--- a/crates/spread/src/history.rs
+++ b/crates/spread/src/history.rs
@@ -92,7 +92,7 @@
 
     /// The update for a node that holds version `base`, or the full table if that is `None`.
     /// Returns `None` if the node is up to date.
-    pub(crate) fn update_since(&self, base: Option<Version>) -> Option<Message> {
+    pub(crate) fn catch_up(&self, base: Option<Version>) -> Option<Message> {
         let Some(base) = base else {
             return Some(self.full_table());
         };
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -243,19 +243,17 @@
             None => self.first_step(now, out),
             // A suspended process resumes with a view that may be hundreds of changes old
             // and a proof that doesn't cover them, so it starts over.
-            Some(last) if now.saturating_sub(last) > self.cfg.suspend_threshold => {
-                self.restart(now, out)
-            }
+            Some(at) if now.saturating_sub(at) > self.cfg.suspend_threshold => self.reset(now, out),
             Some(_) => {}
         }
     }
 
     fn first_step(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.jitter_due_times(now);
-        self.restart(now, out);
+        self.reset(now, out);
     }
 
-    fn restart(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn reset(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.proof = Proof::new(&mut self.rng);
         self.proof.start(now);
         self.query(now, out);
@@ -274,9 +272,7 @@
             Message::RosterPull => self.send_roster(from.addr, out),
             Message::Roster(members) => self.on_roster(now, from, members, out),
             Message::Digest(digest) => self.on_digest(now, from, &digest, out),
-            Message::TablePull { base } => {
-                out.extend(send(from.addr, self.history.update_since(base)))
-            }
+            Message::TablePull { base } => out.extend(send(from.addr, self.history.catch_up(base))),
             Message::Delta { delta, table, push } => {
                 self.on_delta(now, from, &delta, table, push, out);
             }
--- a/crates/spread/src/source/mod.rs
+++ b/crates/spread/src/source/mod.rs
@@ -246,7 +246,7 @@
         let reply = match message {
             Message::Report(report) => return self.on_report(now, from, report, out),
             Message::Digest(digest) => self.on_digest(&digest),
-            Message::TablePull { base } => self.history.update_since(base),
+            Message::TablePull { base } => self.history.catch_up(base),
             Message::DirectoryPull { stamps } => self.records_since(&stamps),
             Message::Directory { records, .. } => {
                 self.directory.merge(records);
