--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -94,7 +94,7 @@
 
     /// Logs each service, once, that has endpoints but no route.
     fn log_unrouted(&mut self) {
-        for (service, endpoints) in self.registry.unserved() {
+        for (service, endpoints) in self.registry.unrouted_services() {
             if self.logged_unrouted.len() < MAX_LOGGED_SERVICES
                 && self.logged_unrouted.insert(service.clone())
             {
@@ -124,7 +124,7 @@
     fn update_endpoint_list(&mut self, list: Vec<filberthead_fleet::Endpoint>) {
         let now = self.clock.now();
         let replica = self.replica.status(now);
-        let before = self.fleet.registry.have().endpoints;
+        let before = self.fleet.registry.revisions().endpoints;
         let term = if replica.holds_lease {
             replica.term.0
         } else if before.seq == 0 {
@@ -133,16 +133,16 @@
         } else {
             return;
         };
-        let out = self.fleet.registry.listed(now, term, list);
+        let out = self.fleet.registry.set_endpoints(now, term, list);
         self.fleet.log_unrouted();
         self.send_fleet(out);
-        let current = self.fleet.registry.have().endpoints;
+        let current = self.fleet.registry.revisions().endpoints;
         if current == before {
             return;
         }
         info!(term = current.term, seq = current.seq; "list of endpoints changed");
         let replicas = self.address_book.discovery_targets();
-        if let Some(update) = self.fleet.registry.endpoints_for(now, before) {
+        if let Some(update) = self.fleet.registry.endpoints_since(now, before) {
             for to in replicas {
                 self.send(to, Body::Fleet(update.clone()));
             }
@@ -158,11 +158,11 @@
                 self.order(order, ReplyTo::Replica { to, token }).await;
             }
             Message::OrderDone { token, result } => self.forwarded_order_done(token, result).await,
-            Message::Newest { token } => {
+            Message::ReadIndex { token } => {
                 let to = origin.addr;
                 self.start_read(ReadReplyTo::Replica { to, token }).await;
             }
-            Message::NewestIs { token, result } => self.handle_read_index(now, token, result),
+            Message::ReadIndexResult { token, result } => self.handle_read_index(now, token, result),
             other => {
                 let proven = self.replica.lease_until(now).is_some();
                 let registry = &mut self.fleet.registry;
@@ -183,7 +183,7 @@
     pub(super) fn distribute_orders(&mut self, now: Moment) {
         let newest = self.machine.routes.newest().cloned();
         let revision = self.machine.routes_revision;
-        let newer = revision > self.fleet.registry.have().routes;
+        let newer = revision > self.fleet.registry.revisions().routes;
         if let Some(change) = newest.filter(|_| newer) {
             info!(version = change.version, revision, routes = change.table.routes.len();
                 "routes in force");
@@ -192,12 +192,12 @@
             let out = registry.set_routes(now, revision, change.version, table);
             self.send_fleet(out);
         }
-        let known = self.fleet.registry.have();
+        let known = self.fleet.registry.revisions();
         if newer || self.machine.evacuated_revision > known.evacuated {
             self.save_note();
         }
         let revision = self.machine.evacuated_revision;
-        if revision > self.fleet.registry.have().evacuated {
+        if revision > self.fleet.registry.revisions().evacuated {
             info!(revision, domains:? = self.machine.evacuated; "evacuated failure domains");
         }
         let registry = &mut self.fleet.registry;
@@ -263,8 +263,8 @@
         }
         self.fleet.next_list = now + LIST_REQUEST_PERIOD;
         if let Some(leader) = self.leader_addr(now) {
-            let stamp = self.fleet.registry.have().endpoints;
-            self.send(leader, Body::Fleet(Message::AskList(stamp)));
+            let stamp = self.fleet.registry.revisions().endpoints;
+            self.send(leader, Body::Fleet(Message::PullEndpoints(stamp)));
         }
     }
 
@@ -283,10 +283,10 @@
     }
 
     fn publish_state(&mut self, now: Moment) {
-        let gateways = self.fleet.registry.ready(now);
+        let gateways = self.fleet.registry.ready_gateways(now);
         let replica = self.replica.status(now);
         let leads = replica.holds_lease;
-        let has_no_list = self.fleet.registry.have().endpoints.seq == 0;
+        let has_no_list = self.fleet.registry.revisions().endpoints.seq == 0;
         let polls_endpoint_list =
             leads || (has_no_list && replica.leader.is_none() && now >= LEADER_LIST_TIMEOUT);
         self.fleet.published.send_if_modified(|published| {
--- a/crates/filberthead/src/control/orders.rs
+++ b/crates/filberthead/src/control/orders.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use filberthead_consensus::{Event, Proposal, ProposeError};
-use filberthead_fleet::{Message, Order, OrderError, Question};
+use filberthead_fleet::{Message, Order, OrderError, ProofRequest};
 use filberthead_peer::Body;
 use filberthead_route::Change;
 use filberthead_types::Moment;
@@ -66,7 +66,7 @@
     /// A read of the routes.
     Read(oneshot::Sender<Result<Option<Arc<Change>>, OrderError>>),
     /// Requests of gateways to prove their routes.
-    ProofRequests(Vec<Question>),
+    ProofRequests(Vec<ProofRequest>),
 }
 
 impl Fleet {
@@ -179,14 +179,14 @@
 
     fn query_leader(&mut self, now: Moment, leader: SocketAddr, read: UnprovenRead) {
         let token = self.fleet.new_token();
-        self.send(leader, Body::Fleet(Message::Newest { token }));
+        self.send(leader, Body::Fleet(Message::ReadIndex { token }));
         self.fleet.enqueue(now, Waiting::LeaderQuery(token, read));
     }
 
     /// Asks the leader for the index that proves the routes held here, for the gateways that
     /// report here. Without a leader they get no proof, and ask other replicas.
     pub(super) fn request_proofs(&mut self, now: Moment) {
-        let requests = self.fleet.registry.take_questions();
+        let requests = self.fleet.registry.take_proof_requests();
         let leader = self.leader_addr(now).filter(|_| !requests.is_empty());
         if let Some(leader) = leader {
             self.query_leader(now, leader, UnprovenRead::ProofRequests(requests));
@@ -221,7 +221,7 @@
             }
             ReadReplyTo::Replica { to, token } => {
                 let result = result.map(|()| self.applied);
-                self.send(to, Body::Fleet(Message::NewestIs { token, result }));
+                self.send(to, Body::Fleet(Message::ReadIndexResult { token, result }));
             }
         }
     }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use filberthead_endpoint::Client;
-use filberthead_fleet::{Delay, Load, Member, Outbound, Stamp, Update};
+use filberthead_fleet::{Load, Member, Outbound, Stamp, Update, UpdateDelay};
 use filberthead_observe::{GatewayMetrics, LineAllowance};
 use filberthead_peer::Body;
 use filberthead_place::{ConnectionBalancer, LargeResponseAdmission, Link, Placer};
@@ -75,7 +75,7 @@
 struct UpdateSource {
     from: SocketAddr,
     /// Time from the first announcement of the update, and the requests made for it.
-    delay: Delay,
+    delay: UpdateDelay,
     /// Version stamp of the endpoint list that is now held.
     list_stamp: Stamp,
 }
@@ -243,7 +243,7 @@
     /// heard from.
     pub(crate) fn data_ages(&self) -> (u128, u128) {
         let now = self.now();
-        let last_seen = self.member.borrow().heard().unwrap_or_default();
+        let last_seen = self.member.borrow().control_last_seen().unwrap_or_default();
         let since = |at: Moment| now.saturating_sub(at).as_millis();
         (since(self.list_changed_at.get()), since(last_seen))
     }
@@ -258,7 +258,7 @@
 
     /// The current phase, and whether the data held here suffices to serve requests.
     pub(crate) fn serving_state(&self) -> (Phase, bool) {
-        let informed = self.member.borrow().is_informed(self.now());
+        let informed = self.member.borrow().is_synced(self.now());
         (*self.phase.borrow(), informed)
     }
 
@@ -290,7 +290,7 @@
         let source = UpdateSource {
             from: received.from,
             delay: member.delay(),
-            list_stamp: member.have().endpoints,
+            list_stamp: member.revisions().endpoints,
         };
         drop(member);
         for update in updates {
@@ -301,7 +301,7 @@
 
     /// Enters the phase `Serving` once routes and endpoints are known.
     fn start_serving_if_ready(&self, now: Moment) {
-        if !self.member.borrow().is_informed(now) {
+        if !self.member.borrow().is_synced(now) {
             return;
         }
         self.phase.send_if_modified(|phase| {
@@ -322,7 +322,7 @@
             delay,
             list_stamp,
         } = *source;
-        let (questions, since_heard_of) = (delay.questions, delay.since_heard_of.as_millis());
+        let (questions, since_heard_of) = (delay.requests, delay.since_announced.as_millis());
         match update {
             Update::Routes {
                 revision,
@@ -419,7 +419,9 @@
                 link_milli: self.link_milli(now),
             }
         });
-        let silent = member.heard().is_some_and(|at| now >= at + CONTROL_TIMEOUT);
+        let silent = member
+            .control_last_seen()
+            .is_some_and(|at| now >= at + CONTROL_TIMEOUT);
         if silent && !self.control_silent.replace(true) {
             warn!("no control replica is heard");
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! The gateway side: reports, and asks for what it lacks.
+//! The gateway side: reports to control replicas and pulls missing updates.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,188 +9,193 @@
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
 use crate::contacts::Contacts;
-use crate::parts::{Receiving, Taken};
-use crate::{Demand, Endpoint, EndpointChange, GatewayInfo, Have, Message, Outbound, Part, Report};
+use crate::parts::{IncomingTransfers, PartOutcome};
+use crate::{
+    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, Part, Report, Revisions,
+};
 
-/// Time between reports: three fit into the silence after which a gateway is taken for
-/// dead, and a notice that was lost is made up for within it.
+/// Time between reports: three fit into the silence after which a gateway counts as dead, and
+/// a lost notice is replaced within one period.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
-/// An answer to a question takes two ways between regions; asked sooner again, each
-/// change would come twice.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
-/// How long a gateway that starts waits to hear from most replicas.
-const UNHEARD_OF: Duration = Duration::from_millis(1500);
-
-/// How long a proof that routes are the newest is good for, from when it was asked for: three
-/// reports, so that one that is lost or late doesn't end it; and much less than the time
-/// within which a change is to be in force everywhere.
+/// Time after which an update is pulled again. A pull takes a round trip between regions; with
+/// a shorter time each change would arrive twice.
+const PULL_RETRY: Duration = Duration::from_millis(250);
+/// How long a starting gateway waits for notices from a majority of replicas.
+const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// How long a proof that routes are the newest remains valid, counted from the report that
+/// requested it: three report periods, so that one lost or late report doesn't end it, and
+/// much less than the time within which a change must be in force everywhere.
 const PROVEN_FOR: Duration = Duration::from_millis(1600);
-/// Questions that are remembered: as many reports as go out while a proof is good.
-const QUESTIONS: usize = 4;
+/// Number of recent reports whose send times are kept: as many as are sent while a proof is
+/// valid.
+const TRACKED_REPORTS: usize = 4;
 
-/// What a gateway learns.
+/// State that a gateway has received from control.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// Routes to put in force.
     Routes {
-        /// Their revision.
+        /// Their log index.
         revision: u64,
-        /// The operator's number.
+        /// Version number that the operator gave them, for logs.
         version: u64,
         /// The table.
         table: Arc<Table>,
     },
-    /// The failure domains that are evacuated from now on.
+    /// The complete set of evacuated failure domains.
     Evacuated(BTreeSet<FailureDomain>),
-    /// The endpoints there are.
+    /// The complete list of endpoints.
     Endpoints(Vec<Endpoint>),
-    /// What has changed in them.
+    /// A change to the list of endpoints.
     EndpointsChanged(EndpointChange),
-    /// How many gateways there are in each failure domain.
+    /// Number of gateways in each failure domain.
     Gateways(Vec<(FailureDomain, u32)>),
-    /// What all gateways of each region were asked to carry.
+    /// Total load of each service by region, in thousandths of a busy slot.
     Demand(Vec<(Region, ServiceName, u32)>),
-    /// Thousandths of their links that gateways of this failure domain use on average.
+    /// Mean link utilisation of the gateways in this failure domain, in thousandths.
     Links(Option<u32>),
 }
 
-/// How long news took from when it was first heard of.
+/// How long an update took to arrive after it was first announced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Delay {
-    /// Since a replica first said that it holds something newer.
-    pub since_heard_of: Duration,
-    /// Questions for it.
-    pub questions: u32,
+pub struct UpdateDelay {
+    /// Time since a replica first announced a newer revision.
+    pub since_announced: Duration,
+    /// Number of pulls that were sent for it.
+    pub requests: u32,
 }
 
-/// What comes of changes of routes.
-enum Changed {
-    /// The newer table.
+/// Result of applying changes to the routes held.
+enum PatchOutcome {
+    /// The resulting table.
     Table(Arc<Table>),
-    /// They are changes of routes that aren't held.
+    /// The changes apply to another revision than the one held.
     Gap,
-    /// They don't fit the routes that they name, so only a whole table helps.
+    /// The changes don't match the routes held, so the complete table is needed.
     Invalid,
 }
 
-/// What a gateway carries.
+/// Current load of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// What it was asked to carry.
+    /// Offered load for each service.
     pub demand: Vec<Demand>,
-    /// Thousandths of its link that are in use.
+    /// Utilisation of its network link in thousandths.
     pub link_milli: u32,
 }
 
-/// What a gateway knows of control.
+/// A gateway's connection to control and the revisions that it has received.
 #[derive(Clone, Debug)]
 pub struct Member {
     info: GatewayInfo,
     ready: bool,
     contacts: Contacts,
-    heard: Option<Moment>,
-    /// When the first notice of all came.
-    first_told: Option<Moment>,
-    /// The newest of everything that anybody was heard to hold.
-    newest: Have,
-    have: Have,
-    /// The routes of that revision.
+    control_last_seen: Option<Moment>,
+    /// When the first notice since the start arrived.
+    first_notice: Option<Moment>,
+    /// The highest revisions that any replica has announced.
+    newest: Revisions,
+    revisions: Revisions,
+    /// The routes of revision `revisions.routes`.
     routes: Option<Arc<Table>>,
-    asked: Option<(Have, Moment)>,
-    /// Long messages of which some parts are here.
-    receiving: Receiving,
-    /// When news was first heard of that isn't here yet.
-    lacking: Option<Moment>,
-    /// Questions since then.
-    asks: u32,
-    delay: Delay,
+    last_pull: Option<(Revisions, Moment)>,
+    /// Long messages that are being received.
+    transfers: IncomingTransfers,
+    /// Since when a newer revision has been announced than the one held.
+    behind_since: Option<Moment>,
+    /// Number of pulls since then.
+    pulls: u32,
+    delay: UpdateDelay,
     next_report: Moment,
-    /// The questions of the last reports, and when they were asked.
-    questions: VecDeque<(u64, Moment)>,
-    next_question: u64,
-    /// The revision of the routes that was last proved to be the newest, and when that was
-    /// asked.
+    /// Ids and send times of the last reports, newest first.
+    sent_reports: VecDeque<(u64, Moment)>,
+    next_report_id: u64,
+    /// The revision of routes that was last proved to be the newest, and when the report that
+    /// requested the proof was sent.
     proven: Option<(u64, Moment)>,
 }
 
 impl Member {
-    /// Starts with the replicas of the settings. Questions are numbered from
-    /// `first_question`, which is to be drawn anew for each life of the process, so that an
-    /// answer to an earlier life answers nothing.
+    /// Starts with the replicas from the settings. Report ids count up from `first_report_id`,
+    /// which must be random for each start of the process, so that answers to an earlier
+    /// process are ignored.
     pub fn new(
         info: GatewayInfo,
         seeds: impl IntoIterator<Item = SocketAddr>,
-        first_question: u64,
+        first_report_id: u64,
     ) -> Self {
         Self {
             info,
             ready: false,
             contacts: Contacts::new(seeds),
-            heard: None,
-            first_told: None,
-            newest: Have::default(),
-            have: Have::default(),
+            control_last_seen: None,
+            first_notice: None,
+            newest: Revisions::default(),
+            revisions: Revisions::default(),
             routes: None,
-            asked: None,
-            receiving: Receiving::default(),
-            lacking: None,
-            asks: 0,
-            delay: Delay::default(),
+            last_pull: None,
+            transfers: IncomingTransfers::default(),
+            behind_since: None,
+            pulls: 0,
+            delay: UpdateDelay::default(),
             next_report: Moment::ZERO,
-            questions: VecDeque::new(),
-            next_question: first_question,
+            sent_reports: VecDeque::new(),
+            next_report_id: first_report_id,
             proven: None,
         }
     }
 
-    /// What this gateway holds.
-    pub fn have(&self) -> Have {
-        self.have
+    /// The revisions that this gateway holds.
+    pub fn revisions(&self) -> Revisions {
+        self.revisions
     }
 
-    /// Whether it may serve by what it knows: it has routes and endpoints, the newest that
-    /// most replicas know of. One replica alone may have been down while hundreds of
-    /// changes passed. Where most can't be reached, what the others know has to do after
-    /// a while.
-    pub fn is_informed(&self, now: Moment) -> bool {
-        let has_all = self.have.routes > 0 && self.have.endpoints.seq > 0;
-        let most = self.contacts.most_told();
-        let waited = self.first_told.is_some_and(|at| now >= at + UNHEARD_OF);
-        has_all && ((most && !self.have.lacks(&self.newest)) || waited)
+    /// Whether this gateway may start to serve: it has routes and endpoints, and they are the
+    /// newest that a majority of replicas has announced. A single replica may have been down
+    /// during hundreds of changes. If a majority can't be reached, the gateway serves after a
+    /// timeout with what it has.
+    pub fn is_synced(&self, now: Moment) -> bool {
+        let has_all = self.revisions.routes > 0 && self.revisions.endpoints.seq > 0;
+        let majority = self.contacts.majority_announced();
+        let timed_out = self
+            .first_notice
+            .is_some_and(|at| now >= at + MAJORITY_TIMEOUT);
+        has_all && ((majority && !self.revisions.is_behind(&self.newest)) || timed_out)
     }
 
-    /// Whether the routes held here were lately proved to be the newest that are accepted.
+    /// Whether the routes held were recently proved to be the newest that are accepted.
     ///
-    /// Only then may it be said that something is *not* in them. A gateway that is cut off,
-    /// or has started beside replicas that are behind, goes on by what it has, which may
-    /// lack what was added since.
+    /// Only then may the gateway answer that a route does *not* exist. A gateway that is cut
+    /// off, or that started with replicas that are behind, continues with the routes it has,
+    /// which may lack later additions.
     ///
-    /// A proof counts from when it was asked for and not from when it came: held up on its
-    /// way, it says nothing about the present.
+    /// A proof is valid from when it was requested, not from when it arrived: a delayed one
+    /// says nothing about the present.
     pub fn is_proven(&self, now: Moment) -> bool {
         self.proven_at()
-            .is_some_and(|asked| now < asked + PROVEN_FOR)
+            .is_some_and(|requested_at| now < requested_at + PROVEN_FOR)
     }
 
-    /// When that was last asked which proved the routes held here, if anything did and nobody
-    /// was heard to hold newer ones.
+    /// When the report was sent that led to the newest proof of the routes held; `None` without
+    /// a proof, or if newer routes have been announced.
     pub fn proven_at(&self) -> Option<Moment> {
-        let (revision, asked) = self.proven?;
+        let (revision, requested_at) = self.proven?;
         let newest = revision.max(self.newest.routes);
-        (self.have.routes >= newest).then_some(asked)
+        (self.revisions.routes >= newest).then_some(requested_at)
     }
 
-    /// How long the news took that was taken in last.
-    pub fn delay(&self) -> Delay {
+    /// How long the last applied update took to arrive.
+    pub fn delay(&self) -> UpdateDelay {
         self.delay
     }
 
-    /// When a control replica was last heard.
-    pub fn heard(&self) -> Option<Moment> {
-        self.heard
+    /// When the last message from a control replica arrived; `None` if none has.
+    pub fn control_last_seen(&self) -> Option<Moment> {
+        self.control_last_seen
     }
 
-    /// Says whether callers may be sent here; a change is reported at the next tick.
+    /// Sets whether callers may be sent here. A change is reported at the next tick.
     pub fn set_ready(&mut self, ready: bool) {
         if self.ready != ready {
             self.ready = ready;
@@ -198,15 +203,16 @@
         }
     }
 
-    /// Replaces the replicas of the settings, when these have changed. None at all means
-    /// that they couldn't be read, and changes nothing.
+    /// Replaces the replicas from the settings after a change. An empty list means that they
+    /// couldn't be read, and is ignored.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.contacts.set_seeds(seeds);
     }
 
-    /// Reports if it is time. `load` is asked only then.
+    /// Sends reports that are due and overdue pulls of parts. `load` is called only for a
+    /// report.
     pub fn tick(&mut self, now: Moment, load: impl FnOnce() -> Load) -> Vec<Outbound> {
-        let mut out = self.receiving.tick(now);
+        let mut out = self.transfers.tick(now);
         out.extend(self.report(now, load));
         out
     }
@@ -216,37 +222,38 @@
             return Vec::new();
         }
         self.next_report = now + REPORT_PERIOD;
-        self.contacts.forget(self.heard.unwrap_or_default());
-        let to = self.contacts.report(now, self.proven_at());
+        self.contacts
+            .remove_unnamed(self.control_last_seen.unwrap_or_default());
+        let to = self.contacts.select(now, self.proven_at());
         let Load { demand, link_milli } = load();
-        let question = self.question(now);
+        let id = self.new_report_id(now);
         let report = Message::Report(Report {
             gateway: self.info.clone(),
             ready: self.ready,
-            have: self.have,
+            revisions: self.revisions,
             demand,
             link_milli,
-            question,
+            id,
         });
         to.into_iter().map(|to| (to, report.clone())).collect()
     }
 
-    fn question(&mut self, now: Moment) -> u64 {
-        let question = self.next_question;
-        self.next_question = question.wrapping_add(1);
-        self.questions.truncate(QUESTIONS - 1);
-        self.questions.push_front((question, now));
-        question
+    fn new_report_id(&mut self, now: Moment) -> u64 {
+        let id = self.next_report_id;
+        self.next_report_id = id.wrapping_add(1);
+        self.sent_reports.truncate(TRACKED_REPORTS - 1);
+        self.sent_reports.push_front((id, now));
+        id
     }
 
-    fn asked_at(&self, question: u64) -> Option<Moment> {
-        let asked = self.questions.iter().find(|(asked, _)| *asked == question);
-        asked.map(|(_, at)| *at)
+    fn report_sent_at(&self, report_id: u64) -> Option<Moment> {
+        let report = self.sent_reports.iter().find(|(id, _)| *id == report_id);
+        report.map(|(_, at)| *at)
     }
 
-    /// Takes in that routes of `revision` were the newest when this question was answered.
-    fn prove(&mut self, question: u64, revision: u64) {
-        let Some(at) = self.asked_at(question) else {
+    /// Records that routes of `revision` were the newest when this report was answered.
+    fn record_proof(&mut self, report_id: u64, revision: u64) {
+        let Some(at) = self.report_sent_at(report_id) else {
             return;
         };
         if self.proven.is_none_or(|(_, proven)| proven <= at) {
@@ -254,36 +261,36 @@
         }
     }
 
-    /// Takes in a message of a control replica.
+    /// Handles a message from a control replica.
     pub fn receive(
         &mut self,
         now: Moment,
         from: SocketAddr,
         message: Message,
     ) -> (Vec<Outbound>, Vec<Update>) {
-        self.heard = Some(now);
-        let held = self.have;
-        let taken = self.take(now, from, message);
-        if self.have != held {
-            self.receiving.forget_held(&self.have);
-            self.note_delay(now);
+        self.control_last_seen = Some(now);
+        let before = self.revisions;
+        let result = self.apply(now, from, message);
+        if self.revisions != before {
+            self.transfers.cancel_superseded(&self.revisions);
+            self.record_delay(now);
         }
-        taken
+        result
     }
 
-    fn note_delay(&mut self, now: Moment) {
-        let since = self.lacking.unwrap_or(now);
-        self.delay = Delay {
-            since_heard_of: now.saturating_sub(since),
-            questions: self.asks,
+    fn record_delay(&mut self, now: Moment) {
+        let since = self.behind_since.unwrap_or(now);
+        self.delay = UpdateDelay {
+            since_announced: now.saturating_sub(since),
+            requests: self.pulls,
         };
-        if !self.have.lacks(&self.newest) {
-            self.lacking = None;
-            self.asks = 0;
+        if !self.revisions.is_behind(&self.newest) {
+            self.behind_since = None;
+            self.pulls = 0;
         }
     }
 
-    fn take(
+    fn apply(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -291,99 +298,102 @@
     ) -> (Vec<Outbound>, Vec<Update>) {
         match message {
             Message::Notice {
-                have,
+                revisions,
                 replicas,
                 gateways,
                 demand,
                 link_milli,
-                answers,
-                proves,
+                answered_report,
+                proven_report,
             } => {
-                self.contacts.told(now, from, &replicas);
-                self.noticed(now, from, have, (answers, proves));
+                self.contacts.record_notice(now, from, &replicas);
+                self.on_notice(now, from, revisions, (answered_report, proven_report));
                 let updates = vec![
                     Update::Gateways(gateways),
                     Update::Demand(demand),
                     Update::Links(link_milli),
                 ];
-                (self.ask(now, from, have), updates)
+                (self.pull(now, from, revisions), updates)
             }
-            Message::Proof { question, have } => {
-                self.newest.raise(&have);
-                self.prove(question, have.routes);
-                (self.ask(now, from, have), Vec::new())
+            Message::Proof {
+                proven_report,
+                revisions,
+            } => {
+                self.newest.merge(&revisions);
+                self.record_proof(proven_report, revisions.routes);
+                (self.pull(now, from, revisions), Vec::new())
             }
             Message::Routes {
                 revision,
                 version,
                 table,
-            } if revision > self.have.routes => {
+            } if revision > self.revisions.routes => {
                 let update = self.set_routes(revision, version, table);
                 (Vec::new(), vec![update])
             }
             Message::RoutesChanged {
                 revision,
                 version,
-                from: older,
+                from: base,
                 changes,
-            } if revision > self.have.routes => match self.changed_routes(older, &changes) {
-                Changed::Table(table) => {
+            } if revision > self.revisions.routes => match self.patch_routes(base, &changes) {
+                PatchOutcome::Table(table) => {
                     let update = self.set_routes(revision, version, table);
                     (Vec::new(), vec![update])
                 }
-                Changed::Gap => {
+                PatchOutcome::Gap => {
                     self.newest.routes = self.newest.routes.max(revision);
-                    (self.ask(now, from, self.newest), Vec::new())
+                    (self.pull(now, from, self.newest), Vec::new())
                 }
-                Changed::Invalid => {
-                    let whole = Have {
+                PatchOutcome::Invalid => {
+                    let without_routes = Revisions {
                         routes: 0,
-                        ..self.have
+                        ..self.revisions
                     };
-                    (vec![(from, Message::Ask(whole))], Vec::new())
+                    (vec![(from, Message::Pull(without_routes))], Vec::new())
                 }
             },
-            Message::Evacuated { revision, domains } if revision > self.have.evacuated => {
-                self.have.evacuated = revision;
+            Message::Evacuated { revision, domains } if revision > self.revisions.evacuated => {
+                self.revisions.evacuated = revision;
                 (Vec::new(), vec![Update::Evacuated(domains)])
             }
-            Message::Endpoints { stamp, list } if stamp > self.have.endpoints => {
-                self.have.endpoints = stamp;
+            Message::Endpoints { stamp, list } if stamp > self.revisions.endpoints => {
+                self.revisions.endpoints = stamp;
                 (Vec::new(), vec![Update::Endpoints(list)])
             }
-            Message::EndpointsChanged { stamp, change } if stamp > self.have.endpoints => {
-                if change.from != self.have.endpoints {
+            Message::EndpointsChanged { stamp, change } if stamp > self.revisions.endpoints => {
+                if change.from != self.revisions.endpoints {
                     self.newest.endpoints = self.newest.endpoints.max(stamp);
-                    return (self.ask(now, from, self.newest), Vec::new());
+                    return (self.pull(now, from, self.newest), Vec::new());
                 }
-                self.have.endpoints = stamp;
+                self.revisions.endpoints = stamp;
                 (Vec::new(), vec![Update::EndpointsChanged(change)])
             }
-            Message::Part(part) => self.take_part(now, from, part),
+            Message::Part(part) => self.apply_part(now, from, part),
             _ => (Vec::new(), Vec::new()),
         }
     }
 
-    /// Takes in what a replica holds, and the questions that its notice answers and proves.
-    fn noticed(
+    /// Records a replica's revisions, and the report that its notice answers or proves.
+    fn on_notice(
         &mut self,
         now: Moment,
         from: SocketAddr,
-        have: Have,
-        (answers, proves): (Option<u64>, Option<u64>),
+        revisions: Revisions,
+        (answered_report, proven_report): (Option<u64>, Option<u64>),
     ) {
-        if let Some(asked) = answers.and_then(|question| self.asked_at(question)) {
-            self.contacts.answered(now, from, asked);
+        if let Some(sent_at) = answered_report.and_then(|id| self.report_sent_at(id)) {
+            self.contacts.record_answer(now, from, sent_at);
         }
-        self.first_told.get_or_insert(now);
-        self.newest.raise(&have);
-        if let Some(question) = proves {
-            self.prove(question, have.routes);
+        self.first_notice.get_or_insert(now);
+        self.newest.merge(&revisions);
+        if let Some(proven_report) = proven_report {
+            self.record_proof(proven_report, revisions.routes);
         }
     }
 
     fn set_routes(&mut self, revision: u64, version: u64, table: Arc<Table>) -> Update {
-        self.have.routes = revision;
+        self.revisions.routes = revision;
         self.routes = Some(Arc::clone(&table));
         Update::Routes {
             revision,
@@ -392,65 +402,68 @@
         }
     }
 
-    /// The routes held here with changes of the routes of revision `from`.
-    fn changed_routes(&self, from: u64, changes: &[Arc<Delta>]) -> Changed {
-        let held = self.routes.as_ref().filter(|_| from == self.have.routes);
-        let Some(mut table) = held.cloned() else {
-            return Changed::Gap;
+    /// Applies changes relative to revision `from` to the routes held.
+    fn patch_routes(&self, from: u64, changes: &[Arc<Delta>]) -> PatchOutcome {
+        let current = self
+            .routes
+            .as_ref()
+            .filter(|_| from == self.revisions.routes);
+        let Some(mut table) = current.cloned() else {
+            return PatchOutcome::Gap;
         };
         for change in changes {
             match change.apply(&table) {
                 Some(changed) => table = Arc::new(changed),
-                None => return Changed::Invalid,
+                None => return PatchOutcome::Invalid,
             }
         }
-        Changed::Table(table)
+        PatchOutcome::Table(table)
     }
 
-    fn take_part(
+    fn apply_part(
         &mut self,
         now: Moment,
         from: SocketAddr,
         part: Part,
     ) -> (Vec<Outbound>, Vec<Update>) {
-        if !self.have.is_before(part.revision) {
+        if !self.revisions.is_older_than(part.revision) {
             return (Vec::new(), Vec::new());
         }
-        match self.receiving.take(now, from, part) {
-            Taken::Ask(questions) => {
-                let out = questions.into_iter().map(|question| (from, question));
+        match self.transfers.accept(now, from, part) {
+            PartOutcome::Pull(requests) => {
+                let out = requests.into_iter().map(|request| (from, request));
                 (out.collect(), Vec::new())
             }
-            Taken::Whole(news) => {
-                let (mut out, updates) = self.take(now, from, *news);
-                // What came after it wasn't asked for while it was on its way.
-                self.asked = None;
-                out.extend(self.ask(now, from, self.newest));
+            PartOutcome::Complete(message) => {
+                let (mut out, updates) = self.apply(now, from, *message);
+                // Newer revisions weren't pulled during the transfer.
+                self.last_pull = None;
+                out.extend(self.pull(now, from, self.newest));
                 (out, updates)
             }
-            Taken::Useless => (Vec::new(), Vec::new()),
+            PartOutcome::Rejected => (Vec::new(), Vec::new()),
         }
     }
 
-    /// Asks for what a replica holds beyond this gateway, unless the same was asked of
-    /// somebody a moment ago.
-    fn ask(&mut self, now: Moment, from: SocketAddr, theirs: Have) -> Vec<Outbound> {
-        if !self.have.lacks(&theirs) {
+    /// Pulls revisions up to `wanted` from a replica, unless they were just pulled from any
+    /// replica.
+    fn pull(&mut self, now: Moment, from: SocketAddr, wanted: Revisions) -> Vec<Outbound> {
+        if !self.revisions.is_behind(&wanted) {
             return Vec::new();
         }
-        self.lacking.get_or_insert(now);
-        let covered = self.receiving.covers(&self.have, &theirs);
-        if !covered.lacks(&theirs) {
+        self.behind_since.get_or_insert(now);
+        let expected = self.transfers.with_pending(&self.revisions, &wanted);
+        if !expected.is_behind(&wanted) {
             return Vec::new();
         }
-        let under_way = self
-            .asked
-            .is_some_and(|(asked, at)| now < at + ASK_AGAIN && !asked.lacks(&theirs));
-        if under_way {
+        let is_pending = self
+            .last_pull
+            .is_some_and(|(pulled, at)| now < at + PULL_RETRY && !pulled.is_behind(&wanted));
+        if is_pending {
             return Vec::new();
         }
-        self.asked = Some((theirs, now));
-        self.asks += 1;
-        vec![(from, Message::Ask(covered))]
+        self.last_pull = Some((wanted, now));
+        self.pulls += 1;
+        vec![(from, Message::Pull(expected))]
     }
 }
--- a/crates/fleet/tests/all/following.rs
+++ b/crates/fleet/tests/all/reporting.rs
@@ -1,4 +1,4 @@
-//! Whom gateways report to, and how replicas learn of the gateways that others hear.
+//! Which replicas gateways report to, and how replicas relay the reports to each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 
 use crate::support::{addr, ms};
 
-/// Time between two steps of the fleet below.
+/// Simulated time between two steps.
 const STEP_MS: u64 = 50;
-/// How often replicas tell each other of gateways, in steps.
+/// Steps between two rosters of a replica.
 const ROSTER_STEPS: u64 = 5;
 
-/// Gateways and replicas with a network that can be cut, and a count of messages.
+/// Gateways and replicas on a network whose links can be cut, with message counts.
 struct Fleet {
     now: Moment,
     members: BTreeMap<SocketAddr, Member>,
     replicas: BTreeMap<SocketAddr, Registry>,
     leader: SocketAddr,
-    /// Links that carry nothing, by sender and receiver.
+    /// Cut links, as sender and receiver.
     cut: BTreeSet<(SocketAddr, SocketAddr)>,
     down: BTreeSet<SocketAddr>,
-    /// Messages that replicas received from gateways and from each other.
+    /// Number of messages that each replica received from gateways and other replicas.
     received: BTreeMap<SocketAddr, u64>,
 }
 
@@ -84,7 +84,7 @@
         replica == self.leader
     }
 
-    /// Carries messages until nobody has any.
+    /// Delivers messages until none are left.
     fn deliver(&mut self, mut messages: Vec<(SocketAddr, Outbound)>) {
         while let Some((from, (to, message))) = messages.pop() {
             if !self.reaches(from, to) {
@@ -117,18 +117,18 @@
         }
     }
 
-    /// A replica that reaches the leader, and is reached, can prove what the leader holds too.
+    /// A replica with a link to the leader in both directions can prove the leader's revisions.
     fn deliver_proofs(&mut self) {
         let leader = self.leader;
-        let newest = self.replicas[&leader].have().routes;
+        let newest = self.replicas[&leader].revisions().routes;
         let addrs: Vec<_> = self.replicas.keys().copied().collect();
         let mut messages = Vec::new();
         for at in addrs {
             let reaches = self.reaches(at, leader) && self.reaches(leader, at);
             let registry = self.replicas.get_mut(&at).expect("a replica");
-            let questions = registry.take_questions();
-            if reaches && registry.have().routes == newest {
-                let out = registry.prove(questions);
+            let proof_requests = registry.take_proof_requests();
+            if reaches && registry.revisions().routes == newest {
+                let out = registry.prove(proof_requests);
                 messages.extend(out.into_iter().map(|out| (at, out)));
             }
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    fn are_proven(&self) -> bool {
+    fn all_proven(&self) -> bool {
         let mut up = self
             .members
             .iter()
@@ -163,30 +163,30 @@
         up.all(|(_, member)| member.is_proven(self.now))
     }
 
-    /// Messages that the busiest replica receives in a second.
-    fn busiest_per_s(&mut self) -> u64 {
+    /// Messages per second at the replica that receives most.
+    fn max_messages_per_s(&mut self) -> u64 {
         self.received.clear();
         self.run(10_000);
         self.received.values().max().copied().unwrap_or(0) / 10
     }
 }
 
-/// Guards against load of control that grows with gateways times replicas: every gateway
-/// reported twice a second to every replica.
+/// Guards against load on control that grows with gateways times replicas, as when every
+/// gateway reports to every replica twice a second.
 #[test]
-fn messages_at_a_replica_follow_gateways_divided_by_replicas() {
+fn message_load_does_not_grow_with_gateways_times_replicas() {
     for (gateways, replicas) in [(11, 3), (100, 5), (300, 9), (600, 9)] {
         let mut fleet = Fleet::new(gateways, replicas);
         fleet.run(5000);
-        assert!(fleet.are_proven());
-        let busiest = fleet.busiest_per_s();
+        assert!(fleet.all_proven());
+        let busiest = fleet.max_messages_per_s();
         let rosters = 5 * u64::from(replicas);
         assert!(
             busiest < 2 * u64::from(gateways) + rosters,
             "{gateways}, {replicas}: {busiest}"
         );
         let received = fleet.received.values().sum::<u64>() / 10;
-        // Two reports a second to two replicas, a look around, rosters among replicas.
+        // Two reports a second to two replicas, probes of others, rosters among replicas.
         let expected = 5 * u64::from(gateways) + rosters * u64::from(replicas);
         assert!(
             received <= expected,
@@ -195,18 +195,19 @@
     }
 }
 
-/// Guards against gateways that only some replicas know of: look-ups there left them out.
+/// Guards against gateways that only some replicas list: look-ups at the others would omit
+/// them.
 #[test]
-fn every_replica_knows_every_gateway() {
+fn every_replica_lists_every_gateway() {
     let mut fleet = Fleet::new(40, 9);
     for member in fleet.members.values_mut() {
         member.set_ready(true);
     }
     fleet.run(10_000);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 40, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 40, "{at}");
     }
-    // One stops, and is out of all answers within a second.
+    // A stopping gateway is removed from all answers within a second.
     fleet
         .members
         .get_mut(&gateway_addr(7))
@@ -214,37 +215,37 @@
         .set_ready(false);
     fleet.run(1000);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 39, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 39, "{at}");
     }
-    // Another one dies without a word.
+    // Another one dies without a final report.
     fleet.down.insert(gateway_addr(8));
     fleet.run(2500);
     for (at, registry) in &fleet.replicas {
-        assert_eq!(registry.ready(fleet.now).len(), 38, "{at}");
+        assert_eq!(registry.ready_gateways(fleet.now).len(), 38, "{at}");
     }
 }
 
-/// Guards against gateways that lose touch when the replicas that they follow end.
+/// Guards against gateways that lose control when the replicas that they report to fail.
 #[test]
-fn other_replicas_are_followed_when_some_die() {
-    for dead in [vec![1, 2], vec![1, 2, 3, 4], vec![1, 2, 3, 4, 5, 6, 7, 8]] {
+fn gateways_switch_to_other_replicas_when_some_fail() {
+    for failed in [vec![1, 2], vec![1, 2, 3, 4], vec![1, 2, 3, 4, 5, 6, 7, 8]] {
         let mut fleet = Fleet::new(20, 9);
         fleet.run(5000);
         fleet
             .down
-            .extend(dead.iter().map(|number| replica_addr(*number)));
+            .extend(failed.iter().map(|number| replica_addr(*number)));
         for passed in 0..40 {
             fleet.run(100);
-            // One report and its proof are lost; asking others takes two more.
-            assert!(fleet.are_proven() || passed < 16, "{dead:?} {passed}");
+            // One report and its proof are lost; reaching other replicas takes two more reports.
+            assert!(fleet.all_proven() || passed < 16, "{failed:?} {passed}");
         }
     }
 }
 
-/// Guards against gateways that stay with a replica which answers but has lost the leader,
-/// both ways or one way, and so miss newer routes.
+/// Guards against gateways that stay with a replica that responds but is cut off from the
+/// leader, in both directions or one, and so miss newer routes.
 #[test]
-fn replicas_that_have_lost_the_leader_are_left() {
+fn gateways_leave_replicas_that_lost_the_leader() {
     for both_ways in [true, false] {
         let mut fleet = Fleet::new(20, 9);
         fleet.run(5000);
@@ -255,19 +256,19 @@
                 fleet.cut.insert((*at, fleet.leader));
             }
         }
-        let informed: Vec<_> = [0, 5, 6, 7, 8].map(replica_addr).to_vec();
-        fleet.set_routes(6, &informed);
+        let connected: Vec<_> = [0, 5, 6, 7, 8].map(replica_addr).to_vec();
+        fleet.set_routes(6, &connected);
         fleet.run(2500);
         for (at, member) in &fleet.members {
-            assert_eq!(member.have().routes, 6, "{at} {both_ways}");
+            assert_eq!(member.revisions().routes, 6, "{at} {both_ways}");
             assert!(member.is_proven(fleet.now), "{at} {both_ways}");
         }
     }
 }
 
-/// Guards against a replica that has come back and is asked by nobody any more.
+/// Guards against a recovered replica that no gateway reports to any more.
 #[test]
-fn a_replica_that_has_come_back_is_found() {
+fn a_recovered_replica_is_found() {
     let mut fleet = Fleet::new(20, 9);
     fleet.run(5000);
     fleet
@@ -275,65 +276,71 @@
         .extend((0..=8).filter(|n| *n != 0).map(replica_addr));
     fleet.run(5000);
     fleet.down.clear();
-    // The look around finds each of nine within a minute.
+    // Probing reaches each of nine within a minute.
     fleet.run(60_000);
     fleet.down.insert(replica_addr(0));
     fleet.leader = replica_addr(4);
     fleet.run(3000);
-    assert!(fleet.are_proven());
+    assert!(fleet.all_proven());
 }
 
-/// Guards against relayed words of a gateway that put newer ones of its own back.
+/// Guards against a relayed report that overwrites a newer direct one.
 #[test]
 fn a_relayed_report_does_not_replace_a_newer_one() {
-    let mut here = Registry::default();
-    let mut there = Registry::default();
+    let mut local = Registry::default();
+    let mut remote = Registry::default();
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     member.set_ready(true);
     let report = |member: &mut Member, now| member.tick(now, Load::default).remove(0).1;
     let first = report(&mut member, ms(1000));
-    there.receive(ms(1000), gateway_addr(1), first, false);
-    let roster = there.roster(ms(1250)).expect("a gateway has reported");
+    remote.receive(ms(1000), gateway_addr(1), first, false);
+    let roster = remote.roster(ms(1250)).expect("a gateway has reported");
     member.set_ready(false);
     let second = report(&mut member, ms(1300));
-    here.receive(ms(1300), gateway_addr(1), second, false);
-    here.receive(ms(1400), replica_addr(1), roster, false);
-    assert!(here.ready(ms(1400)).is_empty());
+    local.receive(ms(1300), gateway_addr(1), second, false);
+    local.receive(ms(1400), replica_addr(1), roster, false);
+    assert!(local.ready_gateways(ms(1400)).is_empty());
 }
 
-/// Guards against a gateway that goes on being named by what replicas tell each other.
+/// Guards against a dead gateway that stays listed because replicas keep relaying its report.
 #[test]
-fn a_relayed_gateway_is_not_relayed_again() {
-    let mut here = Registry::default();
-    let mut there = Registry::default();
+fn a_relayed_report_is_not_relayed_again() {
+    let mut local = Registry::default();
+    let mut remote = Registry::default();
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     let report = member.tick(ms(1000), Load::default).remove(0).1;
-    there.receive(ms(1000), gateway_addr(1), report, false);
-    let roster = there.roster(ms(1100)).expect("a gateway has reported");
-    here.receive(ms(1200), replica_addr(1), roster, false);
-    assert_eq!(here.roster(ms(1300)), None);
-    assert_eq!(there.roster(ms(1400)), None, "told once");
+    remote.receive(ms(1000), gateway_addr(1), report, false);
+    let roster = remote.roster(ms(1100)).expect("a gateway has reported");
+    local.receive(ms(1200), replica_addr(1), roster, false);
+    assert_eq!(local.roster(ms(1300)), None);
+    assert_eq!(remote.roster(ms(1400)), None, "relayed once");
 }
 
-/// Guards against proofs for gateways whose replica is behind the leader.
+/// Guards against proofs that cover newer routes than the replica sending them holds.
 #[test]
-fn a_proof_names_what_its_sender_holds() {
+fn a_proof_carries_its_senders_revisions() {
     let mut registry = Registry::default();
     registry.set_routes(ms(0), 5, 7, Arc::new(Table::default()));
     let mut member = Member::new(info(1), [replica_addr(0)], 100);
     let report = member.tick(ms(0), Load::default).remove(0).1;
     for (_, message) in registry.receive(ms(1), gateway_addr(1), report, false) {
-        for (_, ask) in member.receive(ms(2), replica_addr(0), message).0 {
-            for (_, routes) in registry.receive(ms(3), gateway_addr(1), ask, false) {
+        for (_, pull) in member.receive(ms(2), replica_addr(0), message).0 {
+            for (_, routes) in registry.receive(ms(3), gateway_addr(1), pull, false) {
                 member.receive(ms(4), replica_addr(0), routes);
             }
         }
     }
     assert!(!member.is_proven(ms(5)));
-    let questions = registry.take_questions();
-    assert_eq!(questions.len(), 1);
-    for (_, proof) in registry.prove(questions) {
-        assert!(matches!(proof, Message::Proof { question: 100, .. }));
+    let proof_requests = registry.take_proof_requests();
+    assert_eq!(proof_requests.len(), 1);
+    for (_, proof) in registry.prove(proof_requests) {
+        assert!(matches!(
+            proof,
+            Message::Proof {
+                proven_report: 100,
+                ..
+            }
+        ));
         member.receive(ms(6), replica_addr(0), proof);
     }
     assert!(member.is_proven(ms(7)));
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -1,10 +1,10 @@
-//! A gateway and a replica, and messages between them.
+//! Helpers: a gateway and a replica that exchange messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use filberthead_fleet::{
-    Endpoint, EndpointState, GatewayInfo, Have, Load, Member, Message, Registry, Update,
+    Endpoint, EndpointState, GatewayInfo, Load, Member, Message, Registry, Revisions, Update,
 };
 use filberthead_types::Moment;
 
@@ -23,15 +23,15 @@
     gateway_from(100)
 }
 
-/// A gateway whose life numbers its questions from here.
-pub(crate) fn gateway_from(first_question: u64) -> Member {
+/// A gateway whose report ids start at `first_report_id`.
+pub(crate) fn gateway_from(first_report_id: u64) -> Member {
     let info = GatewayInfo {
         name: "entry-1".parse().expect("a name"),
         region: "split".parse().expect("a name"),
         domain: "split-a".parse().expect("a name"),
         caller_addr: addr(80),
     };
-    Member::new(info, [addr(CONTROL)], first_question)
+    Member::new(info, [addr(CONTROL)], first_report_id)
 }
 
 pub(crate) fn endpoint(id: &str, cold_ms: u64) -> Endpoint {
@@ -47,14 +47,14 @@
     }
 }
 
-/// Carries messages between one gateway and one replica until both are silent, and
-/// returns what the gateway learned.
-pub(crate) fn settle(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Update> {
-    settle_with(now, member, registry, true)
+/// Delivers messages between one gateway and one replica until neither sends any, and
+/// returns the updates that the gateway received.
+pub(crate) fn exchange(now: Moment, member: &mut Member, registry: &mut Registry) -> Vec<Update> {
+    exchange_with(now, member, registry, true)
 }
 
-/// As [`settle`], with a replica that can prove what it holds or can't.
-pub(crate) fn settle_with(
+/// As [`exchange`]; `proven` is whether the replica can prove its revisions.
+pub(crate) fn exchange_with(
     now: Moment,
     member: &mut Member,
     registry: &mut Registry,
@@ -65,26 +65,26 @@
         .into_iter()
         .map(|(_, m)| m)
         .collect();
-    let mut learned = Vec::new();
+    let mut updates = Vec::new();
     while let Some(message) = to_control.pop() {
         for (_, answer) in registry.receive(now, addr(GATEWAY), message, proven) {
-            let (out, updates) = member.receive(now, addr(CONTROL), answer);
+            let (out, received) = member.receive(now, addr(CONTROL), answer);
             to_control.extend(out.into_iter().map(|(_, m)| m));
-            learned.extend(updates);
+            updates.extend(received);
         }
     }
-    learned
+    updates
 }
 
-/// What a replica says that it holds, without proof.
-pub(crate) fn notice(have: Have, replicas: Vec<SocketAddr>) -> Message {
+/// A notice with these revisions and without a proof.
+pub(crate) fn notice(revisions: Revisions, replicas: Vec<SocketAddr>) -> Message {
     Message::Notice {
-        have,
+        revisions,
         replicas,
         gateways: Vec::new(),
         demand: Vec::new(),
         link_milli: None,
-        answers: None,
-        proves: None,
+        answered_report: None,
+        proven_report: None,
     }
 }
--- a/crates/spread/src/directory.rs
+++ b/crates/spread/src/directory.rs
@@ -1,9 +1,9 @@
 //! The live and leaving entries of all failure domains.
 //!
-//! Each failure domain has a line of its own with a stamp, and the higher stamp wins.
-//! So two directories merge in any order to the same result, a leader that has just
-//! taken over may publish a failure domain that has reported to it without knowing the
-//! others, and a deposed leader's lines lose against its successor's.
+//! Each failure domain has its own record with a stamp, and the higher stamp wins. So
+//! directories merge to the same result in any order, a new leader can publish a failure
+//! domain that has reported to it without having the others, and a deposed leader's
+//! records lose against its successor's.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -11,30 +11,30 @@
 use filberthead_types::{Epoch, FailureDomain};
 use serde::{Deserialize, Serialize};
 
-use crate::{Fingerprint, MemberInfo, Stamped};
+use crate::{DomainRecord, Fingerprint, MemberInfo};
 
-/// Orders the lines of one failure domain: by the term of the leader that wrote them,
-/// then by its count of lines written.
+/// Orders the records of a failure domain by the term of the leader that wrote them, then
+/// by a counter of that leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Stamp {
     /// Term of the leader.
     pub term: Epoch,
-    /// Counts the lines that the leader wrote.
+    /// Number of records that the leader had written, this one included.
     pub number: u64,
 }
 
-/// A line for each failure domain.
+/// The records of all failure domains.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    lines: BTreeMap<FailureDomain, Stamped>,
+    records: BTreeMap<FailureDomain, DomainRecord>,
     hash: Fingerprint,
 }
 
 impl Default for Directory {
     fn default() -> Self {
         let mut directory = Self {
-            lines: BTreeMap::new(),
+            records: BTreeMap::new(),
             hash: Fingerprint::default(),
         };
         directory.rehash();
@@ -43,75 +43,75 @@
 }
 
 impl Directory {
-    /// The line of a failure domain, if there is one.
-    pub fn line(&self, domain: &FailureDomain) -> Option<&Stamped> {
-        self.lines.get(domain)
+    /// The record of a failure domain; `None` if it has none.
+    pub fn record(&self, domain: &FailureDomain) -> Option<&DomainRecord> {
+        self.records.get(domain)
     }
 
-    /// All lines.
-    pub fn lines(&self) -> impl Iterator<Item = (&FailureDomain, &Stamped)> {
-        self.lines.iter()
+    /// All records, sorted by failure domain.
+    pub fn records(&self) -> impl Iterator<Item = (&FailureDomain, &DomainRecord)> {
+        self.records.iter()
     }
 
-    /// All members, by failure domain and name.
+    /// All members, sorted by failure domain and name.
     pub fn members(&self) -> impl Iterator<Item = &MemberInfo> {
-        self.lines.values().flat_map(|line| &line.members)
+        self.records.values().flat_map(|record| &record.members)
     }
 
-    /// Equal for two directories whose lines have the same stamps. A stamp is written
-    /// once, so their members are the same as well.
+    /// Hash over the stamps of all records. Each stamp is assigned once, so directories with
+    /// equal hashes have the same members.
     pub fn hash(&self) -> Fingerprint {
         self.hash
     }
 
     pub(crate) fn stamps(&self) -> Vec<(FailureDomain, Stamp)> {
-        self.lines
+        self.records
             .iter()
-            .map(|(domain, line)| (domain.clone(), line.stamp))
+            .map(|(domain, record)| (domain.clone(), record.stamp))
             .collect()
     }
 
-    /// Takes the lines that are newer than those held; says which.
+    /// Applies the records that are newer than those held; returns their failure domains.
     pub(crate) fn merge(
         &mut self,
-        lines: impl IntoIterator<Item = (FailureDomain, Stamped)>,
+        records: impl IntoIterator<Item = (FailureDomain, DomainRecord)>,
     ) -> Vec<FailureDomain> {
-        let mut taken = Vec::new();
-        for (domain, line) in lines {
-            if self.merge_line(domain.clone(), line) {
-                taken.push(domain);
+        let mut updated = Vec::new();
+        for (domain, record) in records {
+            if self.merge_record(domain.clone(), record) {
+                updated.push(domain);
             }
         }
-        if !taken.is_empty() {
+        if !updated.is_empty() {
             self.rehash();
         }
-        taken
+        updated
     }
 
-    /// The lines that are newer than the stamps, or have none there.
+    /// The records that are newer than `stamps`, or missing there.
     pub(crate) fn newer_than(
         &self,
-        have: &[(FailureDomain, Stamp)],
-    ) -> Vec<(FailureDomain, Stamped)> {
-        let have: BTreeMap<_, _> = have
+        stamps: &[(FailureDomain, Stamp)],
+    ) -> Vec<(FailureDomain, DomainRecord)> {
+        let held: BTreeMap<_, _> = stamps
             .iter()
             .map(|(domain, stamp)| (domain, *stamp))
             .collect();
-        self.lines
+        self.records
             .iter()
-            .filter(|(domain, line)| have.get(domain).is_none_or(|stamp| *stamp < line.stamp))
-            .map(|(domain, line)| (domain.clone(), line.clone()))
+            .filter(|(domain, record)| held.get(domain).is_none_or(|stamp| *stamp < record.stamp))
+            .map(|(domain, record)| (domain.clone(), record.clone()))
             .collect()
     }
 
-    fn merge_line(&mut self, domain: FailureDomain, line: Stamped) -> bool {
-        match self.lines.entry(domain) {
+    fn merge_record(&mut self, domain: FailureDomain, record: DomainRecord) -> bool {
+        match self.records.entry(domain) {
             Entry::Vacant(e) => {
-                e.insert(line);
+                e.insert(record);
                 true
             }
-            Entry::Occupied(mut e) if e.get().stamp < line.stamp => {
-                e.insert(line);
+            Entry::Occupied(mut e) if e.get().stamp < record.stamp => {
+                e.insert(record);
                 true
             }
             Entry::Occupied(_) => false,
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! The part of spreading that runs on each entry.
+//! The part of the distribution protocol that runs on each entry.
 
 mod domain;
+mod leader;
 mod proof;
-mod relay;
 mod report;
 mod table;
 
@@ -23,44 +23,44 @@
 use self::proof::Proof;
 use self::table::Pull;
 
-/// What happened.
+/// Input of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[expect(
     clippy::large_enum_variant,
     reason = "an event lives for one step only"
 )]
 pub enum Event {
-    /// Time has passed. Sent at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
-    /// A message came in.
+    /// A message has arrived.
     Received {
-        /// Who sent it.
+        /// Its sender.
         from: Sender,
         /// The message.
         message: Message,
     },
     /// This process begins a planned stop.
     Leave,
-    /// This process ends now; the last event of a planned stop.
+    /// This process is ending; the last event of a planned stop.
     Stop,
 }
 
-/// Which weights the node may act on.
+/// Which weights a node may act on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Readiness {
-    /// None: the node has just started and asks for the newest version.
+    /// None: the node has just started and is querying the newest version.
     #[default]
     Starting,
     /// None, but it may serve: the newest version isn't proven, or a newer one than the
-    /// one held is known to exist. Serve endpoints of the own failure domain that
-    /// report themselves ready, by even share, and move nothing across regions.
+    /// one held is known to exist. Requests go evenly to endpoints of the same failure
+    /// domain that report themselves ready, and never to other regions.
     Cautious,
-    /// Those of the view in force.
+    /// The weights of the view in force.
     Proven,
 }
 
 impl Readiness {
-    /// The name, as operators see it.
+    /// The name shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -70,157 +70,157 @@
     }
 }
 
-/// What to do next.
+/// Output of a step, carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// Its destination.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Act on this view from now on. Versions only go up.
+    /// Act on this view from now on. Versions only increase.
     InForce(Arc<View>),
     /// The live and leaving entries of all failure domains, this one included.
     Entries(Vec<MemberInfo>),
     /// The readiness has changed.
     Readiness(Readiness),
-    /// Another node holds other rows under the version held here: the memory of one of
-    /// the two is damaged, and an operator should restart both.
+    /// Another node holds different rows under the same version: the memory of one of the
+    /// two is corrupted, and an operator should restart both.
     Diverged,
 }
 
-/// Addresses that a node learns from its settings.
+/// Addresses from a node's settings.
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
     /// The control replicas.
     pub controls: Vec<SocketAddr>,
-    /// Entries to ask at start.
+    /// Entries to query at start.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// State of a node as shown to operators.
+/// State of a node, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Version held.
-    pub held: Version,
+    /// Version of the view held.
+    pub version: Version,
     /// Newest version known to exist.
-    pub known: Version,
+    pub newest_known: Version,
     /// Which weights it may act on.
     pub readiness: Readiness,
-    /// The control leader as far as known.
+    /// The control leader, if known.
     pub leader: Option<Leader>,
-    /// When a message of the leader last came here, straight or by the relay.
-    pub leader_heard: Option<Moment>,
+    /// When the leader was last known to be live, from its own message or the relay's.
+    pub leader_last_seen: Option<Moment>,
     /// The relay that it reports to; `None` if it reports to control.
     pub relay: Option<NodeName>,
-    /// Whether the last node that compared holds other rows under the version held here.
+    /// Whether the last node compared with holds different rows under the same version.
     pub diverged: bool,
 }
 
-/// The spreading state of one entry.
+/// Distribution state of one entry.
 #[derive(Debug)]
 pub struct Node {
     cfg: Config,
     rng: StdRng,
-    me: MemberInfo,
+    local: MemberInfo,
     contacts: Contacts,
     history: History,
-    known: Version,
+    newest_known: Version,
     pull: Pull,
     diverged: bool,
     directory: Directory,
-    directory_asked: Option<Moment>,
+    directory_pulled_at: Option<Moment>,
     term: Epoch,
     leader: Option<Leader>,
-    leader_heard: Option<Moment>,
+    leader_last_seen: Option<Moment>,
     next_control: usize,
     proof: Proof,
     domain: Domain,
     due: Due,
-    last_step: Option<Moment>,
-    shown: Shown,
+    last_step_at: Option<Moment>,
+    notified: Notified,
 }
 
-/// When periodic messages go out next.
+/// When periodic messages are due next.
 #[derive(Debug, Default)]
 struct Due {
     report: Moment,
     digest: Moment,
     gossip: Moment,
-    far_gossip: Moment,
+    remote_gossip: Moment,
     probe: Moment,
 }
 
-/// What the owner has been told.
+/// State that was last passed to the owner in actions.
 #[derive(Debug, Default)]
-struct Shown {
+struct Notified {
     in_force: Option<Version>,
     readiness: Readiness,
     diverged: bool,
-    /// Hashes of the directory and of the failure domain's roster, and whether this
-    /// entry leaves: what the entries are made of.
+    /// Hashes of the directory and of the failure domain's roster, and whether this entry
+    /// is leaving: everything that the list of entries depends on.
     entries: Option<(Fingerprint, Fingerprint, bool)>,
 }
 
 impl Node {
-    /// A node that holds nothing and is [`Readiness::Starting`].
-    pub fn new(cfg: Config, me: MemberInfo, contacts: Contacts) -> Self {
+    /// Creates a node without state, which is [`Readiness::Starting`].
+    pub fn new(cfg: Config, local: MemberInfo, contacts: Contacts) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         Self {
             history: History::new(cfg.kept_deltas),
-            known: cfg.floor,
+            newest_known: cfg.watermark,
             pull: Pull::default(),
             diverged: false,
             directory: Directory::default(),
-            directory_asked: None,
+            directory_pulled_at: None,
             term: Epoch::default(),
             leader: None,
-            leader_heard: None,
+            leader_last_seen: None,
             next_control: 0,
             proof: Proof::new(&mut rng),
-            domain: Domain::new(&me),
+            domain: Domain::new(&local),
             due: Due::default(),
-            last_step: None,
-            shown: Shown::default(),
+            last_step_at: None,
+            notified: Notified::default(),
             cfg,
             rng,
-            me,
+            local,
             contacts,
         }
     }
 
-    /// Says what to do after an event.
+    /// Processes an event and returns what to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.begin(now, &mut out);
+        self.begin_step(now, &mut out);
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Received { from, message } => self.receive(now, &from, message, &mut out),
             Event::Leave => self.leave(now, &mut out),
             Event::Stop => self.stop(&mut out),
         }
-        self.show(&mut out);
+        self.notify(&mut out);
         out
     }
 
-    /// The newest view held, proven or not. Its weights may be acted on only when an
-    /// [`Action::InForce`] has handed it out; its limits are bounds at any time.
-    pub fn held(&self) -> &Arc<View> {
+    /// The newest view held, proven or not. Its weights may be acted on only after an
+    /// [`Action::InForce`] with it; its limits apply at any time.
+    pub fn view(&self) -> &Arc<View> {
         self.history.view()
     }
 
-    /// The control leader as far as known.
+    /// The control leader, if known.
     pub fn leader(&self) -> Option<Leader> {
         self.leader
     }
 
-    /// Whether nothing newer than the view held can have been in force for longer than a
-    /// leader takes to be missed: the view is proven, and the leader, which says what it
-    /// holds itself, is heard. Only then does what the view lacks not exist.
+    /// Whether the view held is the newest, up to the time after which a leader counts as
+    /// silent: the view is proven, and the leader, which announces its own version, is live.
+    /// Only then may the node answer that something missing from the view doesn't exist.
     ///
-    /// A node that is cut off stays [`Readiness::Proven`]: it may act on what it knows.
+    /// A node that is cut off stays [`Readiness::Proven`]: it may act on the view it holds.
     pub fn is_current(&self, now: Moment) -> bool {
         self.readiness() == Readiness::Proven && !self.leader_is_silent(now)
     }
@@ -228,32 +228,32 @@
     /// State for operators.
     pub fn status(&self) -> Status {
         Status {
-            held: self.history.version(),
-            known: self.known,
+            version: self.history.version(),
+            newest_known: self.newest_known,
             readiness: self.readiness(),
             leader: self.leader,
-            leader_heard: self.leader_heard,
+            leader_last_seen: self.leader_last_seen,
             relay: self.domain.relay().cloned(),
             diverged: self.diverged,
         }
     }
 
-    fn begin(&mut self, now: Moment, out: &mut Vec<Action>) {
-        match self.last_step.replace(now) {
+    fn begin_step(&mut self, now: Moment, out: &mut Vec<Action>) {
+        match self.last_step_at.replace(now) {
             None => self.first_step(now, out),
-            // A suspended process wakes with a view that may be hundreds of changes
-            // old and a proof that says nothing of them: it is as good as restarted.
-            Some(last) if now.saturating_sub(last) > self.cfg.stall => self.start_over(now, out),
+            // A suspended process resumes with a view that may be hundreds of changes old
+            // and a proof that doesn't cover them, so it starts over.
+            Some(at) if now.saturating_sub(at) > self.cfg.suspend_threshold => self.reset(now, out),
             Some(_) => {}
         }
     }
 
     fn first_step(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.spread_out_dues(now);
-        self.start_over(now, out);
+        self.jitter_due_times(now);
+        self.reset(now, out);
     }
 
-    fn start_over(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn reset(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.proof = Proof::new(&mut self.rng);
         self.proof.start(now);
         self.query(now, out);
@@ -272,14 +272,18 @@
             Message::RosterPull => self.send_roster(from.addr, out),
             Message::Roster(members) => self.on_roster(now, from, members, out),
             Message::Digest(digest) => self.on_digest(now, from, &digest, out),
-            Message::TablePull { have } => out.extend(send(from.addr, self.history.catch_up(have))),
+            Message::TablePull { base } => out.extend(send(from.addr, self.history.catch_up(base))),
             Message::Delta { delta, table, push } => {
                 self.on_delta(now, from, &delta, table, push, out);
             }
             Message::Table { view, table } => self.on_table(now, from, &view, table, out),
-            Message::DirectoryPull { have } => self.on_directory_pull(from, &have, out),
-            Message::Directory { term, lines, push } => {
-                self.on_directory(now, term, lines, push, out);
+            Message::DirectoryPull { stamps } => self.on_directory_pull(from, &stamps, out),
+            Message::Directory {
+                term,
+                records,
+                push,
+            } => {
+                self.on_directory(now, term, records, push, out);
             }
             Message::Query { nonce, member } => self.on_query(now, from, nonce, member, out),
             Message::Answer(answer) => self.on_answer(now, from, answer, out),
@@ -288,50 +292,50 @@
         }
     }
 
-    /// Tells the owner what has changed.
-    fn show(&mut self, out: &mut Vec<Action>) {
+    /// Passes changed state to the owner.
+    fn notify(&mut self, out: &mut Vec<Action>) {
         let readiness = self.readiness();
-        self.show_in_force(readiness, out);
-        if self.shown.readiness != readiness {
-            self.shown.readiness = readiness;
+        self.notify_in_force(readiness, out);
+        if self.notified.readiness != readiness {
+            self.notified.readiness = readiness;
             out.push(Action::Readiness(readiness));
         }
-        self.show_diverged(out);
-        self.show_entries(out);
+        self.notify_diverged(out);
+        self.notify_entries(out);
     }
 
-    /// Guards against old weights after a restart or a lost message: a view goes out
-    /// only while it is proven to be the newest one this node can know of. Its version
-    /// can't go down, because [`History`] never goes back.
-    fn show_in_force(&mut self, readiness: Readiness, out: &mut Vec<Action>) {
+    /// Passes a view to the owner only while it is proven to be the newest that this node
+    /// knows of, so that a restart or a lost message never brings old weights into force.
+    /// The version can't decrease, because that of [`History`] never does.
+    fn notify_in_force(&mut self, readiness: Readiness, out: &mut Vec<Action>) {
         let version = self.history.version();
-        if readiness != Readiness::Proven || self.shown.in_force == Some(version) {
+        if readiness != Readiness::Proven || self.notified.in_force == Some(version) {
             return;
         }
-        self.shown.in_force = Some(version);
+        self.notified.in_force = Some(version);
         out.push(Action::InForce(Arc::clone(self.history.view())));
     }
 
-    fn show_diverged(&mut self, out: &mut Vec<Action>) {
-        let shown = std::mem::replace(&mut self.shown.diverged, self.diverged);
-        if self.diverged && !shown {
+    fn notify_diverged(&mut self, out: &mut Vec<Action>) {
+        let notified = std::mem::replace(&mut self.notified.diverged, self.diverged);
+        if self.diverged && !notified {
             out.push(Action::Diverged);
         }
     }
 
-    fn show_entries(&mut self, out: &mut Vec<Action>) {
+    fn notify_entries(&mut self, out: &mut Vec<Action>) {
         let roster = self.domain.roster().hash();
-        let made_of = (self.directory.hash(), roster, self.me.leaving);
-        if self.shown.entries != Some(made_of) {
-            self.shown.entries = Some(made_of);
+        let key = (self.directory.hash(), roster, self.local.leaving);
+        if self.notified.entries != Some(key) {
+            self.notified.entries = Some(key);
             out.push(Action::Entries(self.entries()));
         }
     }
 
-    /// Other failure domains as the leader has published them, the own one as its
-    /// members see each other: a failure domain that is cut off has nobody else to ask.
+    /// The entries of other failure domains as published by the leader, and those of the own
+    /// one as seen by its members, since a domain that is cut off has no other source.
     fn entries(&self) -> Vec<MemberInfo> {
-        let own = &self.me.failure_domain;
+        let own = &self.local.failure_domain;
         let others = self
             .directory
             .members()
@@ -340,7 +344,7 @@
             .chain(self.domain.roster().members())
             .map(|member| (&member.name, member))
             .collect();
-        entries.insert(&self.me.name, &self.me);
+        entries.insert(&self.local.name, &self.local);
         entries.into_values().cloned().collect()
     }
 }
--- a/crates/spread/src/source/mod.rs
+++ b/crates/spread/src/source/mod.rs
@@ -1,4 +1,4 @@
-//! The part of spreading that runs on each control replica.
+//! The part of the distribution protocol that runs on each control replica.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,22 +10,22 @@
 
 use crate::directory::Directory;
 use crate::history::History;
-use crate::reports::{Heard, Reported, Reports};
+use crate::reports::{ReportOutcome, ReportedMember, Reports};
 use crate::{Answer, Config, Digest, DigestKind, Fingerprint, Leader, MemberInfo, Message};
-use crate::{Report, Sender, Stamp, Standing};
+use crate::{Report, Responder, Sender, Stamp};
 
 mod publish;
 
-/// What happened.
+/// Input of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed. Sent at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
-    /// The replica's state machine has reached this version; committed state only. Hand
-    /// it in before the operator who sent the change gets an answer.
+    /// The replica's state machine has committed this version. Must be sent before the operator
+    /// who made the change receives an answer.
     Committed(Arc<View>),
-    /// The replica leads, its lease is valid until then, and it has applied every entry
-    /// of earlier terms. Repeat it as the lease is renewed.
+    /// The replica leads with a lease valid until `until`, and has applied all log entries of
+    /// earlier terms. Repeated as the lease is renewed.
     Lead {
         /// Its term.
         term: Epoch,
@@ -34,24 +34,24 @@
     },
     /// The replica doesn't lead.
     Follow {
-        /// The leader as far as known.
+        /// The leader, if known.
         leader: Option<Leader>,
     },
-    /// A message came in.
+    /// A message has arrived.
     Received {
-        /// Who sent it.
+        /// Its sender.
         from: Sender,
         /// The message.
         message: Message,
     },
 }
 
-/// What to do next.
+/// Output of a step, carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// Its destination.
         to: SocketAddr,
         /// The message.
         message: Message,
@@ -60,109 +60,110 @@
     Entries(Vec<MemberInfo>),
 }
 
-/// An entry as `status` shows it.
+/// State of an entry as returned by [`Source::status`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
     /// The entry.
     pub member: MemberInfo,
-    /// Version in force there; `None` if this leader hasn't heard of it yet.
+    /// Version in force there; `None` if no report of it has reached this leader.
     pub version: Option<Version>,
-    /// How long ago it was last heard of, straight or by its relay.
+    /// Time since its last report, direct or through its relay; `None` if there was none.
     pub age: Option<Duration>,
-    /// Whether it stands in the directory.
+    /// Whether it is in the directory.
     pub live: bool,
 }
 
-/// What was last heard of an entry.
+/// State of an entry from its last report.
 #[derive(Clone, Debug)]
-struct Seen {
+struct LastReport {
     info: MemberInfo,
     version: Version,
-    heard: Moment,
+    last_seen: Moment,
 }
 
-impl From<Reported<'_>> for Seen {
-    fn from(reported: Reported<'_>) -> Self {
+impl From<ReportedMember<'_>> for LastReport {
+    fn from(reported: ReportedMember<'_>) -> Self {
         Self {
             info: reported.info.clone(),
             version: reported.version,
-            heard: reported.heard,
+            last_seen: reported.last_seen,
         }
     }
 }
 
+/// Term, lease and begin of this replica's leadership.
 #[derive(Clone, Copy, Debug)]
-struct Lead {
+struct Leadership {
     term: Epoch,
     until: Moment,
     since: Moment,
 }
 
-/// The spreading state of one control replica.
+/// Distribution state of one control replica.
 #[derive(Debug)]
 pub struct Source {
     cfg: Config,
-    /// Where the other control replicas take messages.
+    /// Addresses of the other control replicas.
     replicas: Vec<SocketAddr>,
     history: History,
     reports: Reports,
     directory: Directory,
-    number: u64,
-    lead: Option<Lead>,
+    stamp_number: u64,
+    lead: Option<Leadership>,
     leader: Option<Leader>,
-    /// What this leader has last heard of each entry, those gone included.
-    seen: BTreeMap<NodeName, Seen>,
-    /// Entries that have said that they stop.
+    /// Last reports received by this leader, by entry, removed entries included.
+    last_reports: BTreeMap<NodeName, LastReport>,
+    /// Entries that have announced their stop.
     stopped: BTreeMap<NodeName, Incarnation>,
     digest_due: Moment,
-    /// When to look for changed lines, at the latest.
+    /// When to check for changed records, at the latest.
     check_due: Moment,
     published: Moment,
-    shown: Fingerprint,
+    notified: Fingerprint,
 }
 
 impl Source {
-    /// A source that doesn't lead.
+    /// Creates a source that doesn't lead.
     pub fn new(cfg: Config, replicas: Vec<SocketAddr>) -> Self {
         let directory = Directory::default();
         Self {
             history: History::new(cfg.kept_deltas),
             reports: Reports::default(),
-            number: 0,
+            stamp_number: 0,
             lead: None,
             leader: None,
-            seen: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             stopped: BTreeMap::new(),
             digest_due: Moment::ZERO,
             check_due: Moment::ZERO,
             published: Moment::ZERO,
-            shown: directory.hash(),
+            notified: directory.hash(),
             cfg,
             replicas,
             directory,
         }
     }
 
-    /// Tells where the other control replicas are, after a replacement.
+    /// Sets the addresses of the other control replicas after a replacement.
     pub fn set_replicas(&mut self, replicas: Vec<SocketAddr>) {
         self.replicas = replicas;
     }
 
-    /// Says what to do after an event.
+    /// Processes an event and returns what to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.check_lease(now);
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Committed(view) => self.commit(now, view, &mut out),
-            Event::Lead { term, until } => self.take_lead(now, term, until, &mut out),
+            Event::Lead { term, until } => self.become_leader(now, term, until, &mut out),
             Event::Follow { leader } => {
                 self.lead = None;
                 self.leader = leader;
             }
             Event::Received { from, message } => self.receive(now, &from, message, &mut out),
         }
-        self.show(&mut out);
+        self.notify(&mut out);
         out
     }
 
@@ -171,20 +172,20 @@
         &self.directory
     }
 
-    /// Every entry with the version in force there, by name.
+    /// All entries with the version in force at each, sorted by name.
     pub fn status(&self, now: Moment) -> Vec<MemberStatus> {
-        let mut seen = self.seen.clone();
+        let mut last_reports = self.last_reports.clone();
         let reported = self.reports.members().into_iter();
-        seen.extend(reported.map(|(name, last)| (name.clone(), Seen::from(last))));
-        let gone = seen.values().map(|last| (&last.info, false));
+        last_reports.extend(reported.map(|(name, last)| (name.clone(), LastReport::from(last))));
+        let gone = last_reports.values().map(|last| (&last.info, false));
         let listed = self.directory.members().map(|member| (member, true));
         let mut status = BTreeMap::new();
         for (member, live) in gone.chain(listed) {
-            let last = seen.get(&member.name);
+            let last = last_reports.get(&member.name);
             let member_status = MemberStatus {
                 member: member.clone(),
                 version: last.map(|last| last.version),
-                age: last.map(|last| now.saturating_sub(last.heard)),
+                age: last.map(|last| now.saturating_sub(last.last_seen)),
                 live,
             };
             status.insert(member.name.clone(), member_status);
@@ -192,23 +193,23 @@
         status.into_values().collect()
     }
 
-    /// Guards against a replica that was suspended or cut off and still takes itself
-    /// for the leader: its lease has run out by its own clock, so it stops proving and
-    /// publishing before it looks at anything else.
+    /// Ends the leadership when the lease has expired by the local clock, before anything else
+    /// is processed. A replica that was suspended or cut off must not prove or publish as if
+    /// it still led.
     fn check_lease(&mut self, now: Moment) {
         if self.lead.is_some_and(|lead| now >= lead.until) {
             self.lead = None;
         }
     }
 
-    fn take_lead(&mut self, now: Moment, term: Epoch, until: Moment, out: &mut Vec<Action>) {
+    fn become_leader(&mut self, now: Moment, term: Epoch, until: Moment, out: &mut Vec<Action>) {
         match &mut self.lead {
             Some(lead) if lead.term == term => lead.until = until,
             _ => {
                 let since = now;
-                self.lead = Some(Lead { term, until, since });
+                self.lead = Some(Leadership { term, until, since });
                 self.reports.clear();
-                self.seen.clear();
+                self.last_reports.clear();
                 self.stopped.clear();
                 self.send_digests(now, out);
             }
@@ -227,15 +228,15 @@
     }
 
     fn commit(&mut self, now: Moment, view: Arc<View>, out: &mut Vec<Action>) {
-        self.history.advance(view);
+        self.history.apply_committed(view);
         if self.lead.is_none() {
             return;
         }
-        let Some(step) = self.history.last_step() else {
+        let Some(delta) = self.history.last_delta() else {
             return;
         };
-        for to in self.step_targets(now) {
-            let message = step.clone();
+        for to in self.delta_targets(now) {
+            let message = delta.clone();
             out.push(Action::Send { to, message });
         }
     }
@@ -245,10 +246,10 @@
         let reply = match message {
             Message::Report(report) => return self.on_report(now, from, report, out),
             Message::Digest(digest) => self.on_digest(&digest),
-            Message::TablePull { have } => self.history.catch_up(have),
-            Message::DirectoryPull { have } => self.lines_since(&have),
-            Message::Directory { lines, .. } => {
-                self.directory.merge(lines);
+            Message::TablePull { base } => self.history.catch_up(base),
+            Message::DirectoryPull { stamps } => self.records_since(&stamps),
+            Message::Directory { records, .. } => {
+                self.directory.merge(records);
                 None
             }
             Message::Query { nonce, .. } => Some(self.answer(nonce)),
@@ -258,7 +259,7 @@
                 self.check_due = now;
                 None
             }
-            // Between entries only, or for entries only.
+            // Sent only between entries, or only to entries.
             Message::ReportPull
             | Message::RosterPull
             | Message::Roster(_)
@@ -278,47 +279,47 @@
             return reply(Message::NotLeader { leader });
         };
         let directory = report.directory;
-        match self.reports.take(now, from, report) {
-            Heard::Outdated => return,
-            Heard::First => {
+        match self.reports.record(now, from, report) {
+            ReportOutcome::Superseded => return,
+            ReportOutcome::NewReporter => {
                 reply(Message::Digest(self.digest(lead.term)));
                 self.check_due = now;
             }
-            Heard::Changed => self.check_due = now,
-            Heard::Known => {}
+            ReportOutcome::MembersChanged => self.check_due = now,
+            ReportOutcome::Unchanged => {}
         }
-        let known = self.reports.get(&from.name);
-        if known.is_some_and(|reporter| !reporter.roster_known()) {
+        let reporter = self.reports.get(&from.name);
+        if reporter.is_some_and(|reporter| !reporter.has_current_roster()) {
             reply(Message::ReportPull);
         }
         if directory != self.directory.hash() {
-            let have = self.directory.stamps();
-            reply(Message::DirectoryPull { have });
+            let stamps = self.directory.stamps();
+            reply(Message::DirectoryPull { stamps });
         }
     }
 
-    /// A replica that doesn't lead keeps a copy of the leader's directory: when it
-    /// takes over, it knows whom to tell.
+    /// Pulls the leader's directory if it differs. A follower keeps a copy, so that it has the
+    /// addresses of entries when it becomes the leader.
     fn on_digest(&self, digest: &Digest) -> Option<Message> {
         let leader = matches!(digest.kind, DigestKind::Leader { .. });
         let differs = digest.directory != self.directory.hash();
-        let have = self.directory.stamps();
-        (leader && differs).then_some(Message::DirectoryPull { have })
+        let stamps = self.directory.stamps();
+        (leader && differs).then_some(Message::DirectoryPull { stamps })
     }
 
-    fn lines_since(&self, have: &[(FailureDomain, Stamp)]) -> Option<Message> {
-        let lines = self.directory.newer_than(have);
-        (!lines.is_empty()).then(|| Message::Directory {
+    fn records_since(&self, stamps: &[(FailureDomain, Stamp)]) -> Option<Message> {
+        let records = self.directory.newer_than(stamps);
+        (!records.is_empty()).then(|| Message::Directory {
             term: self.lead.map(|lead| lead.term).unwrap_or_default(),
-            lines,
+            records,
             push: false,
         })
     }
 
     fn answer(&self, nonce: u64) -> Message {
-        let standing = match self.lead {
-            Some(lead) => Standing::Leader { term: lead.term },
-            None => Standing::Follower {
+        let responder = match self.lead {
+            Some(lead) => Responder::Leader { term: lead.term },
+            None => Responder::Follower {
                 leader: self.leader,
             },
         };
@@ -326,7 +327,7 @@
             nonce,
             version: self.history.version(),
             directory: self.directory.hash(),
-            standing,
+            responder,
         })
     }
 
@@ -339,9 +340,9 @@
         }
     }
 
-    fn show(&mut self, out: &mut Vec<Action>) {
-        if self.shown != self.directory.hash() {
-            self.shown = self.directory.hash();
+    fn notify(&mut self, out: &mut Vec<Action>) {
+        if self.notified != self.directory.hash() {
+            self.notified = self.directory.hash();
             out.push(Action::Entries(self.directory.members().cloned().collect()));
         }
     }
--- a/crates/spread/src/source/publish.rs
+++ b/crates/spread/src/source/publish.rs
@@ -1,4 +1,4 @@
-//! What the leader sends on its own account: digests and lines of the directory.
+//! Messages that the leader initiates: digests, deltas and directory records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,22 +7,22 @@
 use filberthead_types::{FailureDomain, Moment};
 
 use crate::reports::Reporter;
-use crate::{MemberInfo, Message, Stamp, Stamped};
+use crate::{DomainRecord, MemberInfo, Message, Stamp};
 
-use super::{Action, Lead, Seen, Source};
+use super::{Action, LastReport, Leadership, Source};
 
-/// Shortest time between two publications, so that a failure domain that starts up
-/// makes a few of them and not one for each member.
+/// Minimum time between two publications, so that a starting failure domain causes a few of
+/// them and not one for each member.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(200);
-/// Most entries that are shown after they were taken off the directory.
-const KEPT_GONE: usize = 256;
+/// Maximum number of entries that status still shows after their removal from the directory.
+const MAX_REMOVED_KEPT: usize = 256;
 
 impl Source {
     pub(super) fn send_digests(&mut self, now: Moment, out: &mut Vec<Action>) {
         let Some(lead) = self.lead else {
             return;
         };
-        self.digest_due = now + self.cfg.period;
+        self.digest_due = now + self.cfg.heartbeat_period;
         let message = Message::Digest(self.digest(lead.term));
         self.send_to_all(now, &message, out);
     }
@@ -38,33 +38,33 @@
         }));
     }
 
-    /// Where a step goes: to the relays, and to the first two members of each failure
-    /// domain by name. Each of them hands it on to all others, so a change that comes at
-    /// the moment when a relay dies doesn't wait until that is noticed.
-    pub(super) fn step_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
-        let lines = self.directory.lines();
-        let firsts = lines.flat_map(|(_, line)| line.members.iter().take(2));
-        let mut addrs: BTreeSet<_> = firsts.map(|member| member.peer_addr).collect();
+    /// Where deltas are sent: to the relays, and to the first two members of each failure
+    /// domain by name. Each of them forwards it to all others, so that a change during the
+    /// failure of a relay doesn't wait until that is detected.
+    pub(super) fn delta_targets(&self, now: Moment) -> BTreeSet<SocketAddr> {
+        let records = self.directory.records();
+        let first_members = records.flat_map(|(_, record)| record.members.iter().take(2));
+        let mut addrs: BTreeSet<_> = first_members.map(|member| member.peer_addr).collect();
         addrs.append(&mut self.relays(now));
         addrs
     }
 
-    /// Where a digest goes: to whoever reports for a failure domain. While
-    /// nobody has for more than two periods, to its first two members by name as well,
-    /// so that a change doesn't wait until the death of a relay is certain.
+    /// Where digests are sent: to all processes that report here. If no report for a failure
+    /// domain has arrived within two periods, also to its first two members by name, so that
+    /// a change doesn't wait until the failure of a relay is certain.
     fn relays(&self, now: Moment) -> BTreeSet<SocketAddr> {
-        let late = self.cfg.period * 2;
+        let late = self.cfg.heartbeat_period * 2;
         let mut addrs = BTreeSet::new();
-        let mut heard = BTreeSet::new();
+        let mut reporting = BTreeSet::new();
         for reporter in self.reports.iter() {
             addrs.insert(reporter.sender.addr);
-            if now.saturating_sub(reporter.heard) < late {
-                heard.extend(reporter.roster.members().iter().map(|m| &m.failure_domain));
+            if now.saturating_sub(reporter.last_seen) < late {
+                reporting.extend(reporter.roster.members().iter().map(|m| &m.failure_domain));
             }
         }
-        for (domain, line) in self.directory.lines() {
-            if !heard.contains(domain) {
-                let first = line
+        for (domain, record) in self.directory.records() {
+            if !reporting.contains(domain) {
+                let first = record
                     .members
                     .iter()
                     .filter(|member| !self.reports_here(member));
@@ -79,34 +79,37 @@
     }
 
     pub(super) fn expire_reports(&mut self, now: Moment) {
-        let silence = self.cfg.leader_silence;
-        let silent = |reporter: &Reporter| now.saturating_sub(reporter.heard) >= silence;
+        let silence = self.cfg.domain_timeout;
+        let silent = |reporter: &Reporter| now.saturating_sub(reporter.last_seen) >= silence;
         if self.reports.iter().any(silent) {
-            self.remember();
+            self.save_last_reports();
             self.reports.expire(now, silence);
             self.check_due = now;
         }
     }
 
-    /// Keeps what was last heard of each entry, so that one that has gone can still be
-    /// shown with its last version.
-    fn remember(&mut self) {
+    /// Saves the last report of each entry, so that status can show a removed entry with its
+    /// last version.
+    fn save_last_reports(&mut self) {
         let reported = self.reports.members().into_iter();
-        let reported = reported.map(|(name, last)| (name.clone(), Seen::from(last)));
-        self.seen.extend(reported);
+        let reported = reported.map(|(name, last)| (name.clone(), LastReport::from(last)));
+        self.last_reports.extend(reported);
         let listed: BTreeSet<_> = self.directory.members().map(|m| &m.name).collect();
-        let gone = self.seen.iter().filter(|(name, _)| !listed.contains(name));
-        let mut gone: Vec<_> = gone
-            .map(|(name, last)| (last.heard, name.clone()))
+        let removed = self
+            .last_reports
+            .iter()
+            .filter(|(name, _)| !listed.contains(name));
+        let mut removed: Vec<_> = removed
+            .map(|(name, last)| (last.last_seen, name.clone()))
             .collect();
-        gone.sort();
-        let excess = gone.len().saturating_sub(KEPT_GONE);
-        for (_, name) in gone.into_iter().take(excess) {
-            self.seen.remove(&name);
+        removed.sort();
+        let excess = removed.len().saturating_sub(MAX_REMOVED_KEPT);
+        for (_, name) in removed.into_iter().take(excess) {
+            self.last_reports.remove(&name);
         }
     }
 
-    /// Brings the directory up to what is reported.
+    /// Updates the directory from the reports and publishes the changed records.
     pub(super) fn publish(&mut self, now: Moment, out: &mut Vec<Action>) {
         let Some(lead) = self.lead else {
             return;
@@ -114,50 +117,58 @@
         if now < self.check_due || now < self.published + PUBLISH_PAUSE {
             return;
         }
-        self.check_due = now + self.cfg.period;
-        let lines = self.changed_lines(now, lead);
-        if lines.is_empty() {
+        self.check_due = now + self.cfg.heartbeat_period;
+        let records = self.changed_records(now, lead);
+        if records.is_empty() {
             return;
         }
         self.published = now;
-        self.remember();
-        self.directory.merge(lines.clone());
+        self.save_last_reports();
+        self.directory.merge(records.clone());
         let message = Message::Directory {
             term: lead.term,
-            lines,
+            records,
             push: true,
         };
         self.send_to_all(now, &message, out);
     }
 
-    fn changed_lines(&mut self, now: Moment, lead: Lead) -> Vec<(FailureDomain, Stamped)> {
-        let mut wanted = self.wanted_members(now, lead);
-        let listed = self.directory.lines().map(|(domain, _)| domain.clone());
-        let domains: BTreeSet<_> = listed.chain(wanted.keys().cloned()).collect();
-        let mut lines = Vec::new();
+    fn changed_records(
+        &mut self,
+        now: Moment,
+        lead: Leadership,
+    ) -> Vec<(FailureDomain, DomainRecord)> {
+        let mut target = self.target_members(now, lead);
+        let listed = self.directory.records().map(|(domain, _)| domain.clone());
+        let domains: BTreeSet<_> = listed.chain(target.keys().cloned()).collect();
+        let mut records = Vec::new();
         for domain in domains {
-            let members = wanted.remove(&domain).unwrap_or_default();
-            let current = self.directory.line(&domain);
-            if current.map_or(&[][..], |line| &line.members) == members {
+            let members = target.remove(&domain).unwrap_or_default();
+            let current = self.directory.record(&domain);
+            if current.map_or(&[][..], |record| &record.members) == members {
                 continue;
             }
-            self.number += 1;
+            self.stamp_number += 1;
             let stamp = Stamp {
                 term: lead.term,
-                number: self.number,
+                number: self.stamp_number,
             };
-            lines.push((domain, Stamped { stamp, members }));
+            records.push((domain, DomainRecord { stamp, members }));
         }
-        lines
+        records
     }
 
-    /// Members of each failure domain by name.
+    /// The members to publish for each failure domain, sorted by name.
     ///
-    /// Guards against publishing too few: a leader that has just taken over hasn't heard
-    /// of every failure domain, and a relay that has just started hasn't heard of every
-    /// member behind it. All others would vanish from answers for some seconds. Until a
-    /// failure domain has settled, members are added and updated but none is taken off.
-    fn wanted_members(&self, now: Moment, lead: Lead) -> BTreeMap<FailureDomain, Vec<MemberInfo>> {
+    /// A new leader hasn't received reports from every failure domain, and a relay that has
+    /// just started hasn't received them from every member. Publishing only the reported
+    /// members would remove all others from answers for some seconds. So until a failure
+    /// domain has settled, members are added and updated but not removed.
+    fn target_members(
+        &self,
+        now: Moment,
+        lead: Leadership,
+    ) -> BTreeMap<FailureDomain, Vec<MemberInfo>> {
         let settled = self.settled_domains(now, lead);
         let reported = self.reports.members();
         let kept = self.directory.members();
@@ -165,30 +176,30 @@
         let mut members: BTreeMap<_, _> = kept.map(|member| (&member.name, member)).collect();
         members.extend(reported.values().map(|last| (&last.info.name, last.info)));
         members.retain(|name, member| self.stopped.get(*name) != Some(&member.incarnation));
-        let mut wanted = BTreeMap::<FailureDomain, Vec<MemberInfo>>::new();
+        let mut target = BTreeMap::<FailureDomain, Vec<MemberInfo>>::new();
         for member in members.into_values() {
             let domain = member.failure_domain.clone();
-            wanted.entry(domain).or_default().push(member.clone());
+            target.entry(domain).or_default().push(member.clone());
         }
-        wanted
+        target
     }
 
-    /// Failure domains about which silence says something: those with a reporter that
-    /// has had time to hear of every member, and once this leader has had time to hear
-    /// of every failure domain, those without a reporter.
-    fn settled_domains(&self, now: Moment, lead: Lead) -> BTreeSet<&FailureDomain> {
+    /// Failure domains in which unreported members can be removed: those with a reporter that
+    /// has had time to receive reports from all members, and, once this leader has had time to
+    /// receive reports from all failure domains, those without a reporter.
+    fn settled_domains(&self, now: Moment, lead: Leadership) -> BTreeSet<&FailureDomain> {
         let mut settled = BTreeSet::new();
-        if now >= lead.since + self.cfg.leader_silence {
-            settled.extend(self.directory.lines().map(|(domain, _)| domain));
+        if now >= lead.since + self.cfg.domain_timeout {
+            settled.extend(self.directory.records().map(|(domain, _)| domain));
         }
-        let (seasoned, fresh): (Vec<_>, Vec<_>) = self
+        let (mature, recent): (Vec<_>, Vec<_>) = self
             .reports
             .iter()
-            .partition(|reporter| now >= reporter.since + self.cfg.member_silence);
-        for domain in fresh.into_iter().flat_map(Reporter::domains) {
+            .partition(|reporter| now >= reporter.since + self.cfg.member_timeout);
+        for domain in recent.into_iter().flat_map(Reporter::domains) {
             settled.remove(domain);
         }
-        settled.extend(seasoned.into_iter().flat_map(Reporter::domains));
+        settled.extend(mature.into_iter().flat_map(Reporter::domains));
         settled
     }
 }
