--- a/crates/filberthead/src/control/fleet.rs
+++ b/crates/filberthead/src/control/fleet.rs
@@ -163,7 +163,7 @@
                 self.start_read(ReadReplyTo::Replica { to, token }).await;
             }
             Message::ReadIndexResult { token, result } => {
-                self.handle_read_index(now, token, result)
+                self.handle_read_index(now, token, result);
             }
             other => {
                 let proven = self.replica.lease_until(now).is_some();
