--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/world.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use filberthead_place::{
-    Decision, EndpointId, Further, Load, Mechanism, Object, Outcome, Placer, Request, Target, Tries,
+    Attempts, Decision, EndpointId, Load, Mechanism, NextAttempt, Object, Outcome, Placer, Request,
+    Target,
 };
 use filberthead_types::{Region, ServiceName};
 use rand::rngs::StdRng;
@@ -59,7 +60,7 @@
     placed: u64,
     sent: u64,
     attempt: u32,
-    tries: Tries,
+    tries: Attempts,
     target: Option<Target>,
     over: bool,
 }
@@ -138,12 +139,12 @@
         self.gateways.clear();
         for number in 0..domains.len() * each {
             let mut cfg = site::config(number, &domains[number / each]);
-            cfg.without = self.without.clone();
+            cfg.disabled = self.without.clone();
             let mut placer = Placer::new(cfg);
             placer.set_routes(&site::table());
             placer.set_endpoints(ms(self.now), site::endpoints());
             placer.set_gateways(&counts);
-            placer.plan(ms(self.now));
+            placer.update_plans(ms(self.now));
             self.gateways.push(placer);
         }
     }
@@ -195,7 +196,7 @@
             placed: self.now,
             sent: self.now,
             attempt: 0,
-            tries: Tries::new(2),
+            tries: Attempts::new(2),
             target: None,
             over: false,
         });
@@ -206,7 +207,7 @@
     fn come(&mut self, request: usize) {
         let asked = &self.requests[request];
         let service = asked.wish.kind.service();
-        self.gateways[asked.wish.gateway].arrived(ms(self.now), &service);
+        self.gateways[asked.wish.gateway].record_request(ms(self.now), &service);
         self.place(request);
     }
 
@@ -227,10 +228,10 @@
             }),
             large: false,
             objective: ms(kind.objective_ms),
-            left: ms(left),
-            returned: asked.returned,
+            remaining: ms(left),
+            is_caller_retry: asked.returned,
             regions: &[],
-            tried: asked.tries.avoided(),
+            excluded: asked.tries.excluded(),
         };
         match self.gateways[asked.wish.gateway].place(ms(now), wanted) {
             Decision::Refuse { retry_after, .. } => self.turn_away(request, retry_after),
@@ -243,7 +244,7 @@
         let asked = &mut self.requests[request];
         asked.attempt += 1;
         asked.sent = self.now;
-        asked.tries.sent(target.id.clone());
+        asked.tries.record_sent(target.id.clone());
         let job = Job {
             request,
             attempt: asked.attempt,
@@ -323,9 +324,9 @@
         let asked = &self.requests[request];
         let took = ms(self.now - asked.sent);
         let placer = &mut self.gateways[asked.wish.gateway];
-        placer.reported(ms(self.now), &target, load);
+        placer.record_load(ms(self.now), &target, load);
         let service = asked.wish.kind.service();
-        placer.ended(ms(self.now), &service, &target, Outcome::Served(took));
+        placer.record_outcome(ms(self.now), &service, &target, Outcome::Served(took));
         let in_time = self.now - asked.came + CALLER_MS <= asked.wish.kind.objective_ms;
         self.finish(request, if in_time { End::InTime } else { End::Late });
     }
@@ -337,10 +338,12 @@
         let asked = &mut self.requests[request];
         let service = asked.wish.kind.service();
         let placer = &mut self.gateways[asked.wish.gateway];
-        placer.reported(ms(self.now), &target, load);
-        placer.ended(ms(self.now), &service, &target, Outcome::Full);
-        let further = asked.tries.refused(placer.may_try_again(true));
-        if further == Further::Allowed && placer.may_repeat(ms(self.now), &service) {
+        placer.record_load(ms(self.now), &target, load);
+        placer.record_outcome(ms(self.now), &service, &target, Outcome::Full);
+        let further = asked
+            .tries
+            .record_refused(placer.may_retry_same_endpoint(true));
+        if further == NextAttempt::Allowed && placer.try_spend_retry(ms(self.now), &service) {
             self.place(request);
         } else {
             self.turn_away(request, SOON);
@@ -357,7 +360,7 @@
         }
         asked.returned = true;
         asked.placed = at;
-        asked.tries = Tries::new(2);
+        asked.tries = Attempts::new(2);
         self.add(at, Event::Come(request));
     }
 
@@ -372,7 +375,7 @@
         let asked = &self.requests[request];
         let outcome = Outcome::Abandoned(ms(self.now - asked.sent));
         let service = asked.wish.kind.service();
-        self.gateways[asked.wish.gateway].ended(ms(self.now), &service, &target, outcome);
+        self.gateways[asked.wish.gateway].record_outcome(ms(self.now), &service, &target, outcome);
         self.finish(request, End::Lost);
     }
 
@@ -393,9 +396,9 @@
             if !self.told.is_empty() {
                 placer.set_demand(ms(self.now), &self.told);
             }
-            placer.plan(ms(self.now));
+            placer.update_plans(ms(self.now));
             let region = &regions[&domains[number / each]];
-            let demand = placer.demand(ms(self.now)).into_iter();
+            let demand = placer.take_demand(ms(self.now)).into_iter();
             told.extend(demand.map(|d| (region.clone(), d.service, d.busy_milli)));
         }
         self.told = told;
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: entries to followers, commit index, lease.
+//! The leader: replication to followers, commit index and lease.
 
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
@@ -6,38 +6,39 @@
 use crate::progress::{Flow, MAX_BATCHES_IN_FLIGHT};
 use crate::replica::{Replica, State};
 
-/// Election timeouts after which a snapshot without an answer is sent again.
-const INSTALL_RETRY: u32 = 5;
+/// Number of election timeouts after which an unacknowledged snapshot is resent.
+const SNAPSHOT_RETRY_TIMEOUTS: u32 = 5;
 
-/// What to send to a follower next.
-enum Next {
+/// What to send to a follower next. `Entries` may be empty: a heartbeat.
+enum Outgoing {
     Nothing,
     Entries(Vec<Entry>),
     Snapshot,
 }
 
 impl Replica {
-    /// Puts the opening entry of the term into the log and lets all know.
-    pub(crate) fn open_term(&mut self, now: Moment) {
+    /// Appends the first entry of the term and sends it to all replicas.
+    pub(crate) fn start_term(&mut self, now: Moment) {
         self.append(Payload::Noop);
         self.track_members();
         self.heartbeat(now);
     }
 
+    /// Starts a heartbeat round and sends to all replicas.
     pub(crate) fn heartbeat(&mut self, now: Moment) {
         let period = self.cfg.heartbeat;
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        lead.open_round(now);
-        lead.heartbeat_at = now + period;
+        leadership.start_round(now);
+        leadership.heartbeat_at = now + period;
         self.send_to_all(now, true);
         self.advance_commit(now);
     }
 
     pub(crate) fn on_propose(&mut self, now: Moment, token: Token, proposal: Proposal) {
-        let result = match self.payload_of(now, proposal) {
-            Ok(payload) => self.accept(now, token, payload),
+        let result = match self.build_payload(now, proposal) {
+            Ok(payload) => self.append_proposal(now, token, payload),
             Err(e) => Err(e),
         };
         if let Err(e) = result {
@@ -46,28 +47,35 @@
         }
     }
 
-    fn payload_of(&self, now: Moment, proposal: Proposal) -> Result<Payload, ProposeError> {
+    fn build_payload(&self, now: Moment, proposal: Proposal) -> Result<Payload, ProposeError> {
         if !self.holds_lease(now) {
-            let leader = self.known_leader();
+            let leader = self.other_leader();
             return Err(ProposeError::NotLeader { leader });
         }
         match proposal {
             Proposal::Command(command) => Ok(Payload::Command(command)),
-            change => self.members_after(now, &change).map(Payload::Members),
+            change => self
+                .members_after_change(now, &change)
+                .map(Payload::Members),
         }
     }
 
-    fn accept(&mut self, now: Moment, token: Token, payload: Payload) -> Result<(), ProposeError> {
-        let leader = self.known_leader();
-        let State::Leader(lead) = &mut self.state else {
+    fn append_proposal(
+        &mut self,
+        now: Moment,
+        token: Token,
+        payload: Payload,
+    ) -> Result<(), ProposeError> {
+        let leader = self.other_leader();
+        let State::Leader(leadership) = &mut self.state else {
             return Err(ProposeError::NotLeader { leader });
         };
-        let bytes = lead.uncommitted_bytes + payload.size();
-        if bytes > self.cfg.max_uncommitted_bytes && lead.uncommitted_bytes > 0 {
+        let bytes = leadership.uncommitted_bytes + payload.size();
+        if bytes > self.cfg.max_uncommitted_bytes && leadership.uncommitted_bytes > 0 {
             return Err(ProposeError::Overloaded);
         }
-        lead.uncommitted_bytes = bytes;
-        lead.pending.insert(self.log.last_index() + 1, token);
+        leadership.uncommitted_bytes = bytes;
+        leadership.pending.insert(self.log.last_index() + 1, token);
         let new_members = matches!(payload, Payload::Members(_));
         self.append(payload);
         if new_members {
@@ -89,56 +97,57 @@
         self.sync.appended(index);
     }
 
+    /// Tracks all other replicas of the membership in effect.
     fn track_members(&mut self) {
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
         let next = self.log.last_index();
         let others = self.log.members().all().filter(|id| *id != self.id);
-        lead.track(others, next);
+        leadership.track(others, next);
     }
 
     fn send_to_all(&mut self, now: Moment, heartbeat: bool) {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return;
         };
-        let peers: Vec<_> = lead.peers.keys().copied().collect();
+        let peers: Vec<_> = leadership.peers.keys().copied().collect();
         for to in peers {
             self.send_append(now, to, heartbeat);
         }
     }
 
-    /// Sends what `to` lacks, as far as its flow allows. A heartbeat goes out in any
-    /// case: the lease hangs on its answer.
+    /// Sends missing entries or a snapshot to `to`, as far as its flow control allows. A
+    /// heartbeat is always sent, as the lease depends on its reply.
     fn send_append(&mut self, now: Moment, to: ReplicaId, heartbeat: bool) {
-        let next = self.next_for(now, to, heartbeat);
+        let outgoing = self.next_outgoing(now, to, heartbeat);
         let term = self.term;
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        let round = lead.round();
-        let Some(peer) = lead.peers.get_mut(&to) else {
+        let round = leadership.round();
+        let Some(peer) = leadership.peers.get_mut(&to) else {
             return;
         };
-        let message = match next {
-            Next::Nothing => return,
-            Next::Snapshot => {
+        let message = match outgoing {
+            Outgoing::Nothing => return,
+            Outgoing::Snapshot => {
                 let index = self.snapshot.index;
                 peer.next = index + 1;
-                peer.flow = Flow::Install {
+                peer.flow = Flow::InstallSnapshot {
                     index,
                     sent_at: now,
                 };
                 let snapshot = self.snapshot.clone();
-                Message::Install {
+                Message::InstallSnapshot {
                     term,
                     snapshot,
                     round,
                 }
             }
-            Next::Entries(entries) => {
-                // Below the first entry still held, any known place serves to get an
-                // answer; the follower's reply tells whether it needs the snapshot.
+            Outgoing::Entries(entries) => {
+                // If `next` is no longer in memory, the oldest known index is sent instead;
+                // the follower's reply shows whether it needs the snapshot.
                 let prev_index = (peer.next - 1).max(self.log.base_index());
                 let prev_term = self.log.term_at(prev_index);
                 if let Some(last) = entries.last() {
@@ -148,7 +157,7 @@
                             peer.next = last.index + 1;
                         }
                         Flow::Probe { sent } => *sent = true,
-                        Flow::Install { .. } => {}
+                        Flow::InstallSnapshot { .. } => {}
                     }
                 }
                 Message::Append {
@@ -164,22 +173,25 @@
         self.send(to, message);
     }
 
-    fn next_for(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Next {
-        let State::Leader(lead) = &self.state else {
-            return Next::Nothing;
+    /// What to send to `to`, subject to its flow control.
+    fn next_outgoing(&self, now: Moment, to: ReplicaId, heartbeat: bool) -> Outgoing {
+        let State::Leader(leadership) = &self.state else {
+            return Outgoing::Nothing;
         };
-        let Some(peer) = lead.peers.get(&to) else {
-            return Next::Nothing;
+        let Some(peer) = leadership.peers.get(&to) else {
+            return Outgoing::Nothing;
         };
         let timeout = self.cfg.election_timeout;
-        let active = peer.acked_at.is_some_and(|at| now < at + timeout);
+        let active = peer.acked_sent_at.is_some_and(|at| now < at + timeout);
         let may_send = match &peer.flow {
             Flow::Probe { sent } => !sent,
             Flow::Stream(batches) => batches.len() < MAX_BATCHES_IN_FLIGHT,
-            Flow::Install { sent_at, .. } => now >= *sent_at + timeout * INSTALL_RETRY,
+            Flow::InstallSnapshot { sent_at, .. } => {
+                now >= *sent_at + timeout * SNAPSHOT_RETRY_TIMEOUTS
+            }
         };
         if may_send && active && self.needs_snapshot(peer.next, &peer.flow) {
-            return Next::Snapshot;
+            return Outgoing::Snapshot;
         }
         let entries = if may_send && peer.next > self.log.base_index() {
             self.log.batch(peer.next, self.cfg.max_batch_bytes).to_vec()
@@ -187,13 +199,13 @@
             Vec::new()
         };
         if entries.is_empty() && !heartbeat {
-            return Next::Nothing;
+            return Outgoing::Nothing;
         }
-        Next::Entries(entries)
+        Outgoing::Entries(entries)
     }
 
     fn needs_snapshot(&self, next: u64, flow: &Flow) -> bool {
-        next <= self.log.base_index() || matches!(flow, Flow::Install { .. })
+        next <= self.log.base_index() || matches!(flow, Flow::InstallSnapshot { .. })
     }
 
     pub(crate) fn on_append_reply(
@@ -203,21 +215,21 @@
         index: u64,
         success: bool,
     ) {
-        self.meet_term(now, term);
+        self.observe_term(now, term);
         if term != self.term {
             return;
         }
-        let State::Leader(lead) = &mut self.state else {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        let sent_at = lead.sent_at(round);
-        let Some(peer) = lead.peers.get_mut(&from) else {
+        let sent_at = leadership.sent_at(round);
+        let Some(peer) = leadership.peers.get_mut(&from) else {
             return;
         };
         if let Some(sent_at) = sent_at {
             let from_send = self.cfg.guards.lease_from_send;
             let counted_from = if from_send { sent_at } else { now };
-            peer.acked_at = peer.acked_at.max(Some(counted_from));
+            peer.acked_sent_at = peer.acked_sent_at.max(Some(counted_from));
         }
         if success && index <= self.log.last_index() {
             peer.accepted(index, self.log.base_index());
@@ -228,74 +240,80 @@
         self.send_append(now, from, false);
     }
 
-    /// Commits what a majority of voters has on disk.
+    /// Commits the entries that a majority of voters has synced.
     pub(crate) fn advance_commit(&mut self, now: Moment) {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return;
         };
-        let own = self.own_synced();
-        let matched = |id: ReplicaId| lead.peers.get(&id).map_or(0, |peer| peer.matched);
-        let Some(index) = self.majority_of(own, matched) else {
+        let own = self.own_synced_index();
+        let matched = |id: ReplicaId| leadership.peers.get(&id).map_or(0, |peer| peer.matched);
+        let Some(index) = self.quorum_value(own, matched) else {
             return;
         };
         let own_term = self.log.term_at(index) == Some(self.term);
         if index <= self.commit || (self.cfg.guards.commit_own_term_only && !own_term) {
             return;
         }
-        // An entry of an earlier term on a majority can still be overwritten by a
-        // candidate with a newer last entry; one of this term on a majority can't.
+        // An entry of an earlier term can still be overwritten, even on a majority, by a
+        // leader whose last entry has a higher term; one of this term can't.
         let first = self.commit + 1;
         self.commit_to(index);
-        self.answer_proposals(first, index);
+        self.complete_proposals(first, index);
         if !self.is_voter() {
-            self.leave_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
-    fn own_synced(&self) -> u64 {
-        if self.cfg.guards.sync_before_promise {
+    fn own_synced_index(&self) -> u64 {
+        if self.cfg.guards.sync_before_send {
             self.sync.synced_index()
         } else {
             self.log.last_index()
         }
     }
 
-    fn answer_proposals(&mut self, first: u64, last: u64) {
-        let State::Leader(lead) = &mut self.state else {
+    fn complete_proposals(&mut self, first: u64, last: u64) {
+        let State::Leader(leadership) = &mut self.state else {
             return;
         };
         let committed = self.log.range(first, last);
         let bytes: usize = committed.iter().map(|e| e.payload.size()).sum();
-        lead.uncommitted_bytes = lead.uncommitted_bytes.saturating_sub(bytes);
-        let rest = lead.pending.split_off(&(last + 1));
-        let done = std::mem::replace(&mut lead.pending, rest);
+        leadership.uncommitted_bytes = leadership.uncommitted_bytes.saturating_sub(bytes);
+        let rest = leadership.pending.split_off(&(last + 1));
+        let done = std::mem::replace(&mut leadership.pending, rest);
         for (index, token) in done {
             let result = Ok(index);
             self.push(Action::Proposed { token, result });
         }
     }
 
-    /// A leader that removed itself leads until the change is committed.
-    fn leave_if_removed(&mut self, now: Moment) {
+    /// Steps down a leader that has removed itself, once that change is committed.
+    fn step_down_if_removed(&mut self, now: Moment) {
         if self.log.members_index() > self.commit {
             return;
         }
-        // The others would learn of the commit only from the next leader.
+        // Otherwise the others would learn of the commit only from the next leader.
         self.send_to_all(now, true);
         self.step_down(now);
     }
 
-    /// When the newest heartbeat was sent that a majority of voters has answered.
-    pub(crate) fn quorum_heard_at(&self, now: Moment) -> Option<Moment> {
-        let State::Leader(lead) = &self.state else {
+    /// When the newest heartbeat that a majority of voters has acknowledged was sent.
+    pub(crate) fn quorum_acked_sent_at(&self, now: Moment) -> Option<Moment> {
+        let State::Leader(leadership) = &self.state else {
             return None;
         };
-        let acked_at = |id: ReplicaId| lead.peers.get(&id).and_then(|peer| peer.acked_at);
-        self.majority_of(Some(now), acked_at).flatten()
+        let acked_sent_at = |id: ReplicaId| {
+            leadership
+                .peers
+                .get(&id)
+                .and_then(|peer| peer.acked_sent_at)
+        };
+        self.quorum_value(Some(now), acked_sent_at).flatten()
     }
 
-    /// The highest value that a majority of voters has reached.
-    fn majority_of<T: Ord>(&self, own: T, other: impl Fn(ReplicaId) -> T) -> Option<T> {
+    /// The highest value that a majority of voters has reached. `own` counts only if this
+    /// replica is a voter.
+    fn quorum_value<T: Ord>(&self, own: T, other: impl Fn(ReplicaId) -> T) -> Option<T> {
         let members = self.log.members();
         let mut own = Some(own);
         let value = |id: &ReplicaId| match *id {
@@ -311,23 +329,24 @@
         self.lease_end(now).is_some_and(|end| now < end)
     }
 
-    /// When the lease runs out, or has run out, unless no majority has answered yet.
+    /// End of the lease, possibly in the past; `None` if no majority has acknowledged a
+    /// heartbeat yet.
     pub(crate) fn lease_end(&self, now: Moment) -> Option<Moment> {
-        let heard_at = self.quorum_heard_at(now)?;
+        let acked_sent_at = self.quorum_acked_sent_at(now)?;
         if !self.cfg.guards.lease_expires {
             return Some(Moment::MAX);
         }
-        Some(heard_at + self.cfg.lease)
+        Some(acked_sent_at + self.cfg.lease)
     }
 
-    /// Whether the state machine may be answered from: with a lease nobody else can
-    /// have committed anything, and with the opening entry committed this leader knows
-    /// all that was committed before its term.
-    pub(crate) fn may_answer(&self, now: Moment) -> bool {
-        let State::Leader(lead) = &self.state else {
+    /// Whether reads may be served from the state machine. Under a valid lease no other
+    /// replica can have committed anything, and once the first entry of the term is
+    /// committed, so is everything committed in earlier terms.
+    pub(crate) fn can_serve_reads(&self, now: Moment) -> bool {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let caught_up = self.commit >= lead.noop_index || !self.cfg.guards.noop_before_read;
+        let caught_up = self.commit >= leadership.noop_index || !self.cfg.guards.noop_before_read;
         caught_up && self.holds_lease(now)
     }
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,9 +1,9 @@
-//! Changes of membership, one replica at a time.
+//! Membership changes, one replica at a time.
 //!
-//! Two memberships that differ by one voter share a member in any two majorities, so
-//! no joint phase is needed as long as one change is committed before the next begins
-//! and the leader has committed an entry of its own term first: without that, two
-//! leaders could each commit by a majority that the other doesn't meet.
+//! Any majorities of two memberships that differ by one voter overlap, so joint
+//! consensus is not needed as long as each change is committed before the next begins,
+//! and the leader has committed an entry of its own term first. Otherwise two leaders
+//! could commit by majorities that don't overlap.
 
 use filberthead_types::{Moment, ReplicaId};
 
@@ -11,22 +11,23 @@
 use crate::replica::{Replica, State};
 
 impl Replica {
-    /// The membership that `change` leads to, if it may begin now.
-    pub(crate) fn members_after(
+    /// Returns the membership that `change` results in, or why it can't begin now.
+    pub(crate) fn members_after_change(
         &self,
         now: Moment,
         change: &Proposal,
     ) -> Result<Members, ProposeError> {
-        let State::Leader(lead) = &self.state else {
-            let leader = self.known_leader();
+        let State::Leader(leadership) = &self.state else {
+            let leader = self.other_leader();
             return Err(ProposeError::NotLeader { leader });
         };
-        let under_way = self.log.members_index() > self.commit || self.commit < lead.noop_index;
-        if under_way && self.cfg.guards.one_change_at_a_time {
+        let change_pending =
+            self.log.members_index() > self.commit || self.commit < leadership.noop_index;
+        if change_pending && self.cfg.guards.one_change_at_a_time {
             return Err(ProposeError::MembershipRefused);
         }
         let mut members = self.log.members().clone();
-        let changed = match change {
+        let is_valid = match change {
             Proposal::Command(_) => false,
             Proposal::AddLearner(id) => {
                 !members.voters.contains(id) && members.learners.insert(*id)
@@ -40,38 +41,45 @@
             }
             Proposal::Remove(id) => members.learners.remove(id) || members.voters.remove(id),
         };
-        if !changed || !self.majority_answers(now, &members) {
+        if !is_valid || !self.has_active_majority(now, &members) {
             return Err(ProposeError::MembershipRefused);
         }
         Ok(members)
     }
 
-    /// Whether a learner holds all that is committed, and answers. As a voter it then
-    /// stands in for a lost one: a second loss right after the repair loses nothing
-    /// and finds a majority.
+    /// Whether a learner holds all committed entries and is responsive. As a voter it then
+    /// fully replaces a lost one: if another is lost right after the repair, no entry is
+    /// lost and a majority remains.
     fn is_caught_up(&self, now: Moment, id: ReplicaId) -> bool {
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let matched = lead.peers.get(&id).map_or(0, |peer| peer.matched);
-        matched >= self.commit && self.answers(now, id)
+        let matched = leadership.peers.get(&id).map_or(0, |peer| peer.matched);
+        matched >= self.commit && self.has_acked_recently(now, id)
     }
 
-    /// Whether the change would leave a majority of voters that answer now; without
-    /// one, it could never be committed nor taken back.
-    fn majority_answers(&self, now: Moment, members: &Members) -> bool {
-        let answering = members.voters.iter().filter(|id| self.answers(now, **id));
-        !members.voters.is_empty() && answering.count() >= members.majority()
+    /// Whether a majority of `members` is responsive now; without one, the change could be
+    /// neither committed nor undone.
+    fn has_active_majority(&self, now: Moment, members: &Members) -> bool {
+        let active = members
+            .voters
+            .iter()
+            .filter(|id| self.has_acked_recently(now, **id));
+        !members.voters.is_empty() && active.count() >= members.majority()
     }
 
-    fn answers(&self, now: Moment, id: ReplicaId) -> bool {
+    /// Whether `id` acknowledged a heartbeat sent within the last election timeout.
+    fn has_acked_recently(&self, now: Moment, id: ReplicaId) -> bool {
         if id == self.id {
             return true;
         }
-        let State::Leader(lead) = &self.state else {
+        let State::Leader(leadership) = &self.state else {
             return false;
         };
-        let acked_at = lead.peers.get(&id).and_then(|peer| peer.acked_at);
-        acked_at.is_some_and(|at| now < at + self.cfg.election_timeout)
+        let acked_sent_at = leadership
+            .peers
+            .get(&id)
+            .and_then(|peer| peer.acked_sent_at);
+        acked_sent_at.is_some_and(|at| now < at + self.cfg.election_timeout)
     }
 }
--- a/crates/consensus/tests/all/world.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -1,6 +1,6 @@
-//! A cluster in memory: replicas, their disks, the messages between them, and the
-//! record against which every step is checked. It is a plain value, so that the
-//! explorer can keep and compare it.
+//! A simulated cluster: replicas, their disks, the messages between them, and the history
+//! against which every step is checked. It is a plain value that the explorer can clone
+//! and hash.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 };
 use filberthead_types::{Epoch, Moment, ReplicaId};
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Envelope {
     pub(crate) from: ReplicaId,
@@ -19,45 +19,55 @@
     pub(crate) message: Message,
 }
 
-/// A replica with its disk and its state machine, which is the list of entries applied.
+/// A replica with its disk. Of its state machine only the applied index is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Node {
+    /// `None` while it is crashed.
     pub(crate) replica: Option<Replica>,
     pub(crate) disk: Durable,
+    /// Changes whose sync is pending.
     pub(crate) unsynced: Option<Persist>,
     pub(crate) applied: u64,
 }
 
-/// A rule of the protocol that was broken.
+/// A violated rule of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Violation {
+    /// Two replicas led in this term.
     TwoLeaders(Epoch),
+    /// Two replicas applied different entries at this index.
     CommittedChanged(u64),
-    LeaderLacks(u64),
+    /// The newest leader's log has no or another entry at this committed index.
+    LeaderLacksCommitted(u64),
+    /// Two replicas held a lease at once.
     TwoLeases,
-    StaleAnswer,
+    /// A replica may serve reads without having applied an accepted proposal.
+    StaleRead,
 }
 
-/// What the cluster has promised so far.
+/// What the cluster has guaranteed so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Record {
+pub(crate) struct History {
     pub(crate) leaders: BTreeMap<Epoch, ReplicaId>,
-    /// Entries that some replica applied.
+    /// Entries that any replica has applied.
     pub(crate) committed: BTreeMap<u64, Entry>,
-    /// Last index whose proposal was answered with success.
+    /// Highest index of a proposal reported as committed.
     pub(crate) accepted: u64,
     pub(crate) violation: Option<Violation>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub(crate) cfg: Config,
     pub(crate) now: Moment,
     pub(crate) nodes: BTreeMap<ReplicaId, Rc<Node>>,
     pub(crate) net: Vec<Envelope>,
-    pub(crate) cut: BTreeSet<(ReplicaId, ReplicaId)>,
-    pub(crate) record: Record,
+    /// Directed links whose messages are lost.
+    pub(crate) cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
+    pub(crate) history: History,
+    /// Results of proposals, by token.
     pub(crate) proposed: BTreeMap<u64, Result<u64, ProposeError>>,
+    /// Results of reads, by token.
     pub(crate) reads: BTreeMap<u64, bool>,
     next_token: u64,
 }
@@ -66,7 +76,7 @@
     ReplicaId(n)
 }
 
-/// Membership of voters 1 to `n`.
+/// Membership with voters 1 to `n`.
 pub(crate) fn voters(n: u64) -> Members {
     Members {
         voters: (1..=n).map(id).collect(),
@@ -74,7 +84,7 @@
     }
 }
 
-/// What a data folder of a new cluster holds.
+/// The stored state of a replica in a new cluster.
 pub(crate) fn bootstrap(members: Members) -> Durable {
     Durable {
         snapshot: Snapshot {
@@ -86,23 +96,23 @@
     }
 }
 
-impl World {
+impl Cluster {
     pub(crate) fn new(n: u64, cfg: Config) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             cfg,
             now: Moment::ZERO,
             nodes: BTreeMap::new(),
             net: Vec::new(),
-            cut: BTreeSet::new(),
-            record: Record::default(),
+            cut_links: BTreeSet::new(),
+            history: History::default(),
             proposed: BTreeMap::new(),
             reads: BTreeMap::new(),
             next_token: 0,
         };
         for i in 1..=n {
-            world.add(id(i), bootstrap(voters(n)));
+            cluster.add(id(i), bootstrap(voters(n)));
         }
-        world
+        cluster
     }
 
     pub(crate) fn add(&mut self, id: ReplicaId, disk: Durable) {
@@ -126,14 +136,14 @@
         node.replica = Some(Replica::new(id, cfg, node.disk.clone(), now));
     }
 
-    /// Stops a replica; what it had not reported as synced is on disk or not.
+    /// Stops a replica. Its unsynced changes are on disk afterwards if `synced`, else lost.
     pub(crate) fn crash(&mut self, id: ReplicaId, synced: bool) {
         let Some(node) = self.nodes.get_mut(&id).map(Rc::make_mut) else {
             return;
         };
         node.replica = None;
         if let Some(persist) = node.unsynced.take().filter(|_| synced) {
-            store(&mut node.disk, persist);
+            apply_persist(&mut node.disk, persist);
         }
     }
 
@@ -145,20 +155,20 @@
         };
         let actions = replica.step(now, event);
         for action in actions {
-            self.act(id, action);
+            self.perform(id, action);
         }
         self.check();
     }
 
     fn node_mut(&mut self, id: ReplicaId) -> &mut Node {
-        Rc::make_mut(self.nodes.get_mut(&id).expect("known"))
+        Rc::make_mut(self.nodes.get_mut(&id).expect("a replica of the cluster"))
     }
 
     pub(crate) fn tick(&mut self, id: ReplicaId) {
         self.step(id, Event::Tick);
     }
 
-    /// The disk of `id` finishes what it was given.
+    /// Completes the pending sync of `id`, if any.
     pub(crate) fn sync(&mut self, id: ReplicaId) {
         let Some(node) = self.nodes.get_mut(&id).map(Rc::make_mut) else {
             return;
@@ -167,7 +177,7 @@
             return;
         };
         let seq = persist.seq;
-        store(&mut node.disk, persist);
+        apply_persist(&mut node.disk, persist);
         self.step(id, Event::Persisted { seq });
     }
 
@@ -176,6 +186,7 @@
         self.step(to, Event::Received { from, message });
     }
 
+    /// Proposes on `id`, and returns the key of the result in `proposed`.
     pub(crate) fn propose(&mut self, id: ReplicaId, proposal: Proposal) -> u64 {
         self.next_token += 1;
         let token = Token(self.next_token);
@@ -183,19 +194,19 @@
         token.0
     }
 
-    pub(crate) fn command(&mut self, id: ReplicaId, byte: u8) -> u64 {
+    pub(crate) fn propose_command(&mut self, id: ReplicaId, byte: u8) -> u64 {
         self.propose(id, Proposal::Command(vec![byte]))
     }
 
-    /// Whether `id` answers a read now.
-    pub(crate) fn reads(&mut self, id: ReplicaId) -> bool {
+    /// Whether `id` serves a read now.
+    pub(crate) fn read_is_served(&mut self, id: ReplicaId) -> bool {
         self.next_token += 1;
         let token = Token(self.next_token);
         self.step(id, Event::Read { token });
         self.reads.remove(&token.0).unwrap_or(false)
     }
 
-    fn act(&mut self, id: ReplicaId, action: Action) {
+    fn perform(&mut self, id: ReplicaId, action: Action) {
         match action {
             Action::Send { to, message } => self.send(id, to, message),
             Action::Persist(persist) => {
@@ -209,14 +220,14 @@
             }
             Action::Proposed { token, result } => {
                 if let Ok(index) = result {
-                    self.record.accepted = self.record.accepted.max(index);
+                    self.history.accepted = self.history.accepted.max(index);
                 }
                 self.proposed.insert(token.0, result);
             }
             Action::ReadReady { token } => {
                 let applied = self.nodes[&id].applied;
-                if applied < self.record.accepted {
-                    self.violate(Violation::StaleAnswer);
+                if applied < self.history.accepted {
+                    self.report_violation(Violation::StaleRead);
                 }
                 self.reads.insert(token.0, true);
             }
@@ -232,7 +243,7 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
-        if !self.cut.contains(&(from, to)) {
+        if !self.cut_links.contains(&(from, to)) {
             self.net.push(Envelope { from, to, message });
         }
     }
@@ -242,17 +253,17 @@
         assert_eq!(entry.index, node.applied + 1, "applied in order");
         node.applied = entry.index;
         let index = entry.index;
-        let known = self.record.committed.entry(index).or_insert(entry.clone());
-        if *known != entry {
-            self.violate(Violation::CommittedChanged(index));
+        let first_applied = self.history.committed.entry(index).or_insert(entry.clone());
+        if *first_applied != entry {
+            self.report_violation(Violation::CommittedChanged(index));
         }
     }
 
-    fn violate(&mut self, violation: Violation) {
-        self.record.violation.get_or_insert(violation);
+    fn report_violation(&mut self, violation: Violation) {
+        self.history.violation.get_or_insert(violation);
     }
 
-    /// Checks what must hold in every state.
+    /// Checks the rules that must hold in every state.
     fn check(&mut self) {
         let mut leases = 0;
         let ids: Vec<_> = self.nodes.keys().copied().collect();
@@ -265,26 +276,26 @@
             }
             if status.holds_lease {
                 leases += 1;
-                if self.nodes[&id].applied < self.record.accepted {
-                    self.violate(Violation::StaleAnswer);
+                if self.nodes[&id].applied < self.history.accepted {
+                    self.report_violation(Violation::StaleRead);
                 }
             }
         }
         if leases > 1 {
-            self.violate(Violation::TwoLeases);
+            self.report_violation(Violation::TwoLeases);
         }
     }
 
     fn check_leader(&mut self, status: &Status) {
-        let first = *self.record.leaders.entry(status.term).or_insert(status.id);
+        let first = *self.history.leaders.entry(status.term).or_insert(status.id);
         if first != status.id {
-            self.violate(Violation::TwoLeaders(status.term));
+            self.report_violation(Violation::TwoLeaders(status.term));
         }
-        // A leader of an older term need not know what a newer one committed.
-        if self.record.leaders.keys().next_back() != Some(&status.term) {
+        // A leader of an older term may lack what a newer one committed.
+        if self.history.leaders.keys().next_back() != Some(&status.term) {
             return;
         }
-        let Some((last, entry)) = self.record.committed.last_key_value() else {
+        let Some((last, entry)) = self.history.committed.last_key_value() else {
             return;
         };
         if self
@@ -292,19 +303,19 @@
             .is_some_and(|term| term != entry.term)
         {
             let last = *last;
-            self.violate(Violation::LeaderLacks(last));
+            self.report_violation(Violation::LeaderLacksCommitted(last));
         }
     }
 
-    /// Term of an entry in the log of `id`, synced or on its way to the disk; none if
-    /// it isn't known here, zero if the log ends before it.
+    /// Term of an entry in the log of `id`, synced or not: `None` if it is not among the
+    /// entries here (as when covered by a snapshot), zero if the log ends before it.
     fn term_at(&self, id: ReplicaId, index: u64) -> Option<Epoch> {
         let node = &self.nodes[&id];
         let last_index = self.status(id)?.last_index;
         let unsynced = node.unsynced.iter().flat_map(|p| &p.entries);
         let stored = unsynced.chain(&node.disk.entries);
-        let found = stored.filter(|e| e.index == index).map(|e| e.term).next();
-        found.or((index > last_index).then_some(Epoch(0)))
+        let term = stored.filter(|e| e.index == index).map(|e| e.term).next();
+        term.or((index > last_index).then_some(Epoch(0)))
     }
 
     pub(crate) fn status(&self, id: ReplicaId) -> Option<Status> {
@@ -312,29 +323,31 @@
         Some(replica.status(self.now))
     }
 
-    /// The replica that may answer, if there is one.
+    /// The replica that holds the lease, if any.
     pub(crate) fn leader(&self) -> Option<ReplicaId> {
         let mut ids = self.nodes.keys().copied();
         ids.find(|id| self.status(*id).is_some_and(|s| s.holds_lease))
     }
 
-    /// Lets everything but the disks and messages of `stopped` go on for `ms`.
-    pub(crate) fn run_without(&mut self, ms: u64, stopped: &[ReplicaId]) {
-        self.advance(ms, stopped);
-        assert_eq!(self.record.violation, None);
+    /// Advances by `ms` as [`Self::advance`] does, and asserts that no rule was violated.
+    pub(crate) fn run_with_suspended(&mut self, ms: u64, suspended: &[ReplicaId]) {
+        self.advance(ms, suspended);
+        assert_eq!(self.history.violation, None);
     }
 
-    pub(crate) fn advance(&mut self, ms: u64, stopped: &[ReplicaId]) {
+    /// Runs the cluster for `ms`. The replicas `suspended` don't tick or sync, and messages to
+    /// them are held.
+    pub(crate) fn advance(&mut self, ms: u64, suspended: &[ReplicaId]) {
         const STEP: u64 = 10;
         for _ in 0..ms / STEP {
             self.now += Moment::from_millis(STEP);
             let ids: Vec<_> = self.nodes.keys().copied().collect();
             let (held, due): (Vec<_>, Vec<_>) = std::mem::take(&mut self.net)
                 .into_iter()
-                .partition(|e| stopped.contains(&e.to));
+                .partition(|e| suspended.contains(&e.to));
             self.net = held;
             due.into_iter().for_each(|e| self.deliver(e));
-            for id in ids.into_iter().filter(|id| !stopped.contains(id)) {
+            for id in ids.into_iter().filter(|id| !suspended.contains(id)) {
                 self.tick(id);
                 self.sync(id);
             }
@@ -342,25 +355,25 @@
     }
 
     pub(crate) fn run(&mut self, ms: u64) {
-        self.run_without(ms, &[]);
+        self.run_with_suspended(ms, &[]);
     }
 
-    /// Cuts `one` off from all others, both ways.
-    pub(crate) fn isolate(&mut self, one: ReplicaId) {
+    /// Cuts the links between `isolated` and all others, in both directions.
+    pub(crate) fn isolate(&mut self, isolated: ReplicaId) {
         for other in self.nodes.keys().copied() {
-            self.cut.insert((one, other));
-            self.cut.insert((other, one));
+            self.cut_links.insert((isolated, other));
+            self.cut_links.insert((other, isolated));
         }
-        self.net.retain(|e| e.from != one && e.to != one);
+        self.net.retain(|e| e.from != isolated && e.to != isolated);
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 }
 
-/// What a disk holds after a sync.
-pub(crate) fn store(disk: &mut Durable, persist: Persist) {
+/// Applies a [`Persist`] to a disk, as a sync does.
+pub(crate) fn apply_persist(disk: &mut Durable, persist: Persist) {
     if let Some(hard_state) = persist.hard_state {
         disk.hard_state = hard_state;
     }
--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -1,4 +1,5 @@
-//! The operators duty: the administration API over the consensus duty.
+//! The operators duty: serves the administration API and passes its requests to the consensus
+//! duty.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -36,7 +37,7 @@
     let page = Arc::new(MetricsPage {
         metrics: Arc::clone(&metrics),
     });
-    let server = Server::builder(Arc::new(Desk { tx, metrics }))
+    let server = Server::builder(Arc::new(AdminHandle { tx, metrics }))
         .tokens(tokens)
         .require_review(cfg.review == ReviewPolicy::Required)
         .page("/metrics", page)
@@ -56,22 +57,22 @@
     }
 }
 
-/// Hands operators' acts to the consensus duty.
-struct Desk {
+/// Passes operators' requests to the consensus duty.
+struct AdminHandle {
     tx: Sender<Input>,
     metrics: Arc<ControlMetrics>,
 }
 
-impl Desk {
-    /// Hands an act over and waits for its word. `lost` is what it means if the
-    /// consensus duty ends with the act in its hands.
-    async fn ask<T, E: Into<AdministrationError>>(
+impl AdminHandle {
+    /// Sends a request and waits for its result. Returns `lost` if the consensus duty ends before
+    /// it replies.
+    async fn request<T, E: Into<AdministrationError>>(
         &self,
-        make: impl FnOnce(oneshot::Sender<Result<T, E>>) -> AdminRequest,
+        build: impl FnOnce(oneshot::Sender<Result<T, E>>) -> AdminRequest,
         lost: AdministrationError,
     ) -> Result<T, AdministrationError> {
         let (tx, rx) = oneshot::channel();
-        self.push(make(tx))?;
+        self.push(build(tx))?;
         match rx.await {
             Ok(result) => result.map_err(Into::into),
             Err(_) => Err(lost),
@@ -116,21 +117,23 @@
     }
 }
 
-impl Administration for Desk {
+impl Administration for AdminHandle {
     fn submit(&self, command: Command) -> BoxFuture<'_, Result<Outcome, AdministrationError>> {
-        let make = |reply| AdminRequest::Submit { command, reply };
+        let build = |reply| AdminRequest::Submit { command, reply };
         Box::pin(async {
-            let begun = Instant::now();
-            let result = self.ask(make, AdministrationError::OutcomeUnknown).await;
+            let started = Instant::now();
+            let result = self
+                .request(build, AdministrationError::OutcomeUnknown)
+                .await;
             let code = result.as_ref().map_or_else(|e| e.code(), Outcome::code);
-            self.metrics.changed(code, begun.elapsed());
+            self.metrics.changed(code, started.elapsed());
             result
         })
     }
 
     fn read(&self) -> BoxFuture<'_, Result<Arc<Table>, AdministrationError>> {
-        let make = |reply| AdminRequest::Read { reply };
-        Box::pin(self.ask(make, unavailable("the process is stopping")))
+        let build = |reply| AdminRequest::Read { reply };
+        Box::pin(self.request(build, unavailable("the process is stopping")))
     }
 
     fn status(&self) -> BoxFuture<'_, Result<Status, AdministrationError>> {
@@ -143,7 +146,8 @@
 
     fn readings(&self) -> BoxFuture<'_, Vec<RowReading>> {
         Box::pin(async {
-            // Without a status nothing is known, which the caller takes for unchecked.
+            // Without a status there are no readings; the caller then treats the change as
+            // unchecked.
             self.status()
                 .await
                 .map_or_else(|_| Vec::new(), |status| status.rows)
@@ -154,13 +158,13 @@
         let lost = AdministrationError::OutcomeUnknown;
         let proposal = match act {
             MembershipAct::Initialise => {
-                return Box::pin(self.ask(|reply| AdminRequest::Initialise { reply }, lost));
+                return Box::pin(self.request(|reply| AdminRequest::Initialise { reply }, lost));
             }
             MembershipAct::AddLearner(id) => Proposal::AddLearner(id),
             MembershipAct::Promote(id) => Proposal::Promote(id),
             MembershipAct::Remove(id) => Proposal::Remove(id),
         };
-        let make = |reply| AdminRequest::Members { proposal, reply };
-        Box::pin(self.ask(make, lost))
+        let build = |reply| AdminRequest::Members { proposal, reply };
+        Box::pin(self.request(build, lost))
     }
 }
--- a/crates/filberthead/src/control/gauges.rs
+++ b/crates/filberthead/src/control/gauges.rs
@@ -1,4 +1,4 @@
-//! What the control replica counts, and the page that shows it.
+//! Metrics of the control replica, and the page that serves them.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::core::Core;
 use crate::peers::totals;
 
-/// Metrics and the counters that they pass on.
+/// The metrics, and the transport's counters that are copied into them.
 #[derive(Clone, Debug)]
 pub(crate) struct Gauges {
     pub(crate) metrics: Arc<ControlMetrics>,
@@ -19,8 +19,8 @@
 }
 
 impl Core {
-    /// Brings the metrics up to date.
-    pub(super) fn measure(&self, now: Moment) {
+    /// Updates the metrics from the replica's state.
+    pub(super) fn update_metrics(&self, now: Moment) {
         let metrics = &self.gauges.metrics;
         let replica = self.replica.status(now);
         let leads = replica.leader == Some(self.id);
@@ -29,16 +29,16 @@
         metrics.log_indices(replica.last_index, self.applied);
         metrics.members(replica.members.voters.len(), replica.members.learners.len());
         metrics.table_version(self.machine.table.version());
-        self.measure_entries(now);
+        self.update_entry_metrics(now);
         metrics.peers().record(&totals(&self.gauges.peers));
         let peers = metrics.peers();
         peers.ring_refused("outgoing", self.out.refused());
         peers.ring_refused("disk", self.disk.refused());
     }
 
-    fn measure_entries(&self, now: Moment) {
+    fn update_entry_metrics(&self, now: Moment) {
         let version = self.machine.table.version();
-        // Entries report to the leader only; another replica knows no version of them.
+        // Entries report to the leader only; other replicas have no versions of theirs.
         let entries = self.spreading.entries(now);
         let reported: Vec<_> = entries.iter().filter_map(|entry| entry.version).collect();
         let behind = reported.iter().filter(|reported| **reported < version);
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -1,25 +1,31 @@
-//! The control replica: replicated table, membership, administration API.
+//! The control replica: replicated table, membership and administration API.
 //!
-//! Duties: `consensus` owns the replica and the table, `disk` is the only one that waits
-//! for the log's disk, `peer-send` and `peer-recv` carry messages, `operators` serves
-//! HTTP, `samples` keeps what the burn report is made from.
-//! Operators' acts go through the consensus duty, which alone can say what is accepted.
+//! It runs these duties, one thread each:
+//!
+//! - `consensus` owns the replica and the table;
+//! - `disk` is the only one that waits for the log's disk;
+//! - `peer-send` and `peer-recv` send and receive messages of peers;
+//! - `operators` serves the administration API over HTTP;
+//! - `samples` stores the data of the burn report;
+//! - each adapter has a duty of its own.
+//!
+//! Operators' requests go through the consensus duty, which alone decides what is accepted.
 
+mod address_book;
 mod admin;
-mod book;
 mod claims;
 mod core;
-mod desk;
+mod discovery;
 mod disk;
 mod fleet;
 mod gauges;
-mod greeting;
-mod in_force;
+mod handle;
 mod input;
 mod machine;
 mod membership;
+mod membership_policy;
+mod note;
 mod orders;
-mod roster;
 mod samples;
 mod shares;
 mod spreading;
@@ -39,82 +45,82 @@
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
 
-use self::book::Book;
-use self::core::{About, Core, Parts};
-use self::fleet::{Fleet, SelfKeeping};
+use self::address_book::AddressBook;
+use self::core::{Core, Identity, Parts};
+use self::fleet::{AutoMembership, Fleet};
 use self::gauges::Gauges;
-use self::input::{Input, ToDuties};
+use self::input::{Input, MessageDispatch};
 use crate::ready::announce;
 use crate::stop::{Stop, stop_pair};
 use crate::supervisor::{Signals, supervise};
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
-pub use self::desk::{Adapter, Desk, Shown};
+pub use self::handle::{Adapter, ControlHandle, PublishedState};
 pub use self::samples::burn_report;
 
-/// Why a control replica can't start, or ended other than by a planned stop.
+/// Why a control replica failed to start, or ended other than by a planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ControlError {
     /// The data folder can't be used.
     #[snafu(display("the data folder can't be used"))]
     Storage {
-        /// How.
+        /// The storage error.
         source: StorageError,
     },
-    /// Peers can't be listened for.
-    #[snafu(display("peers can't be listened for"))]
+    /// The transport can't listen for peers.
+    #[snafu(display("can't listen for peers"))]
     Transport {
-        /// How.
+        /// The transport's error.
         source: TransportError,
     },
-    /// Operators can't be listened for.
-    #[snafu(display("operators can't be listened for on {addr}"))]
+    /// The administration API can't listen.
+    #[snafu(display("can't listen for operators on {addr}"))]
     Operators {
         /// The address.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The tokens file can't be used.
     #[snafu(display("the tokens file can't be used"))]
     Tokens {
-        /// How.
+        /// The error of the file.
         source: filberthead_operator::TokenSourceError,
     },
     /// A duty can't be started.
-    #[snafu(display("a duty can't be started"))]
+    #[snafu(display("can't start a duty"))]
     Start {
-        /// Which.
+        /// Which duty, and why.
         source: DutyError,
     },
     /// The `ready` line can't be written.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// No runtime for the supervisor.
-    #[snafu(display("can't start a runtime"))]
+    /// The supervisor's runtime can't be started.
+    #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The process ended by a fault.
-    #[snafu(display("the process ended by a fault"))]
+    /// A duty ended by itself or panicked.
+    #[snafu(display("the control replica failed"))]
     Supervise {
-        /// Which.
+        /// Which duty, and how.
         source: SuperviseError,
     },
 }
 
-/// Runs a control replica until it is asked to end. Each adapter gets a thread of its own;
-/// `seeds` reads the group's seeds anew when the settings have changed.
+/// Runs a control replica until the process is asked to stop. Each adapter gets a thread of its
+/// own. `seeds` reads the seed addresses of the group again after a reload of the settings
+/// (SIGHUP).
 ///
 /// # Errors
 ///
-/// Fails if it can't start, or if one of its duties ends by itself, which a failed disk
-/// causes on purpose.
+/// Fails if the replica can't start, or if one of its duties ends by itself.
 pub fn run(
     cfg: &ControlSettings,
     adapters: Vec<Box<dyn Adapter>>,
@@ -124,47 +130,48 @@
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
+    let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
     let (source, stop) = stop_pair();
-    let (duties, input) = start(cfg, adapters, &stop)?;
+    let (duties, input) = spawn_duties(cfg, adapters, &stop)?;
     let reload = move || {
         let seeds = seeds();
-        info!(seeds:? = seeds; "settings read again");
-        // With the duty behind, what it knows of others is newer than any seed.
+        info!(seeds:? = seeds; "settings reloaded");
+        // Dropped if the queue is full: what the duty has learned of other replicas is newer than
+        // any seed.
         let _ = input.push(Input::Seeds(seeds));
     };
-    let ended = supervise(duties, signals, source, reload, || std::future::ready(()));
-    runtime.block_on(ended).context(SuperviseSnafu)
+    let supervised = supervise(duties, signals, source, reload, || std::future::ready(()));
+    runtime.block_on(supervised).context(SuperviseSnafu)
 }
 
-fn start(
+fn spawn_duties(
     cfg: &ControlSettings,
     adapters: Vec<Box<dyn Adapter>>,
     stop: &Stop,
 ) -> Result<(Vec<Duty>, Sender<Input>), ControlError> {
     let clock = Clock::start();
     let disk = Disk::open(&cfg.data, &cfg.cluster).context(StorageSnafu)?;
-    let place = disk::Place {
+    let data_folder = disk::DataFolder {
         folder: cfg.data.clone(),
         cluster: cfg.cluster.clone(),
     };
     let durable = disk.load().context(StorageSnafu)?;
-    let note = disk.remembered().context(StorageSnafu)?;
+    let note = disk.read_note().context(StorageSnafu)?;
     let id = disk.replica();
     let cluster = cluster_id(&cfg.cluster);
 
-    let (input_tx, input_rx) = input::inputs();
-    let (disk_tx, disk_rx) = input::disk_jobs();
+    let (input_tx, input_rx) = input::input_queue();
+    let (disk_tx, disk_rx) = input::disk_queue();
     let (out_tx, out_rx) = peers::outgoing();
-    let (samples_tx, samples_rx) = samples::reports();
+    let (samples_tx, samples_rx) = samples::report_queue();
 
-    let deliver = ToDuties {
+    let deliver = MessageDispatch {
         consensus: input_tx.clone(),
         samples: samples_tx,
     };
     let transport = Transport::listen(cfg.peer_listen, cluster, deliver).context(TransportSnafu)?;
-    let listens = transport.addr();
-    let peer_addr = cfg.peer_advertise.unwrap_or(listens);
+    let transport_addr = transport.addr();
+    let peer_addr = cfg.peer_advertise.unwrap_or(transport_addr);
     let origin = Origin {
         name: cfg.node.clone(),
         incarnation: Incarnation(rand::random()),
@@ -175,29 +182,29 @@
 
     let (listener, bound) = listen(cfg.operator_listen)?;
     let operator_addr = cfg.operator_advertise.unwrap_or(bound);
-    info!(replica:% = id, peer:% = listens, operator:% = bound; "control replica starts");
+    info!(replica:% = id, peer:% = transport_addr, operator:% = bound; "control replica starts");
 
     let gauges = Gauges {
         metrics: Arc::new(ControlMetrics::new()),
         peers: transport.counters(),
     };
     let metrics = Arc::clone(&gauges.metrics);
-    let (shown_tx, shown_rx) = watch::channel(Shown::default());
-    let mut fleet = Fleet::new(keeping(cfg, peer_addr), shown_tx);
-    fleet.recall(clock.now(), note.as_deref());
+    let (published_tx, published_rx) = watch::channel(PublishedState::default());
+    let mut fleet = Fleet::new(auto_membership(cfg, peer_addr), published_tx);
+    fleet.restore_note(clock.now(), note.as_deref());
     let core = Core::new(Parts {
         id,
         clock,
         cfg: consensus_config(cfg),
         durable,
-        book: Book::new(peer_addr, contacts(cfg)),
+        address_book: AddressBook::new(peer_addr, discovery_seeds(cfg)),
         hello: HelloInfo {
             leads: false,
             operator_addr,
             leader: None,
             answers: false,
         },
-        about: About {
+        identity: Identity {
             cluster: cfg.cluster.clone(),
             node: cfg.node.clone(),
             peer_addr,
@@ -207,11 +214,11 @@
         gauges,
         fleet,
     });
-    let desk = Desk::new(input_tx.clone(), shown_rx);
+    let control = ControlHandle::new(input_tx.clone(), published_rx);
     let mut duties = vec![
         peers::spawn(transport, outbox, out_rx, stop.clone()).context(StartSnafu)?,
         disk::spawn(
-            (disk, place),
+            (disk, data_folder),
             disk_rx,
             input_tx.clone(),
             Arc::clone(&metrics),
@@ -222,29 +229,29 @@
         samples::spawn(cfg, samples_rx, stop.clone()).context(StartSnafu)?,
         admin::spawn(cfg, listener, input_tx.clone(), metrics, stop.clone())?,
     ];
-    let mut ready = vec![("peer", listens), ("operator", bound)];
+    let mut ready = vec![("peer", transport_addr), ("operator", bound)];
     for adapter in adapters {
         ready.extend(adapter.addr().map(|addr| (adapter.name(), addr)));
-        let duty = desk::spawn(adapter, desk.clone(), stop.clone());
+        let duty = handle::spawn(adapter, control.clone(), stop.clone());
         duties.push(duty.context(StartSnafu)?);
     }
     announce(&ready).context(ReadySnafu)?;
     Ok((duties, input_tx))
 }
 
-/// Whom to greet at start.
-fn contacts(cfg: &ControlSettings) -> Vec<SocketAddr> {
-    let named = cfg.replicas.iter().map(|replica| replica.peer_addr);
+/// Addresses to send hellos to at start.
+fn discovery_seeds(cfg: &ControlSettings) -> Vec<SocketAddr> {
+    let configured = cfg.replicas.iter().map(|replica| replica.peer_addr);
     let seeds = cfg.group.iter().flat_map(|group| group.seeds.clone());
-    named.chain(seeds).collect()
+    configured.chain(seeds).collect()
 }
 
-/// All replicas of a new system are given the same seeds, so just one of them finds itself
-/// first among them.
-fn keeping(cfg: &ControlSettings, own: SocketAddr) -> Option<SelfKeeping> {
-    cfg.group.as_ref().map(|group| SelfKeeping {
-        tolerate: group.tolerate,
-        founds: group.first_start && group.seeds.first() == Some(&own),
+/// Reads how the group maintains its membership. All replicas of a new system have the same
+/// seeds, so exactly one of them finds itself first in the list and founds the group.
+fn auto_membership(cfg: &ControlSettings, own_addr: SocketAddr) -> Option<AutoMembership> {
+    cfg.group.as_ref().map(|group| AutoMembership {
+        tolerated_failures: group.tolerate,
+        is_founder: group.first_start && group.seeds.first() == Some(&own_addr),
     })
 }
 
--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -1,8 +1,8 @@
-//! The samples duty: adds up what entries count, keeps it on disk, and the page that
-//! makes the burn report of it.
+//! The samples duty, which aggregates the counts reported by entries and stores them, and the
+//! page that builds the burn report from them.
 //!
-//! It has a thread and a ring of its own, apart from the replicated log: samples may be
-//! lost, and neither their number nor a slow disk is to hold up consensus.
+//! It has a thread and a queue of its own, apart from the replicated log: samples may be lost,
+//! and neither their number nor a slow disk may delay consensus.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -24,36 +24,36 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// Reports of relays that wait. When full, further ones are dropped: a relay repeats each
-/// period in its next report, and what is lost all the same shows as missing.
-const REPORTS: usize = 2048;
-/// How often it looks for periods that have waited long enough.
+/// Capacity of the queue of reports. When it is full, further ones are dropped: a relay repeats
+/// each period in its next report, and what is lost anyway shows as missing.
+const REPORT_QUEUE_CAPACITY: usize = 2048;
+/// How often the duty looks for periods that are old enough to be stored.
 const CLOSE_PERIOD: Duration = Duration::from_secs(5);
-/// How long a report is given out again: samples come once a minute.
+/// How long a burn report is cached: samples come once a minute.
 const REPORT_REUSE: Duration = Duration::from_secs(5);
 /// Folder of samples inside the data folder.
-const FOLDER: &str = "samples";
+const SAMPLES_FOLDER: &str = "samples";
 
-/// What entries counted, and who reports it.
+/// Counts of entries, and the process that sent them.
 #[derive(Debug)]
-pub(crate) struct Reported {
+pub(crate) struct ReceivedReport {
     pub(crate) origin: Origin,
     pub(crate) report: SampleReport,
 }
 
-/// Makes the ring into the samples duty.
-pub(crate) fn reports() -> (Sender<Reported>, Receiver<Reported>) {
-    ring(REPORTS)
+/// Creates the queue to the samples duty.
+pub(crate) fn report_queue() -> (Sender<ReceivedReport>, Receiver<ReceivedReport>) {
+    ring(REPORT_QUEUE_CAPACITY)
 }
 
 /// Starts the duty.
 pub(crate) fn spawn(
     cfg: &ControlSettings,
-    rx: Receiver<Reported>,
+    rx: Receiver<ReceivedReport>,
     stop: Stop,
 ) -> Result<Duty, DutyError> {
     let duty = SamplesDuty {
-        dir: folder(&cfg.data),
+        dir: samples_folder(&cfg.data),
         max_bytes: cfg.samples.max_bytes,
         collector: Collector::of_control(),
         store: None,
@@ -61,8 +61,8 @@
     Duty::spawn("samples", move || duty.run(rx, stop))
 }
 
-fn folder(data: &Path) -> PathBuf {
-    data.join(FOLDER)
+fn samples_folder(data: &Path) -> PathBuf {
+    data.join(SAMPLES_FOLDER)
 }
 
 struct SamplesDuty {
@@ -73,49 +73,49 @@
 }
 
 impl SamplesDuty {
-    async fn run(mut self, mut rx: Receiver<Reported>, mut stop: Stop) {
+    async fn run(mut self, mut rx: Receiver<ReceivedReport>, mut stop: Stop) {
         let mut ticks = interval(CLOSE_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                reported = rx.recv() => match reported {
-                    Some(reported) => self.take(reported),
+                received = rx.recv() => match received {
+                    Some(received) => self.record(received),
                     None => return,
                 },
-                _ = ticks.tick() => self.close(unix_seconds()),
+                _ = ticks.tick() => self.close_periods(unix_seconds()),
                 () = stop.wait() => break,
             }
         }
-        // A planned stop: what has come and what still waits goes to disk as it is.
-        while let Some(reported) = rx.try_recv() {
-            self.take(reported);
+        // Planned stop: everything received or still queued is stored, complete or not.
+        while let Some(received) = rx.try_recv() {
+            self.record(received);
         }
-        self.close(u64::MAX);
+        self.close_periods(u64::MAX);
     }
 
-    fn take(&mut self, reported: Reported) {
+    fn record(&mut self, received: ReceivedReport) {
         let Origin {
             name, incarnation, ..
-        } = &reported.origin;
+        } = &received.origin;
         self.collector
-            .take(unix_seconds(), name, *incarnation, reported.report);
+            .take(unix_seconds(), name, *incarnation, received.report);
     }
 
-    fn close(&mut self, now: u64) {
+    fn close_periods(&mut self, now: u64) {
         let periods = self.collector.close(now);
         let records: Vec<_> = periods.into_iter().flat_map(Record::of).collect();
         if records.is_empty() {
             return;
         }
-        if let Err(e) = self.keep(&records) {
-            // A replica whose samples can't be kept is a good replica all the same. The
-            // store is opened anew with the next records.
+        if let Err(e) = self.append(&records) {
+            // A replica that can't store samples still works otherwise. The store is opened again
+            // for the next records.
             self.store = None;
-            warn!(error:% = e, lost = records.len(); "samples can't be kept");
+            warn!(error:% = e, lost = records.len(); "can't store samples");
         }
     }
 
-    fn keep(&mut self, records: &[Record]) -> Result<(), StoreError> {
+    fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let mut store = match self.store.take() {
             Some(store) => store,
             None => SampleStore::open(&self.dir, self.max_bytes)?,
@@ -126,28 +126,28 @@
     }
 }
 
-/// Makes the burn report of the samples in a replica's data folder, as of now.
+/// Builds the burn report from the samples in a replica's data folder, as of now.
 ///
 /// # Errors
 ///
-/// Fails if the folder of samples can't be read; one that isn't there is empty.
+/// Fails if the samples folder can't be read; a missing one counts as empty.
 pub fn burn_report(cfg: &ControlSettings) -> Result<Report, StoreError> {
-    Source::new(cfg).report()
+    ReportSource::new(cfg).report()
 }
 
 #[derive(Debug)]
-struct Source {
+struct ReportSource {
     cluster: String,
     objectives: Vec<ObjectiveSettings>,
     dir: PathBuf,
 }
 
-impl Source {
+impl ReportSource {
     fn new(cfg: &ControlSettings) -> Self {
         Self {
             cluster: cfg.cluster.clone(),
             objectives: cfg.objectives.clone(),
-            dir: folder(&cfg.data),
+            dir: samples_folder(&cfg.data),
         }
     }
 
@@ -163,37 +163,37 @@
 /// `/v1/report`: the burn report of this replica's samples, as JSON. Needs no lease.
 #[derive(Debug)]
 pub(crate) struct ReportPage {
-    source: Arc<Source>,
-    /// The last report and when it was made. The lock lets one be made at a time: each
-    /// reads up to all samples that are kept.
+    source: Arc<ReportSource>,
+    /// The last report and when it was built. The lock allows one build at a time, since each
+    /// reads up to all stored samples.
     last: Mutex<Option<(Instant, Bytes)>>,
 }
 
 impl ReportPage {
     pub(crate) fn new(cfg: &ControlSettings) -> Self {
         Self {
-            source: Arc::new(Source::new(cfg)),
+            source: Arc::new(ReportSource::new(cfg)),
             last: Mutex::new(None),
         }
     }
 
     async fn content(&self) -> Bytes {
         let mut last = self.last.lock().await;
-        if let Some((made, content)) = &*last
-            && made.elapsed() < REPORT_REUSE
+        if let Some((built_at, content)) = &*last
+            && built_at.elapsed() < REPORT_REUSE
         {
             return content.clone();
         }
-        let content = self.make().await;
+        let content = self.build().await;
         *last = Some((Instant::now(), content.clone()));
         content
     }
 
-    async fn make(&self) -> Bytes {
+    async fn build(&self) -> Bytes {
         let source = Arc::clone(&self.source);
-        // Off the duty's thread, so that acts on the table don't wait for the disk.
-        let made = tokio::task::spawn_blocking(move || source.report()).await;
-        let json = match made {
+        // Not on the duty's thread, so that changes of the table don't wait for the disk.
+        let built = tokio::task::spawn_blocking(move || source.report()).await;
+        let json = match built {
             Ok(Ok(report)) => serde_json::to_vec(&report).map_err(|e| e.to_string()),
             Ok(Err(e)) => Err(e.to_string()),
             Err(e) => Err(e.to_string()),
@@ -201,7 +201,7 @@
         match json {
             Ok(json) => json.into(),
             Err(error) => {
-                warn!(error = error.as_str(); "the burn report can't be made");
+                warn!(error = error.as_str(); "can't build the burn report");
                 serde_json::json!({ "error": error }).to_string().into()
             }
         }
@@ -219,7 +219,7 @@
 }
 
 fn unix_seconds() -> u64 {
-    // A clock before 1970 is wrong in any case; the collector bears wrong clocks.
+    // A clock before 1970 is wrong in any case; the collector tolerates wrong clocks.
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
--- a/crates/filberthead/src/control/shares.rs
+++ b/crates/filberthead/src/control/shares.rs
@@ -1,9 +1,8 @@
-//! Leases of endpoints, limits and shift caps, granted to entries.
+//! Grants entries their leases of endpoints, their limits and their shift caps.
 //!
-//! The keeper lives only as long as one leadership. It answers while this replica's
-//! lease is valid and says nothing otherwise, so a deposed leader that doesn't know it
-//! yet can't raise a share that the new one has given to somebody else. A new keeper
-//! first waits out what the one before may have granted.
+//! A lessor lives for one leadership. It replies only while this replica's lease is valid,
+//! so a deposed leader that isn't aware of it can't raise a share that the new leader has granted
+//! to another entry. A new lessor first waits until grants of its predecessor have expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,99 +10,107 @@
 
 use filberthead_operator::RowReading;
 use filberthead_peer::{Body, Origin};
-use filberthead_steer::{LEASE, Message, Renew, ServiceDemand, ShareKeeper};
+use filberthead_steer::{LEASE_DURATION, Lessor, Message, Renew, ServiceDemand};
 use filberthead_table::{RowKey, View};
 use filberthead_types::{Epoch, Moment, NodeName, Region};
 
 use super::core::Core;
 use super::spreading::Domains;
 
-/// Longest time that a request of an entry that fell silent may go on running: the
-/// longest deadline that entries accept.
-const LONGEST_RUN: Duration = Duration::from_secs(60);
-/// Age from which on an entry's word says nothing about now.
-const STALE: Duration = Duration::from_secs(10);
+/// Longest time that a request of a silent entry may go on running: the longest deadline that
+/// entries accept.
+const MAX_REQUEST_DURATION: Duration = Duration::from_secs(60);
+/// Age from which on an entry's renewal says nothing about its present usage.
+const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// What an entry has in use, by its last renewal.
+/// What an entry uses, by its last renewal.
 #[derive(Debug)]
 struct Usage {
     region: Region,
     demand: Vec<ServiceDemand>,
-    heard: Moment,
+    last_renewal: Moment,
 }
 
-/// Keeper of one leadership, with the readings that renewals bring.
+/// The lessor of the current leadership, and the usage that renewals report.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    keeper: Option<(Epoch, ShareKeeper)>,
+    lessor: Option<(Epoch, Lessor)>,
+    /// Usage by entry, from renewals in this leadership.
     usage: BTreeMap<NodeName, Usage>,
 }
 
 impl Shares {
-    /// Takes in whether this replica leads, and in which term.
-    fn lead(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
+    /// Replaces the lessor when the term changes, and drops it for `None`, when this replica
+    /// doesn't lead.
+    fn set_term(&mut self, now: Moment, term: Option<Epoch>, view: impl FnOnce() -> Arc<View>) {
         let Some(term) = term else {
-            self.keeper = None;
+            self.lessor = None;
             return;
         };
-        if self.keeper.as_ref().is_some_and(|(of, _)| *of == term) {
+        if self
+            .lessor
+            .as_ref()
+            .is_some_and(|(current, _)| *current == term)
+        {
             return;
         }
-        let mut keeper = ShareKeeper::new(now, term, LONGEST_RUN);
-        keeper.set_table(view());
-        self.keeper = Some((term, keeper));
+        let mut lessor = Lessor::new(now, term, MAX_REQUEST_DURATION);
+        lessor.set_table(view());
+        self.lessor = Some((term, lessor));
         self.usage.clear();
     }
 
-    /// Takes in a committed table.
-    pub(crate) fn committed(&mut self, view: Arc<View>) {
-        if let Some((_, keeper)) = &mut self.keeper {
-            keeper.set_table(view);
+    /// Passes a committed table to the lessor.
+    pub(crate) fn set_table(&mut self, view: Arc<View>) {
+        if let Some((_, lessor)) = &mut self.lessor {
+            lessor.set_table(view);
         }
     }
 
     fn renew(&mut self, now: Moment, from: &NodeName, renew: &Renew) -> Option<Message> {
-        let (_, keeper) = self.keeper.as_mut()?;
-        let grant = keeper.renew(now, from, renew);
-        // One without a number answers a renewal that was overtaken.
+        let (_, lessor) = self.lessor.as_mut()?;
+        let grant = lessor.renew(now, from, renew);
+        // A grant without a serial number replies to a renewal that was superseded.
         if grant.serial > 0 {
             let usage = Usage {
                 region: renew.region.clone(),
                 demand: renew.demand.clone(),
-                heard: now,
+                last_renewal: now,
             };
             self.usage.insert(from.clone(), usage);
         }
         Some(Message::Grant(grant))
     }
 
-    /// What runs in each row, by the renewals of the last seconds. `domains` are all
-    /// failure domains that control knows of, with their regions.
+    /// Usage per row of the table, from recent renewals. `domains` holds all failure domains that
+    /// control knows of, with their regions.
     pub(crate) fn readings(&self, now: Moment, domains: &Domains) -> Vec<RowReading> {
         let mut rows: BTreeMap<RowKey, RowReading> = BTreeMap::new();
         for usage in self.usage.values() {
-            let age = now.saturating_sub(usage.heard);
-            if age < STALE {
+            let age = now.saturating_sub(usage.last_renewal);
+            if age < STALE_AFTER {
                 usage.add_to(age, &mut rows);
             }
         }
         let mut rows: Vec<_> = rows.into_values().collect();
         for row in &mut rows {
-            // The slots of some entries say nothing of what the region can carry, and
-            // must not make a limit look too high; nor must those of entries that have
-            // no endpoints yet.
-            let knows = self.knows_slots(now, &row.region, domains);
-            row.slots = row.slots.filter(|slots| *slots > 0 && knows);
+            // Slots reported by some entries only don't show the region's capacity, and could
+            // make a limit look too high; nor do slots of entries that have no endpoints yet.
+            let complete = self.has_all_slots(now, &row.region, domains);
+            row.slots = row.slots.filter(|slots| *slots > 0 && complete);
         }
         rows
     }
 
-    fn knows_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
-        let Some((_, keeper)) = &self.keeper else {
+    /// Whether the slots of all failure domains of a region have been reported.
+    fn has_all_slots(&self, now: Moment, region: &Region, domains: &Domains) -> bool {
+        let Some((_, lessor)) = &self.lessor else {
             return false;
         };
-        let here = domains.iter().filter(|(_, of)| *of == region);
-        keeper.knows_slots(now, region, here.map(|(domain, _)| domain))
+        let in_region = domains
+            .iter()
+            .filter(|(_, domain_region)| *domain_region == region);
+        lessor.slots_are_complete(now, region, in_region.map(|(domain, _)| domain))
     }
 }
 
@@ -124,9 +131,9 @@
             });
             add(&mut reading.running, demand.running);
             add(&mut reading.shifted, demand.shifted);
-            // An entry that is silent for longer may have lost its endpoints to others,
-            // who count them now.
-            if age < LEASE {
+            // Endpoints of an entry that has been silent for longer may have moved to other
+            // entries, which count them now.
+            if age < LEASE_DURATION {
                 add(&mut reading.slots, demand.slots);
             }
             let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
@@ -142,20 +149,20 @@
 }
 
 impl Core {
-    /// Answers an entry's renewal, if this replica leads at this moment.
-    pub(super) fn take_renewal(&mut self, origin: &Origin, renew: &Renew) {
+    /// Replies to an entry's renewal, if this replica leads at this moment.
+    pub(super) fn handle_renewal(&mut self, origin: &Origin, renew: &Renew) {
         let now = self.clock.now();
-        self.keep_shares(now);
+        self.sync_lessor(now);
         if let Some(grant) = self.shares.renew(now, &origin.name, renew) {
             self.send(origin.addr, Body::Steer(grant));
         }
     }
 
-    /// Brings the keeper in line with the lease.
-    pub(super) fn keep_shares(&mut self, now: Moment) {
+    /// Aligns the lessor with this replica's lease.
+    pub(super) fn sync_lessor(&mut self, now: Moment) {
         let leads = self.replica.lease_until(now).is_some();
         let term = leads.then(|| self.replica.status(now).term);
         let table = &self.machine.table;
-        self.shares.lead(now, term, || Arc::new(table.view()));
+        self.shares.set_term(now, term, || Arc::new(table.view()));
     }
 }
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -1,23 +1,28 @@
-//! The gateway daemon: carries callers' requests along routes.
+//! The gateway daemon: forwards callers' requests to endpoints along the configured routes.
 //!
-//! Its duties, each a thread: `requests` takes requests, decides where they go, talks to
-//! endpoints and keeps in touch with control; `readiness` answers the platform's question
-//! and shows metrics; the transport's threads receive and send messages. Callers and
-//! endpoints share one thread on purpose: a request would otherwise cross threads twice,
-//! and on a fraction of a core each crossing costs a wake-up and gains nothing.
+//! It runs these duties, one thread each:
+//!
+//! - `requests` accepts callers' connections, chooses endpoints, forwards requests and exchanges
+//!   messages with the control replicas;
+//! - `readiness` serves the platform's readiness probe and the metrics;
+//! - `peer-send` and the transport's own threads send and receive messages.
+//!
+//! Caller and endpoint connections share one thread on purpose: a request would otherwise cross
+//! threads twice, and on a VM with a fraction of a core each crossing costs a wake-up and gains
+//! nothing.
 
-mod answer;
-mod arrival;
 mod attempt;
 mod bounds;
-mod carry;
+mod context;
 mod core;
 mod deadline;
-mod dialect;
-mod passing;
+mod forward;
+mod protocol;
 mod readiness;
+mod response;
 mod serve;
 mod stop;
+mod streamed;
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -26,7 +31,7 @@
 use filberthead_fleet::{GatewayInfo, Member, Message};
 use filberthead_observe::GatewayMetrics;
 use filberthead_peer::{Body, Deliver, Origin, Transport, TransportError, cluster_id};
-use filberthead_place::{BudgetConfig, Config, LargeShare, Link, Placer};
+use filberthead_place::{Config, LargeResponseAdmission, Link, Placer, RetryBudgetConfig};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_settings::GatewaySettings;
 use filberthead_types::Incarnation;
@@ -35,7 +40,7 @@
 use tokio::sync::watch;
 
 use self::core::{Core, CoreParts};
-pub use self::dialect::Dialect;
+pub use self::protocol::ProtocolNames;
 use self::stop::{Phase, PlannedStop};
 use crate::ready::announce;
 use crate::stop::{Stop, stop_pair};
@@ -43,135 +48,141 @@
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
 const BITS_PER_MBIT: f64 = 1e6;
-/// Messages of control that wait for the requests duty. When full, further ones are
-/// dropped; control repeats what it says.
-const MESSAGES: usize = 256;
+/// Capacity of the queue of control messages to the requests duty. Messages that find it full are
+/// dropped; control repeats them.
+const INBOX_CAPACITY: usize = 256;
 
-/// Why a gateway doesn't start or ends other than by a planned stop.
+/// Why a gateway failed to start or ended other than by a planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// A listening socket can't be opened.
     #[snafu(display("can't listen on {addr}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The transport between processes can't start.
     #[snafu(display("can't start the transport between processes"))]
     Peer {
-        /// Its word.
+        /// The transport's error.
         source: TransportError,
     },
-    /// A thread can't be started.
+    /// A duty's thread can't be started.
     #[snafu(display("can't start a duty"))]
     Duty {
-        /// Which and why.
+        /// Which duty, and why.
         source: DutyError,
     },
-    /// The line that says that the gateway serves can't be written.
+    /// The `ready` line can't be written to standard output.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The runtime of the supervisor can't be started.
+    /// The supervisor's runtime can't be started.
     #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A duty failed.
+    /// A duty ended by itself or panicked.
     #[snafu(display("the gateway failed"))]
     Supervise {
-        /// Which and how.
+        /// Which duty, and how.
         source: SuperviseError,
     },
 }
 
-/// A message of a control replica, and where that takes answers.
-pub(crate) struct Heard {
+/// A message from a control replica, with the address that replies go to.
+pub(crate) struct ControlMessage {
     pub(crate) from: SocketAddr,
     pub(crate) message: Message,
 }
 
-/// Hands messages of control to the requests duty.
-struct ToRequests(Sender<Heard>);
+/// Delivers control messages from the transport's thread to the requests duty.
+struct RequestsInbox(Sender<ControlMessage>);
 
-impl Deliver for ToRequests {
+impl Deliver for RequestsInbox {
     fn deliver(&mut self, origin: Origin, body: Body) {
         if let Body::Fleet(message) = body {
             let from = origin.addr;
-            // A full ring drops the message; control repeats it.
-            let _ = self.0.push(Heard { from, message });
+            // Dropped if the queue is full; control repeats it.
+            let _ = self.0.push(ControlMessage { from, message });
         }
     }
 }
 
-/// Everything that is open before the first thread starts.
-struct Opened {
+/// Sockets and the message queue, opened before the first thread starts.
+struct OpenSockets {
     transport: Transport,
-    rx: Receiver<Heard>,
+    inbox: Receiver<ControlMessage>,
     callers: TcpListener,
     readiness: TcpListener,
     status: TcpListener,
 }
 
-/// Runs a gateway until the end of its planned stop. `seeds` reads the group's seeds anew
-/// when the settings have changed.
+/// Runs a gateway until the end of its planned stop. `seeds` reads the seed addresses of the
+/// control group again after a reload of the settings (SIGHUP).
 ///
 /// # Errors
 ///
-/// Fails if it can't start, or if one of its duties ends by itself.
+/// Fails if the gateway can't start, or if one of its duties ends by itself.
 pub fn run(
     cfg: &GatewaySettings,
-    dialect: Dialect,
+    protocol: ProtocolNames,
     seeds: impl Fn() -> Vec<SocketAddr> + 'static,
 ) -> Result<(), GatewayError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let signals = Signals::catch(&runtime).context(SuperviseSnafu)?;
-    let opened = open(cfg)?;
+    let signals = Signals::install(&runtime).context(SuperviseSnafu)?;
+    let sockets = open_sockets(cfg)?;
     let (source, stop) = stop_pair();
     let phase = watch::Sender::new(Phase::Starting);
     let connections = watch::Sender::new(0);
-    let seeded = watch::Sender::new(cfg.seeds.clone());
-    let planned = PlannedStop {
+    let seed_updates = watch::Sender::new(cfg.seeds.clone());
+    let planned_stop = PlannedStop {
         grace: cfg.stop_grace,
         phase: phase.clone(),
         connections: connections.subscribe(),
     };
     let ready = [
-        ("caller", bound(&opened.callers)?),
-        ("peer", opened.transport.addr()),
-        ("readiness", bound(&opened.readiness)?),
-        ("status", bound(&opened.status)?),
+        ("caller", local_addr(&sockets.callers)?),
+        ("peer", sockets.transport.addr()),
+        ("readiness", local_addr(&sockets.readiness)?),
+        ("status", local_addr(&sockets.status)?),
     ];
     info!(domain:% = cfg.failure_domain, seeds:? = cfg.seeds, caller:% = ready[0].1;
         "gateway starts");
-    let duties = start(cfg, dialect, opened, (phase, connections, &seeded), &stop)?;
+    let duties = spawn_duties(
+        cfg,
+        protocol,
+        sockets,
+        (phase, connections, &seed_updates),
+        &stop,
+    )?;
     announce(&ready).context(ReadySnafu)?;
     let reload = move || {
         let seeds = seeds();
-        info!(seeds:? = seeds; "settings read again");
-        seeded.send_replace(seeds);
+        info!(seeds:? = seeds; "settings reloaded");
+        seed_updates.send_replace(seeds);
     };
-    let supervised = supervise(duties, signals, source, reload, || planned.run());
+    let supervised = supervise(duties, signals, source, reload, || planned_stop.run());
     runtime.block_on(supervised).context(SuperviseSnafu)
 }
 
-fn open(cfg: &GatewaySettings) -> Result<Opened, GatewayError> {
-    let (tx, rx) = ring(MESSAGES);
+fn open_sockets(cfg: &GatewaySettings) -> Result<OpenSockets, GatewayError> {
+    let (tx, rx) = ring(INBOX_CAPACITY);
     let cluster = cluster_id(&cfg.cluster);
     let transport =
-        Transport::listen(cfg.peer_listen, cluster, ToRequests(tx)).context(PeerSnafu)?;
-    Ok(Opened {
+        Transport::listen(cfg.peer_listen, cluster, RequestsInbox(tx)).context(PeerSnafu)?;
+    Ok(OpenSockets {
         transport,
-        rx,
+        inbox: rx,
         callers: listen(cfg.caller_listen)?,
         readiness: listen(cfg.readiness_listen)?,
         status: listen(cfg.status_listen)?,
@@ -186,30 +197,31 @@
     Ok(listener)
 }
 
-fn bound(listener: &TcpListener) -> Result<SocketAddr, GatewayError> {
+fn local_addr(listener: &TcpListener) -> Result<SocketAddr, GatewayError> {
     let addr = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().context(ListenSnafu { addr })
 }
 
-/// What the duties share with the one that supervises them.
-type Shared<'a> = (
+/// Channels between the duties and the supervising thread: the phase, the number of open caller
+/// connections, and the current seeds.
+type SharedState<'a> = (
     watch::Sender<Phase>,
     watch::Sender<usize>,
     &'a watch::Sender<Vec<SocketAddr>>,
 );
 
-fn start(
+fn spawn_duties(
     cfg: &GatewaySettings,
-    dialect: Dialect,
-    opened: Opened,
-    (phase, connections, seeded): Shared<'_>,
+    protocol: ProtocolNames,
+    sockets: OpenSockets,
+    (phase, connections, seed_updates): SharedState<'_>,
     stop: &Stop,
 ) -> Result<Vec<Duty>, GatewayError> {
     let caller_addr = match cfg.caller_advertise {
         Some(addr) => addr,
-        None => bound(&opened.callers)?,
+        None => local_addr(&sockets.callers)?,
     };
-    let peer_addr = cfg.peer_advertise.unwrap_or(opened.transport.addr());
+    let peer_addr = cfg.peer_advertise.unwrap_or(sockets.transport.addr());
     let (out, out_rx) = peers::outgoing();
     let origin = Origin {
         name: cfg.node.clone(),
@@ -217,7 +229,7 @@
         addr: peer_addr,
         replica: None,
     };
-    let outbox = opened.transport.outbox(cluster_id(&cfg.cluster), origin);
+    let outbox = sockets.transport.outbox(cluster_id(&cfg.cluster), origin);
     let info = GatewayInfo {
         name: cfg.node.clone(),
         region: cfg.region.clone(),
@@ -226,54 +238,54 @@
     };
     let metrics = Arc::new(GatewayMetrics::new());
     let probes = readiness::Probes {
-        readiness: opened.readiness,
-        status: opened.status,
-        path: dialect.readiness_path,
+        readiness: sockets.readiness,
+        status: sockets.status,
+        path: protocol.readiness_path,
         metrics: Arc::clone(&metrics),
-        peers: opened.transport.counters(),
+        peers: sockets.transport.counters(),
         phase: phase.subscribe(),
     };
     let parts = CoreParts {
         clock: Clock::start(),
-        dialect: Arc::new(dialect),
-        placer: Placer::new(placing(cfg)),
+        protocol: Arc::new(protocol),
+        placer: Placer::new(placement_config(cfg)),
         member: Member::new(info, cfg.seeds.clone(), rand::random()),
         out,
         phase,
         connections,
         link: cfg.link_rate.map(|rate| Link::new(rate * BITS_PER_MBIT)),
-        large: cfg
+        large_share: cfg
             .link_rate
-            .map(|rate| LargeShare::new(rate * BITS_PER_MBIT)),
+            .map(|rate| LargeResponseAdmission::new(rate * BITS_PER_MBIT)),
         metrics,
-        seeds: seeded.subscribe(),
+        seeds: seed_updates.subscribe(),
     };
-    let (callers, rx) = (opened.callers, opened.rx);
+    let (callers, rx) = (sockets.callers, sockets.inbox);
     let stopping = stop.clone();
     let requests = move || async move {
         let core = Core::new(parts);
         serve::run(core, callers, rx, stopping).await;
     };
     let duties = vec![
-        peers::spawn(opened.transport, outbox, out_rx, stop.clone()).context(DutySnafu)?,
+        peers::spawn(sockets.transport, outbox, out_rx, stop.clone()).context(DutySnafu)?,
         Duty::spawn("requests", requests).context(DutySnafu)?,
         readiness::spawn(probes, stop.clone()).context(DutySnafu)?,
     ];
     Ok(duties)
 }
 
-fn placing(cfg: &GatewaySettings) -> Config {
+fn placement_config(cfg: &GatewaySettings) -> Config {
     Config {
         gateway: cfg.node.clone(),
         region: cfg.region.clone(),
         domain: cfg.failure_domain.clone(),
         regions: cfg.regions.clone(),
-        budget: BudgetConfig {
+        retry_budget: RetryBudgetConfig {
             ratio: cfg.budgets.retry_ratio,
             floor: cfg.budgets.retry_floor,
             window: cfg.budgets.retry_window,
         },
         max_shift: cfg.budgets.max_shift,
-        without: BTreeSet::new(),
+        disabled: BTreeSet::new(),
     }
 }
--- /dev/null
+++ b/crates/filberthead/src/gateway/protocol.rs
@@ -0,0 +1,26 @@
+//! Names that the outside protocol gives to the headers and paths a gateway uses.
+//!
+//! Their meaning is fixed here; an adapter supplies the names.
+
+use http::HeaderName;
+
+/// Headers between callers, gateway and endpoints, and the readiness path.
+#[derive(Clone, Debug)]
+pub struct ProtocolNames {
+    /// Id of one attempt by a caller. Endpoints echo it.
+    pub request_id: HeaderName,
+    /// Milliseconds for which the sender goes on waiting.
+    pub deadline_ms: HeaderName,
+    /// Key for session affinity: the object that the request concerns.
+    pub affinity_key: HeaderName,
+    /// Identity of the endpoint the request is for. Another one refuses to run it.
+    pub target_instance: HeaderName,
+    /// Set by an endpoint that did not run the request.
+    pub not_run: HeaderName,
+    /// Set by an endpoint: `running,waiting,slots`.
+    pub load: HeaderName,
+    /// Set by an endpoint: remaining warm-up time in milliseconds.
+    pub warmup_ms: HeaderName,
+    /// Path of the readiness probe.
+    pub readiness_path: &'static str,
+}
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,14 +1,14 @@
-//! The list of endpoints, and what has changed in it lately.
+//! The list of endpoints and its recent changes.
 //!
-//! The load it answers: a release replaces endpoints one after the other, and each step is
-//! a new list. At six hundred endpoints a list is 30 KB; sent whole to every gateway, steps
-//! of a second would fill a twentieth of a gateway's link and grow with the square of the
-//! deployment. So whoever holds a list is told only what has changed since.
+//! A release replaces endpoints one after the other, and each step makes a new list. With 600
+//! endpoints a list takes 30 KB; sending it to every gateway once a second would fill a
+//! twentieth of a gateway's link, and the cost would grow with the square of the deployment.
+//! So a process that holds a list receives only the changes since then.
 //!
-//! A stamp names the same content on every replica, since only the leader of a term gives
-//! stamps; so a change from one stamp to another may come from any of them. Lists that were
-//! read without a leader have no term, and replicas number them each on its own: nothing is
-//! ever told as a change of one of those.
+//! A stamp identifies the same content on every replica, since only the leader of a term
+//! assigns stamps; so a change between two stamps may come from any replica. Lists that were
+//! read without a leader have term 0 and are numbered by each replica on its own, so changes
+//! relative to such a list are never sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,43 +18,44 @@
 
 use crate::{Endpoint, EndpointChange, EndpointState, Message, Stamp};
 
-/// A change of an endpoint's cold time by less than this is the passing of time seen
-/// through a clock of another machine, not news.
-const COLD_NOISE: Duration = Duration::from_millis(700);
-/// Changes that are kept: as many as come within some tens of seconds of a release. Who
-/// was away for longer gets the whole list.
+/// Smaller differences in an endpoint's remaining cold time come from clock differences
+/// between machines and don't count as a change.
+const COLD_TIME_TOLERANCE: Duration = Duration::from_millis(700);
+/// Number of changes kept: what a release makes within some tens of seconds. A process that
+/// missed more receives the complete list.
 const KEPT_CHANGES: usize = 48;
 
-/// How long just an earlier start must have been read under an identity before it is
-/// believed again: several times what a platform's list lags. An endpoint's clock may have
-/// been ahead at the start that is held.
-const EARLIER_BELIEVED_AFTER: Duration = Duration::from_secs(3);
+/// How long readings must show only an earlier start of an endpoint before it replaces the
+/// one held: several times the lag of a platform's list. The clock may have been ahead at the
+/// start that is held, so the earlier one can't be ignored for good.
+const EARLIER_START_ACCEPTED_AFTER: Duration = Duration::from_secs(3);
 
-/// What became of news about the list.
+/// Result of applying a list or a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
-    /// It is held now.
-    New,
-    /// Something at least as new is held.
-    Old,
-    /// It is a change of a list that isn't held.
+pub(crate) enum ListOutcome {
+    /// It was applied.
+    Applied,
+    /// A list that is at least as new is already held.
+    Stale,
+    /// The change is relative to a list that isn't held.
     Gap,
 }
 
-/// The list that a replica holds.
+/// The list that a replica holds, with its recent changes.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct List {
+pub(crate) struct EndpointList {
     stamp: Stamp,
     by_id: BTreeMap<String, Endpoint>,
-    /// When cold times were as they stand.
-    at: Moment,
-    /// From an older stamp to a newer one, without a gap, up to what is held.
+    /// The moment to which the remaining cold times in `by_id` refer.
+    updated_at: Moment,
+    /// Consecutive changes, oldest first, each with the stamp that it leads to; the last one
+    /// leads to `stamp`.
     changes: VecDeque<(Stamp, EndpointChange)>,
-    /// Since when readings have had only earlier starts of these.
-    earlier: BTreeMap<String, Moment>,
+    /// Since when readings have shown only an earlier start of these endpoints, by identity.
+    earlier_since: BTreeMap<String, Moment>,
 }
 
-impl List {
+impl EndpointList {
     pub(crate) fn stamp(&self) -> Stamp {
         self.stamp
     }
@@ -64,55 +65,65 @@
         self.by_id.values().map(|e| &e.service)
     }
 
-    /// What holds of a list that was read just now: one entry for each identity, and none of
-    /// a start that is earlier than the one held. Replicas that show a restart may be behind,
-    /// and entries of other writers may have an endpoint's identity.
-    pub(crate) fn settled(
+    /// Cleans up a list that was just read from the platform: one entry for each identity, and
+    /// none for an earlier start than the one held. The platform's replicas may lag behind a
+    /// restart, and other programs may write entries with an endpoint's identity.
+    pub(crate) fn reconcile(
         &mut self,
         now: Moment,
         list: Vec<Endpoint>,
         is_served: impl Fn(&ServiceName) -> bool,
     ) -> Vec<Endpoint> {
-        let mut best = one_for_each(list, &is_served);
-        let passed = now.saturating_sub(self.at);
-        let mut since = std::mem::take(&mut self.earlier);
-        for read in best.values_mut() {
-            let Some(held) = self.by_id.get(&read.id) else {
+        let mut best = deduplicate(list, &is_served);
+        let elapsed = now.saturating_sub(self.updated_at);
+        let mut since = std::mem::take(&mut self.earlier_since);
+        for entry in best.values_mut() {
+            let Some(current) = self.by_id.get(&entry.id) else {
                 continue;
             };
-            if read.incarnation >= held.incarnation || !is_served(&held.service) {
+            if entry.incarnation >= current.incarnation || !is_served(&current.service) {
                 continue;
             }
-            let since = since.remove(&read.id).unwrap_or(now);
-            if now < since + EARLIER_BELIEVED_AFTER {
-                self.earlier.insert(read.id.clone(), since);
-                *read = aged(held, passed);
+            let since = since.remove(&entry.id).unwrap_or(now);
+            if now < since + EARLIER_START_ACCEPTED_AFTER {
+                self.earlier_since.insert(entry.id.clone(), since);
+                *entry = aged(current, elapsed);
             }
         }
         best.into_values().collect()
     }
 
-    /// Whether a list that was read just now differs from this one by no more than the
-    /// passing of time.
-    pub(crate) fn tells_nothing_new(&self, now: Moment, list: &[Endpoint]) -> bool {
-        let same = |e: &Endpoint| {
-            let held = self.by_id.get(&e.id);
-            held.is_some_and(|held| is_same(&aged(held, now.saturating_sub(self.at)), e))
+    /// Whether a list that was just read differs from this one only by the passing of time.
+    pub(crate) fn is_unchanged(&self, now: Moment, list: &[Endpoint]) -> bool {
+        let is_unchanged = |e: &Endpoint| {
+            let current = self.by_id.get(&e.id);
+            current.is_some_and(|current| {
+                is_equivalent(&aged(current, now.saturating_sub(self.updated_at)), e)
+            })
         };
-        self.by_id.len() == list.len() && list.iter().all(same)
+        self.by_id.len() == list.len() && list.iter().all(is_unchanged)
     }
 
-    /// Takes in a whole list.
-    pub(crate) fn replace(&mut self, now: Moment, stamp: Stamp, list: Vec<Endpoint>) -> Taken {
+    /// Replaces the list if `stamp` is newer.
+    pub(crate) fn replace(
+        &mut self,
+        now: Moment,
+        stamp: Stamp,
+        list: Vec<Endpoint>,
+    ) -> ListOutcome {
         if stamp <= self.stamp {
-            return Taken::Old;
+            return ListOutcome::Stale;
         }
-        self.age(now);
+        self.advance_to(now);
         let by_id: BTreeMap<_, _> = list.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let held = |e: &&Endpoint| self.by_id.get(&e.id).is_some_and(|held| is_same(held, e));
+        let is_current = |e: &&Endpoint| {
+            self.by_id
+                .get(&e.id)
+                .is_some_and(|current| is_equivalent(current, e))
+        };
         let change = EndpointChange {
             from: self.stamp,
-            changed: by_id.values().filter(|e| !held(e)).cloned().collect(),
+            changed: by_id.values().filter(|e| !is_current(e)).cloned().collect(),
             gone: self
                 .by_id
                 .keys()
@@ -121,30 +132,35 @@
                 .collect(),
         };
         self.by_id = by_id;
-        self.keep(stamp, change);
-        Taken::New
+        self.push_change(stamp, change);
+        ListOutcome::Applied
     }
 
-    /// Takes in a change.
-    pub(crate) fn apply(&mut self, now: Moment, stamp: Stamp, change: EndpointChange) -> Taken {
+    /// Applies a change to the list.
+    pub(crate) fn apply(
+        &mut self,
+        now: Moment,
+        stamp: Stamp,
+        change: EndpointChange,
+    ) -> ListOutcome {
         if stamp <= self.stamp {
-            return Taken::Old;
+            return ListOutcome::Stale;
         }
         if change.from != self.stamp {
-            return Taken::Gap;
+            return ListOutcome::Gap;
         }
-        self.age(now);
+        self.advance_to(now);
         for id in &change.gone {
             self.by_id.remove(id);
         }
         for endpoint in &change.changed {
             self.by_id.insert(endpoint.id.clone(), endpoint.clone());
         }
-        self.keep(stamp, change);
-        Taken::New
+        self.push_change(stamp, change);
+        ListOutcome::Applied
     }
 
-    fn keep(&mut self, stamp: Stamp, change: EndpointChange) {
+    fn push_change(&mut self, stamp: Stamp, change: EndpointChange) {
         self.stamp = stamp;
         self.changes.push_back((stamp, change));
         if self.changes.len() > KEPT_CHANGES {
@@ -152,16 +168,16 @@
         }
     }
 
-    /// What somebody lacks who holds the list with this stamp.
-    pub(crate) fn since(&self, now: Moment, have: Stamp) -> Option<Message> {
-        if self.stamp <= have {
+    /// The update for a process that holds the list of stamp `base`; `None` if it is up to date.
+    pub(crate) fn since(&self, now: Moment, base: Stamp) -> Option<Message> {
+        if self.stamp <= base {
             return None;
         }
-        let passed = now.saturating_sub(self.at);
-        let news = match self.change_since(have) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        let message = match self.change_since(base) {
             Some(mut change) => {
-                let fresh = |e: &Endpoint| self.by_id.get(&e.id).map(|e| aged(e, passed));
-                change.changed = change.changed.iter().filter_map(fresh).collect();
+                let refresh = |e: &Endpoint| self.by_id.get(&e.id).map(|e| aged(e, elapsed));
+                change.changed = change.changed.iter().filter_map(refresh).collect();
                 Message::EndpointsChanged {
                     stamp: self.stamp,
                     change,
@@ -169,18 +185,19 @@
             }
             None => Message::Endpoints {
                 stamp: self.stamp,
-                list: self.by_id.values().map(|e| aged(e, passed)).collect(),
+                list: self.by_id.values().map(|e| aged(e, elapsed)).collect(),
             },
         };
-        Some(news)
+        Some(message)
     }
 
-    /// All changes from a stamp on as one, if they are all kept and shorter than the list.
-    fn change_since(&self, have: Stamp) -> Option<EndpointChange> {
-        if have.term == 0 {
+    /// All changes since `base` merged into one; `None` if some are no longer kept or the result
+    /// isn't shorter than the list.
+    fn change_since(&self, base: Stamp) -> Option<EndpointChange> {
+        if base.term == 0 {
             return None;
         }
-        let first = self.changes.iter().position(|(_, c)| c.from == have)?;
+        let first = self.changes.iter().position(|(_, c)| c.from == base)?;
         let mut changed = BTreeMap::new();
         let mut gone = BTreeMap::new();
         for (_, change) in self.changes.iter().skip(first) {
@@ -194,22 +211,22 @@
             }
         }
         (changed.len() + gone.len() < self.by_id.len()).then(|| EndpointChange {
-            from: have,
+            from: base,
             changed: changed.into_values().cloned().collect(),
             gone: gone.into_keys().cloned().collect(),
         })
     }
 
-    fn age(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.at);
-        self.at = now;
+    fn advance_to(&mut self, now: Moment) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = now;
         for endpoint in self.by_id.values_mut() {
-            endpoint.cold_left = endpoint.cold_left.saturating_sub(passed);
+            endpoint.cold_left = endpoint.cold_left.saturating_sub(elapsed);
         }
     }
 }
 
-fn one_for_each(
+fn deduplicate(
     list: Vec<Endpoint>,
     is_served: impl Fn(&ServiceName) -> bool,
 ) -> BTreeMap<String, Endpoint> {
@@ -217,19 +234,19 @@
         rank(a, is_served(&a.service)) > rank(b, is_served(&b.service))
     };
     let mut best: BTreeMap<String, Endpoint> = BTreeMap::new();
-    for read in list {
-        let held = best.get(&read.id);
-        if held.is_none_or(|held| outranks(&read, held)) {
-            best.insert(read.id.clone(), read);
+    for entry in list {
+        let current = best.get(&entry.id);
+        if current.is_none_or(|current| outranks(&entry, current)) {
+            best.insert(entry.id.clone(), entry);
         }
     }
     best
 }
 
-/// Of two entries with one identity the one that ranks higher holds. In this order: one of a
-/// service that routes name, since the other gets no request in any case; the later start;
-/// one that drains, since nothing is sent where that may be true. The rest only makes the
-/// choice the same on every replica.
+/// Priority among entries with the same identity; the highest is kept. In this order: a
+/// service that has routes, since the other receives no requests anyway; the later start; a
+/// draining one, since sending to an endpoint that may be draining must be avoided. The rest
+/// only makes the choice deterministic across replicas.
 fn rank(e: &Endpoint, is_served: bool) -> impl Ord + '_ {
     (
         is_served,
@@ -240,17 +257,18 @@
     )
 }
 
-fn aged(e: &Endpoint, passed: Duration) -> Endpoint {
+fn aged(e: &Endpoint, elapsed: Duration) -> Endpoint {
     Endpoint {
-        cold_left: e.cold_left.saturating_sub(passed),
+        cold_left: e.cold_left.saturating_sub(elapsed),
         ..e.clone()
     }
 }
 
-fn is_same(a: &Endpoint, b: &Endpoint) -> bool {
-    let plain = |e: &Endpoint| Endpoint {
+fn is_equivalent(a: &Endpoint, b: &Endpoint) -> bool {
+    let without_cold_time = |e: &Endpoint| Endpoint {
         cold_left: Duration::ZERO,
         ..e.clone()
     };
-    a.cold_left.abs_diff(b.cold_left) < COLD_NOISE && plain(a) == plain(b)
+    a.cold_left.abs_diff(b.cold_left) < COLD_TIME_TOLERANCE
+        && without_cold_time(a) == without_cold_time(b)
 }
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! The control side: which gateways are live, and what they are to be told.
+//! The control side: tracks the gateways and sends them the updates that they need.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,95 +9,98 @@
 use filberthead_route::Table;
 use filberthead_types::{FailureDomain, Moment, NodeName, Region, ServiceName};
 
-use crate::list::{List, Taken};
-use crate::parts::Sending;
+use crate::list::{EndpointList, ListOutcome};
+use crate::parts::OutgoingTransfers;
 use crate::routes::Routes;
 use crate::{
-    Demand, Endpoint, EndpointChange, GatewayInfo, Have, Message, Outbound, Relayed, Report,
-    Revision, Stamp,
+    Demand, Endpoint, EndpointChange, GatewayInfo, Message, Outbound, RelayedReport, Report,
+    Revision, Revisions, Stamp,
 };
 
-/// Silence after which a gateway is no longer named to callers: three reports, so that
-/// one that is lost or late takes nobody out of service.
-const LIVE_FOR: Duration = Duration::from_millis(1600);
-/// Silence after which a gateway is forgotten. Its place in counts lasts this long, since
-/// one that is cut off from control may still be serving.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
-
-/// Time for which sums over all gateways are kept: each of hundreds of reports is answered
-/// with them.
-const SUMS_KEPT: Duration = Duration::from_millis(100);
-/// Questions that may wait for the leader's word; further ones are asked again anyway.
-const MAX_QUESTIONS: usize = 1024;
-
-/// A report that came to this replica itself.
+/// Silence after which a gateway is no longer returned to callers: three report periods, so
+/// that one lost or late report takes no gateway out of service.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Silence after which a gateway is removed. Until then it still counts as a gateway of its
+/// failure domain, since one that is cut off from control may still be serving.
+const REMOVED_AFTER: Duration = Duration::from_secs(30);
+
+/// How long totals over all gateways are cached: every answer to hundreds of reports contains
+/// them.
+const TOTALS_TTL: Duration = Duration::from_millis(100);
+/// Proof requests that may wait for the leader. Further ones are dropped: the next report
+/// requests a proof again.
+const MAX_PROOF_REQUESTS: usize = 1024;
+
+/// The last report that a gateway sent to this replica itself.
 #[derive(Clone, Copy, Debug)]
-struct Direct {
+struct DirectReport {
     addr: SocketAddr,
-    at: Moment,
-    /// What the gateway holds, by its report and what it was sent since.
-    have: Have,
+    received_at: Moment,
+    /// Revisions that the gateway holds, according to its report and the updates sent since.
+    revisions: Revisions,
 }
 
+/// State of a gateway from its newest report, direct or relayed.
 #[derive(Clone, Debug)]
-struct Seen {
+struct GatewayState {
     info: GatewayInfo,
-    /// Its last report to this replica; none if only others heard it.
-    direct: Option<Direct>,
+    /// Its last report to this replica; `None` if it has reported only to others.
+    direct: Option<DirectReport>,
     ready: bool,
-    at: Moment,
+    last_seen: Moment,
     demand: Vec<Demand>,
     link_milli: u32,
 }
 
-/// The question of a gateway's report that waits for a proof.
+/// A report of a gateway that waits for a proof from the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question {
-    /// Who asked.
+pub struct ProofRequest {
+    /// The gateway's address.
     pub from: SocketAddr,
-    /// The question.
-    pub number: u64,
+    /// Id of the report.
+    pub report_id: u64,
 }
 
-/// Sums over all gateways, as notices tell them.
+/// Totals over all gateways, as sent in notices.
 #[derive(Clone, Debug)]
-struct Sums {
-    at: Moment,
+struct Totals {
+    computed_at: Moment,
     gateways: Vec<(FailureDomain, u32)>,
     demand: Vec<(Region, ServiceName, u32)>,
     links: BTreeMap<FailureDomain, u32>,
 }
 
-/// What a control replica knows of gateways, and holds for them.
+/// State of the gateways as seen by a control replica, and the routes, evacuations and
+/// endpoints that it distributes to them.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    gateways: BTreeMap<NodeName, Seen>,
+    gateways: BTreeMap<NodeName, GatewayState>,
     replicas: Vec<SocketAddr>,
-    have: Have,
+    revisions: Revisions,
     routes: Routes,
     evacuated: BTreeSet<FailureDomain>,
-    endpoints: List,
-    /// Long messages that gateways receive in parts.
-    sending: Sending,
-    /// Questions that this replica couldn't answer itself.
-    questions: Vec<Question>,
-    /// When other replicas were last told of gateways.
-    relayed: Moment,
-    sums: RefCell<Option<Sums>>,
+    endpoints: EndpointList,
+    /// Long messages that gateways pull in parts.
+    transfers: OutgoingTransfers,
+    /// Reports that this replica couldn't answer with a proof.
+    proof_requests: Vec<ProofRequest>,
+    /// When reports were last relayed to the other replicas.
+    last_roster: Moment,
+    totals: RefCell<Option<Totals>>,
 }
 
 impl Registry {
-    /// What this replica holds.
-    pub fn have(&self) -> Have {
-        self.have
+    /// The revisions that this replica holds.
+    pub fn revisions(&self) -> Revisions {
+        self.revisions
     }
 
-    /// Tells where the control replicas are, this one included.
+    /// Sets the addresses of all control replicas, this one included.
     pub fn set_replicas(&mut self, replicas: Vec<SocketAddr>) {
         self.replicas = replicas;
     }
 
-    /// Takes in the routes in force, applied at `revision` of the log.
+    /// Sets the routes in force, applied at log index `revision`.
     pub fn set_routes(
         &mut self,
         now: Moment,
@@ -105,46 +108,50 @@
         version: u64,
         table: Arc<Table>,
     ) -> Vec<Outbound> {
-        if revision <= self.have.routes {
+        if revision <= self.revisions.routes {
             return Vec::new();
         }
-        self.have.routes = revision;
+        self.revisions.routes = revision;
         self.routes.set(revision, version, table);
         self.announce(now)
     }
 
-    /// Takes in the evacuated failure domains, as of `revision` of the log.
+    /// Sets the evacuated failure domains as of log index `revision`.
     pub fn set_evacuated(
         &mut self,
         now: Moment,
         revision: u64,
         domains: &BTreeSet<FailureDomain>,
     ) -> Vec<Outbound> {
-        if revision <= self.have.evacuated {
+        if revision <= self.revisions.evacuated {
             return Vec::new();
         }
-        self.have.evacuated = revision;
+        self.revisions.evacuated = revision;
         self.evacuated.clone_from(domains);
         self.announce(now)
     }
 
-    /// Takes in a list of endpoints that this replica, the leader of `term`, has read
-    /// just now. A list that tells nothing new keeps its stamp.
-    pub fn listed(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
+    /// Sets the list of endpoints that this replica, the leader of `term`, has just read. An
+    /// unchanged list keeps its stamp.
+    pub fn set_endpoints(&mut self, now: Moment, term: u64, list: Vec<Endpoint>) -> Vec<Outbound> {
         let table = self.routes.table();
-        let list = self.endpoints.settled(now, list, |s| is_served(table, s));
-        let held = self.endpoints.stamp();
-        if held.term == term && self.endpoints.tells_nothing_new(now, &list) {
+        let list = self.endpoints.reconcile(now, list, |s| is_served(table, s));
+        let current = self.endpoints.stamp();
+        if current.term == term && self.endpoints.is_unchanged(now, &list) {
             return Vec::new();
         }
-        let seq = if held.term == term { held.seq + 1 } else { 1 };
-        let taken = self.endpoints.replace(now, Stamp { term, seq }, list);
-        self.after(now, taken)
+        let seq = if current.term == term {
+            current.seq + 1
+        } else {
+            1
+        };
+        let outcome = self.endpoints.replace(now, Stamp { term, seq }, list);
+        self.announce_if_applied(now, outcome)
     }
 
-    /// How many endpoints the list names of each service that the routes in force don't
-    /// know. No request goes to them.
-    pub fn unserved(&self) -> BTreeMap<&ServiceName, usize> {
+    /// Number of listed endpoints of each service without routes in force. They receive no
+    /// requests.
+    pub fn unrouted_services(&self) -> BTreeMap<&ServiceName, usize> {
         let mut counts = BTreeMap::new();
         for service in self.endpoints.services() {
             if !is_served(self.routes.table(), service) {
@@ -154,30 +161,30 @@
         counts
     }
 
-    fn after(&mut self, now: Moment, taken: Taken) -> Vec<Outbound> {
-        self.have.endpoints = self.endpoints.stamp();
-        match taken {
-            Taken::New => self.announce(now),
-            Taken::Old | Taken::Gap => Vec::new(),
+    fn announce_if_applied(&mut self, now: Moment, outcome: ListOutcome) -> Vec<Outbound> {
+        self.revisions.endpoints = self.endpoints.stamp();
+        match outcome {
+            ListOutcome::Applied => self.announce(now),
+            ListOutcome::Stale | ListOutcome::Gap => Vec::new(),
         }
     }
 
-    fn changed(
+    fn apply_change(
         &mut self,
         now: Moment,
         from: SocketAddr,
         stamp: Stamp,
         change: EndpointChange,
     ) -> Vec<Outbound> {
-        let taken = self.endpoints.apply(now, stamp, change);
-        if taken == Taken::Gap {
-            return vec![(from, Message::AskList(self.have.endpoints))];
+        let outcome = self.endpoints.apply(now, stamp, change);
+        if outcome == ListOutcome::Gap {
+            return vec![(from, Message::PullEndpoints(self.revisions.endpoints))];
         }
-        self.after(now, taken)
+        self.announce_if_applied(now, outcome)
     }
 
-    /// Takes in a message of a gateway or of another replica. `proven` says whether this
-    /// replica can prove at this moment that nothing newer than what it holds is accepted.
+    /// Handles a message from a gateway or another replica. `proven` is whether this replica
+    /// can prove at this moment that no newer revision than its own has been accepted.
     pub fn receive(
         &mut self,
         now: Moment,
@@ -186,167 +193,190 @@
         proven: bool,
     ) -> Vec<Outbound> {
         match message {
-            Message::Report(report) => self.reported(now, from, report, proven),
+            Message::Report(report) => self.on_report(now, from, report, proven),
             Message::Roster(gateways) => {
-                self.relayed(now, gateways);
+                self.on_roster(now, gateways);
                 Vec::new()
             }
-            Message::Ask(have) => self.newer_than(now, &have, from),
-            Message::AskList(have) => {
-                let news = self.endpoints_for(now, have);
-                news.into_iter().map(|news| (from, news)).collect()
+            Message::Pull(revisions) => self.updates_for(now, &revisions, from),
+            Message::PullEndpoints(base) => {
+                let messages = self.endpoints_since(now, base);
+                messages
+                    .into_iter()
+                    .map(|message| (from, message))
+                    .collect()
             }
-            Message::AskPart { digest, index } => {
-                let part = self.sending.part(now, digest, index);
+            Message::PullPart { digest, index } => {
+                let part = self.transfers.part(now, digest, index);
                 part.into_iter().map(|part| (from, part)).collect()
             }
             Message::Endpoints { stamp, list } => {
-                let taken = self.endpoints.replace(now, stamp, list);
-                self.after(now, taken)
+                let outcome = self.endpoints.replace(now, stamp, list);
+                self.announce_if_applied(now, outcome)
+            }
+            Message::EndpointsChanged { stamp, change } => {
+                self.apply_change(now, from, stamp, change)
             }
-            Message::EndpointsChanged { stamp, change } => self.changed(now, from, stamp, change),
             _ => Vec::new(),
         }
     }
 
-    fn reported(
+    fn on_report(
         &mut self,
         now: Moment,
         from: SocketAddr,
         report: Report,
         proven: bool,
     ) -> Vec<Outbound> {
-        let question = report.question;
-        let seen = Seen {
+        let id = report.id;
+        let gateway = GatewayState {
             info: report.gateway,
-            direct: Some(Direct {
+            direct: Some(DirectReport {
                 addr: from,
-                at: now,
-                have: report.have,
+                received_at: now,
+                revisions: report.revisions,
             }),
             ready: report.ready,
-            at: now,
+            last_seen: now,
             demand: report.demand,
             link_milli: report.link_milli,
         };
-        let domain = seen.info.domain.clone();
-        self.note(seen);
-        if !proven && self.questions.len() < MAX_QUESTIONS {
-            let number = question;
-            self.questions.push(Question { from, number });
+        let domain = gateway.info.domain.clone();
+        self.store(gateway);
+        if !proven && self.proof_requests.len() < MAX_PROOF_REQUESTS {
+            let report_id = id;
+            self.proof_requests.push(ProofRequest { from, report_id });
         }
-        let proves = proven.then_some(question);
-        vec![(from, self.notice(now, &domain, Some(question), proves))]
+        let proven_report = proven.then_some(id);
+        vec![(from, self.notice(now, &domain, Some(id), proven_report))]
     }
 
-    fn note(&mut self, seen: Seen) {
-        let held = self.gateways.insert(seen.info.name.clone(), seen);
-        if held.is_none() {
-            self.sums.replace(None);
+    fn store(&mut self, gateway: GatewayState) {
+        let current = self.gateways.insert(gateway.info.name.clone(), gateway);
+        if current.is_none() {
+            self.totals.replace(None);
         }
     }
 
-    /// Takes in what another replica tells of gateways, as far as it is newer.
-    fn relayed(&mut self, now: Moment, gateways: Vec<Relayed>) {
+    /// Applies relayed reports that are newer than the ones held.
+    fn on_roster(&mut self, now: Moment, gateways: Vec<RelayedReport>) {
         for relayed in gateways {
-            let at = now.saturating_sub(relayed.age);
-            let held = self.gateways.get(&relayed.gateway.name);
-            if held.is_some_and(|held| held.at >= at) {
+            let last_seen = now.saturating_sub(relayed.age);
+            let current = self.gateways.get(&relayed.gateway.name);
+            if current.is_some_and(|current| current.last_seen >= last_seen) {
                 continue;
             }
-            let direct = held.and_then(|held| held.direct);
-            self.note(Seen {
+            let direct = current.and_then(|current| current.direct);
+            self.store(GatewayState {
                 info: relayed.gateway,
                 direct,
                 ready: relayed.ready,
-                at,
+                last_seen,
                 demand: relayed.demand,
                 link_milli: relayed.link_milli,
             });
         }
     }
 
-    /// What other replicas are to be told of gateways: all that have reported here since
-    /// they were last told.
+    /// The message that relays reports to the other replicas: those received here since the
+    /// last call; `None` if there are none.
     pub fn roster(&mut self, now: Moment) -> Option<Message> {
-        let since = std::mem::replace(&mut self.relayed, now);
-        let reported = |seen: &&Seen| seen.direct.is_some_and(|d| d.at >= since && d.at < now);
-        let relayed = |seen: &Seen| Relayed {
-            gateway: seen.info.clone(),
-            ready: seen.ready,
-            demand: seen.demand.clone(),
-            link_milli: seen.link_milli,
-            age: now.saturating_sub(seen.at),
+        let since = std::mem::replace(&mut self.last_roster, now);
+        let reported = |gateway: &&GatewayState| {
+            gateway
+                .direct
+                .is_some_and(|d| d.received_at >= since && d.received_at < now)
+        };
+        let relayed = |gateway: &GatewayState| RelayedReport {
+            gateway: gateway.info.clone(),
+            ready: gateway.ready,
+            demand: gateway.demand.clone(),
+            link_milli: gateway.link_milli,
+            age: now.saturating_sub(gateway.last_seen),
         };
         let gateways = self.gateways.values().filter(reported);
         let gateways: Vec<_> = gateways.map(relayed).collect();
         (!gateways.is_empty()).then_some(Message::Roster(gateways))
     }
 
-    /// The questions that wait for a proof. They are not given again.
-    pub fn take_questions(&mut self) -> Vec<Question> {
-        std::mem::take(&mut self.questions)
+    /// Removes and returns the reports that wait for a proof.
+    pub fn take_proof_requests(&mut self) -> Vec<ProofRequest> {
+        std::mem::take(&mut self.proof_requests)
     }
 
-    /// The answers to questions, once it is known that nothing newer than what is held here
-    /// was accepted when they were taken.
-    pub fn prove(&self, questions: Vec<Question>) -> Vec<Outbound> {
-        let have = self.have;
-        let answer = |Question { from, number }| {
-            let question = number;
-            (from, Message::Proof { question, have })
+    /// The proofs for these reports. Called once the leader has confirmed that no newer
+    /// revision than the ones held here had been accepted when the requests were taken.
+    pub fn prove(&self, proof_requests: Vec<ProofRequest>) -> Vec<Outbound> {
+        let revisions = self.revisions;
+        let answer = |ProofRequest { from, report_id }| {
+            let proven_report = report_id;
+            (
+                from,
+                Message::Proof {
+                    proven_report,
+                    revisions,
+                },
+            )
         };
-        questions.into_iter().map(answer).collect()
+        proof_requests.into_iter().map(answer).collect()
     }
 
-    fn newer_than(&mut self, now: Moment, have: &Have, to: SocketAddr) -> Vec<Outbound> {
-        let news = self.news(now, have);
-        news.into_iter().map(|news| (to, news)).collect()
+    fn updates_for(&mut self, now: Moment, revisions: &Revisions, to: SocketAddr) -> Vec<Outbound> {
+        let messages = self.updates_since(now, revisions);
+        messages.into_iter().map(|message| (to, message)).collect()
     }
 
-    /// What somebody lacks who holds this; of what is long the first part. What changes where
-    /// requests may go comes before what may be long.
-    fn news(&mut self, now: Moment, have: &Have) -> Vec<Message> {
+    /// The updates for a process that holds these revisions; of long ones the first part.
+    /// Evacuations and endpoints precede routes, which may be long.
+    fn updates_since(&mut self, now: Moment, revisions: &Revisions) -> Vec<Message> {
         let endpoints = self
-            .endpoints_for(now, have.endpoints)
-            .map(|news| (Revision::Endpoints(have.endpoints), news));
+            .endpoints_since(now, revisions.endpoints)
+            .map(|message| (Revision::Endpoints(revisions.endpoints), message));
         let routes = self
             .routes
-            .since(have.routes)
-            .map(|news| (Revision::Routes(have.routes), news));
-        let evacuated = self.evacuated_for(have.evacuated);
+            .since(revisions.routes)
+            .map(|message| (Revision::Routes(revisions.routes), message));
+        let evacuated = self.evacuated_since(revisions.evacuated);
         let long = [endpoints, routes].into_iter().flatten();
-        let long = long.map(|(from, news)| self.sending.begin(now, from, news));
+        let long = long.map(|(from, message)| self.transfers.begin(now, from, message));
         evacuated.into_iter().chain(long).collect()
     }
 
-    fn evacuated_for(&self, have: u64) -> Option<Message> {
-        (self.have.evacuated > have).then(|| Message::Evacuated {
-            revision: self.have.evacuated,
+    fn evacuated_since(&self, base: u64) -> Option<Message> {
+        (self.revisions.evacuated > base).then(|| Message::Evacuated {
+            revision: self.revisions.evacuated,
             domains: self.evacuated.clone(),
         })
     }
 
-    /// What another replica lacks of the list if it holds `have`.
-    pub fn endpoints_for(&self, now: Moment, have: Stamp) -> Option<Message> {
-        self.endpoints.since(now, have)
+    /// The update for a replica that holds the list of endpoints `base`; `None` if it is up to
+    /// date.
+    pub fn endpoints_since(&self, now: Moment, base: Stamp) -> Option<Message> {
+        self.endpoints.since(now, base)
     }
 
-    /// Tells the gateways that report here what is new: short news itself, and of what is long
-    /// that it is there, since each of them hears several replicas.
+    /// Sends updates to the gateways that report here. Short updates are sent as they are; for
+    /// long ones only a notice, since each gateway receives it from several replicas and pulls
+    /// from one.
     fn announce(&mut self, now: Moment) -> Vec<Outbound> {
         self.gateways
-            .retain(|_, seen| now < seen.at + FORGOTTEN_AFTER);
+            .retain(|_, gateway| now < gateway.last_seen + REMOVED_AFTER);
         let mut notices: BTreeMap<FailureDomain, Message> = BTreeMap::new();
-        let mut news: Vec<(Have, Vec<Message>)> = Vec::new();
+        let mut cache: Vec<(Revisions, Vec<Message>)> = Vec::new();
         let mut out = Vec::new();
-        for (domain, Direct { addr, have, .. }) in self.reached(now) {
-            let known = news.iter().position(|(held, _)| *held == have);
-            let place = known.unwrap_or_else(|| {
-                news.push((have, self.news(now, &have)));
-                news.len() - 1
+        for (
+            domain,
+            DirectReport {
+                addr, revisions, ..
+            },
+        ) in self.reporting_gateways(now)
+        {
+            let index = cache.iter().position(|(key, _)| *key == revisions);
+            let index = index.unwrap_or_else(|| {
+                cache.push((revisions, self.updates_since(now, &revisions)));
+                cache.len() - 1
             });
-            let (long, short): (Vec<_>, Vec<_>) = news[place].1.iter().partition(is_part);
+            let (long, short): (Vec<_>, Vec<_>) = cache[index].1.iter().partition(is_part);
             out.extend(short.into_iter().map(|message| (addr, message.clone())));
             if !long.is_empty() {
                 let notice = notices.entry(domain);
@@ -354,105 +384,113 @@
                 out.push((addr, notice.clone()));
             }
         }
-        self.note_sent(&out);
+        self.record_sent(&out);
         out
     }
 
-    /// The failure domains and last reports of the gateways that report here.
-    fn reached(&self, now: Moment) -> Vec<(FailureDomain, Direct)> {
-        let live = |seen: &Seen| {
-            let direct = seen.direct.filter(|direct| now < direct.at + LIVE_FOR)?;
-            Some((seen.info.domain.clone(), direct))
+    /// Failure domain and last report of each live gateway that reports to this replica.
+    fn reporting_gateways(&self, now: Moment) -> Vec<(FailureDomain, DirectReport)> {
+        let live = |gateway: &GatewayState| {
+            let direct = gateway
+                .direct
+                .filter(|direct| now < direct.received_at + LIVENESS_TIMEOUT)?;
+            Some((gateway.info.domain.clone(), direct))
         };
         self.gateways.values().filter_map(live).collect()
     }
 
-    /// Notes what gateways hold when these messages have arrived. The next report says whether
-    /// they have.
-    fn note_sent(&mut self, out: &[Outbound]) {
-        let mut sent: BTreeMap<SocketAddr, Have> = BTreeMap::new();
+    /// Advances the recorded revisions of gateways as if these messages had arrived. Their next
+    /// report corrects that if they haven't.
+    fn record_sent(&mut self, out: &[Outbound]) {
+        let mut sent: BTreeMap<SocketAddr, Revisions> = BTreeMap::new();
         for (to, message) in out {
-            message.raise(sent.entry(*to).or_default());
+            message.advance(sent.entry(*to).or_default());
         }
         let direct = self.gateways.values_mut().filter_map(|s| s.direct.as_mut());
         for direct in direct {
             if let Some(sent) = sent.get(&direct.addr) {
-                direct.have.raise(sent);
+                direct.revisions.merge(sent);
             }
         }
     }
 
-    /// A notice for gateways of a failure domain, which may prove what it says.
+    /// A notice for a gateway of `domain`.
     fn notice(
         &self,
         now: Moment,
         domain: &FailureDomain,
-        answers: Option<u64>,
-        proves: Option<u64>,
+        answered_report: Option<u64>,
+        proven_report: Option<u64>,
     ) -> Message {
-        let mut sums = self.sums.borrow_mut();
-        let held = sums.take().filter(|sums| now < sums.at + SUMS_KEPT);
-        let sums = sums.insert(held.unwrap_or_else(|| self.sums(now)));
+        let mut totals = self.totals.borrow_mut();
+        let current = totals
+            .take()
+            .filter(|totals| now < totals.computed_at + TOTALS_TTL);
+        let totals = totals.insert(current.unwrap_or_else(|| self.totals(now)));
         Message::Notice {
-            have: self.have,
+            revisions: self.revisions,
             replicas: self.replicas.clone(),
-            gateways: sums.gateways.clone(),
-            demand: sums.demand.clone(),
-            link_milli: sums.links.get(domain).copied(),
-            answers,
-            proves,
+            gateways: totals.gateways.clone(),
+            demand: totals.demand.clone(),
+            link_milli: totals.links.get(domain).copied(),
+            answered_report,
+            proven_report,
         }
     }
 
-    fn sums(&self, now: Moment) -> Sums {
-        Sums {
-            at: now,
-            gateways: self.counts(),
+    fn totals(&self, now: Moment) -> Totals {
+        Totals {
+            computed_at: now,
+            gateways: self.gateway_counts(),
             demand: self.demand(now),
-            links: self.links(now),
+            links: self.link_means(now),
         }
     }
 
-    /// Gateways by failure domain. Those that fell silent lately count as well: they may
-    /// be cut off from here and go on sending to endpoints.
-    fn counts(&self) -> Vec<(FailureDomain, u32)> {
+    /// Number of gateways by failure domain. Lately silent ones are included: they may be cut
+    /// off from this replica and still be sending requests to endpoints.
+    fn gateway_counts(&self) -> Vec<(FailureDomain, u32)> {
         let mut counts = BTreeMap::new();
-        for seen in self.gateways.values() {
-            *counts.entry(seen.info.domain.clone()).or_insert(0) += 1;
+        for gateway in self.gateways.values() {
+            *counts.entry(gateway.info.domain.clone()).or_insert(0) += 1;
         }
         counts.into_iter().collect()
     }
 
     fn demand(&self, now: Moment) -> Vec<(Region, ServiceName, u32)> {
-        let mut sums: BTreeMap<(Region, ServiceName), u32> = BTreeMap::new();
-        for seen in self.gateways.values().filter(|seen| seen.is_live(now)) {
-            for demand in &seen.demand {
-                let key = (seen.info.region.clone(), demand.service.clone());
-                *sums.entry(key).or_default() += demand.busy_milli;
+        let mut by_service: BTreeMap<(Region, ServiceName), u32> = BTreeMap::new();
+        for gateway in self
+            .gateways
+            .values()
+            .filter(|gateway| gateway.is_live(now))
+        {
+            for demand in &gateway.demand {
+                let key = (gateway.info.region.clone(), demand.service.clone());
+                *by_service.entry(key).or_default() += demand.busy_milli;
             }
         }
         let flat = |((region, service), sum)| (region, service, sum);
-        sums.into_iter().map(flat).collect()
+        by_service.into_iter().map(flat).collect()
     }
 
-    /// Mean use of the links of each failure domain's gateways.
-    fn links(&self, now: Moment) -> BTreeMap<FailureDomain, u32> {
-        let ready = |seen: &&Seen| seen.ready && seen.is_live(now);
+    /// Mean link utilisation of the ready gateways by failure domain, in thousandths.
+    fn link_means(&self, now: Moment) -> BTreeMap<FailureDomain, u32> {
+        let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let mut used: BTreeMap<FailureDomain, (u32, u32)> = BTreeMap::new();
-        for seen in self.gateways.values().filter(ready) {
-            let (sum, count) = used.entry(seen.info.domain.clone()).or_default();
-            *sum += seen.link_milli;
+        for gateway in self.gateways.values().filter(ready) {
+            let (sum, count) = used.entry(gateway.info.domain.clone()).or_default();
+            *sum += gateway.link_milli;
             *count += 1;
         }
         let mean = |(domain, (sum, count)): (FailureDomain, (u32, u32))| (domain, sum / count);
         used.into_iter().map(mean).collect()
     }
 
-    /// The gateways that callers may be sent to.
-    pub fn ready(&self, now: Moment) -> Vec<GatewayInfo> {
-        let ready = |seen: &&Seen| seen.ready && seen.is_live(now);
+    /// The live gateways that accept callers.
+    pub fn ready_gateways(&self, now: Moment) -> Vec<GatewayInfo> {
+        let ready = |gateway: &&GatewayState| gateway.ready && gateway.is_live(now);
         let gateways = self.gateways.values().filter(ready);
-        gateways.map(|seen| seen.info.clone()).collect()
+        gateways.map(|gateway| gateway.info.clone()).collect()
     }
 }
 
@@ -460,13 +498,13 @@
     matches!(message, Message::Part(_))
 }
 
-/// Before there are routes any service may come to be known.
+/// Whether the routes define this service. Without a table every service counts as defined.
 fn is_served(table: Option<&Table>, service: &ServiceName) -> bool {
     table.is_none_or(|table| table.services.iter().any(|s| s.name == *service))
 }
 
-impl Seen {
+impl GatewayState {
     fn is_live(&self, now: Moment) -> bool {
-        now < self.at + LIVE_FOR
+        now < self.last_seen + LIVENESS_TIMEOUT
     }
 }
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -1,4 +1,4 @@
-//! The table of routes, and how it has changed lately.
+//! The table of routes and its recent changes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::Message;
 
-/// Changes that are kept. Who was away for longer gets the whole table.
+/// Number of changes kept. A process that missed more receives the complete table.
 const KEPT_CHANGES: usize = 16;
 
-/// What made one revision of another.
+/// The change from one revision to the next.
 #[derive(Clone, Debug)]
 struct Change {
     from: u64,
@@ -23,7 +23,7 @@
     revision: u64,
     version: u64,
     table: Option<Arc<Table>>,
-    /// Without a gap, up to what is held.
+    /// Consecutive changes, oldest first; the last one leads to `revision`.
     changes: VecDeque<Change>,
 }
 
@@ -32,10 +32,10 @@
         self.table.as_deref()
     }
 
-    /// Takes in a newer table.
+    /// Replaces the table with a newer one.
     pub(crate) fn set(&mut self, revision: u64, version: u64, table: Arc<Table>) {
-        if let Some(held) = &self.table {
-            let delta = Arc::new(Delta::between(held, &table));
+        if let Some(current) = &self.table {
+            let delta = Arc::new(Delta::between(current, &table));
             let from = self.revision;
             self.changes.push_back(Change { from, delta });
         }
@@ -47,15 +47,15 @@
         self.table = Some(table);
     }
 
-    /// What somebody lacks who holds revision `have`.
-    pub(crate) fn since(&self, have: u64) -> Option<Message> {
-        let table = self.table.as_ref().filter(|_| self.revision > have)?;
+    /// The update for a process that holds revision `base`; `None` if it is up to date.
+    pub(crate) fn since(&self, base: u64) -> Option<Message> {
+        let table = self.table.as_ref().filter(|_| self.revision > base)?;
         let (revision, version) = (self.revision, self.version);
-        Some(match self.changes_since(have, table) {
+        Some(match self.changes_since(base, table) {
             Some(changes) => Message::RoutesChanged {
                 revision,
                 version,
-                from: have,
+                from: base,
                 changes,
             },
             None => Message::Routes {
@@ -66,15 +66,16 @@
         })
     }
 
-    /// The changes since a revision, if they are known and shorter than the table.
-    fn changes_since(&self, have: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
-        let first = self.changes.iter().position(|change| change.from == have)?;
+    /// The changes since revision `base`; `None` if some are no longer kept or they aren't
+    /// shorter than the table.
+    fn changes_since(&self, base: u64, table: &Table) -> Option<Vec<Arc<Delta>>> {
+        let first = self.changes.iter().position(|change| change.from == base)?;
         let changes = self.changes.range(first..);
-        let new: usize = changes
+        let added: usize = changes
             .clone()
             .map(|change| change.delta.new_routes())
             .sum();
         let changes = changes.map(|change| Arc::clone(&change.delta));
-        (new < table.routes.len()).then(|| changes.collect())
+        (added < table.routes.len()).then(|| changes.collect())
     }
 }
--- a/crates/fleet/tests/all/main.rs
+++ b/crates/fleet/tests/all/main.rs
@@ -1,9 +1,9 @@
-//! What spreads between gateways and control.
+//! Tests of state distribution between gateways and control replicas.
 
-mod following;
-mod links;
+mod narrow_link;
 mod parts;
 mod proofs;
-mod spreading;
-mod starts;
+mod reporting;
+mod restarts;
 mod support;
+mod updates;
--- a/crates/place/src/placer.rs
+++ b/crates/place/src/placer.rs
@@ -1,4 +1,4 @@
-//! The placer: what a gateway knows of all endpoints, and what it is told.
+//! The state of a gateway's placement, and the methods that update it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -8,183 +8,184 @@
 use filberthead_route::{Service, Table};
 use filberthead_types::{FailureDomain, Moment, Region, ServiceName};
 
-use crate::cost::{Acquaintance, Times};
-use crate::endpoint::State;
-use crate::plan::{Plan, Slots};
+use crate::cost::{Affinity, ResponseTimes};
+use crate::endpoint::TrackedEndpoint;
+use crate::plan::{Plan, SlotsByRegion};
 use crate::planning::OwnDemand;
-use crate::shift::Shift;
-use crate::{Budget, Config, Load, Mechanism, Outcome, Target, rank};
+use crate::shift::RegionShares;
+use crate::{Config, Load, Mechanism, Outcome, RetryBudget, Target, rank};
 
-/// Weight of a new observation of a way: about the last fifty count, and half of a change
-/// is learned within as many answers.
-const NEW_WAY: f64 = 0.02;
+/// Weight of a new observation of a round trip: about the last fifty count, and half of a
+/// change is learned within as many responses.
+const RTT_EWMA_WEIGHT: f64 = 0.02;
 
-/// What a gateway knows of endpoints.
+/// Places the requests of a gateway on endpoints.
 #[derive(Clone, Debug)]
 pub struct Placer {
     pub(crate) cfg: Config,
-    pub(crate) endpoints: Vec<State>,
+    pub(crate) endpoints: Vec<TrackedEndpoint>,
     pub(crate) services: HashMap<ServiceName, Service>,
-    pub(crate) times: HashMap<ServiceName, Times>,
+    pub(crate) response_times: HashMap<ServiceName, ResponseTimes>,
     pub(crate) plans: HashMap<ServiceName, Plan>,
-    /// Where requests of each service run.
-    pub(crate) shifts: HashMap<ServiceName, Shift>,
-    /// What gateways of each region were asked to carry, as control sums it up.
-    pub(crate) demand: BTreeMap<ServiceName, Slots>,
-    /// When that was last told.
+    /// The regions where each service's requests run.
+    pub(crate) region_shares: HashMap<ServiceName, RegionShares>,
+    /// Busy slots that the callers of each region need, as summed up by control.
+    pub(crate) demand: BTreeMap<ServiceName, SlotsByRegion>,
+    /// When `demand` was last received.
     pub(crate) demand_at: Moment,
-    /// What this gateway was asked to carry since the last report.
+    /// Requests at this gateway since the last report.
     pub(crate) own_demand: HashMap<ServiceName, OwnDemand>,
-    /// When endpoints were first known.
-    pub(crate) informed: Option<Moment>,
-    /// Whether others were serving when this gateway first heard of them.
-    pub(crate) found_callers: Option<bool>,
-    /// When callers first came.
-    pub(crate) first_arrival: Option<Moment>,
-    /// Turns of requests, for those that concern no object; each gateway begins elsewhere.
-    pub(crate) turns: u64,
+    /// When endpoints were first received.
+    pub(crate) endpoints_known_at: Option<Moment>,
+    /// Whether the first demand that was received wasn't empty, that is, other gateways were
+    /// already serving. `None` until then.
+    pub(crate) found_demand: Option<bool>,
+    /// When the first request of a caller arrived.
+    pub(crate) first_request_at: Option<Moment>,
+    /// Counts requests, to spread those without an object. Each gateway starts at a different
+    /// value.
+    pub(crate) request_counter: u64,
     pub(crate) evacuated: BTreeSet<FailureDomain>,
     pub(crate) gateways: BTreeMap<FailureDomain, u32>,
-    pub(crate) budget: Budget,
-    /// Learned ways to other regions and back, in seconds.
-    pub(crate) ways: HashMap<Region, f64>,
+    pub(crate) retry_budget: RetryBudget,
+    /// Learned round trips to other regions, in seconds.
+    pub(crate) rtts: HashMap<Region, f64>,
 }
 
 impl Placer {
-    /// A placer that knows no endpoint.
+    /// A placer without endpoints.
     pub fn new(cfg: Config) -> Self {
         Self {
             endpoints: Vec::new(),
             services: HashMap::new(),
-            times: HashMap::new(),
+            response_times: HashMap::new(),
             plans: HashMap::new(),
-            shifts: HashMap::new(),
+            region_shares: HashMap::new(),
             demand: BTreeMap::new(),
             demand_at: Moment::ZERO,
             own_demand: HashMap::new(),
-            informed: None,
-            found_callers: None,
-            first_arrival: None,
-            turns: rank::name(cfg.gateway.as_str().as_bytes()),
+            endpoints_known_at: None,
+            found_demand: None,
+            first_request_at: None,
+            request_counter: rank::hash_name(cfg.gateway.as_str().as_bytes()),
             evacuated: BTreeSet::new(),
             gateways: BTreeMap::new(),
-            budget: Budget::new(cfg.budget),
-            ways: HashMap::new(),
+            retry_budget: RetryBudget::new(cfg.retry_budget),
+            rtts: HashMap::new(),
             cfg,
         }
     }
 
-    /// Takes in the routes in force. What is known of services that stay stays.
+    /// Applies the routes in force. What was learned about services that remain is kept.
     pub fn set_routes(&mut self, table: &Table) {
         let services = table.services.iter();
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
-        self.times
+        self.response_times
             .retain(|service, _| self.services.contains_key(service));
-        self.shifts
+        self.region_shares
             .retain(|service, _| self.services.contains_key(service));
         for (service, objective) in objectives(table) {
-            let times = self.times.entry(service.clone());
-            times.or_insert_with(|| Times::new(objective));
+            let times = self.response_times.entry(service.clone());
+            times.or_insert_with(|| ResponseTimes::new(objective));
         }
     }
 
-    /// Takes in the platform's list. What is known of endpoints that are still on it stays.
+    /// Replaces the list of endpoints. What was learned about endpoints that remain is kept.
     ///
-    /// Returns the addresses of starts that others have followed: connections to them are
-    /// of no use.
+    /// Returns the addresses of starts that were replaced by later ones: connections to them
+    /// are of no use.
     pub fn set_endpoints(&mut self, now: Moment, list: Vec<Endpoint>) -> Vec<SocketAddr> {
-        self.informed.get_or_insert(now);
-        let held = std::mem::take(&mut self.endpoints);
-        let mut held: HashMap<_, _> = held.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let mut left = Vec::new();
+        self.endpoints_known_at.get_or_insert(now);
+        let previous = std::mem::take(&mut self.endpoints);
+        let mut previous: HashMap<_, _> = previous.into_iter().map(|e| (e.id.clone(), e)).collect();
+        let mut replaced = Vec::new();
         for listed in list {
-            let state = match held.remove(listed.id.as_str()) {
-                Some(state) => self.follow(now, state, listed, &mut left),
-                None => self.begin(now, listed),
+            let state = match previous.remove(listed.id.as_str()) {
+                Some(state) => self.update_or_replace(now, state, listed, &mut replaced),
+                None => self.track(now, listed),
             };
             self.endpoints.push(state);
         }
-        // A request may still be at an endpoint that has left the list; it isn't counted
-        // for anything any more.
-        left
+        // A request may still be running at an endpoint that is no longer listed; its outcome
+        // is ignored.
+        replaced
     }
 
-    /// Takes in what has changed on the platform's list, and returns as
-    /// [`Self::set_endpoints`] does.
+    /// Applies a change of the list of endpoints. Returns the same as [`Self::set_endpoints`].
     pub fn change_endpoints(&mut self, now: Moment, change: EndpointChange) -> Vec<SocketAddr> {
-        self.informed.get_or_insert(now);
+        self.endpoints_known_at.get_or_insert(now);
         let gone: BTreeSet<&str> = change.gone.iter().map(String::as_str).collect();
         self.endpoints.retain(|e| !gone.contains(&*e.id));
-        let mut left = Vec::new();
+        let mut replaced = Vec::new();
         for listed in change.changed {
             match self.endpoints.iter().position(|e| *e.id == *listed.id) {
                 Some(index) => {
                     let state = self.endpoints[index].clone();
-                    self.endpoints[index] = self.follow(now, state, listed, &mut left);
+                    self.endpoints[index] =
+                        self.update_or_replace(now, state, listed, &mut replaced);
                 }
                 None => {
-                    let state = self.begin(now, listed);
+                    let state = self.track(now, listed);
                     self.endpoints.push(state);
                 }
             }
         }
-        left
+        replaced
     }
 
-    /// What is known of an endpoint that was listed before. If it has started anew, that is
-    /// nothing, and the earlier start has left.
-    fn follow(
+    /// Updates an endpoint that was listed before. If it has started again, what was learned
+    /// about the earlier start is dropped, and its address is added to `replaced`.
+    fn update_or_replace(
         &self,
         now: Moment,
-        mut state: State,
+        mut state: TrackedEndpoint,
         listed: Endpoint,
-        left: &mut Vec<SocketAddr>,
-    ) -> State {
-        if state.is_start(&listed) {
-            state.listed(now, &listed);
+        replaced: &mut Vec<SocketAddr>,
+    ) -> TrackedEndpoint {
+        if state.is_same_start(&listed) {
+            state.update(now, &listed);
             return state;
         }
-        left.push(state.addr);
-        self.begin(now, listed)
+        replaced.push(state.addr);
+        self.track(now, listed)
     }
 
-    /// What is known of an endpoint that is listed for the first time.
-    fn begin(&self, now: Moment, listed: Endpoint) -> State {
+    /// State of an endpoint that is listed for the first time.
+    fn track(&self, now: Moment, listed: Endpoint) -> TrackedEndpoint {
         let region = self.cfg.regions.get(&listed.domain).cloned();
-        State::new(now, listed, region)
+        TrackedEndpoint::new(now, listed, region)
     }
 
-    /// How many endpoints are listed.
-    pub fn endpoints(&self) -> usize {
+    /// Number of listed endpoints.
+    pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Takes in the evacuated failure domains. Endpoints of one that comes back may have
-    /// become cold meanwhile.
+    /// Sets the evacuated failure domains. Endpoints of a domain that is no longer evacuated
+    /// may have become cold in the meantime.
     pub fn set_evacuated(&mut self, now: Moment, domains: BTreeSet<FailureDomain>) {
-        let back: BTreeSet<_> = self.evacuated.difference(&domains).cloned().collect();
+        let restored: BTreeSet<_> = self.evacuated.difference(&domains).cloned().collect();
         for endpoint in self
             .endpoints
             .iter_mut()
-            .filter(|e| back.contains(&e.domain))
+            .filter(|e| restored.contains(&e.domain))
         {
             if let Some(service) = self.services.get(&endpoint.service) {
-                endpoint.cold.cold_until(now, now + service.cold_for);
+                endpoint.cold.extend(now, now + service.cold_for);
             }
         }
         self.evacuated = domains;
     }
 
-    /// Takes in how many gateways there are in each failure domain.
+    /// Sets the number of gateways in each failure domain.
     pub fn set_gateways(&mut self, counts: &[(FailureDomain, u32)]) {
         self.gateways = counts.iter().cloned().collect();
     }
 
-    /// Takes in what the gateways of each region were asked to carry, in thousandths of
-    /// busy slots.
+    /// Sets the demand of each region, in thousandths of busy slots.
     pub fn set_demand(&mut self, now: Moment, demand: &[(Region, ServiceName, u32)]) {
         self.demand_at = now;
-        self.found_callers.get_or_insert(!demand.is_empty());
+        self.found_demand.get_or_insert(!demand.is_empty());
         self.demand.clear();
         for (region, service, busy_milli) in demand {
             let slots = self.demand.entry(service.clone()).or_default();
@@ -192,47 +193,53 @@
         }
     }
 
-    /// Notes a request of a caller.
-    pub fn arrived(&mut self, now: Moment, service: &ServiceName) {
-        self.budget.first(now, service);
-        self.first_arrival.get_or_insert(now);
+    /// Records the arrival of a caller's request.
+    pub fn record_request(&mut self, now: Moment, service: &ServiceName) {
+        self.retry_budget.record_first(now, service);
+        self.first_request_at.get_or_insert(now);
         if !self.own_demand.contains_key(service) {
             self.own_demand.insert(service.clone(), OwnDemand::new(now));
         }
         if let Some(own) = self.own_demand.get_mut(service) {
-            own.since += 1;
+            own.requests += 1;
         }
     }
 
-    /// Takes a further attempt out of the budget, if there is one left.
-    pub fn may_repeat(&mut self, now: Moment, service: &ServiceName) -> bool {
+    /// Takes a retry from the budget if there is one left.
+    pub fn try_spend_retry(&mut self, now: Moment, service: &ServiceName) -> bool {
         let gateways = self.gateways.values().sum::<u32>().max(1);
-        self.budget.spend(now, service, gateways)
+        self.retry_budget.try_spend(now, service, gateways)
     }
 
-    /// Whether an endpoint that has refused a request may be sent it again.
-    pub fn may_try_again(&self, load_told: bool) -> bool {
-        load_told && self.cfg.uses(Mechanism::SameAgain)
+    /// Whether a request may be sent again to an endpoint that rejected it.
+    pub fn may_retry_same_endpoint(&self, load_reported: bool) -> bool {
+        load_reported && self.cfg.uses(Mechanism::SameAgain)
     }
 
-    /// Notes the load that an endpoint has reported with an answer.
-    pub fn reported(&mut self, now: Moment, target: &Target, load: Load) {
-        if let Some(state) = self.state(target) {
-            state.reported(now, load);
+    /// Records the load that an endpoint reported with a response.
+    pub fn record_load(&mut self, now: Moment, target: &Target, load: Load) {
+        if let Some(state) = self.tracked_mut(target) {
+            state.record_load(now, load);
         }
     }
 
-    /// Notes that an endpoint says that it is cold for so much longer.
-    pub fn is_cold(&mut self, now: Moment, target: &Target, left: Duration) {
-        if let Some(state) = self.state(target) {
-            state.cold.cold_until(now, now + left);
+    /// Records that an endpoint reported to be cold for this much longer.
+    pub fn record_cold(&mut self, now: Moment, target: &Target, remaining: Duration) {
+        if let Some(state) = self.tracked_mut(target) {
+            state.cold.extend(now, now + remaining);
         }
     }
 
-    /// Notes how a request that was placed has ended.
-    pub fn ended(&mut self, now: Moment, service: &ServiceName, target: &Target, outcome: Outcome) {
+    /// Records the outcome of a request that was placed.
+    pub fn record_outcome(
+        &mut self,
+        now: Moment,
+        service: &ServiceName,
+        target: &Target,
+        outcome: Outcome,
+    ) {
         if let Outcome::Served(took) = outcome {
-            self.learn_way(service, target, took);
+            self.learn_rtt(service, target, took);
         }
         let outcome = match outcome {
             Outcome::Served(took) => Outcome::Served(took.saturating_sub(target.overhead)),
@@ -241,54 +248,55 @@
             }
             other => other,
         };
-        if let Some(state) = self.state(target) {
-            state.ended(now, outcome, target.expected);
+        if let Some(state) = self.tracked_mut(target) {
+            state.record_outcome(now, outcome, target.expected);
         }
         if let Outcome::Served(took) = outcome
-            && let Some(times) = self.times.get_mut(service)
+            && let Some(times) = self.response_times.get_mut(service)
         {
-            times.observe(target.known, target.concerns_object, took);
+            times.record(target.affinity, target.has_object, took);
         }
     }
 
-    /// What an answer from another region took besides work whose time is known: the way
-    /// there and back. Of those with nothing to wait for, most take just that.
-    fn learn_way(&mut self, service: &ServiceName, target: &Target, took: Duration) {
-        let waited = target.overhead.as_secs_f64() > target.way.as_secs_f64() + 0.001;
-        if target.known != Acquaintance::Sent || waited {
+    /// Updates the round trip to another region by the time that a response took beyond its
+    /// known processing time. Only responses for which no wait was expected count; most of them
+    /// take just that.
+    fn learn_rtt(&mut self, service: &ServiceName, target: &Target, took: Duration) {
+        let waited = target.overhead.as_secs_f64() > target.rtt.as_secs_f64() + 0.001;
+        if target.affinity != Affinity::Sent || waited {
             return;
         }
-        let Some(quick) = self.times.get(service).map(Times::quick) else {
+        let Some(cached) = self.response_times.get(service).map(ResponseTimes::cached) else {
             return;
         };
-        let endpoint = self.endpoints.iter().find(|e| e.is_at(target));
+        let endpoint = self.endpoints.iter().find(|e| e.is_target(target));
         let Some(region) = endpoint.and_then(|e| e.region.clone()) else {
             return;
         };
         if region == self.cfg.region {
             return;
         }
-        let seen = (took.as_secs_f64() - quick).max(0.0);
-        let way = self.ways.entry(region).or_insert(target.way.as_secs_f64());
-        // One that met a queue tells little of the way.
-        *way += NEW_WAY * (seen.min(2.0 * *way + 0.01) - *way);
+        let observed = (took.as_secs_f64() - cached).max(0.0);
+        let rtt = self.rtts.entry(region).or_insert(target.rtt.as_secs_f64());
+        // A response that was queued says little about the round trip.
+        *rtt += RTT_EWMA_WEIGHT * (observed.min(2.0 * *rtt + 0.01) - *rtt);
     }
 
-    /// What is known of the start that a request was sent to; none if it is there no more.
-    /// What comes late of an earlier start tells nothing about the one that followed.
-    fn state(&mut self, target: &Target) -> Option<&mut State> {
-        self.endpoints.iter_mut().find(|e| e.is_at(target))
+    /// The start of the endpoint that a request was sent to; `None` if it is no longer listed.
+    /// Late outcomes of an earlier start say nothing about its successor.
+    fn tracked_mut(&mut self, target: &Target) -> Option<&mut TrackedEndpoint> {
+        self.endpoints.iter_mut().find(|e| e.is_target(target))
     }
 }
 
-/// The shortest objective of each service's routes: routes that hardly anybody uses may
-/// name any, and would set a wrong beginning.
+/// The shortest objective of each service's routes. Rarely used routes may have any objective,
+/// and would give a wrong initial estimate.
 fn objectives(table: &Table) -> HashMap<&ServiceName, Duration> {
     let mut shortest = HashMap::new();
     for route in &table.routes {
         for target in &route.targets {
-            let held = shortest.entry(&target.service).or_insert(route.objective);
-            *held = route.objective.min(*held);
+            let previous = shortest.entry(&target.service).or_insert(route.objective);
+            *previous = route.objective.min(*previous);
         }
     }
     shortest
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -1,7 +1,7 @@
-//! The plan of each service, kept from what control tells of demand.
+//! Updates the plan of each service from the demand that control reports.
 //!
-//! A plan may only change slowly once callers have seen it; before, or when this gateway
-//! joins others that serve, it is taken up at once ([`Stage`]).
+//! A plan may only change slowly once requests have followed it. Before that, or when this
+//! gateway joins others that already serve, it is set in one step ([`Stage`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,164 +9,171 @@
 use filberthead_fleet::Demand;
 use filberthead_types::{Moment, Region, ServiceName};
 
-use crate::cost::Times;
-use crate::decide::FAR;
-use crate::plan::{self, Outlook, Pace, Plan, Slots};
+use crate::cost::ResponseTimes;
+use crate::decide::DEFAULT_INTER_REGION_RTT;
+use crate::plan::{self, Pace, Plan, ServiceModel, SlotsByRegion};
 use crate::{Mechanism, Placer};
 
 /// Time over which demand is averaged: several reports, and well below the time in which
-/// demand changes by itself.
-const DEMAND_OVER: Duration = Duration::from_secs(2);
-/// Time for which demand that was told is believed: some reports. With all of control down
-/// nobody tells it any more; a plan that went on following what it was, in the first second
-/// of a day for one, would bring all requests home to a region that can't bear them.
-const DEMAND_KEPT: Duration = Duration::from_secs(2);
-/// Callers that come this soon after a gateway knows endpoints were there before it.
+/// demand itself changes.
+const DEMAND_AVERAGING: Duration = Duration::from_secs(2);
+/// Time after which reported demand expires: several report intervals. With all of control
+/// down there are no reports. A plan that kept following the last one, for example that of the
+/// first second of a day, would bring all requests back to a region that can't handle them.
+const DEMAND_TTL: Duration = Duration::from_secs(2);
+/// Requests that arrive within this time after the gateway received its first list of
+/// endpoints come from callers that were active before it started.
 const JOINED_WITHIN: Duration = Duration::from_secs(3);
-/// Time after which all gateways that have started together are counted: two reports.
+/// Time after which all gateways that started together are counted: two reports.
 const COUNTED_AFTER: Duration = Duration::from_millis(1000);
 
-/// How far a gateway is in its life.
+/// How far the start of this gateway has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No caller has come yet: whatever the plan says moves nothing.
+    /// No request has arrived yet, so setting the plan moves nothing.
     Waiting,
-    /// Callers were there already when it started, and not all gateways are counted yet.
+    /// Callers were already active when the gateway started, and not all gateways are counted
+    /// yet.
     Beginning,
-    /// It has just joined gateways that serve, or all have started anew: it takes up the
-    /// plan that demand asks for, as the others have it.
+    /// It has joined gateways that serve, or all gateways have restarted. It sets the plan
+    /// that the demand asks for, as the other gateways have it.
     Joining,
-    /// Callers have just begun to come to all gateways; demand isn't summed up yet.
+    /// Callers have just become active at all gateways; the demand isn't summed up yet.
     Settling,
-    /// It follows demand in bounded steps.
+    /// It follows the demand in bounded steps.
     Running,
 }
 
 impl Stage {
-    /// This stage while `holds`, and the last one afterwards.
+    /// This stage while `holds`, and `Running` afterwards.
     fn until(self, holds: bool) -> Self {
         if holds { self } else { Self::Running }
     }
 }
 
-/// What a plan does next.
-enum Step {
-    /// Nothing is known to go by.
+/// What happens to a plan in one update.
+enum PlanStep {
+    /// Nothing: there is no information to base it on.
     Stay,
-    /// Its parts are as they should be.
+    /// Its shares are kept.
     Hold,
-    /// It takes these parts up at once.
-    Begin(Slots),
-    /// It moves towards these parts.
-    Towards(Slots),
+    /// It is set to these shares in one step.
+    Set(SlotsByRegion),
+    /// It moves towards these shares by a bounded step.
+    MoveTowards(SlotsByRegion),
 }
 
-/// Requests of a service at this gateway.
+/// Rate of a service's requests at this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnDemand {
-    pub(crate) since: u32,
+    pub(crate) requests: u32,
     per_s: f64,
-    /// When the first of them came.
-    begun: Moment,
-    at: Moment,
+    /// When the first request arrived.
+    first_at: Moment,
+    averaged_at: Moment,
 }
 
 impl OwnDemand {
     pub(crate) fn new(now: Moment) -> Self {
         Self {
-            since: 0,
+            requests: 0,
             per_s: 0.0,
-            begun: now,
-            at: now,
+            first_at: now,
+            averaged_at: now,
         }
     }
 
-    /// Requests a second, averaged; counts anew from now.
+    /// Returns the moving average of requests per second, and restarts the count.
     fn take(&mut self, now: Moment) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        // A mean over what there is until there is enough: begun at nothing, it would tell
-        // half of the demand for seconds after callers have come, and bring requests home.
-        let age = now.saturating_sub(self.begun);
-        let over = age.clamp(Duration::from_millis(1), DEMAND_OVER);
-        let weight = (passed / over.as_secs_f64()).min(1.0);
-        let per_s = f64::from(self.since) / passed.max(0.001);
+        let elapsed = now.saturating_sub(self.averaged_at).as_secs_f64();
+        // Averages over the time since the first request until that is long enough. Starting
+        // from zero would report half of the demand for seconds after callers became active,
+        // and move requests back to their own region.
+        let age = now.saturating_sub(self.first_at);
+        let averaging = age.clamp(Duration::from_millis(1), DEMAND_AVERAGING);
+        let weight = (elapsed / averaging.as_secs_f64()).min(1.0);
+        let per_s = f64::from(self.requests) / elapsed.max(0.001);
         self.per_s += weight * (per_s - self.per_s);
-        self.since = 0;
-        self.at = now;
+        self.requests = 0;
+        self.averaged_at = now;
         self.per_s
     }
 }
 
-/// What a placer believes of a service, for logs.
+/// What a placer has learned and planned for a service, for logs.
 #[derive(Clone, Debug)]
-pub struct Belief {
+pub struct ServiceEstimate {
     /// The service.
     pub service: ServiceName,
-    /// Time of an answer where the object is known, and where it isn't.
-    pub times: (Duration, Duration),
-    /// Parts of its requests that run in other regions.
-    pub away: BTreeMap<Region, f64>,
-    /// Busy slots that each region is asked for, as told.
+    /// Response times with the object cached and not cached.
+    pub response_times: (Duration, Duration),
+    /// Share of this region's requests that run in each other region.
+    pub remote_shares: BTreeMap<Region, f64>,
+    /// Busy slots that the callers of each region need, as reported by control.
     pub demand: BTreeMap<Region, f64>,
     /// Slots that each region has.
     pub capacity: BTreeMap<Region, f64>,
 }
 
 impl Placer {
-    /// What this gateway was asked to carry lately, for its report.
-    pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
-        let times = &self.times;
-        let of = |(service, own): (&ServiceName, &mut OwnDemand)| {
+    /// Demand at this gateway since the last call, for its report to control.
+    pub fn take_demand(&mut self, now: Moment) -> Vec<Demand> {
+        let times = &self.response_times;
+        let demand_of = |(service, own): (&ServiceName, &mut OwnDemand)| {
             let per_s = own.take(now);
-            let quick = times.get(service).map(Times::quick)?;
+            let cached = times.get(service).map(ResponseTimes::cached)?;
             Some(Demand {
                 service: service.clone(),
-                busy_milli: (per_s * quick * 1000.0).round() as u32,
+                busy_milli: (per_s * cached * 1000.0).round() as u32,
             })
         };
-        self.own_demand.iter_mut().filter_map(of).collect()
+        self.own_demand.iter_mut().filter_map(demand_of).collect()
     }
 
     /// Moves the plan of each service towards what demand and capacity ask for.
-    pub fn plan(&mut self, now: Moment) {
+    pub fn update_plans(&mut self, now: Moment) {
         let stage = self.stage(now);
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
-            let step = self.step(now, stage, &service);
+            let step = self.plan_step(now, stage, &service);
             let plan = self.plans.entry(service).or_default();
             match step {
-                Step::Stay => {}
-                Step::Hold => plan.hold(now),
-                Step::Begin(parts) => plan.begin(now, parts),
-                Step::Towards(aim) => {
+                PlanStep::Stay => {}
+                PlanStep::Hold => plan.hold(now),
+                PlanStep::Set(shares) => plan.set(now, shares),
+                PlanStep::MoveTowards(target) => {
                     let pace = match self.cfg.uses(Mechanism::SlowReturn) {
                         true => Pace::SlowReturn,
                         false => Pace::Even,
                     };
-                    plan.update(now, self.cfg.max_shift, pace, &self.cfg.region, &aim);
+                    plan.move_towards(now, self.cfg.max_shift, pace, &self.cfg.region, &target);
                 }
             }
         }
     }
 
-    /// What the plan of a service does next.
-    fn step(&self, now: Moment, stage: Stage, service: &ServiceName) -> Step {
+    /// The next step of a service's plan.
+    fn plan_step(&self, now: Moment, stage: Stage, service: &ServiceName) -> PlanStep {
         let capacity = self.capacity(now, service);
         if capacity.is_empty() {
-            return Step::Stay;
+            return PlanStep::Stay;
         }
-        let aim =
-            |demand: &Slots| plan::aim(&self.cfg.region, &self.outlook(service, demand, &capacity));
-        let told = self.demand.get(service).filter(|demand| !demand.is_empty());
-        match (stage, told) {
-            (Stage::Waiting, None) | (Stage::Beginning, _) => {
-                Step::Begin(aim(&plan::assumed(&self.gateways_by_region(), &capacity)))
-            }
-            (Stage::Waiting | Stage::Joining, Some(demand)) => Step::Begin(aim(demand)),
-            (Stage::Running, Some(demand)) if now < self.demand_at + DEMAND_KEPT => {
-                Step::Towards(aim(demand))
+        let target = |demand: &SlotsByRegion| {
+            plan::target_shares(
+                &self.cfg.region,
+                &self.service_model(service, demand, &capacity),
+            )
+        };
+        let reported = self.demand.get(service).filter(|demand| !demand.is_empty());
+        match (stage, reported) {
+            (Stage::Waiting, None) | (Stage::Beginning, _) => PlanStep::Set(target(
+                &plan::assumed_demand(&self.gateways_by_region(), &capacity),
+            )),
+            (Stage::Waiting | Stage::Joining, Some(demand)) => PlanStep::Set(target(demand)),
+            (Stage::Running, Some(demand)) if now < self.demand_at + DEMAND_TTL => {
+                PlanStep::MoveTowards(target(demand))
             }
-            (Stage::Joining | Stage::Settling | Stage::Running, _) => Step::Hold,
+            (Stage::Joining | Stage::Settling | Stage::Running, _) => PlanStep::Hold,
         }
     }
 
@@ -180,37 +187,40 @@
         gateways
     }
 
-    fn outlook<'a>(
+    fn service_model<'a>(
         &self,
         service: &ServiceName,
-        demand: &'a Slots,
-        capacity: &'a Slots,
-    ) -> Outlook<'a> {
-        Outlook {
+        demand: &'a SlotsByRegion,
+        capacity: &'a SlotsByRegion,
+    ) -> ServiceModel<'a> {
+        ServiceModel {
             demand,
             capacity,
-            slots: self.slots_each(service),
-            work: self.times.get(service).map_or(0.0, Times::quick),
-            way: self.way_out(),
+            slots_per_endpoint: self.slots_per_endpoint(service),
+            service_time: self
+                .response_times
+                .get(service)
+                .map_or(0.0, ResponseTimes::cached),
+            rtt: self.mean_rtt(),
         }
     }
 
-    /// How far this gateway is in its life, as plans go.
+    /// The stage that this gateway is in.
     fn stage(&self, now: Moment) -> Stage {
-        let Some(first) = self.first_arrival else {
+        let Some(first) = self.first_request_at else {
             return Stage::Waiting;
         };
-        let informed = self.informed.unwrap_or(first);
-        if self.found_callers == Some(true) {
-            return Stage::Joining.until(now < first + 3 * DEMAND_OVER);
+        let endpoints_known_at = self.endpoints_known_at.unwrap_or(first);
+        if self.found_demand == Some(true) {
+            return Stage::Joining.until(now < first + 3 * DEMAND_AVERAGING);
         }
-        let joined = first < informed + JOINED_WITHIN;
+        let joined = first < endpoints_known_at + JOINED_WITHIN;
         let age = now.saturating_sub(first);
         if age < COUNTED_AFTER && joined {
             Stage::Beginning
-        } else if age < 3 * DEMAND_OVER && joined {
+        } else if age < 3 * DEMAND_AVERAGING && joined {
             Stage::Joining
-        } else if age < 2 * DEMAND_OVER {
+        } else if age < 2 * DEMAND_AVERAGING {
             Stage::Settling
         } else {
             Stage::Running
@@ -218,42 +228,51 @@
     }
 
     /// Slots of a service in each region that requests may be sent to.
-    fn capacity(&self, now: Moment, service: &ServiceName) -> Slots {
-        let mut capacity = Slots::new();
+    fn capacity(&self, now: Moment, service: &ServiceName) -> SlotsByRegion {
+        let mut capacity = SlotsByRegion::new();
         for e in self.endpoints.iter().filter(|e| e.service == *service) {
-            let there = e.is_usable(now) && !self.evacuated.contains(&e.domain);
-            if let Some(region) = e.region.as_ref().filter(|_| there) {
+            let is_usable = e.is_usable(now) && !self.evacuated.contains(&e.domain);
+            if let Some(region) = e.region.as_ref().filter(|_| is_usable) {
                 *capacity.entry(region.clone()).or_default() += f64::from(e.slots);
             }
         }
         capacity
     }
 
-    /// Slots of one endpoint of a service, on average.
-    fn slots_each(&self, service: &ServiceName) -> f64 {
-        let of = self.endpoints.iter().filter(|e| e.service == *service);
-        let (count, slots) = of.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
+    /// Mean number of slots of a service's endpoints.
+    fn slots_per_endpoint(&self, service: &ServiceName) -> f64 {
+        let endpoints = self.endpoints.iter().filter(|e| e.service == *service);
+        let (count, slots) =
+            endpoints.fold((0, 0), |(count, slots), e| (count + 1, slots + e.slots));
         f64::from(slots) / f64::from(count.max(1))
     }
 
-    /// Seconds to another region and back, on average.
-    fn way_out(&self) -> f64 {
-        let learned: f64 = self.ways.values().sum();
-        match self.ways.len() {
-            0 => FAR,
+    /// Mean round trip to other regions in seconds.
+    fn mean_rtt(&self) -> f64 {
+        let learned: f64 = self.rtts.values().sum();
+        match self.rtts.len() {
+            0 => DEFAULT_INTER_REGION_RTT,
             count => learned / count as f64,
         }
     }
 
-    /// What is believed of each service of the routes.
-    pub fn beliefs(&self, now: Moment) -> Vec<Belief> {
-        let belief = |service: &ServiceName| Belief {
+    /// Estimates for all services of the routes, for logs.
+    pub fn estimates(&self, now: Moment) -> Vec<ServiceEstimate> {
+        let estimate = |service: &ServiceName| ServiceEstimate {
             service: service.clone(),
-            times: self.times.get(service).map(Times::both).unwrap_or_default(),
-            away: self.plans.get(service).map(Plan::parts).unwrap_or_default(),
+            response_times: self
+                .response_times
+                .get(service)
+                .map(ResponseTimes::both)
+                .unwrap_or_default(),
+            remote_shares: self
+                .plans
+                .get(service)
+                .map(Plan::remote_shares)
+                .unwrap_or_default(),
             demand: self.demand.get(service).cloned().unwrap_or_default(),
             capacity: self.capacity(now, service),
         };
-        self.services.keys().map(belief).collect()
+        self.services.keys().map(estimate).collect()
     }
 }
--- /dev/null
+++ b/crates/place/src/retry_budget.rs
@@ -0,0 +1,100 @@
+//! The budget for retries.
+//!
+//! When an endpoint or a whole service is failing, retrying each failure can be what keeps it
+//! overloaded. The limit holds for the sum over all gateways: each spends only in proportion
+//! to its own requests, plus its share of the floor. So no communication is needed, and a
+//! gateway that is partitioned from the others keeps to it as well.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use filberthead_types::{Moment, ServiceName};
+
+/// Buckets that the window is divided into.
+const BUCKETS: usize = 10;
+/// Share of the ratio and the floor that is spent. Attempts are counted here when they are
+/// sent but observed when they arrive, and a gateway that starts doesn't know yet how many
+/// gateways share the floor.
+const SAFETY_FACTOR: f64 = 0.85;
+
+/// Limits of retries.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryBudgetConfig {
+    /// Retries per first attempt.
+    pub ratio: f64,
+    /// Retries allowed in each window in addition to `ratio`, over all gateways.
+    pub floor: f64,
+    /// The window.
+    pub window: Duration,
+}
+
+/// Attempts in one slice of the window.
+#[derive(Clone, Copy, Debug, Default)]
+struct Bucket {
+    /// Index of the slice since time zero.
+    number: u64,
+    first: u32,
+    retries: u32,
+}
+
+/// Counts first attempts and retries of each service.
+#[derive(Clone, Debug)]
+pub struct RetryBudget {
+    cfg: RetryBudgetConfig,
+    services: HashMap<ServiceName, [Bucket; BUCKETS]>,
+}
+
+impl RetryBudget {
+    /// An unspent budget.
+    pub fn new(cfg: RetryBudgetConfig) -> Self {
+        Self {
+            cfg,
+            services: HashMap::new(),
+        }
+    }
+
+    /// Records the first attempt of a request.
+    pub fn record_first(&mut self, now: Moment, service: &ServiceName) {
+        self.bucket(now, service).first += 1;
+    }
+
+    /// Spends a retry if this gateway, one of `gateways`, has one left.
+    pub fn try_spend(&mut self, now: Moment, service: &ServiceName, gateways: u32) -> bool {
+        let oldest = self.bucket_number(now).saturating_sub(BUCKETS as u64 - 1);
+        let (mut first, mut retries) = (0, 0);
+        if let Some(buckets) = self.services.get(service) {
+            for bucket in buckets.iter().filter(|bucket| bucket.number >= oldest) {
+                first += bucket.first;
+                retries += bucket.retries;
+            }
+        }
+        let floor = self.cfg.floor / f64::from(gateways.max(1));
+        let allowed = SAFETY_FACTOR * (self.cfg.ratio * f64::from(first) + floor);
+        if f64::from(retries) + 1.0 > allowed {
+            return false;
+        }
+        self.bucket(now, service).retries += 1;
+        true
+    }
+
+    fn bucket_number(&self, now: Moment) -> u64 {
+        let width = self.cfg.window.as_millis().max(BUCKETS as u128) / BUCKETS as u128;
+        (now.as_millis() / width) as u64
+    }
+
+    fn bucket(&mut self, now: Moment, service: &ServiceName) -> &mut Bucket {
+        let number = self.bucket_number(now);
+        if !self.services.contains_key(service) {
+            self.services.insert(service.clone(), Default::default());
+        }
+        let buckets = self.services.entry(service.clone()).or_default();
+        let bucket = &mut buckets[(number % BUCKETS as u64) as usize];
+        if bucket.number != number {
+            *bucket = Bucket {
+                number,
+                ..Bucket::default()
+            };
+        }
+        bucket
+    }
+}
--- a/crates/place/tests/all/bounds.rs
+++ b/crates/place/tests/all/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold over all gateways although these don't talk.
+//! Limits that hold for the sum over all gateways, without communication between them.
 
 use std::collections::VecDeque;
 
@@ -9,50 +9,50 @@
 use rand::{Rng as _, SeedableRng};
 
 use crate::support::{
-    COLD_PER_S, domain, endpoint, ms, named_placer, place, placer, refusal, request, served,
+    COLD_PER_S, domain, endpoint, ms, named_placer, place, placer, record_served, refusal, request,
     service,
 };
 
-/// An endpoint comes back cold, and four gateways of its region press requests on it as
-/// fast as they can. In no second may it get more than it bears, whatever their number's
-/// latest count says: one of them isn't counted yet.
+/// An endpoint starts cold, and four gateways of its region send it as many requests as they
+/// can. In no second may it receive more than it can handle, although the number of gateways
+/// that each has received is too low: one of them isn't counted yet.
 #[test]
-fn a_cold_endpoint_gets_no_more_than_it_bears_from_all_gateways() {
+fn all_gateways_together_keep_the_limit_of_a_cold_endpoint() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     assert!(
-        most_in_a_second(&cold, 4, 3) > 0,
-        "or it would never warm up"
+        max_per_second(&cold, 4, 3) > 0,
+        "the endpoint never warms up"
     );
 }
 
-/// A region has grown to thirty gateways, and each sees the cold endpoint for the first
-/// time at the same moment. Their first requests together are more than it bears.
+/// A region has thirty gateways, and each sees the cold endpoint for the first time at the
+/// same moment. Their first requests together are more than it can handle.
 #[test]
 fn many_gateways_do_not_all_begin_with_a_cold_endpoint_at_once() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     assert!(
-        most_in_a_second(&cold, 30, 30) > 0,
-        "or it would never warm up"
+        max_per_second(&cold, 30, 30) > 0,
+        "the endpoint never warms up"
     );
 }
 
-/// Lets gateways press requests on a cold endpoint, each of which has been told that there
-/// are `counted` of them, and returns the most that it got in a second.
-fn most_in_a_second(cold: &Endpoint, gateways: usize, counted: u32) -> usize {
+/// Lets gateways, each of which was given `counted` as their number, send as many requests as
+/// they can to a cold endpoint. Returns the most that it received within a second.
+fn max_per_second(cold: &Endpoint, gateways: usize, counted: u32) -> usize {
     let gateway = |number| named_placer(&format!("g-{number}"), "north-1", vec![cold.clone()]);
     let mut gateways: Vec<Placer> = (0..gateways).map(gateway).collect();
     for gateway in &mut gateways {
         gateway.set_gateways(&[(domain("north-1"), counted)]);
     }
-    let mut most = 0;
+    let mut max = 0;
     let mut sent = VecDeque::new();
     let bound = COLD_PER_S * 1.5 + 5.0;
     for at in 0..3000 {
         for gateway in &mut gateways {
             if let Some(target) = place(gateway, ms(at), "o") {
-                served(gateway, ms(at), &target, ms(1));
+                record_served(gateway, ms(at), &target, ms(1));
                 sent.push_back(at);
             }
         }
@@ -60,15 +60,15 @@
             sent.pop_front();
         }
         assert!(sent.len() as f64 <= bound, "{} in a second", sent.len());
-        most = most.max(sent.len());
+        max = max.max(sent.len());
     }
-    most
+    max
 }
 
-/// A gateway of another region sees a cold endpoint with free slots while its own are
-/// full. It has no part of what that one bears.
+/// A gateway of another region sees a cold endpoint with free slots while its own endpoints
+/// are full. It has no share of the rate that the cold endpoint can handle.
 #[test]
-fn a_cold_endpoint_gets_nothing_from_other_regions() {
+fn a_cold_endpoint_gets_no_requests_from_other_regions() {
     let mut cold = endpoint("a", "north-1");
     cold.cold_left = ms(3000);
     let mut gateway = placer("south-1", vec![cold]);
@@ -78,10 +78,10 @@
     assert!(place(&mut gateway, ms(3001), "o").is_some());
 }
 
-/// A failure domain is taken back after an evacuation. Its endpoints may have been idle
-/// and cold all the while, and must not be met by everything at once.
+/// An evacuation of a failure domain ends. Its endpoints may have been idle and become cold
+/// during it, and must not receive the full load at once.
 #[test]
-fn endpoints_of_a_domain_that_returns_are_taken_for_cold() {
+fn endpoints_count_as_cold_after_an_evacuation() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
     gateway.set_evacuated(ms(0), [domain("north-1")].into());
     gateway.set_evacuated(ms(100), [].into());
@@ -89,11 +89,11 @@
     assert!(sent.count() as f64 <= COLD_PER_S);
 }
 
-/// Everything fails, and every failure is tried again as often as the budget lets it, at
-/// eleven gateways at random times. Over any window the further attempts must stay within
-/// a fifth of the requests and the floor.
+/// Every request fails, and every failure is retried as often as the budget permits, at eleven
+/// gateways at random times. In any window, the retries must stay within a fifth of the
+/// requests plus the floor.
 #[test]
-fn further_attempts_of_all_gateways_stay_within_the_budget() {
+fn retries_of_all_gateways_stay_within_the_budget() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut gateways: Vec<Placer> = (0..11)
@@ -103,18 +103,18 @@
             gateway.set_gateways(&[(domain("north-1"), 11)]);
         }
         let service = service();
-        let (mut first, mut further) = (Vec::new(), Vec::new());
+        let (mut first, mut retries) = (Vec::new(), Vec::new());
         for at in (0..30_000).step_by(10) {
-            // Quiet and busy stretches by turns.
+            // Quiet and busy periods alternate.
             let busy = (at / 7000) % 2 == 0;
             if !busy && rng.random::<f64>() < 0.95 {
                 continue;
             }
             let gateway = rng.random_range(0..gateways.len());
-            gateways[gateway].arrived(ms(at), &service);
+            gateways[gateway].record_request(ms(at), &service);
             first.push(at);
-            while gateways[gateway].may_repeat(ms(at), &service) {
-                further.push(at);
+            while gateways[gateway].try_spend_retry(ms(at), &service) {
+                retries.push(at);
             }
         }
         let within = |times: &[u64], from: u64| {
@@ -124,39 +124,44 @@
         for from in (0..20_000).step_by(100) {
             let requests = within(&first, from).max(within(&first, from.saturating_sub(10_000)));
             let bound = 0.2 * requests + 56.0;
-            let made = within(&further, from);
-            assert!(made <= bound, "seed {seed}, from {from}: {made} of {bound}");
+            let spent = within(&retries, from);
+            assert!(
+                spent <= bound,
+                "seed {seed}, from {from}: {spent} of {bound}"
+            );
         }
     }
 }
 
-/// All slots are taken by requests that run for long. What could only answer too late is
-/// refused at once, with a time to come back; what has come back is kept if its caller
-/// still waits long enough.
+/// All slots are taken by long requests. A request that would be late is rejected immediately,
+/// with a time to retry after; the caller's retry is accepted if its deadline permits.
 #[test]
-fn what_would_be_late_is_refused_at_once_unless_it_has_come_back() {
+fn requests_that_would_be_late_are_rejected_unless_the_caller_retries() {
     let mut gateway = placer("north-1", vec![endpoint("a", "north-1")]);
     let service = service();
     let mut placed = 0;
     let refused = loop {
         match gateway.place(ms(0), request(&service, b"o")) {
             Decision::Send(_) => placed += 1,
-            Decision::Refuse { why, retry_after } => break (why, retry_after),
+            Decision::Refuse {
+                reason,
+                retry_after,
+            } => break (reason, retry_after),
         }
-        assert!(placed < 100, "nothing is ever refused");
+        assert!(placed < 100, "no request is rejected");
     };
-    assert!(placed >= 3, "slots that are free are used");
+    assert!(placed >= 3, "free slots are not used");
     assert_eq!(refused.0, Refusal::Overloaded);
     assert!(refused.1 > ms(0));
-    let mut returned = request(&service, b"o");
-    returned.returned = true;
-    assert_eq!(refusal(&mut gateway, ms(0), returned), None);
+    let mut retry = request(&service, b"o");
+    retry.is_caller_retry = true;
+    assert_eq!(refusal(&mut gateway, ms(0), retry), None);
 }
 
-/// Whatever happens in whatever order, counts of requests never run off: once all that was
-/// placed has ended, an endpoint takes three at once without a wait again.
+/// After any sequence of outcomes, the counts of in-flight requests are correct: once every
+/// request has ended, an endpoint accepts three at once without a wait.
 #[test]
-fn counts_come_back_to_nothing() {
+fn in_flight_counts_return_to_zero() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut bytes = Rng::new(StdRng::seed_from_u64(seed), &Options::default());
@@ -180,11 +185,11 @@
                     3 => Outcome::Broken,
                     _ => Outcome::Abandoned(ms(50)),
                 };
-                gateway.ended(ms(at), &service, &target, outcome);
+                gateway.record_outcome(ms(at), &service, &target, outcome);
             }
         }
         for target in &running {
-            gateway.ended(ms(100), &service, target, Outcome::Abandoned(ms(50)));
+            gateway.record_outcome(ms(100), &service, target, Outcome::Abandoned(ms(50)));
         }
         let later = ms(60_000);
         let three: Vec<_> = (0..3)
