--- a/crates/place/tests/all/objects.rs
+++ b/crates/place/tests/all/objects.rs
@@ -1,62 +1,62 @@
-//! Requests for one object go where it is known.
+//! Requests for one object go where it is cached.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use filberthead_place::{Acquaintance, Decision, EndpointId, Object, Outcome, Refusal, Request};
+use filberthead_place::{Affinity, Decision, EndpointId, Object, Outcome, Refusal, Request};
 
 use crate::support::{
-    domain, endpoint, id, ms, named_placer, place, placer, refusal, request, served, service,
+    domain, endpoint, id, ms, named_placer, place, placer, record_served, refusal, request, service,
 };
 
-fn four() -> Vec<filberthead_fleet::Endpoint> {
+fn four_endpoints() -> Vec<filberthead_fleet::Endpoint> {
     ["a", "b", "c", "d"]
         .map(|id| endpoint(id, "north-1"))
         .into()
 }
 
-/// Requests for one object come one after the other to two gateways that don't talk. Each
-/// endpoint that gets one has to learn the object first, which is slow: all must go to the
-/// same one.
+/// Two gateways without communication receive requests for one object in turn. Each endpoint
+/// that receives one has to load the object first, which is slow: all must go to the same
+/// endpoint.
 #[test]
-fn gateways_agree_on_an_objects_endpoint_without_talking() {
-    let mut first = placer("north-1", four());
-    let mut second = placer("north-2", four());
+fn gateways_agree_on_an_objects_endpoint_without_communication() {
+    let mut first = placer("north-1", four_endpoints());
+    let mut second = placer("north-2", four_endpoints());
     for number in 0..50 {
         let object = format!("object-{number}");
-        let here = place(&mut first, ms(number), &object).expect("a place");
-        let there = place(&mut second, ms(number), &object).expect("a place");
+        let here = place(&mut first, ms(number), &object).expect("an endpoint");
+        let there = place(&mut second, ms(number), &object).expect("an endpoint");
         assert_eq!(here.id, there.id);
-        served(&mut first, ms(number), &here, ms(100));
-        served(&mut second, ms(number), &there, ms(100));
+        record_served(&mut first, ms(number), &here, ms(100));
+        record_served(&mut second, ms(number), &there, ms(100));
     }
 }
 
-/// The list names an endpoint of a service that no route names, with the fewest requests of
-/// all. It is nothing that a request of another service may go to.
+/// The list has an endpoint of a service that no route names, with the fewest requests of all.
+/// No request of another service may go there.
 #[test]
-fn an_endpoint_of_an_unknown_service_gets_nothing() {
-    let mut stranger = endpoint("a", "north-1");
-    stranger.service = "nobody-routes-this".parse().expect("a name");
-    let mut alone = placer("north-1", vec![stranger.clone()]);
+fn an_endpoint_of_an_unknown_service_gets_no_requests() {
+    let mut unrouted = endpoint("a", "north-1");
+    unrouted.service = "unrouted".parse().expect("a name");
+    let mut alone = placer("north-1", vec![unrouted.clone()]);
     let service = service();
     let refused = refusal(&mut alone, ms(0), request(&service, b"o"));
     assert_eq!(refused, Some(Refusal::NoEndpoint));
-    let mut placer = placer("north-1", vec![stranger, endpoint("b", "north-1")]);
+    let mut placer = placer("north-1", vec![unrouted, endpoint("b", "north-1")]);
     for number in 0..30 {
-        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("an endpoint");
         assert_eq!(&*target.id, "b");
-        served(&mut placer, ms(number), &target, ms(1));
+        record_served(&mut placer, ms(number), &target, ms(1));
     }
 }
 
 #[test]
 fn objects_are_spread_over_all_endpoints() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..400 {
-        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(number), &format!("o-{number}")).expect("an endpoint");
         *counts.entry(target.id.clone()).or_insert(0) += 1;
-        served(&mut placer, ms(number), &target, ms(100));
+        record_served(&mut placer, ms(number), &target, ms(100));
     }
     assert_eq!(counts.len(), 4);
     assert!(
@@ -65,11 +65,11 @@
     );
 }
 
-/// One object is asked for by everybody at the same moment. Its endpoint has three slots;
-/// the rest must go to others instead of waiting there.
+/// Many callers request one object at the same moment. Its endpoint has three slots; the rest
+/// must go to other endpoints instead of waiting there.
 #[test]
 fn a_hot_object_overflows_to_other_endpoints() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let targets: Vec<_> = (0..6)
         .filter_map(|_| place(&mut placer, ms(0), "hot"))
         .collect();
@@ -80,10 +80,10 @@
     );
 }
 
-/// An endpoint has left, or an operator has evacuated where it runs: nothing more goes
-/// there, and what can't go anywhere is refused and not sent.
+/// An endpoint drains, or an operator has evacuated its failure domain: it receives no more
+/// requests, and a request that has no other endpoint is rejected and not sent.
 #[test]
-fn endpoints_that_leave_get_nothing() {
+fn draining_and_evacuated_endpoints_get_no_requests() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-2")],
@@ -92,9 +92,9 @@
     leaving.state = filberthead_fleet::EndpointState::Draining;
     placer.set_endpoints(ms(1), vec![leaving, endpoint("b", "north-2")]);
     for number in 0..20 {
-        let target = place(&mut placer, ms(2), &format!("o-{number}")).expect("a place");
+        let target = place(&mut placer, ms(2), &format!("o-{number}")).expect("an endpoint");
         assert_eq!(target.id, id("b"));
-        served(&mut placer, ms(2), &target, ms(100));
+        record_served(&mut placer, ms(2), &target, ms(100));
     }
     placer.set_evacuated(ms(3), [domain("north-2")].into());
     let service = service();
@@ -102,117 +102,115 @@
     assert_eq!(refused, Some(Refusal::NoEndpoint));
 }
 
-/// An endpoint's connections break. Requests must go elsewhere at once, come back when it
-/// may work again, and be tried there rather than refused if there is nobody else.
+/// An endpoint's connections break. Requests must go elsewhere at once, return after the
+/// backoff, and be sent there rather than rejected if there is no other endpoint.
 #[test]
-fn an_endpoint_that_breaks_is_left_alone_for_a_while() {
+fn an_endpoint_is_avoided_after_a_broken_connection() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
     let service = service();
-    let broken = place(&mut placer, ms(0), "o").expect("a place");
-    placer.ended(ms(1), &service, &broken, Outcome::Broken);
-    let other = place(&mut placer, ms(2), "o").expect("a place");
+    let broken = place(&mut placer, ms(0), "o").expect("an endpoint");
+    placer.record_outcome(ms(1), &service, &broken, Outcome::Broken);
+    let other = place(&mut placer, ms(2), "o").expect("an endpoint");
     assert_ne!(other.id, broken.id);
-    placer.ended(ms(3), &service, &other, Outcome::Broken);
+    placer.record_outcome(ms(3), &service, &other, Outcome::Broken);
     assert!(place(&mut placer, ms(4), "o").is_some());
 }
 
-/// An endpoint is slow for a while, and its objects move to another one. Once it is as
-/// quick as before they must come back: it is avoided, so it shows nothing new by itself.
+/// An endpoint is slow for a while, and its objects move to another one. Once it is as fast as
+/// before, they must move back, although an avoided endpoint receives no requests that would
+/// show its speed.
 #[test]
 fn an_endpoint_that_was_slow_is_tried_again() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(0), &first, ms(100));
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
+    record_served(&mut placer, ms(0), &first, ms(100));
     let mut moved = false;
     for number in 1..60 {
-        let target = place(&mut placer, ms(number), "o").expect("a place");
+        let target = place(&mut placer, ms(number), "o").expect("an endpoint");
         let slow = target.id == first.id;
         moved |= !slow;
         let took = if slow { ms(1500) } else { ms(100) };
-        served(&mut placer, ms(number), &target, took);
+        record_served(&mut placer, ms(number), &target, took);
     }
     assert!(moved, "a slow endpoint is avoided");
-    let now = place(&mut placer, ms(60_000), "o").expect("a place");
+    let now = place(&mut placer, ms(60_000), "o").expect("an endpoint");
     assert_eq!(now.id, first.id);
 }
 
-/// An endpoint takes requests and never answers. Each of them is given up only when its
-/// time is up, and nothing else ever tells about the endpoint; after a few of them its
-/// objects must go elsewhere.
+/// An endpoint accepts requests and never responds. Each of them ends only at its deadline,
+/// and there is no other signal; after a few of them, the endpoint's objects must go
+/// elsewhere.
 #[test]
-fn an_endpoint_that_never_answers_is_avoided() {
+fn an_endpoint_that_never_responds_is_avoided() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(0), &first, ms(100));
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
+    record_served(&mut placer, ms(0), &first, ms(100));
     let mut silent = 0;
     for number in 1..30 {
-        let target = place(&mut placer, ms(number), "o").expect("a place");
+        let target = place(&mut placer, ms(number), "o").expect("an endpoint");
         if target.id == first.id {
             silent += 1;
-            placer.ended(
+            placer.record_outcome(
                 ms(number),
                 &service(),
                 &target,
                 Outcome::Abandoned(ms(1000)),
             );
         } else {
-            served(&mut placer, ms(number), &target, ms(100));
+            record_served(&mut placer, ms(number), &target, ms(100));
         }
     }
-    assert!(silent <= 6, "{silent} of 29 requests met silence");
+    assert!(silent <= 6, "{silent} of 29 requests got no response");
 }
 
-/// An endpoint loses power with kept connections to it. Requests that are sent there stay
-/// without an answer until their deadlines, a second later; long before that, others must
-/// go elsewhere. Once it is back it is used again.
+/// An endpoint loses power while connections to it are kept. Requests sent there have no
+/// response until their deadlines, a second later; long before that, others must go elsewhere.
+/// Once the endpoint has recovered, it is used again.
 #[test]
-fn an_endpoint_that_falls_silent_is_avoided_before_the_first_deadline() {
+fn a_stalled_endpoint_is_avoided_before_the_first_deadline() {
     let mut placer = placer(
         "north-1",
         vec![endpoint("a", "north-1"), endpoint("b", "north-1")],
     );
-    let first = place(&mut placer, ms(0), "o").expect("a place");
-    served(&mut placer, ms(50), &first, ms(50));
-    let silent = place(&mut placer, ms(100), "o").expect("a place");
+    let first = place(&mut placer, ms(0), "o").expect("an endpoint");
+    record_served(&mut placer, ms(50), &first, ms(50));
+    let silent = place(&mut placer, ms(100), "o").expect("an endpoint");
     assert_eq!(silent.id, first.id);
-    // Its one request has no answer yet at 900 ms, long after it should have come.
+    // Its one request has no response at 900 ms, long after it was expected.
     for at in (900..1100).step_by(20) {
-        let other = place(&mut placer, ms(at), "o").expect("a place");
+        let other = place(&mut placer, ms(at), "o").expect("an endpoint");
         assert_ne!(other.id, first.id, "at {at}");
-        served(&mut placer, ms(at), &other, ms(100));
+        record_served(&mut placer, ms(at), &other, ms(100));
     }
-    placer.ended(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
-    let after = place(&mut placer, ms(1110), "o").expect("a place");
-    assert_ne!(
-        after.id, first.id,
-        "one answer that never came is reason for a pause"
-    );
-    served(&mut placer, ms(1110), &after, ms(100));
-    let back = place(&mut placer, ms(30_000), "o").expect("a place");
+    placer.record_outcome(ms(1100), &service(), &silent, Outcome::Abandoned(ms(1000)));
+    let after = place(&mut placer, ms(1110), "o").expect("an endpoint");
+    assert_ne!(after.id, first.id, "one missing response causes a backoff");
+    record_served(&mut placer, ms(1110), &after, ms(100));
+    let back = place(&mut placer, ms(30_000), "o").expect("an endpoint");
     assert_eq!(back.id, first.id);
 }
 
-/// Viewing and locking are two routes of one service, and a name means one thing here and
-/// another there. An endpoint that has viewed `17` is as slow with the first lock of `17` as
-/// any other. It must not be taken for one that knows it, and both must settle each on an
-/// endpoint of its own.
+/// Two routes of one service use the same names for different objects. An endpoint that has
+/// handled `17` on one route is as slow with the first `17` of the other route as any other
+/// endpoint. It must not be expected to have it cached, and each of the two objects must
+/// settle on an endpoint of its own.
 #[test]
 fn a_name_on_two_routes_is_two_objects() {
-    let mut placer = placer("north-1", four());
+    let mut placer = placer("north-1", four_endpoints());
     let service = service();
     let mut apart = 0;
     for number in 0..40 {
         let name = format!("o-{number}");
-        let mut ends = Vec::new();
+        let mut targets = Vec::new();
         for (at, prefix) in [(0, "/view/"), (100, "/lock/"), (200, "/view/")] {
             let now = ms(number * 1000 + at);
             let mut req = request(&service, name.as_bytes());
@@ -221,22 +219,22 @@
                 name: name.as_bytes(),
             });
             let Decision::Send(target) = placer.place(now, req) else {
-                panic!("{name} is refused");
+                panic!("{name} is rejected");
             };
-            served(&mut placer, now, &target, ms(90));
-            ends.push(target);
+            record_served(&mut placer, now, &target, ms(90));
+            targets.push(target);
         }
-        assert_ne!(ends[1].known, Acquaintance::Sent, "{name}");
-        assert_eq!(ends[2].known, Acquaintance::Sent, "{name}");
-        assert_eq!(ends[2].id, ends[0].id, "{name}");
-        apart += u64::from(ends[0].id != ends[1].id);
+        assert_ne!(targets[1].affinity, Affinity::Sent, "{name}");
+        assert_eq!(targets[2].affinity, Affinity::Sent, "{name}");
+        assert_eq!(targets[2].id, targets[0].id, "{name}");
+        apart += u64::from(targets[0].id != targets[1].id);
     }
-    // Four endpoints: three of four names have two of them.
+    // With four endpoints, three of four names have two different ones.
     assert!(apart >= 20, "{apart} of 40");
 }
 
-/// Guards against one endpoint that gets all requests without an object: every gateway sent
-/// them to the first of the idle ones on the list.
+/// Guards against one endpoint that receives all requests without an object: every gateway
+/// sent them to the first idle one on the list.
 #[test]
 fn requests_without_an_object_are_spread_over_endpoints() {
     let endpoints = || {
@@ -257,26 +255,26 @@
             let Decision::Send(target) = placer.place(now, req) else {
                 panic!("all endpoints are idle");
             };
-            served(&mut placer, now, &target, ms(100));
+            record_served(&mut placer, now, &target, ms(100));
             *counts.entry(target.id).or_default() += 1;
         }
     }
-    // 400 requests over 20 endpoints; by chance 20 each, give or take 4.5.
+    // 400 requests over 20 endpoints: 20 each, with a standard deviation of about 4.5.
     let most = counts.values().max().copied().unwrap_or(0);
     assert!(counts.len() == 20 && most < 40, "{counts:?}");
 }
 
-/// Guards against large answers that take their bytes between failure domains though their
-/// own has room: an object's first endpoint was any of the region.
+/// Guards against large responses that send their bytes between failure domains although their
+/// own has capacity: an object's first endpoint was any of the region.
 #[test]
-fn large_answers_come_from_the_gateways_failure_domain() {
+fn large_responses_come_from_the_gateways_failure_domain() {
     let endpoints = || {
         let near = (0..4).map(|n| endpoint(&format!("near-{n}"), "north-1"));
         let far = (0..8).map(|n| endpoint(&format!("far-{n}"), "north-2"));
         near.chain(far).collect()
     };
     let service = service();
-    let mut homes: BTreeMap<String, BTreeSet<EndpointId>> = BTreeMap::new();
+    let mut endpoints_by_object: BTreeMap<String, BTreeSet<EndpointId>> = BTreeMap::new();
     for gateway in 0..10 {
         let mut placer = named_placer(&format!("gateway-{gateway}"), "north-1", endpoints());
         for number in 0..40 {
@@ -289,22 +287,28 @@
                 panic!("all endpoints are idle");
             };
             assert!(target.id.starts_with("near"), "{target:?}");
-            served(&mut placer, ms(1000 * number), &target, ms(100));
-            homes.entry(object).or_default().insert(target.id);
+            record_served(&mut placer, ms(1000 * number), &target, ms(100));
+            endpoints_by_object
+                .entry(object)
+                .or_default()
+                .insert(target.id);
         }
     }
-    assert!(homes.values().all(|ids| ids.len() == 1), "{homes:?}");
+    assert!(
+        endpoints_by_object.values().all(|ids| ids.len() == 1),
+        "{endpoints_by_object:?}"
+    );
 }
 
-/// Guards against an endpoint that has failed once and gets no request without an object ever
-/// again while its neighbour is idle.
+/// Guards against an endpoint that never receives another request without an object after one
+/// failure, while the other one is idle.
 #[test]
 fn an_endpoint_that_has_failed_gets_requests_without_an_object_again() {
     let endpoints = ["a", "b"].map(|id| endpoint(id, "north-1")).into();
     let mut placer = placer("north-1", endpoints);
     let service = service();
     let mut failed = None;
-    let mut came_back = false;
+    let mut was_used_again = false;
     for number in 0..400 {
         let now = ms(100 * number);
         let req = Request {
@@ -315,12 +319,12 @@
             panic!("both endpoints are idle");
         };
         if failed.is_none() {
-            placer.ended(now, &service, &target, Outcome::Failed);
+            placer.record_outcome(now, &service, &target, Outcome::Failed);
             failed = Some(target.id);
         } else {
-            came_back |= failed.as_ref() == Some(&target.id);
-            served(&mut placer, now, &target, ms(100));
+            was_used_again |= failed.as_ref() == Some(&target.id);
+            record_served(&mut placer, now, &target, ms(100));
         }
     }
-    assert!(came_back, "not within 40 s");
+    assert!(was_used_again, "not used again within 40 s");
 }
--- a/crates/spread/src/history.rs
+++ b/crates/spread/src/history.rs
@@ -1,4 +1,4 @@
-//! The newest view held, with the steps that led to it.
+//! The newest view held, with the deltas that led to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 
 use crate::{Fingerprint, Message};
 
-/// What came of a view or delta that was offered.
+/// Result of applying a view or delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Offered {
-    /// It is held now.
-    Taken,
-    /// Nothing new.
-    Old,
-    /// Steps before it are missing, or its hash is wrong: a whole table is needed.
+pub(crate) enum OfferOutcome {
+    /// It was applied.
+    Applied,
+    /// A version that is at least as new is already held.
+    Stale,
+    /// Earlier deltas are missing or its hash is wrong, so the full table is needed.
     Unusable,
 }
 
-/// The newest view held. Its version only goes up.
+/// The newest view held. Its version only increases.
 #[derive(Debug)]
 pub(crate) struct History {
     view: Arc<View>,
     hash: Fingerprint,
-    steps: VecDeque<ViewDelta>,
-    kept: usize,
+    deltas: VecDeque<ViewDelta>,
+    max_deltas: usize,
 }
 
 impl History {
-    pub(crate) fn new(kept: usize) -> Self {
+    pub(crate) fn new(max_deltas: usize) -> Self {
         let view = Arc::new(View::default());
         let hash = Fingerprint::of(&*view);
         Self {
             view,
             hash,
-            steps: VecDeque::new(),
-            kept,
+            deltas: VecDeque::new(),
+            max_deltas,
         }
     }
 
@@ -52,55 +52,55 @@
         self.hash
     }
 
-    /// Takes a view that the caller knows to be genuine.
-    pub(crate) fn advance(&mut self, view: Arc<View>) -> Offered {
+    /// Applies a committed view from the local state machine.
+    pub(crate) fn apply_committed(&mut self, view: Arc<View>) -> OfferOutcome {
         if view.version <= self.version() {
-            return Offered::Old;
+            return OfferOutcome::Stale;
         }
         let hash = Fingerprint::of(&*view);
         self.install(view, hash);
-        Offered::Taken
+        OfferOutcome::Applied
     }
 
-    /// Takes a whole view of another node.
-    pub(crate) fn offer_view(&mut self, view: &Arc<View>, hash: Fingerprint) -> Offered {
+    /// Applies a full view from another process.
+    pub(crate) fn apply_view(&mut self, view: &Arc<View>, hash: Fingerprint) -> OfferOutcome {
         if view.version <= self.version() {
-            return Offered::Old;
+            return OfferOutcome::Stale;
         }
         if Fingerprint::of(&**view) != hash {
-            return Offered::Unusable;
+            return OfferOutcome::Unusable;
         }
         self.install(Arc::clone(view), hash);
-        Offered::Taken
+        OfferOutcome::Applied
     }
 
-    /// Takes a delta of another node. The hash of the result is compared with the one
-    /// that the sender computed, so that a lost or doubled row can't go unnoticed.
-    pub(crate) fn offer_delta(&mut self, delta: &ViewDelta, hash: Fingerprint) -> Offered {
+    /// Applies a delta from another process. The hash of the result is compared with the
+    /// sender's, so that a missing or duplicated row is detected.
+    pub(crate) fn apply_delta(&mut self, delta: &ViewDelta, hash: Fingerprint) -> OfferOutcome {
         if delta.to <= self.version() {
-            return Offered::Old;
+            return OfferOutcome::Stale;
         }
         let Some(view) = self.view.patched(delta) else {
-            return Offered::Unusable;
+            return OfferOutcome::Unusable;
         };
         if Fingerprint::of(&view) != hash {
-            return Offered::Unusable;
+            return OfferOutcome::Unusable;
         }
         self.install(Arc::new(view), hash);
-        Offered::Taken
+        OfferOutcome::Applied
     }
 
-    /// What brings a node that holds `have` to the version held here, or `None` if it
-    /// is no older.
-    pub(crate) fn catch_up(&self, have: Option<Version>) -> Option<Message> {
-        let Some(have) = have else {
-            return Some(self.whole());
+    /// The update for a node that holds version `base`, or the full table if that is `None`.
+    /// Returns `None` if the node is up to date.
+    pub(crate) fn catch_up(&self, base: Option<Version>) -> Option<Message> {
+        let Some(base) = base else {
+            return Some(self.full_table());
         };
-        if have >= self.version() {
+        if base >= self.version() {
             return None;
         }
-        Some(self.delta_since(have).map_or_else(
-            || self.whole(),
+        Some(self.delta_since(base).map_or_else(
+            || self.full_table(),
             |delta| Message::Delta {
                 delta,
                 table: self.hash,
@@ -109,36 +109,36 @@
         ))
     }
 
-    /// The last step, to be handed on.
-    pub(crate) fn last_step(&self) -> Option<Message> {
-        self.steps.back().map(|delta| Message::Delta {
+    /// The last delta, marked to be forwarded.
+    pub(crate) fn last_delta(&self) -> Option<Message> {
+        self.deltas.back().map(|delta| Message::Delta {
             delta: delta.clone(),
             table: self.hash,
             push: true,
         })
     }
 
-    fn whole(&self) -> Message {
+    fn full_table(&self) -> Message {
         Message::Table {
             view: Arc::clone(&self.view),
             table: self.hash,
         }
     }
 
-    fn delta_since(&self, have: Version) -> Option<ViewDelta> {
-        let first = self.steps.iter().position(|step| step.from == have)?;
-        let mut steps = self.steps.range(first..);
-        let mut delta = steps.next()?.clone();
-        steps.for_each(|step| delta.extend(step));
+    fn delta_since(&self, base: Version) -> Option<ViewDelta> {
+        let first = self.deltas.iter().position(|delta| delta.from == base)?;
+        let mut deltas = self.deltas.range(first..);
+        let mut delta = deltas.next()?.clone();
+        deltas.for_each(|next| delta.extend(next));
         Some(delta)
     }
 
     fn install(&mut self, view: Arc<View>, hash: Fingerprint) {
-        // Computed from the two views, not taken from the message, so that the steps
-        // kept here follow each other without a gap whatever a message spanned.
-        self.steps.push_back(self.view.delta_to(&view));
-        if self.steps.len() > self.kept {
-            self.steps.pop_front();
+        // Computed from the two views instead of taken from the message, so that the kept
+        // deltas are consecutive whatever range a message covered.
+        self.deltas.push_back(self.view.delta_to(&view));
+        if self.deltas.len() > self.max_deltas {
+            self.deltas.pop_front();
         }
         self.view = view;
         self.hash = hash;
--- a/crates/spread/src/node/proof.rs
+++ b/crates/spread/src/node/proof.rs
@@ -1,16 +1,15 @@
-//! What lets a node that has started act on a version.
+//! Proof that a starting node needs before it acts on a version.
 //!
 //! A version is proven by either of
 //!
 //! - the answer of a control leader whose lease is valid: no other replica can have
-//!   accepted a change that the leader doesn't know, so what it holds is the newest;
+//!   accepted a change that the leader doesn't hold, so its version is the newest;
 //! - the answers of all other members of the failure domain, at least one, each proven
-//!   itself. Then nobody there acts on anything newer, and since a member is dropped
-//!   from the lists of the others only on the leader's word, which comes with the
-//!   leader's version, no member that an earlier process of this node had its version
-//!   from can be missing.
+//!   itself. Then no member acts on a newer version. A member is removed from the lists of
+//!   the others only by the leader, whose messages carry the leader's version; so no member
+//!   that gave its version to an earlier process of this node can be missing.
 //!
-//! A nonce ties the answers to this start: an answer to an earlier process may be as
+//! A nonce ties the answers to this start, since an answer to an earlier process may be as
 //! old as that process. In either case the node must then also hold the version.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,94 +18,100 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use crate::{Answer, Leader, MemberInfo, Message, Sender, Standing};
+use crate::{Answer, Leader, MemberInfo, Message, Responder, Sender};
 
 use super::{Action, Node, Readiness};
 
+/// State of the proof since the last start.
 #[derive(Debug)]
 pub(super) struct Proof {
     nonce: u64,
-    since: Moment,
+    started_at: Moment,
     query_due: Moment,
-    waited: bool,
+    timed_out: bool,
     proven: bool,
     /// Whether each member of the failure domain that has answered is proven itself.
     answers: BTreeMap<NodeName, bool>,
-    /// Members of the failure domain that those know of.
-    named: BTreeSet<NodeName>,
+    /// Members of the failure domain listed in the answers or known otherwise.
+    known_peers: BTreeSet<NodeName>,
 }
 
 impl Proof {
     pub(super) fn new(rng: &mut StdRng) -> Self {
         Self {
             nonce: rng.random(),
-            since: Moment::ZERO,
+            started_at: Moment::ZERO,
             query_due: Moment::ZERO,
-            waited: false,
+            timed_out: false,
             proven: false,
             answers: BTreeMap::new(),
-            named: BTreeSet::new(),
+            known_peers: BTreeSet::new(),
         }
     }
 
     pub(super) fn start(&mut self, now: Moment) {
-        self.since = now;
+        self.started_at = now;
     }
 
     pub(super) fn is_proven(&self) -> bool {
         self.proven
     }
 
-    /// When the node started, or woke.
-    pub(super) fn since(&self) -> Moment {
-        self.since
+    /// When the node started, or resumed after a suspension.
+    pub(super) fn started_at(&self) -> Moment {
+        self.started_at
     }
 
-    /// What the node is while it can't act on weights.
+    /// Readiness of the node while its version isn't proven.
     pub(super) fn unproven(&self) -> Readiness {
-        if self.waited {
+        if self.timed_out {
             Readiness::Cautious
         } else {
             Readiness::Starting
         }
     }
 
-    fn take_peer(&mut self, me: &MemberInfo, member: &MemberInfo, proven: bool) {
-        if member.failure_domain == me.failure_domain && member.name != me.name {
+    fn record_answer(&mut self, local: &MemberInfo, member: &MemberInfo, proven: bool) {
+        if member.failure_domain == local.failure_domain && member.name != local.name {
             self.answers.insert(member.name.clone(), proven);
         }
     }
 
-    fn take_names<'a>(&mut self, me: &MemberInfo, peers: impl Iterator<Item = &'a MemberInfo>) {
-        let others = peers.filter(|peer| peer.name != me.name);
-        self.named.extend(others.map(|peer| peer.name.clone()));
+    fn add_known_peers<'a>(
+        &mut self,
+        local: &MemberInfo,
+        peers: impl Iterator<Item = &'a MemberInfo>,
+    ) {
+        let others = peers.filter(|peer| peer.name != local.name);
+        self.known_peers
+            .extend(others.map(|peer| peer.name.clone()));
     }
 
     fn all_peers_proven(&self) -> bool {
         let proven = |name| self.answers.get(name) == Some(&true);
-        !self.answers.is_empty() && self.named.iter().all(proven)
+        !self.answers.is_empty() && self.known_peers.iter().all(proven)
     }
 }
 
 impl Node {
     pub(super) fn tick_proof(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.proof.waited |= now >= self.proof.since + self.cfg.start_wait;
+        self.proof.timed_out |= now >= self.proof.started_at + self.cfg.start_timeout;
         if !self.proof.proven && now >= self.proof.query_due {
             self.query(now, out);
         }
     }
 
-    /// Asks everybody who could prove the newest version, or hold it.
+    /// Queries all processes that could prove or hold the newest version.
     pub(super) fn query(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.proof.query_due = now + self.cfg.period;
+        self.proof.query_due = now + self.cfg.heartbeat_period;
         let message = Message::Query {
             nonce: self.proof.nonce,
-            member: self.me.clone(),
+            member: self.local.clone(),
         };
         let fixed = self.contacts.controls.iter().chain(&self.contacts.seeds);
         let mut addrs: BTreeSet<_> = fixed.copied().collect();
         addrs.extend(self.domain_peers().values().map(|peer| peer.peer_addr));
-        addrs.remove(&self.me.peer_addr);
+        addrs.remove(&self.local.peer_addr);
         out.extend(addrs.into_iter().map(|to| Action::Send {
             to,
             message: message.clone(),
@@ -121,15 +126,15 @@
         member: MemberInfo,
         out: &mut Vec<Action>,
     ) {
-        let same_domain = member.failure_domain == self.me.failure_domain;
-        self.meet(now, member);
+        let same_domain = member.failure_domain == self.local.failure_domain;
+        self.discover(now, member);
         let peers = if same_domain {
             self.domain_peers().into_values().collect()
         } else {
             Vec::new()
         };
-        let standing = Standing::Entry {
-            member: self.me.clone(),
+        let responder = Responder::Entry {
+            member: self.local.clone(),
             proven: self.readiness() == Readiness::Proven,
             peers,
         };
@@ -139,7 +144,7 @@
                 nonce,
                 version: self.history.version(),
                 directory: self.directory.hash(),
-                standing,
+                responder,
             }),
         });
     }
@@ -151,49 +156,49 @@
         answer: Answer,
         out: &mut Vec<Action>,
     ) {
-        self.evidence(now, from.addr, answer.version, out);
+        self.record_holder(now, from.addr, answer.version, out);
         self.compare_directory(now, from, answer.directory, out);
-        let fresh = answer.nonce == self.proof.nonce;
-        match answer.standing {
-            Standing::Leader { term } => {
+        let is_current = answer.nonce == self.proof.nonce;
+        match answer.responder {
+            Responder::Leader { term } => {
                 let addr = from.addr;
                 self.follow(now, Leader { term, addr });
-                self.proof.proven |= fresh;
+                self.proof.proven |= is_current;
             }
-            Standing::Follower { leader } => {
+            Responder::Follower { leader } => {
                 if let Some(leader) = leader {
                     self.hint_leader(leader);
                 }
             }
-            Standing::Entry {
+            Responder::Entry {
                 member,
                 proven,
                 peers,
-            } => self.on_peer_answer(now, fresh, member, proven, peers, out),
+            } => self.on_peer_answer(now, is_current, member, proven, peers, out),
         }
     }
 
     fn on_peer_answer(
         &mut self,
         now: Moment,
-        fresh: bool,
+        is_current: bool,
         member: MemberInfo,
         proven: bool,
         peers: Vec<MemberInfo>,
         out: &mut Vec<Action>,
     ) {
-        if fresh {
-            self.proof.take_peer(&self.me, &member, proven);
-            self.proof.take_names(&self.me, peers.iter());
+        if is_current {
+            self.proof.record_answer(&self.local, &member, proven);
+            self.proof.add_known_peers(&self.local, peers.iter());
         }
         let before = self.domain_peers().len();
-        self.meet(now, member);
-        peers.into_iter().for_each(|peer| self.meet(now, peer));
-        let known = self.domain_peers();
-        self.proof.take_names(&self.me, known.values());
+        self.discover(now, member);
+        peers.into_iter().for_each(|peer| self.discover(now, peer));
+        let discovered = self.domain_peers();
+        self.proof.add_known_peers(&self.local, discovered.values());
         if self.proof.all_peers_proven() {
             self.proof.proven = true;
-        } else if known.len() > before {
+        } else if discovered.len() > before {
             self.query(now, out);
         }
     }
--- a/crates/spread/src/node/report.rs
+++ b/crates/spread/src/node/report.rs
@@ -1,20 +1,19 @@
-//! Heartbeats within the failure domain: reports towards the leader, digests away from it.
+//! Heartbeats within the failure domain: reports towards the leader, digests from the relay.
 
 use std::net::SocketAddr;
 
 use filberthead_types::{Moment, Version};
 
-use crate::reports::Heard;
+use crate::reports::ReportOutcome;
 use crate::roster::Roster;
 use crate::{DigestKind, Fingerprint, Leader, MemberInfo, Message, Report, Sender};
 
-use super::domain::Link;
+use super::domain::Upstream;
 use super::{Action, Node, send};
 
 impl Node {
-    /// Sends a changed roster to the node above and to the members below at once
-    /// rather than with the next heartbeat, because a member that leaves must be out of
-    /// answers soon.
+    /// Sends a changed roster upstream and downstream at once instead of with the next
+    /// heartbeat, because a leaving member must soon be removed from answers.
     pub(super) fn announce(&mut self, now: Moment, out: &mut Vec<Action>) {
         if self.domain.announce_due.is_none_or(|due| now < due) {
             return;
@@ -33,25 +32,30 @@
         self.report_to_all(now, false, out);
     }
 
-    /// Reports to the first earlier member that isn't late with its answer. Those late
-    /// get the report as well until they count as silent, and then once in a while, so
-    /// that one that comes back is found.
+    /// Reports to the first earlier member whose answer isn't late. Late members receive the
+    /// report as well until they count as silent, and silent ones from time to time, so that
+    /// a recovered one is found.
     fn report_to_all(&mut self, now: Moment, with_members: bool, out: &mut Vec<Action>) {
         let probe = now >= self.due.probe;
         if probe {
-            self.due.probe = now + self.cfg.far_gossip;
+            self.due.probe = now + self.cfg.remote_gossip_period;
         }
         for (name, member) in self.earlier_members() {
-            let link = self.domain.links.get(&name).copied().unwrap_or_default();
-            if self.is_silent(now, &link) && !probe {
+            let upstream = self
+                .domain
+                .upstreams
+                .get(&name)
+                .copied()
+                .unwrap_or_default();
+            if self.is_silent(now, &upstream) && !probe {
                 continue;
             }
-            let first = !link.answered;
+            let first = !upstream.answered;
             self.send_report(member.peer_addr, with_members || first, out);
-            let link = self.domain.links.entry(name).or_default();
-            link.unanswered.get_or_insert(now);
-            let link = *link;
-            if !self.is_late(now, &link) {
+            let upstream = self.domain.upstreams.entry(name).or_default();
+            upstream.unanswered.get_or_insert(now);
+            let upstream = *upstream;
+            if !self.is_late(now, &upstream) {
                 return;
             }
         }
@@ -59,12 +63,12 @@
     }
 
     pub(super) fn send_report(&self, to: SocketAddr, with_members: bool, out: &mut Vec<Action>) {
-        let reported = &self.domain.reported;
+        let reported = &self.domain.reported_roster;
         let report = Report {
             version: self.history.version(),
             roster: reported.hash(),
             directory: self.directory.hash(),
-            others: self.other_versions(),
+            other_versions: self.other_versions(),
             members: with_members.then(|| reported.members().to_vec()),
         };
         out.extend(send(to, Some(Message::Report(report))));
@@ -72,14 +76,14 @@
 
     fn other_versions(&self) -> Vec<(u16, Version)> {
         let versions = self.domain.reports.members();
-        let mine = self.history.version();
-        let members = self.domain.reported.members().iter().zip(0..);
+        let own_version = self.history.version();
+        let members = self.domain.reported_roster.members().iter().zip(0..);
         members
-            .filter(|(member, _)| member.name != self.me.name)
-            .filter_map(|(member, place)| {
+            .filter(|(member, _)| member.name != self.local.name)
+            .filter_map(|(member, index)| {
                 let version = versions.get(&member.name).map(|reported| reported.version);
                 let version = version.unwrap_or_default();
-                (version != mine).then_some((place, version))
+                (version != own_version).then_some((index, version))
             })
             .collect()
     }
@@ -92,21 +96,21 @@
         out: &mut Vec<Action>,
     ) {
         let (version, directory) = (report.version, report.directory);
-        match self.domain.reports.take(now, from, report) {
-            Heard::Outdated => return,
-            // It waits to learn whether it has been heard.
-            Heard::First => {
+        match self.domain.reports.record(now, from, report) {
+            ReportOutcome::Superseded => return,
+            // A new reporter waits for an answer.
+            ReportOutcome::NewReporter => {
                 self.send_relay_digest(now, from.addr, out);
-                self.refresh_reported(now);
+                self.rebuild_reported_roster(now);
             }
-            Heard::Changed => self.refresh_reported(now),
-            Heard::Known => {}
+            ReportOutcome::MembersChanged => self.rebuild_reported_roster(now),
+            ReportOutcome::Unchanged => {}
         }
-        let known = self.domain.reports.get(&from.name);
-        if known.is_some_and(|reporter| !reporter.roster_known()) {
+        let reporter = self.domain.reports.get(&from.name);
+        if reporter.is_some_and(|reporter| !reporter.has_current_roster()) {
             out.extend(send(from.addr, Some(Message::ReportPull)));
         }
-        self.evidence(now, from.addr, version, out);
+        self.record_holder(now, from.addr, version, out);
         self.compare_directory(now, from, directory, out);
         self.announce(now, out);
     }
@@ -121,7 +125,7 @@
         if self.domain.relay.as_ref() != Some(&from.name) {
             return;
         }
-        self.domain.received = Some(Roster::new(members));
+        self.domain.relay_roster = Some(Roster::new(members));
         let roster = Message::Roster(self.domain.roster().members().to_vec());
         for reporter in self.domain.reports.iter() {
             out.extend(send(reporter.sender.addr, Some(roster.clone())));
@@ -129,8 +133,8 @@
         self.choose_relay(now, out);
     }
 
-    /// A relay sends these only to members whose reports reach it, so one that arrives
-    /// shows that both directions work.
+    /// A relay sends digests only to members whose reports it receives, so an arriving one
+    /// shows that both directions of the link work.
     pub(super) fn on_relay_digest(
         &mut self,
         now: Moment,
@@ -139,11 +143,11 @@
         leader: Option<Leader>,
         out: &mut Vec<Action>,
     ) {
-        if from.name >= self.me.name {
+        if from.name >= self.local.name {
             return;
         }
-        let link = self.domain.links.entry(from.name.clone()).or_default();
-        *link = Link {
+        let upstream = self.domain.upstreams.entry(from.name.clone()).or_default();
+        *upstream = Upstream {
             unanswered: None,
             answered: true,
             stopped: false,
@@ -155,8 +159,8 @@
         if let Some(leader) = leader {
             self.follow(now, leader);
         }
-        let received = self.domain.received.as_ref();
-        if received.is_none_or(|received| received.hash() != roster) {
+        let relay_roster = self.domain.relay_roster.as_ref();
+        if relay_roster.is_none_or(|relay_roster| relay_roster.hash() != roster) {
             out.extend(send(from.addr, Some(Message::RosterPull)));
         }
     }
@@ -173,7 +177,7 @@
     }
 
     fn send_relay_digest(&self, now: Moment, to: SocketAddr, out: &mut Vec<Action>) {
-        // One that is silent here as well is no news to the receiver.
+        // A leader that is silent here too is of no use to the receiver.
         let leader = self.leader.filter(|_| !self.leader_is_silent(now));
         let roster = self.domain.roster().hash();
         let kind = DigestKind::Relay { roster, leader };
--- a/crates/spread/src/node/table.rs
+++ b/crates/spread/src/node/table.rs
@@ -1,4 +1,4 @@
-//! Holding the newest table: evidence of versions, catching up, handing on.
+//! Keeps the newest table: tracks newer versions, pulls them and forwards deltas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,76 +6,80 @@
 use filberthead_table::{View, ViewDelta};
 use filberthead_types::{Moment, Version};
 
-use crate::history::Offered;
+use crate::history::OfferOutcome;
 use crate::{Digest, DigestKind, Fingerprint, Leader, Message, Sender};
 
 use super::{Action, Node, Readiness, send};
 
-/// Most nodes remembered as holding a newer version.
-const KEPT_TELLERS: usize = 4;
+/// Maximum number of nodes remembered as holding a newer version.
+const MAX_HOLDERS: usize = 4;
 
-/// A request for a newer table that is under way.
+/// State of pulling a newer table.
 #[derive(Debug, Default)]
 pub(super) struct Pull {
-    asked: Option<Moment>,
-    /// Who holds a newer version than this node, last heard last.
-    tellers: Vec<SocketAddr>,
-    /// Whether a delta has failed, so that only a whole table helps.
-    whole: bool,
+    pulled_at: Option<Moment>,
+    /// Nodes that hold a newer version than this one, most recent last.
+    holders: Vec<SocketAddr>,
+    /// Whether a delta couldn't be applied, so that the full table is needed.
+    full_table: bool,
 }
 
 impl Node {
     pub(super) fn readiness(&self) -> Readiness {
-        let behind = self.history.version() < self.known;
+        let behind = self.history.version() < self.newest_known;
         if behind || !self.proof.is_proven() {
             return self.proof.unproven();
         }
         Readiness::Proven
     }
 
-    /// Takes note that `holder` holds `version`.
+    /// Records that `holder` holds `version`.
     ///
-    /// Only what a node holds itself counts as evidence, so that whoever makes this
-    /// node wait for a version can also hand it over.
-    pub(super) fn evidence(
+    /// Only versions held by the sender itself are recorded, so that a process that makes this
+    /// node wait for a version can also send it.
+    pub(super) fn record_holder(
         &mut self,
         now: Moment,
         holder: SocketAddr,
         version: Version,
         out: &mut Vec<Action>,
     ) {
-        self.known = self.known.max(version);
+        self.newest_known = self.newest_known.max(version);
         if version <= self.history.version() {
             return;
         }
-        self.pull.tellers.retain(|addr| *addr != holder);
-        self.pull.tellers.push(holder);
-        if self.pull.tellers.len() > KEPT_TELLERS {
-            self.pull.tellers.remove(0);
+        self.pull.holders.retain(|addr| *addr != holder);
+        self.pull.holders.push(holder);
+        if self.pull.holders.len() > MAX_HOLDERS {
+            self.pull.holders.remove(0);
         }
-        if self.pull.asked.is_none() {
+        if self.pull.pulled_at.is_none() {
             self.pull_from(now, holder, out);
         }
     }
 
     pub(super) fn tick_table(&mut self, now: Moment, out: &mut Vec<Action>) {
         let retry = self.cfg.pull_retry;
-        if self.pull.asked.is_none_or(|asked| now < asked + retry) {
+        if self
+            .pull
+            .pulled_at
+            .is_none_or(|pulled_at| now < pulled_at + retry)
+        {
             return;
         }
-        self.pull.asked = None;
-        if self.history.version() < self.known && !self.pull.tellers.is_empty() {
-            self.pull.tellers.rotate_left(1);
-            self.pull_from(now, self.pull.tellers[0], out);
+        self.pull.pulled_at = None;
+        if self.history.version() < self.newest_known && !self.pull.holders.is_empty() {
+            self.pull.holders.rotate_left(1);
+            self.pull_from(now, self.pull.holders[0], out);
         }
     }
 
     fn pull_from(&mut self, now: Moment, holder: SocketAddr, out: &mut Vec<Action>) {
-        self.pull.asked = Some(now);
-        let have = (!self.pull.whole).then(|| self.history.version());
+        self.pull.pulled_at = Some(now);
+        let base = (!self.pull.full_table).then(|| self.history.version());
         out.push(Action::Send {
             to: holder,
-            message: Message::TablePull { have },
+            message: Message::TablePull { base },
         });
     }
 
@@ -88,15 +92,16 @@
         push: bool,
         out: &mut Vec<Action>,
     ) {
-        match self.history.offer_delta(delta, table) {
-            Offered::Taken => self.advanced(push, out),
-            Offered::Old => {}
-            Offered::Unusable => {
-                // With the steps before it missing, a delta from here on does; if this
-                // delta began here and still failed, only a whole table can help.
-                self.pull.whole |= delta.from == self.history.version();
-                self.pull.asked = None;
-                self.evidence(now, from.addr, delta.to, out);
+        match self.history.apply_delta(delta, table) {
+            OfferOutcome::Applied => self.propagate(push, out),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Unusable => {
+                // If earlier deltas are missing, a delta from the version held here is
+                // enough. If this one started there and still failed, only the full table
+                // helps.
+                self.pull.full_table |= delta.from == self.history.version();
+                self.pull.pulled_at = None;
+                self.record_holder(now, from.addr, delta.to, out);
             }
         }
     }
@@ -109,30 +114,30 @@
         table: Fingerprint,
         out: &mut Vec<Action>,
     ) {
-        match self.history.offer_view(view, table) {
-            Offered::Taken => self.advanced(false, out),
-            Offered::Old => {}
-            Offered::Unusable => self.evidence(now, from.addr, view.version, out),
+        match self.history.apply_view(view, table) {
+            OfferOutcome::Applied => self.propagate(false, out),
+            OfferOutcome::Stale => {}
+            OfferOutcome::Unusable => self.record_holder(now, from.addr, view.version, out),
         }
     }
 
-    /// Hands a step on: a push of the leader to the whole failure domain, whatever
-    /// else to the members that report here.
-    fn advanced(&mut self, push: bool, out: &mut Vec<Action>) {
+    /// Forwards the newest delta: a push from the leader to the whole failure domain, any
+    /// other update to the members that report here.
+    fn propagate(&mut self, push: bool, out: &mut Vec<Action>) {
         let version = self.history.version();
-        self.known = self.known.max(version);
+        self.newest_known = self.newest_known.max(version);
         self.diverged = false;
-        if version == self.known {
+        if version == self.newest_known {
             self.pull = Pull::default();
         }
-        let Some(mut step) = self.history.last_step() else {
+        let Some(mut message) = self.history.last_delta() else {
             return;
         };
-        if let Message::Delta { push, .. } = &mut step {
+        if let Message::Delta { push, .. } = &mut message {
             *push = false;
         }
-        for to in self.behind_me(push) {
-            out.extend(send(to, Some(step.clone())));
+        for to in self.downstream(push) {
+            out.extend(send(to, Some(message.clone())));
         }
     }
 
@@ -143,7 +148,7 @@
         digest: &Digest,
         out: &mut Vec<Action>,
     ) {
-        self.evidence(now, from.addr, digest.version, out);
+        self.record_holder(now, from.addr, digest.version, out);
         self.compare_table(digest);
         self.compare_directory(now, from, digest.directory, out);
         match digest.kind {
@@ -158,8 +163,8 @@
         }
     }
 
-    /// Two views of one version can differ only if the memory of one of the processes is
-    /// damaged. Which one can't be told here, so this node just says so.
+    /// Detects different views of the same version. They can differ only if the memory of one
+    /// of the processes is corrupted; which one is unknown, so the node only reports it.
     fn compare_table(&mut self, digest: &Digest) {
         if digest.version == self.history.version() {
             self.diverged = digest.table != self.history.hash();
--- a/crates/spread/tests/all/network.rs
+++ b/crates/spread/tests/all/network.rs
@@ -1,7 +1,7 @@
-//! Nodes and sources joined by queues of messages.
+//! Simulated network of nodes and sources, connected by a message queue.
 //!
-//! A message arrives one step after it was sent, unless its link is cut. Every message
-//! goes through the codec, so that what arrives is what the wire would carry.
+//! A message arrives one step after it was sent, unless its link is cut. Every message is
+//! encoded and decoded, as on the wire.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 pub(crate) const STEP: Duration = Duration::from_millis(50);
 const LEASE: Duration = Duration::from_millis(500);
 
-/// An entry and everything that it has told its owner.
+/// An entry and the state from its actions.
 pub(crate) struct Entry {
     pub(crate) node: Node,
     pub(crate) member: MemberInfo,
@@ -40,7 +40,7 @@
     pub(crate) replicates: bool,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Packet {
     pub(crate) from: SocketAddr,
@@ -48,32 +48,32 @@
     pub(crate) message: Message,
 }
 
-/// What a test may do to a message on its way.
+/// Decides whether a message is delivered.
 pub(crate) type Filter = Box<dyn FnMut(&Packet) -> bool>;
 
 pub(crate) struct Network {
     pub(crate) now: Moment,
     pub(crate) entries: BTreeMap<String, Entry>,
     pub(crate) controls: Vec<Control>,
-    /// What is accepted.
+    /// The table with all accepted changes.
     pub(crate) table: View,
     pub(crate) queue: VecDeque<Packet>,
     cut: BTreeSet<(SocketAddr, SocketAddr)>,
     pub(crate) filter: Option<Filter>,
     down: BTreeSet<SocketAddr>,
-    starts: u64,
-    /// Versions that entries have kept on a disk, if they keep any.
-    floors: Option<BTreeMap<String, Version>>,
-    /// Processes that get no time, as if stopped by a signal.
+    start_count: u64,
+    /// Versions that entries have persisted; `None` if they persist none.
+    watermarks: Option<BTreeMap<String, Version>>,
+    /// Processes that aren't stepped, as if stopped by a signal.
     pub(crate) suspended: BTreeSet<String>,
-    /// Makes every entry act on whatever it holds, as if nothing guarded it.
-    pub(crate) unguarded: bool,
+    /// Makes every entry act on the view it holds, proven or not.
+    pub(crate) skip_proof: bool,
 }
 
-fn addr(kind: u8, place: usize) -> SocketAddr {
+fn addr(kind: u8, index: usize) -> SocketAddr {
     SocketAddr::from((
         [10, kind, 0, 1],
-        7000 + u16::try_from(place).expect("few nodes"),
+        7000 + u16::try_from(index).expect("few nodes"),
     ))
 }
 
@@ -83,8 +83,8 @@
 }
 
 impl Network {
-    /// Three control replicas, of which the first leads, and these entries; names are
-    /// like `zagreb-1-a` for an entry of the failure domain `zagreb-1`.
+    /// Three control replicas, of which the first leads, and these entries. An entry of the
+    /// failure domain `zagreb-1` has a name like `zagreb-1-a`.
     pub(crate) fn new(names: &[&str]) -> Self {
         let mut network = Self {
             now: Moment::from_secs(1000),
@@ -95,17 +95,17 @@
             cut: BTreeSet::new(),
             filter: None,
             down: BTreeSet::new(),
-            starts: 0,
-            floors: None,
+            start_count: 0,
+            watermarks: None,
             suspended: BTreeSet::new(),
-            unguarded: false,
+            skip_proof: false,
         };
-        let addrs: Vec<_> = (0..3).map(|place| addr(1, place)).collect();
-        for (place, own) in addrs.iter().enumerate() {
+        let addrs: Vec<_> = (0..3).map(|index| addr(1, index)).collect();
+        for (index, own) in addrs.iter().enumerate() {
             let others = addrs.iter().copied().filter(|addr| addr != own).collect();
             network.controls.push(Control {
                 source: Source::new(Config::builder().build(), others),
-                name: format!("control-{place}").parse().expect("valid name"),
+                name: format!("control-{index}").parse().expect("valid name"),
                 addr: *own,
                 leads: None,
                 leader: None,
@@ -119,15 +119,15 @@
         network
     }
 
-    /// Starts an entry, or starts it anew with nothing but its settings.
+    /// Starts or restarts an entry with nothing but its settings and persisted version.
     pub(crate) fn start(&mut self, name: &str) {
-        self.starts += 1;
-        let place = self.place(name);
+        self.start_count += 1;
+        let index = self.index(name);
         let member = MemberInfo {
             name: name.parse().expect("valid name"),
-            incarnation: Incarnation(self.starts),
-            peer_addr: addr(2, place),
-            caller_addr: addr(3, place),
+            incarnation: Incarnation(self.start_count),
+            peer_addr: addr(2, index),
+            caller_addr: addr(3, index),
             region: domain_of(domain_of(name)).parse().expect("valid name"),
             failure_domain: domain_of(name).parse().expect("valid name"),
             leaving: false,
@@ -136,9 +136,12 @@
             controls: self.controls.iter().map(|control| control.addr).collect(),
             seeds: self.entries.values().map(|e| e.member.peer_addr).collect(),
         };
-        let floor = self.floors.as_ref().and_then(|floors| floors.get(name));
-        let cfg = Config::builder().floor(floor.copied().unwrap_or_default());
-        let cfg = cfg.seed(self.starts).build();
+        let watermark = self
+            .watermarks
+            .as_ref()
+            .and_then(|watermarks| watermarks.get(name));
+        let cfg = Config::builder().watermark(watermark.copied().unwrap_or_default());
+        let cfg = cfg.seed(self.start_count).build();
         self.down.remove(&member.peer_addr);
         let entry = Entry {
             node: Node::new(cfg, member.clone(), contacts),
@@ -153,9 +156,9 @@
         self.entries.insert(name.to_owned(), entry);
     }
 
-    fn place(&self, name: &str) -> usize {
-        let known = self.entries.get(name);
-        known.map_or(self.entries.len(), |entry| {
+    fn index(&self, name: &str) -> usize {
+        let existing = self.entries.get(name);
+        existing.map_or(self.entries.len(), |entry| {
             usize::from(entry.member.peer_addr.port()) - 7000
         })
     }
@@ -167,18 +170,18 @@
         self.queue.retain(|packet| packet.to != addr);
     }
 
-    /// Makes a replica the leader; the others learn of it.
-    pub(crate) fn elect(&mut self, place: usize, term: u64) {
+    /// Makes a replica the leader and announces it to the others.
+    pub(crate) fn elect(&mut self, index: usize, term: u64) {
         let term = Epoch(term);
-        let addr = self.controls[place].addr;
+        let addr = self.controls[index].addr;
         for control in &mut self.controls {
             control.leads = None;
             control.leader = Some(Leader { term, addr });
         }
-        self.controls[place].leads = Some(term);
+        self.controls[index].leads = Some(term);
     }
 
-    /// Takes a row to a new weight; the change is accepted and reaches all replicas.
+    /// Sets the weight of a row; the change is committed at all replicas.
     pub(crate) fn change(&mut self, region: &str, weight: u32) -> Version {
         self.edit(
             region,
@@ -206,9 +209,9 @@
             None => self.table.rows.remove(&key(region)),
         };
         let view = Arc::new(self.table.clone());
-        for place in 0..self.controls.len() {
-            if self.controls[place].replicates {
-                self.step_control(place, source::Event::Committed(Arc::clone(&view)));
+        for index in 0..self.controls.len() {
+            if self.controls[index].replicates {
+                self.step_control(index, source::Event::Committed(Arc::clone(&view)));
             }
         }
         version
@@ -235,26 +238,31 @@
         self.cut(&inside, &outside);
     }
 
-    /// Peer addresses of everybody.
+    /// Peer addresses of all processes.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let controls = self.controls.iter().map(|control| control.addr);
         controls.chain(self.entries.values().map(|entry| entry.member.peer_addr))
     }
 
-    /// Hands over a message as if it had been on its way before any cut.
-    pub(crate) fn deliver_past_cuts(&mut self, from: SocketAddr, to: SocketAddr, message: Message) {
+    /// Delivers a message as if it had been in flight before any cut.
+    pub(crate) fn deliver_ignoring_cuts(
+        &mut self,
+        from: SocketAddr,
+        to: SocketAddr,
+        message: Message,
+    ) {
         let cut = std::mem::take(&mut self.cut);
         self.deliver(Packet { from, to, message });
         self.cut = cut;
     }
 
-    /// Ends a process; what it has sent and what is sent to it isn't touched.
-    pub(crate) fn kill_without_loss(&mut self, name: &str) {
+    /// Ends a process without dropping the messages queued from or to it.
+    pub(crate) fn kill_keeping_packets(&mut self, name: &str) {
         let addr = self.entries[name].member.peer_addr;
         self.down.insert(addr);
     }
 
-    /// Mends every link.
+    /// Repairs every link and removes the filter.
     pub(crate) fn heal(&mut self) {
         self.cut.clear();
         self.filter = None;
@@ -268,7 +276,7 @@
         inside.map(|(_, entry)| entry.member.peer_addr).collect()
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -286,15 +294,15 @@
         self.now - start
     }
 
-    /// One step of time: everything on its way arrives, then everybody ticks.
+    /// One step of time: all messages in flight arrive, then all processes tick.
     pub(crate) fn tick(&mut self) {
         self.now += STEP;
         let packets: Vec<_> = self.queue.drain(..).collect();
         for packet in packets {
             self.deliver(packet);
         }
-        for place in 0..self.controls.len() {
-            self.tick_control(place);
+        for index in 0..self.controls.len() {
+            self.tick_control(index);
         }
         let names: Vec<_> = self.entries.keys().cloned().collect();
         for name in names {
@@ -304,25 +312,24 @@
         }
     }
 
-    /// Lets every entry keep the version that it acts on, from now on.
-    pub(crate) fn keep_floors(&mut self) {
-        self.floors = Some(BTreeMap::new());
+    /// From now on every entry persists the version that it acts on.
+    pub(crate) fn persist_watermarks(&mut self) {
+        self.watermarks = Some(BTreeMap::new());
     }
 
-    /// Loses everything that a control replica holds, as if it had been restarted. Its
-    /// log gives it back the table.
-    pub(crate) fn restart_control(&mut self, place: usize) {
-        let own = self.controls[place].addr;
+    /// Restarts a control replica, which loses all state but the table, which its log restores.
+    pub(crate) fn restart_control(&mut self, index: usize) {
+        let own = self.controls[index].addr;
         let others = self.controls.iter().map(|control| control.addr);
         let others = others.filter(|addr| *addr != own).collect();
-        self.controls[place].source = Source::new(Config::builder().build(), others);
+        self.controls[index].source = Source::new(Config::builder().build(), others);
         let view = Arc::new(self.table.clone());
-        self.step_control(place, source::Event::Committed(view));
+        self.step_control(index, source::Event::Committed(view));
     }
 
-    fn tick_control(&mut self, place: usize) {
+    fn tick_control(&mut self, index: usize) {
         let until = self.now + LEASE;
-        let control = &self.controls[place];
+        let control = &self.controls[index];
         if self.suspended.contains(control.name.as_str()) {
             return;
         }
@@ -332,14 +339,14 @@
                 leader: control.leader,
             },
         };
-        self.step_control(place, event);
-        self.step_control(place, source::Event::Tick);
+        self.step_control(index, event);
+        self.step_control(index, source::Event::Tick);
     }
 
-    /// Hands a packet to its receiver unless a cut or the filter eats it.
+    /// Delivers a packet to its receiver unless a cut or the filter drops it.
     pub(crate) fn deliver(&mut self, packet: Packet) {
-        let ends = [packet.from, packet.to];
-        if self.cut.contains(&(ends[0], ends[1])) || self.down.contains(&ends[1]) {
+        let link = [packet.from, packet.to];
+        if self.cut.contains(&(link[0], link[1])) || self.down.contains(&link[1]) {
             return;
         }
         if let Some(filter) = &mut self.filter
@@ -352,8 +359,8 @@
         };
         let message = packet.message;
         let control = self.controls.iter().position(|c| c.addr == packet.to);
-        if let Some(place) = control {
-            return self.step_control(place, source::Event::Received { from, message });
+        if let Some(index) = control {
+            return self.step_control(index, source::Event::Received { from, message });
         }
         let name = self.name_of(packet.to).expect("an address of the test");
         self.step_entry(&name, node::Event::Received { from, message });
@@ -382,8 +389,8 @@
         found.map(|(name, _)| name.clone())
     }
 
-    pub(crate) fn step_control(&mut self, place: usize, event: source::Event) {
-        let control = &mut self.controls[place];
+    pub(crate) fn step_control(&mut self, index: usize, event: source::Event) {
+        let control = &mut self.controls[index];
         let from = control.addr;
         if self.suspended.contains(control.name.as_str()) {
             return;
@@ -406,16 +413,16 @@
                 node::Action::Send { to, message } => {
                     self.queue.push_back(packet(from, to, &message));
                 }
-                other => entry.take(other),
+                other => entry.record(other),
             }
         }
-        if self.unguarded && entry.in_force.last() != Some(&entry.node.held().version) {
-            entry.in_force.push(entry.node.held().version);
+        if self.skip_proof && entry.in_force.last() != Some(&entry.node.view().version) {
+            entry.in_force.push(entry.node.view().version);
         }
-        if let Some(floors) = &mut self.floors
+        if let Some(watermarks) = &mut self.watermarks
             && let Some(version) = entry.in_force.last()
         {
-            floors.insert(name.to_owned(), *version);
+            watermarks.insert(name.to_owned(), *version);
         }
     }
 
@@ -440,9 +447,8 @@
 }
 
 impl Entry {
-    /// Checks on the way that no version goes down and that none is handed out before
-    /// the node says that it is proven.
-    fn take(&mut self, action: node::Action) {
+    /// Records an action, and checks that versions in force only increase.
+    fn record(&mut self, action: node::Action) {
         match action {
             node::Action::Send { .. } => {}
             node::Action::InForce(view) => {
@@ -460,14 +466,14 @@
         }
     }
 
-    /// Version whose weights the entry uses now, if any.
+    /// Version whose weights the entry uses now; `None` while it isn't proven.
     pub(crate) fn acts_on(&self) -> Option<Version> {
         let version = self.in_force.last().copied();
         version.filter(|_| self.readiness == Readiness::Proven)
     }
 
-    /// Names of the entries that it knows to be live or leaving.
-    pub(crate) fn knows(&self) -> Vec<&str> {
+    /// Names of the entries that it lists as live or leaving.
+    pub(crate) fn listed_names(&self) -> Vec<&str> {
         self.entries
             .iter()
             .map(|member| member.name.as_str())
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,8 +1,15 @@
-//! Steering decisions as a step function free of I/O.
+//! Steering decisions as a step function without I/O.
 //!
-//! [`Steering`] is the border: the daemon feeds it what was observed and asks it where
-//! a request goes. Nothing here does I/O, so the same policy runs in the daemon, in the
-//! experiments against baselines, and under the fuzzer.
+//! [`Steering`] is the interface: the daemon passes observations to it as events and asks
+//! it for the placement of each request. Because nothing here does I/O, the same policy
+//! runs in the daemon, in experiments that compare it with baselines, and under the fuzzer.
+//!
+//! - An *entry* is a process that accepts callers' requests and sends them to endpoints of
+//!   its failure domain or forwards them to other entries.
+//! - *Control* is the replicated service that grants leases to entries and holds the table.
+//! - A *row* of the table has the weight, limit, shift cap and objective of one service in
+//!   one region.
+//! - A *slot* is the capacity of an endpoint for one request at a time.
 
 mod api;
 mod config;
@@ -12,8 +19,8 @@
 mod estimate;
 mod hash;
 mod health;
-mod keeper;
 mod lease;
+mod lessor;
 mod lookup;
 mod ownership;
 mod peers;
@@ -31,12 +38,13 @@
     Action, Decision, EndpointInfo, EndpointUsage, EntryInfo, Event, FinishKind, Message, Reading,
     RequestInfo, ServiceReport, ServiceUsage, Steering,
 };
-pub use config::{Choice, Config, SlotOwnership};
-pub use keeper::ShareKeeper;
+pub use config::{Config, EndpointSelection, SlotOwnership};
 pub use lease::{
-    Grant, KeptRoster, LEASE, MARGIN, Part, RENEW_EVERY, Renew, Roster, ServiceDemand, ServiceParts,
+    Grant, LEASE_DURATION, LEASE_MARGIN, Part, RENEW_INTERVAL, Renew, Roster, ServiceDemand,
+    ServiceParts, StoredRoster,
 };
+pub use lessor::Lessor;
 pub use ownership::Ownership;
 pub use policy::Policy;
 pub use round_robin::RoundRobin;
-pub use shares::ShareHolder;
+pub use shares::LeasedShares;
--- a/crates/steer/src/lookup.rs
+++ b/crates/steer/src/lookup.rs
@@ -1,9 +1,9 @@
-//! Which entries a look-up names.
+//! Which entries a look-up returns.
 //!
-//! Callers keep an answer for its time to live, so answers differ as little as they
-//! can from one moment to the next: regions and entries stand in rendezvous order,
-//! which only the table and the set of live entries change. Load moves by spill-over
-//! between entries instead, which acts at once and needs no caller to come back.
+//! Callers cache an answer for its TTL, so answers are kept as stable as possible: regions
+//! and entries are in rendezvous order, which depends on the table, the regions' mean
+//! utilisation and the set of live entries. Short-term load is moved by spillover between
+//! entries, which takes effect at once and needs no new look-up.
 
 use std::net::IpAddr;
 
@@ -12,14 +12,15 @@
 use crate::hash::Key;
 use crate::policy::Policy;
 
-/// Entries that an answer names, at most.
+/// Most entries in an answer.
 const MAX_ENTRIES: usize = 6;
-/// Entries of one region that it names, at most.
-const MAX_ENTRIES_A_REGION: usize = 3;
-/// Weight of an entry that has not reported; small, but it may be the only one.
-const UNKNOWN_WEIGHT: f64 = 0.1;
-/// Weight of an entry that has no slots for the service now.
-const NO_SLOT_WEIGHT: f64 = 1e-6;
+/// Most entries of one region in an answer.
+const MAX_ENTRIES_PER_REGION: usize = 3;
+/// Weight of an entry that has not reported slots for the service. Above 0, since it may be
+/// the only entry.
+const UNREPORTED_WEIGHT: f64 = 0.1;
+/// Weight of an entry that has no slots for the service.
+const NO_SLOTS_WEIGHT: f64 = 1e-6;
 
 struct Ranked<'a> {
     distance: f64,
@@ -33,8 +34,8 @@
         service: &ServiceName,
         caller: Option<IpAddr>,
     ) -> Vec<NodeName> {
-        let mut regions = self.regions.order(service, caller, &mut self.rng);
-        if regions.is_empty() && !self.regions.known() {
+        let mut regions = self.regions.region_order(service, caller, &mut self.rng);
+        if regions.is_empty() && !self.regions.has_table() {
             regions = vec![self.cfg.region.clone()];
         }
         let mut names = Vec::new();
@@ -60,11 +61,11 @@
         }
         let mut ranked = self.candidates(service, region, &key);
         ranked.sort_by(|a, b| a.distance.total_cmp(&b.distance));
-        spread(&mut ranked);
+        promote_other_domain(&mut ranked);
         ranked
             .iter()
-            .take(MAX_ENTRIES_A_REGION)
-            .map(|r| r.name.clone())
+            .take(MAX_ENTRIES_PER_REGION)
+            .map(|entry| entry.name.clone())
             .collect()
     }
 
@@ -88,31 +89,37 @@
                 continue;
             }
             let slots = peer.slots(service);
-            // An entry without slots for the service is named after all that have some,
-            // and not left out: its whole region may just be starting, and callers who
-            // were sent elsewhere meanwhile would keep that answer.
-            let weight = slots.map_or(UNKNOWN_WEIGHT, f64::from).max(NO_SLOT_WEIGHT);
+            // An entry without slots for the service ranks last but is not left out: its
+            // whole region may just be starting, and callers that were sent to another
+            // region would cache that answer.
+            let weight = slots
+                .map_or(UNREPORTED_WEIGHT, f64::from)
+                .max(NO_SLOTS_WEIGHT);
             add(&info.name, info.failure_domain.as_str(), weight);
         }
         if self.cfg.region == *region && !self.stopping {
             let slots = self.pools.get(service).map_or(0, |pool| pool.slots());
             let domain = self.cfg.failure_domain.as_str();
-            add(&self.cfg.node, domain, f64::from(slots).max(NO_SLOT_WEIGHT));
+            add(
+                &self.cfg.node,
+                domain,
+                f64::from(slots).max(NO_SLOTS_WEIGHT),
+            );
         }
         ranked
     }
 }
 
-/// Moves the first entry of another failure domain to the second place, so that a
-/// caller whose first entry's failure domain fails has the next one in hand.
-fn spread(ranked: &mut [Ranked<'_>]) {
+/// Moves the first entry of another failure domain to the second position, so that the
+/// caller has an alternative if the failure domain of its first entry fails.
+fn promote_other_domain(ranked: &mut [Ranked<'_>]) {
     let Some((first, rest)) = ranked.split_first_mut() else {
         return;
     };
-    let other = rest
+    let index = rest
         .iter()
-        .position(|r| r.failure_domain != first.failure_domain);
-    if let Some(other) = other {
-        rest[..=other].rotate_right(1);
+        .position(|entry| entry.failure_domain != first.failure_domain);
+    if let Some(index) = index {
+        rest[..=index].rotate_right(1);
     }
 }
--- a/crates/steer/src/policy.rs
+++ b/crates/steer/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy itself: joins what is known about endpoints, entries and the table.
+//! The policy: combines the state of endpoints, other entries and the table.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -11,41 +11,43 @@
 use rand::rngs::StdRng;
 
 use crate::config::Config;
-use crate::lease::RENEW_EVERY;
+use crate::lease::RENEW_INTERVAL;
 use crate::ownership::Ownership;
 use crate::peers::Peers;
 use crate::pool::Pool;
 use crate::region::Regions;
-use crate::shares::ShareHolder;
+use crate::shares::LeasedShares;
 use crate::shift::ShiftWindow;
 use crate::{
     Action, Decision, EndpointInfo, EntryInfo, Event, FinishKind, Message, RequestInfo,
     ServiceReport, ServiceUsage, Steering,
 };
 
-/// Where a placed request runs.
+/// Where a placed request was sent.
 #[derive(Debug)]
-pub(crate) enum Place {
+pub(crate) enum Location {
     Endpoint(NodeName),
     Entry(NodeName),
 }
 
+/// A placed request that hasn't ended.
 #[derive(Debug)]
 pub(crate) struct Running {
     pub(crate) service: ServiceName,
-    pub(crate) place: Place,
-    pub(crate) since: Moment,
+    pub(crate) location: Location,
+    pub(crate) started_at: Moment,
     pub(crate) shifted: bool,
 }
 
-/// Whether a request belongs to this region under the stable weights.
+/// Whether a request's home region under the stable weights is this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Class {
+    /// It is, or the home region is unknown.
     Home,
     Shifted,
 }
 
-/// Steering of an entry: exact counting at its own endpoints, reports from others.
+/// Steering of an entry, by exact counts at its own endpoints and reports of other entries.
 #[derive(Debug)]
 pub struct Policy {
     pub(crate) cfg: Config,
@@ -54,7 +56,7 @@
     pub(crate) peers: Peers,
     pub(crate) regions: Regions,
     pub(crate) ownership: Ownership,
-    pub(crate) shares: ShareHolder,
+    pub(crate) shares: LeasedShares,
     pub(crate) running: HashMap<RequestId, Running>,
     pub(crate) rng: StdRng,
     pub(crate) stopping: bool,
@@ -63,7 +65,7 @@
 }
 
 impl Policy {
-    /// A policy that knows nothing yet.
+    /// A policy without any observations.
     pub fn new(now: Moment, cfg: Config) -> Self {
         Self {
             pools: HashMap::new(),
@@ -71,7 +73,7 @@
             peers: Peers::default(),
             regions: Regions::default(),
             ownership: Ownership::new(now, cfg.node.clone(), cfg.leased),
-            shares: ShareHolder::default(),
+            shares: LeasedShares::default(),
             running: HashMap::new(),
             rng: StdRng::seed_from_u64(cfg.seed),
             stopping: false,
@@ -81,20 +83,20 @@
         }
     }
 
-    /// Whether this entry may admit now to the service's endpoints in its failure domain.
+    /// Whether this entry owns the service's endpoints in its failure domain and may admit to
+    /// them now.
     pub fn owns(&self, now: Moment, service: &ServiceName) -> bool {
         self.ownership.owns(now, service.as_str())
     }
 
-    /// Whether a request that runs at an own endpoint counts as shifted; `None` if no
-    /// such request runs.
+    /// Whether a request counts as shifted; `None` unless it runs at an own endpoint.
     pub fn is_shifted(&self, id: RequestId) -> Option<bool> {
         let run = self.running.get(&id)?;
-        matches!(run.place, Place::Endpoint(_)).then_some(run.shifted)
+        matches!(run.location, Location::Endpoint(_)).then_some(run.shifted)
     }
 
     pub(crate) fn class(&self, req: &RequestInfo) -> Class {
-        let home = self.regions.home(&req.service, req.caller);
+        let home = self.regions.home_region(&req.service, req.caller);
         match home {
             Some(region) if *region != self.cfg.region => Class::Shifted,
             _ => Class::Home,
@@ -115,35 +117,37 @@
             let list = by_service.get(service).map_or(&[][..], Vec::as_slice);
             pool.set_endpoints(list, &self.cfg);
         }
-        self.refresh_grants(now);
+        self.refresh_owned_slots(now);
     }
 
-    /// Whether this entry serves on its own because nobody can be asked.
-    pub(crate) fn isolated(&self, now: Moment) -> bool {
-        self.cfg.serve_isolated && self.ownership.isolated(now)
+    /// Whether this entry serves without a lease or promises, because it has reached neither
+    /// control nor a majority for long and is configured to do so.
+    pub(crate) fn is_isolated(&self, now: Moment) -> bool {
+        self.cfg.serve_isolated && self.ownership.is_isolated(now)
     }
 
-    pub(crate) fn refresh_grants(&mut self, now: Moment) {
-        let isolated = self.isolated(now);
+    /// Sets the slots that this entry may fill at each endpoint, by its current membership.
+    pub(crate) fn refresh_owned_slots(&mut self, now: Moment) {
+        let isolated = self.is_isolated(now);
         for endpoint in self.pools.values_mut().flat_map(|p| &mut p.endpoints) {
-            // With nobody to ask, an owner that is beyond reach but alive can't be ruled
-            // out. One request at a time, and only while the endpoint itself shows a
-            // free slot, is the least that serves callers; were there an owner, it would
-            // be sent at most one request more than it has slots, which it refuses.
+            // An isolated entry can't rule out an owner that is alive but unreachable. So it
+            // uses one slot, and only while the endpoint itself reports a free one, the least
+            // that serves callers. If there is an owner, the endpoint gets at most one request
+            // more than it has slots, and refuses it.
             let slots = if isolated {
-                u32::from(endpoint.shows_room(now, self.cfg.reading_ttl))
+                u32::from(endpoint.reports_free_slot(now, self.cfg.reading_ttl))
             } else {
                 self.ownership.slots(now, &endpoint.info, &self.cfg)
             };
-            endpoint.grant(now, slots, self.cfg.longest_run);
+            endpoint.set_owned_slots(now, slots, self.cfg.max_request_duration);
         }
     }
 
     fn set_leaving(&mut self, names: &[NodeName]) {
         for name in names {
             for pool in self.pools.values_mut() {
-                if let Some(endpoint) = pool.find(name) {
-                    endpoint.health.list_leaving();
+                if let Some(endpoint) = pool.find_mut(name) {
+                    endpoint.health.mark_leaving();
                 }
             }
         }
@@ -151,13 +155,13 @@
 
     fn set_entries(&mut self, now: Moment, entries: Vec<EntryInfo>) {
         self.ownership.set_entries(&entries, &self.cfg);
-        self.peers.set(entries, &self.cfg);
-        self.refresh_grants(now);
+        self.peers.set_entries(entries, &self.cfg);
+        self.refresh_owned_slots(now);
     }
 
     fn set_table(&mut self, now: Moment, view: Arc<View>) {
-        self.regions.set(now, view);
-        // A new row admits nothing before its parts are granted.
+        self.regions.set_table(now, view);
+        // A new row admits nothing before its parts are granted, so renew at once.
         self.next_renewal = now;
     }
 
@@ -169,29 +173,30 @@
         first_byte: Duration,
     ) -> Vec<Action> {
         let Some(run) = self.running.remove(&id) else {
-            self.forget_queued(id);
+            self.remove_queued(id);
             return Vec::new();
         };
-        match run.place {
-            Place::Entry(name) => {
-                self.peers.finished(&name, &run.service, run.since);
+        match run.location {
+            Location::Entry(name) => {
+                self.peers
+                    .record_finished(&name, &run.service, run.started_at);
                 match kind {
-                    FinishKind::Shed => self.peers.refused(now, &name, &run.service),
-                    FinishKind::ConnectFailed => self.peers.unreachable(&name),
+                    FinishKind::Shed => self.peers.record_refusal(now, &name, &run.service),
+                    FinishKind::ConnectFailed => self.peers.mark_unreachable(&name),
                     _ => {}
                 }
                 Vec::new()
             }
-            Place::Endpoint(name) => {
+            Location::Endpoint(name) => {
                 let Some(pool) = self.pools.get_mut(&run.service) else {
                     return Vec::new();
                 };
-                let held = now.saturating_sub(run.since);
-                pool.finish(now, &name, run.shifted, kind, first_byte, held);
+                let hold_time = now.saturating_sub(run.started_at);
+                pool.finish(now, &name, run.shifted, kind, first_byte, hold_time);
                 if let Some(window) = self.windows.get_mut(&run.service) {
                     match kind {
-                        FinishKind::Answered => window.answered(first_byte),
-                        FinishKind::Shed => window.refused(),
+                        FinishKind::Answered => window.record_answer(first_byte),
+                        FinishKind::Shed => window.record_refusal(),
                         _ => {}
                     }
                 }
@@ -200,18 +205,18 @@
         }
     }
 
-    fn forget_queued(&mut self, id: RequestId) {
+    fn remove_queued(&mut self, id: RequestId) {
         for pool in self.pools.values_mut() {
             pool.home_queue.remove(id);
             pool.shifted_queue.remove(id);
         }
     }
 
-    /// Starts what waits for the service and now has a slot.
+    /// Places queued requests of the service while slots are free.
     pub(crate) fn dispatch(&mut self, now: Moment, service: &ServiceName) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some((req, class)) = self.next_queued(now, service) {
-            let Some(decision) = self.place_here(now, &req, class) else {
+            let Some(decision) = self.place_locally(now, &req, class) else {
                 break;
             };
             if let Some(pool) = self.pools.get_mut(service) {
@@ -226,8 +231,8 @@
         actions
     }
 
-    /// The next waiting request that may start: of both queues the nearer deadline,
-    /// but a shifted one only if the shift window has room.
+    /// The queued request with the earliest deadline that may start: a shifted one only if
+    /// the shift window has room.
     fn next_queued(&self, now: Moment, service: &ServiceName) -> Option<(RequestInfo, Class)> {
         let pool = self.pools.get(service)?;
         let home = pool.home_queue.front();
@@ -248,26 +253,26 @@
 
     fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.regions.tick(now);
-        self.refresh_grants(now);
-        self.tick_windows(now);
-        self.tick_loads(now);
-        let mut actions = self.expire(now);
+        self.refresh_owned_slots(now);
+        self.update_windows(now);
+        self.update_loads(now);
+        let mut actions = self.expire_queued(now);
         for service in self.waiting_services() {
             actions.extend(self.dispatch(now, &service));
         }
         actions.extend(self.probes(now));
         if self.cfg.leased && now >= self.next_renewal {
-            self.next_renewal = now + RENEW_EVERY;
+            self.next_renewal = now + RENEW_INTERVAL;
             actions.extend(self.renew(now));
         }
         if now >= self.next_report {
-            self.next_report = now + self.cfg.report_every;
+            self.next_report = now + self.cfg.report_interval;
             actions.extend(self.reports(now));
         }
         actions
     }
 
-    fn tick_windows(&mut self, now: Moment) {
+    fn update_windows(&mut self, now: Moment) {
         for (service, pool) in &self.pools {
             let capacity = pool.capacity(now, &self.cfg);
             let load = f64::from(pool.running) / f64::from(capacity.max(1));
@@ -275,7 +280,7 @@
             let window = self.windows.entry(service.clone());
             window
                 .or_insert_with(ShiftWindow::new)
-                .tick(now, load, cap, pool.hold.seconds());
+                .tick(now, load, cap, pool.hold_time.seconds());
         }
     }
 
@@ -284,7 +289,7 @@
         waiting.map(|(service, _)| service.clone()).collect()
     }
 
-    fn expire(&mut self, now: Moment) -> Vec<Action> {
+    fn expire_queued(&mut self, now: Moment) -> Vec<Action> {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
             let retry_after = Duration::from_secs_f64(pool.wait_seconds(now, &self.cfg));
@@ -304,12 +309,12 @@
         actions
     }
 
-    /// Probes whose time has come. Every entry of the failure domain probes, owner or
-    /// not, so that an endpoint's state is known when its ownership moves.
+    /// Probes that are due. Every entry of the failure domain probes all endpoints, owner or
+    /// not, so that it has a reading when it becomes the owner.
     fn probes(&mut self, now: Moment) -> Vec<Action> {
-        let every = self.cfg.probe_every;
+        let every = self.cfg.probe_interval;
         let endpoints = self.pools.values_mut().flat_map(|p| &mut p.endpoints);
-        let due = endpoints.filter(|e| !e.gone && now >= e.next_probe);
+        let due = endpoints.filter(|e| !e.delisted && now >= e.next_probe);
         due.map(|e| {
             e.next_probe = now + every;
             Action::Probe {
@@ -330,11 +335,11 @@
                 running: pool.running,
                 waiting: pool.waiting(),
                 shift_room: self.shift_room(now, service),
-                hold_micros: (pool.hold.seconds() * 1e6) as u32,
+                hold_micros: (pool.hold_time.seconds() * 1e6) as u32,
             })
             .collect();
-        let listeners = self.peers.listeners(&self.cfg).into_iter();
-        listeners
+        let targets = self.peers.report_targets(&self.cfg).into_iter();
+        targets
             .map(|to| Action::Send {
                 to,
                 message: Message::Report(reports.clone()),
@@ -342,14 +347,16 @@
             .collect()
     }
 
-    fn receive(&mut self, now: Moment, from: NodeName, message: Message) -> Vec<Action> {
+    fn handle_message(&mut self, now: Moment, from: NodeName, message: Message) -> Vec<Action> {
         match message {
-            Message::Report(reports) => self.peers.report(now, &from, reports),
-            Message::Grant(grant) => self.granted(now, &grant),
-            Message::Ask { serial, epoch } => return self.asked(now, from, epoch, serial),
+            Message::Report(reports) => self.peers.record_reports(now, &from, reports),
+            Message::Grant(grant) => self.handle_grant(now, &grant),
+            Message::Ask { serial, epoch } => {
+                return self.handle_promise_request(now, from, epoch, serial);
+            }
             Message::Promise { serial } => {
-                self.ownership.promised_from(from, serial);
-                self.refresh_grants(now);
+                self.ownership.record_promise(from, serial);
+                self.refresh_owned_slots(now);
             }
             Message::Renew(_) => {}
         }
@@ -357,7 +364,7 @@
     }
 
     fn with_endpoint(&mut self, name: &NodeName, f: impl FnOnce(&mut crate::endpoint::Endpoint)) {
-        if let Some(endpoint) = self.pools.values_mut().find_map(|pool| pool.find(name)) {
+        if let Some(endpoint) = self.pools.values_mut().find_map(|pool| pool.find_mut(name)) {
             f(endpoint);
         }
     }
@@ -391,10 +398,10 @@
             Event::Entries(entries) => self.set_entries(now, entries),
             Event::Reading { endpoint, reading } => {
                 let slow_start = self.cfg.slow_start;
-                self.with_endpoint(&endpoint, |e| e.read(reading, slow_start));
+                self.with_endpoint(&endpoint, |e| e.record_reading(reading, slow_start));
             }
             Event::ProbeFailed { endpoint } => {
-                self.with_endpoint(&endpoint, |e| e.health.probe_failed());
+                self.with_endpoint(&endpoint, |e| e.health.record_probe_failure());
             }
             Event::Finished {
                 id,
@@ -407,7 +414,7 @@
                 idle,
             } => self.with_endpoint(&endpoint, |e| e.set_connections(open, idle)),
             Event::Stop => self.stopping = true,
-            Event::Received { from, message } => return self.receive(now, from, message),
+            Event::Received { from, message } => return self.handle_message(now, from, message),
         }
         Vec::new()
     }
--- a/crates/steer/src/region.rs
+++ b/crates/steer/src/region.rs
@@ -1,13 +1,13 @@
-//! Which region a caller belongs to, by the weights in force and by the stable ones.
+//! Which region a caller belongs to, by the weights in force and by the stable weights.
 //!
-//! A caller's home is drawn by weighted rendezvous from its address, so every process
-//! finds the same one without a message, and a change of weights moves only as many
-//! callers as the weights' difference asks for.
+//! A caller's home region is chosen by weighted rendezvous hashing of its address, so
+//! every process computes the same one without communication, and a change of weights
+//! moves only as many callers as the weights differ by.
 //!
-//! A request is *shifted* where it runs outside of its caller's home under the stable
-//! weights: those that were in force before the latest change, until that change has
-//! settled. So the shift cap holds back just the traffic that a change of weights, a
-//! drain or a failure adds to a region, and never the region's own.
+//! A request is *shifted* if it runs outside of its caller's home region under the stable
+//! weights. These are the weights from before the latest change, until that change has
+//! settled. So the shift cap limits only the traffic that a change of weights, a drain or
+//! a failure adds to a region, never the region's own.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -21,66 +21,69 @@
 
 use crate::hash::Key;
 
-/// How long new weights have to stand until the traffic they moved counts as home.
-/// Long against a cached look-up and against the warming of a cache.
-const SETTLE_AFTER: Duration = Duration::from_secs(300);
-
-/// Headroom that even a full region is reckoned with, so that its weight stays finite
-/// and it keeps callers who know its endpoints' caches.
-const LEAST_HEADROOM: f64 = 0.1;
-/// Most by which a weight is changed for relief.
-const MOST_RELIEF: f64 = 3.0;
-/// Weight of a tick in a region's mean load: a mean over some seconds, since callers
-/// come back for a new answer only then.
+/// How long new weights must be in force before the traffic that they moved counts as the
+/// region's own. Long compared to the lifetime of a cached look-up and to cache warm-up.
+const SETTLE_TIME: Duration = Duration::from_secs(300);
+
+/// Headroom assumed even for a full region, so that the adjustment stays finite and the
+/// region keeps callers whose data its endpoints have cached.
+const MIN_HEADROOM: f64 = 0.1;
+/// Largest factor by which a weight is raised or lowered.
+const MAX_ADJUSTMENT: f64 = 3.0;
+/// Weight of a tick in a region's mean utilisation. The mean spans several seconds, since
+/// callers repeat a look-up no sooner.
 const LOAD_GAIN: f64 = 0.03;
 
+/// Weights of a service's regions.
 type Weights = Vec<(Region, f64)>;
 
 #[derive(Debug)]
 struct ServiceWeights {
     current: Weights,
     stable: Weights,
-    changed: Moment,
-    /// Mean filled part of the slots of each region, in the order of `current`.
-    loads: Vec<f64>,
+    changed_at: Moment,
+    /// Mean utilisation of each region's slots, in the order of `current`.
+    mean_utilisation: Vec<f64>,
 }
 
 impl ServiceWeights {
-    /// The weights in force, with those of regions that are fuller than the others
-    /// reduced by the root of the headroom that they have left.
+    /// The weights in force, adjusted by each region's headroom relative to the headroom at
+    /// the mean utilisation of all regions.
     ///
-    /// Weights are shares of traffic, but rendezvous deals out callers, of whom some
-    /// send far more than others; and a region may have lost a part of its slots.
-    fn relieved(&self) -> impl Iterator<Item = (&Region, f64)> {
-        let sum: f64 = self.current.iter().map(|(_, weight)| weight).sum();
-        let loads = self.current.iter().zip(&self.loads);
-        let mean: f64 = loads.map(|((_, weight), load)| weight * load).sum::<f64>() / sum.max(1.0);
-        let headroom = |load: f64| (1.0 - load).max(LEAST_HEADROOM);
-        let weights = self.current.iter().zip(&self.loads);
+    /// Weights are shares of traffic, but rendezvous hashing assigns callers, some of which
+    /// send far more than others, and a region may have lost some of its slots.
+    fn load_adjusted(&self) -> impl Iterator<Item = (&Region, f64)> {
+        let total_weight: f64 = self.current.iter().map(|(_, weight)| weight).sum();
+        let loads = self.current.iter().zip(&self.mean_utilisation);
+        let mean_load: f64 =
+            loads.map(|((_, weight), load)| weight * load).sum::<f64>() / total_weight.max(1.0);
+        let headroom = |load: f64| (1.0 - load).max(MIN_HEADROOM);
+        let weights = self.current.iter().zip(&self.mean_utilisation);
         weights.map(move |((region, weight), load)| {
-            // The root keeps the loop stable: with answers kept for long, callers act on
-            // relief that was reckoned before the last ones moved, and at loads over a
-            // half the plain ratio overshoots further each time.
-            let relief = (headroom(*load) / headroom(mean)).powf(0.75);
+            // The exponent keeps the loop stable: with look-ups that are cached for long,
+            // callers act on an adjustment from before the last callers moved, and at
+            // utilisations over a half the plain ratio overshoots further each time.
+            let adjustment = (headroom(*load) / headroom(mean_load)).powf(0.75);
             (
                 region,
-                weight * relief.clamp(1.0 / MOST_RELIEF, MOST_RELIEF),
+                weight * adjustment.clamp(1.0 / MAX_ADJUSTMENT, MAX_ADJUSTMENT),
             )
         })
     }
 }
 
-/// The table's rows as steering uses them.
+/// The table's rows, and the weights that steering derives from them.
 #[derive(Debug, Default)]
 pub(crate) struct Regions {
     view: Option<Arc<View>>,
-    /// Whether weights may be acted on.
+    /// Whether weights may be used: false until a table version is in force, and while
+    /// none is proven to be the newest.
     in_force: bool,
     services: HashMap<ServiceName, ServiceWeights>,
 }
 
 impl Regions {
-    pub(crate) fn set(&mut self, now: Moment, view: Arc<View>) {
+    pub(crate) fn set_table(&mut self, now: Moment, view: Arc<View>) {
         let mut services: HashMap<ServiceName, Weights> = HashMap::new();
         for (key, row) in &view.rows {
             let weight = f64::from(row.values.weight);
@@ -96,8 +99,8 @@
         self.in_force = true;
     }
 
-    /// Takes the weights out of force. They are kept, so that the next table is compared
-    /// with them and the traffic that it moves still counts as a shift.
+    /// Stops using the weights. They are kept for comparison with the next table, so that
+    /// traffic that it moves still counts as shifted.
     pub(crate) fn suspend(&mut self) {
         self.in_force = false;
     }
@@ -108,18 +111,18 @@
 
     fn set_service(&mut self, now: Moment, service: ServiceName, current: Weights) {
         match self.services.get_mut(&service) {
-            Some(known) if known.current == current => {}
-            Some(known) => {
-                known.loads = vec![0.0; current.len()];
-                known.current = current;
-                known.changed = now;
+            Some(existing) if existing.current == current => {}
+            Some(existing) => {
+                existing.mean_utilisation = vec![0.0; current.len()];
+                existing.current = current;
+                existing.changed_at = now;
             }
             None => {
                 let weights = ServiceWeights {
-                    loads: vec![0.0; current.len()],
+                    mean_utilisation: vec![0.0; current.len()],
                     stable: current.clone(),
                     current,
-                    changed: now,
+                    changed_at: now,
                 };
                 self.services.insert(service, weights);
             }
@@ -128,34 +131,35 @@
 
     pub(crate) fn tick(&mut self, now: Moment) {
         for weights in self.services.values_mut() {
-            if now >= weights.changed + SETTLE_AFTER && weights.stable != weights.current {
+            if now >= weights.changed_at + SETTLE_TIME && weights.stable != weights.current {
                 weights.stable = weights.current.clone();
             }
         }
     }
 
-    /// Takes in the filled part of each region's slots; `None` for an unknown one.
-    pub(crate) fn load(
+    /// Adds each region's current utilisation to its mean. `utilisation` returns `None` for a
+    /// region without fresh reports, whose mean stays as it is.
+    pub(crate) fn record_loads(
         &mut self,
         service: &ServiceName,
-        mut filled: impl FnMut(&Region) -> Option<f64>,
+        mut utilisation: impl FnMut(&Region) -> Option<f64>,
     ) {
         let Some(weights) = self.services.get_mut(service) else {
             return;
         };
-        for ((region, _), load) in weights.current.iter().zip(&mut weights.loads) {
-            if let Some(filled) = filled(region) {
-                *load += LOAD_GAIN * (filled.min(1.0) - *load);
+        for ((region, _), load) in weights.current.iter().zip(&mut weights.mean_utilisation) {
+            if let Some(utilisation) = utilisation(region) {
+                *load += LOAD_GAIN * (utilisation.min(1.0) - *load);
             }
         }
     }
 
-    /// Whether a table is in force here.
-    pub(crate) fn known(&self) -> bool {
+    /// Whether a table version is in force.
+    pub(crate) fn has_table(&self) -> bool {
         self.in_force
     }
 
-    pub(crate) fn has(&self, service: &ServiceName) -> bool {
+    pub(crate) fn has_service(&self, service: &ServiceName) -> bool {
         self.weights(service).is_some()
     }
 
@@ -172,8 +176,9 @@
             .map_or_else(Objective::default, |values| values.objective)
     }
 
-    /// Whether the region takes the service's traffic under the weights in force.
-    pub(crate) fn takes(&self, service: &ServiceName, region: &Region) -> bool {
+    /// Whether the region has a weight above 0 for the service, or no weights are in force
+    /// for it.
+    pub(crate) fn accepts_traffic(&self, service: &ServiceName, region: &Region) -> bool {
         self.weights(service).is_none_or(|weights| {
             weights
                 .current
@@ -182,9 +187,13 @@
         })
     }
 
-    /// The caller's home under the stable weights; `None` if the table doesn't name the
-    /// service or the caller isn't known.
-    pub(crate) fn home(&self, service: &ServiceName, caller: Option<IpAddr>) -> Option<&Region> {
+    /// The caller's home region under the stable weights; `None` if no weights are in force
+    /// for the service or the caller's address is unknown.
+    pub(crate) fn home_region(
+        &self,
+        service: &ServiceName,
+        caller: Option<IpAddr>,
+    ) -> Option<&Region> {
         let weights = self.weights(service)?;
         let key = Key::new().text(service.as_str()).address(caller?);
         let distances = weights
@@ -197,9 +206,9 @@
             .map(|(_, region)| region)
     }
 
-    /// Regions in the order in which the caller should use them, by weights in force.
-    /// A caller that isn't known gets an order drawn at random by the same weights.
-    pub(crate) fn order(
+    /// Regions in the order in which the caller should use them, by the adjusted weights.
+    /// Without an address the order is drawn at random by the same weights.
+    pub(crate) fn region_order(
         &self,
         service: &ServiceName,
         caller: Option<IpAddr>,
@@ -214,7 +223,7 @@
             None => key.number(rng.next_u64()),
         };
         let mut ranked: Vec<_> = weights
-            .relieved()
+            .load_adjusted()
             .map(|(region, weight)| (key.clone().text(region.as_str()).distance(weight), region))
             .filter(|(distance, _)| distance.is_finite())
             .collect();
--- a/crates/steer/src/shares.rs
+++ b/crates/steer/src/shares.rs
@@ -1,48 +1,51 @@
 //! An entry's parts of limits and shift caps.
 //!
-//! A share holds while its lease does; a floor holds for good, so that a failure domain
-//! that is cut off goes on serving. A cut counts as acknowledged only when what runs
-//! has come down to the new share: until then renewals report what runs.
+//! A share is valid while its lease is; a floor stays valid without one, so that a
+//! partitioned failure domain keeps serving. A reduced share frees capacity for other
+//! entries only once the running requests have dropped to it: until then renewals report
+//! the running requests.
 
 use std::collections::BTreeMap;
 
 use filberthead_types::{Epoch, Moment, ServiceName};
 
-use crate::lease::{Grant, LEASE, Part, ServiceParts};
+use crate::lease::{Grant, LEASE_DURATION, Part, ServiceParts};
 
-/// Renewals without answer that are remembered.
-const KEPT_RENEWALS: usize = 16;
+/// Most unanswered renewals that are tracked.
+const MAX_PENDING_RENEWALS: usize = 16;
 
-/// Holds what control granted.
+/// The parts that control has granted to this entry.
 #[derive(Debug, Default)]
-pub struct ShareHolder {
+pub struct LeasedShares {
     term: Epoch,
     accepted: u64,
-    /// For each renewal not answered yet, the grant that was in force when it was sent.
-    asked_under: BTreeMap<u64, u64>,
-    until: Moment,
+    /// Serial of the grant that was in force when each unanswered renewal was sent, by the
+    /// renewal's serial.
+    accepted_when_sent: BTreeMap<u64, u64>,
+    /// When the lease of the shares expires.
+    valid_until: Moment,
     parts: BTreeMap<ServiceName, ServiceParts>,
 }
 
-impl ShareHolder {
-    /// Takes in a grant; `sent` is when the renewal that it answers was sent. Returns
-    /// whether the grant is newer than what is held.
-    pub fn granted(&mut self, grant: &Grant, sent: Moment) -> bool {
-        // A grant of an earlier leader, or one overtaken by a later one, would bring
-        // back a share that has been given to another entry since.
+impl LeasedShares {
+    /// Applies a grant unless it is outdated; returns whether it was applied. `sent` is when
+    /// the renewal that it answers was sent.
+    pub fn apply_grant(&mut self, grant: &Grant, sent: Moment) -> bool {
+        // A grant of an earlier leader, or one that arrives after a later one, would
+        // restore a share that may have been granted to another entry since.
         if grant.term < self.term || grant.serial <= self.accepted {
             return false;
         }
-        // A renewal that was on its way while a cut came in reports what was held before
-        // it; a new leader, which knows nothing else, would grant just that again, though
-        // the cut was acknowledged and the part given to another entry.
-        if self.asked_under.get(&grant.serial) != Some(&self.accepted) {
+        // A renewal that was in flight when a reduced share arrived reports the old share.
+        // A new leader has no other information and would grant the old share again, though
+        // the reduction was acknowledged and the difference granted to another entry.
+        if self.accepted_when_sent.get(&grant.serial) != Some(&self.accepted) {
             return false;
         }
-        self.asked_under = self.asked_under.split_off(&grant.serial);
+        self.accepted_when_sent = self.accepted_when_sent.split_off(&grant.serial);
         self.term = grant.term;
         self.accepted = grant.serial;
-        self.until = sent + LEASE;
+        self.valid_until = sent + LEASE_DURATION;
         self.parts = grant
             .parts
             .iter()
@@ -51,16 +54,16 @@
         true
     }
 
-    /// Whether a part was granted for the service.
-    pub(crate) fn has(&self, service: &ServiceName) -> bool {
+    /// Whether the grant in force has parts for the service.
+    pub(crate) fn has_part(&self, service: &ServiceName) -> bool {
         self.parts.contains_key(service)
     }
 
-    /// A renewal of this number is sent now.
-    pub fn asking(&mut self, serial: u64) {
-        self.asked_under.insert(serial, self.accepted);
-        if self.asked_under.len() > KEPT_RENEWALS {
-            self.asked_under.pop_first();
+    /// Records that the renewal with this serial is sent now.
+    pub fn record_renewal_sent(&mut self, serial: u64) {
+        self.accepted_when_sent.insert(serial, self.accepted);
+        if self.accepted_when_sent.len() > MAX_PENDING_RENEWALS {
+            self.accepted_when_sent.pop_first();
         }
     }
 
@@ -69,14 +72,14 @@
         self.term
     }
 
-    /// Number of the grant that is in force; 0 for none.
+    /// Serial of the grant that is in force; 0 if there is none.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// All parts, as renewals report them: of a lapsed share only the floor, since the
-    /// rest may be another entry's by now, and a new leader grants what is reported.
-    pub fn held(&self, now: Moment) -> Vec<ServiceParts> {
+    /// All parts as renewals report them. An expired share is reported as its floor: the
+    /// rest may belong to another entry by now, and a new leader grants what is reported.
+    pub fn held_parts(&self, now: Moment) -> Vec<ServiceParts> {
         let usable = |part: Part| Part {
             share: self.usable(now, Some(part)),
             floor: part.floor,
@@ -89,19 +92,20 @@
         parts.collect()
     }
 
-    /// Most requests of the service that may be in progress at this entry's endpoints.
+    /// Maximum number of the service's requests in progress at this entry's endpoints.
     pub fn limit(&self, now: Moment, service: &ServiceName) -> u32 {
         self.usable(now, self.parts.get(service).map(|parts| parts.limit))
     }
 
-    /// Most of these that may be shifted ones.
+    /// Maximum number of shifted ones among them.
     pub fn shift(&self, now: Moment, service: &ServiceName) -> u32 {
         self.usable(now, self.parts.get(service).map(|parts| parts.shift))
     }
 
+    /// The share while its lease is valid, else the floor; 0 without a part.
     fn usable(&self, now: Moment, part: Option<Part>) -> u32 {
         let part = part.unwrap_or_default();
-        if now < self.until {
+        if now < self.valid_until {
             part.share
         } else {
             part.floor
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who the replica of a data folder is.
+//! The identity of a replica, stored in its data folder.
 //!
-//! The identity is drawn at random when the folder is first used, and lies nowhere
-//! else: a replica whose disk was wiped has forgotten its votes and acknowledgements,
-//! and must come back as somebody whom nobody counts on.
+//! It is generated at random when the folder is created and stored nowhere else: a replica
+//! whose disk was wiped has lost its votes and acknowledgements, so it must return under a
+//! new identity that no other replica relies on.
 
 use filberthead_types::ReplicaId;
 use rand::rngs::StdRng;
@@ -11,9 +11,9 @@
 
 use crate::error::{IdentityMissingSnafu, OtherClusterSnafu, StorageError, damaged};
 use crate::files::Folder;
-use crate::record::{self, Found};
+use crate::record::{self, Decoded};
 
-const FILE: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 const FORMAT: u32 = 1;
 
 #[derive(Clone, Debug)]
@@ -24,18 +24,19 @@
     cluster: String,
 }
 
-/// Reads the identity of the folder, or draws one if the folder is new.
-pub(crate) fn open(
+/// Reads the identity of the folder, or generates one if the folder is new. `has_state`:
+/// the folder holds a log or snapshot, so a missing identity is an error.
+pub(crate) fn load_or_create(
     folder: &mut Folder,
     cluster: &str,
     has_state: bool,
 ) -> Result<ReplicaId, StorageError> {
-    let Some(buf) = folder.read(FILE)? else {
-        return draw(folder, cluster, has_state);
+    let Some(buf) = folder.read(IDENTITY_FILE)? else {
+        return create(folder, cluster, has_state);
     };
-    let path = folder.file(FILE);
+    let path = folder.file_path(IDENTITY_FILE);
     let identity = match record::decode::<Identity>(&buf, 0) {
-        Found::Record { value, next, .. } if next == buf.len() => value,
+        Decoded::Record { value, next, .. } if next == buf.len() => value,
         _ => {
             return Err(damaged(path, 0, "no valid identity"));
         }
@@ -54,7 +55,7 @@
     Ok(identity.replica)
 }
 
-fn draw(folder: &mut Folder, cluster: &str, has_state: bool) -> Result<ReplicaId, StorageError> {
+fn create(folder: &mut Folder, cluster: &str, has_state: bool) -> Result<ReplicaId, StorageError> {
     if has_state {
         let path = folder.path();
         return IdentityMissingSnafu { path }.fail();
@@ -65,6 +66,6 @@
         replica,
         cluster: cluster.to_owned(),
     };
-    folder.write(FILE, &record::encode(0, &identity)?)?;
+    folder.write_atomically(IDENTITY_FILE, &record::encode(0, &identity)?)?;
     Ok(replica)
 }
