--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -19,8 +19,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::carry::{Core, CoreParts, carry};
-use super::incoming::Incoming;
+use super::forward::{Core, CoreParts, carry};
+use super::dispatch::Incoming;
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
--- a/crates/filberthead/src/entry/carry/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -18,8 +18,8 @@
 use tokio::time::timeout_at;
 
 use super::core::{Core, Placement, Slot, Target};
-use super::job::Job;
-use super::suspicion::fingerprint;
+use super::context::Job;
+use super::crash_tracking::fingerprint;
 
 /// Answers up to this length are read whole before the caller gets a byte, so that a
 /// cut one can still be had elsewhere, and so that they cross threads in one piece.
--- a/crates/filberthead/src/entry/carry/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -22,8 +22,8 @@
 use tokio::time::Instant;
 
 use super::budget::RetryBudget;
-use super::job::Job;
-use super::suspicion::{EndpointRun, Suspicion};
+use super::context::Job;
+use super::crash_tracking::{EndpointRun, Suspicion};
 use crate::Clock;
 use crate::entry::cluster::ClusterReader;
 use crate::entry::ledger::LedgerHandle;
--- a/crates/filberthead/src/entry/carry/suspicion.rs
+++ b/crates/filberthead/src/entry/forward/crash_tracking.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use super::core::Core;
-use super::job::Job;
+use super::context::Job;
 
 /// What the request path keeps to know a crashing request.
 #[derive(Debug)]
--- a/crates/filberthead/src/entry/carry/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -23,7 +23,7 @@
 
 use super::attempt::{Upstream, clean, is_small};
 use super::core::{Core, Target};
-use super::job::{Job, Reply};
+use super::context::{Job, Reply};
 use super::{Outcome, refused};
 use crate::entry::ledger::{Answer, Begin, Permit};
 
--- a/crates/filberthead/src/entry/carry/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -8,17 +8,17 @@
 //! Invariants relied on elsewhere:
 //!
 //! - a refusal that means "not run" is given only while no attempt may have run the
-//!   request ([`job::Job::truthful`]);
+//!   request ([`context::Job::truthful`]);
 //! - an answer is either read whole before its caller gets a byte, or streamed with an
 //!   explicit end, so a cut answer shows as a broken connection.
 
 mod attempt;
 mod budget;
 mod core;
-mod job;
+mod context;
 mod keyed;
 mod stream;
-mod suspicion;
+mod crash_tracking;
 mod takeover;
 
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 
 use self::attempt::{Attempt, Upstream, attempt, finish_kind};
 pub(crate) use self::core::{Core, CoreParts, Identity};
-use self::job::{Job, Reply};
+use self::context::{Job, Reply};
 use self::keyed::Keep;
 
 /// Attempts that one request makes at most.
--- a/crates/filberthead/src/entry/carry/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -20,7 +20,7 @@
 
 use super::attempt::{Attempt, Upstream, attempt};
 use super::core::Core;
-use super::job::{Job, Reply};
+use super::context::{Job, Reply};
 use super::keyed::Keep;
 
 /// Pieces that wait for the caller's connection.
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -16,7 +16,7 @@
 use super::handle::{BeginCommand, Command, DutySide, End, EndCommand, Grant, Reply};
 use super::journal::{JournalSide, JournalSynced, JournalWrite, Recovered};
 use crate::entry::cluster::{Cluster, ClusterReader};
-use crate::entry::incoming::Incoming;
+use crate::entry::dispatch::Incoming;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -9,11 +9,11 @@
 //! its answer crosses back once.
 
 mod callers;
-mod carry;
+mod forward;
 mod cluster;
 mod endpoints;
-mod floor;
-mod incoming;
+mod watermark;
+mod dispatch;
 mod ledger;
 mod measures;
 mod samples;
@@ -37,10 +37,10 @@
 use tokio::sync::watch;
 
 use self::callers::CountLookups;
-use self::carry::{CoreParts, Identity};
+use self::forward::{CoreParts, Identity};
 use self::cluster::Cluster;
 use self::endpoints::EndpointsDuty;
-use self::incoming::{Mailboxes, sorter};
+use self::dispatch::{Mailboxes, sorter};
 pub use self::ledger::JournalError;
 use self::ledger::{Journals, LedgerDuty, Recovered, journal_rings};
 use self::measures::Measures;
--- a/crates/filberthead/src/entry/samples.rs
+++ b/crates/filberthead/src/entry/samples.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
 use super::cluster::ClusterReader;
-use super::incoming::Incoming;
+use super::dispatch::Incoming;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -20,8 +20,8 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::cluster::Cluster;
-use super::floor::Floor;
-use super::incoming::Incoming;
+use super::watermark::Floor;
+use super::dispatch::Incoming;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
