--- a/crates/filberthead/src/entry/dispatch.rs
+++ b/crates/filberthead/src/entry/dispatch.rs
@@ -5,11 +5,11 @@
 
 /// Messages that wait for a duty. When they are this many the duty is starved, and
 /// further ones are dropped: every protocol repeats what it needs answered.
-const WAITING: usize = 1024;
+const MAILBOX_CAPACITY: usize = 1024;
 
 /// A message and its sender.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingMessage {
     /// Who sent it.
     pub(crate) origin: Origin,
     /// What it says.
@@ -20,32 +20,32 @@
 #[derive(Debug)]
 pub(crate) struct Mailboxes {
     /// Table versions, members, control replicas.
-    pub(crate) state: Receiver<Incoming>,
+    pub(crate) state: Receiver<IncomingMessage>,
     /// Shares, readings, and requests that crash endpoints.
-    pub(crate) steering: Receiver<Incoming>,
+    pub(crate) steering: Receiver<IncomingMessage>,
     /// At-most-once records.
     #[allow(dead_code, reason = "the ledger duty isn't assembled yet")]
-    pub(crate) ledger: Receiver<Incoming>,
+    pub(crate) ledger: Receiver<IncomingMessage>,
     /// What other entries of the failure domain have counted.
-    pub(crate) samples: Receiver<Incoming>,
+    pub(crate) samples: Receiver<IncomingMessage>,
 }
 
 /// Sorts messages by protocol, on the transport's thread.
 #[derive(Debug)]
-pub(crate) struct Sorter {
-    state: Sender<Incoming>,
-    steering: Sender<Incoming>,
-    ledger: Sender<Incoming>,
-    samples: Sender<Incoming>,
+pub(crate) struct Dispatcher {
+    state: Sender<IncomingMessage>,
+    steering: Sender<IncomingMessage>,
+    ledger: Sender<IncomingMessage>,
+    samples: Sender<IncomingMessage>,
 }
 
 /// Makes a connected pair.
-pub(crate) fn sorter() -> (Sorter, Mailboxes) {
-    let (state, state_rx) = ring(WAITING);
-    let (steering, steering_rx) = ring(WAITING);
-    let (ledger, ledger_rx) = ring(WAITING);
-    let (samples, samples_rx) = ring(WAITING);
-    let sorter = Sorter {
+pub(crate) fn dispatcher() -> (Dispatcher, Mailboxes) {
+    let (state, state_rx) = ring(MAILBOX_CAPACITY);
+    let (steering, steering_rx) = ring(MAILBOX_CAPACITY);
+    let (ledger, ledger_rx) = ring(MAILBOX_CAPACITY);
+    let (samples, samples_rx) = ring(MAILBOX_CAPACITY);
+    let dispatcher = Dispatcher {
         state,
         steering,
         ledger,
@@ -57,10 +57,10 @@
         ledger: ledger_rx,
         samples: samples_rx,
     };
-    (sorter, mailboxes)
+    (dispatcher, mailboxes)
 }
 
-impl Deliver for Sorter {
+impl Deliver for Dispatcher {
     fn deliver(&mut self, origin: Origin, body: Body) {
         let tx = match &body {
             Body::Spread(_) | Body::Hello(_) => &self.state,
@@ -69,7 +69,7 @@
             Body::Samples(_) => &self.samples,
             Body::Consensus(_) | Body::Fleet(_) => return,
         };
-        // A message that finds its ring full is dropped; see `WAITING`.
-        let _ = tx.push(Incoming { origin, body });
+        // A message that finds its ring full is dropped; see `MAILBOX_CAPACITY`.
+        let _ = tx.push(IncomingMessage { origin, body });
     }
 }
--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -19,8 +19,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::forward::{Core, CoreParts, carry};
-use super::dispatch::Incoming;
+use super::dispatch::IncomingMessage;
+use super::forward::{Core, CoreParts, forward_call};
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
@@ -33,7 +33,7 @@
 const MEASURE_PERIOD: Duration = Duration::from_millis(500);
 /// A VM that is missing from the list for less may just have been left out by a list
 /// that lags.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
 /// What the duty is made of.
 pub(crate) struct EndpointsDuty {
@@ -44,7 +44,7 @@
     /// Requests of callers.
     pub(crate) calls: Receiver<Call>,
     /// Messages of steering in.
-    pub(crate) rx: Receiver<Incoming>,
+    pub(crate) rx: Receiver<IncomingMessage>,
     /// What look-ups are answered from.
     pub(crate) directory: watch::Sender<Arc<Directory>>,
     /// Set when a planned stop begins.
@@ -68,68 +68,68 @@
     let core = Rc::new(Core::new(core));
     let mut cluster = core.cluster.clone();
     let mut ledger = core.ledger.clone();
-    let mut known = Known::new(Rc::clone(&core), cfg, directory);
-    let mut lists = known.poll();
+    let mut state = EndpointsState::new(Rc::clone(&core), cfg, directory);
+    let mut lists = state.start_polling();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut refresh = tokio::time::interval(DIRECTORY_PERIOD);
     refresh.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut measure = tokio::time::interval(MEASURE_PERIOD);
     measure.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    known.endpoints_changed();
-    known.cluster_changed();
+    state.endpoints_changed();
+    state.cluster_changed();
     loop {
         tokio::select! {
             call = calls.recv() => match call {
                 Some(call) => {
-                    tokio::task::spawn_local(carry(Rc::clone(&core), call));
+                    tokio::task::spawn_local(forward_call(Rc::clone(&core), call));
                 }
                 None => return,
             },
             _ = tick.tick() => {
-                known.count_connections();
+                state.report_connections();
                 core.observe(Event::Tick);
             }
             _ = refresh.tick() => {
-                core.tick_suspicion();
-                known.publish();
+                core.tick_quarantine();
+                state.publish();
             }
-            _ = measure.tick() => core.measure(),
+            _ = measure.tick() => core.record_usage(),
             message = rx.recv() => match message {
-                Some(message) => received(&core, message),
+                Some(message) => receive(&core, message),
                 None => return,
             },
-            Ok(()) = cluster.changed() => known.cluster_changed(),
+            Ok(()) = cluster.changed() => state.cluster_changed(),
             Ok(()) = leaving.changed() => core.observe(Event::Stop),
-            Ok(()) = ledger.prefix_changed() => known.publish(),
-            Some(list) = lists.recv() => known.listed(list),
+            Ok(()) = ledger.prefix_changed() => state.publish(),
+            Some(list) = lists.recv() => state.apply_list(list),
             () = stop.wait() => return,
         }
     }
 }
 
-fn received(core: &Rc<Core>, message: Incoming) {
+fn receive(core: &Rc<Core>, message: IncomingMessage) {
     let from = message.origin.name;
     match message.body {
         Body::Steer(message) => core.observe(Event::Received { from, message }),
-        Body::Quarantine(message) => core.heard_of_crash(message),
+        Body::Quarantine(message) => core.receive_quarantine(message),
         _ => {}
     }
 }
 
 /// A VM of the platform's list and when the list last had it.
 #[derive(Debug)]
-struct Listed {
+struct ListedVm {
     vm: Vm,
-    seen: Instant,
+    last_seen: Instant,
 }
 
 /// What the duty knows of endpoints and entries, and the look-ups made of it.
 #[derive(Debug)]
-struct Known {
+struct EndpointsState {
     core: Rc<Core>,
     cfg: Arc<EntrySettings>,
-    listed: BTreeMap<NodeName, Listed>,
+    listed: BTreeMap<NodeName, ListedVm>,
     /// Where the endpoints are that steering knows.
     addresses: Vec<(NodeName, SocketAddr)>,
     directory: watch::Sender<Arc<Directory>>,
@@ -138,7 +138,7 @@
     start: Cell<Option<StartNumber>>,
 }
 
-impl Known {
+impl EndpointsState {
     fn new(
         core: Rc<Core>,
         cfg: Arc<EntrySettings>,
@@ -156,7 +156,7 @@
 
     /// Starts to fetch the platform's list. One list waits at most; fetching pauses
     /// until it is taken.
-    fn poll(&self) -> tokio::sync::mpsc::Receiver<Vec<Vm>> {
+    fn start_polling(&self) -> tokio::sync::mpsc::Receiver<Vec<Vm>> {
         let (tx, rx) = tokio::sync::mpsc::channel(1);
         let Some(url) = &self.cfg.platform_url else {
             // Without a list the receiver only ever waits.
@@ -172,18 +172,19 @@
         rx
     }
 
-    fn listed(&mut self, list: Vec<Vm>) {
-        let seen = Instant::now();
+    fn apply_list(&mut self, list: Vec<Vm>) {
+        let now = Instant::now();
         for vm in list {
-            self.listed.insert(vm.name.clone(), Listed { vm, seen });
+            self.listed
+                .insert(vm.name.clone(), ListedVm { vm, last_seen: now });
         }
         self.listed
-            .retain(|_, listed| seen.duration_since(listed.seen) < FORGET_AFTER);
+            .retain(|_, listed| now.duration_since(listed.last_seen) < REMOVE_AFTER);
         self.endpoints_changed();
     }
 
-    fn count_connections(&self) {
-        self.core.count_connections(&self.addresses);
+    fn report_connections(&self) {
+        self.core.report_connections(&self.addresses);
     }
 
     fn endpoints_changed(&mut self) {
@@ -224,7 +225,7 @@
     /// Endpoints of the own failure domain; where settings and list name the same one,
     /// the list, which is newer, counts.
     fn endpoints(&self) -> Vec<EndpointInfo> {
-        let set = self.cfg.endpoints.iter().map(|endpoint| EndpointInfo {
+        let configured = self.cfg.endpoints.iter().map(|endpoint| EndpointInfo {
             name: endpoint.name.clone(),
             service: endpoint.service.clone(),
             addr: endpoint.addr,
@@ -233,9 +234,12 @@
             slots: endpoint.slots,
             connections: endpoint.connections,
         });
-        let listed = self.listed.values().filter_map(|listed| info(&listed.vm));
+        let listed = self
+            .listed
+            .values()
+            .filter_map(|listed| endpoint_info(&listed.vm));
         let listed = listed.filter(|info| info.failure_domain == self.cfg.failure_domain);
-        let by_name: BTreeMap<_, _> = set
+        let by_name: BTreeMap<_, _> = configured
             .chain(listed)
             .map(|info| (info.name.clone(), info))
             .collect();
@@ -246,7 +250,7 @@
     fn services(&self) -> BTreeSet<ServiceName> {
         let cluster = self.core.cluster.borrow();
         let rows = cluster.view.rows.keys().map(|key| key.service.clone());
-        let set = self
+        let configured = self
             .cfg
             .endpoints
             .iter()
@@ -255,7 +259,7 @@
             .listed
             .values()
             .filter_map(|listed| listed.vm.service.clone());
-        rows.chain(set).chain(listed).collect()
+        rows.chain(configured).chain(listed).collect()
     }
 
     /// Makes the answers to look-ups from what is known now.
@@ -279,14 +283,14 @@
             });
         }
         for service in self.services() {
-            let orders = CallerGroup::all().map(|group| self.core.look_up(&service, group));
-            builder = builder.service(service.clone(), orders.collect());
+            let preferences = CallerGroup::all().map(|group| self.core.look_up(&service, group));
+            builder = builder.service(service.clone(), preferences.collect());
         }
         self.directory.send_replace(Arc::new(builder.build()));
     }
 }
 
-fn info(vm: &Vm) -> Option<EndpointInfo> {
+fn endpoint_info(vm: &Vm) -> Option<EndpointInfo> {
     if vm.kind != Kind::Endpoint {
         return None;
     }
--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -17,16 +17,16 @@
 use log::debug;
 use tokio::time::timeout_at;
 
+use super::context::RequestContext;
 use super::core::{Core, Placement, Slot, Target};
-use super::context::Job;
 use super::crash_tracking::fingerprint;
 
 /// Answers up to this length are read whole before the caller gets a byte, so that a
 /// cut one can still be had elsewhere, and so that they cross threads in one piece.
-const WHOLE_ANSWER: u64 = 64 * 1024;
+const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
 
 /// A caller whose request found no place for a further attempt may come back after this.
-const COME_BACK: Duration = Duration::from_secs(1);
+const PLACEMENT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How an attempt ended.
 #[derive(Debug)]
@@ -84,28 +84,28 @@
 /// Makes one attempt. `abandoned` resolves once the caller is gone.
 pub(crate) async fn attempt(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     body: RequestBody,
     abandoned: impl Future<Output = ()>,
 ) -> Attempt {
     let mut abandoned = std::pin::pin!(abandoned);
-    let fingerprint = fingerprint(job, &body);
-    if let Some(barred) = bar(core, job, fingerprint) {
-        return match barred {
-            Barred::Refused(refusal) => Attempt::Refused(refusal),
-            Barred::Elsewhere(target) => {
-                job.tried.push(target.name().clone());
-                let slot = core.unplaced();
-                send(core, job, body, target, slot, abandoned).await
+    let fingerprint = fingerprint(ctx, &body);
+    if let Some(blocked) = block(core, ctx, fingerprint) {
+        return match blocked {
+            Blocked::Refused(refusal) => Attempt::Refused(refusal),
+            Blocked::Elsewhere(target) => {
+                ctx.tried.push(target.name().clone());
+                let slot = core.untracked_slot();
+                send(core, ctx, body, target, slot, abandoned).await
             }
         };
     }
-    let mut info = job.info(core);
+    let mut info = ctx.request_info(core);
     let (target, mut slot) = match core.place(&mut info, &mut abandoned).await {
         Placement::Placed(target, slot) => (target, slot),
         // Only the wait for a place has ended, not the caller's patience.
-        Placement::Refused(ResultCode::DeadlineBeforeRun, _) if !job.left().is_zero() => {
-            let refusal = Refusal::new(ResultCode::Overloaded).retry_after(COME_BACK);
+        Placement::Refused(ResultCode::DeadlineBeforeRun, _) if !ctx.remaining_time().is_zero() => {
+            let refusal = Refusal::new(ResultCode::Overloaded).retry_after(PLACEMENT_RETRY_AFTER);
             return Attempt::Refused(refusal);
         }
         Placement::Refused(code, after) => {
@@ -118,29 +118,29 @@
         }
         Placement::Abandoned => return Attempt::Abandoned,
     };
-    job.tried.push(target.name().clone());
+    ctx.tried.push(target.name().clone());
     if let Target::Endpoint(name, _) = &target {
         // What has been learned while it waited for its place counts.
-        if let Check::Refuse { retry_after } = core.check(fingerprint) {
+        if let Check::Refuse { retry_after } = core.check_quarantine(fingerprint) {
             return Attempt::Refused(quarantined(retry_after));
         }
-        slot.run(core.run(fingerprint, name));
+        slot.set_run(core.start_run(fingerprint, name));
     }
-    send(core, job, body, target, slot, abandoned).await
+    send(core, ctx, body, target, slot, abandoned).await
 }
 
 /// Why a request isn't placed by steering.
-enum Barred {
+enum Blocked {
     Refused(Refusal),
     Elsewhere(Target),
 }
 
 /// Holds a request off endpoints if it may crash them.
-fn bar(core: &Core, job: &Job, fingerprint: Fingerprint) -> Option<Barred> {
-    let entry = match core.check(fingerprint) {
+fn block(core: &Core, ctx: &RequestContext, fingerprint: Fingerprint) -> Option<Blocked> {
+    let entry = match core.check_quarantine(fingerprint) {
         Check::Run => return None,
         Check::Refuse { retry_after } => {
-            return Some(Barred::Refused(quarantined(retry_after)));
+            return Some(Blocked::Refused(quarantined(retry_after)));
         }
         Check::Elsewhere { entry } => entry,
     };
@@ -148,9 +148,9 @@
     let mut entries = cluster.entries.iter();
     let member = entries.find(|member| member.name == entry);
     // An entry that was sent it by another one doesn't send it on.
-    Some(match member.filter(|_| !job.is_forwarded()) {
-        Some(member) => Barred::Elsewhere(Target::Entry(entry, member.caller_addr)),
-        None => Barred::Refused(quarantined(COME_BACK)),
+    Some(match member.filter(|_| !ctx.is_forwarded()) {
+        Some(member) => Blocked::Elsewhere(Target::Entry(entry, member.caller_addr)),
+        None => Blocked::Refused(quarantined(PLACEMENT_RETRY_AFTER)),
     })
 }
 
@@ -160,19 +160,19 @@
 
 async fn send(
     core: &Rc<Core>,
-    job: &Job,
+    ctx: &RequestContext,
     body: RequestBody,
     target: Target,
     mut slot: Slot,
     abandoned: impl Future<Output = ()>,
 ) -> Attempt {
     let mut abandoned = std::pin::pin!(abandoned);
-    let req = job.request(core, &target, body);
+    let req = ctx.build_request(core, &target, body);
     let sending = core.client.send(
         target.addr(),
-        Trust::Id(job.id),
-        job.reuse(),
-        job.deadline,
+        Trust::Id(ctx.id),
+        ctx.connection_reuse(),
+        ctx.deadline,
         req,
     );
     let sent = tokio::select! {
@@ -192,30 +192,30 @@
         Sent::Late => Attempt::Late,
         Sent::Answer(answer) => {
             slot.answered();
-            receive(job, &target, answer, slot).await
+            receive(ctx, &target, answer, slot).await
         }
     }
 }
 
-async fn receive(job: &Job, target: &Target, answer: Answer, slot: Slot) -> Attempt {
+async fn receive(ctx: &RequestContext, target: &Target, answer: Answer, slot: Slot) -> Attempt {
     let (mut head, body) = answer.response.into_parts();
-    match claim(target, &head) {
-        Claim::NotRun(refusal) => {
-            debug!(request:% = job.id, by:% = target.name(), code:% = refusal.code; "not run there");
+    match execution_claim(target, &head) {
+        ExecutionClaim::NotRun(refusal) => {
+            debug!(request:% = ctx.id, by:% = target.name(), code:% = refusal.code; "not run there");
             answer.connection.release_after(body);
             slot.finish(FinishKind::Shed);
             return Attempt::NotRun(refusal);
         }
-        Claim::MayHaveRun if job.is_repeatable() => {
+        ExecutionClaim::MayHaveRun if ctx.is_repeatable() => {
             answer.connection.release_after(body);
             slot.finish(FinishKind::Broken);
             return Attempt::LostElsewhere;
         }
-        Claim::MayHaveRun | Claim::Ran => {}
+        ExecutionClaim::MayHaveRun | ExecutionClaim::Ran => {}
     }
-    clean(target, &mut head);
-    if !job.resuming && is_small(&body) {
-        return read_whole(job, head, body, answer.connection, slot).await;
+    clean_headers(target, &mut head);
+    if !ctx.resuming && fits_buffer(&body) {
+        return read_whole(ctx, head, body, answer.connection, slot).await;
     }
     let upstream = Upstream {
         head,
@@ -227,7 +227,7 @@
 }
 
 /// What the other side says about execution.
-enum Claim {
+enum ExecutionClaim {
     NotRun(Refusal),
     MayHaveRun,
     Ran,
@@ -235,25 +235,25 @@
 
 /// Reads the meaning header. An endpoint uses it to refuse for want of room, which its
 /// documentation calls a promise that the request did not run; an entry sets it always.
-fn claim(target: &Target, head: &Parts) -> Claim {
+fn execution_claim(target: &Target, head: &Parts) -> ExecutionClaim {
     let meaning = head.headers.get(header::MEANING);
     let is = |wanted: Meaning| meaning.is_some_and(|value| value == wanted.as_str());
     if is(Meaning::NotRun) {
         let code = match target {
             Target::Endpoint(..) => ResultCode::Overloaded,
-            Target::Entry(..) => code(&head.headers).unwrap_or(ResultCode::Overloaded),
+            Target::Entry(..) => result_code(&head.headers).unwrap_or(ResultCode::Overloaded),
         };
         let mut refusal = Refusal::new(code);
         refusal.retry_after = retry_after(&head.headers);
-        return Claim::NotRun(refusal);
+        return ExecutionClaim::NotRun(refusal);
     }
     match target {
-        Target::Entry(..) if is(Meaning::MayHaveRun) => Claim::MayHaveRun,
-        _ => Claim::Ran,
+        Target::Entry(..) if is(Meaning::MayHaveRun) => ExecutionClaim::MayHaveRun,
+        _ => ExecutionClaim::Ran,
     }
 }
 
-fn code(headers: &HeaderMap) -> Option<ResultCode> {
+fn result_code(headers: &HeaderMap) -> Option<ResultCode> {
     let number = headers.get(header::RESULT)?.to_str().ok()?.parse().ok()?;
     ResultCode::from_number(number).filter(|code| code.meaning() == Meaning::NotRun)
 }
@@ -263,7 +263,7 @@
     Some(Duration::from_secs(seconds))
 }
 
-pub(super) fn clean(target: &Target, head: &mut Parts) {
+pub(super) fn clean_headers(target: &Target, head: &mut Parts) {
     let from_entry = matches!(target, Target::Entry(..));
     answer_headers(&mut head.headers, from_entry);
     if matches!(
@@ -275,20 +275,20 @@
     }
 }
 
-pub(super) fn is_small(body: &Incoming) -> bool {
+pub(super) fn fits_buffer(body: &Incoming) -> bool {
     body.size_hint()
         .exact()
-        .is_some_and(|len| len <= WHOLE_ANSWER)
+        .is_some_and(|len| len <= MAX_BUFFERED_ANSWER)
 }
 
 async fn read_whole(
-    job: &Job,
+    ctx: &RequestContext,
     head: Parts,
     body: Incoming,
     connection: Connection,
     slot: Slot,
 ) -> Attempt {
-    match timeout_at(job.deadline, body.collect()).await {
+    match timeout_at(ctx.deadline, body.collect()).await {
         Ok(Ok(body)) => {
             connection.release();
             slot.finish(finish_kind(head.status));
--- a/crates/filberthead/src/entry/forward/budget.rs
+++ b/crates/filberthead/src/entry/forward/budget.rs
@@ -2,10 +2,10 @@
 
 /// What each request adds. At 10% the load from retries stays a tenth of the load
 /// from callers, even when every attempt fails.
-const EARNED: f64 = 0.1;
-/// Retries saved up at most: enough for the loss of one endpoint with all slots busy
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Retries available up at most: enough for the loss of one endpoint with all slots busy
 /// and its queue, too few to double the load of a service.
-const MAX_SAVED: f64 = 50.0;
+const MAX_RETRIES: f64 = 50.0;
 
 /// A token bucket that requests fill and retries empty.
 ///
@@ -13,32 +13,34 @@
 /// moment when they can bear it least.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    saved: f64,
+    available: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self {
+            available: MAX_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
     /// Counts a request.
-    pub(crate) fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MAX_SAVED);
+    pub(crate) fn record_request(&mut self) {
+        self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
     /// Retries that may be made at once.
-    pub(crate) fn left(&self) -> u32 {
-        self.saved as u32
+    pub(crate) fn remaining(&self) -> u32 {
+        self.available as u32
     }
 
     /// Whether a retry may be made now.
-    pub(crate) fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+    pub(crate) fn try_spend(&mut self) -> bool {
+        if self.available < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/crates/filberthead/src/entry/forward/context.rs
+++ b/crates/filberthead/src/entry/forward/context.rs
@@ -20,7 +20,7 @@
 
 /// What stays the same from attempt to attempt, and what was learned so far.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct RequestContext {
     /// Id on every hop.
     pub(crate) id: RequestId,
     /// The service asked for.
@@ -34,7 +34,7 @@
     /// Places that have failed or refused it.
     pub(crate) tried: Vec<NodeName>,
     /// Whether an attempt may have run it. From then on no refusal may say otherwise.
-    pub(crate) touched: bool,
+    pub(crate) may_have_run: bool,
     /// The first entry that was lost with it, whose endpoints another entry takes over.
     pub(crate) takeover: Option<Takeover>,
     /// Whether its caller has a part of the answer already and gets the rest from the
@@ -50,18 +50,18 @@
     forwarded_by: Option<NodeName>,
 }
 
-impl Job {
+impl RequestContext {
     /// Takes a call apart from its body and its way back.
     pub(crate) fn new(call: Call) -> (Self, RequestBody, Reply) {
         let (parts, body) = call.request.into_parts();
-        let job = Self {
+        let ctx = Self {
             id: call.id,
             service: call.service,
             execution: call.execution,
             deadline: call.deadline,
             parts,
             tried: Vec::new(),
-            touched: false,
+            may_have_run: false,
             takeover: None,
             resuming: false,
             hops: call.key_hops,
@@ -70,14 +70,14 @@
             caller: call.caller,
             forwarded_by: call.forwarded_by.map(|by| by.name),
         };
-        (job, RequestBody::from(body), call.answer)
+        (ctx, RequestBody::from(body), call.answer)
     }
 
     /// Holds a refusal to what is known: once an attempt may have run the request, no
     /// later refusal may tell its caller that it didn't.
-    pub(crate) fn truthful(&self, refusal: Refusal) -> Refusal {
+    pub(crate) fn restrict_refusal(&self, refusal: Refusal) -> Refusal {
         let not_run = refusal.code.meaning() == Meaning::NotRun;
-        let code = if self.touched && not_run {
+        let code = if self.may_have_run && not_run {
             ResultCode::EndpointLost
         } else {
             refusal.code
@@ -86,20 +86,20 @@
     }
 
     /// The place that it was sent to last has lost it, and may have run it.
-    pub(crate) fn lost(&mut self, core: &Core) {
-        self.touched = true;
+    pub(crate) fn record_lost(&mut self, core: &Core) {
+        self.may_have_run = true;
         if self.takeover.is_none() {
             let cluster = core.cluster.borrow();
             let place = self.tried.last();
-            self.takeover = place.and_then(|place| Takeover::of(place, &cluster));
+            self.takeover = place.and_then(|place| Takeover::after_loss(place, &cluster));
         }
     }
 
     /// Whether it may run again and the next owner of endpoints may still come for it.
-    pub(crate) fn awaits_owner(&self, core: &Core) -> bool {
+    pub(crate) fn awaits_takeover(&self, core: &Core) -> bool {
         let cluster = core.cluster.borrow();
         let mut takeover = self.takeover.iter();
-        self.is_repeatable() && takeover.any(|t| t.may_come(self.deadline, &cluster))
+        self.is_repeatable() && takeover.any(|t| t.is_possible(self.deadline, &cluster))
     }
 
     /// Whether another entry sent it here for an endpoint of this one.
@@ -109,7 +109,7 @@
 
     /// The home of its key is here and lets it run. Where it came from is of no account
     /// any more: it may be placed anywhere.
-    pub(crate) fn start_at_home(&mut self) {
+    pub(crate) fn mark_started(&mut self) {
         self.started = true;
         self.forwarded_by = None;
     }
@@ -130,7 +130,7 @@
 
     /// Which connections will do: one that was kept may be closed by the other side
     /// just when it is used, which only a repeatable request may meet.
-    pub(crate) fn reuse(&self) -> Reuse {
+    pub(crate) fn connection_reuse(&self) -> Reuse {
         if self.is_repeatable() {
             Reuse::Allowed
         } else {
@@ -139,24 +139,24 @@
     }
 
     /// Time left.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn remaining_time(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// What steering is asked. A further attempt waits only briefly for a place: those
     /// that have a slot may all have been tried already, and then no slot that becomes
     /// free would help, while the caller could have its answer now.
-    pub(crate) fn info(&self, core: &Core) -> RequestInfo {
-        let wait = if self.tried.is_empty() && self.takeover.is_none() {
-            self.left()
+    pub(crate) fn request_info(&self, core: &Core) -> RequestInfo {
+        let max_wait = if self.tried.is_empty() && self.takeover.is_none() {
+            self.remaining_time()
         } else {
-            self.left().min(RETRY_WAIT)
+            self.remaining_time().min(RETRY_WAIT)
         };
         RequestInfo {
             id: self.id,
             service: self.service.clone(),
             idempotent: self.is_repeatable(),
-            deadline: core.clock.now() + wait,
+            deadline: core.clock.now() + max_wait,
             caller: self.caller.map(|caller| CallerGroup::of(caller).address()),
             tried: self.tried.clone(),
             forwarded_by: self.forwarded_by.clone(),
@@ -164,7 +164,7 @@
     }
 
     /// The request as the target is to get it.
-    pub(crate) fn request(
+    pub(crate) fn build_request(
         &self,
         core: &Core,
         target: &Target,
@@ -183,7 +183,7 @@
                 key: self.key_hop(),
             },
         };
-        request_headers(&mut headers, self.id, self.left(), hop);
+        request_headers(&mut headers, self.id, self.remaining_time(), hop);
         if let Ok(host) = HeaderValue::try_from(target.addr().to_string()) {
             headers.insert(HOST, host);
         }
@@ -192,12 +192,12 @@
     }
 
     fn uri(&self, target: &Target) -> Uri {
-        let own = || self.parts.uri.clone();
+        let unchanged = || self.parts.uri.clone();
         match target {
-            Target::Endpoint(..) => own(),
+            Target::Endpoint(..) => unchanged(),
             Target::Entry(..) => {
                 let path = format!("/v1/services/{}{}", self.service, self.parts.uri);
-                path.parse().unwrap_or_else(|_| own())
+                path.parse().unwrap_or_else(|_| unchanged())
             }
         }
     }
--- a/crates/filberthead/src/entry/forward/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -22,8 +22,8 @@
 use tokio::time::Instant;
 
 use super::budget::RetryBudget;
-use super::context::Job;
-use super::crash_tracking::{EndpointRun, Suspicion};
+use super::context::RequestContext;
+use super::crash_tracking::{CrashTracker, EndpointRun};
 use crate::Clock;
 use crate::entry::cluster::ClusterReader;
 use crate::entry::ledger::LedgerHandle;
@@ -82,7 +82,7 @@
     pub(crate) ledger: LedgerHandle,
     steering: RefCell<Box<dyn Steering>>,
     /// Which requests crash endpoints.
-    pub(super) suspicion: Suspicion,
+    pub(super) crash_tracker: CrashTracker,
     queued: RefCell<HashMap<RequestId, oneshot::Sender<Decision>>>,
     budget: RefCell<RetryBudget>,
     out: Sender<Outgoing>,
@@ -131,7 +131,7 @@
 pub(crate) struct Slot {
     core: Rc<Core>,
     id: RequestId,
-    placed: Instant,
+    placed_at: Instant,
     first_byte: Option<Duration>,
     /// The run at an endpoint that the place is used for.
     run: Option<EndpointRun>,
@@ -161,7 +161,7 @@
         Self {
             core: Rc::clone(core),
             id,
-            placed: Instant::now(),
+            placed_at: Instant::now(),
             first_byte: None,
             run: None,
             kind: Some(FinishKind::Cancelled),
@@ -173,13 +173,13 @@
     }
 
     /// The place is at an endpoint, and used now.
-    pub(super) fn run(&mut self, run: EndpointRun) {
+    pub(super) fn set_run(&mut self, run: EndpointRun) {
         self.run = Some(run);
     }
 
     /// The head of an answer is here.
     pub(crate) fn answered(&mut self) {
-        self.first_byte = Some(self.placed.elapsed());
+        self.first_byte = Some(self.placed_at.elapsed());
     }
 
     /// Gives the place back and says how the attempt ended. Without this, a dropped
@@ -203,7 +203,7 @@
                 FinishKind::ConnectFailed | FinishKind::Cancelled => RunEnd::Other,
             });
         }
-        let first_byte = self.first_byte.unwrap_or_else(|| self.placed.elapsed());
+        let first_byte = self.first_byte.unwrap_or_else(|| self.placed_at.elapsed());
         self.core.observe(Event::Finished {
             id: self.id,
             kind,
@@ -228,7 +228,7 @@
     /// Joins the parts.
     pub(crate) fn new(parts: CoreParts) -> Self {
         Self {
-            suspicion: Suspicion::new(parts.identity.node.clone()),
+            crash_tracker: CrashTracker::new(parts.identity.node.clone()),
             identity: parts.identity,
             clock: parts.clock,
             client: Client::default(),
@@ -246,8 +246,8 @@
     }
 
     /// Counts a request from its arrival to its end.
-    pub(crate) fn begin(self: &Rc<Self>) -> Running {
-        self.budget.borrow_mut().earn();
+    pub(crate) fn start_request(self: &Rc<Self>) -> Running {
+        self.budget.borrow_mut().record_request();
         self.running.send_modify(|running| *running += 1);
         let core = Rc::clone(self);
         Running { core }
@@ -255,34 +255,34 @@
 
     /// Counts a request that has ended, once in the whole system: at the entry that its
     /// caller sent it to.
-    pub(crate) fn count(&self, job: &Job, code: ResultCode, took: Duration) {
-        if job.from_entry {
+    pub(crate) fn count_finished(&self, ctx: &RequestContext, code: ResultCode, took: Duration) {
+        if ctx.from_entry {
             return;
         }
-        let region = job.tried.last().and_then(|name| {
+        let region = ctx.tried.last().and_then(|name| {
             let cluster = self.cluster.borrow();
             let entry = cluster.entries.iter().find(|entry| entry.name == *name);
             entry.map(|entry| entry.region.clone())
         });
         let mut measures = self.measures.borrow_mut();
-        measures.finished(&job.service, region, code, took);
+        measures.record_request(&ctx.service, region, code, took);
     }
 
     /// Takes in what is in use at this moment.
-    pub(crate) fn measure(&self) {
+    pub(crate) fn record_usage(&self) {
         let usage = self.steering.borrow().usage();
         let mut measures = self.measures.borrow_mut();
-        measures.used(self.clock.now(), &usage);
+        measures.record_usage(self.clock.now(), &usage);
     }
 
     /// Whether the budget allows a retry now.
-    pub(crate) fn may_retry(&self) -> bool {
-        self.budget.borrow_mut().spend()
+    pub(crate) fn try_spend_retry(&self) -> bool {
+        self.budget.borrow_mut().try_spend()
     }
 
     /// Retries that the budget has left.
     pub(crate) fn retries_left(&self) -> u32 {
-        self.budget.borrow().left()
+        self.budget.borrow().remaining()
     }
 
     /// Asks steering for a place and waits in its queue if need be. `abandoned` ends
@@ -297,34 +297,40 @@
         let decision = self.steering.borrow_mut().place(self.clock.now(), info);
         let slot = Slot::new(self, info.id);
         let decision = match decision {
-            Decision::Queued => self.wait(info, abandoned).await,
-            decision => Queued::Decided(decision),
+            Decision::Queued => self.wait_in_queue(info, abandoned).await,
+            decision => WaitResult::Decided(decision),
         };
         match decision {
-            Queued::Decided(decision) => settle(decision, slot),
-            Queued::Abandoned => Placement::Abandoned,
-            Queued::Late => Placement::Refused(ResultCode::DeadlineBeforeRun, Duration::ZERO),
+            WaitResult::Decided(decision) => to_placement(decision, slot),
+            WaitResult::Abandoned => Placement::Abandoned,
+            WaitResult::TimedOut => {
+                Placement::Refused(ResultCode::DeadlineBeforeRun, Duration::ZERO)
+            }
         }
     }
 
     /// A place that steering knows nothing of.
-    pub(super) fn unplaced(self: &Rc<Self>) -> Slot {
+    pub(super) fn untracked_slot(self: &Rc<Self>) -> Slot {
         let mut slot = Slot::new(self, self.attempt_id());
         slot.kind = None;
         slot
     }
 
-    async fn wait(&self, info: &RequestInfo, abandoned: impl Future<Output = ()>) -> Queued {
+    async fn wait_in_queue(
+        &self,
+        info: &RequestInfo,
+        abandoned: impl Future<Output = ()>,
+    ) -> WaitResult {
         let (tx, rx) = oneshot::channel();
         self.queued.borrow_mut().insert(info.id, tx);
         let deadline = self.clock.instant(info.deadline);
-        let queued = tokio::select! {
-            decision = rx => decision.map_or(Queued::Late, Queued::Decided),
-            () = abandoned => Queued::Abandoned,
-            () = tokio::time::sleep_until(deadline) => Queued::Late,
+        let result = tokio::select! {
+            decision = rx => decision.map_or(WaitResult::TimedOut, WaitResult::Decided),
+            () = abandoned => WaitResult::Abandoned,
+            () = tokio::time::sleep_until(deadline) => WaitResult::TimedOut,
         };
         self.queued.borrow_mut().remove(&info.id);
-        queued
+        result
     }
 
     /// Tells steering what was observed and does what it answers.
@@ -343,7 +349,7 @@
     }
 
     /// Tells steering what connections to these endpoints are open.
-    pub(crate) fn count_connections(self: &Rc<Self>, endpoints: &[(NodeName, SocketAddr)]) {
+    pub(crate) fn report_connections(self: &Rc<Self>, endpoints: &[(NodeName, SocketAddr)]) {
         for (endpoint, addr) in endpoints {
             let open = self.client.open(*addr);
             let idle = self.client.idle(*addr);
@@ -392,7 +398,7 @@
         let endpoint = info.name.clone();
         match probe(&self.client, info.addr, self.attempt_id()).await {
             Ok(health) => {
-                self.answered_probe(&endpoint, health.incarnation);
+                self.record_probe_success(&endpoint, health.incarnation);
                 let reading = Reading {
                     asked,
                     ready: health.ready,
@@ -404,7 +410,7 @@
             }
             Err(e) => {
                 debug!(endpoint:%, error:% = e; "probe failed");
-                self.failed_probe(&endpoint, &e);
+                self.record_probe_failure(&endpoint, &e);
                 self.observe(Event::ProbeFailed { endpoint });
             }
         }
@@ -424,13 +430,13 @@
 }
 
 /// What came out of waiting in steering's queue.
-enum Queued {
+enum WaitResult {
     Decided(Decision),
     Abandoned,
-    Late,
+    TimedOut,
 }
 
-fn settle(decision: Decision, slot: Slot) -> Placement {
+fn to_placement(decision: Decision, slot: Slot) -> Placement {
     let target = match decision {
         Decision::Endpoint(endpoint) => Target::Endpoint(endpoint.name.clone(), endpoint.addr),
         Decision::Entry { name, addr } => Target::Entry(name, addr),
--- a/crates/filberthead/src/entry/forward/crash_tracking.rs
+++ b/crates/filberthead/src/entry/forward/crash_tracking.rs
@@ -12,19 +12,19 @@
 use filberthead_types::{Incarnation, NodeName};
 use xxhash_rust::xxh3::Xxh3Default;
 
+use super::context::RequestContext;
 use super::core::Core;
-use super::context::Job;
 
 /// What the request path keeps to know a crashing request.
 #[derive(Debug)]
-pub(super) struct Suspicion {
+pub(super) struct CrashTracker {
     quarantine: RefCell<Quarantine>,
     /// Processes of endpoints, as their last health check showed them; none if it failed.
     processes: RefCell<HashMap<NodeName, Option<Incarnation>>>,
     next_run: Cell<u64>,
 }
 
-impl Suspicion {
+impl CrashTracker {
     pub(super) fn new(me: NodeName) -> Self {
         Self {
             quarantine: RefCell::new(Quarantine::new(Config::builder().build(), me)),
@@ -52,22 +52,29 @@
     fn drop(&mut self) {
         let run = self.id;
         let end = self.end;
-        self.core.suspect(Event::Ended { run, end });
+        self.core.step_quarantine(Event::Ended { run, end });
     }
 }
 
 impl Core {
     /// Whether a request may be handed to an endpoint from here.
-    pub(super) fn check(&self, fingerprint: Fingerprint) -> Check {
+    pub(super) fn check_quarantine(&self, fingerprint: Fingerprint) -> Check {
         let now = self.clock.now();
-        self.suspicion.quarantine.borrow().check(now, fingerprint)
+        self.crash_tracker
+            .quarantine
+            .borrow()
+            .check(now, fingerprint)
     }
 
     /// A request is handed to an endpoint.
-    pub(super) fn run(self: &Rc<Self>, fingerprint: Fingerprint, to: &NodeName) -> EndpointRun {
-        let id = RunId(self.suspicion.next_run.get());
-        self.suspicion.next_run.set(id.0 + 1);
-        self.suspect(Event::Started {
+    pub(super) fn start_run(
+        self: &Rc<Self>,
+        fingerprint: Fingerprint,
+        to: &NodeName,
+    ) -> EndpointRun {
+        let id = RunId(self.crash_tracker.next_run.get());
+        self.crash_tracker.next_run.set(id.0 + 1);
+        self.step_quarantine(Event::Started {
             run: id,
             fingerprint,
             endpoint: to.clone(),
@@ -80,53 +87,57 @@
     }
 
     /// What another entry says about crashing requests.
-    pub(crate) fn heard_of_crash(&self, message: Message) {
-        self.suspect(Event::Received(message));
+    pub(crate) fn receive_quarantine(&self, message: Message) {
+        self.step_quarantine(Event::Received(message));
     }
 
     /// Time has passed.
-    pub(crate) fn tick_suspicion(&self) {
-        self.suspect(Event::Tick);
+    pub(crate) fn tick_quarantine(&self) {
+        self.step_quarantine(Event::Tick);
     }
 
     /// A health check was answered by this process of an endpoint.
-    pub(super) fn answered_probe(&self, endpoint: &NodeName, process: Incarnation) {
-        let known = self.see_process(endpoint, Some(process));
+    pub(super) fn record_probe_success(&self, endpoint: &NodeName, process: Incarnation) {
+        let previous = self.replace_process(endpoint, Some(process));
         // 0 is the word of an endpoint that says nothing about its process.
-        let restarted = known.is_some_and(|known| known != process && process.0 != 0);
+        let restarted = previous.is_some_and(|previous| previous != process && process.0 != 0);
         if restarted {
-            self.died(endpoint, true);
-        } else if known.is_none() {
+            self.record_death(endpoint, true);
+        } else if previous.is_none() {
             let endpoint = endpoint.clone();
-            self.suspect(Event::Up { endpoint });
+            self.step_quarantine(Event::Up { endpoint });
         }
     }
 
     /// A health check failed.
-    pub(super) fn failed_probe(&self, endpoint: &NodeName, error: &ProbeError) {
+    pub(super) fn record_probe_failure(&self, endpoint: &NodeName, error: &ProbeError) {
         let gone = matches!(error, ProbeError::Unreachable);
-        if gone && self.see_process(endpoint, None).is_some() {
-            self.died(endpoint, false);
+        if gone && self.replace_process(endpoint, None).is_some() {
+            self.record_death(endpoint, false);
         }
     }
 
-    fn see_process(&self, endpoint: &NodeName, seen: Option<Incarnation>) -> Option<Incarnation> {
-        let mut processes = self.suspicion.processes.borrow_mut();
-        processes.insert(endpoint.clone(), seen).flatten()
+    fn replace_process(
+        &self,
+        endpoint: &NodeName,
+        process: Option<Incarnation>,
+    ) -> Option<Incarnation> {
+        let mut processes = self.crash_tracker.processes.borrow_mut();
+        processes.insert(endpoint.clone(), process).flatten()
     }
 
-    fn died(&self, endpoint: &NodeName, replaced: bool) {
-        let endpoints = self.suspicion.processes.borrow().len();
-        self.suspect(Event::Died {
+    fn record_death(&self, endpoint: &NodeName, replaced: bool) {
+        let endpoints = self.crash_tracker.processes.borrow().len();
+        self.step_quarantine(Event::Died {
             endpoint: endpoint.clone(),
             replaced,
             endpoints,
         });
     }
 
-    fn suspect(&self, event: Event) {
+    fn step_quarantine(&self, event: Event) {
         let now = self.clock.now();
-        let action = self.suspicion.quarantine.borrow_mut().step(now, event);
+        let action = self.crash_tracker.quarantine.borrow_mut().step(now, event);
         let Some(Action::Broadcast(message)) = action else {
             return;
         };
@@ -142,10 +153,10 @@
 }
 
 /// What an endpoint is asked. A body that isn't held counts by its length alone.
-pub(super) fn fingerprint(job: &Job, body: &RequestBody) -> Fingerprint {
+pub(super) fn fingerprint(ctx: &RequestContext, body: &RequestBody) -> Fingerprint {
     let mut hash = Xxh3Default::new();
-    let target = job.parts.uri.path_and_query().map_or("/", |t| t.as_str());
-    let head = [job.service.as_str(), job.parts.method.as_str(), target];
+    let target = ctx.parts.uri.path_and_query().map_or("/", |t| t.as_str());
+    let head = [ctx.service.as_str(), ctx.parts.method.as_str(), target];
     for part in head {
         hash.update(&part.len().to_le_bytes());
         hash.update(part.as_bytes());
@@ -153,7 +164,7 @@
     match body {
         RequestBody::Whole(body) => hash.update(body),
         _ => {
-            let len = job.parts.headers.get(http::header::CONTENT_LENGTH);
+            let len = ctx.parts.headers.get(http::header::CONTENT_LENGTH);
             hash.update(len.map_or(&[][..], |len| len.as_bytes()));
         }
     }
--- a/crates/filberthead/src/entry/forward/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -21,9 +21,9 @@
 use tokio::time::timeout_at;
 use xxhash_rust::xxh3::Xxh3Default;
 
-use super::attempt::{Upstream, clean, is_small};
+use super::attempt::{Upstream, clean_headers, fits_buffer};
+use super::context::{Reply, RequestContext};
 use super::core::{Core, Target};
-use super::context::{Job, Reply};
 use super::{Outcome, refused};
 use crate::entry::ledger::{Answer, Begin, Permit};
 
@@ -36,33 +36,33 @@
 /// Carries a request under `key`, its body whole in `body`.
 pub(super) async fn run(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     key: &str,
     body: RequestBody,
     reply: &mut Reply,
 ) -> Outcome {
-    let Some(digest) = digest(job, &body) else {
+    let Some(digest) = digest(ctx, &body) else {
         return refused(ResultCode::KeyNotChecked);
     };
     let mut failed = None;
     for _ in 0..MAX_FORWARDS {
-        let deadline = core.clock.now() + job.left();
+        let deadline = core.clock.now() + ctx.remaining_time();
         let begin = core
             .ledger
-            .begin(key, digest, deadline, job.hops, failed.take())
+            .begin(key, digest, deadline, ctx.hops, failed.take())
             .await;
         match begin {
-            Begin::Start(permit) => return start(core, job, body, permit, reply).await,
-            Begin::Replay(answer) => return replay(job, answer),
+            Begin::Start(permit) => return start(core, ctx, body, permit, reply).await,
+            Begin::Replay(answer) => return replay(ctx, answer),
             Begin::Refuse { code, retry_after } => {
                 return Outcome::Refused(Refusal::new(code).retry_after(retry_after));
             }
             Begin::Forward { entry, addr } => {
-                match forward(core, job, &entry, addr, body.again()).await {
+                match forward(core, ctx, &entry, addr, body.again()).await {
                     Some(outcome) => return outcome,
                     None => failed = Some(entry),
                 }
-                tokio::time::sleep(FORWARD_PAUSE.min(job.left())).await;
+                tokio::time::sleep(FORWARD_PAUSE.min(ctx.remaining_time())).await;
             }
         }
     }
@@ -70,16 +70,16 @@
 }
 
 /// What makes two sends of a key the same request.
-fn digest(job: &Job, body: &RequestBody) -> Option<Digest> {
+fn digest(ctx: &RequestContext, body: &RequestBody) -> Option<Digest> {
     let RequestBody::Whole(body) = body else {
         return None;
     };
     let mut hash = Xxh3Default::new();
     let parts = [
-        job.service.as_str().as_bytes(),
-        job.parts.method.as_str().as_bytes(),
-        job.parts.uri.path().as_bytes(),
-        job.parts.uri.query().unwrap_or_default().as_bytes(),
+        ctx.service.as_str().as_bytes(),
+        ctx.parts.method.as_str().as_bytes(),
+        ctx.parts.uri.path().as_bytes(),
+        ctx.parts.uri.query().unwrap_or_default().as_bytes(),
         body,
     ];
     for part in parts {
@@ -92,15 +92,15 @@
 
 async fn start(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     body: RequestBody,
     permit: Permit,
     reply: &mut Reply,
 ) -> Outcome {
-    job.start_at_home();
-    match super::attempts(core, job, body, reply).await {
+    ctx.mark_started();
+    match super::run_attempts(core, ctx, body, reply).await {
         Outcome::Answer(head, body) if ran(&head) => {
-            permit.finish(&stored(&head, body.clone()));
+            permit.finish(&to_stored(&head, body.clone()));
             Outcome::Answer(head, body)
         }
         // Another entry that was to run it can't say whether it did.
@@ -109,11 +109,11 @@
             Outcome::Answer(head, body)
         }
         Outcome::Streaming(upstream, _) => {
-            let keep = Keep::new(permit, &upstream.head);
-            Outcome::Streaming(upstream, Some(keep))
+            let recorder = AnswerRecorder::new(permit, &upstream.head);
+            Outcome::Streaming(upstream, Some(recorder))
         }
         Outcome::Refused(refusal) => {
-            let refusal = job.truthful(refusal);
+            let refusal = ctx.restrict_refusal(refusal);
             if refusal.code.meaning() == Meaning::NotRun {
                 permit.not_run(refusal.code);
             } else {
@@ -135,7 +135,7 @@
 }
 
 /// What a resend is to get: the answer without what belongs to this pass of it.
-fn stored(head: &Parts, body: Bytes) -> Answer {
+fn to_stored(head: &Parts, body: Bytes) -> Answer {
     let headers = head.headers.iter();
     let headers = headers.filter(|(name, _)| !name.as_str().starts_with(header::PREFIX));
     Answer {
@@ -150,7 +150,7 @@
     }
 }
 
-fn replay(job: &Job, answer: Answer) -> Outcome {
+fn replay(ctx: &RequestContext, answer: Answer) -> Outcome {
     let mut response = Response::new(());
     let Ok(status) = StatusCode::from_u16(answer.status) else {
         return refused(ResultCode::AnswerNotStored);
@@ -162,7 +162,7 @@
             response.headers_mut().append(name, value);
         }
     }
-    mark(&mut response, job.id, ResultCode::Replayed);
+    mark(&mut response, ctx.id, ResultCode::Replayed);
     let (head, ()) = response.into_parts();
     Outcome::Answer(head, answer.body)
 }
@@ -171,16 +171,16 @@
 /// came back, or none that could be sent.
 async fn forward(
     core: &Rc<Core>,
-    job: &Job,
+    ctx: &RequestContext,
     entry: &NodeName,
     addr: SocketAddr,
     body: Option<RequestBody>,
 ) -> Option<Outcome> {
     let target = Target::Entry(entry.clone(), addr);
-    let req = job.request(core, &target, body?);
+    let req = ctx.build_request(core, &target, body?);
     let sent = core
         .client
-        .send(addr, Trust::Id(job.id), Reuse::Allowed, job.deadline, req)
+        .send(addr, Trust::Id(ctx.id), Reuse::Allowed, ctx.deadline, req)
         .await;
     let answer = match sent {
         Sent::Answer(answer) => answer,
@@ -188,8 +188,8 @@
         Sent::Late => return Some(refused(ResultCode::DeadlineWhileRunning)),
     };
     let (mut head, body) = answer.response.into_parts();
-    clean(&target, &mut head);
-    if !is_small(&body) {
+    clean_headers(&target, &mut head);
+    if !fits_buffer(&body) {
         let upstream = Upstream {
             head,
             body,
@@ -198,7 +198,7 @@
         };
         return Some(Outcome::Streaming(Box::new(upstream), None));
     }
-    match timeout_at(job.deadline, body.collect()).await {
+    match timeout_at(ctx.deadline, body.collect()).await {
         Ok(Ok(body)) => {
             answer.connection.release();
             Some(Outcome::Answer(head, body.to_bytes()))
@@ -210,21 +210,21 @@
 
 /// Collects a streamed answer for the ledger while its caller gets it.
 #[derive(Debug)]
-pub(super) struct Keep {
+pub(super) struct AnswerRecorder {
     permit: Permit,
     head: Answer,
     /// `None` once the answer is over the ledger's bound.
     body: Option<BytesMut>,
 }
 
-impl Keep {
+impl AnswerRecorder {
     /// Longest body that is collected; the ledger bounds the whole answer once more.
     const MAX_BODY: usize = 64 * 1024;
 
     fn new(permit: Permit, head: &Parts) -> Self {
         Self {
             permit,
-            head: stored(head, Bytes::new()),
+            head: to_stored(head, Bytes::new()),
             body: Some(BytesMut::new()),
         }
     }
@@ -239,7 +239,7 @@
     }
 
     /// The whole answer came.
-    pub(super) fn whole(self) {
+    pub(super) fn complete(self) {
         match self.body {
             Some(body) => self.permit.finish(&Answer {
                 body: body.freeze(),
@@ -250,7 +250,7 @@
     }
 
     /// The answer was cut.
-    pub(super) fn cut(self) {
+    pub(super) fn abort(self) {
         self.permit.unknown();
     }
 }
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -8,17 +8,17 @@
 //! Invariants relied on elsewhere:
 //!
 //! - a refusal that means "not run" is given only while no attempt may have run the
-//!   request ([`context::Job::truthful`]);
+//!   request ([`context::RequestContext::restrict_refusal`]);
 //! - an answer is either read whole before its caller gets a byte, or streamed with an
 //!   explicit end, so a cut answer shows as a broken connection.
 
 mod attempt;
 mod budget;
-mod core;
 mod context;
+mod core;
+mod crash_tracking;
 mod keyed;
 mod stream;
-mod crash_tracking;
 mod takeover;
 
 use std::rc::Rc;
@@ -36,15 +36,15 @@
 use tokio::time::Instant;
 
 use self::attempt::{Attempt, Upstream, attempt, finish_kind};
+use self::context::{Reply, RequestContext};
 pub(crate) use self::core::{Core, CoreParts, Identity};
-use self::context::{Job, Reply};
-use self::keyed::Keep;
+use self::keyed::AnswerRecorder;
 
 /// Attempts that one request makes at most.
 const MAX_ATTEMPTS: usize = 4;
 /// How long the answer to a request that may crash endpoints is held back, so that its
 /// next send finds every entry informed.
-const INFORM_TIME: Duration = Duration::from_millis(100);
+const QUARANTINE_SPREAD_TIME: Duration = Duration::from_millis(100);
 /// Longest body of a request under a key, which is held until the request may start.
 const MAX_KEYED_BODY: usize = 1024 * 1024;
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 enum Outcome {
     Answer(Parts, Bytes),
-    Streaming(Box<Upstream>, Option<Keep>),
+    Streaming(Box<Upstream>, Option<AnswerRecorder>),
     Refused(Refusal),
     Abandoned,
 }
@@ -60,20 +60,20 @@
 /// What to do after an attempt.
 #[derive(Debug)]
 enum Next {
-    Again(RequestBody),
+    Retry(RequestBody),
     /// It has no place until endpoints have their next owner.
-    Later(RequestBody),
+    RetryAfterTakeover(RequestBody),
     Done(Outcome),
 }
 
 /// Carries one request to its end.
-pub(crate) async fn carry(core: Rc<Core>, call: Call) {
-    let _running = core.begin();
-    let begun = Instant::now();
-    let (mut job, body, mut reply) = Job::new(call);
-    let outcome = run(&core, &mut job, body, &mut reply).await;
-    if let Some(code) = finish(&core, &mut job, outcome, reply).await {
-        core.count(&job, code, begun.elapsed());
+pub(crate) async fn forward_call(core: Rc<Core>, call: Call) {
+    let _running = core.start_request();
+    let started_at = Instant::now();
+    let (mut ctx, body, mut reply) = RequestContext::new(call);
+    let outcome = run(&core, &mut ctx, body, &mut reply).await;
+    if let Some(code) = finish(&core, &mut ctx, outcome, reply).await {
+        core.count_finished(&ctx, code, started_at.elapsed());
     }
 }
 
@@ -81,7 +81,7 @@
 /// caller went away first.
 async fn finish(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     outcome: Outcome,
     reply: Reply,
 ) -> Option<ResultCode> {
@@ -92,66 +92,73 @@
             Some(ResultCode::Answered)
         }
         Outcome::Refused(refusal) => {
-            if job.touched {
-                tokio::time::sleep(INFORM_TIME).await;
+            if ctx.may_have_run {
+                tokio::time::sleep(QUARANTINE_SPREAD_TIME).await;
             }
             let why = refusal.code;
-            let refusal = job.truthful(refusal);
-            info!(request:% = job.id, code:% = refusal.code, why:% = why,
-                touched = job.touched, tried = job.tried.len(), budget = core.retries_left();
+            let refusal = ctx.restrict_refusal(refusal);
+            info!(request:% = ctx.id, code:% = refusal.code, why:% = why,
+                touched = ctx.may_have_run, tried = ctx.tried.len(), budget = core.retries_left();
                 "refused");
             let code = refusal.code;
             let _ = reply.send(Err(refusal));
             Some(code)
         }
-        Outcome::Streaming(upstream, keep) => stream::pump(core, job, *upstream, reply, keep).await,
+        Outcome::Streaming(upstream, recorder) => {
+            stream::stream_answer(core, ctx, *upstream, reply, recorder).await
+        }
         Outcome::Abandoned => None,
     }
 }
 
-async fn run(core: &Rc<Core>, job: &mut Job, body: RequestBody, reply: &mut Reply) -> Outcome {
-    let Execution::Keyed(key) = job.execution.clone() else {
-        return attempts(core, job, body, reply).await;
+async fn run(
+    core: &Rc<Core>,
+    ctx: &mut RequestContext,
+    body: RequestBody,
+    reply: &mut Reply,
+) -> Outcome {
+    let Execution::Keyed(key) = ctx.execution.clone() else {
+        return run_attempts(core, ctx, body, reply).await;
     };
-    match hold(job, body).await {
-        Ok(body) => keyed::run(core, job, &key, body, reply).await,
+    match buffer_body(ctx, body).await {
+        Ok(body) => keyed::run(core, ctx, &key, body, reply).await,
         Err(outcome) => outcome,
     }
 }
 
-async fn attempts(
+async fn run_attempts(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     mut body: RequestBody,
     reply: &mut Reply,
 ) -> Outcome {
     let mut fallback = None;
-    let mut waits = false;
+    let mut wait_logged = false;
     loop {
-        let spare = body.again();
-        let cancellable = job.is_repeatable();
-        let gone = async {
+        let body_copy = body.again();
+        let cancellable = ctx.is_repeatable();
+        let caller_gone = async {
             if !cancellable {
                 // Once it may have started, what a caller asked for runs to its end.
                 std::future::pending::<()>().await;
             }
             reply.closed().await;
         };
-        let attempt = attempt(core, job, body, gone).await;
-        match next(core, job, attempt, spare, &mut fallback) {
-            Next::Again(again) => body = again,
-            Next::Later(again) => {
-                if !std::mem::replace(&mut waits, true) {
-                    info!(request:% = job.id; "waits for the next owner of its endpoints");
+        let attempt = attempt(core, ctx, body, caller_gone).await;
+        match next(core, ctx, attempt, body_copy, &mut fallback) {
+            Next::Retry(unsent) => body = unsent,
+            Next::RetryAfterTakeover(unsent) => {
+                if !std::mem::replace(&mut wait_logged, true) {
+                    info!(request:% = ctx.id; "waits for the next owner of its endpoints");
                 }
                 tokio::select! {
-                    () = tokio::time::sleep(takeover::PAUSE) => {}
+                    () = tokio::time::sleep(takeover::RETRY_PAUSE) => {}
                     () = reply.closed() => return Outcome::Abandoned,
                 }
                 // Whoever refused it may have the endpoints by then, and whoever lost it
                 // may be back.
-                job.tried.clear();
-                body = again;
+                ctx.tried.clear();
+                body = unsent;
             }
             Next::Done(outcome) => return outcome,
         }
@@ -160,9 +167,9 @@
 
 /// Holds the body of a request under a key: a start that is on record must not fail
 /// because its caller went away in the middle of the body.
-async fn hold(job: &Job, body: RequestBody) -> Result<RequestBody, Outcome> {
+async fn buffer_body(ctx: &RequestContext, body: RequestBody) -> Result<RequestBody, Outcome> {
     let body = Limited::new(body, MAX_KEYED_BODY).collect();
-    match tokio::time::timeout_at(job.deadline, body).await {
+    match tokio::time::timeout_at(ctx.deadline, body).await {
         Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(refused(ResultCode::BodyTooLarge)),
         Ok(Err(_)) => Err(Outcome::Abandoned),
@@ -177,43 +184,45 @@
 
 fn next(
     core: &Core,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     attempt: Attempt,
-    spare: Option<RequestBody>,
+    body_copy: Option<RequestBody>,
     fallback: &mut Option<(Parts, Bytes)>,
 ) -> Next {
     match attempt {
         Attempt::Whole(head, body) if finish_kind(head.status) == FinishKind::Shed => {
-            shed(core, job, spare, fallback, (head, body))
+            shed(core, ctx, body_copy, fallback, (head, body))
         }
         Attempt::Whole(head, body) => Next::Done(Outcome::Answer(head, body)),
         Attempt::Streaming(upstream) => Next::Done(Outcome::Streaming(upstream, None)),
-        Attempt::Refused(refusal) => match (fallback.take(), spare) {
+        Attempt::Refused(refusal) => match (fallback.take(), body_copy) {
             // What the last endpoint said tells more than that no other has room.
             (Some((head, body)), _) => Next::Done(Outcome::Answer(head, body)),
-            (None, Some(body)) if has_no_owner(core, job, &refusal) => Next::Later(body),
+            (None, Some(body)) if lost_its_owner(core, ctx, &refusal) => {
+                Next::RetryAfterTakeover(body)
+            }
             (None, _) => Next::Done(Outcome::Refused(refusal)),
         },
         Attempt::NotRun(refusal) if refusal.code == ResultCode::Quarantined => {
             Next::Done(Outcome::Refused(refusal))
         }
-        Attempt::NotRun(refusal) => again(core, job, spare, refusal),
+        Attempt::NotRun(refusal) => retry_or_refuse(core, ctx, body_copy, refusal),
         Attempt::NotSent(body) => {
-            let spent = Refusal::new(ResultCode::RetryBudgetSpent);
-            again(core, job, Some(body), spent)
+            let refusal = Refusal::new(ResultCode::RetryBudgetSpent);
+            retry_or_refuse(core, ctx, Some(body), refusal)
         }
         Attempt::Lost => {
-            job.lost(core);
-            let spare = spare.filter(|_| job.is_repeatable());
-            again(core, job, spare, Refusal::new(ResultCode::EndpointLost))
+            ctx.record_lost(core);
+            let body_copy = body_copy.filter(|_| ctx.is_repeatable());
+            retry_or_refuse(core, ctx, body_copy, Refusal::new(ResultCode::EndpointLost))
         }
         // It has lost endpoints there; were it sent on, each entry might lose as many.
         Attempt::LostElsewhere => {
-            job.touched = true;
+            ctx.may_have_run = true;
             Next::Done(refused(ResultCode::EndpointLost))
         }
         Attempt::Late => {
-            job.touched = true;
+            ctx.may_have_run = true;
             Next::Done(refused(ResultCode::DeadlineWhileRunning))
         }
         Attempt::Abandoned => Next::Done(Outcome::Abandoned),
@@ -221,16 +230,21 @@
 }
 
 /// Whether there is no place because of an entry that was lost with the request.
-fn has_no_owner(core: &Core, job: &Job, refusal: &Refusal) -> bool {
-    refusal.code == ResultCode::NoEndpoint && job.awaits_owner(core)
+fn lost_its_owner(core: &Core, ctx: &RequestContext, refusal: &Refusal) -> bool {
+    refusal.code == ResultCode::NoEndpoint && ctx.awaits_takeover(core)
 }
 
 /// Another attempt if there is a body for it and budget, or else the refusal.
-fn again(core: &Core, job: &Job, body: Option<RequestBody>, refusal: Refusal) -> Next {
+fn retry_or_refuse(
+    core: &Core,
+    ctx: &RequestContext,
+    body: Option<RequestBody>,
+    refusal: Refusal,
+) -> Next {
     match body {
-        Some(body) if job.tried.len() < MAX_ATTEMPTS && core.may_retry() => Next::Again(body),
+        Some(body) if ctx.tried.len() < MAX_ATTEMPTS && core.try_spend_retry() => Next::Retry(body),
         body => {
-            info!(request:% = job.id, code:% = refusal.code, tried = job.tried.len(),
+            info!(request:% = ctx.id, code:% = refusal.code, tried = ctx.tried.len(),
                 repeatable = body.is_some(), budget = core.retries_left(); "not tried again");
             Next::Done(Outcome::Refused(refusal))
         }
@@ -241,17 +255,17 @@
 /// one may find room elsewhere; for any other one this is the answer.
 fn shed(
     core: &Core,
-    job: &mut Job,
-    spare: Option<RequestBody>,
+    ctx: &mut RequestContext,
+    body_copy: Option<RequestBody>,
     fallback: &mut Option<(Parts, Bytes)>,
     answer: (Parts, Bytes),
 ) -> Next {
-    let may = job.is_repeatable() && job.tried.len() < MAX_ATTEMPTS;
-    match spare.filter(|_| may && core.may_retry()) {
+    let may_retry = ctx.is_repeatable() && ctx.tried.len() < MAX_ATTEMPTS;
+    match body_copy.filter(|_| may_retry && core.try_spend_retry()) {
         Some(body) => {
-            job.touched = true;
+            ctx.may_have_run = true;
             *fallback = Some(answer);
-            Next::Again(body)
+            Next::Retry(body)
         }
         None => Next::Done(Outcome::Answer(answer.0, answer.1)),
     }
--- a/crates/filberthead/src/entry/forward/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -19,12 +19,12 @@
 use tokio::time::{Instant, timeout};
 
 use super::attempt::{Attempt, Upstream, attempt};
+use super::context::{Reply, RequestContext};
 use super::core::Core;
-use super::context::{Job, Reply};
-use super::keyed::Keep;
+use super::keyed::AnswerRecorder;
 
 /// Pieces that wait for the caller's connection.
-const PIECES: usize = 1;
+const CHANNEL_CAPACITY: usize = 1;
 /// A caller that takes nothing for so long is gone without having said so.
 const READER_TIMEOUT: Duration = Duration::from_secs(300);
 /// Pause before the rest of a download is asked for again.
@@ -32,7 +32,7 @@
 
 /// How copying an answer ended.
 #[derive(Debug)]
-enum Copied {
+enum CopyEnd {
     /// All of it went to the caller.
     Whole,
     /// Its endpoint was lost, or sent nothing for too long.
@@ -44,45 +44,45 @@
 /// Sends an answer to the caller while it comes in. Says whether all of it came; nothing
 /// if its caller went away first.
 ///
-/// `keep` collects the answer to a request under a key. Such an answer is read to its
+/// `recorder` collects the answer to a request under a key. Such an answer is read to its
 /// end even when its caller is gone: the caller's resend is to get it.
-pub(crate) async fn pump(
+pub(crate) async fn stream_answer(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     mut upstream: Upstream,
     reply: Reply,
-    mut keep: Option<Keep>,
+    mut recorder: Option<AnswerRecorder>,
 ) -> Option<ResultCode> {
-    let mut resume = Resume::of(&job.parts, &upstream.head);
-    let (tx, rx) = mpsc::channel(PIECES);
+    let mut resume = Resume::of(&ctx.parts, &upstream.head);
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
     let response = Response::from_parts(upstream.head.clone(), AnswerBody::Stream(rx));
-    let taken = reply.send(Ok(response)).is_ok();
-    if !taken && keep.is_none() {
+    let delivered = reply.send(Ok(response)).is_ok();
+    if !delivered && recorder.is_none() {
         return None;
     }
     loop {
-        match copy(core, &mut upstream, &tx, resume.as_mut(), &mut keep).await {
-            Copied::Whole => {
+        match copy(core, &mut upstream, &tx, resume.as_mut(), &mut recorder).await {
+            CopyEnd::Whole => {
                 upstream.complete();
-                if let Some(keep) = keep {
-                    keep.whole();
+                if let Some(recorder) = recorder {
+                    recorder.complete();
                 }
                 // A caller that is gone by now lacks nothing but the end.
                 let _ = tx.send(Piece::End).await;
                 return Some(ResultCode::Answered);
             }
-            Copied::CallerGone => return None,
-            Copied::Lost => upstream.broken(),
+            CopyEnd::CallerGone => return None,
+            CopyEnd::Lost => upstream.broken(),
         }
-        if let Some(keep) = keep.take() {
-            keep.cut();
+        if let Some(recorder) = recorder.take() {
+            recorder.abort();
             return Some(ResultCode::EndpointLost);
         }
-        match go_on(core, job, resume.as_ref(), &tx).await {
+        match resume_elsewhere(core, ctx, resume.as_ref(), &tx).await {
             Some(next) => upstream = next,
             // Dropping the channel without its end breaks the caller's connection.
             None => {
-                info!(request:% = job.id; "an answer was cut and can't be gone on with");
+                info!(request:% = ctx.id; "an answer was cut and can't be gone on with");
                 return Some(ResultCode::EndpointLost);
             }
         }
@@ -94,26 +94,26 @@
     upstream: &mut Upstream,
     tx: &mpsc::Sender<Piece>,
     mut resume: Option<&mut Resume>,
-    keep: &mut Option<Keep>,
-) -> Copied {
+    recorder: &mut Option<AnswerRecorder>,
+) -> CopyEnd {
     loop {
         let frame = tokio::select! {
             frame = timeout(core.request_timeout, upstream.body.frame()) => frame,
-            () = tx.closed(), if keep.is_none() => return Copied::CallerGone,
+            () = tx.closed(), if recorder.is_none() => return CopyEnd::CallerGone,
         };
         let frame = match frame {
             Ok(Some(Ok(frame))) => frame,
-            Ok(None) if resume.is_none_or(|resume| resume.is_complete()) => return Copied::Whole,
-            Ok(None | Some(Err(_))) | Err(_) => return Copied::Lost,
+            Ok(None) if resume.is_none_or(|resume| resume.is_complete()) => return CopyEnd::Whole,
+            Ok(None | Some(Err(_))) | Err(_) => return CopyEnd::Lost,
         };
         let len = frame.data_ref().map_or(0, Bytes::len);
-        if let (Some(keep), Some(data)) = (keep.as_mut(), frame.data_ref()) {
-            keep.push(data);
+        if let (Some(recorder), Some(data)) = (recorder.as_mut(), frame.data_ref()) {
+            recorder.push(data);
         }
         match timeout(READER_TIMEOUT, tx.send(Piece::Frame(frame))).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) | Err(_) if keep.is_some() => {}
-            Ok(Err(_)) | Err(_) => return Copied::CallerGone,
+            Ok(Err(_)) | Err(_) if recorder.is_some() => {}
+            Ok(Err(_)) | Err(_) => return CopyEnd::CallerGone,
         }
         if let Some(resume) = resume.as_deref_mut() {
             resume.advance(len as u64);
@@ -123,37 +123,37 @@
 
 /// Asks other endpoints for the rest until one has it or for as long as an answer may
 /// be without progress.
-async fn go_on(
+async fn resume_elsewhere(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     resume: Option<&Resume>,
     tx: &mpsc::Sender<Piece>,
 ) -> Option<Upstream> {
     let resume = resume?;
-    resume.ask(&mut job.parts.headers);
-    job.resuming = true;
+    resume.ask(&mut ctx.parts.headers);
+    ctx.resuming = true;
     // All but the endpoint that was just lost may have the rest.
-    let tried = job.tried.len().saturating_sub(1);
-    job.tried.drain(..tried);
-    let give_up = Instant::now() + core.request_timeout;
-    let mut paid = false;
-    while Instant::now() < give_up {
-        paid = paid || core.may_retry();
-        if !paid {
+    let earlier = ctx.tried.len().saturating_sub(1);
+    ctx.tried.drain(..earlier);
+    let give_up_at = Instant::now() + core.request_timeout;
+    let mut retry_granted = false;
+    while Instant::now() < give_up_at {
+        retry_granted = retry_granted || core.try_spend_retry();
+        if !retry_granted {
             return None;
         }
-        job.deadline = give_up;
+        ctx.deadline = give_up_at;
         let body = RequestBody::Whole(Bytes::new());
-        match attempt(core, job, body, tx.closed()).await {
+        match attempt(core, ctx, body, tx.closed()).await {
             Attempt::Streaming(upstream) if resume.fits(&upstream.head) => {
-                debug!(request:% = job.id; "a download goes on elsewhere");
+                debug!(request:% = ctx.id; "a download goes on elsewhere");
                 return Some(*upstream);
             }
             // Another version of the file, or none: the two parts wouldn't fit.
             Attempt::Streaming(_) | Attempt::Whole(..) | Attempt::Abandoned => return None,
             Attempt::Refused(_) => {
                 // All were tried; the one that was lost first may be back.
-                job.tried.clear();
+                ctx.tried.clear();
                 tokio::time::sleep(RESUME_PAUSE).await;
             }
             Attempt::NotRun(_)
@@ -161,7 +161,7 @@
             | Attempt::Lost
             | Attempt::LostElsewhere
             | Attempt::Late => {
-                paid = false;
+                retry_granted = false;
             }
         }
     }
--- a/crates/filberthead/src/entry/forward/takeover.rs
+++ b/crates/filberthead/src/entry/forward/takeover.rs
@@ -2,7 +2,7 @@
 //!
 //! Failure: an entry dies with a reading at it that it had passed to an endpoint which it
 //! alone admits to. For the time of its lease nobody else may admit there, so that a
-//! further attempt may find no place at all, although the endpoint is well. The caller
+//! further attempt may find no node at all, although the endpoint is well. The caller
 //! would be told that the reading may have run, which is of no use to it, while the
 //! reading could simply run again.
 //!
@@ -18,42 +18,42 @@
 
 use crate::entry::cluster::Cluster;
 
-/// Pause between two looks for a place.
-pub(super) const PAUSE: Duration = Duration::from_millis(200);
+/// Pause between two looks for a node.
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Nobody takes over sooner than this: the lost entry may have asked for its last lease
 /// one period before the loss was seen.
-const SOONEST: Duration = LEASE.saturating_sub(RENEW_EVERY);
+const MIN_TAKEOVER_TIME: Duration = LEASE.saturating_sub(RENEW_EVERY);
 /// Renewals that the roster's change and the next owner's share of the limit take, and as
 /// many again until the word of its slots is here.
-const RENEWALS: u32 = 4;
+const TAKEOVER_RENEWALS: u32 = 4;
 
 /// Where a reading was lost, and until when its next owner may come.
 #[derive(Clone, Debug)]
 pub(crate) struct Takeover {
     entry: NodeName,
     domain: FailureDomain,
-    lost: Instant,
+    lost_at: Instant,
 }
 
 impl Takeover {
-    /// The loss, just now, of a request at this place, if that is an entry.
-    pub(super) fn of(place: &NodeName, cluster: &Cluster) -> Option<Self> {
+    /// The loss, just now, of a request at this node, if that is an entry.
+    pub(super) fn after_loss(node: &NodeName, cluster: &Cluster) -> Option<Self> {
         let mut entries = cluster.entries.iter();
-        let member = entries.find(|member| member.name == *place)?;
+        let member = entries.find(|member| member.name == *node)?;
         Some(Self {
             entry: member.name.clone(),
             domain: member.failure_domain.clone(),
-            lost: Instant::now(),
+            lost_at: Instant::now(),
         })
     }
 
     /// Whether a request with this deadline may still be served by the next owner.
-    pub(super) fn may_come(&self, deadline: Instant, cluster: &Cluster) -> bool {
-        let until = self.lost + LEASE + MARGIN + RENEW_EVERY * RENEWALS;
-        let in_time = Instant::now() + PAUSE < until.min(deadline);
+    pub(super) fn is_possible(&self, deadline: Instant, cluster: &Cluster) -> bool {
+        let taken_over_by = self.lost_at + LEASE + MARGIN + RENEW_EVERY * TAKEOVER_RENEWALS;
+        let in_time = Instant::now() + RETRY_PAUSE < taken_over_by.min(deadline);
         let mut entries = cluster.entries.iter();
         in_time
-            && self.lost + SOONEST < deadline
+            && self.lost_at + MIN_TAKEOVER_TIME < deadline
             && entries.any(|member| {
                 member.failure_domain == self.domain && member.name != self.entry && !member.leaving
             })
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -16,7 +16,7 @@
 use super::handle::{BeginCommand, Command, DutySide, End, EndCommand, Grant, Reply};
 use super::journal::{JournalSide, JournalSynced, JournalWrite, Recovered};
 use crate::entry::cluster::{Cluster, ClusterReader};
-use crate::entry::dispatch::Incoming;
+use crate::entry::dispatch::IncomingMessage;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
@@ -25,7 +25,7 @@
 /// again what isn't acknowledged.
 const TICK: Duration = Duration::from_millis(50);
 /// Commands taken in before messages and ticks get their turn.
-const BURST: usize = 64;
+const MAX_BURST: usize = 64;
 /// When a refused caller may come back if the duty itself refuses.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -40,7 +40,7 @@
     /// The live entries, and where control is.
     pub(crate) cluster: ClusterReader,
     /// Messages of other ledgers and of control.
-    pub(crate) rx: Receiver<Incoming>,
+    pub(crate) rx: Receiver<IncomingMessage>,
     /// Messages out.
     pub(crate) out: Sender<Outgoing>,
     /// Whether this entry is on its planned stop.
@@ -61,8 +61,8 @@
 }
 
 /// A pass whose answer the ledger owes.
-struct Waiting {
-    open: OwnedSemaphorePermit,
+struct WaitingPass {
+    admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
 }
 
@@ -75,7 +75,7 @@
     journal: Sender<JournalWrite>,
     /// Writes that found the disk's ring full.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Pass, Waiting>,
+    waiting: HashMap<Pass, WaitingPass>,
     next_pass: u64,
 }
 
@@ -121,18 +121,18 @@
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(command) => state.take_burst(command, &mut commands),
+                Some(command) => state.handle_burst(command, &mut commands),
                 None => return,
             },
             message = rx.recv() => match message {
-                Some(message) => state.received(message),
+                Some(message) => state.receive(message),
                 None => return,
             },
             Some(JournalSynced { home, number }) = synced.recv() => {
                 state.step(Event::Synced { home, number });
             }
             _ = tick.tick() => {
-                state.write_on();
+                state.flush_unwritten();
                 state.cancel_abandoned();
                 state.step(Event::Tick);
                 handed_over.send_if_modified(|done| update(done, state.is_handed_over()));
@@ -145,14 +145,14 @@
             },
             () = stop.wait() => return,
         }
-        prefix.send_if_modified(|known| update(known, state.ledger.prefix()));
+        prefix.send_if_modified(|current| update(current, state.ledger.prefix()));
     }
 }
 
 /// Sets a watched value; whether it is another one.
-fn update<T: PartialEq>(known: &mut T, new: T) -> bool {
-    let changed = *known != new;
-    *known = new;
+fn update<T: PartialEq>(current: &mut T, new: T) -> bool {
+    let changed = *current != new;
+    *current = new;
     changed
 }
 
@@ -166,17 +166,17 @@
 }
 
 impl State {
-    fn take_burst(&mut self, first: Command, commands: &mut Receiver<Command>) {
-        self.take(first);
-        for _ in 1..BURST {
+    fn handle_burst(&mut self, first: Command, commands: &mut Receiver<Command>) {
+        self.handle(first);
+        for _ in 1..MAX_BURST {
             let Some(command) = commands.try_recv() else {
                 return;
             };
-            self.take(command);
+            self.handle(command);
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Begin(begin) => self.begin(begin),
             Command::End(end) => self.end(end),
@@ -186,8 +186,8 @@
     fn begin(&mut self, begin: BeginCommand) {
         let pass = Pass(self.next_pass);
         self.next_pass += 1;
-        let waiting = Waiting {
-            open: begin.open,
+        let waiting = WaitingPass {
+            admission: begin.admission,
             reply: begin.reply,
         };
         self.waiting.insert(pass, waiting);
@@ -210,7 +210,7 @@
         });
     }
 
-    fn received(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: IncomingMessage) {
         if let Body::Ledger(message) = incoming.body {
             let from = incoming.origin.name;
             self.step(Event::Received { from, message });
@@ -225,7 +225,7 @@
 
     /// Takes back what nobody waits for any more.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(pass, waiting): (&Pass, &Waiting)| {
+        let abandoned = |(pass, waiting): (&Pass, &WaitingPass)| {
             let closed = waiting.reply.is_closed();
             closed.then_some(*pass)
         };
@@ -244,13 +244,13 @@
     fn step(&mut self, event: Event) {
         let now = self.clock.now();
         for action in self.ledger.step(now, event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.begun(pass, begun),
+            Action::Begun { pass, begun } => self.reply_begun(pass, begun),
             Action::Send { to, message } => self.send(&to, message),
             Action::Sync {
                 home,
@@ -277,14 +277,14 @@
 
     fn write(&mut self, write: JournalWrite) {
         self.unwritten.push_back(write);
-        self.write_on();
+        self.flush_unwritten();
     }
 
-    fn write_on(&mut self) {
+    fn flush_unwritten(&mut self) {
         while let Some(write) = self.unwritten.pop_front() {
             match self.journal.push(write) {
                 Ok(()) => {}
-                Err(PushError::Full(back)) => return self.unwritten.push_front(back),
+                Err(PushError::Full(write)) => return self.unwritten.push_front(write),
                 // The disk's duty has failed; the supervisor ends this process.
                 Err(PushError::Closed(_)) => return,
             }
@@ -299,7 +299,7 @@
         }
     }
 
-    fn begun(&mut self, pass: Pass, begun: Begun) {
+    fn reply_begun(&mut self, pass: Pass, begun: Begun) {
         let Some(waiting) = self.waiting.remove(&pass) else {
             warn!(pass = pass.0; "an answer for a pass that doesn't wait");
             return;
@@ -307,7 +307,7 @@
         let reply = match begun {
             Begun::Start => {
                 let commands = self.commands.clone();
-                Reply::Start(Grant::new(pass, waiting.open, commands))
+                Reply::Start(Grant::new(pass, waiting.admission, commands))
             }
             Begun::Replay(answer) => Reply::Replay(answer),
             Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -43,7 +43,7 @@
     pub(super) deadline: Moment,
     pub(super) hops: u8,
     pub(super) failed: Option<NodeName>,
-    pub(super) open: OwnedSemaphorePermit,
+    pub(super) admission: OwnedSemaphorePermit,
     pub(super) reply: oneshot::Sender<Reply>,
 }
 
@@ -52,7 +52,7 @@
     pub(super) pass: Pass,
     pub(super) end: End,
     /// Given back once the duty has taken the end in.
-    _open: OwnedSemaphorePermit,
+    _admission: OwnedSemaphorePermit,
 }
 
 /// How a started request ended.
@@ -81,22 +81,22 @@
 /// A right to run on its way to the task that asked for it.
 #[derive(Debug)]
 pub(crate) struct Grant {
-    right: Option<Right>,
+    right: Option<RunRight>,
 }
 
 #[derive(Debug)]
-struct Right {
+struct RunRight {
     pass: Pass,
-    open: OwnedSemaphorePermit,
+    admission: OwnedSemaphorePermit,
     tx: Sender<Command>,
 }
 
-impl Right {
+impl RunRight {
     fn end(self, end: End) {
         let command = Command::End(EndCommand {
             pass: self.pass,
             end,
-            _open: self.open,
+            _admission: self.admission,
         });
         if self.tx.push(command).is_err() {
             // Not for lack of room; see `MAX_OPEN`. The record stays as started, which
@@ -107,9 +107,13 @@
 }
 
 impl Grant {
-    pub(super) fn new(pass: Pass, open: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
+    pub(super) fn new(pass: Pass, admission: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
         Self {
-            right: Some(Right { pass, open, tx }),
+            right: Some(RunRight {
+                pass,
+                admission,
+                tx,
+            }),
         }
     }
 
@@ -131,7 +135,7 @@
 /// The right to run a key once. Dropped, it ends as [`Permit::unknown`].
 #[derive(Debug)]
 pub(crate) struct Permit {
-    right: Option<Right>,
+    right: Option<RunRight>,
 }
 
 impl Permit {
@@ -207,7 +211,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LedgerHandle {
     tx: Sender<Command>,
-    open: Arc<Semaphore>,
+    open_requests: Arc<Semaphore>,
     prefix: watch::Receiver<Option<KeyPrefix>>,
 }
 
@@ -226,7 +230,7 @@
     let (prefix_tx, prefix) = watch::channel(None);
     let handle = LedgerHandle {
         tx: tx.clone(),
-        open: Arc::new(Semaphore::new(MAX_OPEN)),
+        open_requests: Arc::new(Semaphore::new(MAX_OPEN)),
         prefix,
     };
     let duty = DutySide {
@@ -271,7 +275,7 @@
         let Ok(key) = key.parse() else {
             return refuse(ResultCode::KeyWithoutHome);
         };
-        let Ok(open) = Arc::clone(&self.open).try_acquire_owned() else {
+        let Ok(admission) = Arc::clone(&self.open_requests).try_acquire_owned() else {
             return refuse(ResultCode::KeyNotChecked);
         };
         let (reply, answer) = oneshot::channel();
@@ -281,7 +285,7 @@
             deadline,
             hops,
             failed,
-            open,
+            admission,
             reply,
         };
         if self.tx.push(Command::Begin(command)).is_err() {
--- a/crates/filberthead/src/entry/ledger/journal.rs
+++ b/crates/filberthead/src/entry/ledger/journal.rs
@@ -28,9 +28,9 @@
 
 /// Writes that wait for the disk. When full the ledger duty keeps further ones, of which
 /// there is at most one for each open request; none starts meanwhile.
-const WRITES: usize = 1024;
+const WRITE_CAPACITY: usize = 1024;
 /// Writes that share one sync.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Pause before a report is offered again to a ledger duty that is behind.
 const REPORT_PAUSE: Duration = Duration::from_millis(1);
 const HEADER_LEN: usize = 8;
@@ -106,8 +106,8 @@
 
 /// Makes the rings between ledger and disk.
 pub(crate) fn journal_rings() -> (JournalSide, DiskSide) {
-    let (write_tx, write_rx) = ring(WRITES);
-    let (synced_tx, synced_rx) = ring(WRITES);
+    let (write_tx, write_rx) = ring(WRITE_CAPACITY);
+    let (synced_tx, synced_rx) = ring(WRITE_CAPACITY);
     let journal = JournalSide {
         tx: write_tx,
         rx: synced_rx,
@@ -326,7 +326,7 @@
             return;
         };
         let mut batch = vec![first];
-        while batch.len() < BATCH
+        while batch.len() < MAX_BATCH
             && let Some(write) = side.rx.try_recv()
         {
             batch.push(write);
@@ -347,8 +347,8 @@
             home: write.home,
             number: write.number,
         };
-        while let Err(PushError::Full(back)) = tx.push(synced) {
-            synced = back;
+        while let Err(PushError::Full(unsent)) = tx.push(synced) {
+            synced = unsent;
             sleep(REPORT_PAUSE).await;
         }
     }
--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -24,7 +24,7 @@
     service: ServiceName,
     since: Moment,
     /// Whether its time has been taken.
-    done: bool,
+    recorded: bool,
 }
 
 impl Measures {
@@ -41,7 +41,7 @@
 
     /// Counts a request that came from a caller and has ended. `region` is where it was
     /// last sent; a request that was sent nowhere counts for this entry's own region.
-    pub(crate) fn finished(
+    pub(crate) fn record_request(
         &mut self,
         service: &ServiceName,
         region: Option<Region>,
@@ -57,21 +57,21 @@
     }
 
     /// Takes in what is in use. To be called at a steady pace.
-    pub(crate) fn used(&mut self, now: Moment, usage: &[ServiceUsage]) {
+    pub(crate) fn record_usage(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let waiting = usage.iter().map(|service| service.waiting as usize).sum();
         self.metrics.queued(waiting);
         for service in usage {
             self.set_slots(service);
             for endpoint in &service.endpoints {
-                self.follow_drain(now, &service.service, endpoint);
+                self.track_drain(now, &service.service, endpoint);
             }
         }
-        self.end_vanished(now, usage);
+        self.end_drains_of_removed(now, usage);
     }
 
     fn set_slots(&mut self, usage: &ServiceUsage) {
-        let staying = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
-        let slots = staying.map(|endpoint| endpoint.slots).sum();
+        let remaining = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
+        let slots = remaining.map(|endpoint| endpoint.slots).sum();
         let busy = usage
             .endpoints
             .iter()
@@ -84,22 +84,22 @@
             .set(slots, busy);
     }
 
-    fn follow_drain(&mut self, now: Moment, service: &ServiceName, endpoint: &EndpointUsage) {
+    fn track_drain(&mut self, now: Moment, service: &ServiceName, endpoint: &EndpointUsage) {
         if !endpoint.leaving {
             self.drains.remove(&endpoint.name);
             return;
         }
-        let known = self.drains.contains_key(&endpoint.name);
+        let tracked = self.drains.contains_key(&endpoint.name);
         // An entry that doesn't admit to the endpoint has nothing to drain, and would
         // report a drain of no time at all beside the one that the owner reports.
-        if !known && endpoint.slots == 0 && endpoint.running == 0 {
+        if !tracked && endpoint.slots == 0 && endpoint.running == 0 {
             return;
         }
         let drain = self.drains.entry(endpoint.name.clone());
         let drain = drain.or_insert_with(|| Drain {
             service: service.clone(),
             since: now,
-            done: false,
+            recorded: false,
         });
         if endpoint.running == 0 {
             drain.end(now, &self.metrics, &self.region);
@@ -107,24 +107,24 @@
     }
 
     /// Steering forgets an endpoint that is off every list once nothing runs there.
-    fn end_vanished(&mut self, now: Moment, usage: &[ServiceUsage]) {
+    fn end_drains_of_removed(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let endpoints = usage.iter().flat_map(|service| &service.endpoints);
         let present: Vec<_> = endpoints.map(|endpoint| &endpoint.name).collect();
         let (metrics, region) = (&self.metrics, &self.region);
         self.drains.retain(|name, drain| {
-            let stays = present.contains(&name);
-            if !stays {
+            let present_now = present.contains(&name);
+            if !present_now {
                 drain.end(now, metrics, region);
             }
-            stays
+            present_now
         });
     }
 }
 
 impl Drain {
     fn end(&mut self, now: Moment, metrics: &EntryMetrics, region: &Region) {
-        if !self.done {
-            self.done = true;
+        if !self.recorded {
+            self.recorded = true;
             metrics.drained(&self.service, region, now.saturating_sub(self.since));
         }
     }
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -9,17 +9,17 @@
 //! its answer crosses back once.
 
 mod callers;
-mod forward;
 mod cluster;
-mod endpoints;
-mod watermark;
 mod dispatch;
+mod endpoints;
+mod forward;
 mod ledger;
 mod measures;
 mod samples;
 mod state;
 mod status;
 mod stop;
+mod watermark;
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -37,10 +37,10 @@
 use tokio::sync::watch;
 
 use self::callers::CountLookups;
-use self::forward::{CoreParts, Identity};
 use self::cluster::Cluster;
+use self::dispatch::{Mailboxes, dispatcher};
 use self::endpoints::EndpointsDuty;
-use self::dispatch::{Mailboxes, sorter};
+use self::forward::{CoreParts, Identity};
 pub use self::ledger::JournalError;
 use self::ledger::{Journals, LedgerDuty, Recovered, journal_rings};
 use self::measures::Measures;
@@ -55,14 +55,14 @@
 
 /// Requests that wait for the endpoints duty. When they are this many that thread is
 /// starved, and further ones are refused as not run.
-const CALLS: usize = 1024;
+const CALL_CAPACITY: usize = 1024;
 /// How long a key may first be sent after its prefix is no longer handed out, at least.
 const START_WINDOW: Duration = Duration::from_secs(600);
 /// Silence of the `state` duty after which the process counts as suspended. Spreading
 /// starts over after the same gap.
-const SUSPENDED: Duration = filberthead_spread::DEFAULT_STALL;
+const SUSPEND_THRESHOLD: Duration = filberthead_spread::DEFAULT_STALL;
 /// Connections of callers at the same time.
-const CALLER_CONNECTIONS: usize = 8192;
+const MAX_CALLER_CONNECTIONS: usize = 8192;
 
 /// Why an entry doesn't start or ends other than by a planned stop.
 #[derive(Debug)]
@@ -169,14 +169,14 @@
         handed_over: channels.handed_over.subscribe(),
     };
     let ready = [
-        ("caller", bound(&opened.callers)?),
+        ("caller", local_addr(&opened.callers)?),
         ("peer", opened.transport.addr()),
-        ("status", bound(&opened.status)?),
+        ("status", local_addr(&opened.status)?),
     ];
     let duties = start(opened, &channels, &stop).context(DutySnafu)?;
     announce(&ready).context(ReadySnafu)?;
     let mut cut = 0;
-    let supervised = supervise(duties, signals, source, keep_settings, || async {
+    let supervised = supervise(duties, signals, source, log_settings_unchanged, || async {
         cut = planned.run().await;
     });
     runtime.block_on(supervised).context(SuperviseSnafu)?;
@@ -185,21 +185,21 @@
 }
 
 /// An entry reads its settings at its start only.
-fn keep_settings() {
+fn log_settings_unchanged() {
     log::info!("asked to read settings again; they hold until a restart");
 }
 
 fn open(cfg: EntrySettings) -> Result<Opened, EntryError> {
-    let (sorter, mailboxes) = sorter();
+    let (dispatcher, mailboxes) = dispatcher();
     let cluster = cluster_id(&cfg.cluster);
-    let transport = Transport::listen(cfg.peer_listen, cluster, sorter).context(PeerSnafu)?;
+    let transport = Transport::listen(cfg.peer_listen, cluster, dispatcher).context(PeerSnafu)?;
     let callers = listen(cfg.caller_listen)?;
     let status = listen(cfg.status_listen)?;
     let me = MemberInfo {
         name: cfg.node.clone(),
         incarnation: Incarnation(rand::random()),
         peer_addr: cfg.peer_advertise.unwrap_or(transport.addr()),
-        caller_addr: cfg.caller_advertise.unwrap_or(bound(&callers)?),
+        caller_addr: cfg.caller_advertise.unwrap_or(local_addr(&callers)?),
         region: cfg.region.clone(),
         failure_domain: cfg.failure_domain.clone(),
         leaving: false,
@@ -225,7 +225,7 @@
     Ok(listener)
 }
 
-fn bound(listener: &TcpListener) -> Result<SocketAddr, EntryError> {
+fn local_addr(listener: &TcpListener) -> Result<SocketAddr, EntryError> {
     let addr = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().context(ListenSnafu { addr })
 }
@@ -264,12 +264,12 @@
     let counters = transport.counters();
     let sending = peers::spawn(transport, outbox, rx, stop.clone())?;
     let metrics = Arc::new(EntryMetrics::new());
-    let (calls_tx, calls_rx) = ring(CALLS);
+    let (calls_tx, calls_rx) = ring(CALL_CAPACITY);
     let bounds = Bounds {
-        connections: CALLER_CONNECTIONS,
+        connections: MAX_CALLER_CONNECTIONS,
         request_timeout: cfg.request_timeout,
     };
-    let heartbeat = Heartbeat::new(SUSPENDED);
+    let heartbeat = Heartbeat::new(SUSPEND_THRESHOLD);
     let server = Server::new(
         bounds,
         me.incarnation,
@@ -279,7 +279,7 @@
         calls_tx.clone(),
     )
     .observer(Arc::new(CountLookups(Arc::clone(&metrics))));
-    let state = StateDuty {
+    let state_duty = StateDuty {
         me: me.clone(),
         cfg: Arc::clone(&cfg),
         clock,
@@ -289,7 +289,7 @@
         heartbeat,
         leaving: channels.leaving.subscribe(),
     };
-    let shown = Status {
+    let status_duty = Status {
         node: me.name.clone(),
         cluster: channels.cluster.subscribe(),
         running: channels.running.subscribe(),
@@ -299,7 +299,7 @@
         calls: calls_tx,
         out: tx.clone(),
     };
-    let reporting = SamplesDuty {
+    let samples_duty = SamplesDuty {
         me: me.clone(),
         metrics: Arc::clone(&metrics),
         replicas: cfg.replicas.iter().map(|r| r.peer_addr).collect(),
@@ -307,10 +307,10 @@
         rx: mailboxes.samples,
         out: tx.clone(),
     };
-    let (ledger, side) = ledger::handle();
+    let (ledger, duty_side) = ledger::handle();
     let (journal, disk) = journal_rings();
     let (journals, recovered) = journals.unzip();
-    let keys = LedgerDuty {
+    let ledger_duty = LedgerDuty {
         me: me.clone(),
         cfg: ledger_config(&cfg),
         clock,
@@ -321,7 +321,7 @@
         handed_over: channels.handed_over.clone(),
         journal,
         recovered: recovered.unwrap_or_default(),
-        side,
+        side: duty_side,
     };
     let core = CoreParts {
         identity: Identity {
@@ -337,7 +337,7 @@
         running: channels.running.clone(),
         measures: Measures::new(metrics, cfg.region.clone()),
     };
-    let endpoints = EndpointsDuty {
+    let endpoints_duty = EndpointsDuty {
         core,
         cfg,
         calls: calls_rx,
@@ -347,11 +347,11 @@
     };
     let mut duties = vec![
         sending,
-        state::spawn(state, stop.clone())?,
-        ledger::spawn(keys, stop.clone())?,
-        endpoints::spawn(endpoints, stop.clone())?,
-        status::spawn(shown, status, stop.clone())?,
-        samples::spawn(reporting, stop.clone())?,
+        state::spawn(state_duty, stop.clone())?,
+        ledger::spawn(ledger_duty, stop.clone())?,
+        endpoints::spawn(endpoints_duty, stop.clone())?,
+        status::spawn(status_duty, status, stop.clone())?,
+        samples::spawn(samples_duty, stop.clone())?,
         callers::spawn(server, callers, channels.callers_done.clone(), stop.clone())?,
     ];
     if let Some(journals) = journals {
--- a/crates/filberthead/src/entry/samples.rs
+++ b/crates/filberthead/src/entry/samples.rs
@@ -20,13 +20,13 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
 use super::cluster::ClusterReader;
-use super::dispatch::Incoming;
+use super::dispatch::IncomingMessage;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
 /// How often a relay looks for periods to pass on.
-const PASS_ON_PERIOD: Duration = Duration::from_secs(2);
+const FORWARD_PERIOD: Duration = Duration::from_secs(2);
 
 /// What the duty is made of.
 pub(crate) struct SamplesDuty {
@@ -40,7 +40,7 @@
     /// replacement.
     pub(crate) cluster: ClusterReader,
     /// What other entries of the failure domain have counted.
-    pub(crate) rx: Receiver<Incoming>,
+    pub(crate) rx: Receiver<IncomingMessage>,
     /// Messages out.
     pub(crate) out: Sender<Outgoing>,
 }
@@ -62,32 +62,32 @@
 
 impl SamplesDuty {
     async fn run(mut self, mut relay: Relay, mut stop: Stop) {
-        let mut ticks = interval(PASS_ON_PERIOD);
+        let mut ticks = interval(FORWARD_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut start = unix_seconds();
         let mut end = Instant::now() + until_next_period(start);
         loop {
             tokio::select! {
                 () = sleep_until(end) => {
-                    self.hand_over(&mut relay, start);
+                    self.submit_counts(&mut relay, start);
                     start = unix_seconds();
                     end = Instant::now() + until_next_period(start);
                 }
-                _ = ticks.tick() => self.pass_on(&mut relay, unix_seconds()),
+                _ = ticks.tick() => self.forward_closed(&mut relay, unix_seconds()),
                 message = self.rx.recv() => match message {
-                    Some(message) => take(&mut relay, message),
+                    Some(message) => receive(&mut relay, message),
                     None => break,
                 },
                 () = stop.wait() => break,
             }
         }
         // A planned stop: what is counted goes out as it is.
-        self.hand_over(&mut relay, start);
-        self.pass_on(&mut relay, u64::MAX);
+        self.submit_counts(&mut relay, start);
+        self.forward_closed(&mut relay, u64::MAX);
     }
 
     /// Gives this entry's own counts to the relay.
-    fn hand_over(&self, relay: &mut Relay, start: u64) {
+    fn submit_counts(&self, relay: &mut Relay, start: u64) {
         let period = PeriodSamples {
             start,
             entries: 1,
@@ -109,7 +109,7 @@
     }
 
     /// Sends the periods that have waited long enough to control.
-    fn pass_on(&self, relay: &mut Relay, now: u64) {
+    fn forward_closed(&self, relay: &mut Relay, now: u64) {
         for period in relay.collector.close(now) {
             let report = relay.reporter.report(period);
             for to in self.controls() {
@@ -121,8 +121,12 @@
     /// The relay, unless it is this entry.
     fn other_relay(&self) -> Option<SocketAddr> {
         let cluster = self.cluster.borrow();
-        let mine = |entry: &&MemberInfo| entry.failure_domain == self.me.failure_domain;
-        let live = cluster.entries.iter().filter(mine).filter(|e| !e.leaving);
+        let same_domain = |entry: &&MemberInfo| entry.failure_domain == self.me.failure_domain;
+        let live = cluster
+            .entries
+            .iter()
+            .filter(same_domain)
+            .filter(|e| !e.leaving);
         let relay = live.min_by(|a, b| a.name.cmp(&b.name))?;
         (relay.name != self.me.name).then_some(relay.peer_addr)
     }
@@ -142,7 +146,7 @@
     }
 }
 
-fn take(relay: &mut Relay, message: Incoming) {
+fn receive(relay: &mut Relay, message: IncomingMessage) {
     if let Body::Samples(report) = message.body {
         let origin = &message.origin;
         let now = unix_seconds();
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -20,8 +20,8 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::cluster::Cluster;
-use super::watermark::Floor;
-use super::dispatch::Incoming;
+use super::dispatch::IncomingMessage;
+use super::watermark::Watermark;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
@@ -38,7 +38,7 @@
     /// The clock of the process.
     pub(crate) clock: Clock,
     /// Messages in.
-    pub(crate) rx: Receiver<Incoming>,
+    pub(crate) rx: Receiver<IncomingMessage>,
     /// Messages out.
     pub(crate) out: Sender<Outgoing>,
     /// What the other duties read.
@@ -56,15 +56,15 @@
 
 struct State {
     node: Node,
-    floor: Floor,
+    watermark: Watermark,
     duty: StateDuty,
 }
 
 impl State {
     fn new(duty: StateDuty) -> Self {
-        let floor = Floor::new(duty.cfg.data.clone());
+        let watermark = Watermark::new(duty.cfg.data.clone());
         let cfg = Config::builder()
-            .floor(floor.load())
+            .floor(watermark.load())
             .seed(rand::random())
             .build();
         let replicas = duty.cfg.replicas.iter();
@@ -74,7 +74,7 @@
         };
         Self {
             node: Node::new(cfg, duty.me.clone(), contacts),
-            floor,
+            watermark,
             duty,
         }
     }
@@ -86,7 +86,7 @@
             tokio::select! {
                 _ = ticks.tick() => self.step(Event::Tick),
                 message = self.duty.rx.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.receive(message),
                     None => return,
                 },
                 Ok(()) = self.duty.leaving.changed() => self.step(Event::Leave),
@@ -95,7 +95,7 @@
         }
     }
 
-    fn take(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: IncomingMessage) {
         if let Body::Spread(message) = incoming.body {
             let origin = incoming.origin;
             let from = filberthead_spread::Sender {
@@ -115,7 +115,7 @@
             match action {
                 Action::Send { to, message } => self.send(to, message),
                 Action::InForce(view) => {
-                    self.in_force(view.version);
+                    self.record_in_force(view.version);
                     cluster.view = view;
                     changed = true;
                 }
@@ -127,7 +127,7 @@
                     error!(version:% = cluster.view.version; "another node holds other rows");
                 }
                 Action::Readiness(readiness) => {
-                    cluster.start = self.start_under(readiness);
+                    cluster.start = self.start_number(readiness);
                     cluster.readiness = readiness;
                     changed = true;
                 }
@@ -160,13 +160,13 @@
         let _ = self.duty.out.push(Outgoing { to, body });
     }
 
-    fn in_force(&self, version: Version) {
-        self.floor.store(version);
+    fn record_in_force(&self, version: Version) {
+        self.watermark.store(version);
         info!(version:%; "table in force");
     }
 
     /// The start that callers may be answered under, or `None` for one that has just begun.
-    fn start_under(&self, readiness: Readiness) -> Option<StartNumber> {
+    fn start_number(&self, readiness: Readiness) -> Option<StartNumber> {
         match readiness {
             Readiness::Proven => info!("the table is proven"),
             Readiness::Cautious => warn!("no proven table: serving the own failure domain only"),
--- a/crates/filberthead/src/entry/status.rs
+++ b/crates/filberthead/src/entry/status.rs
@@ -31,7 +31,7 @@
 const JSON: &str = "application/json";
 const METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Connections at the same time; further ones wait.
-const CONNECTIONS: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 
 /// What the duty shows.
 #[derive(Debug)]
@@ -86,7 +86,7 @@
 }
 
 async fn run(status: Rc<Status>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     while let Ok(permit) = Arc::clone(&permits).acquire_owned().await {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -102,7 +102,7 @@
 }
 
 async fn serve(status: &Status, stream: TcpStream) {
-    let service = service_fn(|req| async move { Ok::<_, Infallible>(answer(status, &req)) });
+    let service = service_fn(|req| async move { Ok::<_, Infallible>(respond(status, &req)) });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service)
@@ -112,7 +112,7 @@
     }
 }
 
-fn answer(status: &Status, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(status: &Status, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     match req.uri().path() {
         "/status" => page(JSON, status_page(status)),
         "/metrics" => page(METRICS, metrics_page(status).into()),
--- a/crates/filberthead/src/entry/stop.rs
+++ b/crates/filberthead/src/entry/stop.rs
@@ -38,11 +38,11 @@
     /// Runs the stop; returns how many requests it had to cut, 0 unless the deadline
     /// came first.
     pub(crate) async fn run(mut self) -> usize {
-        let begin = Instant::now();
-        let deadline = begin + self.deadline;
+        let started_at = Instant::now();
+        let deadline = started_at + self.deadline;
         self.leaving.send_replace(true);
         self.phase.send_replace(Phase::Leaving);
-        sleep_until((begin + self.lookup_ttl + SPREAD_MARGIN).min(deadline)).await;
+        sleep_until((started_at + self.lookup_ttl + SPREAD_MARGIN).min(deadline)).await;
         info!("the last look-up that names this entry has lapsed");
         self.phase.send_replace(Phase::Closing);
         let finished = async {
@@ -52,7 +52,7 @@
             let _ = self.handed_over.wait_for(|done| *done).await;
         };
         if timeout_at(deadline, finished).await.is_ok() {
-            info!(ms = begin.elapsed().as_millis() as u64; "nothing is running any more");
+            info!(ms = started_at.elapsed().as_millis() as u64; "nothing is running any more");
             return 0;
         }
         let cut = (*self.running.borrow()).max(1);
--- a/crates/filberthead/src/entry/watermark.rs
+++ b/crates/filberthead/src/entry/watermark.rs
@@ -16,11 +16,11 @@
 
 /// The file, if the entry has a data folder.
 #[derive(Debug)]
-pub(crate) struct Floor {
+pub(crate) struct Watermark {
     folder: Option<PathBuf>,
 }
 
-impl Floor {
+impl Watermark {
     /// Uses a folder, which is made if there is none.
     pub(crate) fn new(folder: Option<PathBuf>) -> Self {
         if let Some(folder) = &folder
