--- a/crates/filberthead/src/entry/callers.rs
+++ b/crates/filberthead/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The duty that serves callers.
+//! The duty that accepts callers' connections and answers look-ups.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// Counts look-ups.
+/// Records each look-up in the entry's metrics.
 #[derive(Debug)]
 pub(crate) struct CountLookups(pub(crate) Arc<EntryMetrics>);
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Starts the duty. `done` is set when the last connection has ended after a planned
-/// stop; a stop that comes before cuts what is left.
+/// Starts the duty. `done` is set when the last connection has ended during a planned
+/// stop. If `stop` triggers first, the remaining connections are cut.
 pub(crate) fn spawn(
     server: Server,
     listener: std::net::TcpListener,
--- a/crates/filberthead/src/entry/cluster.rs
+++ b/crates/filberthead/src/entry/cluster.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of its cluster at a moment.
+//! Snapshot of the cluster as this entry sees it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +11,23 @@
 use filberthead_types::NodeName;
 use tokio::sync::watch;
 
-/// Table in force and live processes. Replaced as a whole on each change; a watch
-/// channel holds the newest one, which is all that its readers want.
+/// The table in force and the live processes. Immutable: each change publishes a new one
+/// on a watch channel, whose readers need the newest only.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cluster {
-    /// The table in force. Not to be acted on unless it is proven.
+    /// The table in force. Must not be acted on unless `readiness` is `Proven`.
     pub(crate) view: Arc<View>,
-    /// Whether it is.
+    /// Whether the table is proven.
     pub(crate) readiness: Readiness,
-    /// Whether what the table lacks doesn't exist. Not so while this entry is cut off.
+    /// Whether the table is known to be the newest, so that a service missing from it
+    /// doesn't exist. False while this entry is cut off.
     pub(crate) current: bool,
-    /// Start of the process that all of this belongs to, once callers may be answered.
+    /// The start of the process that this snapshot belongs to; `None` while callers may
+    /// not be answered.
     pub(crate) start: Option<StartNumber>,
-    /// The live entries, this one included, those that are leaving too.
+    /// The live entries, including this one and those that are leaving.
     pub(crate) entries: Vec<MemberInfo>,
-    /// Where the control replica that leads takes messages, if known.
+    /// Peer address of the leading control replica, if known.
     pub(crate) control: Option<SocketAddr>,
 }
 
@@ -33,13 +35,13 @@
 pub(crate) type ClusterReader = watch::Receiver<Arc<Cluster>>;
 
 impl Cluster {
-    /// Where a live entry takes messages.
+    /// Peer address of a live entry; `None` if no live entry has that name.
     pub(crate) fn peer_addr(&self, name: &NodeName) -> Option<SocketAddr> {
         let member = self.entries.iter().find(|member| member.name == *name)?;
         Some(member.peer_addr)
     }
 
-    /// The live entries as steering wants them.
+    /// The live entries, converted for steering.
     pub(crate) fn entry_infos(&self) -> Vec<EntryInfo> {
         let info = |member: &MemberInfo| EntryInfo {
             name: member.name.clone(),
--- a/crates/filberthead/src/entry/dispatch.rs
+++ b/crates/filberthead/src/entry/dispatch.rs
@@ -1,36 +1,36 @@
-//! Messages of other processes on their way to the duties of an entry.
+//! Dispatch of messages from other processes to the duties of an entry.
 
 use filberthead_peer::{Body, Deliver, Origin};
 use filberthead_ring::{Receiver, Sender, ring};
 
-/// Messages that wait for a duty. When they are this many the duty is starved, and
-/// further ones are dropped: every protocol repeats what it needs answered.
+/// Capacity of a duty's mailbox. It fills only when the duty is starved; further messages
+/// are dropped, because every protocol resends what needs an answer.
 const MAILBOX_CAPACITY: usize = 1024;
 
 /// A message and its sender.
 #[derive(Debug)]
 pub(crate) struct IncomingMessage {
-    /// Who sent it.
+    /// The sending process.
     pub(crate) origin: Origin,
-    /// What it says.
+    /// The message itself.
     pub(crate) body: Body,
 }
 
-/// Where messages of each protocol come out.
+/// The receiving ends, one for each duty that receives messages.
 #[derive(Debug)]
 pub(crate) struct Mailboxes {
-    /// Table versions, members, control replicas.
+    /// Spread protocol (table versions, members) and discovery of control replicas.
     pub(crate) state: Receiver<IncomingMessage>,
-    /// Shares, readings, and requests that crash endpoints.
+    /// Steering (shares, readings) and quarantined requests.
     pub(crate) steering: Receiver<IncomingMessage>,
-    /// At-most-once records.
+    /// Ledger protocol: at-most-once records.
     #[allow(dead_code, reason = "the ledger duty isn't assembled yet")]
     pub(crate) ledger: Receiver<IncomingMessage>,
-    /// What other entries of the failure domain have counted.
+    /// Counts reported by other entries of the failure domain.
     pub(crate) samples: Receiver<IncomingMessage>,
 }
 
-/// Sorts messages by protocol, on the transport's thread.
+/// Puts each message into its protocol's mailbox, on the transport's thread.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     state: Sender<IncomingMessage>,
@@ -39,7 +39,7 @@
     samples: Sender<IncomingMessage>,
 }
 
-/// Makes a connected pair.
+/// Creates a dispatcher and the mailboxes that it fills.
 pub(crate) fn dispatcher() -> (Dispatcher, Mailboxes) {
     let (state, state_rx) = ring(MAILBOX_CAPACITY);
     let (steering, steering_rx) = ring(MAILBOX_CAPACITY);
@@ -69,7 +69,7 @@
             Body::Samples(_) => &self.samples,
             Body::Consensus(_) | Body::Fleet(_) => return,
         };
-        // A message that finds its ring full is dropped; see `MAILBOX_CAPACITY`.
+        // A full mailbox drops the message; see `MAILBOX_CAPACITY`.
         let _ = tx.push(IncomingMessage { origin, body });
     }
 }
--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -1,4 +1,4 @@
-//! What the endpoints duty counts: requests by their end, slots, drains of endpoints.
+//! Metrics of the endpoints duty: finished requests, slots, drains of endpoints.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,7 +8,8 @@
 use filberthead_steer::{EndpointUsage, ServiceUsage};
 use filberthead_types::{Moment, NodeName, Region, ResultCode, ServiceName};
 
-/// Handles and the drains that are under way. Lives on the endpoints duty's thread.
+/// Metric handles, created on first use, and the drains in progress. Owned by the
+/// endpoints duty's thread.
 #[derive(Debug)]
 pub(crate) struct Measures {
     metrics: Arc<EntryMetrics>,
@@ -18,17 +19,17 @@
     drains: BTreeMap<NodeName, Drain>,
 }
 
-/// An endpoint that leaves.
+/// The drain of an endpoint that is leaving.
 #[derive(Debug)]
 struct Drain {
     service: ServiceName,
     since: Moment,
-    /// Whether its time has been taken.
+    /// Whether its duration has been recorded.
     recorded: bool,
 }
 
 impl Measures {
-    /// Counts for an entry of that region.
+    /// Creates the metrics of an entry in `region`.
     pub(crate) fn new(metrics: Arc<EntryMetrics>, region: Region) -> Self {
         Self {
             metrics,
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Counts a request that came from a caller and has ended. `region` is where it was
-    /// last sent; a request that was sent nowhere counts for this entry's own region.
+    /// Records a finished request of a caller. `region` is where it was last sent; `None`
+    /// counts for this entry's own region.
     pub(crate) fn record_request(
         &mut self,
         service: &ServiceName,
@@ -56,7 +57,8 @@
             .finished(code, took);
     }
 
-    /// Takes in what is in use. To be called at a steady pace.
+    /// Records the slots in use, the queue and the drains. Must be called at a regular
+    /// interval.
     pub(crate) fn record_usage(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let waiting = usage.iter().map(|service| service.waiting as usize).sum();
         self.metrics.queued(waiting);
@@ -90,8 +92,8 @@
             return;
         }
         let tracked = self.drains.contains_key(&endpoint.name);
-        // An entry that doesn't admit to the endpoint has nothing to drain, and would
-        // report a drain of no time at all beside the one that the owner reports.
+        // An entry that doesn't admit requests to the endpoint has nothing to drain: it
+        // would report a drain of zero duration next to the one that the owner reports.
         if !tracked && endpoint.slots == 0 && endpoint.running == 0 {
             return;
         }
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Steering forgets an endpoint that is off every list once nothing runs there.
+    /// Ends the drains of endpoints that steering no longer reports: it drops an endpoint
+    /// that is on no list once nothing runs there.
     fn end_drains_of_removed(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let endpoints = usage.iter().flat_map(|service| &service.endpoints);
         let present: Vec<_> = endpoints.map(|endpoint| &endpoint.name).collect();
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -1,12 +1,12 @@
-//! The entry daemon: answers look-ups and carries requests.
+//! The entry daemon: answers look-ups and forwards requests to endpoints.
 //!
-//! Its duties, each a thread: `callers` serves look-ups and takes requests; `endpoints`
-//! decides where requests go and talks to endpoints and other entries; `ledger` decides
-//! whether a request under an idempotency key may run; `state` knows the table and the
-//! live entries; `status` shows state and metrics; `samples` reports counts to control;
-//! the transport's own threads receive and send messages. Look-ups never leave
-//! `callers`; a request crosses to `endpoints` once and
-//! its answer crosses back once.
+//! Each of its duties is a thread: `callers` answers look-ups and accepts requests;
+//! `endpoints` selects targets and talks to endpoints and other entries; `ledger` decides
+//! whether a request with an idempotency key may run, and `journal` syncs its records to
+//! disk; `state` tracks the table in force and the live entries; `status` serves state and
+//! metrics; `samples` reports counts to control; the transport has threads of its own.
+//! Look-ups are answered on `callers` alone. A request passes to `endpoints` once, and its
+//! answer passes back once.
 
 mod callers;
 mod cluster;
@@ -53,74 +53,75 @@
 use crate::supervisor::{Signals, supervise};
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
-/// Requests that wait for the endpoints duty. When they are this many that thread is
-/// starved, and further ones are refused as not run.
+/// Capacity of the ring of requests for the endpoints duty. It fills only when that thread
+/// is starved; further requests are refused as not run.
 const CALL_CAPACITY: usize = 1024;
-/// How long a key may first be sent after its prefix is no longer handed out, at least.
+/// Minimum time for which the first request with a key is accepted after look-ups stopped
+/// returning the key's prefix.
 const START_WINDOW: Duration = Duration::from_secs(600);
-/// Silence of the `state` duty after which the process counts as suspended. Spreading
-/// starts over after the same gap.
+/// Time without a step of the `state` duty after which the process counts as suspended.
+/// The spread protocol restarts after the same gap.
 const SUSPEND_THRESHOLD: Duration = filberthead_spread::DEFAULT_STALL;
-/// Connections of callers at the same time.
+/// Maximum number of concurrent caller connections.
 const MAX_CALLER_CONNECTIONS: usize = 8192;
 
-/// Why an entry doesn't start or ends other than by a planned stop.
+/// Why an entry failed to start, or ended other than by a clean planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum EntryError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[snafu(display("can't listen on {addr}"))]
     Listen {
-        /// The address.
+        /// The address; `0.0.0.0:0` if the address of an open listener can't be read.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The transport between processes can't start.
+    /// The transport between processes failed to start.
     #[snafu(display("can't start the transport between processes"))]
     Peer {
-        /// Its word.
+        /// The transport's error.
         source: TransportError,
     },
-    /// The data folder can't be used.
+    /// The data folder is unusable.
     #[snafu(display("can't use the data folder"))]
     Journals {
-        /// How.
+        /// The error of opening or reading the journals.
         source: JournalError,
     },
-    /// A thread can't be started.
+    /// A duty's thread failed to start.
     #[snafu(display("can't start a duty"))]
     Duty {
-        /// Which and why.
+        /// The duty and the cause.
         source: DutyError,
     },
-    /// The line that says that the entry serves can't be written.
+    /// Writing the readiness line to standard output failed.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The runtime of the supervisor can't be started.
+    /// The supervisor's runtime failed to start.
     #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// A duty failed.
     #[snafu(display("the entry failed"))]
     Supervise {
-        /// Which and how.
+        /// The duty and the cause.
         source: SuperviseError,
     },
-    /// The deadline of a planned stop came before the end of all requests.
+    /// The deadline of a planned stop passed while requests were still running.
     #[snafu(display("the planned stop cut {cut} requests"))]
     Cut {
-        /// How many.
+        /// Number of requests that were cut, at least 1.
         cut: usize,
     },
 }
 
-/// Everything that is open before the first thread starts.
+/// Sockets, files and settings that are open before the first thread starts.
 struct Opened {
     cfg: Arc<EntrySettings>,
     clock: Clock,
@@ -129,11 +130,11 @@
     status: TcpListener,
     transport: Transport,
     mailboxes: Mailboxes,
-    /// The data folder's journals and the homes found there, if there is a data folder.
+    /// The journals and the homes recovered from them; `None` without a data folder.
     journals: Option<(Journals, Vec<Recovered>)>,
 }
 
-/// What the duties share.
+/// Watch channels between the duties.
 struct Channels {
     cluster: watch::Sender<Arc<Cluster>>,
     directory: watch::Sender<Arc<Directory>>,
@@ -148,8 +149,8 @@
 ///
 /// # Errors
 ///
-/// Fails if it can't start, if one of its duties fails, or if the deadline of a planned
-/// stop cuts requests.
+/// Fails if the entry can't start, if a duty fails, or if the deadline of a planned stop
+/// cuts requests.
 pub fn run(cfg: EntrySettings) -> Result<(), EntryError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -184,9 +185,9 @@
     Ok(())
 }
 
-/// An entry reads its settings at its start only.
+/// Handles a reload signal: settings are read only at start.
 fn log_settings_unchanged() {
-    log::info!("asked to read settings again; they hold until a restart");
+    log::info!("settings are not reloaded; changes apply after a restart");
 }
 
 fn open(cfg: EntrySettings) -> Result<Opened, EntryError> {
@@ -365,7 +366,7 @@
         .max_keys(cfg.ledger_keys)
         .retention(cfg.ledger_retention)
         .journal(cfg.data.is_some())
-        // A caller may first use a prefix when its look-up is about to lapse.
+        // A caller may first use a prefix just before its look-up expires.
         .start_window(START_WINDOW.max(4 * cfg.lookup_ttl))
         .build()
 }
@@ -375,8 +376,8 @@
     let place = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
     let policy = place
         .incarnation(incarnation)
-        // A failure domain that is cut off and has lost an entry goes on serving; what
-        // that may cost stands at the setting.
+        // A failure domain that is cut off and has lost an entry keeps serving; the
+        // consequences are documented on the setting.
         .serve_isolated(true)
         .seed(rand::random())
         .queue(cfg.queue);
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -1,8 +1,8 @@
-//! The duty that knows the table in force and the live entries: [`Node`] joined to the
-//! transport.
+//! The duty that tracks the table in force and the live entries: runs [`Node`] on the
+//! transport's messages.
 //!
-//! Its invariant: a view reaches the other duties only when the node says that it is in
-//! force, and never while the node says that it isn't proven.
+//! Invariant: a view is published to the other duties only when the node reports it in
+//! force, and never while the node reports that it isn't proven.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 #[derive(Debug)]
 pub(crate) struct StateDuty {
     /// This entry.
@@ -37,13 +37,13 @@
     pub(crate) cfg: Arc<EntrySettings>,
     /// The clock of the process.
     pub(crate) clock: Clock,
-    /// Messages in.
+    /// Received messages.
     pub(crate) rx: Receiver<IncomingMessage>,
-    /// Messages out.
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
-    /// What the other duties read.
+    /// The snapshot that the other duties read.
     pub(crate) cluster: watch::Sender<Arc<Cluster>>,
-    /// Beaten with each step.
+    /// Beaten after each step; a gap shows that the process was suspended.
     pub(crate) heartbeat: Heartbeat,
     /// Set when a planned stop begins.
     pub(crate) leaving: watch::Receiver<bool>,
@@ -143,18 +143,19 @@
             match current {
                 true => info!(version:% = cluster.view.version; "the table is the newest"),
                 false => warn!(version:% = cluster.view.version;
-                    "the table may have been overtaken: no service is denied"),
+                    "a newer table may exist: no service is answered as unknown"),
             }
         }
         if changed {
             self.duty.cluster.send_replace(Arc::new(cluster));
         }
-        // Only now: the step may just have found out that the process was suspended, and
-        // has then begun a new start.
+        // After the step: the step may have detected that the process was suspended and
+        // begun a new start.
         self.duty.heartbeat.beat();
     }
 
-    /// Full means that the transport is starved; spreading repeats what it needs.
+    /// Drops the message if the ring is full, which means that the transport is starved:
+    /// the spread protocol resends what it needs.
     fn send(&self, to: SocketAddr, message: Message) {
         let body = Body::Spread(message);
         let _ = self.duty.out.push(Outgoing { to, body });
@@ -165,15 +166,16 @@
         info!(version:%; "table in force");
     }
 
-    /// The start that callers may be answered under, or `None` for one that has just begun.
+    /// The start under which callers may be answered; begins a new one and returns `None`
+    /// if the node is starting.
     fn start_number(&self, readiness: Readiness) -> Option<StartNumber> {
         match readiness {
             Readiness::Proven => info!("the table is proven"),
-            Readiness::Cautious => warn!("no proven table: serving the own failure domain only"),
-            // The process was suspended. Callers are refused until it is known what has
-            // passed it by.
+            Readiness::Cautious => warn!("no proven table: serving this failure domain only"),
+            // The process was suspended. Callers are refused until the table is known to
+            // include the changes that it may have missed.
             Readiness::Starting => {
-                warn!("asking for the newest table");
+                warn!("requesting the newest table");
                 self.duty.heartbeat.start_over();
                 return None;
             }
--- a/crates/filberthead/src/entry/stop.rs
+++ b/crates/filberthead/src/entry/stop.rs
@@ -1,9 +1,9 @@
 //! The planned stop of an entry, from SIGTERM to its end.
 //!
-//! Callers keep a look-up's answer for its time to live, so an entry that stopped at
-//! once would refuse callers that were told to use it a moment ago. It first leaves the
-//! look-ups, everywhere, and goes on serving until the last answer that names it has
-//! lapsed; then it takes no more connections and finishes what is running.
+//! Callers cache a look-up's answer for its time to live, so an entry that stopped at once
+//! would refuse callers with a valid answer that names it. It is therefore first removed
+//! from the look-ups of all entries and keeps serving until the last answer that names it
+//! has expired; then it accepts no more connections and finishes running requests.
 
 use std::time::Duration;
 
@@ -12,31 +12,32 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Time until every entry has heard that this one is leaving and names it no more.
+/// Time in which every entry receives the notice that this one is leaving and stops naming
+/// it in look-ups.
 const SPREAD_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a planned stop acts on.
+/// Settings and channels of a planned stop.
 #[derive(Debug)]
 pub(crate) struct PlannedStop {
-    /// How long callers keep a look-up's answer.
+    /// How long callers may use a look-up's answer.
     pub(crate) lookup_ttl: Duration,
-    /// How long the stop may take, from the signal on.
+    /// Maximum duration of the stop, counted from the signal.
     pub(crate) deadline: Duration,
-    /// Tells the other duties, and through them the other entries.
+    /// Announces the stop to the other duties and, through them, to the other entries.
     pub(crate) leaving: watch::Sender<bool>,
-    /// Tells the server towards callers.
+    /// Phase of the server for callers.
     pub(crate) phase: watch::Sender<Phase>,
     /// Set when the last caller's connection has ended.
     pub(crate) callers_done: watch::Receiver<bool>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) running: watch::Receiver<usize>,
-    /// Set when other entries hold the homes of this entry's idempotency keys.
+    /// Set when the homes of this entry's idempotency keys have moved to other entries.
     pub(crate) handed_over: watch::Receiver<bool>,
 }
 
 impl PlannedStop {
-    /// Runs the stop; returns how many requests it had to cut, 0 unless the deadline
-    /// came first.
+    /// Runs the stop. Returns the number of requests cut at the deadline, at least 1 if the
+    /// deadline passed, and 0 if everything finished before.
     pub(crate) async fn run(mut self) -> usize {
         let started_at = Instant::now();
         let deadline = started_at + self.deadline;
@@ -46,7 +47,7 @@
         info!("the last look-up that names this entry has lapsed");
         self.phase.send_replace(Phase::Closing);
         let finished = async {
-            // An error means that the duty has ended, and its work with it.
+            // An error means that the duty has ended and has no work left.
             let _ = self.callers_done.wait_for(|done| *done).await;
             let _ = self.running.wait_for(|running| *running == 0).await;
             let _ = self.handed_over.wait_for(|done| *done).await;
--- a/crates/filberthead/src/entry/watermark.rs
+++ b/crates/filberthead/src/entry/watermark.rs
@@ -1,8 +1,8 @@
-//! The version that this entry is known to have acted on, kept on its disk.
+//! Watermark on disk: the newest table version that this entry has acted on.
 //!
-//! The proof that an entry asks for at its start covers what its failure domain knows.
-//! It can't cover a version that only this entry had when it was stopped; an entry with
-//! a data folder remembers that by itself.
+//! At its start an entry requests a proof that its table is at least as new as any that
+//! its failure domain has. The proof can't cover a version that only this entry had when
+//! it was stopped; an entry with a data folder therefore stores that version itself.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -14,27 +14,27 @@
 const FILE: &str = "version-in-force";
 const TEMPORARY: &str = "version-in-force.tmp";
 
-/// The file, if the entry has a data folder.
+/// The watermark's file in the data folder; does nothing without a data folder.
 #[derive(Debug)]
 pub(crate) struct Watermark {
     folder: Option<PathBuf>,
 }
 
 impl Watermark {
-    /// Uses a folder, which is made if there is none.
+    /// Uses `folder`, which is created if it doesn't exist.
     pub(crate) fn new(folder: Option<PathBuf>) -> Self {
         if let Some(folder) = &folder
             && let Err(e) = fs::create_dir_all(folder)
         {
-            warn!(folder:? = folder, error:% = e; "the data folder can't be made");
+            warn!(folder:? = folder, error:% = e; "the data folder can't be created");
         }
         Self { folder }
     }
 
-    /// The version on the disk; 0 if there is none.
+    /// Reads the version from disk; 0 if there is none.
     ///
-    /// A file that can't be read leaves the entry with the proof of its failure domain,
-    /// as if it had no disk. That is no reason not to serve.
+    /// If the file can't be read, the entry relies on the proof of its failure domain
+    /// alone, as an entry without a data folder does, and still serves.
     pub(crate) fn load(&self) -> Version {
         let Some(folder) = &self.folder else {
             return Version::default();
@@ -43,18 +43,18 @@
             Ok(version) => version,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Version::default(),
             Err(e) => {
-                warn!(folder:? = folder, error:% = e; "the version in force can't be read");
+                warn!(folder:? = folder, error:% = e; "the table version on disk can't be read");
                 Version::default()
             }
         }
     }
 
-    /// Syncs a version. Must come before the entry acts on it.
+    /// Writes a version and syncs it. Must be called before the entry acts on it.
     pub(crate) fn store(&self, version: Version) {
         if let Some(folder) = &self.folder
             && let Err(e) = write(folder, version)
         {
-            warn!(folder:? = folder, error:% = e; "the version in force can't be stored");
+            warn!(folder:? = folder, error:% = e; "the table version can't be stored on disk");
         }
     }
 }
@@ -65,7 +65,7 @@
     Ok(Version(number))
 }
 
-/// Replaces the file as a whole, so that a crash leaves the old one or the new one.
+/// Replaces the file atomically, so that a crash leaves either the old or the new one.
 fn write(folder: &Path, version: Version) -> io::Result<()> {
     let temporary = folder.join(TEMPORARY);
     let mut f = File::create(&temporary)?;
