--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -1,4 +1,4 @@
-//! The duty that decides where requests go and talks to endpoints.
+//! The duty that selects targets for requests and talks to endpoints.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,26 +26,26 @@
 
 const TICK: Duration = Duration::from_millis(50);
 const PLATFORM_PERIOD: Duration = Duration::from_secs(1);
-/// Look-ups are prepared afresh this often, besides on each change, so that they follow
-/// what steering has learned.
+/// How often the answers to look-ups are rebuilt, besides on each change, so that they
+/// follow steering's measurements.
 const DIRECTORY_PERIOD: Duration = Duration::from_secs(1);
-/// How often slots in use are read, for metrics and samples.
+/// How often the slots in use are recorded, for metrics and samples.
 const MEASURE_PERIOD: Duration = Duration::from_millis(500);
-/// A VM that is missing from the list for less may just have been left out by a list
-/// that lags.
+/// How long a VM must be missing from the platform's list before it is removed; a list
+/// that lags may omit it for less.
 const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 pub(crate) struct EndpointsDuty {
-    /// What requests share.
+    /// Parts of the core that all requests share.
     pub(crate) core: CoreParts,
     /// Settings of the entry.
     pub(crate) cfg: Arc<EntrySettings>,
     /// Requests of callers.
     pub(crate) calls: Receiver<Call>,
-    /// Messages of steering in.
+    /// Received steering and quarantine messages.
     pub(crate) rx: Receiver<IncomingMessage>,
-    /// What look-ups are answered from.
+    /// The prepared answers to look-ups.
     pub(crate) directory: watch::Sender<Arc<Directory>>,
     /// Set when a planned stop begins.
     pub(crate) leaving: watch::Receiver<bool>,
@@ -117,24 +117,25 @@
     }
 }
 
-/// A VM of the platform's list and when the list last had it.
+/// A VM of the platform's list and the time of the last list that contained it.
 #[derive(Debug)]
 struct ListedVm {
     vm: Vm,
     last_seen: Instant,
 }
 
-/// What the duty knows of endpoints and entries, and the look-ups made of it.
+/// The known endpoints, from settings and the platform's list, and the directory of
+/// look-up answers built from them and from the live entries.
 #[derive(Debug)]
 struct EndpointsState {
     core: Rc<Core>,
     cfg: Arc<EntrySettings>,
     listed: BTreeMap<NodeName, ListedVm>,
-    /// Where the endpoints are that steering knows.
+    /// Addresses of the endpoints that steering was last given.
     addresses: Vec<(NodeName, SocketAddr)>,
     directory: watch::Sender<Arc<Directory>>,
-    /// Start that steering has been given the table of. Not read from the cluster when
-    /// look-ups are prepared: that may be ahead of steering.
+    /// Start whose table steering was last given. The start of the current cluster may be
+    /// newer than that, so it isn't used when look-ups are prepared.
     start: Cell<Option<StartNumber>>,
 }
 
@@ -154,12 +155,12 @@
         }
     }
 
-    /// Starts to fetch the platform's list. One list waits at most; fetching pauses
-    /// until it is taken.
+    /// Starts to fetch the platform's list periodically. The channel holds one list;
+    /// fetching pauses until it is received.
     fn start_polling(&self) -> tokio::sync::mpsc::Receiver<Vec<Vm>> {
         let (tx, rx) = tokio::sync::mpsc::channel(1);
         let Some(url) = &self.cfg.platform_url else {
-            // Without a list the receiver only ever waits.
+            // Without a platform the receiver waits forever.
             tokio::task::spawn_local(async move { tx.closed().await });
             return rx;
         };
@@ -167,7 +168,7 @@
             Ok(poller) => {
                 tokio::task::spawn_local(fetch(poller, tx));
             }
-            Err(e) => warn!(error:% = e; "the platform's list can't be fetched"),
+            Err(e) => warn!(error:% = e; "can't set up fetching of the platform's list"),
         }
         rx
     }
@@ -201,8 +202,8 @@
 
     fn cluster_changed(&self) {
         let cluster = Arc::clone(&self.core.cluster.borrow());
-        // Version 0 is what a process starts with, not a table that operators made:
-        // steering then knows that it knows no weights.
+        // Version 0 is a process's initial, empty table, not one from operators: steering
+        // must treat the weights as unknown.
         let proven = cluster.readiness == Readiness::Proven;
         if proven && cluster.view.version > Version::default() {
             self.core.observe(Event::Table(Arc::clone(&cluster.view)));
@@ -222,8 +223,8 @@
             .collect()
     }
 
-    /// Endpoints of the own failure domain; where settings and list name the same one,
-    /// the list, which is newer, counts.
+    /// Endpoints of this failure domain. For an endpoint in both settings and platform's
+    /// list, the list takes precedence because it is newer.
     fn endpoints(&self) -> Vec<EndpointInfo> {
         let configured = self.cfg.endpoints.iter().map(|endpoint| EndpointInfo {
             name: endpoint.name.clone(),
@@ -246,7 +247,7 @@
         by_name.into_values().collect()
     }
 
-    /// Services that are in the table or run on endpoints anywhere.
+    /// Services in the table, in the settings, or on any listed VM.
     fn services(&self) -> BTreeSet<ServiceName> {
         let cluster = self.core.cluster.borrow();
         let rows = cluster.view.rows.keys().map(|key| key.service.clone());
@@ -262,7 +263,7 @@
         rows.chain(configured).chain(listed).collect()
     }
 
-    /// Makes the answers to look-ups from what is known now.
+    /// Builds and publishes the answers to look-ups from the current state.
     fn publish(&self) {
         let leaving = self.leaving();
         let mut builder =
@@ -316,7 +317,7 @@
                     return;
                 }
             }
-            Err(e) => warn!(error:% = e; "the platform's list can't be had; the last one stands"),
+            Err(e) => warn!(error:% = e; "fetching the platform's list failed; the last one stays in use"),
         }
     }
 }
--- a/crates/filberthead/src/entry/samples.rs
+++ b/crates/filberthead/src/entry/samples.rs
@@ -1,10 +1,10 @@
-//! The duty that brings what entries have counted to the control replicas.
+//! The duty that reports the counts of entries to the control replicas.
 //!
-//! Once a minute an entry hands its counts to the relay of its failure domain: the first
-//! of its live entries by name, as for table versions. The relay adds up what it gets and
-//! sends one report for all of them to every control replica, so that the replicas' traffic
-//! grows with failure domains and not with entries. Every replica gets every report: each
-//! keeps samples of its own, and nobody need know who leads, or whether anybody does.
+//! Once a minute an entry sends its counts to the relay of its failure domain: the first
+//! of the domain's live entries by name, as for table versions. The relay sums the counts
+//! and sends one report for all entries to every control replica, so that the replicas'
+//! traffic grows with failure domains and not with entries. Every replica receives every
+//! report and stores its own samples, so reporting doesn't depend on a leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,23 +25,23 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// How often a relay looks for periods to pass on.
+/// How often a relay checks for periods to forward to control.
 const FORWARD_PERIOD: Duration = Duration::from_secs(2);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 pub(crate) struct SamplesDuty {
     /// This entry.
     pub(crate) me: MemberInfo,
-    /// Where requests, slots and drains are counted.
+    /// Counts of requests, slots and drains.
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// The control replicas that the settings name.
+    /// Peer addresses of the control replicas in the settings.
     pub(crate) replicas: Vec<SocketAddr>,
-    /// Knows the live entries, and the leader, which the settings may not name after a
-    /// replacement.
+    /// The live entries, and the control leader, which may be missing from the settings
+    /// after a replacement.
     pub(crate) cluster: ClusterReader,
-    /// What other entries of the failure domain have counted.
+    /// Counts of other entries of the failure domain, while this entry is the relay.
     pub(crate) rx: Receiver<IncomingMessage>,
-    /// Messages out.
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
 }
 
@@ -54,7 +54,7 @@
     Duty::spawn("samples", move || duty.run(relay, stop))
 }
 
-/// What this entry does for the others while it is the relay.
+/// State of the relay; used only while this entry is the relay.
 struct Relay {
     collector: Collector,
     reporter: Reporter,
@@ -81,12 +81,12 @@
                 () = stop.wait() => break,
             }
         }
-        // A planned stop: what is counted goes out as it is.
+        // The entry is stopping: the counts of the incomplete period are sent, too.
         self.submit_counts(&mut relay, start);
         self.forward_closed(&mut relay, u64::MAX);
     }
 
-    /// Gives this entry's own counts to the relay.
+    /// Submits this entry's counts since `start`, in Unix seconds, to the relay.
     fn submit_counts(&self, relay: &mut Relay, start: u64) {
         let period = PeriodSamples {
             start,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends the periods that have waited long enough to control.
+    /// Sends the periods that are closed at `now`, in Unix seconds, to every control replica.
     fn forward_closed(&self, relay: &mut Relay, now: u64) {
         for period in relay.collector.close(now) {
             let report = relay.reporter.report(period);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The relay, unless it is this entry.
+    /// Peer address of the relay; `None` if that is this entry, or if there is none.
     fn other_relay(&self) -> Option<SocketAddr> {
         let cluster = self.cluster.borrow();
         let same_domain = |entry: &&MemberInfo| entry.failure_domain == self.me.failure_domain;
@@ -141,7 +141,7 @@
 
     fn send(&self, to: SocketAddr, report: SampleReport) {
         let body = Body::Samples(report);
-        // What a full ring drops shows as missing; a relay's next report repeats it.
+        // A report dropped by a full ring shows as missing; the relay's next one repeats it.
         let _ = self.out.push(Outgoing { to, body });
     }
 }
@@ -163,7 +163,7 @@
 }
 
 fn unix_seconds() -> u64 {
-    // A clock before 1970 is wrong in any case; collectors bear wrong clocks.
+    // A clock before 1970 reads as 0; collectors tolerate wrong clocks.
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
--- a/crates/filberthead/src/entry/status.rs
+++ b/crates/filberthead/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! The duty that shows an entry's state to operators and their tools.
+//! The duty that serves an entry's state and metrics over HTTP, for operators and tools.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -30,27 +30,27 @@
 
 const JSON: &str = "application/json";
 const METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Connections at the same time; further ones wait.
+/// Maximum number of concurrent connections; further ones wait.
 const MAX_CONNECTIONS: usize = 16;
 
-/// What the duty shows.
+/// Sources of the served state and metrics.
 #[derive(Debug)]
 pub(crate) struct Status {
-    /// This entry.
+    /// Name of this entry.
     pub(crate) node: NodeName,
-    /// Table and entries.
+    /// Table in force and live entries.
     pub(crate) cluster: ClusterReader,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) running: watch::Receiver<usize>,
     /// Whether a planned stop has begun.
     pub(crate) leaving: watch::Receiver<bool>,
-    /// What is counted.
+    /// Metrics of this entry.
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// What the transport counts.
+    /// Counters of the transport.
     pub(crate) counters: Arc<Counters>,
-    /// Requests on their way to the endpoints duty.
+    /// Ring of requests for the endpoints duty; read for the items that it refused.
     pub(crate) calls: Sender<Call>,
-    /// Messages on their way out.
+    /// Ring of messages to be sent; read for the items that it refused.
     pub(crate) out: Sender<Outgoing>,
 }
 
