--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -317,7 +317,7 @@
                     return;
                 }
             }
-            Err(e) => warn!(error:% = e; "fetching the platform's list failed; the last one stays in use"),
+            Err(e) => warn!(error:% = e; "can't fetch the platform's list; using the last one"),
         }
     }
 }
