--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a place, a request sent there, the head of its answer.
+//! One attempt: selects a target, sends the request there and reads the answer's head.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,51 +21,53 @@
 use super::core::{Core, Placement, Slot, Target};
 use super::crash_tracking::fingerprint;
 
-/// Answers up to this length are read whole before the caller gets a byte, so that a
-/// cut one can still be had elsewhere, and so that they cross threads in one piece.
+/// Maximum length, in bytes, of an answer that is read completely before the caller
+/// receives a byte, so that a cut answer can be retried elsewhere and so that it passes
+/// between threads in one piece.
 const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
 
-/// A caller whose request found no place for a further attempt may come back after this.
+/// Retry-After of a refused request whose wait for a slot timed out before its deadline,
+/// or whose designated entry can't be used.
 const PLACEMENT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) enum Attempt {
-    /// A whole answer, small enough to be held.
+    /// A complete answer, small enough to be buffered.
     Whole(Parts, Bytes),
     /// The head of an answer whose body is still to come.
     Streaming(Box<Upstream>),
-    /// Steering has no place for it.
+    /// Steering has no target for it, or it is quarantined; it wasn't sent.
     Refused(Refusal),
-    /// Its place refused it; nothing ran.
+    /// The target refused it and states that it didn't run.
     NotRun(Refusal),
-    /// No byte was sent; the body is untouched.
+    /// No byte was sent; the body can be sent again.
     NotSent(RequestBody),
-    /// It may have run.
+    /// The connection was lost; the request may have run.
     Lost,
-    /// It may have run at another entry's endpoints, which were lost.
+    /// Another entry reports that it may have run at an endpoint that was lost there.
     LostElsewhere,
-    /// Its deadline passed while it may have been running.
+    /// The deadline passed while the request may have been running.
     Late,
-    /// Its caller is gone.
+    /// The caller is gone.
     Abandoned,
 }
 
 /// An answer that is being read.
 #[derive(Debug)]
 pub(crate) struct Upstream {
-    /// Its head, fit for the caller.
+    /// Its head, with the headers of the hop removed.
     pub(crate) head: Parts,
     /// Its unread body.
     pub(crate) body: Incoming,
-    /// The connection that it comes from.
+    /// The connection that it is read from.
     pub(crate) connection: Connection,
-    /// The place that it holds, if steering gave it one.
+    /// The slot that it occupies; `None` if the request was passed on to its key's home.
     pub(crate) slot: Option<Slot>,
 }
 
 impl Upstream {
-    /// The body was read to its end.
+    /// Finishes an answer whose body was read to its end: the connection may be reused.
     pub(crate) fn complete(self) {
         self.connection.release();
         if let Some(slot) = self.slot {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The body was cut, or isn't wanted.
+    /// Finishes an answer whose body was cut or isn't needed: the connection is closed.
     pub(crate) fn broken(self) {
         if let Some(slot) = self.slot {
             slot.finish(FinishKind::Broken);
@@ -103,13 +105,13 @@
     let mut info = ctx.request_info(core);
     let (target, mut slot) = match core.place(&mut info, &mut abandoned).await {
         Placement::Placed(target, slot) => (target, slot),
-        // Only the wait for a place has ended, not the caller's patience.
+        // Only the bounded wait for a slot has ended, not the caller's deadline.
         Placement::Refused(ResultCode::DeadlineBeforeRun, _) if !ctx.remaining_time().is_zero() => {
             let refusal = Refusal::new(ResultCode::Overloaded).retry_after(PLACEMENT_RETRY_AFTER);
             return Attempt::Refused(refusal);
         }
         Placement::Refused(code, after) => {
-            // A table that may have been overtaken can't deny a service.
+            // A service can't be reported as unknown while a newer table may exist.
             let code = match code {
                 ResultCode::UnknownService if !core.is_current() => ResultCode::NotReady,
                 code => code,
@@ -120,7 +122,7 @@
     };
     ctx.tried.push(target.name().clone());
     if let Target::Endpoint(name, _) = &target {
-        // What has been learned while it waited for its place counts.
+        // It may have been quarantined while it waited for its slot.
         if let Check::Refuse { retry_after } = core.check_quarantine(fingerprint) {
             return Attempt::Refused(quarantined(retry_after));
         }
@@ -131,11 +133,13 @@
 
 /// Why a request isn't placed by steering.
 enum Blocked {
+    /// It is quarantined.
     Refused(Refusal),
+    /// It may only be sent to this entry.
     Elsewhere(Target),
 }
 
-/// Holds a request off endpoints if it may crash them.
+/// Keeps a request that may crash endpoints away from them; `None` if it may be placed.
 fn block(core: &Core, ctx: &RequestContext, fingerprint: Fingerprint) -> Option<Blocked> {
     let entry = match core.check_quarantine(fingerprint) {
         Check::Run => return None,
@@ -147,7 +151,7 @@
     let cluster = core.cluster.borrow();
     let mut entries = cluster.entries.iter();
     let member = entries.find(|member| member.name == entry);
-    // An entry that was sent it by another one doesn't send it on.
+    // A request that came from another entry isn't forwarded again.
     Some(match member.filter(|_| !ctx.is_forwarded()) {
         Some(member) => Blocked::Elsewhere(Target::Entry(entry, member.caller_addr)),
         None => Blocked::Refused(quarantined(PLACEMENT_RETRY_AFTER)),
@@ -177,7 +181,7 @@
     );
     let sent = tokio::select! {
         sent = sending => sent,
-        // Dropping the exchange closes its connection, which tells the other side.
+        // Dropping the future closes its connection, which the other side detects.
         () = &mut abandoned => return Attempt::Abandoned,
     };
     match sent {
@@ -226,15 +230,18 @@
     Attempt::Streaming(Box::new(upstream))
 }
 
-/// What the other side says about execution.
+/// What the target states about execution.
 enum ExecutionClaim {
+    /// It refused the request, which didn't run.
     NotRun(Refusal),
+    /// Another entry can't tell whether the request ran.
     MayHaveRun,
+    /// Neither of these: the answer goes to the caller.
     Ran,
 }
 
-/// Reads the meaning header. An endpoint uses it to refuse for want of room, which its
-/// documentation calls a promise that the request did not run; an entry sets it always.
+/// Reads the meaning header. An endpoint sets it to refuse for lack of capacity, which by
+/// its documentation guarantees that the request did not run; an entry always sets it.
 fn execution_claim(target: &Target, head: &Parts) -> ExecutionClaim {
     let meaning = head.headers.get(header::MEANING);
     let is = |wanted: Meaning| meaning.is_some_and(|value| value == wanted.as_str());
@@ -253,16 +260,19 @@
     }
 }
 
+/// The result code of another entry's refusal, if it means "not run".
 fn result_code(headers: &HeaderMap) -> Option<ResultCode> {
     let number = headers.get(header::RESULT)?.to_str().ok()?.parse().ok()?;
     ResultCode::from_number(number).filter(|code| code.meaning() == Meaning::NotRun)
 }
 
+/// The Retry-After header in seconds; dates aren't supported.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     Some(Duration::from_secs(seconds))
 }
 
+/// Removes the headers of the hop between `target` and this entry.
 pub(super) fn clean_headers(target: &Target, head: &mut Parts) {
     let from_entry = matches!(target, Target::Entry(..));
     answer_headers(&mut head.headers, from_entry);
@@ -270,11 +280,12 @@
         head.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
     ) {
-        // A length that belongs to a body which isn't sent.
+        // It states the length of a body that isn't sent.
         head.headers.remove(CONTENT_LENGTH);
     }
 }
 
+/// Whether the body's length is known and small enough to be buffered.
 pub(super) fn fits_buffer(body: &Incoming) -> bool {
     body.size_hint()
         .exact()
@@ -302,7 +313,7 @@
     }
 }
 
-/// What a whole answer tells about its endpoint.
+/// How steering counts a complete answer with this status.
 pub(crate) fn finish_kind(status: StatusCode) -> FinishKind {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => FinishKind::Shed,
--- a/crates/filberthead/src/entry/forward/budget.rs
+++ b/crates/filberthead/src/entry/forward/budget.rs
@@ -1,16 +1,16 @@
-//! Bound of retries.
+//! Retry budget.
 
-/// What each request adds. At 10% the load from retries stays a tenth of the load
-/// from callers, even when every attempt fails.
+/// Retries that each request adds to the budget. At 0.1 the load from retries is at most a
+/// tenth of the load from callers, even when every attempt fails.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries available up at most: enough for the loss of one endpoint with all slots busy
-/// and its queue, too few to double the load of a service.
+/// Capacity of the budget: enough for the loss of one endpoint with all its slots busy and
+/// its queue, too few to double the load of a service.
 const MAX_RETRIES: f64 = 50.0;
 
-/// A token bucket that requests fill and retries empty.
+/// A token bucket that requests fill and retries drain.
 ///
-/// Without it, endpoints that fail under load get each request several times, at the
-/// moment when they can bear it least.
+/// Without it, endpoints that fail under overload would receive each request several times,
+/// which adds to the overload.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     available: f64,
@@ -25,17 +25,17 @@
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Adds a request's share to the budget.
     pub(crate) fn record_request(&mut self) {
         self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Retries that may be made at once.
+    /// Number of retries that the budget allows at once.
     pub(crate) fn remaining(&self) -> u32 {
         self.available as u32
     }
 
-    /// Whether a retry may be made now.
+    /// Takes one retry from the budget; false if there is none.
     pub(crate) fn try_spend(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -1,16 +1,16 @@
-//! Carries requests from callers to endpoints and their answers back.
+//! Forwards requests from callers to endpoints and returns their answers.
 //!
-//! A request lives in one task of the endpoints duty. It makes attempts until one has
-//! an answer or until it may make no more: a repeatable request may try again after a
-//! loss, any other one only while it is proved that no byte of it reached an endpoint.
-//! All retries come out of one budget.
+//! Each request is one task of the endpoints duty. It makes attempts until one has an
+//! answer or no further one is allowed: a repeatable request may be retried after a lost
+//! attempt, any other request only while it is certain that no byte of it reached an
+//! endpoint. All retries draw on one budget.
 //!
 //! Invariants relied on elsewhere:
 //!
-//! - a refusal that means "not run" is given only while no attempt may have run the
+//! - a refusal that means "not run" is returned only while no attempt may have run the
 //!   request ([`context::RequestContext::restrict_refusal`]);
-//! - an answer is either read whole before its caller gets a byte, or streamed with an
-//!   explicit end, so a cut answer shows as a broken connection.
+//! - an answer is either read completely before its caller receives a byte, or streamed
+//!   with an explicit end, so that a cut answer shows as a broken connection.
 
 mod attempt;
 mod budget;
@@ -40,33 +40,42 @@
 pub(crate) use self::core::{Core, CoreParts, Identity};
 use self::keyed::AnswerRecorder;
 
-/// Attempts that one request makes at most.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: usize = 4;
-/// How long the answer to a request that may crash endpoints is held back, so that its
-/// next send finds every entry informed.
+/// Delay of the refusal of a request that may have run: it may have crashed an endpoint,
+/// and by the caller's next send every entry has received the quarantine message.
 const QUARANTINE_SPREAD_TIME: Duration = Duration::from_millis(100);
-/// Longest body of a request under a key, which is held until the request may start.
+/// Maximum body length of a request with an idempotency key, in bytes. The body is
+/// buffered until the request may start.
 const MAX_KEYED_BODY: usize = 1024 * 1024;
 
 /// How a request ended.
 #[derive(Debug)]
 enum Outcome {
+    /// Head and body of a complete answer.
     Answer(Parts, Bytes),
+    /// An answer whose body is still to be read, recorded for the ledger if the request
+    /// has a key and started here.
     Streaming(Box<Upstream>, Option<AnswerRecorder>),
+    /// No endpoint's answer: the caller gets a refusal.
     Refused(Refusal),
+    /// The caller is gone.
     Abandoned,
 }
 
-/// What to do after an attempt.
+/// The step after an attempt.
 #[derive(Debug)]
 enum Next {
+    /// Make another attempt with this body at once.
     Retry(RequestBody),
-    /// It has no place until endpoints have their next owner.
+    /// Make another attempt after a pause: no entry admits requests to the endpoints of a
+    /// lost entry until another one has taken them over.
     RetryAfterTakeover(RequestBody),
+    /// Return the outcome.
     Done(Outcome),
 }
 
-/// Carries one request to its end.
+/// Forwards one request, returns its answer to the caller and records it in the metrics.
 pub(crate) async fn forward_call(core: Rc<Core>, call: Call) {
     let _running = core.start_request();
     let started_at = Instant::now();
@@ -77,15 +86,15 @@
     }
 }
 
-/// Brings the outcome to the caller. Says how the request ended, or nothing if its
-/// caller went away first.
+/// Sends the outcome to the caller. Returns the result code, or `None` if the caller was
+/// gone before.
 async fn finish(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
     outcome: Outcome,
     reply: Reply,
 ) -> Option<ResultCode> {
-    // A caller that is gone at this moment takes no answer; nothing is left to do.
+    // A send fails if the caller is gone; there is nothing left to do then.
     match outcome {
         Outcome::Answer(head, body) => {
             let _ = reply.send(Ok(Response::from_parts(head, AnswerBody::Whole(body))));
@@ -139,7 +148,8 @@
         let cancellable = ctx.is_repeatable();
         let caller_gone = async {
             if !cancellable {
-                // Once it may have started, what a caller asked for runs to its end.
+                // A request that isn't repeatable runs to its end, since it may have
+                // started.
                 std::future::pending::<()>().await;
             }
             reply.closed().await;
@@ -155,8 +165,8 @@
                     () = tokio::time::sleep(takeover::RETRY_PAUSE) => {}
                     () = reply.closed() => return Outcome::Abandoned,
                 }
-                // Whoever refused it may have the endpoints by then, and whoever lost it
-                // may be back.
+                // By now an entry that refused it may have taken over the endpoints, and
+                // the one that was lost may have restarted.
                 ctx.tried.clear();
                 body = unsent;
             }
@@ -165,15 +175,15 @@
     }
 }
 
-/// Holds the body of a request under a key: a start that is on record must not fail
-/// because its caller went away in the middle of the body.
+/// Reads the whole body of a request with a key: a request whose start is recorded must
+/// not fail because its caller disconnected in the middle of the body.
 async fn buffer_body(ctx: &RequestContext, body: RequestBody) -> Result<RequestBody, Outcome> {
     let body = Limited::new(body, MAX_KEYED_BODY).collect();
     match tokio::time::timeout_at(ctx.deadline, body).await {
         Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(refused(ResultCode::BodyTooLarge)),
         Ok(Err(_)) => Err(Outcome::Abandoned),
-        // An earlier send of the key may have run.
+        // Not a "not run" refusal: an earlier send of the key may have run.
         Err(_) => Err(refused(ResultCode::KeyNotChecked)),
     }
 }
@@ -196,7 +206,7 @@
         Attempt::Whole(head, body) => Next::Done(Outcome::Answer(head, body)),
         Attempt::Streaming(upstream) => Next::Done(Outcome::Streaming(upstream, None)),
         Attempt::Refused(refusal) => match (fallback.take(), body_copy) {
-            // What the last endpoint said tells more than that no other has room.
+            // The last endpoint's answer is more specific than "no endpoint has capacity".
             (Some((head, body)), _) => Next::Done(Outcome::Answer(head, body)),
             (None, Some(body)) if lost_its_owner(core, ctx, &refusal) => {
                 Next::RetryAfterTakeover(body)
@@ -216,7 +226,8 @@
             let body_copy = body_copy.filter(|_| ctx.is_repeatable());
             retry_or_refuse(core, ctx, body_copy, Refusal::new(ResultCode::EndpointLost))
         }
-        // It has lost endpoints there; were it sent on, each entry might lose as many.
+        // It may have crashed endpoints there. Sent to further entries, it could crash
+        // as many at each.
         Attempt::LostElsewhere => {
             ctx.may_have_run = true;
             Next::Done(refused(ResultCode::EndpointLost))
@@ -229,12 +240,13 @@
     }
 }
 
-/// Whether there is no place because of an entry that was lost with the request.
+/// Whether there is no endpoint because the entry that owned them was lost while it had
+/// this request, and another entry may still take them over in time.
 fn lost_its_owner(core: &Core, ctx: &RequestContext, refusal: &Refusal) -> bool {
     refusal.code == ResultCode::NoEndpoint && ctx.awaits_takeover(core)
 }
 
-/// Another attempt if there is a body for it and budget, or else the refusal.
+/// Retries if there is a body to send, an attempt left and budget; otherwise refuses.
 fn retry_or_refuse(
     core: &Core,
     ctx: &RequestContext,
@@ -245,14 +257,14 @@
         Some(body) if ctx.tried.len() < MAX_ATTEMPTS && core.try_spend_retry() => Next::Retry(body),
         body => {
             info!(request:% = ctx.id, code:% = refusal.code, tried = ctx.tried.len(),
-                repeatable = body.is_some(), budget = core.retries_left(); "not tried again");
+                repeatable = body.is_some(), budget = core.retries_left(); "not retried");
             Next::Done(Outcome::Refused(refusal))
         }
     }
 }
 
-/// An endpoint that sheds load without saying whether it ran the request. A repeatable
-/// one may find room elsewhere; for any other one this is the answer.
+/// Handles an endpoint that sheds load without stating whether it ran the request. A
+/// repeatable request is retried elsewhere; any other returns this answer.
 fn shed(
     core: &Core,
     ctx: &mut RequestContext,
--- a/crates/filberthead/src/entry/forward/takeover.rs
+++ b/crates/filberthead/src/entry/forward/takeover.rs
@@ -1,14 +1,14 @@
-//! The wait of a reading for the next owner of endpoints whose entry was lost.
+//! Waiting of a repeatable request until another entry has taken over the endpoints of a
+//! lost one.
 //!
-//! Failure: an entry dies with a reading at it that it had passed to an endpoint which it
-//! alone admits to. For the time of its lease nobody else may admit there, so that a
-//! further attempt may find no node at all, although the endpoint is well. The caller
-//! would be told that the reading may have run, which is of no use to it, while the
-//! reading could simply run again.
+//! Failure: an entry crashes while it forwards a repeatable request to an endpoint to which
+//! it alone admits. Until its lease expires no other entry may admit requests there, so a
+//! further attempt may find no target at all, although the endpoint is healthy. Without the
+//! wait, the caller would get "may have run", although the request could be run again.
 //!
-//! The wait ends as soon as it is of no use: it begins only if another entry is there to
-//! take over and the caller's deadline leaves time for that, and it lasts no longer than
-//! taking over takes. So no caller is kept from asking elsewhere for nothing.
+//! The wait is bounded: it begins only if another entry of the failure domain can take over
+//! and the caller's deadline leaves time for that, and it ends when a takeover must be
+//! complete. So no caller is delayed for nothing when it could ask elsewhere.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 
 use crate::entry::cluster::Cluster;
 
-/// Pause between two looks for a node.
+/// Pause between two attempts to place the request.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Nobody takes over sooner than this: the lost entry may have asked for its last lease
-/// one period before the loss was seen.
+/// Minimum time from the loss to a takeover: the lost entry may have last renewed its lease
+/// one renewal interval before the loss was detected.
 const MIN_TAKEOVER_TIME: Duration = LEASE.saturating_sub(RENEW_EVERY);
-/// Renewals that the roster's change and the next owner's share of the limit take, and as
-/// many again until the word of its slots is here.
+/// Renewal intervals allowed after the lease has expired: for the change of the roster and
+/// the next owner's share of the limit, and as many again until its slots are known here.
 const TAKEOVER_RENEWALS: u32 = 4;
 
-/// Where a reading was lost, and until when its next owner may come.
+/// The loss of an entry that had the request, from which the time of the takeover follows.
 #[derive(Clone, Debug)]
 pub(crate) struct Takeover {
     entry: NodeName,
@@ -36,7 +36,7 @@
 }
 
 impl Takeover {
-    /// The loss, just now, of a request at this node, if that is an entry.
+    /// Records the loss of a request at `node` now; `None` if `node` is not an entry.
     pub(super) fn after_loss(node: &NodeName, cluster: &Cluster) -> Option<Self> {
         let mut entries = cluster.entries.iter();
         let member = entries.find(|member| member.name == *node)?;
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Whether a request with this deadline may still be served by the next owner.
+    /// Whether a takeover may still serve a request with this deadline.
     pub(super) fn is_possible(&self, deadline: Instant, cluster: &Cluster) -> bool {
         let taken_over_by = self.lost_at + LEASE + MARGIN + RENEW_EVERY * TAKEOVER_RENEWALS;
         let in_time = Instant::now() + RETRY_PAUSE < taken_over_by.min(deadline);
