--- a/crates/filberthead/src/entry/forward/context.rs
+++ b/crates/filberthead/src/entry/forward/context.rs
@@ -1,4 +1,4 @@
-//! A request while attempts are made for it.
+//! The state of a request across its attempts.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -15,43 +15,47 @@
 use super::core::{Core, Target};
 use super::takeover::Takeover;
 
-/// Longest wait for a place of an attempt after the first.
+/// Maximum wait for a slot of an attempt after the first.
 const RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// What stays the same from attempt to attempt, and what was learned so far.
+/// A caller's request without its body, and the results of the attempts so far.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
-    /// Id on every hop.
+    /// Request id, the same on every hop.
     pub(crate) id: RequestId,
-    /// The service asked for.
+    /// The requested service.
     pub(crate) service: ServiceName,
-    /// How often it may run.
+    /// How often it may run, and its idempotency key if it has one.
     pub(crate) execution: Execution,
-    /// When its caller gives up.
+    /// When its caller stops waiting.
     pub(crate) deadline: Instant,
-    /// Head as the caller sent it; path and query as an endpoint is to see them.
+    /// Head as the caller sent it, with the path and query for the endpoint.
     pub(crate) parts: Parts,
-    /// Places that have failed or refused it.
+    /// Endpoints and entries that it was sent to, the last one at the end; the next attempt
+    /// avoids them.
     pub(crate) tried: Vec<NodeName>,
-    /// Whether an attempt may have run it. From then on no refusal may say otherwise.
+    /// Whether an attempt may have run it. Once set, no refusal may mean "not run".
     pub(crate) may_have_run: bool,
-    /// The first entry that was lost with it, whose endpoints another entry takes over.
+    /// The first entry that was lost while it had this request, and whose endpoints another
+    /// entry takes over.
     pub(crate) takeover: Option<Takeover>,
-    /// Whether its caller has a part of the answer already and gets the rest from the
-    /// next attempt.
+    /// Whether the caller has received part of the answer already; the next attempt is for
+    /// the rest.
     pub(crate) resuming: bool,
-    /// How many entries have passed it on towards the home of its key.
+    /// Number of entries that have forwarded it towards its key's home.
     pub(crate) hops: u8,
-    /// Whether the home of its key has started it.
+    /// Whether this entry is its key's home and has started it.
     started: bool,
-    /// Whether another entry handed it here, which then also counts it.
+    /// Whether it came from another entry, which then records it in its metrics.
     pub(crate) from_entry: bool,
+    /// The caller's address, if known.
     caller: Option<IpAddr>,
+    /// The entry that sent it here for an endpoint; cleared when it starts at its home.
     forwarded_by: Option<NodeName>,
 }
 
 impl RequestContext {
-    /// Takes a call apart from its body and its way back.
+    /// Splits a call into its context, its body and the channel for its answer.
     pub(crate) fn new(call: Call) -> (Self, RequestBody, Reply) {
         let (parts, body) = call.request.into_parts();
         let ctx = Self {
@@ -73,8 +77,8 @@
         (ctx, RequestBody::from(body), call.answer)
     }
 
-    /// Holds a refusal to what is known: once an attempt may have run the request, no
-    /// later refusal may tell its caller that it didn't.
+    /// Replaces a refusal that means "not run" by `EndpointLost` if an attempt may have run
+    /// the request.
     pub(crate) fn restrict_refusal(&self, refusal: Refusal) -> Refusal {
         let not_run = refusal.code.meaning() == Meaning::NotRun;
         let code = if self.may_have_run && not_run {
@@ -85,7 +89,7 @@
         Refusal { code, ..refusal }
     }
 
-    /// The place that it was sent to last has lost it, and may have run it.
+    /// Records that the last target was lost and may have run it.
     pub(crate) fn record_lost(&mut self, core: &Core) {
         self.may_have_run = true;
         if self.takeover.is_none() {
@@ -95,26 +99,27 @@
         }
     }
 
-    /// Whether it may run again and the next owner of endpoints may still come for it.
+    /// Whether it is repeatable and a takeover of the lost entry's endpoints may still
+    /// serve it.
     pub(crate) fn awaits_takeover(&self, core: &Core) -> bool {
         let cluster = core.cluster.borrow();
         let mut takeover = self.takeover.iter();
         self.is_repeatable() && takeover.any(|t| t.is_possible(self.deadline, &cluster))
     }
 
-    /// Whether another entry sent it here for an endpoint of this one.
+    /// Whether another entry sent it here for an endpoint of this entry.
     pub(crate) fn is_forwarded(&self) -> bool {
         self.forwarded_by.is_some()
     }
 
-    /// The home of its key is here and lets it run. Where it came from is of no account
-    /// any more: it may be placed anywhere.
+    /// Records that its key's home, this entry, has started it. It may then be placed
+    /// anywhere, also if another entry sent it here.
     pub(crate) fn mark_started(&mut self) {
         self.started = true;
         self.forwarded_by = None;
     }
 
-    /// What the next entry is told about its key.
+    /// The state of its key in the headers for the next entry.
     fn key_hop(&self) -> KeyHop {
         match self.execution {
             Execution::Keyed(_) if self.started => KeyHop::Started,
@@ -128,8 +133,8 @@
         self.execution == Execution::Repeatable
     }
 
-    /// Which connections will do: one that was kept may be closed by the other side
-    /// just when it is used, which only a repeatable request may meet.
+    /// Whether a pooled connection may be used: the other side may close it at the moment
+    /// of its use, so only a repeatable request may.
     pub(crate) fn connection_reuse(&self) -> Reuse {
         if self.is_repeatable() {
             Reuse::Allowed
@@ -138,14 +143,14 @@
         }
     }
 
-    /// Time left.
+    /// Time until the deadline; zero once it has passed.
     pub(crate) fn remaining_time(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What steering is asked. A further attempt waits only briefly for a place: those
-    /// that have a slot may all have been tried already, and then no slot that becomes
-    /// free would help, while the caller could have its answer now.
+    /// The input for steering. An attempt after the first waits only briefly for a slot:
+    /// all endpoints may have been tried already, and then no freed slot helps, so the
+    /// caller should get its answer soon.
     pub(crate) fn request_info(&self, core: &Core) -> RequestInfo {
         let max_wait = if self.tried.is_empty() && self.takeover.is_none() {
             self.remaining_time()
@@ -163,7 +168,7 @@
         }
     }
 
-    /// The request as the target is to get it.
+    /// Builds the HTTP request for a target.
     pub(crate) fn build_request(
         &self,
         core: &Core,
@@ -203,5 +208,5 @@
     }
 }
 
-/// Takes the answer back to the caller.
+/// Channel for the answer to the caller's connection.
 pub(crate) type Reply = tokio::sync::oneshot::Sender<filberthead_caller::Answer>;
--- a/crates/filberthead/src/entry/forward/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -1,4 +1,4 @@
-//! Steering, connections and what else all requests of the endpoints duty share.
+//! State that all requests of the endpoints duty share: steering, connections, metrics.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -30,59 +30,60 @@
 use crate::entry::measures::Measures;
 use crate::peers::Outgoing;
 
-/// Sets the ids of attempts apart from those of requests.
+/// Set in the ids of attempts, to distinguish them from ids of requests.
 const ATTEMPT_BIT: u64 = 1 << 63;
 
-/// Who this entry is.
+/// Identity of this entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
-    /// Its name.
+    /// The entry's name.
     pub(crate) node: NodeName,
-    /// Drawn at its start.
+    /// Random number of this process, drawn at its start.
     pub(crate) incarnation: Incarnation,
 }
 
-/// What a [`Core`] is made of; may pass between threads.
+/// The parts of a [`Core`]; unlike it, they can be sent to another thread.
 pub(crate) struct CoreParts {
-    /// Who this entry is.
+    /// Identity of this entry.
     pub(crate) identity: Identity,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// How long a request may take that names no deadline.
+    /// Timeout of a request without a deadline of its own.
     pub(crate) request_timeout: Duration,
-    /// Table and entries.
+    /// Table in force and live entries.
     pub(crate) cluster: ClusterReader,
-    /// Decides where requests go.
+    /// Selects targets for requests.
     pub(crate) steering: Box<dyn Steering>,
-    /// Decides whether requests under a key may run.
+    /// Decides whether requests with a key may run.
     pub(crate) ledger: LedgerHandle,
-    /// Messages out.
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
-    /// Tells others how many requests are in progress.
+    /// Publishes the number of requests in progress.
     pub(crate) running: watch::Sender<usize>,
-    /// Counts requests, slots and drains.
+    /// Metrics of requests, slots and drains.
     pub(crate) measures: Measures,
 }
 
-/// What the requests of an entry share. Lives on one thread; no borrow of a cell is
-/// held across a wait.
+/// State that the requests of an entry share. Used on one thread; no `RefCell` borrow is
+/// held across an await.
 pub(crate) struct Core {
-    /// Who this entry is.
+    /// Identity of this entry.
     pub(crate) identity: Identity,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// Connections.
+    /// Connections to endpoints and other entries.
     pub(crate) client: Client,
-    /// How long a request may take that names no deadline; also how long an endpoint
-    /// may leave an answer without progress.
+    /// Timeout of a request without a deadline of its own; also the maximum time that an
+    /// answer may make no progress.
     pub(crate) request_timeout: Duration,
-    /// Table and entries.
+    /// Table in force and live entries.
     pub(crate) cluster: ClusterReader,
-    /// Decides whether requests under a key may run.
+    /// Decides whether requests with a key may run.
     pub(crate) ledger: LedgerHandle,
     steering: RefCell<Box<dyn Steering>>,
-    /// Which requests crash endpoints.
+    /// Detects requests that crash endpoints.
     pub(super) crash_tracker: CrashTracker,
+    /// Attempts that wait in steering's queue, by attempt id.
     queued: RefCell<HashMap<RequestId, oneshot::Sender<Decision>>>,
     budget: RefCell<RetryBudget>,
     out: Sender<Outgoing>,
@@ -91,24 +92,24 @@
     next_attempt: Cell<u64>,
 }
 
-/// Where an attempt goes.
+/// Where an attempt is sent.
 #[derive(Clone, Debug)]
 pub(crate) enum Target {
-    /// To an endpoint.
+    /// An endpoint: its name and address.
     Endpoint(NodeName, SocketAddr),
-    /// To another entry.
+    /// Another entry: its name and the address where it accepts requests.
     Entry(NodeName, SocketAddr),
 }
 
 impl Target {
-    /// Its name.
+    /// Name of the endpoint or entry.
     pub(crate) fn name(&self) -> &NodeName {
         match self {
             Self::Endpoint(name, _) | Self::Entry(name, _) => name,
         }
     }
 
-    /// Where it listens.
+    /// Address that requests are sent to.
     pub(crate) fn addr(&self) -> SocketAddr {
         match self {
             Self::Endpoint(_, addr) | Self::Entry(_, addr) => *addr,
@@ -116,26 +117,26 @@
     }
 }
 
-/// What became of the wish to place an attempt.
+/// The result of placing an attempt.
 #[derive(Debug)]
 pub(crate) enum Placement {
-    /// It has its place.
+    /// It may be sent to this target.
     Placed(Target, Slot),
-    /// It gets none.
+    /// It was refused; the duration is the Retry-After.
     Refused(ResultCode, Duration),
-    /// Its caller gave up while it was queued.
+    /// The caller disconnected while the attempt was queued.
     Abandoned,
 }
 
-/// A place that an attempt holds; given back when dropped.
+/// The slot of an attempt in steering; released when dropped.
 pub(crate) struct Slot {
     core: Rc<Core>,
     id: RequestId,
     placed_at: Instant,
     first_byte: Option<Duration>,
-    /// The run at an endpoint that the place is used for.
+    /// The run at an endpoint; `None` if the target is an entry.
     run: Option<EndpointRun>,
-    /// `None` once there is nothing to give back.
+    /// How the attempt ended, for steering; `None` if steering holds no slot for it.
     kind: Option<FinishKind>,
 }
 
@@ -172,18 +173,18 @@
         self.kind = None;
     }
 
-    /// The place is at an endpoint, and used now.
+    /// Attaches the run at an endpoint, which ends with the slot.
     pub(super) fn set_run(&mut self, run: EndpointRun) {
         self.run = Some(run);
     }
 
-    /// The head of an answer is here.
+    /// Records the time to the first byte: the head of the answer has arrived.
     pub(crate) fn answered(&mut self) {
         self.first_byte = Some(self.placed_at.elapsed());
     }
 
-    /// Gives the place back and says how the attempt ended. Without this, a dropped
-    /// slot counts as cancelled.
+    /// Releases the slot and reports how the attempt ended. A slot that is dropped without
+    /// this counts as cancelled.
     pub(crate) fn finish(mut self, kind: FinishKind) {
         if self.kind.is_some() {
             self.kind = Some(kind);
@@ -225,7 +226,7 @@
 }
 
 impl Core {
-    /// Joins the parts.
+    /// Creates the core from its parts.
     pub(crate) fn new(parts: CoreParts) -> Self {
         Self {
             crash_tracker: CrashTracker::new(parts.identity.node.clone()),
@@ -245,7 +246,8 @@
         }
     }
 
-    /// Counts a request from its arrival to its end.
+    /// Counts a request as running until the returned guard is dropped, and adds its share
+    /// to the retry budget.
     pub(crate) fn start_request(self: &Rc<Self>) -> Running {
         self.budget.borrow_mut().record_request();
         self.running.send_modify(|running| *running += 1);
@@ -253,8 +255,8 @@
         Running { core }
     }
 
-    /// Counts a request that has ended, once in the whole system: at the entry that its
-    /// caller sent it to.
+    /// Records a finished request in the metrics. Each request is recorded once in the whole
+    /// system: at the entry that the caller sent it to.
     pub(crate) fn count_finished(&self, ctx: &RequestContext, code: ResultCode, took: Duration) {
         if ctx.from_entry {
             return;
@@ -268,26 +270,26 @@
         measures.record_request(&ctx.service, region, code, took);
     }
 
-    /// Takes in what is in use at this moment.
+    /// Records the slots in use now.
     pub(crate) fn record_usage(&self) {
         let usage = self.steering.borrow().usage();
         let mut measures = self.measures.borrow_mut();
         measures.record_usage(self.clock.now(), &usage);
     }
 
-    /// Whether the budget allows a retry now.
+    /// Takes one retry from the budget; false if there is none.
     pub(crate) fn try_spend_retry(&self) -> bool {
         self.budget.borrow_mut().try_spend()
     }
 
-    /// Retries that the budget has left.
+    /// Number of retries left in the budget.
     pub(crate) fn retries_left(&self) -> u32 {
         self.budget.borrow().remaining()
     }
 
-    /// Asks steering for a place and waits in its queue if need be. `abandoned` ends
-    /// the wait. Steering sees each attempt under an id of its own, because the same
-    /// request may come here twice after a broken connection between two entries.
+    /// Places an attempt, waiting in steering's queue if necessary until `abandoned`
+    /// resolves. Each attempt gets an id of its own, because the same request may arrive
+    /// here twice after a broken connection between two entries.
     pub(crate) async fn place(
         self: &Rc<Self>,
         info: &mut RequestInfo,
@@ -309,7 +311,7 @@
         }
     }
 
-    /// A place that steering knows nothing of.
+    /// A slot that steering doesn't hold, for an attempt that it didn't place.
     pub(super) fn untracked_slot(self: &Rc<Self>) -> Slot {
         let mut slot = Slot::new(self, self.attempt_id());
         slot.kind = None;
@@ -333,7 +335,7 @@
         result
     }
 
-    /// Tells steering what was observed and does what it answers.
+    /// Passes an event to steering and performs the actions that it returns.
     pub(crate) fn observe(self: &Rc<Self>, event: Event) {
         let actions = self.steering.borrow_mut().observe(self.clock.now(), event);
         for action in actions {
@@ -341,14 +343,14 @@
         }
     }
 
-    /// Lets steering answer a look-up of a group of callers.
+    /// The entries for a look-up of a group of callers, in order of preference.
     pub(crate) fn look_up(&self, service: &ServiceName, group: CallerGroup) -> Vec<NodeName> {
         let now = self.clock.now();
         let mut steering = self.steering.borrow_mut();
         steering.look_up(now, service, Some(group.address()))
     }
 
-    /// Tells steering what connections to these endpoints are open.
+    /// Reports the open and idle connections to these endpoints to steering.
     pub(crate) fn report_connections(self: &Rc<Self>, endpoints: &[(NodeName, SocketAddr)]) {
         for (endpoint, addr) in endpoints {
             let open = self.client.open(*addr);
@@ -365,8 +367,8 @@
     fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Place { id, decision } => {
-                // Nobody waits any more if the request was given up at this moment; the
-                // slot of its waiting place tells steering so when it is dropped.
+                // If the attempt has been abandoned meanwhile, there is no receiver; its
+                // dropped `Slot` reports that to steering.
                 if let Some(tx) = self.queued.borrow_mut().remove(&id) {
                     let _ = tx.send(decision);
                 }
@@ -385,8 +387,8 @@
         }
     }
 
-    /// Sends to a destination that is known at the moment; steering repeats what it
-    /// needs answered.
+    /// Sends a message; drops it if the address is unknown or the ring full. Steering
+    /// resends what needs an answer.
     pub(super) fn send(&self, to: Option<SocketAddr>, body: Body) {
         if let Some(to) = to {
             let _ = self.out.push(Outgoing { to, body });
@@ -416,11 +418,12 @@
         }
     }
 
-    /// Whether what the table lacks doesn't exist.
+    /// Whether the table is the newest, so that a service missing from it doesn't exist.
     pub(super) fn is_current(&self) -> bool {
         self.cluster.borrow().current
     }
 
+    /// A new id, unique among the attempts of this process.
     fn attempt_id(&self) -> RequestId {
         let next = self.next_attempt.get();
         self.next_attempt.set(next.wrapping_add(1));
@@ -429,7 +432,7 @@
     }
 }
 
-/// What came out of waiting in steering's queue.
+/// The result of waiting in steering's queue.
 enum WaitResult {
     Decided(Decision),
     Abandoned,
@@ -444,8 +447,8 @@
             slot.disarm();
             return Placement::Refused(code, retry_after);
         }
-        // Steering never queues a request that it takes out of its queue; if it did,
-        // the slot dropped here would take it out for good.
+        // Steering never queues a request again that it has removed from its queue; if it
+        // did, the slot dropped here would remove it.
         Decision::Queued => return Placement::Refused(ResultCode::Overloaded, Duration::ZERO),
     };
     Placement::Placed(target, slot)
