--- a/crates/filberthead/src/entry/forward/crash_tracking.rs
+++ b/crates/filberthead/src/entry/forward/crash_tracking.rs
@@ -1,4 +1,4 @@
-//! The quarantine of crashing requests, joined to the request path.
+//! Connects the quarantine of crashing requests to request forwarding.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,11 +15,12 @@
 use super::context::RequestContext;
 use super::core::Core;
 
-/// What the request path keeps to know a crashing request.
+/// State for the detection of requests that crash endpoints.
 #[derive(Debug)]
 pub(super) struct CrashTracker {
     quarantine: RefCell<Quarantine>,
-    /// Processes of endpoints, as their last health check showed them; none if it failed.
+    /// Process of each endpoint at its last health check; `None` if the endpoint was
+    /// unreachable.
     processes: RefCell<HashMap<NodeName, Option<Incarnation>>>,
     next_run: Cell<u64>,
 }
@@ -34,7 +35,8 @@
     }
 }
 
-/// A run at an endpoint; ends as neither answered nor lost unless said otherwise.
+/// A run of a request at an endpoint. Ends as [`RunEnd::Other`] when dropped without
+/// [`EndpointRun::end`].
 #[derive(Debug)]
 pub(super) struct EndpointRun {
     core: Rc<Core>,
@@ -57,7 +59,7 @@
 }
 
 impl Core {
-    /// Whether a request may be handed to an endpoint from here.
+    /// Whether this entry may send a request to an endpoint.
     pub(super) fn check_quarantine(&self, fingerprint: Fingerprint) -> Check {
         let now = self.clock.now();
         self.crash_tracker
@@ -66,7 +68,7 @@
             .check(now, fingerprint)
     }
 
-    /// A request is handed to an endpoint.
+    /// Records that a request is sent to an endpoint; the returned guard records its end.
     pub(super) fn start_run(
         self: &Rc<Self>,
         fingerprint: Fingerprint,
@@ -86,20 +88,20 @@
         }
     }
 
-    /// What another entry says about crashing requests.
+    /// Handles another entry's message about crashing requests.
     pub(crate) fn receive_quarantine(&self, message: Message) {
         self.step_quarantine(Event::Received(message));
     }
 
-    /// Time has passed.
+    /// Advances the quarantine's timers.
     pub(crate) fn tick_quarantine(&self) {
         self.step_quarantine(Event::Tick);
     }
 
-    /// A health check was answered by this process of an endpoint.
+    /// Records a health check that `process` of an endpoint answered.
     pub(super) fn record_probe_success(&self, endpoint: &NodeName, process: Incarnation) {
         let previous = self.replace_process(endpoint, Some(process));
-        // 0 is the word of an endpoint that says nothing about its process.
+        // 0 means that the endpoint doesn't report its process.
         let restarted = previous.is_some_and(|previous| previous != process && process.0 != 0);
         if restarted {
             self.record_death(endpoint, true);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// A health check failed.
+    /// Records a failed health check; only an unreachable endpoint counts as crashed.
     pub(super) fn record_probe_failure(&self, endpoint: &NodeName, error: &ProbeError) {
         let gone = matches!(error, ProbeError::Unreachable);
         if gone && self.replace_process(endpoint, None).is_some() {
@@ -117,6 +119,7 @@
         }
     }
 
+    /// Stores an endpoint's process; returns the previous one, if known.
     fn replace_process(
         &self,
         endpoint: &NodeName,
@@ -126,6 +129,7 @@
         processes.insert(endpoint.clone(), process).flatten()
     }
 
+    /// Reports a crashed endpoint; `replaced` if a new process already answers.
     fn record_death(&self, endpoint: &NodeName, replaced: bool) {
         let endpoints = self.crash_tracker.processes.borrow().len();
         self.step_quarantine(Event::Died {
@@ -135,6 +139,7 @@
         });
     }
 
+    /// Advances the quarantine and broadcasts its message, if any, to the other entries.
     fn step_quarantine(&self, event: Event) {
         let now = self.clock.now();
         let action = self.crash_tracker.quarantine.borrow_mut().step(now, event);
@@ -152,7 +157,8 @@
     }
 }
 
-/// What an endpoint is asked. A body that isn't held counts by its length alone.
+/// Hash of service, method, path, query and body. A body that isn't buffered counts by its
+/// length alone.
 pub(super) fn fingerprint(ctx: &RequestContext, body: &RequestBody) -> Fingerprint {
     let mut hash = Xxh3Default::new();
     let target = ctx.parts.uri.path_and_query().map_or("/", |t| t.as_str());
--- a/crates/filberthead/src/entry/forward/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -1,10 +1,10 @@
-//! Requests under an idempotency key: to their home first, then at most one run.
+//! Requests with an idempotency key: run at most once, as the key's home decides.
 //!
-//! The ledger decides before anything else does, because only it can say what became of
-//! earlier sends of the key. A request whose home is another entry goes there; one that
-//! may start makes attempts like any other, and its end goes on record before its caller
-//! hears of it. From an entry that only passes a request on, a resend is always safe:
-//! the home knows the first one.
+//! The ledger is asked first, because only it knows the result of earlier sends of the key.
+//! A request whose home is another entry is forwarded there. One that may start here makes
+//! attempts like any other, and its end is recorded before its caller gets the answer.
+//! Forwarding a request to its home again is always safe: the home has a record of the
+//! first send.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,13 +27,13 @@
 use super::{Outcome, refused};
 use crate::entry::ledger::{Answer, Begin, Permit};
 
-/// Entries that a request is passed on to, one after the other, before its caller is
-/// told that the home can't be reached.
+/// Maximum number of forwards, one after the other, before the request is refused with
+/// `HomeUnreachable`.
 const MAX_FORWARDS: usize = 4;
 /// Pause before the ledger is asked again after a failed forward.
 const FORWARD_PAUSE: Duration = Duration::from_millis(100);
 
-/// Carries a request under `key`, its body whole in `body`.
+/// Processes a request with `key`, whose whole body is in `body`.
 pub(super) async fn run(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -69,7 +69,8 @@
     refused(ResultCode::HomeUnreachable)
 }
 
-/// What makes two sends of a key the same request.
+/// Hash of the request: two sends of a key with the same digest are the same request.
+/// `None` if the body isn't buffered.
 fn digest(ctx: &RequestContext, body: &RequestBody) -> Option<Digest> {
     let RequestBody::Whole(body) = body else {
         return None;
@@ -83,13 +84,14 @@
         body,
     ];
     for part in parts {
-        // With its length, so that no byte can pass from one part into the next.
+        // Prefixed with its length, so that different splits into parts differ in the hash.
         hash.update(&part.len().to_le_bytes());
         hash.update(part);
     }
     Some(Digest(hash.digest128()))
 }
 
+/// Runs a request that the ledger permits, and reports its end through `permit`.
 async fn start(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -103,7 +105,7 @@
             permit.finish(&to_stored(&head, body.clone()));
             Outcome::Answer(head, body)
         }
-        // Another entry that was to run it can't say whether it did.
+        // The entry that it was forwarded to can't tell whether it ran.
         Outcome::Answer(head, body) => {
             permit.unknown();
             Outcome::Answer(head, body)
@@ -128,13 +130,15 @@
     }
 }
 
-/// Only an entry's own refusal carries a meaning here, an endpoint's answer never.
+/// Whether the answer comes from a run. Only an entry's refusal carries the meaning header
+/// here; it is removed from endpoints' answers.
 fn ran(head: &Parts) -> bool {
     let meaning = head.headers.get(header::MEANING);
     meaning.is_none_or(|value| value == Meaning::Ran.as_str())
 }
 
-/// What a resend is to get: the answer without what belongs to this pass of it.
+/// The answer to store for resends, without `filberthead-` headers, which apply to this
+/// send only.
 fn to_stored(head: &Parts, body: Bytes) -> Answer {
     let headers = head.headers.iter();
     let headers = headers.filter(|(name, _)| !name.as_str().starts_with(header::PREFIX));
@@ -150,6 +154,7 @@
     }
 }
 
+/// Returns a stored answer, marked as replayed.
 fn replay(ctx: &RequestContext, answer: Answer) -> Outcome {
     let mut response = Response::new(());
     let Ok(status) = StatusCode::from_u16(answer.status) else {
@@ -167,8 +172,8 @@
     Outcome::Answer(head, answer.body)
 }
 
-/// Passes a request on to the entry that decides on its key; `None` if no whole answer
-/// came back, or none that could be sent.
+/// Forwards a request to the entry that decides on its key. `None` if it couldn't be sent
+/// or its answer was lost, so that it may be forwarded again.
 async fn forward(
     core: &Rc<Core>,
     ctx: &RequestContext,
@@ -208,17 +213,18 @@
     }
 }
 
-/// Collects a streamed answer for the ledger while its caller gets it.
+/// Collects a streamed answer for the ledger while it is sent to the caller.
 #[derive(Debug)]
 pub(super) struct AnswerRecorder {
     permit: Permit,
     head: Answer,
-    /// `None` once the answer is over the ledger's bound.
+    /// The body so far; `None` once it exceeds [`AnswerRecorder::MAX_BODY`].
     body: Option<BytesMut>,
 }
 
 impl AnswerRecorder {
-    /// Longest body that is collected; the ledger bounds the whole answer once more.
+    /// Maximum body length that is collected, in bytes. The ledger has a limit of its own
+    /// for the whole answer.
     const MAX_BODY: usize = 64 * 1024;
 
     fn new(permit: Permit, head: &Parts) -> Self {
@@ -229,7 +235,7 @@
         }
     }
 
-    /// Another piece of the body.
+    /// Appends a piece of the body.
     pub(super) fn push(&mut self, piece: &[u8]) {
         let fits = |body: &BytesMut| body.len() + piece.len() <= Self::MAX_BODY;
         self.body = self.body.take().filter(fits);
@@ -238,7 +244,7 @@
         }
     }
 
-    /// The whole answer came.
+    /// Records the complete answer.
     pub(super) fn complete(self) {
         match self.body {
             Some(body) => self.permit.finish(&Answer {
@@ -249,7 +255,7 @@
         }
     }
 
-    /// The answer was cut.
+    /// Records that the answer was cut: the outcome is unknown.
     pub(super) fn abort(self) {
         self.permit.unknown();
     }
--- a/crates/filberthead/src/entry/forward/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -1,9 +1,8 @@
-//! Long answers: piece by piece, and on from another endpoint if one is lost.
+//! Streaming of long answers, resumed from another endpoint if one is lost.
 //!
-//! One piece waits in the channel towards the caller's connection and one in each
-//! connection's own buffer, so a download holds a fixed amount of memory however long
-//! it is or however slowly it is read: a full channel stops the reading here, and that
-//! stops the endpoint through TCP.
+//! One piece waits in the channel to the caller's connection and one in each connection's
+//! own buffer, so the memory of a download doesn't depend on its length or on how slowly it
+//! is read: a full channel stops reading here, and TCP flow control stops the endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,29 +22,29 @@
 use super::core::Core;
 use super::keyed::AnswerRecorder;
 
-/// Pieces that wait for the caller's connection.
+/// Capacity, in pieces, of the channel to the caller's connection.
 const CHANNEL_CAPACITY: usize = 1;
-/// A caller that takes nothing for so long is gone without having said so.
+/// A caller that reads nothing for this long counts as disconnected.
 const READER_TIMEOUT: Duration = Duration::from_secs(300);
-/// Pause before the rest of a download is asked for again.
+/// Pause before the rest of a download is requested again.
 const RESUME_PAUSE: Duration = Duration::from_millis(200);
 
 /// How copying an answer ended.
 #[derive(Debug)]
 enum CopyEnd {
-    /// All of it went to the caller.
+    /// The answer was read to its end.
     Whole,
-    /// Its endpoint was lost, or sent nothing for too long.
+    /// The endpoint was lost, or sent nothing for too long.
     Lost,
     /// The caller is gone.
     CallerGone,
 }
 
-/// Sends an answer to the caller while it comes in. Says whether all of it came; nothing
-/// if its caller went away first.
+/// Streams an answer to the caller. Returns `Answered` if it was complete, `EndpointLost` if
+/// it was cut, and `None` if the caller disconnected before its end.
 ///
-/// `recorder` collects the answer to a request under a key. Such an answer is read to its
-/// end even when its caller is gone: the caller's resend is to get it.
+/// `recorder` collects the answer to a request with a key. Such an answer is read to its
+/// end even if the caller is gone, because the caller's resend gets it from the ledger.
 pub(crate) async fn stream_answer(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -67,7 +66,7 @@
                 if let Some(recorder) = recorder {
                     recorder.complete();
                 }
-                // A caller that is gone by now lacks nothing but the end.
+                // If the caller is gone by now, it has all but the end.
                 let _ = tx.send(Piece::End).await;
                 return Some(ResultCode::Answered);
             }
@@ -80,15 +79,17 @@
         }
         match resume_elsewhere(core, ctx, resume.as_ref(), &tx).await {
             Some(next) => upstream = next,
-            // Dropping the channel without its end breaks the caller's connection.
+            // Dropping the channel without `Piece::End` breaks the caller's connection.
             None => {
-                info!(request:% = ctx.id; "an answer was cut and can't be gone on with");
+                info!(request:% = ctx.id; "an answer was cut and can't be resumed");
                 return Some(ResultCode::EndpointLost);
             }
         }
     }
 }
 
+/// Copies the body to the caller's channel and to the recorder, until it ends, the endpoint
+/// is lost or the caller is gone.
 async fn copy(
     core: &Core,
     upstream: &mut Upstream,
@@ -121,8 +122,8 @@
     }
 }
 
-/// Asks other endpoints for the rest until one has it or for as long as an answer may
-/// be without progress.
+/// Requests the rest of an answer from other endpoints until one returns it, for at most
+/// the time that an answer may make no progress. `None` if the answer can't be resumed.
 async fn resume_elsewhere(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -132,7 +133,7 @@
     let resume = resume?;
     resume.ask(&mut ctx.parts.headers);
     ctx.resuming = true;
-    // All but the endpoint that was just lost may have the rest.
+    // Any endpoint but the one that was just lost may have the rest.
     let earlier = ctx.tried.len().saturating_sub(1);
     ctx.tried.drain(..earlier);
     let give_up_at = Instant::now() + core.request_timeout;
@@ -146,13 +147,13 @@
         let body = RequestBody::Whole(Bytes::new());
         match attempt(core, ctx, body, tx.closed()).await {
             Attempt::Streaming(upstream) if resume.fits(&upstream.head) => {
-                debug!(request:% = ctx.id; "a download goes on elsewhere");
+                debug!(request:% = ctx.id; "a download is resumed from another endpoint");
                 return Some(*upstream);
             }
-            // Another version of the file, or none: the two parts wouldn't fit.
+            // Another version of the file, or none: it can't be joined to the first part.
             Attempt::Streaming(_) | Attempt::Whole(..) | Attempt::Abandoned => return None,
             Attempt::Refused(_) => {
-                // All were tried; the one that was lost first may be back.
+                // All were tried; the one that was lost first may be available again.
                 ctx.tried.clear();
                 tokio::time::sleep(RESUME_PAUSE).await;
             }
