--- a/crates/filberthead/src/entry/ledger/answer.rs
+++ b/crates/filberthead/src/entry/ledger/answer.rs
@@ -3,25 +3,25 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A whole answer: what a resend gets is this, byte for byte.
+/// A complete answer; a resend gets it byte for byte.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Answer {
     /// HTTP status.
     pub(crate) status: u16,
-    /// Header names and values in their order, without those of the hop.
+    /// Header names and values in their order, without those that apply to one hop.
     pub(crate) headers: Vec<(String, Bytes)>,
     /// The whole body.
     pub(crate) body: Bytes,
 }
 
 impl Answer {
-    /// Bytes to be stored.
+    /// Encodes the answer for storage.
     pub(crate) fn encode(&self) -> Result<Bytes, postcard::Error> {
         postcard::to_allocvec(self).map(Bytes::from)
     }
 
-    /// The answer in stored bytes.
+    /// Decodes a stored answer.
     pub(crate) fn decode(buf: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(buf)
     }
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -21,37 +21,37 @@
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
 
-/// Below a quarter of the ledger's heartbeat, and below the time after which it sends
-/// again what isn't acknowledged.
+/// Tick interval: below a quarter of the ledger's heartbeat, and below the time after which
+/// it resends unacknowledged messages.
 const TICK: Duration = Duration::from_millis(50);
-/// Commands taken in before messages and ticks get their turn.
+/// Maximum number of commands handled in a row before messages and ticks are checked.
 const MAX_BURST: usize = 64;
-/// When a refused caller may come back if the duty itself refuses.
+/// Retry-After of refusals that come from the duty and not from the ledger.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 pub(crate) struct LedgerDuty {
     /// This entry.
     pub(crate) me: MemberInfo,
-    /// Times and bounds.
+    /// Limits and durations of the ledger.
     pub(crate) cfg: Config,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// The live entries, and where control is.
+    /// The live entries, and the address of the control leader.
     pub(crate) cluster: ClusterReader,
-    /// Messages of other ledgers and of control.
+    /// Received messages of other entries' ledgers and of control.
     pub(crate) rx: Receiver<IncomingMessage>,
-    /// Messages out.
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
-    /// Whether this entry is on its planned stop.
+    /// Whether a planned stop has begun.
     pub(crate) leaving: watch::Receiver<bool>,
-    /// Set once a planned stop needs to wait for the ledger no more.
+    /// Set once a planned stop no longer needs to wait for the ledger.
     pub(crate) handed_over: watch::Sender<bool>,
-    /// The disk; nothing is written to it unless the settings name a data folder.
+    /// Rings to the journal's thread; unused without a data folder.
     pub(crate) journal: JournalSide,
-    /// Homes that a predecessor left on it.
+    /// Homes that an earlier process left in the data folder.
     pub(crate) recovered: Vec<Recovered>,
-    /// Requests.
+    /// Channels of the requests' handle.
     pub(crate) side: DutySide,
 }
 
@@ -60,7 +60,7 @@
     Duty::spawn("ledger", move || run(duty, stop))
 }
 
-/// A pass whose answer the ledger owes.
+/// A pass that the ledger hasn't answered yet.
 struct WaitingPass {
     admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
@@ -73,7 +73,7 @@
     out: Sender<Outgoing>,
     commands: Sender<Command>,
     journal: Sender<JournalWrite>,
-    /// Writes that found the disk's ring full.
+    /// Writes that didn't fit into the journal's ring, in order.
     unwritten: VecDeque<JournalWrite>,
     waiting: HashMap<Pass, WaitingPass>,
     next_pass: u64,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Sets a watched value; whether it is another one.
+/// Sets a watched value; returns whether it changed.
 fn update<T: PartialEq>(current: &mut T, new: T) -> bool {
     let changed = *current != new;
     *current = new;
@@ -223,7 +223,7 @@
         self.step(Event::Members(members));
     }
 
-    /// Takes back what nobody waits for any more.
+    /// Cancels the passes whose request no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
         let abandoned = |(pass, waiting): (&Pass, &WaitingPass)| {
             let closed = waiting.reply.is_closed();
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Whether a planned stop needs to wait no more.
+    /// Whether a planned stop no longer needs to wait for the ledger.
     fn is_handed_over(&self) -> bool {
         self.ledger.is_handed_over() && self.waiting.is_empty()
     }
@@ -266,7 +266,8 @@
                 retire,
             }),
             Action::Claim(claim) => {
-                // Unknown or wrong, the claim is repeated until its verdict has come.
+                // The leader may be unknown or outdated: a claim is resent until its
+                // verdict arrives.
                 if let Some(to) = self.cluster.control {
                     let body = Body::Ledger(Message::Claim(claim));
                     let _ = self.out.push(Outgoing { to, body });
@@ -280,12 +281,13 @@
         self.flush_unwritten();
     }
 
+    /// Passes queued writes to the journal until its ring is full.
     fn flush_unwritten(&mut self) {
         while let Some(write) = self.unwritten.pop_front() {
             match self.journal.push(write) {
                 Ok(()) => {}
                 Err(PushError::Full(write)) => return self.unwritten.push_front(write),
-                // The disk's duty has failed; the supervisor ends this process.
+                // The journal duty has failed; the supervisor ends this process.
                 Err(PushError::Closed(_)) => return,
             }
         }
@@ -294,14 +296,14 @@
     fn send(&self, to: &NodeName, message: Message) {
         if let Some(to) = self.cluster.peer_addr(to) {
             let body = Body::Ledger(message);
-            // A full ring drops the message; it is repeated until it is answered.
+            // A full ring drops the message; the ledger resends it until it is answered.
             let _ = self.out.push(Outgoing { to, body });
         }
     }
 
     fn reply_begun(&mut self, pass: Pass, begun: Begun) {
         let Some(waiting) = self.waiting.remove(&pass) else {
-            warn!(pass = pass.0; "an answer for a pass that doesn't wait");
+            warn!(pass = pass.0; "the ledger answered a pass that isn't waiting");
             return;
         };
         let reply = match begun {
@@ -313,10 +315,11 @@
             Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
             Begun::Forward { entry } => self.forward(entry),
         };
-        // Whoever asked may be gone; a grant that comes back ends as not run.
+        // The request may be gone; the grant is then dropped and ends as not run.
         let _ = waiting.reply.send(reply);
     }
 
+    /// The reply for a key whose home is `entry`; a refusal if that entry isn't live.
     fn forward(&self, entry: NodeName) -> Reply {
         let mut entries = self.cluster.entries.iter();
         match entries.find(|member| member.name == entry) {
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -1,9 +1,9 @@
-//! How the request path asks the ledger duty.
+//! The handle through which the request path uses the ledger duty.
 //!
-//! A [`Permit`] stands for the right to run a key once. Whatever happens to the task
-//! that holds it, the ledger learns of its end: a permit that is dropped, because the
-//! caller went away or the task panicked, ends as "outcome unknown". Only a permit that
-//! never reached its task ends as "not run".
+//! A [`Permit`] is the right to run a key once. Its end is always reported to the ledger,
+//! whatever happens to the task that holds it: a permit that is dropped, because the caller
+//! disconnected or the task panicked, ends as "outcome unknown". Only a permit that never
+//! reached its task ends as "not run".
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,25 +17,26 @@
 
 use super::Answer;
 
-/// Requests with a key that may be open at this entry at once, waiting ones included.
+/// Maximum number of open requests with a key at this entry, including those that wait for
+/// the ledger. Further ones are refused before the ledger is asked.
 ///
 /// Also the capacity of the ring: an open request has at most one command in it, so the
-/// ring is never full and no end of a request is ever lost. Further requests are refused
-/// before the ledger is asked.
+/// ring is never full and no end of a request is ever lost.
 const MAX_OPEN: usize = 4096;
 
-/// When a refused caller may come back.
+/// Retry-After of refusals without the ledger's decision.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the request path tells the ledger duty.
+/// A command of the request path for the ledger duty.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// A request asks for leave to run.
+    /// A request asks for permission to run.
     Begin(BeginCommand),
-    /// A permit has ended.
+    /// A started request has ended.
     End(EndCommand),
 }
 
+/// The arguments of [`LedgerHandle::begin`].
 #[derive(Debug)]
 pub(crate) struct BeginCommand {
     pub(super) key: Key,
@@ -43,27 +44,32 @@
     pub(super) deadline: Moment,
     pub(super) hops: u8,
     pub(super) failed: Option<NodeName>,
+    /// Counts the request towards [`MAX_OPEN`].
     pub(super) admission: OwnedSemaphorePermit,
     pub(super) reply: oneshot::Sender<Reply>,
 }
 
+/// The end of a started request.
 #[derive(Debug)]
 pub(crate) struct EndCommand {
     pub(super) pass: Pass,
     pub(super) end: End,
-    /// Given back once the duty has taken the end in.
+    /// Released once the duty has handled the command.
     _admission: OwnedSemaphorePermit,
 }
 
 /// How a started request ended.
 #[derive(Debug)]
 pub(crate) enum End {
+    /// It ran; its encoded answer, or `None` if that is too large to be stored.
     Finished(Option<bytes::Bytes>),
+    /// It may have run.
     Unknown,
+    /// It didn't run and never will; the code it was refused with.
     NotRun(ResultCode),
 }
 
-/// The duty's answer to a [`BeginCommand`].
+/// The duty's answer to a [`BeginCommand`]; becomes a [`Begin`].
 #[derive(Debug)]
 pub(crate) enum Reply {
     Start(Grant),
@@ -78,12 +84,13 @@
     },
 }
 
-/// A right to run on its way to the task that asked for it.
+/// A permit in transit to the task that asked for it. Dropped on the way, it ends as not run.
 #[derive(Debug)]
 pub(crate) struct Grant {
     right: Option<RunRight>,
 }
 
+/// The right to run a key once, as held by [`Grant`] and [`Permit`].
 #[derive(Debug)]
 struct RunRight {
     pass: Pass,
@@ -99,9 +106,9 @@
             _admission: self.admission,
         });
         if self.tx.push(command).is_err() {
-            // Not for lack of room; see `MAX_OPEN`. The record stays as started, which
-            // a resend is told as "may have run".
-            error!("the ledger duty has ended before a request did");
+            // The ring is closed, never full; see `MAX_OPEN`. The record stays "started",
+            // which a resend gets as "may have run".
+            error!("the ledger duty ended before a request did");
         }
     }
 }
@@ -126,7 +133,7 @@
 impl Drop for Grant {
     fn drop(&mut self) {
         if let Some(right) = self.right.take() {
-            // The task that asked is gone and never saw its permit.
+            // The task that asked is gone and never received its permit.
             right.end(End::NotRun(ResultCode::DeadlineBeforeRun));
         }
     }
@@ -139,8 +146,8 @@
 }
 
 impl Permit {
-    /// The endpoint gave its whole answer. An answer over the ledger's bound is known to
-    /// have run but isn't stored.
+    /// Records the endpoint's complete answer. An answer over the ledger's size limit is
+    /// recorded as run but isn't stored.
     pub(crate) fn finish(self, answer: &Answer) {
         match answer.encode() {
             Ok(buf) => self.end(End::Finished(Some(buf))),
@@ -151,18 +158,20 @@
         }
     }
 
-    /// The endpoint gave its whole answer, but it is too large to be collected.
+    /// Records that the endpoint answered completely, without storing the answer because it
+    /// is too large.
     pub(crate) fn finish_unstored(self) {
         self.end(End::Finished(None));
     }
 
-    /// A byte of the request may have reached an endpoint, and there is no whole answer.
+    /// Records that the request may have run: a byte of it may have reached an endpoint, and
+    /// there is no complete answer.
     pub(crate) fn unknown(self) {
         self.end(End::Unknown);
     }
 
-    /// No byte of the request reached an endpoint, and none will. `code` must be one
-    /// that means "not run"; the key never runs from here on.
+    /// Records that no byte of the request reached an endpoint, and none will. `code` must
+    /// be one that means "not run"; the key can't run any more.
     pub(crate) fn not_run(self, code: ResultCode) {
         self.end(End::NotRun(code));
     }
@@ -182,32 +191,33 @@
     }
 }
 
-/// Whether, and how, a request with a key goes on.
+/// The ledger's decision on a request with a key.
 #[derive(Debug)]
 pub(crate) enum Begin {
     /// It may run here, once.
     Start(Permit),
     /// It has run; this is its answer (result code 1001).
     Replay(Answer),
-    /// It doesn't go on. The code's meaning holds for every send of the key.
+    /// It is refused. The code's meaning holds for every send of the key.
     Refuse {
-        /// Why.
+        /// The reason.
         code: ResultCode,
-        /// When a resend may bring more.
+        /// Time after which a resend may get another result.
         retry_after: Duration,
     },
-    /// Another entry decides: send it there with one hop more. If no answer comes from
-    /// there, ask again with the hops unchanged and the entry's name as the failed one:
-    /// the home may have moved on. A second send is safe, the ledger knows the first.
+    /// Another entry decides: forward it there with one hop more. If no answer comes from
+    /// there, ask again with the hops unchanged and the entry's name as the failed one,
+    /// because the home may have moved. A second send is safe: the ledger has a record of
+    /// the first.
     Forward {
-        /// Its name.
+        /// Name of the entry.
         entry: NodeName,
-        /// Where it takes requests.
+        /// Address where it accepts requests.
         addr: SocketAddr,
     },
 }
 
-/// Gives requests access to the ledger duty; clones share it.
+/// Access to the ledger duty for requests; clones share the duty and the limit of requests.
 #[derive(Clone, Debug)]
 pub(crate) struct LedgerHandle {
     tx: Sender<Command>,
@@ -215,16 +225,16 @@
     prefix: watch::Receiver<Option<KeyPrefix>>,
 }
 
-/// What the duty keeps of a handle's channels.
+/// The duty's ends of a handle's channels.
 #[derive(Debug)]
 pub(crate) struct DutySide {
     pub(super) rx: Receiver<Command>,
-    /// Stands in each [`Grant`].
+    /// Cloned into each [`Grant`], to report its end.
     pub(super) tx: Sender<Command>,
     pub(super) prefix: watch::Sender<Option<KeyPrefix>>,
 }
 
-/// Makes a handle and the duty's side of it.
+/// Creates a handle and the duty's ends of its channels.
 pub(crate) fn handle() -> (LedgerHandle, DutySide) {
     let (tx, rx) = ring(MAX_OPEN);
     let (prefix_tx, prefix) = watch::channel(None);
@@ -242,7 +252,7 @@
 }
 
 impl LedgerHandle {
-    /// The prefix that look-ups hand out, or `None` while this entry takes no new keys.
+    /// The key prefix for look-ups, or `None` while this entry accepts no new keys.
     pub(crate) fn prefix(&self) -> Option<KeyPrefix> {
         self.prefix.borrow().clone()
     }
@@ -256,14 +266,14 @@
         self.prefix.changed().await
     }
 
-    /// Asks for leave to run a request.
+    /// Asks for permission to run a request.
     ///
     /// `key` is the header's text, `digest` identifies service, method, path, query and
-    /// body, `hops` is how many entries have passed the request on before, `failed` the
-    /// entry that an earlier [`Begin::Forward`] named, if it gave no answer. Must come
-    /// before any other refusal of a request with a key: only the ledger can say that
-    /// no earlier send of it ran. A request that is refused for another reason before
-    /// this call gets [`ResultCode::KeyNotChecked`].
+    /// body, `hops` is the number of entries that have forwarded the request before, `failed`
+    /// the entry named by an earlier [`Begin::Forward`], if it gave no answer. Must be called
+    /// before any other refusal of a request with a key: only the ledger can exclude that an
+    /// earlier send ran. A request that is refused for another reason before this call gets
+    /// [`ResultCode::KeyNotChecked`].
     pub(crate) async fn begin(
         &self,
         key: &str,
@@ -291,7 +301,7 @@
         if self.tx.push(Command::Begin(command)).is_err() {
             return refuse(ResultCode::KeyNotChecked);
         }
-        // An error means that the duty has ended with the question in hand.
+        // An error means that the duty has ended without a reply.
         answer
             .await
             .map_or_else(|_| refuse(ResultCode::KeyNotChecked), Begin::from)
--- a/crates/filberthead/src/entry/ledger/journal.rs
+++ b/crates/filberthead/src/entry/ledger/journal.rs
@@ -1,14 +1,14 @@
-//! Journals of homes in the data folder, and the thread that waits for the disk.
+//! Journals of homes in the data folder, and the thread that writes and syncs them.
 //!
-//! A file a home: frames of a length, a checksum and encoded steps; the first frame names
-//! the home. Invariants:
+//! One file for each home: a sequence of frames, each a length, a checksum and encoded
+//! steps; the first frame holds the home's id. Invariants:
 //!
-//! - a step is reported as synced only after its file, and the folder that names the file,
-//!   are synced; after any failure the duty ends, and with it the process, since nobody
-//!   knows what a disk holds after a failed sync;
-//! - one process uses the folder: a home must not be taken up twice;
+//! - a step is reported as synced only after its file and the folder with the file's entry
+//!   are synced; after any failure the duty ends, and with it the process, since the
+//!   content of a disk is undefined after a failed sync;
+//! - only one process uses the folder: a home must not be recovered twice;
 //! - only the last frame of a file may be torn, by a crash before its sync. Damage before
-//!   that makes the home lost, for a start may be missing.
+//!   that makes the home lost, because the record of a start may be missing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -26,28 +26,28 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
-/// Writes that wait for the disk. When full the ledger duty keeps further ones, of which
-/// there is at most one for each open request; none starts meanwhile.
+/// Capacity of the ring of writes for the disk. When it is full the ledger duty queues
+/// further ones, at most one for each open request; no request starts meanwhile.
 const WRITE_CAPACITY: usize = 1024;
-/// Writes that share one sync.
+/// Maximum number of writes that share one sync.
 const MAX_BATCH: usize = 64;
-/// Pause before a report is offered again to a ledger duty that is behind.
+/// Pause before a report is pushed again if the ledger duty's ring is full.
 const REPORT_PAUSE: Duration = Duration::from_millis(1);
 const HEADER_LEN: usize = 8;
 const FOLDER: &str = "ledger";
 const LOCK: &str = "ledger.lock";
 const TEMPORARY: &str = "new";
 
-/// Why the journals can't be used.
+/// An error of opening, reading or writing the journals.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum JournalError {
-    /// A file or folder can't be used.
+    /// An operation on a file or folder failed.
     #[snafu(display("can't use {}", path.display()))]
     File {
         /// Its path.
         path: PathBuf,
-        /// The system's word.
+        /// The operating system's error.
         source: io::Error,
     },
     /// Another process uses the data folder.
@@ -56,37 +56,44 @@
         /// The lock file.
         path: PathBuf,
     },
-    /// A step can't be encoded.
+    /// Encoding a home's id or steps failed.
     #[snafu(display("a journal's step can't be encoded"))]
     Encode {
-        /// The codec's word.
+        /// The codec's error.
         source: postcard::Error,
     },
 }
 
-/// Steps to be synced, in order.
+/// A write to a home's journal.
 #[derive(Debug)]
 pub(crate) struct JournalWrite {
+    /// The home whose file is written.
     pub(crate) home: HomeId,
+    /// Number of the write, by which it is reported as synced.
     pub(crate) number: u64,
+    /// The steps to append, in order.
     pub(crate) ops: Vec<Op>,
-    /// They replace the file's content.
+    /// Whether the steps replace the file's content instead.
     pub(crate) rewrite: bool,
-    /// The file is to be removed instead.
+    /// Whether the file is removed instead.
     pub(crate) retire: bool,
 }
 
-/// The write of this home and number, and all before it, are synced.
+/// Reports that this write of the home, and all before it, are synced.
 #[derive(Debug)]
 pub(crate) struct JournalSynced {
+    /// The home whose file was written.
     pub(crate) home: HomeId,
+    /// Number of the write.
     pub(crate) number: u64,
 }
 
-/// A home found in the folder.
+/// A home read from the folder at start.
 #[derive(Debug)]
 pub(crate) struct Recovered {
+    /// The home's id.
     pub(crate) home: HomeId,
+    /// All steps of its journal, in order.
     pub(crate) ops: Vec<Op>,
 }
 
@@ -97,14 +104,14 @@
     pub(crate) rx: Receiver<JournalSynced>,
 }
 
-/// The disk's ends.
+/// The journal duty's ends of the rings.
 #[derive(Debug)]
 pub(crate) struct DiskSide {
     rx: Receiver<JournalWrite>,
     tx: Sender<JournalSynced>,
 }
 
-/// Makes the rings between ledger and disk.
+/// Creates the rings between the ledger duty and the journal duty.
 pub(crate) fn journal_rings() -> (JournalSide, DiskSide) {
     let (write_tx, write_rx) = ring(WRITE_CAPACITY);
     let (synced_tx, synced_rx) = ring(WRITE_CAPACITY);
@@ -119,17 +126,17 @@
     (journal, disk)
 }
 
-/// The folder of journals.
+/// The folder of journals and its open files.
 #[derive(Debug)]
 pub(crate) struct Journals {
     folder: PathBuf,
     files: BTreeMap<HomeId, File>,
-    /// Held for as long as this process runs.
+    /// The locked file; the lock is held as long as this process runs.
     _lock: File,
 }
 
 impl Journals {
-    /// Opens the folder under `data`, and reads what predecessors left there.
+    /// Opens the folder in `data` and reads the homes that earlier processes left there.
     pub(crate) fn open(data: &Path) -> Result<(Self, Vec<Recovered>), JournalError> {
         let folder = data.join(FOLDER);
         std::fs::create_dir_all(&folder).context(FileSnafu { path: &folder })?;
@@ -152,7 +159,7 @@
             if path.extension().is_some_and(|e| e == TEMPORARY) {
                 std::fs::remove_file(&path).context(FileSnafu { path: &path })?;
             } else if let Some(found) = self.read(&path)? {
-                info!(home:% = found.home, steps = found.ops.len(); "a home is taken up again");
+                info!(home:% = found.home, steps = found.ops.len(); "a home was recovered from its journal");
                 recovered.push(found);
             }
         }
@@ -180,12 +187,13 @@
         }))
     }
 
+    /// Path of a home's file.
     fn path(&self, home: &HomeId) -> PathBuf {
         let name = format!("{:016x}-{:x}", home.founder.0, home.serial);
         self.folder.join(name)
     }
 
-    /// Writes a batch and syncs each file once.
+    /// Performs a batch of writes and syncs each changed file once.
     pub(crate) fn write(&mut self, batch: &[JournalWrite]) -> Result<(), JournalError> {
         let mut appended = BTreeSet::new();
         for write in batch {
@@ -211,7 +219,7 @@
         Ok(())
     }
 
-    /// Writes a whole file beside the old one and puts it in its place.
+    /// Writes a new file next to the old one and renames it over the old one.
     fn replace(&mut self, home: &HomeId, ops: &[Op]) -> Result<(), JournalError> {
         let path = self.path(home);
         let temporary = path.with_extension(TEMPORARY);
@@ -255,12 +263,13 @@
     }
 }
 
-/// A file that was made, renamed or removed is so for good once its folder is synced.
+/// Syncs a folder, which makes the creation, renaming or removal of its files durable.
 fn sync_folder(path: &Path) -> Result<(), JournalError> {
     let folder = File::open(path).context(FileSnafu { path })?;
     folder.sync_all().context(FileSnafu { path })
 }
 
+/// Encodes a value as a frame: length, checksum, payload.
 fn frame(value: &impl Serialize) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_allocvec(value).context(EncodeSnafu)?;
     let len = u32::try_from(payload.len()).unwrap_or(u32::MAX);
@@ -271,15 +280,15 @@
     Ok(buf)
 }
 
-/// What a file holds.
+/// The content of a journal file.
 struct Parsed {
     home: HomeId,
     ops: Vec<Op>,
-    /// Bytes up to the end of the last whole frame.
+    /// Offset of the end of the last complete frame.
     len: usize,
 }
 
-/// Reads a file; `None` if it is damaged elsewhere than at its end.
+/// Parses a file; `None` if it is damaged elsewhere than in its last frame.
 fn parse(buf: &[u8]) -> Option<Parsed> {
     let (home, mut len) = read_frame(buf, 0)?;
     let mut ops: Vec<Op> = Vec::new();
@@ -292,6 +301,7 @@
     (!frame_follows).then_some(Parsed { home, ops, len })
 }
 
+/// Decodes the frame at offset `at`; returns its value and the offset of its end.
 fn read_frame<T: DeserializeOwned>(buf: &[u8], at: usize) -> Option<(T, usize)> {
     let (payload, end) = payload(buf, at)?;
     Some((postcard::from_bytes(payload).ok()?, end))
@@ -301,6 +311,8 @@
     payload(buf, at).is_some_and(|(payload, _)| !payload.is_empty())
 }
 
+/// Payload of the frame at offset `at`, and the offset of its end; `None` if the frame is
+/// incomplete or its checksum is wrong.
 fn payload(buf: &[u8], at: usize) -> Option<(&[u8], usize)> {
     let header = buf.get(at..at + HEADER_LEN)?;
     let (len, checksum) = header.split_at(4);
@@ -311,7 +323,7 @@
     (crc32fast::hash(payload) == checksum).then_some((payload, start + len))
 }
 
-/// Starts the duty that waits for the disk.
+/// Starts the journal duty.
 pub(crate) fn spawn(journals: Journals, side: DiskSide, stop: Stop) -> Result<Duty, DutyError> {
     Duty::spawn("journal", move || run(journals, side, stop))
 }
@@ -341,6 +353,7 @@
     }
 }
 
+/// Reports a batch as synced to the ledger duty.
 async fn report(tx: &Sender<JournalSynced>, batch: Vec<JournalWrite>) {
     for write in batch {
         let mut synced = JournalSynced {
--- a/crates/filberthead/src/entry/ledger/mod.rs
+++ b/crates/filberthead/src/entry/ledger/mod.rs
@@ -1,20 +1,20 @@
-//! The ledger duty of an entry, and the handle by which requests use it.
+//! The ledger duty of an entry, and the handle through which requests use it.
 //!
-//! What the request path has to know:
+//! Contract of the request path:
 //!
-//! - Any method but a safe one needs a key, and every key begins with a prefix that a
-//!   look-up handed out ([`LedgerHandle::prefix`]). Answers of requests may carry the
-//!   prefix as well, so that callers with an old one get a new one without a look-up.
-//! - [`LedgerHandle::begin`] comes first: before limits, queues and the choice of an
-//!   endpoint, and before any refusal. "Not run" is a promise about every send of the
+//! - Every method but a safe one needs a key, and every key begins with a prefix returned
+//!   by a look-up ([`LedgerHandle::prefix`]). Answers to requests may carry the prefix, too,
+//!   so that callers with an old one get a new one without a look-up.
+//! - [`LedgerHandle::begin`] comes first: before limits, queues and the selection of an
+//!   endpoint, and before any refusal. "Not run" is a guarantee about every send of the
 //!   key; an entry that hasn't asked the ledger can't give it and refuses with
 //!   `KeyNotChecked` instead.
 //! - A request that started here may be placed with an entry that owns an endpoint. It
-//!   must carry a mark, trusted from entries only, that its home has started it; that
-//!   entry doesn't ask its own ledger again.
-//! - With [`Begin::Start`] the request runs at most once: after the first byte went to
-//!   an endpoint there is no retry. Refusals up to then end with [`Permit::not_run`]; the
-//!   caller needs a new key afterwards.
+//!   must carry a header, trusted from entries only, which states that its home has started
+//!   it; that entry doesn't ask its own ledger again.
+//! - With [`Begin::Start`] the request runs at most once: after its first byte was sent to
+//!   an endpoint there is no retry. A refusal before that ends with [`Permit::not_run`];
+//!   the caller then needs a new key.
 
 mod answer;
 mod duty;
