--- a/crates/filberthead/src/entry/forward/context.rs
+++ b/crates/filberthead/src/entry/forward/context.rs
@@ -94,8 +94,8 @@
         self.may_have_run = true;
         if self.takeover.is_none() {
             let cluster = core.cluster.borrow();
-            let place = self.tried.last();
-            self.takeover = place.and_then(|place| Takeover::after_loss(place, &cluster));
+            let target = self.tried.last();
+            self.takeover = target.and_then(|target| Takeover::after_loss(target, &cluster));
         }
     }
 
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -156,8 +156,8 @@
         };
         let attempt = attempt(core, ctx, body, caller_gone).await;
         match next(core, ctx, attempt, body_copy, &mut fallback) {
-            Next::Retry(unsent) => body = unsent,
-            Next::RetryAfterTakeover(unsent) => {
+            Next::Retry(retry_body) => body = retry_body,
+            Next::RetryAfterTakeover(retry_body) => {
                 if !std::mem::replace(&mut wait_logged, true) {
                     info!(request:% = ctx.id; "waits for the next owner of its endpoints");
                 }
@@ -168,7 +168,7 @@
                 // By now an entry that refused it may have taken over the endpoints, and
                 // the one that was lost may have restarted.
                 ctx.tried.clear();
-                body = unsent;
+                body = retry_body;
             }
             Next::Done(outcome) => return outcome,
         }
--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -72,8 +72,8 @@
     }
 
     fn set_slots(&mut self, usage: &ServiceUsage) {
-        let remaining = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
-        let slots = remaining.map(|endpoint| endpoint.slots).sum();
+        let active = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
+        let slots = active.map(|endpoint| endpoint.slots).sum();
         let busy = usage
             .endpoints
             .iter()
@@ -115,11 +115,11 @@
         let present: Vec<_> = endpoints.map(|endpoint| &endpoint.name).collect();
         let (metrics, region) = (&self.metrics, &self.region);
         self.drains.retain(|name, drain| {
-            let present_now = present.contains(&name);
-            if !present_now {
+            let is_present = present.contains(&name);
+            if !is_present {
                 drain.end(now, metrics, region);
             }
-            present_now
+            is_present
         });
     }
 }
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -373,8 +373,8 @@
 
 fn steering(cfg: &EntrySettings, clock: Clock, incarnation: Incarnation) -> Box<dyn Steering> {
     let node = cfg.node.clone();
-    let place = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
-    let policy = place
+    let config = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
+    let policy = config
         .incarnation(incarnation)
         // A failure domain that is cut off and has lost an entry keeps serving; the
         // consequences are documented on the setting.
