--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -24,7 +24,9 @@
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
+/// Interval of steering's ticks.
 const TICK: Duration = Duration::from_millis(50);
+/// How often the platform's list is fetched.
 const PLATFORM_PERIOD: Duration = Duration::from_secs(1);
 /// How often the answers to look-ups are rebuilt, besides on each change, so that they
 /// follow steering's measurements.
@@ -173,6 +175,7 @@
         rx
     }
 
+    /// Adds the VMs of a new list, and removes those that were missing for too long.
     fn apply_list(&mut self, list: Vec<Vm>) {
         let now = Instant::now();
         for vm in list {
@@ -188,6 +191,7 @@
         self.core.report_connections(&self.addresses);
     }
 
+    /// Passes the endpoints and the leaving VMs to steering, and rebuilds the look-ups.
     fn endpoints_changed(&mut self) {
         let leaving = self.leaving().into_iter().collect();
         let endpoints = self.endpoints();
@@ -200,6 +204,7 @@
         self.publish();
     }
 
+    /// Passes table and entries to steering, and rebuilds the look-ups.
     fn cluster_changed(&self) {
         let cluster = Arc::clone(&self.core.cluster.borrow());
         // Version 0 is a process's initial, empty table, not one from operators: steering
@@ -215,6 +220,7 @@
         self.publish();
     }
 
+    /// Names of the VMs that the platform's list shows as leaving.
     fn leaving(&self) -> BTreeSet<NodeName> {
         self.listed
             .values()
@@ -291,6 +297,7 @@
     }
 }
 
+/// Converts a VM for steering; `None` unless it is an endpoint with a service.
 fn endpoint_info(vm: &Vm) -> Option<EndpointInfo> {
     if vm.kind != Kind::Endpoint {
         return None;
@@ -306,6 +313,7 @@
     })
 }
 
+/// Fetches the platform's list periodically until the receiver is dropped.
 async fn fetch(poller: Poller, tx: tokio::sync::mpsc::Sender<Vec<Vm>>) {
     let mut period = tokio::time::interval(PLATFORM_PERIOD);
     period.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -62,7 +62,7 @@
     pub(crate) body: Incoming,
     /// The connection that it is read from.
     pub(crate) connection: Connection,
-    /// The slot that it occupies; `None` if the request was passed on to its key's home.
+    /// The slot that it occupies; `None` if the request was forwarded to its key's home.
     pub(crate) slot: Option<Slot>,
 }
 
@@ -135,7 +135,7 @@
 enum Blocked {
     /// It is quarantined.
     Refused(Refusal),
-    /// It may only be sent to this entry.
+    /// It may be sent only to this other entry.
     Elsewhere(Target),
 }
 
@@ -162,6 +162,7 @@
     Refusal::new(ResultCode::Quarantined).retry_after(retry_after)
 }
 
+/// Sends the request to its target and receives the answer.
 async fn send(
     core: &Rc<Core>,
     ctx: &RequestContext,
@@ -201,6 +202,7 @@
     }
 }
 
+/// Reads an answer, completely if it is small enough.
 async fn receive(ctx: &RequestContext, target: &Target, answer: Answer, slot: Slot) -> Attempt {
     let (mut head, body) = answer.response.into_parts();
     match execution_claim(target, &head) {
--- a/crates/filberthead/src/entry/forward/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -133,6 +133,7 @@
     core: Rc<Core>,
     id: RequestId,
     placed_at: Instant,
+    /// Time from placement to the head of the answer; `None` before that.
     first_byte: Option<Duration>,
     /// The run at an endpoint; `None` if the target is an entry.
     run: Option<EndpointRun>,
@@ -169,6 +170,7 @@
         }
     }
 
+    /// Drops the slot without a report to steering, which holds none for it.
     fn disarm(mut self) {
         self.kind = None;
     }
@@ -318,6 +320,7 @@
         slot
     }
 
+    /// Waits for steering's decision on a queued attempt, at most until its deadline.
     async fn wait_in_queue(
         &self,
         info: &RequestInfo,
@@ -395,6 +398,7 @@
         }
     }
 
+    /// Performs a health check and reports its result to steering and the crash tracker.
     async fn probe(self: Rc<Self>, info: Arc<EndpointInfo>) {
         let asked = self.clock.now();
         let endpoint = info.name.clone();
@@ -439,6 +443,7 @@
     TimedOut,
 }
 
+/// Converts steering's decision; `slot` is kept only if there is a target.
 fn to_placement(decision: Decision, slot: Slot) -> Placement {
     let target = match decision {
         Decision::Endpoint(endpoint) => Target::Endpoint(endpoint.name.clone(), endpoint.addr),
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -120,6 +120,7 @@
     }
 }
 
+/// Asks the ledger first if the request has a key; otherwise makes attempts at once.
 async fn run(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -135,6 +136,7 @@
     }
 }
 
+/// Makes attempts until one of them decides the outcome.
 async fn run_attempts(
     core: &Rc<Core>,
     ctx: &mut RequestContext,
@@ -192,6 +194,8 @@
     Outcome::Refused(Refusal::new(code))
 }
 
+/// The step after `attempt`. `body_copy` is the body for a retry, if it can be sent again;
+/// `fallback` is the answer of an endpoint that shed load, for when no other has capacity.
 fn next(
     core: &Core,
     ctx: &mut RequestContext,
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -66,6 +66,7 @@
     reply: oneshot::Sender<Reply>,
 }
 
+/// State of the duty's thread.
 struct State {
     ledger: Ledger,
     clock: Clock,
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -322,6 +322,7 @@
     }
 }
 
+/// A refusal without the ledger's decision.
 fn refuse(code: ResultCode) -> Begin {
     Begin::Refuse {
         code,
--- a/crates/filberthead/src/entry/ledger/journal.rs
+++ b/crates/filberthead/src/entry/ledger/journal.rs
@@ -33,9 +33,11 @@
 const MAX_BATCH: usize = 64;
 /// Pause before a report is pushed again if the ledger duty's ring is full.
 const REPORT_PAUSE: Duration = Duration::from_millis(1);
+/// Bytes of a frame's length and checksum.
 const HEADER_LEN: usize = 8;
 const FOLDER: &str = "ledger";
 const LOCK: &str = "ledger.lock";
+/// Extension of a file that hasn't replaced the old one yet.
 const TEMPORARY: &str = "new";
 
 /// An error of opening, reading or writing the journals.
@@ -159,13 +161,14 @@
             if path.extension().is_some_and(|e| e == TEMPORARY) {
                 std::fs::remove_file(&path).context(FileSnafu { path: &path })?;
             } else if let Some(found) = self.read(&path)? {
-                info!(home:% = found.home, steps = found.ops.len(); "a home was recovered from its journal");
+                info!(home:% = found.home, steps = found.ops.len(); "recovered a home");
                 recovered.push(found);
             }
         }
         Ok(recovered)
     }
 
+    /// Reads a home's file and cuts off a torn last frame; `None` if the file is damaged.
     fn read(&mut self, path: &Path) -> Result<Option<Recovered>, JournalError> {
         let buf = std::fs::read(path).context(FileSnafu { path })?;
         let Some(parsed) = parse(&buf) else {
@@ -307,6 +310,7 @@
     Some((postcard::from_bytes(payload).ok()?, end))
 }
 
+/// Whether a frame with a payload begins at offset `at`.
 fn is_frame(buf: &[u8], at: usize) -> bool {
     payload(buf, at).is_some_and(|(payload, _)| !payload.is_empty())
 }
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -125,6 +125,7 @@
 struct Opened {
     cfg: Arc<EntrySettings>,
     clock: Clock,
+    /// This entry, as announced to the other processes.
     me: MemberInfo,
     callers: TcpListener,
     status: TcpListener,
@@ -190,6 +191,7 @@
     log::info!("settings are not reloaded; changes apply after a restart");
 }
 
+/// Binds all listeners and opens the data folder.
 fn open(cfg: EntrySettings) -> Result<Opened, EntryError> {
     let (dispatcher, mailboxes) = dispatcher();
     let cluster = cluster_id(&cfg.cluster);
@@ -226,6 +228,7 @@
     Ok(listener)
 }
 
+/// The address that a listener is bound to.
 fn local_addr(listener: &TcpListener) -> Result<SocketAddr, EntryError> {
     let addr = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().context(ListenSnafu { addr })
@@ -243,6 +246,7 @@
     }
 }
 
+/// Connects the duties and starts their threads.
 fn start(opened: Opened, channels: &Channels, stop: &Stop) -> Result<Vec<Duty>, DutyError> {
     let Opened {
         cfg,
@@ -371,6 +375,7 @@
         .build()
 }
 
+/// Creates the policy that selects targets.
 fn steering(cfg: &EntrySettings, clock: Clock, incarnation: Incarnation) -> Box<dyn Steering> {
     let node = cfg.node.clone();
     let config = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
--- a/crates/filberthead/src/entry/samples.rs
+++ b/crates/filberthead/src/entry/samples.rs
@@ -54,7 +54,8 @@
     Duty::spawn("samples", move || duty.run(relay, stop))
 }
 
-/// State of the relay; used only while this entry is the relay.
+/// Collects and reports the counts of a failure domain's entries, while this entry is its
+/// relay.
 struct Relay {
     collector: Collector,
     reporter: Reporter,
@@ -131,6 +132,7 @@
         (relay.name != self.me.name).then_some(relay.peer_addr)
     }
 
+    /// Peer addresses of all known control replicas, without duplicates.
     fn controls(&self) -> Vec<SocketAddr> {
         let mut addrs = self.replicas.clone();
         addrs.extend(self.cluster.borrow().control);
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -26,6 +26,7 @@
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
 
+/// Interval of the node's ticks.
 const TICK: Duration = Duration::from_millis(100);
 
 /// Inputs and outputs of the duty.
@@ -54,6 +55,7 @@
     Duty::spawn("state", move || State::new(duty).run(stop))
 }
 
+/// State of the duty's thread.
 struct State {
     node: Node,
     watermark: Watermark,
