--- a/crates/filberthead/src/entry/forward/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -25,7 +25,7 @@
 use super::context::{Reply, RequestContext};
 use super::core::{Core, Target};
 use super::{Outcome, refused};
-use crate::entry::ledger::{Answer, Begin, Permit};
+use crate::entry::ledger::{Answer, LedgerDecision, Permit};
 
 /// Maximum number of forwards, one after the other, before the request is refused with
 /// `HomeUnreachable`.
@@ -47,17 +47,17 @@
     let mut failed = None;
     for _ in 0..MAX_FORWARDS {
         let deadline = core.clock.now() + ctx.remaining_time();
-        let begin = core
+        let decision = core
             .ledger
             .begin(key, digest, deadline, ctx.hops, failed.take())
             .await;
-        match begin {
-            Begin::Start(permit) => return start(core, ctx, body, permit, reply).await,
-            Begin::Replay(answer) => return replay(ctx, answer),
-            Begin::Refuse { code, retry_after } => {
+        match decision {
+            LedgerDecision::Start(permit) => return start(core, ctx, body, permit, reply).await,
+            LedgerDecision::Replay(answer) => return replay(ctx, answer),
+            LedgerDecision::Refuse { code, retry_after } => {
                 return Outcome::Refused(Refusal::new(code).retry_after(retry_after));
             }
-            Begin::Forward { entry, addr } => {
+            LedgerDecision::Forward { entry, addr } => {
                 match forward(core, ctx, &entry, addr, body.again()).await {
                     Some(outcome) => return outcome,
                     None => failed = Some(entry),
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -69,7 +69,7 @@
     NotRun(ResultCode),
 }
 
-/// The duty's answer to a [`BeginCommand`]; becomes a [`Begin`].
+/// The duty's answer to a [`BeginCommand`]; becomes a [`LedgerDecision`].
 #[derive(Debug)]
 pub(crate) enum Reply {
     Start(Grant),
@@ -193,7 +193,7 @@
 
 /// The ledger's decision on a request with a key.
 #[derive(Debug)]
-pub(crate) enum Begin {
+pub(crate) enum LedgerDecision {
     /// It may run here, once.
     Start(Permit),
     /// It has run; this is its answer (result code 1001).
@@ -270,10 +270,10 @@
     ///
     /// `key` is the header's text, `digest` identifies service, method, path, query and
     /// body, `hops` is the number of entries that have forwarded the request before, `failed`
-    /// the entry named by an earlier [`Begin::Forward`], if it gave no answer. Must be called
-    /// before any other refusal of a request with a key: only the ledger can exclude that an
-    /// earlier send ran. A request that is refused for another reason before this call gets
-    /// [`ResultCode::KeyNotChecked`].
+    /// the entry named by an earlier [`LedgerDecision::Forward`], if it gave no answer. Must
+    /// be called before any other refusal of a request with a key: only the ledger can exclude
+    /// that an earlier send ran. A request that is refused for another reason before this call
+    /// gets [`ResultCode::KeyNotChecked`].
     pub(crate) async fn begin(
         &self,
         key: &str,
@@ -281,7 +281,7 @@
         deadline: Moment,
         hops: u8,
         failed: Option<NodeName>,
-    ) -> Begin {
+    ) -> LedgerDecision {
         let Ok(key) = key.parse() else {
             return refuse(ResultCode::KeyWithoutHome);
         };
@@ -304,11 +304,11 @@
         // An error means that the duty has ended without a reply.
         answer
             .await
-            .map_or_else(|_| refuse(ResultCode::KeyNotChecked), Begin::from)
+            .map_or_else(|_| refuse(ResultCode::KeyNotChecked), LedgerDecision::from)
     }
 }
 
-impl From<Reply> for Begin {
+impl From<Reply> for LedgerDecision {
     fn from(reply: Reply) -> Self {
         match reply {
             Reply::Start(grant) => grant
@@ -323,8 +323,8 @@
 }
 
 /// A refusal without the ledger's decision.
-fn refuse(code: ResultCode) -> Begin {
-    Begin::Refuse {
+fn refuse(code: ResultCode) -> LedgerDecision {
+    LedgerDecision::Refuse {
         code,
         retry_after: RETRY_AFTER,
     }
--- a/crates/filberthead/src/entry/ledger/mod.rs
+++ b/crates/filberthead/src/entry/ledger/mod.rs
@@ -12,9 +12,9 @@
 //! - A request that started here may be placed with an entry that owns an endpoint. It
 //!   must carry a header, trusted from entries only, which states that its home has started
 //!   it; that entry doesn't ask its own ledger again.
-//! - With [`Begin::Start`] the request runs at most once: after its first byte was sent to
-//!   an endpoint there is no retry. A refusal before that ends with [`Permit::not_run`];
-//!   the caller then needs a new key.
+//! - With [`LedgerDecision::Start`] the request runs at most once: after its first byte was
+//!   sent to an endpoint there is no retry. A refusal before that ends with
+//!   [`Permit::not_run`]; the caller then needs a new key.
 
 mod answer;
 mod duty;
@@ -23,6 +23,6 @@
 
 pub(crate) use answer::Answer;
 pub(crate) use duty::{LedgerDuty, spawn};
-pub(crate) use handle::{Begin, LedgerHandle, Permit, handle};
+pub(crate) use handle::{LedgerDecision, LedgerHandle, Permit, handle};
 pub use journal::JournalError;
 pub(crate) use journal::{Journals, Recovered, journal_rings, spawn as spawn_journal};
