--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -2,8 +2,8 @@
 
 use filberthead_types::{Incarnation, Moment, NodeName};
 
-use crate::holder::Cx;
 use crate::home::{Home, Role};
+use crate::primary::Cx;
 use crate::{Action, Claim, ConfigNumber, Member, Message, Op};
 
 /// State of a backup besides the records.
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::backup::Backup;
-use crate::holder::Holder;
+use crate::primary::Holder;
 use crate::{ConfigNumber, Digest, Generation, KeyRecord, Marks, Op, Pass, Stage};
 use filberthead_types::{Incarnation, Moment};
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
 
-use crate::holder::{Cx, Holder, refuse};
 use crate::home::{Home, Role, Usage};
 use crate::outcome::Outcomes;
-use crate::passes::Passes;
+use crate::primary::{Cx, Holder, refuse};
+use crate::requests::Passes;
 use crate::route::Parked;
 use crate::{
     Action, Begun, Config, ConfigNumber, Digest, Event, HomeId, Key, KeyPrefix, Member, Op, Pass,
@@ -150,7 +150,7 @@
     /// Whether a planned stop may go on: nothing runs here and every home that another
     /// entry can hold is held there.
     pub fn is_handed_over(&self) -> bool {
-        let alone = |holder: &Holder| matches!(holder.pair, crate::holder::Pair::Alone);
+        let alone = |holder: &Holder| matches!(holder.pair, crate::primary::Pair::Alone);
         let homes_done = self.homes.values().all(|home| match &home.role {
             Role::Holder(holder) => alone(holder) && self.candidate().is_none(),
             Role::Backup(_) => false,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -20,26 +20,26 @@
 
 mod api;
 mod backup;
+mod claim_results;
 mod config;
-mod holder;
 mod home;
 mod journal;
 mod key;
 mod ledger;
 mod log;
 mod outcome;
-mod passes;
+mod primary;
 pub mod quarantine;
 mod receive;
 mod record;
+mod requests;
 mod route;
 mod tick;
-mod verdicts;
 
 pub use api::{Action, Begun, Claim, ConfigNumber, Digest, Event, Member, Message, Pass, Verdict};
+pub use claim_results::{KEPT_VERDICTS, Verdicts};
 pub use config::{Config, ConfigBuilder, Guards};
 pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_REST_LEN, ParseKeyError};
 pub use ledger::Ledger;
 pub use record::{KeyRecord, Marks, Op, Stage};
 pub use route::MAX_HOPS;
-pub use verdicts::{KEPT_VERDICTS, Verdicts};
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -8,7 +8,7 @@
 
 use filberthead_types::{Moment, NodeName};
 
-use crate::passes::PassKey;
+use crate::requests::PassKey;
 use crate::{Action, Generation, HomeId, KeyRecord, Ledger, Message, Stage};
 
 /// Outcomes that the new holder hasn't confirmed; at most one for each pass that ran.
--- a/crates/ledger/src/holder/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -4,7 +4,7 @@
 
 use super::{Cx, Holder, Need, Wait, refuse, replay};
 use crate::home::{Home, Record};
-use crate::passes::PassKey;
+use crate::requests::PassKey;
 use crate::{Begun, Digest, Generation, Key, KeyRecord, Op, Pass, Stage};
 
 impl Home {
--- a/crates/ledger/src/holder/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -10,10 +10,10 @@
 //!   that lost its config without knowing gets no acknowledgement, so it starts nothing.
 //! - A key told "not run" is closed on record, or belongs to a period closed on record.
 
-mod copies;
+mod failover;
+mod generations;
 mod keys;
-mod members;
-mod periods;
+mod replication;
 
 use std::collections::VecDeque;
 
@@ -22,7 +22,7 @@
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::log::{Copying, Log};
-use crate::passes::Passes;
+use crate::requests::Passes;
 use crate::{Action, Begun, Config, Generation, HomeId, Member, Message, Op, Pass, Stage};
 
 /// What a holder's decisions need besides the home.
--- a/crates/ledger/src/quarantine/mod.rs
+++ b/crates/ledger/src/quarantine/mod.rs
@@ -17,7 +17,7 @@
 //! kept in tables with bounds; a fingerprint that falls out of them may run again.
 
 mod api;
-mod suspect;
+mod history;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 pub use self::api::{
     Action, Check, Config, ConfigBuilder, Event, Fingerprint, LossId, Message, RunEnd, RunId,
 };
-use self::suspect::{Loss, Suspect};
+use self::history::{Loss, Suspect};
 
 /// Losses of endpoints within this time count as one event.
 const SAME_TIME: Duration = Duration::from_secs(2);
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -3,8 +3,8 @@
 use filberthead_types::{Incarnation, Moment, NodeName};
 
 use crate::backup::{Append, Backup};
-use crate::holder::Holder;
 use crate::home::{Home, Role};
+use crate::primary::Holder;
 use crate::{ConfigNumber, HomeId, Ledger, Member, Message, Verdict};
 
 impl Ledger {
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -3,9 +3,9 @@
 use filberthead_types::{Incarnation, Moment, NodeName, ResultCode};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::holder::{refuse, replay};
 use crate::home::Role;
 use crate::ledger::Peer;
+use crate::primary::{refuse, replay};
 use crate::{Begun, ConfigNumber, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Pass};
 
 /// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -2,10 +2,10 @@
 
 use filberthead_types::{Moment, ResultCode};
 
-use crate::holder::{Holder, Pair, refuse};
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::ledger::Room;
+use crate::primary::{Holder, Pair, refuse};
 use crate::{Action, ConfigNumber, HomeId, Ledger, Message};
 
 /// Homes known at most before no further one is founded. One is founded at the start and
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -10,8 +10,8 @@
 use filberthead_ledger::{Event, Guards, Message};
 use pathfinding::directed::bfs::bfs;
 
+use crate::cluster::{SUSPECT_AFTER, World, config};
 use crate::wire::Packet;
-use crate::world::{SUSPECT_AFTER, World, config};
 
 /// How often each kind of event may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/ledger/tests/all/journals.rs
+++ b/crates/ledger/tests/all/journals.rs
@@ -5,7 +5,7 @@
 use filberthead_ledger::Guards;
 use filberthead_types::ResultCode;
 
-use crate::world::{SUSPECT_AFTER, World, config};
+use crate::cluster::{SUSPECT_AFTER, World, config};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,11 +1,11 @@
 //! Tests of the ledger: stories of failures, random events, exhaustive exploration.
 
+mod claim_results;
+mod cluster;
 mod explore;
+mod failures;
 mod journals;
 mod quarantine;
 mod random;
 mod stops;
-mod stories;
-mod verdicts;
 mod wire;
-mod world;
--- a/crates/ledger/tests/all/quarantine.rs
+++ b/crates/ledger/tests/all/quarantine.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::world::name;
+use crate::cluster::name;
 
 const KILLER: Fingerprint = Fingerprint(666);
 /// Endpoints of each entry.
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::world::{Counts, RETENTION, START_WINDOW, SUSPECT_AFTER, World, config};
+use crate::cluster::{Counts, RETENTION, START_WINDOW, SUSPECT_AFTER, World, config};
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 600;
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -4,7 +4,7 @@
 
 use filberthead_ledger::{Begun, Event, Guards};
 
-use crate::world::{SUSPECT_AFTER, Slot, World, config};
+use crate::cluster::{SUSPECT_AFTER, Slot, World, config};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -6,7 +6,7 @@
 use filberthead_ledger::{Claim, HomeId, Message, Op};
 use filberthead_types::Incarnation;
 
-use crate::world::Slot;
+use crate::cluster::Slot;
 
 /// Something on its way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
