--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Action, Begun, Config, Event, Ledger, Member, Message, Pass};
+use filberthead_ledger::{Action, Begun, Config, Event, Ledger, Member, Message, Token};
 use filberthead_peer::Body;
 use filberthead_ring::{PushError, Receiver, Sender};
 use filberthead_spread::MemberInfo;
@@ -75,8 +75,8 @@
     journal: Sender<JournalWrite>,
     /// Writes that found the disk's ring full.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Pass, Waiting>,
-    next_pass: u64,
+    waiting: HashMap<Token, Waiting>,
+    next_token: u64,
 }
 
 async fn run(duty: LedgerDuty, mut stop: Stop) {
@@ -111,7 +111,7 @@
         journal: writes,
         unwritten: VecDeque::new(),
         waiting: HashMap::new(),
-        next_pass: 0,
+        next_token: 0,
     };
     for Recovered { home, ops } in recovered {
         state.ledger.recover(clock.now(), home, ops);
@@ -184,15 +184,15 @@
     }
 
     fn begin(&mut self, begin: BeginCommand) {
-        let pass = Pass(self.next_pass);
-        self.next_pass += 1;
+        let token = Token(self.next_token);
+        self.next_token += 1;
         let waiting = Waiting {
             open: begin.open,
             reply: begin.reply,
         };
-        self.waiting.insert(pass, waiting);
+        self.waiting.insert(token, waiting);
         self.step(Event::Begin {
-            pass,
+            token,
             key: begin.key,
             digest: begin.digest,
             deadline: begin.deadline,
@@ -202,11 +202,11 @@
     }
 
     fn end(&mut self, end: EndCommand) {
-        let pass = end.pass;
+        let token = end.token;
         self.step(match end.end {
-            End::Finished(answer) => Event::Finished { pass, answer },
-            End::Unknown => Event::Unknown { pass },
-            End::NotRun(code) => Event::NotRun { pass, code },
+            End::Finished(answer) => Event::Finished { token, answer },
+            End::Unknown => Event::Unknown { token },
+            End::NotRun(code) => Event::NotRun { token, code },
         });
     }
 
@@ -225,14 +225,14 @@
 
     /// Takes back what nobody waits for any more.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(pass, waiting): (&Pass, &Waiting)| {
+        let abandoned = |(token, waiting): (&Token, &Waiting)| {
             let closed = waiting.reply.is_closed();
-            closed.then_some(*pass)
+            closed.then_some(*token)
         };
-        let passes: Vec<Pass> = self.waiting.iter().filter_map(abandoned).collect();
-        for pass in passes {
-            self.waiting.remove(&pass);
-            self.step(Event::Cancel { pass });
+        let tokens: Vec<Token> = self.waiting.iter().filter_map(abandoned).collect();
+        for token in tokens {
+            self.waiting.remove(&token);
+            self.step(Event::Cancel { token });
         }
     }
 
@@ -250,7 +250,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.begun(pass, begun),
+            Action::Begun { token, begun } => self.begun(token, begun),
             Action::Send { to, message } => self.send(&to, message),
             Action::Sync {
                 home,
@@ -299,15 +299,15 @@
         }
     }
 
-    fn begun(&mut self, pass: Pass, begun: Begun) {
-        let Some(waiting) = self.waiting.remove(&pass) else {
-            warn!(pass = pass.0; "an answer for a pass that doesn't wait");
+    fn begun(&mut self, token: Token, begun: Begun) {
+        let Some(waiting) = self.waiting.remove(&token) else {
+            warn!(pass = token.0; "an answer for a pass that doesn't wait");
             return;
         };
         let reply = match begun {
             Begun::Start => {
                 let commands = self.commands.clone();
-                Reply::Start(Grant::new(pass, waiting.open, commands))
+                Reply::Start(Grant::new(token, waiting.open, commands))
             }
             Begun::Replay(answer) => Reply::Replay(answer),
             Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Digest, Key, KeyPrefix, Pass};
+use filberthead_ledger::{Digest, Key, KeyPrefix, Token};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_types::{Moment, NodeName, ResultCode};
 use log::error;
@@ -49,7 +49,7 @@
 
 #[derive(Debug)]
 pub(crate) struct EndCommand {
-    pub(super) pass: Pass,
+    pub(super) token: Token,
     pub(super) end: End,
     /// Given back once the duty has taken the end in.
     _open: OwnedSemaphorePermit,
@@ -86,7 +86,7 @@
 
 #[derive(Debug)]
 struct Right {
-    pass: Pass,
+    token: Token,
     open: OwnedSemaphorePermit,
     tx: Sender<Command>,
 }
@@ -94,7 +94,7 @@
 impl Right {
     fn end(self, end: End) {
         let command = Command::End(EndCommand {
-            pass: self.pass,
+            token: self.token,
             end,
             _open: self.open,
         });
@@ -107,9 +107,9 @@
 }
 
 impl Grant {
-    pub(super) fn new(pass: Pass, open: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
+    pub(super) fn new(token: Token, open: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
         Self {
-            right: Some(Right { pass, open, tx }),
+            right: Some(Right { token, open, tx }),
         }
     }
 
--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use filberthead_ledger::quarantine::{self, Check, Fingerprint, Quarantine, RunEnd, RunId};
-use filberthead_ledger::{Action, Begun, Config, Digest, Event, Ledger, Member, Message, Pass};
+use filberthead_ledger::{Action, Begun, Config, Digest, Event, Ledger, Member, Message, Token};
 use filberthead_types::{Incarnation, Moment, NodeName};
 
 const KEYS: u64 = 100_000;
@@ -79,7 +79,7 @@
             let members = (0..count).map(member).collect();
             pair.step(n, Event::Members(members));
         }
-        pair.pass(Duration::from_secs(1));
+        pair.advance(Duration::from_secs(1));
         pair
     }
 
@@ -108,7 +108,7 @@
         self.bytes += postcard::to_stdvec(message).map_or(0, |buf| buf.len() as u64);
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += Duration::from_millis(50);
@@ -120,7 +120,7 @@
 
     fn begin(&mut self, prefix: &str, n: u64) -> Begun {
         let event = Event::Begin {
-            pass: Pass(n),
+            token: Token(n),
             key: format!("{prefix}{n:036}").parse().expect("a valid key"),
             digest: Digest(7),
             deadline: self.now + Duration::from_secs(30),
@@ -136,7 +136,7 @@
         self.step(
             0,
             Event::Finished {
-                pass: Pass(n),
+                token: Token(n),
                 answer,
             },
         );
@@ -180,7 +180,7 @@
         pair.step(n, Event::Members(members));
     }
     while pair.ledgers[1].keys() < KEYS as usize {
-        pair.pass(Duration::from_millis(50));
+        pair.advance(Duration::from_millis(50));
     }
     print(
         "copy_of_100k_keys",
@@ -216,7 +216,7 @@
     let mut pair = Pair::new(2);
     (pair.messages, pair.bytes) = (0, 0);
     let start = Instant::now();
-    pair.pass(IDLE);
+    pair.advance(IDLE);
     let seconds = IDLE.as_secs_f64() * 2.0;
     let busy = start.elapsed().as_secs_f64() / seconds * 1e6;
     print(
--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -10,7 +10,7 @@
 
 /// One pass of a request through the ledger; chosen by the ledger's owner, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Pass(pub u64);
+pub struct Token(pub u64);
 
 /// Digest of what a request is: service, method, path, query and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -151,7 +151,7 @@
     /// A request with a key asks for leave to run.
     Begin {
         /// Comes back in [`Action::Begun`].
-        pass: Pass,
+        token: Token,
         /// Its key.
         key: Key,
         /// What the request is.
@@ -167,24 +167,24 @@
     /// The caller of a pass that waits is gone.
     Cancel {
         /// The pass.
-        pass: Pass,
+        token: Token,
     },
     /// A started request has its whole answer.
     Finished {
         /// The pass that was started.
-        pass: Pass,
+        token: Token,
         /// The answer, opaque here; `None` if it is too large to be kept.
         answer: Option<Bytes>,
     },
     /// A started request was handed to an endpoint and its outcome is not known.
     Unknown {
         /// The pass that was started.
-        pass: Pass,
+        token: Token,
     },
     /// No byte of a started request went to any endpoint, and none will.
     NotRun {
         /// The pass that was started.
-        pass: Pass,
+        token: Token,
         /// Why.
         code: ResultCode,
     },
@@ -234,7 +234,7 @@
     /// Answer to [`Event::Begin`]; exactly one for each pass that isn't cancelled.
     Begun {
         /// The pass.
-        pass: Pass,
+        token: Token,
         /// How it goes on.
         begun: Begun,
     },
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -4,7 +4,7 @@
 
 use crate::backup::Backup;
 use crate::primary::Holder;
-use crate::{ConfigNumber, Digest, Generation, KeyRecord, Marks, Op, Pass, Stage};
+use crate::{ConfigNumber, Digest, Generation, KeyRecord, Marks, Op, Stage, Token};
 use filberthead_types::{Incarnation, Moment};
 
 /// A home as one entry knows it.
@@ -66,9 +66,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Run {
     /// The pass that was told to start.
-    pub(crate) granted: Option<Pass>,
+    pub(crate) granted: Option<Token>,
     /// Passes that wait, the oldest first; some may have given up since.
-    pub(crate) waiters: Vec<Pass>,
+    pub(crate) waiters: Vec<Token>,
 }
 
 impl Home {
@@ -115,14 +115,14 @@
     }
 
     /// Marks a key on record as one that passes of this entry are concerned with.
-    pub(crate) fn start_run(&mut self, generation: Generation, rest: &str, pass: Pass) {
+    pub(crate) fn start_run(&mut self, generation: Generation, rest: &str, token: Token) {
         let Some(period) = self.periods.get_mut(&generation) else {
             return;
         };
         let Some(record) = period.records.get_mut(rest) else {
             return;
         };
-        let waiters = vec![pass];
+        let waiters = vec![token];
         let run = Run {
             granted: None,
             waiters,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -8,11 +8,11 @@
 use crate::home::{Home, Role, Usage};
 use crate::outcome::Outcomes;
 use crate::primary::{Cx, Holder, refuse};
-use crate::requests::Passes;
+use crate::requests::Requests;
 use crate::route::Parked;
 use crate::{
-    Action, Begun, Config, ConfigNumber, Digest, Event, HomeId, Key, KeyPrefix, Member, Op, Pass,
-    Stage,
+    Action, Begun, Config, ConfigNumber, Digest, Event, HomeId, Key, KeyPrefix, Member, Op, Stage,
+    Token,
 };
 
 /// The at-most-once ledger of one entry.
@@ -30,7 +30,7 @@
     pub(crate) peers: BTreeMap<NodeName, Peer>,
     /// Entries that requests couldn't be passed on to, and until when they are avoided.
     pub(crate) unreachable: BTreeMap<NodeName, Moment>,
-    pub(crate) passes: Passes,
+    pub(crate) requests: Requests,
     /// Requests that wait for a holder, by home.
     pub(crate) parked: BTreeMap<HomeId, Vec<Parked>>,
     pub(crate) outcomes: Outcomes,
@@ -73,7 +73,7 @@
             members: None,
             peers: BTreeMap::new(),
             unreachable: BTreeMap::new(),
-            passes: Passes::default(),
+            requests: Requests::default(),
             parked: BTreeMap::new(),
             outcomes: Outcomes::default(),
             stopping: false,
@@ -96,7 +96,7 @@
             Event::Tick => self.tick(now),
             Event::Members(members) => self.set_members(now, members),
             Event::Begin {
-                pass,
+                token,
                 key,
                 digest,
                 deadline,
@@ -104,15 +104,15 @@
                 failed,
             } => {
                 self.suspect(now, failed);
-                self.passes.wait(pass, deadline);
-                self.begin(now, pass, &key, digest, hops);
+                self.requests.wait(token, deadline);
+                self.begin(now, token, &key, digest, hops);
             }
-            Event::Cancel { pass } => {
-                self.passes.end_wait(pass);
+            Event::Cancel { token } => {
+                self.requests.end_wait(token);
             }
-            Event::Finished { pass, answer } => self.finished(now, pass, answer),
-            Event::Unknown { pass } => self.ended(now, pass, Stage::Unknown),
-            Event::NotRun { pass, code } => self.not_run(now, pass, code),
+            Event::Finished { token, answer } => self.finished(now, token, answer),
+            Event::Unknown { token } => self.ended(now, token, Stage::Unknown),
+            Event::NotRun { token, code } => self.not_run(now, token, code),
             Event::Received { from, message } => self.received(now, &from, message),
             Event::Synced { home, number } => {
                 self.with_home(now, &home, |home, cx| home.synced(cx, number));
@@ -156,7 +156,7 @@
             Role::Backup(_) => false,
             Role::Past { .. } => true,
         });
-        homes_done && !self.passes.any_running() && self.outcomes.is_empty()
+        homes_done && !self.requests.any_running() && self.outcomes.is_empty()
     }
 
     /// Keys on record here, as holder or copy.
@@ -176,38 +176,38 @@
             cfg: &self.cfg,
             me: &self.me,
             id,
-            passes: &mut self.passes,
+            requests: &mut self.requests,
             out: &mut self.out,
         };
         Some(f(home, &mut cx))
     }
 
-    pub(crate) fn answer(&mut self, pass: Pass, begun: Begun) {
-        if self.passes.end_wait(pass) {
-            self.out.push(Action::Begun { pass, begun });
+    pub(crate) fn answer(&mut self, token: Token, begun: Begun) {
+        if self.requests.end_wait(token) {
+            self.out.push(Action::Begun { token, begun });
         }
     }
 
-    pub(crate) fn begin(&mut self, now: Moment, pass: Pass, key: &Key, digest: Digest, hops: u8) {
+    pub(crate) fn begin(&mut self, now: Moment, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
         let Some(holder) = self.homes.get(id).and_then(Home::holder) else {
-            return self.begin_elsewhere(pass, key, digest, hops);
+            return self.begin_elsewhere(token, key, digest, hops);
         };
         let on_record = self.is_on_record(key);
         if let Some(to) = holder.successor().filter(|_| !on_record) {
             let entry = to.name.clone();
-            return self.answer(pass, Begun::Forward { entry });
+            return self.answer(token, Begun::Forward { entry });
         }
         let room = match self.room() {
             // It passes with the requests that run now; closing keys for it would make
             // every caller take a new prefix.
             Room::Busy if !on_record => {
                 let begun = refuse(&self.cfg, ResultCode::KeyNotChecked);
-                return self.answer(pass, begun);
+                return self.answer(token, begun);
             }
             room => on_record || room == Room::Free,
         };
-        self.with_home(now, id, |home, cx| home.begin(cx, pass, key, digest, room));
+        self.with_home(now, id, |home, cx| home.begin(cx, token, key, digest, room));
     }
 
     fn is_on_record(&self, key: &Key) -> bool {
@@ -234,25 +234,25 @@
         }
     }
 
-    fn finished(&mut self, now: Moment, pass: Pass, answer: Option<Bytes>) {
+    fn finished(&mut self, now: Moment, token: Token, answer: Option<Bytes>) {
         let max = self.cfg.max_answer;
         let stage = match answer {
             Some(answer) if answer.len() <= max => Stage::Finished(answer),
             _ => Stage::NotStored,
         };
-        self.ended(now, pass, stage);
+        self.ended(now, token, stage);
     }
 
-    fn not_run(&mut self, now: Moment, pass: Pass, code: ResultCode) {
+    fn not_run(&mut self, now: Moment, token: Token, code: ResultCode) {
         let stage = match code.meaning() {
             Meaning::NotRun => Stage::Closed(code),
             Meaning::MayHaveRun | Meaning::Ran => Stage::Unknown,
         };
-        self.ended(now, pass, stage);
+        self.ended(now, token, stage);
     }
 
-    fn ended(&mut self, now: Moment, pass: Pass, stage: Stage) {
-        let Some(key) = self.passes.end_run(pass) else {
+    fn ended(&mut self, now: Moment, token: Token, stage: Stage) {
+        let Some(key) = self.requests.end_run(token) else {
             return;
         };
         let held_on = self.with_home(now, &key.home, |home, cx| {
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -8,14 +8,14 @@
 
 use filberthead_types::{Moment, NodeName};
 
-use crate::requests::PassKey;
+use crate::requests::RequestKey;
 use crate::{Action, Generation, HomeId, KeyRecord, Ledger, Message, Stage};
 
 /// Outcomes that the new holder hasn't confirmed; at most one for each pass that ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outcomes {
     /// The record, and when it was last sent.
-    pending: BTreeMap<PassKey, (KeyRecord, Option<Moment>)>,
+    pending: BTreeMap<RequestKey, (KeyRecord, Option<Moment>)>,
 }
 
 impl Outcomes {
@@ -24,7 +24,7 @@
     }
 
     pub(crate) fn remove(&mut self, home: &HomeId, generation: Generation, rest: &str) {
-        let key = PassKey {
+        let key = RequestKey {
             home: home.clone(),
             generation,
             rest: rest.into(),
@@ -39,7 +39,7 @@
 }
 
 impl Ledger {
-    pub(crate) fn report_outcome(&mut self, key: PassKey, stage: Stage) {
+    pub(crate) fn report_outcome(&mut self, key: RequestKey, stage: Stage) {
         let home = self.homes.get(&key.home);
         let Some(record) = home.and_then(|home| home.record(key.generation, &key.rest)) else {
             return;
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -46,8 +46,8 @@
         };
         if let Role::Holder(holder) = std::mem::replace(&mut self.role, past) {
             for (_, wait) in holder.waits {
-                if let Wait::Refuse { pass, .. } = wait {
-                    cx.answer(pass, forward());
+                if let Wait::Refuse { token, .. } = wait {
+                    cx.answer(token, forward());
                 }
             }
         }
@@ -55,8 +55,8 @@
             let Some(run) = self.run_mut(generation, &rest) else {
                 continue;
             };
-            for pass in std::mem::take(&mut run.waiters) {
-                cx.answer(pass, forward());
+            for token in std::mem::take(&mut run.waiters) {
+                cx.answer(token, forward());
             }
             if run.granted.is_none() {
                 self.end_run(generation, &rest);
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -4,8 +4,8 @@
 
 use super::{Cx, Holder, Need, Wait, refuse, replay};
 use crate::home::{Home, Record};
-use crate::requests::PassKey;
-use crate::{Begun, Digest, Generation, Key, KeyRecord, Op, Pass, Stage};
+use crate::requests::RequestKey;
+use crate::{Begun, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
 
 impl Home {
     /// Decides on a request whose home is held here. `room` tells whether another key
@@ -13,7 +13,7 @@
     pub(crate) fn begin(
         &mut self,
         cx: &mut Cx<'_>,
-        pass: Pass,
+        token: Token,
         key: &Key,
         digest: Digest,
         room: bool,
@@ -21,13 +21,13 @@
         let generation = key.prefix.generation;
         if let Some(record) = self.record(generation, &key.rest) {
             match known(cx, record, digest) {
-                Known::Answer(begun) => cx.answer(pass, begun),
-                Known::Wait => self.add_waiter(cx, generation, &key.rest, pass),
+                Known::Answer(begun) => cx.answer(token, begun),
+                Known::Wait => self.add_waiter(cx, generation, &key.rest, token),
             }
             return;
         }
         if let Some(code) = self.refuse_unknown(cx, generation) {
-            return cx.answer(pass, refuse(cx.cfg, code));
+            return cx.answer(token, refuse(cx.cfg, code));
         }
         if !room {
             // Closing the period answers every key that there is no room for with one
@@ -41,9 +41,9 @@
                 ResultCode::LedgerFull
             };
             let need = self.holder().and_then(Holder::marks_wait);
-            return self.after(cx, need, Wait::Refuse { pass, code });
+            return self.after(cx, need, Wait::Refuse { token, code });
         }
-        self.start(cx, pass, key, digest);
+        self.start(cx, token, key, digest);
     }
 
     /// Keys that aren't on record and of which nothing definite can be said.
@@ -64,20 +64,20 @@
         cx: &mut Cx<'_>,
         generation: Generation,
         rest: &str,
-        pass: Pass,
+        token: Token,
     ) {
         let Some(run) = self.run_mut(generation, rest) else {
             return;
         };
-        run.waiters.retain(|waiter| cx.passes.is_waiting(*waiter));
+        run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
         if run.waiters.len() < cx.cfg.max_waiters {
-            run.waiters.push(pass);
+            run.waiters.push(token);
         } else {
-            cx.answer(pass, refuse(cx.cfg, ResultCode::StillRunning));
+            cx.answer(token, refuse(cx.cfg, ResultCode::StillRunning));
         }
     }
 
-    pub(super) fn start(&mut self, cx: &mut Cx<'_>, pass: Pass, key: &Key, digest: Digest) {
+    pub(super) fn start(&mut self, cx: &mut Cx<'_>, token: Token, key: &Key, digest: Digest) {
         let generation = key.prefix.generation;
         let record = KeyRecord {
             generation,
@@ -86,7 +86,7 @@
             stage: Stage::Started,
         };
         self.put(record.clone());
-        self.start_run(generation, &key.rest, pass);
+        self.start_run(generation, &key.rest, token);
         let mut need = self.commit(Op::Put(record));
         // Failure: the holder dies after an order went out and before its backup knows
         // of it; the backup takes over and runs the resent order again. With the start
@@ -108,7 +108,7 @@
     pub(super) fn fulfil(&mut self, cx: &mut Cx<'_>, wait: Wait) {
         match wait {
             Wait::Start { generation, rest } => self.grant(cx, generation, &rest),
-            Wait::Refuse { pass, code } => cx.answer(pass, refuse(cx.cfg, code)),
+            Wait::Refuse { token, code } => cx.answer(token, refuse(cx.cfg, code)),
             Wait::Mint(generation) => self.minted(cx.now, generation),
         }
     }
@@ -118,20 +118,20 @@
         let Some(run) = self.run_mut(generation, rest) else {
             return;
         };
-        run.waiters.retain(|waiter| cx.passes.is_waiting(*waiter));
+        run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
         if run.waiters.is_empty() {
             let stage = Stage::Closed(ResultCode::DeadlineBeforeRun);
             return self.end(cx, generation, rest, stage);
         }
-        let pass = run.waiters.remove(0);
-        run.granted = Some(pass);
-        cx.answer(pass, Begun::Start);
-        let key = PassKey {
+        let token = run.waiters.remove(0);
+        run.granted = Some(token);
+        cx.answer(token, Begun::Start);
+        let key = RequestKey {
             home: cx.id.clone(),
             generation,
             rest: rest.into(),
         };
-        cx.passes.run(pass, key);
+        cx.requests.run(token, key);
     }
 
     /// A started key has come to its end, as far as it will ever be known here.
@@ -143,9 +143,9 @@
         stage: Stage,
     ) {
         let run = self.end_run(generation, rest).unwrap_or_default();
-        for pass in run.waiters {
+        for token in run.waiters {
             let begun = replay(cx.cfg, &stage);
-            cx.answer(pass, begun);
+            cx.answer(token, begun);
         }
         if matches!(stage, Stage::Closed(_)) && !cx.cfg.guards.close_refused {
             return self.remove(generation, rest);
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -22,8 +22,8 @@
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::log::{Copying, Log};
-use crate::requests::Passes;
-use crate::{Action, Begun, Config, Generation, HomeId, Member, Message, Op, Pass, Stage};
+use crate::requests::Requests;
+use crate::{Action, Begun, Config, Generation, HomeId, Member, Message, Op, Stage, Token};
 
 /// What a holder's decisions need besides the home.
 pub(crate) struct Cx<'a> {
@@ -31,15 +31,15 @@
     pub(crate) cfg: &'a Config,
     pub(crate) me: &'a Member,
     pub(crate) id: &'a HomeId,
-    pub(crate) passes: &'a mut Passes,
+    pub(crate) requests: &'a mut Requests,
     pub(crate) out: &'a mut Vec<Action>,
 }
 
 impl Cx<'_> {
     /// Answers a pass if it still waits.
-    pub(crate) fn answer(&mut self, pass: Pass, begun: Begun) {
-        if self.passes.end_wait(pass) {
-            self.out.push(Action::Begun { pass, begun });
+    pub(crate) fn answer(&mut self, token: Token, begun: Begun) {
+        if self.requests.end_wait(token) {
+            self.out.push(Action::Begun { token, begun });
         }
     }
 
@@ -118,7 +118,7 @@
         rest: Box<str>,
     },
     Refuse {
-        pass: Pass,
+        token: Token,
         code: ResultCode,
     },
     Mint(Generation),
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -4,11 +4,11 @@
 
 use filberthead_types::Moment;
 
-use crate::{Generation, HomeId, Pass};
+use crate::{Generation, HomeId, Token};
 
 /// The key that a pass is concerned with.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct PassKey {
+pub(crate) struct RequestKey {
     pub(crate) home: HomeId,
     pub(crate) generation: Generation,
     pub(crate) rest: Box<str>,
@@ -21,47 +21,47 @@
 
 /// Every pass whose answer, or whose end, is still to come.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Passes {
-    waiting: BTreeMap<Pass, Waiting>,
-    deadlines: BTreeSet<(Moment, Pass)>,
-    running: BTreeMap<Pass, PassKey>,
+pub(crate) struct Requests {
+    waiting: BTreeMap<Token, Waiting>,
+    deadlines: BTreeSet<(Moment, Token)>,
+    running: BTreeMap<Token, RequestKey>,
 }
 
-impl Passes {
-    pub(crate) fn wait(&mut self, pass: Pass, deadline: Moment) {
-        self.waiting.insert(pass, Waiting { deadline });
-        self.deadlines.insert((deadline, pass));
+impl Requests {
+    pub(crate) fn wait(&mut self, token: Token, deadline: Moment) {
+        self.waiting.insert(token, Waiting { deadline });
+        self.deadlines.insert((deadline, token));
     }
 
-    pub(crate) fn is_waiting(&self, pass: Pass) -> bool {
-        self.waiting.contains_key(&pass)
+    pub(crate) fn is_waiting(&self, token: Token) -> bool {
+        self.waiting.contains_key(&token)
     }
 
     /// Whether the pass waited until now.
-    pub(crate) fn end_wait(&mut self, pass: Pass) -> bool {
-        let Some(waiting) = self.waiting.remove(&pass) else {
+    pub(crate) fn end_wait(&mut self, token: Token) -> bool {
+        let Some(waiting) = self.waiting.remove(&token) else {
             return false;
         };
-        self.deadlines.remove(&(waiting.deadline, pass))
+        self.deadlines.remove(&(waiting.deadline, token))
     }
 
     /// A waiting pass whose deadline has come.
-    pub(crate) fn pop_expired(&mut self, now: Moment) -> Option<Pass> {
-        let (deadline, pass) = *self.deadlines.first()?;
+    pub(crate) fn pop_expired(&mut self, now: Moment) -> Option<Token> {
+        let (deadline, token) = *self.deadlines.first()?;
         if now < deadline {
             return None;
         }
         self.deadlines.pop_first();
-        self.waiting.remove(&pass);
-        Some(pass)
+        self.waiting.remove(&token);
+        Some(token)
     }
 
-    pub(crate) fn run(&mut self, pass: Pass, key: PassKey) {
-        self.running.insert(pass, key);
+    pub(crate) fn run(&mut self, token: Token, key: RequestKey) {
+        self.running.insert(token, key);
     }
 
-    pub(crate) fn end_run(&mut self, pass: Pass) -> Option<PassKey> {
-        self.running.remove(&pass)
+    pub(crate) fn end_run(&mut self, token: Token) -> Option<RequestKey> {
+        self.running.remove(&token)
     }
 
     pub(crate) fn any_running(&self) -> bool {
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -6,7 +6,7 @@
 use crate::home::Role;
 use crate::ledger::Peer;
 use crate::primary::{refuse, replay};
-use crate::{Begun, ConfigNumber, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Pass};
+use crate::{Begun, ConfigNumber, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Token};
 
 /// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
 /// failure domain of the home, and one there, which knows the holder. The bound ends
@@ -16,18 +16,18 @@
 /// A request that waits until it is known who holds its home.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Parked {
-    pass: Pass,
+    token: Token,
     key: Key,
     digest: Digest,
     hops: u8,
 }
 
 impl Ledger {
-    pub(crate) fn begin_elsewhere(&mut self, pass: Pass, key: &Key, digest: Digest, hops: u8) {
+    pub(crate) fn begin_elsewhere(&mut self, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
         if self.waits_for_verdict(key) {
             let parked = Parked {
-                pass,
+                token,
                 key: key.clone(),
                 digest,
                 hops,
@@ -47,7 +47,7 @@
                 refuse(&self.cfg, code)
             }),
         };
-        self.answer(pass, begun);
+        self.answer(token, begun);
     }
 
     /// Whether this entry is about to hold the home, or to learn who does: its holder can't
@@ -70,14 +70,14 @@
         }
         for (_, parked) in std::mem::take(&mut self.parked) {
             for Parked {
-                pass,
+                token,
                 key,
                 digest,
                 hops,
             } in parked
             {
-                if self.passes.is_waiting(pass) {
-                    self.begin(now, pass, &key, digest, hops);
+                if self.requests.is_waiting(token) {
+                    self.begin(now, token, &key, digest, hops);
                 }
             }
         }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -61,9 +61,9 @@
     }
 
     fn expire(&mut self, now: Moment) {
-        while let Some(pass) = self.passes.pop_expired(now) {
+        while let Some(token) = self.requests.pop_expired(now) {
             let begun = refuse(&self.cfg, ResultCode::StillRunning);
-            self.out.push(Action::Begun { pass, begun });
+            self.out.push(Action::Begun { token, begun });
         }
     }
 
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -12,7 +12,7 @@
 
 use filberthead_ledger::{
     Action, Begun, Config, ConfigBuilder, Digest, Event, Guards, HomeId, Key, KeyPrefix, Ledger,
-    Member, Message, Op, Pass, Verdict, Verdicts,
+    Member, Message, Op, Token, Verdict, Verdicts,
 };
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Started {
     pub(crate) slot: Slot,
-    pub(crate) pass: Pass,
+    pub(crate) token: Token,
     pub(crate) key: String,
     /// Whether an endpoint has run it.
     pub(crate) ran: bool,
@@ -75,7 +75,7 @@
     unsynced: BTreeMap<Slot, VecDeque<DiskWrite>>,
     pub(crate) cut: BTreeSet<(Slot, Slot)>,
     pub(crate) control_cut: BTreeSet<Slot>,
-    passes: BTreeMap<Pass, (Slot, String, u128, u8)>,
+    requests: BTreeMap<Token, (Slot, String, u128, u8)>,
     pub(crate) started: Vec<Started>,
     pub(crate) runs: BTreeMap<String, u32>,
     answers: BTreeMap<String, Vec<u8>>,
@@ -85,7 +85,7 @@
     pub(crate) broken: Option<String>,
     pub(crate) counts: Counts,
     next_incarnation: u64,
-    next_pass: u64,
+    next_token: u64,
 }
 
 impl World {
@@ -102,7 +102,7 @@
             unsynced: BTreeMap::new(),
             cut: BTreeSet::new(),
             control_cut: BTreeSet::new(),
-            passes: BTreeMap::new(),
+            requests: BTreeMap::new(),
             started: Vec::new(),
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
@@ -111,7 +111,7 @@
             broken: None,
             counts: Counts::default(),
             next_incarnation: 1,
-            next_pass: 1,
+            next_token: 1,
         };
         for (slot, domain) in domains.iter().enumerate() {
             let member = Member {
@@ -192,7 +192,7 @@
         self.nodes.remove(&slot);
         self.unsynced.remove(&slot);
         self.started.retain(|s| s.slot != slot);
-        self.passes.retain(|_, (at, ..)| *at != slot);
+        self.requests.retain(|_, (at, ..)| *at != slot);
     }
 
     pub(crate) fn step(&mut self, slot: Slot, event: Event) {
@@ -208,7 +208,7 @@
 
     fn act(&mut self, from: Slot, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.begun(from, pass, begun),
+            Action::Begun { token, begun } => self.begun(from, token, begun),
             Action::Send { to, message } => {
                 let Some(to) = self.slot_of(&to) else {
                     return;
@@ -250,9 +250,9 @@
             .map(|(slot, _)| *slot)
     }
 
-    fn begun(&mut self, slot: Slot, pass: Pass, begun: Begun) {
-        let Some((_, key, digest, hops)) = self.passes.remove(&pass) else {
-            self.broken = Some(format!("pass {pass:?} got two answers"));
+    fn begun(&mut self, slot: Slot, token: Token, begun: Begun) {
+        let Some((_, key, digest, hops)) = self.requests.remove(&token) else {
+            self.broken = Some(format!("request {token:?} got two answers"));
             return;
         };
         self.told.push((key.clone(), begun.clone()));
@@ -262,7 +262,7 @@
                 let ran = false;
                 self.started.push(Started {
                     slot,
-                    pass,
+                    token,
                     key,
                     ran,
                 });
@@ -326,12 +326,12 @@
         if !self.nodes.contains_key(&slot) {
             return;
         }
-        let pass = Pass(self.next_pass);
-        self.next_pass += 1;
-        self.passes
-            .insert(pass, (slot, key.to_owned(), digest, hops));
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        self.requests
+            .insert(token, (slot, key.to_owned(), digest, hops));
         let event = Event::Begin {
-            pass,
+            token,
             key: key.parse::<Key>().expect("a valid key"),
             digest: Digest(digest),
             deadline: self.now + PATIENCE,
@@ -415,26 +415,26 @@
     pub(crate) fn finish(&mut self, index: usize) {
         self.run(index);
         let Started {
-            slot, pass, key, ..
+            slot, token, key, ..
         } = self.started.remove(index);
         let answer = Some(self.answers[&key].clone().into());
-        self.step(slot, Event::Finished { pass, answer });
+        self.step(slot, Event::Finished { token, answer });
     }
 
     /// A started request ends without an answer.
     pub(crate) fn give_up(&mut self, index: usize) {
         let Started {
             slot,
-            pass,
+            token,
             key,
             ran,
         } = self.started.remove(index);
         if ran {
-            return self.step(slot, Event::Unknown { pass });
+            return self.step(slot, Event::Unknown { token });
         }
         let code = ResultCode::NoEndpoint;
         self.refused(&key, code);
-        self.step(slot, Event::NotRun { pass, code });
+        self.step(slot, Event::NotRun { token, code });
     }
 
     pub(crate) fn tick(&mut self) {
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Lets time pass with every packet arriving at once.
+    /// Lets time elapse with every packet arriving at once.
     pub(crate) fn settle(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -526,7 +526,7 @@
             &self.nodes,
             &self.wire,
             &self.verdicts,
-            &self.passes,
+            &self.requests,
             &self.started,
         );
         (
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -403,9 +403,9 @@
     world.send(0, &key);
     world.drain();
     world.run(0);
-    let pass = world.started.remove(0).pass;
+    let token = world.started.remove(0).token;
     let answer = Some(vec![7; 65].into());
-    world.step(0, Event::Finished { pass, answer });
+    world.step(0, Event::Finished { token, answer });
     world.send(1, &key);
     world.drain();
     assert_eq!(world.last_code(&key), Some(ResultCode::AnswerNotStored));
