--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Action, Begun, Config, Event, Ledger, Member, Message, Token};
+use filberthead_ledger::{Action, Config, Decision, Event, Ledger, Member, Message, Token};
 use filberthead_peer::Body;
 use filberthead_ring::{PushError, Receiver, Sender};
 use filberthead_spread::MemberInfo;
@@ -250,7 +250,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Begun { token, begun } => self.begun(token, begun),
+            Action::Decide { token, decision } => self.decided(token, decision),
             Action::Send { to, message } => self.send(&to, message),
             Action::Sync {
                 home,
@@ -299,19 +299,19 @@
         }
     }
 
-    fn begun(&mut self, token: Token, begun: Begun) {
+    fn decided(&mut self, token: Token, decision: Decision) {
         let Some(waiting) = self.waiting.remove(&token) else {
             warn!(pass = token.0; "an answer for a pass that doesn't wait");
             return;
         };
-        let reply = match begun {
-            Begun::Start => {
+        let reply = match decision {
+            Decision::Start => {
                 let commands = self.commands.clone();
                 Reply::Start(Grant::new(token, waiting.open, commands))
             }
-            Begun::Replay(answer) => Reply::Replay(answer),
-            Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
-            Begun::Forward { entry } => self.forward(entry),
+            Decision::Replay(answer) => Reply::Replay(answer),
+            Decision::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
+            Decision::Forward { entry } => self.forward(entry),
         };
         // Whoever asked may be gone; a grant that comes back ends as not run.
         let _ = waiting.reply.send(reply);
--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use filberthead_ledger::quarantine::{self, Check, Fingerprint, Quarantine, RunEnd, RunId};
-use filberthead_ledger::{Action, Begun, Config, Digest, Event, Ledger, Member, Message, Token};
+use filberthead_ledger::{Action, Config, Decision, Digest, Event, Ledger, Member, Message, Token};
 use filberthead_types::{Incarnation, Moment, NodeName};
 
 const KEYS: u64 = 100_000;
@@ -60,7 +60,7 @@
 struct Pair {
     now: Moment,
     ledgers: Vec<Ledger>,
-    begun: Option<Begun>,
+    decision: Option<Decision>,
     messages: u64,
     bytes: u64,
 }
@@ -71,7 +71,7 @@
         let mut pair = Self {
             now: Duration::ZERO,
             ledgers: (0..count).map(ledger).collect(),
-            begun: None,
+            decision: None,
             messages: 0,
             bytes: 0,
         };
@@ -88,7 +88,7 @@
         while let Some((at, event)) = events.pop_front() {
             for action in self.ledgers[at].step(self.now, event) {
                 match action {
-                    Action::Begun { begun, .. } => self.begun = Some(begun),
+                    Action::Decide { decision, .. } => self.decision = Some(decision),
                     Action::Send { to, message } => {
                         let from = name(at as u64);
                         let to = (0..self.ledgers.len()).find(|n| name(*n as u64) == to);
@@ -118,7 +118,7 @@
         }
     }
 
-    fn begin(&mut self, prefix: &str, n: u64) -> Begun {
+    fn begin(&mut self, prefix: &str, n: u64) -> Decision {
         let event = Event::Begin {
             token: Token(n),
             key: format!("{prefix}{n:036}").parse().expect("a valid key"),
@@ -128,7 +128,7 @@
             failed: None,
         };
         self.step(0, event);
-        self.begun.take().expect("an answer")
+        self.decision.take().expect("an answer")
     }
 
     fn finish(&mut self, n: u64) {
@@ -154,7 +154,7 @@
     let before = resident();
     let start = Instant::now();
     for n in 0..KEYS {
-        assert_eq!(pair.begin(&prefix, n), Begun::Start);
+        assert_eq!(pair.begin(&prefix, n), Decision::Start);
         pair.finish(n);
     }
     print(
@@ -166,7 +166,7 @@
     let start = Instant::now();
     for n in 0..KEYS {
         let replayed = pair.begin(&prefix, n);
-        assert!(matches!(replayed, Begun::Replay(_)));
+        assert!(matches!(replayed, Decision::Replay(_)));
     }
     print("replay", ns_each(start.elapsed(), KEYS), "ns");
 
@@ -196,7 +196,7 @@
     (pair.messages, pair.bytes) = (0, 0);
     let start = Instant::now();
     for n in 0..KEYS {
-        assert_eq!(pair.begin(&prefix, n), Begun::Start);
+        assert_eq!(pair.begin(&prefix, n), Decision::Start);
         pair.finish(n);
     }
     print(
--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -150,7 +150,7 @@
     Members(Vec<Member>),
     /// A request with a key asks for leave to run.
     Begin {
-        /// Comes back in [`Action::Begun`].
+        /// Comes back in [`Action::Decide`].
         token: Token,
         /// Its key.
         key: Key,
@@ -160,7 +160,7 @@
         deadline: Moment,
         /// How many entries have passed it on before it came here.
         hops: u8,
-        /// The entry that an earlier [`Begun::Forward`] of the request named, if it
+        /// The entry that an earlier [`Decision::Forward`] of the request named, if it
         /// couldn't be reached.
         failed: Option<NodeName>,
     },
@@ -208,7 +208,7 @@
 
 /// Whether, and how, a request goes on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Begun {
+pub enum Decision {
     /// It may run, once; report how it ended with the same pass.
     Start,
     /// It has run; this is its answer.
@@ -232,11 +232,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Answer to [`Event::Begin`]; exactly one for each pass that isn't cancelled.
-    Begun {
+    Decide {
         /// The pass.
         token: Token,
         /// How it goes on.
-        begun: Begun,
+        decision: Decision,
     },
     /// Send a message to another entry; it may be lost.
     Send {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -11,8 +11,8 @@
 use crate::requests::Requests;
 use crate::route::Parked;
 use crate::{
-    Action, Begun, Config, ConfigNumber, Digest, Event, HomeId, Key, KeyPrefix, Member, Op, Stage,
-    Token,
+    Action, Config, ConfigNumber, Decision, Digest, Event, HomeId, Key, KeyPrefix, Member, Op,
+    Stage, Token,
 };
 
 /// The at-most-once ledger of one entry.
@@ -182,9 +182,9 @@
         Some(f(home, &mut cx))
     }
 
-    pub(crate) fn answer(&mut self, token: Token, begun: Begun) {
+    pub(crate) fn answer(&mut self, token: Token, decision: Decision) {
         if self.requests.end_wait(token) {
-            self.out.push(Action::Begun { token, begun });
+            self.out.push(Action::Decide { token, decision });
         }
     }
 
@@ -196,14 +196,14 @@
         let on_record = self.is_on_record(key);
         if let Some(to) = holder.successor().filter(|_| !on_record) {
             let entry = to.name.clone();
-            return self.answer(token, Begun::Forward { entry });
+            return self.answer(token, Decision::Forward { entry });
         }
         let room = match self.room() {
             // It passes with the requests that run now; closing keys for it would make
             // every caller take a new prefix.
             Room::Busy if !on_record => {
-                let begun = refuse(&self.cfg, ResultCode::KeyNotChecked);
-                return self.answer(token, begun);
+                let decision = refuse(&self.cfg, ResultCode::KeyNotChecked);
+                return self.answer(token, decision);
             }
             room => on_record || room == Room::Free,
         };
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -5,7 +5,7 @@
 use super::{Cx, Holder, Need, Pair, Wait};
 use crate::home::{Home, Role};
 use crate::log::Log;
-use crate::{Action, Begun, Claim, ConfigNumber, Member, Op};
+use crate::{Action, Claim, ConfigNumber, Decision, Member, Op};
 
 impl Home {
     /// Becomes the holder at `config`, with the records at hand.
@@ -41,7 +41,7 @@
             holder: Some(to.incarnation),
             since: cx.now,
         };
-        let forward = || Begun::Forward {
+        let forward = || Decision::Forward {
             entry: to.name.clone(),
         };
         if let Role::Holder(holder) = std::mem::replace(&mut self.role, past) {
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -5,7 +5,7 @@
 use super::{Cx, Holder, Need, Wait, refuse, replay};
 use crate::home::{Home, Record};
 use crate::requests::RequestKey;
-use crate::{Begun, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
+use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
 
 impl Home {
     /// Decides on a request whose home is held here. `room` tells whether another key
@@ -21,7 +21,7 @@
         let generation = key.prefix.generation;
         if let Some(record) = self.record(generation, &key.rest) {
             match known(cx, record, digest) {
-                Known::Answer(begun) => cx.answer(token, begun),
+                Known::Answer(decision) => cx.answer(token, decision),
                 Known::Wait => self.add_waiter(cx, generation, &key.rest, token),
             }
             return;
@@ -125,7 +125,7 @@
         }
         let token = run.waiters.remove(0);
         run.granted = Some(token);
-        cx.answer(token, Begun::Start);
+        cx.answer(token, Decision::Start);
         let key = RequestKey {
             home: cx.id.clone(),
             generation,
@@ -144,8 +144,8 @@
     ) {
         let run = self.end_run(generation, rest).unwrap_or_default();
         for token in run.waiters {
-            let begun = replay(cx.cfg, &stage);
-            cx.answer(token, begun);
+            let decision = replay(cx.cfg, &stage);
+            cx.answer(token, decision);
         }
         if matches!(stage, Stage::Closed(_)) && !cx.cfg.guards.close_refused {
             return self.remove(generation, rest);
@@ -173,7 +173,7 @@
 }
 
 enum Known {
-    Answer(Begun),
+    Answer(Decision),
     Wait,
 }
 
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -23,7 +23,7 @@
 use crate::journal::Journal;
 use crate::log::{Copying, Log};
 use crate::requests::Requests;
-use crate::{Action, Begun, Config, Generation, HomeId, Member, Message, Op, Stage, Token};
+use crate::{Action, Config, Decision, Generation, HomeId, Member, Message, Op, Stage, Token};
 
 /// What a holder's decisions need besides the home.
 pub(crate) struct Cx<'a> {
@@ -37,9 +37,9 @@
 
 impl Cx<'_> {
     /// Answers a pass if it still waits.
-    pub(crate) fn answer(&mut self, token: Token, begun: Begun) {
+    pub(crate) fn answer(&mut self, token: Token, decision: Decision) {
         if self.requests.end_wait(token) {
-            self.out.push(Action::Begun { token, begun });
+            self.out.push(Action::Decide { token, decision });
         }
     }
 
@@ -52,17 +52,17 @@
 }
 
 /// A refusal, with the time after which a resend may bring more.
-pub(crate) fn refuse(cfg: &Config, code: ResultCode) -> Begun {
-    Begun::Refuse {
+pub(crate) fn refuse(cfg: &Config, code: ResultCode) -> Decision {
+    Decision::Refuse {
         code,
         retry_after: cfg.heartbeat,
     }
 }
 
 /// What a key on record means to another send of it.
-pub(crate) fn replay(cfg: &Config, stage: &Stage) -> Begun {
+pub(crate) fn replay(cfg: &Config, stage: &Stage) -> Decision {
     match stage {
-        Stage::Finished(answer) => Begun::Replay(answer.clone()),
+        Stage::Finished(answer) => Decision::Replay(answer.clone()),
         Stage::NotStored => refuse(cfg, ResultCode::AnswerNotStored),
         Stage::Closed(code) => refuse(cfg, *code),
         Stage::Started | Stage::Unknown => refuse(cfg, ResultCode::OutcomeUnknown),
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -6,7 +6,7 @@
 use crate::home::Role;
 use crate::ledger::Peer;
 use crate::primary::{refuse, replay};
-use crate::{Begun, ConfigNumber, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Token};
+use crate::{ConfigNumber, Decision, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Token};
 
 /// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
 /// failure domain of the home, and one there, which knows the holder. The bound ends
@@ -38,7 +38,7 @@
         let home = self.homes.get(id);
         let record = home.and_then(|home| home.record(key.prefix.generation, &key.rest));
         let known = record.map(|record| (record.digest, record.stage.clone()));
-        let begun = match known {
+        let decision = match known {
             Some((on_record, _)) if on_record != digest => refuse(&self.cfg, ResultCode::KeyReused),
             // What is final is true wherever it is on record.
             Some((_, stage)) if stage.is_final() => replay(&self.cfg, &stage),
@@ -47,7 +47,7 @@
                 refuse(&self.cfg, code)
             }),
         };
-        self.answer(token, begun);
+        self.answer(token, decision);
     }
 
     /// Whether this entry is about to hold the home, or to learn who does: its holder can't
@@ -83,7 +83,7 @@
         }
     }
 
-    fn forward(&self, id: &HomeId, hops: u8) -> Result<Begun, ResultCode> {
+    fn forward(&self, id: &HomeId, hops: u8) -> Result<Decision, ResultCode> {
         if hops >= MAX_HOPS {
             return Err(ResultCode::HomeUnreachable);
         }
@@ -92,7 +92,7 @@
             .or_else(|| self.live(id.founder))
             .or_else(|| self.any_of_domain(id, hops));
         match entry {
-            Some(member) => Ok(Begun::Forward {
+            Some(member) => Ok(Decision::Forward {
                 entry: member.name.clone(),
             }),
             None if self.is_lost(id) => Err(ResultCode::HomeLostRecords),
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -62,8 +62,8 @@
 
     fn expire(&mut self, now: Moment) {
         while let Some(token) = self.requests.pop_expired(now) {
-            let begun = refuse(&self.cfg, ResultCode::StillRunning);
-            self.out.push(Action::Begun { token, begun });
+            let decision = refuse(&self.cfg, ResultCode::StillRunning);
+            self.out.push(Action::Decide { token, decision });
         }
     }
 
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use filberthead_ledger::{
-    Action, Begun, Config, ConfigBuilder, Digest, Event, Guards, HomeId, Key, KeyPrefix, Ledger,
+    Action, Config, ConfigBuilder, Decision, Digest, Event, Guards, HomeId, Key, KeyPrefix, Ledger,
     Member, Message, Op, Token, Verdict, Verdicts,
 };
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
@@ -81,7 +81,7 @@
     answers: BTreeMap<String, Vec<u8>>,
     told_not_run: BTreeSet<String>,
     /// Every answer of the ledgers, by key.
-    pub(crate) told: Vec<(String, Begun)>,
+    pub(crate) told: Vec<(String, Decision)>,
     pub(crate) broken: Option<String>,
     pub(crate) counts: Counts,
     next_incarnation: u64,
@@ -208,7 +208,7 @@
 
     fn act(&mut self, from: Slot, action: Action) {
         match action {
-            Action::Begun { token, begun } => self.begun(from, token, begun),
+            Action::Decide { token, decision } => self.decided(from, token, decision),
             Action::Send { to, message } => {
                 let Some(to) = self.slot_of(&to) else {
                     return;
@@ -250,14 +250,14 @@
             .map(|(slot, _)| *slot)
     }
 
-    fn begun(&mut self, slot: Slot, token: Token, begun: Begun) {
+    fn decided(&mut self, slot: Slot, token: Token, decision: Decision) {
         let Some((_, key, digest, hops)) = self.requests.remove(&token) else {
             self.broken = Some(format!("request {token:?} got two answers"));
             return;
         };
-        self.told.push((key.clone(), begun.clone()));
-        match begun {
-            Begun::Start => {
+        self.told.push((key.clone(), decision.clone()));
+        match decision {
+            Decision::Start => {
                 self.counts.started += 1;
                 let ran = false;
                 self.started.push(Started {
@@ -267,14 +267,14 @@
                     ran,
                 });
             }
-            Begun::Replay(answer) => {
+            Decision::Replay(answer) => {
                 self.counts.replayed += 1;
                 if self.answers.get(&key).map(Vec::as_slice) != Some(&answer[..]) {
                     self.broken = Some(format!("{key} got another answer than its own"));
                 }
             }
-            Begun::Refuse { code, .. } => self.refused(&key, code),
-            Begun::Forward { entry } => {
+            Decision::Refuse { code, .. } => self.refused(&key, code),
+            Decision::Forward { entry } => {
                 if let Some(to) = self.slot_of(&entry) {
                     let hops = hops + 1;
                     self.post(Packet::Request {
@@ -491,15 +491,15 @@
     }
 
     /// The newest word of the ledgers on a key.
-    pub(crate) fn last_told(&self, key: &str) -> Option<&Begun> {
+    pub(crate) fn last_told(&self, key: &str) -> Option<&Decision> {
         let mut told = self.told.iter().rev();
-        told.find(|(of, _)| of == key).map(|(_, begun)| begun)
+        told.find(|(of, _)| of == key).map(|(_, decision)| decision)
     }
 
     /// The newest refusal's code.
     pub(crate) fn last_code(&self, key: &str) -> Option<ResultCode> {
         match self.last_told(key)? {
-            Begun::Refuse { code, .. } => Some(*code),
+            Decision::Refuse { code, .. } => Some(*code),
             _ => None,
         }
     }
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_ledger::{Begun, Event, Guards};
+use filberthead_ledger::{Decision, Event, Guards};
 use filberthead_types::ResultCode;
 
 use crate::cluster::{START_WINDOW, SUSPECT_AFTER, World, config};
@@ -20,7 +20,7 @@
     let answer = format!("answer to {key}");
     assert_eq!(
         world.last_told(key),
-        Some(&Begun::Replay(answer.into())),
+        Some(&Decision::Replay(answer.into())),
         "{:?}",
         world.told
     );
@@ -51,9 +51,9 @@
     assert_eq!(world.runs[&key], 1);
 }
 
-fn forwarded_to(begun: &Begun) -> Option<&str> {
-    match begun {
-        Begun::Forward { entry } => Some(entry.as_str()),
+fn forwarded_to(decision: &Decision) -> Option<&str> {
+    match decision {
+        Decision::Forward { entry } => Some(entry.as_str()),
         _ => None,
     }
 }
@@ -73,7 +73,7 @@
     let replays = world
         .told
         .iter()
-        .filter(|(_, b)| matches!(b, Begun::Replay(_)));
+        .filter(|(_, b)| matches!(b, Decision::Replay(_)));
     assert_eq!(replays.count(), 1);
     assert_eq!(world.broken, None);
 }
@@ -160,7 +160,7 @@
     world.drain();
     assert_eq!(world.last_told(&key), None);
     world.settle(2 * SUSPECT_AFTER);
-    assert_eq!(world.last_told(&key), Some(&Begun::Start));
+    assert_eq!(world.last_told(&key), Some(&Decision::Start));
     assert_eq!(world.broken, None);
 }
 
@@ -326,7 +326,7 @@
     world.give_up(0);
     world.send(0, &keys[3]);
     world.drain();
-    assert_eq!(world.last_told(&keys[3]), Some(&Begun::Start));
+    assert_eq!(world.last_told(&keys[3]), Some(&Decision::Start));
 }
 
 /// Time after which every key of a prefix handed out now is dropped.
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_ledger::{Begun, Event, Guards};
+use filberthead_ledger::{Decision, Event, Guards};
 
 use crate::cluster::{SUSPECT_AFTER, Slot, World, config};
 
@@ -49,7 +49,7 @@
     let answer = format!("answer to {running}");
     assert_eq!(
         world.last_told(&running),
-        Some(&Begun::Replay(answer.into()))
+        Some(&Decision::Replay(answer.into()))
     );
     assert_eq!(world.counts.verdicts, 0);
     assert_eq!(world.broken, None);
@@ -167,7 +167,7 @@
         world.send(2, key);
         world.drain();
         let answer = format!("answer to {key}");
-        assert_eq!(world.last_told(key), Some(&Begun::Replay(answer.into())));
+        assert_eq!(world.last_told(key), Some(&Decision::Replay(answer.into())));
     }
     assert_eq!(world.counts.verdicts, 0);
     assert_eq!(world.broken, None);
