--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -38,7 +38,7 @@
         let Some(verdict) = self.machine.verdicts.get(claim) else {
             return false;
         };
-        info!(home:% = verdict.home, config = verdict.config.0, winner = verdict.winner.0;
+        info!(home:% = verdict.home, config = verdict.epoch.0, winner = verdict.winner.0;
             "verdict on a home");
         self.send(to, Body::Ledger(Message::Verdict(verdict)));
         true
--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ConfigNumber(pub u64);
+pub struct HomeEpoch(pub u64);
 
-impl ConfigNumber {
+impl HomeEpoch {
     /// The next higher number.
     #[must_use]
     pub fn next(self) -> Self {
@@ -53,7 +53,7 @@
     /// The home.
     pub home: HomeId,
     /// The config whose other member is silent.
-    pub config: ConfigNumber,
+    pub epoch: HomeEpoch,
     /// Incarnation of the member that asks.
     pub claimant: Incarnation,
 }
@@ -65,7 +65,7 @@
     /// The home.
     pub home: HomeId,
     /// The config that ended.
-    pub config: ConfigNumber,
+    pub epoch: HomeEpoch,
     /// Who holds the home from the next config on.
     pub winner: Incarnation,
 }
@@ -79,7 +79,7 @@
         /// The home.
         home: HomeId,
         /// The config that the receiver is, or is to become, backup of.
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         /// Incarnation of the sender.
         holder: Incarnation,
         /// Incarnation of the receiver that the holder means. A restarted receiver has
@@ -98,7 +98,7 @@
         /// The home.
         home: HomeId,
         /// The config.
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         /// Number of the first record that it doesn't have.
         next: u64,
     },
@@ -108,14 +108,14 @@
         /// The home.
         home: HomeId,
         /// The config.
-        config: ConfigNumber,
+        epoch: HomeEpoch,
     },
     /// Heartbeat to the entries of the failure domain: what the sender holds.
     Holds {
         /// Incarnation of the sender.
         incarnation: Incarnation,
         /// Homes that it holds, with their configs.
-        homes: Vec<(HomeId, ConfigNumber)>,
+        homes: Vec<(HomeId, HomeEpoch)>,
         /// The prefix that it hands out.
         prefix: Option<KeyPrefix>,
     },
--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -4,7 +4,7 @@
 
 use crate::home::{Home, Role};
 use crate::primary::Cx;
-use crate::{Action, Claim, ConfigNumber, Member, Message, Op};
+use crate::{Action, Claim, HomeEpoch, Member, Message, Op};
 
 /// State of a backup besides the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -56,7 +56,7 @@
 
     /// Takes in the steps of a message that fit, and acknowledges all that are here.
     pub(crate) fn append(&mut self, cx: &mut Cx<'_>, from: &NodeName, append: Append) {
-        let config = self.config;
+        let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
             return;
         };
@@ -76,9 +76,9 @@
             backup.next = next;
             backup.joined |= append.joined_at.is_some_and(|at| next >= at);
         }
-        self.acknowledge(cx, from, config, next);
+        self.acknowledge(cx, from, epoch, next);
         if handed_over {
-            self.take_over(cx.now, config.next());
+            self.take_over(cx.now, epoch.next());
         }
     }
 
@@ -87,7 +87,7 @@
         &mut self,
         cx: &mut Cx<'_>,
         from: &NodeName,
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         append: &Append,
     ) {
         for op in &append.ops {
@@ -96,13 +96,13 @@
             }
         }
         let next = append.first + append.ops.len() as u64;
-        self.acknowledge(cx, from, config, next);
+        self.acknowledge(cx, from, epoch, next);
     }
 
-    fn acknowledge(&self, cx: &mut Cx<'_>, to: &NodeName, config: ConfigNumber, next: u64) {
+    fn acknowledge(&self, cx: &mut Cx<'_>, to: &NodeName, epoch: HomeEpoch, next: u64) {
         let message = Message::Ack {
             home: cx.id.clone(),
-            config,
+            epoch,
             next,
         };
         cx.send(to, message);
@@ -111,7 +111,7 @@
     /// Asks control to let this entry hold the home, again and again: a claim on its way
     /// may win, so only its verdict ends it.
     pub(crate) fn claim_as_backup(&mut self, cx: &mut Cx<'_>, silent: bool) {
-        let config = self.config;
+        let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
             return;
         };
@@ -129,7 +129,7 @@
         backup.claimed = Some(cx.now);
         let claim = Claim {
             home: cx.id.clone(),
-            config,
+            epoch,
             claimant: cx.me.incarnation,
         };
         cx.out.push(Action::Claim(claim));
@@ -160,7 +160,7 @@
     pub(crate) fn send_release(&self, cx: &mut Cx<'_>, to: &NodeName) {
         let message = Message::Release {
             home: cx.id.clone(),
-            config: self.config,
+            epoch: self.epoch,
         };
         cx.send(to, message);
     }
--- a/crates/ledger/src/claim_results.rs
+++ b/crates/ledger/src/claim_results.rs
@@ -10,7 +10,7 @@
 use filberthead_types::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::{Claim, ConfigNumber, Verdict};
+use crate::{Claim, HomeEpoch, Verdict};
 
 /// Verdicts that are kept. There is one for each entry that fails without a planned stop
 /// and each home that it was holder or backup of, so a hundred days of a hundred such
@@ -19,7 +19,7 @@
 
 /// The config that a verdict is on. The founder's incarnation is random, so it needs no
 /// failure domain beside it.
-type Key = (Incarnation, u32, ConfigNumber);
+type Key = (Incarnation, u32, HomeEpoch);
 
 /// The newest verdicts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
 }
 
 fn key(claim: &Claim) -> Key {
-    (claim.home.founder, claim.home.serial, claim.config)
+    (claim.home.founder, claim.home.serial, claim.epoch)
 }
 
 impl Verdicts {
@@ -75,7 +75,7 @@
 fn verdict(claim: &Claim, winner: Incarnation) -> Verdict {
     Verdict {
         home: claim.home.clone(),
-        config: claim.config,
+        epoch: claim.epoch,
         winner,
     }
 }
--- a/crates/ledger/src/config.rs
+++ b/crates/ledger/src/config.rs
@@ -10,7 +10,7 @@
     /// A start is given out only once the backup has recorded it.
     pub record_before_start: bool,
     /// Records of another config of a home than the one in force are dropped.
-    pub check_config: bool,
+    pub check_epoch: bool,
     /// A copy claims its home only once it is complete.
     pub complete_before_claim: bool,
     /// A journal is given up before a first backup counts.
@@ -27,7 +27,7 @@
     /// Every guard in place.
     pub const ALL: Self = Self {
         record_before_start: true,
-        check_config: true,
+        check_epoch: true,
         complete_before_claim: true,
         retire_before_pairing: true,
         check_backup: true,
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -4,14 +4,14 @@
 
 use crate::backup::Backup;
 use crate::primary::Holder;
-use crate::{ConfigNumber, Digest, Generation, KeyRecord, Marks, Op, Stage, Token};
+use crate::{Digest, Generation, HomeEpoch, KeyRecord, Marks, Op, Stage, Token};
 use filberthead_types::{Incarnation, Moment};
 
 /// A home as one entry knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Home {
     /// Newest config that this entry knows of.
-    pub(crate) config: ConfigNumber,
+    pub(crate) epoch: HomeEpoch,
     pub(crate) role: Role,
     pub(crate) marks: Marks,
     pub(crate) usage: Usage,
@@ -72,9 +72,9 @@
 }
 
 impl Home {
-    pub(crate) fn new(config: ConfigNumber, role: Role) -> Self {
+    pub(crate) fn new(epoch: HomeEpoch, role: Role) -> Self {
         Self {
-            config,
+            epoch,
             role,
             marks: Marks::default(),
             usage: Usage::default(),
@@ -199,7 +199,7 @@
 
     /// All that a journal written anew has to hold.
     pub(crate) fn snapshot(&self) -> Vec<Op> {
-        let mut ops = vec![Op::Config(self.config), Op::Marks(self.marks)];
+        let mut ops = vec![Op::Epoch(self.epoch), Op::Marks(self.marks)];
         let mut cursor = None;
         while let Some(record) = self.next_after(cursor.as_ref()) {
             cursor = Some((record.generation, record.rest.clone()));
@@ -244,7 +244,7 @@
         match op {
             Op::Put(record) => self.put(record),
             Op::Marks(marks) => self.raise_marks(marks),
-            Op::Config(config) => self.config = self.config.max(config),
+            Op::Epoch(epoch) => self.epoch = self.epoch.max(epoch),
             Op::HandOver => return true,
         }
         false
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -11,8 +11,8 @@
 use crate::requests::Requests;
 use crate::route::Parked;
 use crate::{
-    Action, Config, ConfigNumber, Decision, Digest, Event, HomeId, Key, KeyPrefix, Member, Op,
-    Stage, Token,
+    Action, Config, Decision, Digest, Event, HomeEpoch, HomeId, Key, KeyPrefix, Member, Op, Stage,
+    Token,
 };
 
 /// The at-most-once ledger of one entry.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub(crate) incarnation: Incarnation,
-    pub(crate) homes: BTreeMap<HomeId, ConfigNumber>,
+    pub(crate) homes: BTreeMap<HomeId, HomeEpoch>,
     pub(crate) prefix: Option<KeyPrefix>,
 }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -36,9 +36,7 @@
 mod route;
 mod tick;
 
-pub use api::{
-    Action, Claim, ConfigNumber, Decision, Digest, Event, Member, Message, Token, Verdict,
-};
+pub use api::{Action, Claim, Decision, Digest, Event, HomeEpoch, Member, Message, Token, Verdict};
 pub use claim_results::{KEPT_VERDICTS, Verdicts};
 pub use config::{Config, ConfigBuilder, Guards};
 pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_REST_LEN, ParseKeyError};
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -8,7 +8,7 @@
 
 use filberthead_types::Moment;
 
-use crate::{Config, ConfigNumber, Generation, Member, Op};
+use crate::{Config, Generation, HomeEpoch, Member, Op};
 
 /// Batches that may be unacknowledged before sending pauses.
 const WINDOW_BATCHES: usize = 4;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Log {
     pub(crate) peer: Member,
-    pub(crate) config: ConfigNumber,
+    pub(crate) epoch: HomeEpoch,
     /// Number of the first step that isn't acknowledged.
     base: u64,
     /// Steps from `base` on.
@@ -53,10 +53,10 @@
 }
 
 impl Log {
-    pub(crate) fn new(now: Moment, peer: Member, config: ConfigNumber) -> Self {
+    pub(crate) fn new(now: Moment, peer: Member, epoch: HomeEpoch) -> Self {
         Self {
             peer,
-            config,
+            epoch,
             base: 0,
             ops: VecDeque::new(),
             sent: 0,
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -5,12 +5,12 @@
 use super::{Cx, Holder, Need, Pair, Wait};
 use crate::home::{Home, Role};
 use crate::log::Log;
-use crate::{Action, Claim, ConfigNumber, Decision, Member, Op};
+use crate::{Action, Claim, Decision, HomeEpoch, Member, Op};
 
 impl Home {
     /// Becomes the holder at `config`, with the records at hand.
-    pub(crate) fn take_over(&mut self, now: Moment, config: ConfigNumber) {
-        self.config = config;
+    pub(crate) fn take_over(&mut self, now: Moment, epoch: HomeEpoch) {
+        self.epoch = epoch;
         let mut holder = Holder::alone(None);
         // Nothing is known of when prefixes were superseded; from now on is never too
         // early, and no new one is handed out.
@@ -19,8 +19,8 @@
     }
 
     /// The backup is out of the config; what waited for it goes on.
-    pub(crate) fn go_alone(&mut self, cx: &mut Cx<'_>, config: ConfigNumber) {
-        self.config = config;
+    pub(crate) fn go_alone(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
+        self.epoch = epoch;
         let Some(holder) = self.holder_mut() else {
             return;
         };
@@ -35,8 +35,8 @@
     }
 
     /// Another entry holds the home; what waited here goes there.
-    pub(crate) fn depose(&mut self, cx: &mut Cx<'_>, config: ConfigNumber, to: &Member) {
-        self.config = config;
+    pub(crate) fn depose(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
+        self.epoch = epoch;
         let past = Role::Past {
             holder: Some(to.incarnation),
             since: cx.now,
@@ -66,8 +66,8 @@
 
     /// Starts to copy the home to `peer`.
     pub(crate) fn invite(&mut self, now: Moment, peer: &Member) {
-        self.config = self.config.next();
-        let mut log = Log::new(now, peer.clone(), self.config);
+        self.epoch = self.epoch.next();
+        let mut log = Log::new(now, peer.clone(), self.epoch);
         log.push(Op::Marks(self.marks));
         if let Some(holder) = self.holder_mut() {
             holder.pair = Pair::Joining(log);
@@ -75,14 +75,14 @@
     }
 
     /// The backup has the steps before `next`.
-    pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, config: ConfigNumber, next: u64) {
+    pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, next: u64) {
         let Some(holder) = self.holder_mut() else {
             return;
         };
         let Some(log) = holder.log_mut() else {
             return;
         };
-        if log.config != config {
+        if log.epoch != epoch {
             return;
         }
         log.ack(cx.now, next);
@@ -126,8 +126,8 @@
         {
             return;
         }
-        let (peer, config) = (log.peer.clone(), log.config.next());
-        self.depose(cx, config, &peer);
+        let (peer, epoch) = (log.peer.clone(), log.epoch.next());
+        self.depose(cx, epoch, &peer);
     }
 
     /// Asks control to let this entry go on without its backup, again and again: a
@@ -149,7 +149,7 @@
         *claimed = Some(cx.now);
         let claim = Claim {
             home: cx.id.clone(),
-            config: log.config,
+            epoch: log.epoch,
             claimant: cx.me.incarnation,
         };
         cx.out.push(Action::Claim(claim));
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -6,7 +6,7 @@
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::log::Copying;
-use crate::{Action, Config, ConfigNumber, Generation, KeyRecord, Message, Op};
+use crate::{Action, Config, Generation, HomeEpoch, KeyRecord, Message, Op};
 
 /// Bytes of a record in a journal, its answer left out, about.
 const RECORD_LEN: usize = 96;
@@ -58,15 +58,15 @@
     /// Takes up a home from the journal of a predecessor in the same data folder.
     pub(crate) fn recover(now: Moment, ops: Vec<Op>) -> Self {
         let role = Role::Holder(Box::new(Holder::alone(None)));
-        let mut home = Self::new(ConfigNumber::default(), role);
+        let mut home = Self::new(HomeEpoch::default(), role);
         for op in ops {
             home.apply(op);
         }
-        let config = ConfigNumber(home.config.0 + RECOVERED_CONFIGS);
-        home.take_over(now, config);
+        let epoch = HomeEpoch(home.epoch.0 + RECOVERED_CONFIGS);
+        home.take_over(now, epoch);
         if let Some(holder) = home.holder_mut() {
             let mut journal = Journal::default();
-            journal.push(Op::Config(config));
+            journal.push(Op::Epoch(epoch));
             holder.journal = Some(journal);
         }
         home
@@ -84,7 +84,7 @@
         {
             let message = Message::Append {
                 home: cx.id.clone(),
-                config: log.config,
+                epoch: log.epoch,
                 holder: cx.me.incarnation,
                 backup: log.peer.incarnation,
                 first: batch.first,
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -5,14 +5,14 @@
 use crate::backup::{Append, Backup};
 use crate::home::{Home, Role};
 use crate::primary::Holder;
-use crate::{ConfigNumber, HomeId, Ledger, Member, Message, Verdict};
+use crate::{HomeEpoch, HomeId, Ledger, Member, Message, Verdict};
 
 impl Ledger {
     pub(crate) fn received(&mut self, now: Moment, from: &NodeName, message: Message) {
         match message {
             Message::Append {
                 home,
-                config,
+                epoch,
                 holder,
                 backup,
                 first,
@@ -28,12 +28,12 @@
                     ops,
                     joined_at,
                 };
-                self.append(now, from, &home, config, append);
+                self.append(now, from, &home, epoch, append);
             }
-            Message::Ack { home, config, next } => {
-                self.with_home(now, &home, |home, cx| home.acked(cx, config, next));
+            Message::Ack { home, epoch, next } => {
+                self.with_home(now, &home, |home, cx| home.acked(cx, epoch, next));
             }
-            Message::Release { home, config } => self.released(now, &home, config),
+            Message::Release { home, epoch } => self.released(now, &home, epoch),
             Message::Holds {
                 incarnation,
                 homes,
@@ -58,14 +58,14 @@
         now: Moment,
         from: &NodeName,
         id: &HomeId,
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         append: Append,
     ) {
         if self.stopping && !self.homes.contains_key(id) {
             // This entry would be gone before it is of use.
             return;
         }
-        if !self.follows(now, from, id, config, &append) {
+        if !self.follows(now, from, id, epoch, &append) {
             return;
         }
         self.with_home(now, id, |home, cx| home.append(cx, from, append));
@@ -77,39 +77,39 @@
         now: Moment,
         from: &NodeName,
         id: &HomeId,
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         append: &Append,
     ) -> bool {
         let Some(home) = self.homes.get(id) else {
             if append.first == 0 {
                 let backup = Backup::new(now, from, append.holder);
-                let home = Home::new(config, Role::Backup(backup));
+                let home = Home::new(epoch, Role::Backup(backup));
                 self.homes.insert(id.clone(), home);
             }
             return append.first == 0;
         };
-        if config == home.config && matches!(home.role, Role::Past { .. }) {
+        if epoch == home.epoch && matches!(home.role, Role::Past { .. }) {
             // It didn't hear that this entry has left the config.
             self.with_home(now, id, |home, cx| home.send_release(cx, from));
             return false;
         }
         // Failure: a holder that was replaced without knowing goes on sending; were it
         // acknowledged, it and its successor would both run a key.
-        if config < home.config {
-            if !self.cfg.guards.check_config {
+        if epoch < home.epoch {
+            if !self.cfg.guards.check_epoch {
                 self.with_home(now, id, |home, cx| {
-                    home.append_unchecked(cx, from, config, append);
+                    home.append_unchecked(cx, from, epoch, append);
                 });
             }
             return false;
         }
-        if config == home.config {
+        if epoch == home.epoch {
             return true;
         }
         if append.first > 0 {
             return false;
         }
-        self.rejoin(now, from, id, config, append.holder);
+        self.rejoin(now, from, id, epoch, append.holder);
         true
     }
 
@@ -119,7 +119,7 @@
         now: Moment,
         from: &NodeName,
         id: &HomeId,
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         holder: Incarnation,
     ) {
         let to = Member {
@@ -130,27 +130,27 @@
         };
         self.with_home(now, id, |home, cx| {
             if home.holder().is_some() {
-                home.depose(cx, config, &to);
+                home.depose(cx, epoch, &to);
             }
-            home.config = config;
+            home.epoch = epoch;
             home.role = Role::Backup(Backup::new(cx.now, from, holder));
         });
     }
 
-    fn released(&mut self, now: Moment, id: &HomeId, config: ConfigNumber) {
+    fn released(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch) {
         self.with_home(now, id, |home, cx| {
             let log = home.holder_mut().and_then(Holder::log_mut);
-            if log.is_some_and(|log| log.config == config) {
-                home.go_alone(cx, config.next());
+            if log.is_some_and(|log| log.epoch == epoch) {
+                home.go_alone(cx, epoch.next());
             }
         });
     }
 
     fn decided(&mut self, now: Moment, verdict: &Verdict) {
         let me = self.me.incarnation;
-        let next = verdict.config.next();
+        let next = verdict.epoch.next();
         self.with_home(now, &verdict.home, |home, cx| {
-            if home.config != verdict.config {
+            if home.epoch != verdict.epoch {
                 return;
             }
             match &home.role {
@@ -171,7 +171,7 @@
                 }
                 Role::Backup(_) if verdict.winner == me => home.take_over(cx.now, next),
                 Role::Backup(_) => {
-                    home.config = next;
+                    home.epoch = next;
                     home.role = Role::Past {
                         holder: Some(verdict.winner),
                         since: cx.now,
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -4,7 +4,7 @@
 use filberthead_types::ResultCode;
 use serde::{Deserialize, Serialize};
 
-use crate::{ConfigNumber, Digest, Generation};
+use crate::{Digest, Generation, HomeEpoch};
 
 /// How far a key has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -85,7 +85,7 @@
     /// The bounds between periods.
     Marks(Marks),
     /// In journals only: no config up to this one is used again.
-    Config(ConfigNumber),
+    Epoch(HomeEpoch),
     /// The last step: the receiver holds the home from the next config on.
     HandOver,
 }
@@ -96,7 +96,7 @@
         const FIXED: usize = 32;
         match self {
             Self::Put(record) => FIXED + record.rest.len() + record.stage.stored_len(),
-            Self::Marks(_) | Self::Config(_) | Self::HandOver => FIXED,
+            Self::Marks(_) | Self::Epoch(_) | Self::HandOver => FIXED,
         }
     }
 }
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -6,7 +6,7 @@
 use crate::home::Role;
 use crate::ledger::Peer;
 use crate::primary::{refuse, replay};
-use crate::{ConfigNumber, Decision, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Token};
+use crate::{Decision, Digest, HomeEpoch, HomeId, Key, KeyPrefix, Ledger, Member, Token};
 
 /// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
 /// failure domain of the home, and one there, which knows the holder. The bound ends
@@ -103,8 +103,8 @@
     /// Who holds a home, as far as known here.
     pub(crate) fn holder_of(&self, id: &HomeId) -> Option<&Member> {
         let told = self.peers.values().filter_map(|peer| {
-            let config = peer.homes.get(id)?;
-            Some((*config, peer.incarnation))
+            let epoch = peer.homes.get(id)?;
+            Some((*epoch, peer.incarnation))
         });
         if let Some((_, incarnation)) = told.max() {
             return self.live(incarnation);
@@ -177,7 +177,7 @@
         now: Moment,
         from: &NodeName,
         incarnation: Incarnation,
-        homes: Vec<(HomeId, ConfigNumber)>,
+        homes: Vec<(HomeId, HomeEpoch)>,
         prefix: Option<KeyPrefix>,
     ) {
         let holder = Member {
@@ -186,8 +186,8 @@
             failure_domain: self.me.failure_domain.clone(),
             leaving: false,
         };
-        for (id, config) in &homes {
-            self.learn_holder(now, id, *config, &holder);
+        for (id, epoch) in &homes {
+            self.learn_holder(now, id, *epoch, &holder);
         }
         let peer = Peer {
             incarnation,
@@ -199,9 +199,9 @@
 
     /// Another entry holds a home; with a newer config than here, what this entry was to
     /// the home is over.
-    fn learn_holder(&mut self, now: Moment, id: &HomeId, config: ConfigNumber, holder: &Member) {
+    fn learn_holder(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch, holder: &Member) {
         self.with_home(now, id, |home, cx| {
-            if config <= home.config {
+            if epoch <= home.epoch {
                 return;
             }
             let past = Role::Past {
@@ -209,7 +209,7 @@
                 since: cx.now,
             };
             match &home.role {
-                Role::Holder(_) => home.depose(cx, home.config.next(), holder),
+                Role::Holder(_) => home.depose(cx, home.epoch.next(), holder),
                 // Its holder goes on with other config numbers while it copies the home
                 // here; only another holder ends the backup's part.
                 Role::Backup(backup) if backup.holder_incarnation == holder.incarnation => {}
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -6,7 +6,7 @@
 use crate::journal::Journal;
 use crate::ledger::Room;
 use crate::primary::{Holder, Pair, refuse};
-use crate::{Action, ConfigNumber, HomeId, Ledger, Message};
+use crate::{Action, HomeEpoch, HomeId, Ledger, Message};
 
 /// Homes known at most before no further one is founded. One is founded at the start and
 /// one each time that control can't be asked for a verdict for long.
@@ -215,7 +215,7 @@
         self.next_serial += 1;
         let journal = self.cfg.journal.then(Journal::default);
         let role = Role::Holder(Box::new(Holder::alone(journal)));
-        let home = Home::new(ConfigNumber::default(), role);
+        let home = Home::new(HomeEpoch::default(), role);
         self.homes.insert(id.clone(), home);
         self.own = Some(id);
     }
@@ -272,7 +272,7 @@
             .homes
             .iter()
             .filter(|(_, home)| home.holder().is_some());
-        let homes: Vec<_> = held.map(|(id, home)| (id.clone(), home.config)).collect();
+        let homes: Vec<_> = held.map(|(id, home)| (id.clone(), home.epoch)).collect();
         let message = Message::Holds {
             incarnation: self.me.incarnation,
             homes,
--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -1,6 +1,6 @@
 //! Control's verdicts.
 
-use filberthead_ledger::{Claim, ConfigNumber, HomeId, KEPT_VERDICTS, Verdicts};
+use filberthead_ledger::{Claim, HomeEpoch, HomeId, KEPT_VERDICTS, Verdicts};
 use filberthead_types::Incarnation;
 
 /// What the fullest table leaves of the longest message between control replicas.
@@ -13,7 +13,7 @@
             founder: Incarnation(u64::MAX - founder),
             serial: 7,
         },
-        config: ConfigNumber(9),
+        epoch: HomeEpoch(9),
         claimant: Incarnation(u64::MAX - claimant),
     }
 }
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -375,7 +375,7 @@
                 }
                 let verdict = Verdict {
                     home: claim.home,
-                    config: claim.config,
+                    epoch: claim.epoch,
                     winner,
                 };
                 let message = Message::Verdict(verdict);
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -267,7 +267,7 @@
         (
             "config",
             crash_or_silence(Guards {
-                check_config: false,
+                check_epoch: false,
                 ..all
             }),
         ),
