--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -40,7 +40,7 @@
         };
         info!(home:% = verdict.home, config = verdict.epoch.0, winner = verdict.winner.0;
             "verdict on a home");
-        self.send(to, Body::Ledger(Message::Verdict(verdict)));
+        self.send(to, Body::Ledger(Message::ClaimResult(verdict)));
         true
     }
 
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use filberthead_fleet::Order;
-use filberthead_ledger::{Claim, Verdict, Verdicts};
+use filberthead_ledger::{Claim, ClaimResult, ClaimResults};
 use filberthead_route::{LatestChange, OfferResult};
 use filberthead_table::{Command, Outcome, Table};
 use filberthead_types::{FailureDomain, ReplicaId};
@@ -42,7 +42,7 @@
     /// Of an operator's act.
     Table(Outcome),
     /// Of a claim.
-    Claim(Verdict),
+    Claim(ClaimResult),
     /// Of an order, or of a location: nothing to tell, both always hold.
     Noted,
 }
@@ -54,7 +54,7 @@
     /// The table; shared with those who were shown it.
     pub(crate) table: Arc<Table>,
     /// Who went on, by home and config.
-    pub(crate) verdicts: Verdicts,
+    pub(crate) verdicts: ClaimResults,
     /// The routes in force.
     pub(crate) routes: LatestChange,
     /// Index of the entry that put them in force; 0 for none.
--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -61,7 +61,7 @@
 /// Control's answer to a [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Verdict {
+pub struct ClaimResult {
     /// The home.
     pub home: HomeId,
     /// The config that ended.
@@ -138,7 +138,7 @@
     /// To control.
     Claim(Claim),
     /// From control.
-    Verdict(Verdict),
+    ClaimResult(ClaimResult),
 }
 
 /// What happened.
--- a/crates/ledger/src/claim_results.rs
+++ b/crates/ledger/src/claim_results.rs
@@ -10,12 +10,12 @@
 use filberthead_types::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::{Claim, HomeEpoch, Verdict};
+use crate::{Claim, ClaimResult, HomeEpoch};
 
 /// Verdicts that are kept. There is one for each entry that fails without a planned stop
 /// and each home that it was holder or backup of, so a hundred days of a hundred such
 /// failures a day are on record. At 24 bytes each they take a snapshot's 240 KB.
-pub const KEPT_VERDICTS: usize = 10_000;
+pub const MAX_CLAIM_RESULTS: usize = 10_000;
 
 /// The config that a verdict is on. The founder's incarnation is random, so it needs no
 /// failure domain beside it.
@@ -24,7 +24,7 @@
 /// The newest verdicts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Verdicts {
+pub struct ClaimResults {
     /// Winners, with the number of the verdict.
     winners: BTreeMap<Key, (u64, Incarnation)>,
     next: u64,
@@ -34,24 +34,24 @@
     (claim.home.founder, claim.home.serial, claim.epoch)
 }
 
-impl Verdicts {
+impl ClaimResults {
     /// The verdict on a config if there is one; a claim on it needs no log entry.
-    pub fn get(&self, claim: &Claim) -> Option<Verdict> {
+    pub fn get(&self, claim: &Claim) -> Option<ClaimResult> {
         let (_, winner) = *self.winners.get(&key(claim))?;
-        Some(verdict(claim, winner))
+        Some(result(claim, winner))
     }
 
     /// Applies a claim from the log: the first one on a config wins it.
-    pub fn apply(&mut self, claim: &Claim) -> Verdict {
-        if let Some(verdict) = self.get(claim) {
-            return verdict;
+    pub fn apply(&mut self, claim: &Claim) -> ClaimResult {
+        if let Some(result) = self.get(claim) {
+            return result;
         }
         self.winners.insert(key(claim), (self.next, claim.claimant));
         self.next += 1;
-        if self.winners.len() > KEPT_VERDICTS {
+        if self.winners.len() > MAX_CLAIM_RESULTS {
             self.drop_oldest();
         }
-        verdict(claim, claim.claimant)
+        result(claim, claim.claimant)
     }
 
     fn drop_oldest(&mut self) {
@@ -72,8 +72,8 @@
     }
 }
 
-fn verdict(claim: &Claim, winner: Incarnation) -> Verdict {
-    Verdict {
+fn result(claim: &Claim, winner: Incarnation) -> ClaimResult {
+    ClaimResult {
         home: claim.home.clone(),
         epoch: claim.epoch,
         winner,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -3,7 +3,7 @@
 //! A request that isn't idempotent carries a [`Key`]. Its prefix names a home: a set of
 //! keys that one entry at a time, the holder, may start. [`Ledger`] is what one entry
 //! knows of homes; it is told what happens by [`Event`]s and answers with [`Action`]s.
-//! [`Verdicts`] is control's part: who goes on when holder and backup lose each other.
+//! [`ClaimResults`] is control's part: who goes on when holder and backup lose each other.
 //!
 //! Invariants, checked at each step of the random runs and the exploration in `tests`:
 //!
@@ -36,8 +36,10 @@
 mod route;
 mod tick;
 
-pub use api::{Action, Claim, Decision, Digest, Event, HomeEpoch, Member, Message, Token, Verdict};
-pub use claim_results::{KEPT_VERDICTS, Verdicts};
+pub use api::{
+    Action, Claim, ClaimResult, Decision, Digest, Event, HomeEpoch, Member, Message, Token,
+};
+pub use claim_results::{ClaimResults, MAX_CLAIM_RESULTS};
 pub use config::{Config, ConfigBuilder, Guards};
 pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_REST_LEN, ParseKeyError};
 pub use ledger::Ledger;
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -5,7 +5,7 @@
 use crate::backup::{Append, Backup};
 use crate::home::{Home, Role};
 use crate::primary::Holder;
-use crate::{HomeEpoch, HomeId, Ledger, Member, Message, Verdict};
+use crate::{ClaimResult, HomeEpoch, HomeId, Ledger, Member, Message};
 
 impl Ledger {
     pub(crate) fn received(&mut self, now: Moment, from: &NodeName, message: Message) {
@@ -45,8 +45,8 @@
                 generation,
                 rest,
             } => self.outcomes.remove(&home, generation, &rest),
-            Message::Verdict(verdict) => {
-                self.decided(now, &verdict);
+            Message::ClaimResult(result) => {
+                self.decided(now, &result);
                 self.unpark(now);
             }
             Message::Claim(_) => {}
@@ -146,11 +146,11 @@
         });
     }
 
-    fn decided(&mut self, now: Moment, verdict: &Verdict) {
+    fn decided(&mut self, now: Moment, result: &ClaimResult) {
         let me = self.me.incarnation;
-        let next = verdict.epoch.next();
-        self.with_home(now, &verdict.home, |home, cx| {
-            if home.epoch != verdict.epoch {
+        let next = result.epoch.next();
+        self.with_home(now, &result.home, |home, cx| {
+            if home.epoch != result.epoch {
                 return;
             }
             match &home.role {
@@ -158,22 +158,22 @@
                     let Some(peer) = holder.paired_with().cloned() else {
                         return;
                     };
-                    if verdict.winner == me && holder.is_handing_over() {
+                    if result.winner == me && holder.is_handing_over() {
                         // Nobody asks for a config while it is handed over; the successor
                         // may hold the home already.
                         return;
                     }
-                    if verdict.winner == me {
+                    if result.winner == me {
                         home.go_alone(cx, next);
                     } else {
                         home.depose(cx, next, &peer);
                     }
                 }
-                Role::Backup(_) if verdict.winner == me => home.take_over(cx.now, next),
+                Role::Backup(_) if result.winner == me => home.take_over(cx.now, next),
                 Role::Backup(_) => {
                     home.epoch = next;
                     home.role = Role::Past {
-                        holder: Some(verdict.winner),
+                        holder: Some(result.winner),
                         since: cx.now,
                     };
                 }
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -25,7 +25,7 @@
 impl Ledger {
     pub(crate) fn begin_elsewhere(&mut self, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
-        if self.waits_for_verdict(key) {
+        if self.awaits_claim_result(key) {
             let parked = Parked {
                 token,
                 key: key.clone(),
@@ -52,7 +52,7 @@
 
     /// Whether this entry is about to hold the home, or to learn who does: its holder can't
     /// be reached. A caller that waits these seconds needs no resend.
-    fn waits_for_verdict(&self, key: &Key) -> bool {
+    fn awaits_claim_result(&self, key: &Key) -> bool {
         let id = &key.prefix.home;
         let Some(home) = self.homes.get(id) else {
             return false;
--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -1,6 +1,6 @@
 //! Control's verdicts.
 
-use filberthead_ledger::{Claim, HomeEpoch, HomeId, KEPT_VERDICTS, Verdicts};
+use filberthead_ledger::{Claim, ClaimResults, HomeEpoch, HomeId, MAX_CLAIM_RESULTS};
 use filberthead_types::Incarnation;
 
 /// What the fullest table leaves of the longest message between control replicas.
@@ -22,23 +22,25 @@
 /// It gets the first one's verdict, or both would run the same order.
 #[test]
 fn the_first_claim_wins_for_ever() {
-    let mut verdicts = Verdicts::default();
-    let first = verdicts.apply(&claim(1, 1));
+    let mut claim_results = ClaimResults::default();
+    let first = claim_results.apply(&claim(1, 1));
     for other in 2..1_000 {
-        verdicts.apply(&claim(other, other));
+        claim_results.apply(&claim(other, other));
     }
-    assert_eq!(verdicts.apply(&claim(1, 2)), first);
-    assert_eq!(verdicts.apply(&claim(1, 1)), first);
+    assert_eq!(claim_results.apply(&claim(1, 2)), first);
+    assert_eq!(claim_results.apply(&claim(1, 1)), first);
 }
 
 #[test]
 fn verdicts_leave_room_for_the_fullest_table() {
-    let mut verdicts = Verdicts::default();
-    for founder in 0..KEPT_VERDICTS as u64 + 100 {
-        verdicts.apply(&claim(founder, founder));
+    let mut claim_results = ClaimResults::default();
+    for founder in 0..MAX_CLAIM_RESULTS as u64 + 100 {
+        claim_results.apply(&claim(founder, founder));
     }
-    assert_eq!(verdicts.len(), KEPT_VERDICTS);
-    let len = postcard::to_stdvec(&verdicts).expect("they encode").len();
+    assert_eq!(claim_results.len(), MAX_CLAIM_RESULTS);
+    let len = postcard::to_stdvec(&claim_results)
+        .expect("they encode")
+        .len();
     assert!(len < ROOM_IN_SNAPSHOT, "{len} bytes");
     println!("{len} bytes");
 }
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use filberthead_ledger::{
-    Action, Config, ConfigBuilder, Decision, Digest, Event, Guards, HomeId, Key, KeyPrefix, Ledger,
-    Member, Message, Op, Token, Verdict, Verdicts,
+    Action, ClaimResult, ClaimResults, Config, ConfigBuilder, Decision, Digest, Event, Guards,
+    HomeId, Key, KeyPrefix, Ledger, Member, Message, Op, Token,
 };
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
 
@@ -56,7 +56,7 @@
     pub(crate) replayed: u64,
     pub(crate) not_run: u64,
     pub(crate) may_have_run: u64,
-    pub(crate) verdicts: u64,
+    pub(crate) claim_results: u64,
     pub(crate) hand_overs: u64,
     pub(crate) recovered: u64,
 }
@@ -69,7 +69,7 @@
     pub(crate) nodes: BTreeMap<Slot, Rc<Ledger>>,
     pub(crate) members: BTreeMap<Slot, Member>,
     pub(crate) wire: Vec<Rc<Packet>>,
-    pub(crate) verdicts: Verdicts,
+    pub(crate) claim_results: ClaimResults,
     /// Synced journals, by VM.
     disks: BTreeMap<Slot, BTreeMap<HomeId, Vec<Op>>>,
     unsynced: BTreeMap<Slot, VecDeque<DiskWrite>>,
@@ -97,7 +97,7 @@
             nodes: BTreeMap::new(),
             members: BTreeMap::new(),
             wire: Vec::new(),
-            verdicts: Verdicts::default(),
+            claim_results: ClaimResults::default(),
             disks: BTreeMap::new(),
             unsynced: BTreeMap::new(),
             cut: BTreeSet::new(),
@@ -361,24 +361,24 @@
                 if self.control_cut.contains(&from) {
                     return;
                 }
-                self.counts.verdicts += u64::from(self.verdicts.get(&claim).is_none());
-                let winner = self.verdicts.apply(&claim).winner;
-                self.post(Packet::Verdict {
+                self.counts.claim_results += u64::from(self.claim_results.get(&claim).is_none());
+                let winner = self.claim_results.apply(&claim).winner;
+                self.post(Packet::ClaimResult {
                     to: from,
                     claim,
                     winner,
                 });
             }
-            Packet::Verdict { to, claim, winner } => {
+            Packet::ClaimResult { to, claim, winner } => {
                 if self.control_cut.contains(&to) {
                     return;
                 }
-                let verdict = Verdict {
+                let result = ClaimResult {
                     home: claim.home,
                     epoch: claim.epoch,
                     winner,
                 };
-                let message = Message::Verdict(verdict);
+                let message = Message::ClaimResult(result);
                 let from = "control".parse().expect("a valid name");
                 self.step(to, Event::Received { from, message });
             }
@@ -525,7 +525,7 @@
         let moving = (
             &self.nodes,
             &self.wire,
-            &self.verdicts,
+            &self.claim_results,
             &self.requests,
             &self.started,
         );
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -217,7 +217,7 @@
     total.replayed += counts.replayed;
     total.not_run += counts.not_run;
     total.may_have_run += counts.may_have_run;
-    total.verdicts += counts.verdicts;
+    total.claim_results += counts.claim_results;
     total.hand_overs += counts.hand_overs;
     total.recovered += counts.recovered;
 }
@@ -235,7 +235,7 @@
     assert!(counts.replayed > 500, "{counts:?}");
     assert!(counts.not_run > 500, "{counts:?}");
     assert!(counts.may_have_run > 500, "{counts:?}");
-    assert!(counts.verdicts > 100, "{counts:?}");
+    assert!(counts.claim_results > 100, "{counts:?}");
     assert!(counts.hand_overs > 20, "{counts:?}");
 }
 
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -51,7 +51,7 @@
         world.last_told(&running),
         Some(&Decision::Replay(answer.into()))
     );
-    assert_eq!(world.counts.verdicts, 0);
+    assert_eq!(world.counts.claim_results, 0);
     assert_eq!(world.broken, None);
 }
 
@@ -69,7 +69,7 @@
     world.send(0, &key);
     world.drain();
     assert_eq!(world.started.len(), 1);
-    assert_eq!(world.counts.verdicts, 0);
+    assert_eq!(world.counts.claim_results, 0);
 }
 
 /// An entry has just asked control to go on without its silent backup when it is
@@ -169,6 +169,6 @@
         let answer = format!("answer to {key}");
         assert_eq!(world.last_told(key), Some(&Decision::Replay(answer.into())));
     }
-    assert_eq!(world.counts.verdicts, 0);
+    assert_eq!(world.counts.claim_results, 0);
     assert_eq!(world.broken, None);
 }
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -20,7 +20,7 @@
         from: Slot,
         claim: Claim,
     },
-    Verdict {
+    ClaimResult {
         to: Slot,
         claim: Claim,
         winner: Incarnation,
