--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -81,7 +81,7 @@
         /// The config that the receiver is, or is to become, backup of.
         epoch: HomeEpoch,
         /// Incarnation of the sender.
-        holder: Incarnation,
+        primary: Incarnation,
         /// Incarnation of the receiver that the holder means. A restarted receiver has
         /// lost what its predecessor acknowledged and must not speak for it.
         backup: Incarnation,
@@ -111,7 +111,7 @@
         epoch: HomeEpoch,
     },
     /// Heartbeat to the entries of the failure domain: what the sender holds.
-    Holds {
+    HeldHomes {
         /// Incarnation of the sender.
         incarnation: Incarnation,
         /// Homes that it holds, with their configs.
@@ -127,7 +127,7 @@
         record: KeyRecord,
     },
     /// [`Message::Outcome`] is on record.
-    OutcomeKept {
+    OutcomeRecorded {
         /// The home.
         home: HomeId,
         /// Period of the key.
--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -9,8 +9,8 @@
 /// State of a backup besides the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Backup {
-    pub(crate) holder: NodeName,
-    pub(crate) holder_incarnation: Incarnation,
+    pub(crate) primary: NodeName,
+    pub(crate) primary_incarnation: Incarnation,
     /// Number of the first step that isn't here.
     next: u64,
     joined: bool,
@@ -22,17 +22,17 @@
 
 /// A message of a home's holder, its home and config left out.
 pub(crate) struct Append {
-    pub(crate) holder: Incarnation,
+    pub(crate) primary: Incarnation,
     pub(crate) first: u64,
     pub(crate) ops: Vec<Op>,
     pub(crate) joined_at: Option<u64>,
 }
 
 impl Backup {
-    pub(crate) fn new(now: Moment, holder: &NodeName, holder_incarnation: Incarnation) -> Self {
+    pub(crate) fn new(now: Moment, primary: &NodeName, primary_incarnation: Incarnation) -> Self {
         Self {
-            holder: holder.clone(),
-            holder_incarnation,
+            primary: primary.clone(),
+            primary_incarnation,
             next: 0,
             joined: false,
             heard: now,
@@ -144,17 +144,17 @@
             // A claim on its way may win, and nobody would hold the home then.
             return;
         }
-        let holder = Member {
-            name: backup.holder.clone(),
-            incarnation: backup.holder_incarnation,
+        let primary = Member {
+            name: backup.primary.clone(),
+            incarnation: backup.primary_incarnation,
             failure_domain: cx.id.failure_domain.clone(),
             leaving: false,
         };
         self.role = Role::Past {
-            holder: Some(holder.incarnation),
+            primary: Some(primary.incarnation),
             since: cx.now,
         };
-        self.send_release(cx, &holder.name);
+        self.send_release(cx, &primary.name);
     }
 
     pub(crate) fn send_release(&self, cx: &mut Cx<'_>, to: &NodeName) {
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::backup::Backup;
-use crate::primary::Holder;
+use crate::primary::Primary;
 use crate::{Digest, Generation, HomeEpoch, KeyRecord, Marks, Op, Stage, Token};
 use filberthead_types::{Incarnation, Moment};
 
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
     /// Decides on each key.
-    Holder(Box<Holder>),
+    Primary(Box<Primary>),
     /// Copies what the holder records.
     Backup(Backup),
     /// Was one of both. Its records are still true, but others may know more.
     Past {
         /// Who held the home last, as far as known.
-        holder: Option<Incarnation>,
+        primary: Option<Incarnation>,
         /// Since when.
         since: Moment,
     },
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::home::{Home, Role, Usage};
 use crate::outcome::Outcomes;
-use crate::primary::{Cx, Holder, refuse};
+use crate::primary::{Cx, Primary, refuse};
 use crate::requests::Requests;
 use crate::route::Parked;
 use crate::{
@@ -37,11 +37,11 @@
     pub(crate) stopping: bool,
     pub(crate) founded: Moment,
     pub(crate) last_tick: Moment,
-    pub(crate) last_holds: Option<Moment>,
+    pub(crate) last_announced: Option<Moment>,
     pub(crate) out: Vec<Action>,
 }
 
-/// Another entry's newest [`Message::Holds`].
+/// Another entry's newest [`Message::HeldHomes`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub(crate) incarnation: Incarnation,
@@ -79,7 +79,7 @@
             stopping: false,
             founded: now,
             last_tick: now,
-            last_holds: None,
+            last_announced: None,
             out: Vec::new(),
         }
     }
@@ -136,11 +136,11 @@
     pub(crate) fn own_prefix(&self) -> Option<KeyPrefix> {
         let id = self.own.as_ref()?;
         let home = self.homes.get(id)?;
-        let holder = home.holder()?;
-        if self.stopping || holder.is_handing_over() || holder.is_claiming() {
+        let primary = home.primary()?;
+        if self.stopping || primary.is_handing_over() || primary.is_claiming() {
             return None;
         }
-        let (generation, _) = holder.minted?;
+        let (generation, _) = primary.minted?;
         (generation >= home.marks.open_from).then(|| KeyPrefix {
             home: id.clone(),
             generation,
@@ -150,9 +150,9 @@
     /// Whether a planned stop may go on: nothing runs here and every home that another
     /// entry can hold is held there.
     pub fn is_handed_over(&self) -> bool {
-        let alone = |holder: &Holder| matches!(holder.pair, crate::primary::Pair::Alone);
+        let alone = |primary: &Primary| matches!(primary.pair, crate::primary::Pair::Alone);
         let homes_done = self.homes.values().all(|home| match &home.role {
-            Role::Holder(holder) => alone(holder) && self.candidate().is_none(),
+            Role::Primary(primary) => alone(primary) && self.candidate().is_none(),
             Role::Backup(_) => false,
             Role::Past { .. } => true,
         });
@@ -190,11 +190,11 @@
 
     pub(crate) fn begin(&mut self, now: Moment, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
-        let Some(holder) = self.homes.get(id).and_then(Home::holder) else {
+        let Some(primary) = self.homes.get(id).and_then(Home::primary) else {
             return self.begin_elsewhere(token, key, digest, hops);
         };
         let on_record = self.is_on_record(key);
-        if let Some(to) = holder.successor().filter(|_| !on_record) {
+        if let Some(to) = primary.successor().filter(|_| !on_record) {
             let entry = to.name.clone();
             return self.answer(token, Decision::Forward { entry });
         }
@@ -219,7 +219,7 @@
     /// that it may bring, so that a started key never lacks room for its answer.
     pub(crate) fn room(&self) -> Room {
         let mut used = Usage::default();
-        for home in self.homes.values().filter(|home| home.holder().is_some()) {
+        for home in self.homes.values().filter(|home| home.primary().is_some()) {
             used.keys += home.usage.keys;
             used.stored += home.usage.stored;
             used.live += home.usage.live;
@@ -255,17 +255,17 @@
         let Some(key) = self.requests.end_run(token) else {
             return;
         };
-        let held_on = self.with_home(now, &key.home, |home, cx| {
+        let still_primary = self.with_home(now, &key.home, |home, cx| {
             home.end(cx, key.generation, &key.rest, stage.clone());
-            home.holder().is_some_and(|h| !h.is_handing_over())
+            home.primary().is_some_and(|h| !h.is_handing_over())
         });
-        if held_on != Some(true) {
+        if still_primary != Some(true) {
             self.report_outcome(key, stage);
         }
     }
 
     fn flush(&mut self, now: Moment) {
-        let ids: Vec<HomeId> = self.held().cloned().collect();
+        let ids: Vec<HomeId> = self.primary_homes().cloned().collect();
         for id in ids {
             self.with_home(now, &id, |home, cx| {
                 home.flush(cx);
@@ -274,11 +274,11 @@
         }
     }
 
-    pub(crate) fn held(&self) -> impl Iterator<Item = &HomeId> {
+    pub(crate) fn primary_homes(&self) -> impl Iterator<Item = &HomeId> {
         let held = self
             .homes
             .iter()
-            .filter(|(_, home)| home.holder().is_some());
+            .filter(|(_, home)| home.primary().is_some());
         held.map(|(id, _)| id)
     }
 }
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -59,8 +59,8 @@
         let due = |sent: &Option<Moment>| sent.is_none_or(|at| at + period <= now);
         let mut sent = Vec::new();
         for (key, (record, at)) in &self.outcomes.pending {
-            if let Some(holder) = self.holder_of(&key.home).filter(|_| due(at)) {
-                sent.push((key.clone(), holder.name.clone(), record.clone()));
+            if let Some(primary) = self.primary_of(&key.home).filter(|_| due(at)) {
+                sent.push((key.clone(), primary.name.clone(), record.clone()));
             }
         }
         for (key, to, record) in sent {
@@ -82,7 +82,7 @@
         record: KeyRecord,
     ) {
         self.with_home(now, id, |home, cx| {
-            if home.holder().is_none() {
+            if home.primary().is_none() {
                 return;
             }
             let (generation, rest) = (record.generation, record.rest);
@@ -91,7 +91,7 @@
             if known.is_some_and(|known| known.run.is_none()) {
                 home.settle(generation, &rest, record.stage);
             }
-            let kept = Message::OutcomeKept {
+            let kept = Message::OutcomeRecorded {
                 home: cx.id.clone(),
                 generation,
                 rest,
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -2,7 +2,7 @@
 
 use filberthead_types::Moment;
 
-use super::{Cx, Holder, Need, Pair, Wait};
+use super::{Cx, Need, Pair, Primary, Wait};
 use crate::home::{Home, Role};
 use crate::log::Log;
 use crate::{Action, Claim, Decision, HomeEpoch, Member, Op};
@@ -11,25 +11,25 @@
     /// Becomes the holder at `config`, with the records at hand.
     pub(crate) fn take_over(&mut self, now: Moment, epoch: HomeEpoch) {
         self.epoch = epoch;
-        let mut holder = Holder::alone(None);
+        let mut primary = Primary::alone(None);
         // Nothing is known of when prefixes were superseded; from now on is never too
         // early, and no new one is handed out.
-        holder.superseded.push_back((self.marks.end, now));
-        self.role = Role::Holder(Box::new(holder));
+        primary.superseded.push_back((self.marks.end, now));
+        self.role = Role::Primary(Box::new(primary));
     }
 
     /// The backup is out of the config; what waited for it goes on.
     pub(crate) fn go_alone(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
         self.epoch = epoch;
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        holder.pair = Pair::Alone;
+        primary.pair = Pair::Alone;
         // Failure: both entries are stopped at once. The backup releases its holder, whose
         // hand-over it will never take; were that still in force, keys that start here
         // were left out of the copy for the next backup, which would run them again.
-        holder.handing_over = None;
-        for (_, wait) in std::mem::take(&mut holder.waits) {
+        primary.handing_over = None;
+        for (_, wait) in std::mem::take(&mut primary.waits) {
             self.fulfil(cx, wait);
         }
     }
@@ -38,14 +38,14 @@
     pub(crate) fn depose(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
         self.epoch = epoch;
         let past = Role::Past {
-            holder: Some(to.incarnation),
+            primary: Some(to.incarnation),
             since: cx.now,
         };
         let forward = || Decision::Forward {
             entry: to.name.clone(),
         };
-        if let Role::Holder(holder) = std::mem::replace(&mut self.role, past) {
-            for (_, wait) in holder.waits {
+        if let Role::Primary(primary) = std::mem::replace(&mut self.role, past) {
+            for (_, wait) in primary.waits {
                 if let Wait::Refuse { token, .. } = wait {
                     cx.answer(token, forward());
                 }
@@ -69,58 +69,58 @@
         self.epoch = self.epoch.next();
         let mut log = Log::new(now, peer.clone(), self.epoch);
         log.push(Op::Marks(self.marks));
-        if let Some(holder) = self.holder_mut() {
-            holder.pair = Pair::Joining(log);
+        if let Some(primary) = self.primary_mut() {
+            primary.pair = Pair::Joining(log);
         }
     }
 
     /// The backup has the steps before `next`.
     pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, next: u64) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        let Some(log) = holder.log_mut() else {
+        let Some(log) = primary.log_mut() else {
             return;
         };
         if log.epoch != epoch {
             return;
         }
         log.ack(cx.now, next);
-        holder.join_if_copied(cx.cfg);
+        primary.join_if_copied(cx.cfg);
         self.release_waits(cx);
         self.end_hand_over(cx);
     }
 
     pub(super) fn release_waits(&mut self, cx: &mut Cx<'_>) {
-        while let Some(wait) = self.holder_mut().and_then(Holder::next_ready) {
+        while let Some(wait) = self.primary_mut().and_then(Primary::next_ready) {
             self.fulfil(cx, wait);
         }
     }
 
     /// Asks the backup to hold the home, with everything before in its log.
     pub(crate) fn hand_over(&mut self) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
         // Failure: this entry claimed the home a moment ago; the claim wins after the
         // hand-over has reached the backup, and both hold the home.
-        let paired = matches!(holder.pair, Pair::Paired { claimed: None, .. });
-        if holder.handing_over.is_none()
+        let paired = matches!(primary.pair, Pair::Paired { claimed: None, .. });
+        if primary.handing_over.is_none()
             && paired
-            && let Some(Need::Acked(number)) = holder.commit(Op::HandOver)
+            && let Some(Need::Acked(number)) = primary.commit(Op::HandOver)
         {
-            holder.handing_over = Some(number);
+            primary.handing_over = Some(number);
         }
     }
 
     pub(super) fn end_hand_over(&mut self, cx: &mut Cx<'_>) {
-        let Some(holder) = self.holder() else {
+        let Some(primary) = self.primary() else {
             return;
         };
-        let Pair::Paired { log, .. } = &holder.pair else {
+        let Pair::Paired { log, .. } = &primary.pair else {
             return;
         };
-        if !holder
+        if !primary
             .handing_over
             .is_some_and(|number| log.is_acked(number))
         {
@@ -133,13 +133,13 @@
     /// Asks control to let this entry go on without its backup, again and again: a
     /// claim on its way may win, so only its verdict ends it.
     pub(crate) fn claim(&mut self, cx: &mut Cx<'_>, silent: bool) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        if holder.handing_over.is_some() {
+        if primary.handing_over.is_some() {
             return;
         }
-        let Pair::Paired { log, claimed } = &mut holder.pair else {
+        let Pair::Paired { log, claimed } = &mut primary.pair else {
             return;
         };
         let due = claimed.map_or(silent, |at| at + cx.cfg.heartbeat <= cx.now);
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -10,9 +10,9 @@
     pub(super) fn set_marks(&mut self, marks: Marks) -> Option<Need> {
         self.raise_marks(marks);
         let marks = self.marks;
-        let holder = self.holder_mut()?;
-        let need = holder.commit(Op::Marks(marks));
-        holder.marks_need = need;
+        let primary = self.primary_mut()?;
+        let need = primary.commit(Op::Marks(marks));
+        primary.marks_need = need;
         need
     }
 
@@ -27,9 +27,9 @@
         };
         self.set_marks(marks);
         let end = self.marks.end;
-        if let Some(holder) = self.holder_mut() {
-            holder.minted = None;
-            holder.superseded.push_back((end, cx.now));
+        if let Some(primary) = self.primary_mut() {
+            primary.minted = None;
+            primary.superseded.push_back((end, cx.now));
         }
     }
 
@@ -46,28 +46,28 @@
 
     pub(super) fn minted(&mut self, now: Moment, generation: Generation) {
         let open = generation >= self.marks.open_from;
-        if let Some(holder) = self.holder_mut() {
-            holder.superseded.push_back((generation, now));
-            holder.minted = open.then_some((generation, now));
+        if let Some(primary) = self.primary_mut() {
+            primary.superseded.push_back((generation, now));
+            primary.minted = open.then_some((generation, now));
         }
     }
 
     /// Whether a new prefix is on its way to being handed out.
     pub(crate) fn is_minting(&self) -> bool {
         let minting = |wait: &(Need, Wait)| matches!(wait.1, Wait::Mint(_));
-        self.holder().is_some_and(|h| h.waits.iter().any(minting))
+        self.primary().is_some_and(|h| h.waits.iter().any(minting))
     }
 
     /// Closes and drops periods whose time has come.
     pub(crate) fn age(&mut self, cx: &Cx<'_>) {
         let lowest_live = self.lowest_live();
         let mut marks = self.marks;
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
         let closes_after = cx.cfg.start_window;
         let drops_after = closes_after + cx.cfg.retention;
-        for (below, at) in &holder.superseded {
+        for (below, at) in &primary.superseded {
             if *at + closes_after <= cx.now {
                 marks.open_from = marks.open_from.max(*below);
             }
@@ -77,7 +77,7 @@
             }
         }
         let floor = marks.floor;
-        holder.superseded.retain(|(below, _)| *below > floor);
+        primary.superseded.retain(|(below, _)| *below > floor);
         if marks != self.marks {
             self.set_marks(marks);
         }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -2,7 +2,7 @@
 
 use filberthead_types::ResultCode;
 
-use super::{Cx, Holder, Need, Wait, refuse, replay};
+use super::{Cx, Need, Primary, Wait, refuse, replay};
 use crate::home::{Home, Record};
 use crate::requests::RequestKey;
 use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
@@ -40,7 +40,7 @@
             } else {
                 ResultCode::LedgerFull
             };
-            let need = self.holder().and_then(Holder::marks_wait);
+            let need = self.primary().and_then(Primary::marks_wait);
             return self.after(cx, need, Wait::Refuse { token, code });
         }
         self.start(cx, token, key, digest);
@@ -99,8 +99,8 @@
     }
 
     pub(super) fn after(&mut self, cx: &mut Cx<'_>, need: Option<Need>, wait: Wait) {
-        match (need, self.holder_mut()) {
-            (Some(need), Some(holder)) => holder.waits.push_back((need, wait)),
+        match (need, self.primary_mut()) {
+            (Some(need), Some(primary)) => primary.waits.push_back((need, wait)),
             _ => self.fulfil(cx, wait),
         }
     }
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -71,7 +71,7 @@
 
 /// State of a holder besides the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Holder {
+pub(crate) struct Primary {
     pub(crate) pair: Pair,
     /// Steps that are synced to the data folder while there is no backup.
     pub(crate) journal: Option<Journal>,
@@ -124,7 +124,7 @@
     Mint(Generation),
 }
 
-impl Holder {
+impl Primary {
     pub(crate) fn alone(journal: Option<Journal>) -> Self {
         Self {
             pair: Pair::Alone,
@@ -206,26 +206,26 @@
 }
 
 impl Home {
-    pub(crate) fn holder(&self) -> Option<&Holder> {
+    pub(crate) fn primary(&self) -> Option<&Primary> {
         match &self.role {
-            Role::Holder(holder) => Some(holder),
+            Role::Primary(primary) => Some(primary),
             _ => None,
         }
     }
 
-    pub(crate) fn holder_mut(&mut self) -> Option<&mut Holder> {
+    pub(crate) fn primary_mut(&mut self) -> Option<&mut Primary> {
         match &mut self.role {
-            Role::Holder(holder) => Some(holder),
+            Role::Primary(primary) => Some(primary),
             _ => None,
         }
     }
 
     fn commit(&mut self, op: Op) -> Option<Need> {
-        self.holder_mut()?.commit(op)
+        self.primary_mut()?.commit(op)
     }
 }
 
-impl Holder {
+impl Primary {
     /// The copy is whole: from here on starts wait for the backup. It learns that it is
     /// the backup only after this, so it can't claim the home while keys start without it.
     fn join_if_copied(&mut self, cfg: &Config) {
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -2,7 +2,7 @@
 
 use filberthead_types::Moment;
 
-use super::{Cx, Holder};
+use super::{Cx, Primary};
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::log::Copying;
@@ -17,19 +17,19 @@
 impl Home {
     /// Steps up to this one are in the data folder.
     pub(crate) fn synced(&mut self, cx: &mut Cx<'_>, number: u64) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        if let Some(journal) = &mut holder.journal {
+        if let Some(journal) = &mut primary.journal {
             journal.synced(number);
         }
-        holder.join_if_copied(cx.cfg);
+        primary.join_if_copied(cx.cfg);
         self.release_waits(cx);
     }
 
     /// Writes what the data folder lacks.
     pub(crate) fn write(&mut self, cx: &mut Cx<'_>) {
-        let journal = self.holder_mut().and_then(|h| h.journal.as_mut());
+        let journal = self.primary_mut().and_then(|h| h.journal.as_mut());
         let Some(write) = journal.and_then(Journal::write) else {
             return;
         };
@@ -45,29 +45,29 @@
     /// Writes a journal anew that holds much of what was dropped.
     pub(crate) fn shorten_journal(&mut self) {
         let live = self.usage.stored + self.usage.keys * RECORD_LEN;
-        let journal = self.holder().and_then(|h| h.journal.as_ref());
+        let journal = self.primary().and_then(|h| h.journal.as_ref());
         if !journal.is_some_and(|j| j.is_long(live) && j.is_settled() && !j.is_retiring()) {
             return;
         }
         let ops = self.snapshot();
-        if let Some(journal) = self.holder_mut().and_then(|h| h.journal.as_mut()) {
+        if let Some(journal) = self.primary_mut().and_then(|h| h.journal.as_mut()) {
             journal.rewrite(ops);
         }
     }
 
     /// Takes up a home from the journal of a predecessor in the same data folder.
     pub(crate) fn recover(now: Moment, ops: Vec<Op>) -> Self {
-        let role = Role::Holder(Box::new(Holder::alone(None)));
+        let role = Role::Primary(Box::new(Primary::alone(None)));
         let mut home = Self::new(HomeEpoch::default(), role);
         for op in ops {
             home.apply(op);
         }
         let epoch = HomeEpoch(home.epoch.0 + RECOVERED_CONFIGS);
         home.take_over(now, epoch);
-        if let Some(holder) = home.holder_mut() {
+        if let Some(primary) = home.primary_mut() {
             let mut journal = Journal::default();
             journal.push(Op::Epoch(epoch));
-            holder.journal = Some(journal);
+            primary.journal = Some(journal);
         }
         home
     }
@@ -75,7 +75,7 @@
     /// Sends what the backup lacks, copies included.
     pub(crate) fn flush(&mut self, cx: &mut Cx<'_>) {
         self.copy(cx.cfg);
-        let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+        let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
             return;
         };
         while let Some(batch) = log
@@ -85,7 +85,7 @@
             let message = Message::Append {
                 home: cx.id.clone(),
                 epoch: log.epoch,
-                holder: cx.me.incarnation,
+                primary: cx.me.incarnation,
                 backup: log.peer.incarnation,
                 first: batch.first,
                 ops: batch.ops,
@@ -98,7 +98,7 @@
     /// Puts a batch of older records into the log of a backup that is joining.
     pub(super) fn copy(&mut self, cfg: &Config) {
         loop {
-            let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+            let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
                 return;
             };
             if !log.wants_copy(cfg) {
@@ -108,7 +108,7 @@
                 return;
             };
             let records = self.batch_after(cursor, cfg);
-            let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+            let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
                 return;
             };
             let last = records.last().map(|r| (r.generation, r.rest.clone()));
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -4,7 +4,7 @@
 
 use crate::backup::{Append, Backup};
 use crate::home::{Home, Role};
-use crate::primary::Holder;
+use crate::primary::Primary;
 use crate::{ClaimResult, HomeEpoch, HomeId, Ledger, Member, Message};
 
 impl Ledger {
@@ -13,7 +13,7 @@
             Message::Append {
                 home,
                 epoch,
-                holder,
+                primary,
                 backup,
                 first,
                 ops,
@@ -23,7 +23,7 @@
                     return;
                 }
                 let append = Append {
-                    holder,
+                    primary,
                     first,
                     ops,
                     joined_at,
@@ -34,13 +34,13 @@
                 self.with_home(now, &home, |home, cx| home.acked(cx, epoch, next));
             }
             Message::Release { home, epoch } => self.released(now, &home, epoch),
-            Message::Holds {
+            Message::HeldHomes {
                 incarnation,
                 homes,
                 prefix,
-            } => self.learn_holds(now, from, incarnation, homes, prefix),
+            } => self.record_held_homes(now, from, incarnation, homes, prefix),
             Message::Outcome { home, record } => self.take_outcome(now, from, &home, record),
-            Message::OutcomeKept {
+            Message::OutcomeRecorded {
                 home,
                 generation,
                 rest,
@@ -82,7 +82,7 @@
     ) -> bool {
         let Some(home) = self.homes.get(id) else {
             if append.first == 0 {
-                let backup = Backup::new(now, from, append.holder);
+                let backup = Backup::new(now, from, append.primary);
                 let home = Home::new(epoch, Role::Backup(backup));
                 self.homes.insert(id.clone(), home);
             }
@@ -109,7 +109,7 @@
         if append.first > 0 {
             return false;
         }
-        self.rejoin(now, from, id, epoch, append.holder);
+        self.rejoin(now, from, id, epoch, append.primary);
         true
     }
 
@@ -120,26 +120,26 @@
         from: &NodeName,
         id: &HomeId,
         epoch: HomeEpoch,
-        holder: Incarnation,
+        primary: Incarnation,
     ) {
         let to = Member {
             name: from.clone(),
-            incarnation: holder,
+            incarnation: primary,
             failure_domain: self.me.failure_domain.clone(),
             leaving: false,
         };
         self.with_home(now, id, |home, cx| {
-            if home.holder().is_some() {
+            if home.primary().is_some() {
                 home.depose(cx, epoch, &to);
             }
             home.epoch = epoch;
-            home.role = Role::Backup(Backup::new(cx.now, from, holder));
+            home.role = Role::Backup(Backup::new(cx.now, from, primary));
         });
     }
 
     fn released(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch) {
         self.with_home(now, id, |home, cx| {
-            let log = home.holder_mut().and_then(Holder::log_mut);
+            let log = home.primary_mut().and_then(Primary::log_mut);
             if log.is_some_and(|log| log.epoch == epoch) {
                 home.go_alone(cx, epoch.next());
             }
@@ -154,11 +154,11 @@
                 return;
             }
             match &home.role {
-                Role::Holder(holder) => {
-                    let Some(peer) = holder.paired_with().cloned() else {
+                Role::Primary(primary) => {
+                    let Some(peer) = primary.paired_with().cloned() else {
                         return;
                     };
-                    if result.winner == me && holder.is_handing_over() {
+                    if result.winner == me && primary.is_handing_over() {
                         // Nobody asks for a config while it is handed over; the successor
                         // may hold the home already.
                         return;
@@ -173,7 +173,7 @@
                 Role::Backup(_) => {
                     home.epoch = next;
                     home.role = Role::Past {
-                        holder: Some(result.winner),
+                        primary: Some(result.winner),
                         since: cx.now,
                     };
                 }
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -60,7 +60,7 @@
         let known = home.record(key.prefix.generation, &key.rest);
         let is_known = known.is_some_and(|record| record.stage.is_final());
         let joined = matches!(&home.role, Role::Backup(backup) if backup.is_joined());
-        joined && !is_known && self.holder_of(id).is_none()
+        joined && !is_known && self.primary_of(id).is_none()
     }
 
     /// Takes up requests again that waited for a holder.
@@ -88,7 +88,7 @@
             return Err(ResultCode::HomeUnreachable);
         }
         let entry = self
-            .holder_of(id)
+            .primary_of(id)
             .or_else(|| self.live(id.founder))
             .or_else(|| self.any_of_domain(id, hops));
         match entry {
@@ -101,7 +101,7 @@
     }
 
     /// Who holds a home, as far as known here.
-    pub(crate) fn holder_of(&self, id: &HomeId) -> Option<&Member> {
+    pub(crate) fn primary_of(&self, id: &HomeId) -> Option<&Member> {
         let told = self.peers.values().filter_map(|peer| {
             let epoch = peer.homes.get(id)?;
             Some((*epoch, peer.incarnation))
@@ -110,9 +110,9 @@
             return self.live(incarnation);
         }
         match &self.homes.get(id)?.role {
-            Role::Backup(backup) => self.live(backup.holder_incarnation),
-            Role::Past { holder, .. } => self.live((*holder)?),
-            Role::Holder(_) => None,
+            Role::Backup(backup) => self.live(backup.primary_incarnation),
+            Role::Past { primary, .. } => self.live((*primary)?),
+            Role::Primary(_) => None,
         }
     }
 
@@ -172,7 +172,7 @@
         self.tick(now);
     }
 
-    pub(crate) fn learn_holds(
+    pub(crate) fn record_held_homes(
         &mut self,
         now: Moment,
         from: &NodeName,
@@ -180,14 +180,14 @@
         homes: Vec<(HomeId, HomeEpoch)>,
         prefix: Option<KeyPrefix>,
     ) {
-        let holder = Member {
+        let primary = Member {
             name: from.clone(),
             incarnation,
             failure_domain: self.me.failure_domain.clone(),
             leaving: false,
         };
         for (id, epoch) in &homes {
-            self.learn_holder(now, id, *epoch, &holder);
+            self.observe_primary(now, id, *epoch, &primary);
         }
         let peer = Peer {
             incarnation,
@@ -199,20 +199,20 @@
 
     /// Another entry holds a home; with a newer config than here, what this entry was to
     /// the home is over.
-    fn learn_holder(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch, holder: &Member) {
+    fn observe_primary(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch, primary: &Member) {
         self.with_home(now, id, |home, cx| {
             if epoch <= home.epoch {
                 return;
             }
             let past = Role::Past {
-                holder: Some(holder.incarnation),
+                primary: Some(primary.incarnation),
                 since: cx.now,
             };
             match &home.role {
-                Role::Holder(_) => home.depose(cx, home.epoch.next(), holder),
+                Role::Primary(_) => home.depose(cx, home.epoch.next(), primary),
                 // Its holder goes on with other config numbers while it copies the home
                 // here; only another holder ends the backup's part.
-                Role::Backup(backup) if backup.holder_incarnation == holder.incarnation => {}
+                Role::Backup(backup) if backup.primary_incarnation == primary.incarnation => {}
                 // The config stays: the holder's next invitation has a higher one.
                 Role::Backup(_) | Role::Past { .. } => home.role = past,
             }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::home::{Home, Role};
 use crate::journal::Journal;
 use crate::ledger::Room;
-use crate::primary::{Holder, Pair, refuse};
+use crate::primary::{Pair, Primary, refuse};
 use crate::{Action, HomeEpoch, HomeId, Ledger, Message};
 
 /// Homes known at most before no further one is founded. One is founded at the start and
@@ -36,7 +36,7 @@
         self.unpark(now);
         self.found_if_needed(now);
         self.mint_if_due(now);
-        self.send_holds(now);
+        self.announce_held_homes(now);
         self.send_outcomes(now);
     }
 
@@ -49,8 +49,8 @@
         }
         for home in self.homes.values_mut() {
             match &mut home.role {
-                Role::Holder(holder) => {
-                    if let Some(log) = holder.log_mut() {
+                Role::Primary(primary) => {
+                    if let Some(log) = primary.log_mut() {
                         log.heard = now;
                     }
                 }
@@ -89,7 +89,7 @@
                 if let Some(home) = self.homes.get_mut(id) {
                     let since = now;
                     home.role = Role::Past {
-                        holder: None,
+                        primary: None,
                         since,
                     };
                 }
@@ -101,7 +101,7 @@
         self.with_home(now, id, |home, cx| {
             home.age(cx);
             home.shorten_journal();
-            if home.holder().is_some() && home.usage.closed > max_closed {
+            if home.primary().is_some() && home.usage.closed > max_closed {
                 home.close_all(cx);
             }
             if stopping {
@@ -113,12 +113,12 @@
     fn due(&self, now: Moment, id: &HomeId, home: &Home) -> Due {
         let is_own = self.own.as_ref() == Some(id);
         match &home.role {
-            Role::Holder(holder) if !is_own && home.is_spent() && !holder.is_handing_over() => {
+            Role::Primary(primary) if !is_own && home.is_spent() && !primary.is_handing_over() => {
                 Due::Drop
             }
-            Role::Holder(holder) => self.due_as_holder(now, holder),
+            Role::Primary(primary) => self.due_as_primary(now, primary),
             Role::Backup(backup) => {
-                let restarted = self.has_restarted(&backup.holder, backup.holder_incarnation);
+                let restarted = self.has_restarted(&backup.primary, backup.primary_incarnation);
                 let silent = restarted || self.is_silent(now, backup.heard);
                 if silent && home.is_spent() {
                     Due::Drop
@@ -141,10 +141,12 @@
         }
     }
 
-    fn due_as_holder(&self, now: Moment, holder: &Holder) -> Due {
-        match &holder.pair {
+    fn due_as_primary(&self, now: Moment, primary: &Primary) -> Due {
+        match &primary.pair {
             // A successor of this process must know which configs were used.
-            Pair::Alone if !holder.journal.as_ref().is_none_or(Journal::is_settled) => Due::Nothing,
+            Pair::Alone if !primary.journal.as_ref().is_none_or(Journal::is_settled) => {
+                Due::Nothing
+            }
             Pair::Alone if self.candidate().is_some() => Due::Invite,
             Pair::Alone => Due::Nothing,
             Pair::Joining(log) => {
@@ -170,7 +172,7 @@
     fn drop_home(&mut self, id: &HomeId) {
         self.outcomes.forget(id);
         let home = self.homes.remove(id);
-        if home.is_some_and(|home| home.holder().is_some_and(|h| h.journal.is_some())) {
+        if home.is_some_and(|home| home.primary().is_some_and(|h| h.journal.is_some())) {
             self.out.push(Action::Sync {
                 home: id.clone(),
                 number: 0,
@@ -188,8 +190,8 @@
     }
 
     fn drop_peer(&mut self, id: &HomeId) {
-        if let Some(holder) = self.homes.get_mut(id).and_then(Home::holder_mut) {
-            holder.pair = Pair::Alone;
+        if let Some(primary) = self.homes.get_mut(id).and_then(Home::primary_mut) {
+            primary.pair = Pair::Alone;
         }
     }
 
@@ -202,8 +204,8 @@
         }
         let own = self.own.as_ref().and_then(|id| self.homes.get(id));
         let works = own
-            .and_then(Home::holder)
-            .is_some_and(|holder| !self.is_stuck(now, holder));
+            .and_then(Home::primary)
+            .is_some_and(|primary| !self.is_stuck(now, primary));
         if works {
             return;
         }
@@ -214,14 +216,14 @@
         };
         self.next_serial += 1;
         let journal = self.cfg.journal.then(Journal::default);
-        let role = Role::Holder(Box::new(Holder::alone(journal)));
+        let role = Role::Primary(Box::new(Primary::alone(journal)));
         let home = Home::new(HomeEpoch::default(), role);
         self.homes.insert(id.clone(), home);
         self.own = Some(id);
     }
 
-    fn is_stuck(&self, now: Moment, holder: &Holder) -> bool {
-        let Pair::Paired { log, claimed } = &holder.pair else {
+    fn is_stuck(&self, now: Moment, primary: &Primary) -> bool {
+        let Pair::Paired { log, claimed } = &primary.pair else {
             return false;
         };
         claimed.is_some() && log.heard + 2 * self.cfg.suspect_after <= now
@@ -238,21 +240,21 @@
         let Some(home) = self.own.as_ref().and_then(|id| self.homes.get(id)) else {
             return false;
         };
-        let Some(holder) = home.holder() else {
+        let Some(primary) = home.primary() else {
             return false;
         };
         if self.stopping || home.is_minting() || self.room() == Room::Full {
             return false;
         }
-        match holder.minted {
+        match primary.minted {
             Some((_, since)) => since + self.cfg.generation_period <= now,
-            None => self.may_open(now, holder),
+            None => self.may_open(now, primary),
         }
     }
 
     /// The first keys of a home wait until it has a backup, unless there is none to be had.
-    fn may_open(&self, now: Moment, holder: &Holder) -> bool {
-        match &holder.pair {
+    fn may_open(&self, now: Moment, primary: &Primary) -> bool {
+        match &primary.pair {
             Pair::Paired { .. } => true,
             Pair::Joining(_) => false,
             Pair::Alone => {
@@ -262,18 +264,18 @@
         }
     }
 
-    fn send_holds(&mut self, now: Moment) {
+    fn announce_held_homes(&mut self, now: Moment) {
         let due = |at: Moment| at + self.cfg.heartbeat <= now;
-        if !self.last_holds.is_none_or(due) {
+        if !self.last_announced.is_none_or(due) {
             return;
         }
-        self.last_holds = Some(now);
+        self.last_announced = Some(now);
         let held = self
             .homes
             .iter()
-            .filter(|(_, home)| home.holder().is_some());
+            .filter(|(_, home)| home.primary().is_some());
         let homes: Vec<_> = held.map(|(id, home)| (id.clone(), home.epoch)).collect();
-        let message = Message::Holds {
+        let message = Message::HeldHomes {
             incarnation: self.me.incarnation,
             homes,
             prefix: self.own_prefix(),
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -67,7 +67,7 @@
         next.world.told.clear();
         // Heartbeats only inform; a key must be safe without them.
         let heartbeat = |packet: &Packet| match packet {
-            Packet::Message { body, .. } => matches!(body.message(), Message::Holds { .. }),
+            Packet::Message { body, .. } => matches!(body.message(), Message::HeldHomes { .. }),
             _ => false,
         };
         let wire = std::mem::take(&mut next.world.wire);
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -97,7 +97,7 @@
 /// The entry dies after the order went to an endpoint. The owner's resend reaches the
 /// backup, which can't know whether the order was placed and must not place it again.
 #[test]
-fn a_key_whose_holder_died_while_it_ran_never_runs_again() {
+fn a_key_whose_primary_died_while_it_ran_never_runs_again() {
     let mut world = world();
     let key = world.key(0, "order");
     world.send(0, &key);
@@ -135,7 +135,7 @@
 /// The list of live entries still names the dead holder. A till's resend elsewhere would
 /// be passed on to it over and over; after the first failure it goes to the backup.
 #[test]
-fn a_dead_holder_on_a_lagging_list_is_avoided() {
+fn a_dead_primary_on_a_lagging_list_is_avoided() {
     let mut world = world();
     let key = world.key(0, "order");
     world.send(0, &key);
@@ -183,7 +183,7 @@
 /// wakes with old requests at hand. What it had started goes on; anything else goes to
 /// the new holder, also before the sleeper has learned that it is deposed.
 #[test]
-fn a_suspended_holder_starts_nothing_when_it_wakes() {
+fn a_suspended_primary_starts_nothing_when_it_wakes() {
     let mut world = world();
     let running = world.key(0, "running");
     let late = world.key(0, "late");
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -58,7 +58,7 @@
 /// The backup of a home is stopped. Its holder goes on at once, without waiting for a
 /// silence and without control.
 #[test]
-fn a_backup_that_stops_releases_its_holder() {
+fn a_backup_that_stops_releases_its_primary() {
     let mut world = world();
     let key = world.key(0, "order");
     stop(&mut world, 1);
@@ -132,10 +132,10 @@
 }
 
 /// The entry to which another one's records go.
-fn backup_of(world: &World, holder: Slot) -> Slot {
+fn backup_of(world: &World, primary: Slot) -> Slot {
     let mut world = world.clone();
-    let key = world.key(holder, "probe");
-    world.send(holder, &key);
+    let key = world.key(primary, "probe");
+    world.send(primary, &key);
     let to = world.wire.iter().find_map(|packet| packet.record_to());
     to.expect("a record on its way to the backup")
 }
