--- a/crates/ledger/src/config.rs
+++ b/crates/ledger/src/config.rs
@@ -20,7 +20,7 @@
     /// A key told "not run" stays closed.
     pub close_refused: bool,
     /// Keys older than the home's records are never started.
-    pub check_floor: bool,
+    pub check_watermarks: bool,
 }
 
 impl Guards {
@@ -32,7 +32,7 @@
         retire_before_pairing: true,
         check_backup: true,
         close_refused: true,
-        check_floor: true,
+        check_watermarks: true,
     };
 }
 
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -4,7 +4,7 @@
 
 use crate::backup::Backup;
 use crate::primary::Primary;
-use crate::{Digest, Generation, HomeEpoch, KeyRecord, Marks, Op, Stage, Token};
+use crate::{Digest, Generation, HomeEpoch, KeyRecord, Op, Stage, Token, Watermarks};
 use filberthead_types::{Incarnation, Moment};
 
 /// A home as one entry knows it.
@@ -13,7 +13,7 @@
     /// Newest config that this entry knows of.
     pub(crate) epoch: HomeEpoch,
     pub(crate) role: Role,
-    pub(crate) marks: Marks,
+    pub(crate) watermarks: Watermarks,
     pub(crate) usage: Usage,
     periods: BTreeMap<Generation, Period>,
 }
@@ -76,7 +76,7 @@
         Self {
             epoch,
             role,
-            marks: Marks::default(),
+            watermarks: Watermarks::default(),
             usage: Usage::default(),
             periods: BTreeMap::new(),
         }
@@ -159,17 +159,17 @@
     }
 
     /// Raises marks and drops what they make needless.
-    pub(crate) fn raise_marks(&mut self, marks: Marks) {
-        self.marks = self.marks.max(marks);
-        self.drop_below_floor();
+    pub(crate) fn raise_watermarks(&mut self, watermarks: Watermarks) {
+        self.watermarks = self.watermarks.max(watermarks);
+        self.drop_expired();
         self.drop_closed();
     }
 
     /// Below the floor nothing starts whether it is on record or not.
-    fn drop_below_floor(&mut self) {
-        let floor = self.marks.floor;
+    fn drop_expired(&mut self) {
+        let retained_from = self.watermarks.retained_from;
         while let Some(entry) = self.periods.first_entry() {
-            if *entry.key() >= floor {
+            if *entry.key() >= retained_from {
                 return;
             }
             let period = entry.remove();
@@ -186,7 +186,7 @@
             return;
         }
         let usage = &mut self.usage;
-        for period in self.periods.range_mut(..self.marks.open_from) {
+        for period in self.periods.range_mut(..self.watermarks.open_from) {
             period.1.records.retain(|_, record| {
                 let closed = matches!(record.stage, Stage::Closed(_));
                 if closed {
@@ -199,7 +199,7 @@
 
     /// All that a journal written anew has to hold.
     pub(crate) fn snapshot(&self) -> Vec<Op> {
-        let mut ops = vec![Op::Epoch(self.epoch), Op::Marks(self.marks)];
+        let mut ops = vec![Op::Epoch(self.epoch), Op::Watermarks(self.watermarks)];
         let mut cursor = None;
         while let Some(record) = self.next_after(cursor.as_ref()) {
             cursor = Some((record.generation, record.rest.clone()));
@@ -243,7 +243,7 @@
     pub(crate) fn apply(&mut self, op: Op) -> bool {
         match op {
             Op::Put(record) => self.put(record),
-            Op::Marks(marks) => self.raise_marks(marks),
+            Op::Watermarks(watermarks) => self.raise_watermarks(watermarks),
             Op::Epoch(epoch) => self.epoch = self.epoch.max(epoch),
             Op::HandOver => return true,
         }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -141,7 +141,7 @@
             return None;
         }
         let (generation, _) = primary.minted?;
-        (generation >= home.marks.open_from).then(|| KeyPrefix {
+        (generation >= home.watermarks.open_from).then(|| KeyPrefix {
             home: id.clone(),
             generation,
         })
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -43,5 +43,5 @@
 pub use config::{Config, ConfigBuilder, Guards};
 pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_REST_LEN, ParseKeyError};
 pub use ledger::Ledger;
-pub use record::{KeyRecord, Marks, Op, Stage};
+pub use record::{KeyRecord, Op, Stage, Watermarks};
 pub use route::MAX_HOPS;
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -14,7 +14,9 @@
         let mut primary = Primary::alone(None);
         // Nothing is known of when prefixes were superseded; from now on is never too
         // early, and no new one is handed out.
-        primary.superseded.push_back((self.marks.end, now));
+        primary
+            .superseded
+            .push_back((self.watermarks.unissued_from, now));
         self.role = Role::Primary(Box::new(primary));
     }
 
@@ -68,7 +70,7 @@
     pub(crate) fn invite(&mut self, now: Moment, peer: &Member) {
         self.epoch = self.epoch.next();
         let mut log = Log::new(now, peer.clone(), self.epoch);
-        log.push(Op::Marks(self.marks));
+        log.push(Op::Watermarks(self.watermarks));
         if let Some(primary) = self.primary_mut() {
             primary.pair = Pair::Joining(log);
         }
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -4,48 +4,48 @@
 
 use super::{Cx, Need, Wait};
 use crate::home::Home;
-use crate::{Generation, Marks, Op};
+use crate::{Generation, Op, Watermarks};
 
 impl Home {
-    pub(super) fn set_marks(&mut self, marks: Marks) -> Option<Need> {
-        self.raise_marks(marks);
-        let marks = self.marks;
+    pub(super) fn set_watermarks(&mut self, watermarks: Watermarks) -> Option<Need> {
+        self.raise_watermarks(watermarks);
+        let watermarks = self.watermarks;
         let primary = self.primary_mut()?;
-        let need = primary.commit(Op::Marks(marks));
-        primary.marks_need = need;
+        let need = primary.commit(Op::Watermarks(watermarks));
+        primary.watermarks_need = need;
         need
     }
 
     /// Starts no further key of any prefix handed out so far.
     pub(crate) fn close_all(&mut self, cx: &Cx<'_>) {
-        if self.marks.open_from == self.marks.end {
+        if self.watermarks.open_from == self.watermarks.unissued_from {
             return;
         }
-        let marks = Marks {
-            open_from: self.marks.end,
-            ..self.marks
+        let watermarks = Watermarks {
+            open_from: self.watermarks.unissued_from,
+            ..self.watermarks
         };
-        self.set_marks(marks);
-        let end = self.marks.end;
+        self.set_watermarks(watermarks);
+        let unissued_from = self.watermarks.unissued_from;
         if let Some(primary) = self.primary_mut() {
             primary.minted = None;
-            primary.superseded.push_back((end, cx.now));
+            primary.superseded.push_back((unissued_from, cx.now));
         }
     }
 
     /// Hands out a new prefix, once the backup knows of it.
     pub(crate) fn mint(&mut self, cx: &mut Cx<'_>) {
-        let generation = self.marks.end;
-        let marks = Marks {
-            end: generation.next(),
-            ..self.marks
+        let generation = self.watermarks.unissued_from;
+        let watermarks = Watermarks {
+            unissued_from: generation.next(),
+            ..self.watermarks
         };
-        let need = self.set_marks(marks);
+        let need = self.set_watermarks(watermarks);
         self.after(cx, need, Wait::Mint(generation));
     }
 
     pub(super) fn minted(&mut self, now: Moment, generation: Generation) {
-        let open = generation >= self.marks.open_from;
+        let open = generation >= self.watermarks.open_from;
         if let Some(primary) = self.primary_mut() {
             primary.superseded.push_back((generation, now));
             primary.minted = open.then_some((generation, now));
@@ -61,7 +61,7 @@
     /// Closes and drops periods whose time has come.
     pub(crate) fn age(&mut self, cx: &Cx<'_>) {
         let lowest_live = self.lowest_live();
-        let mut marks = self.marks;
+        let mut watermarks = self.watermarks;
         let Some(primary) = self.primary_mut() else {
             return;
         };
@@ -69,17 +69,19 @@
         let drops_after = closes_after + cx.cfg.retention;
         for (below, at) in &primary.superseded {
             if *at + closes_after <= cx.now {
-                marks.open_from = marks.open_from.max(*below);
+                watermarks.open_from = watermarks.open_from.max(*below);
             }
             if *at + drops_after <= cx.now {
-                let floor = lowest_live.map_or(*below, |live| live.min(*below));
-                marks.floor = marks.floor.max(floor);
+                let retained_from = lowest_live.map_or(*below, |live| live.min(*below));
+                watermarks.retained_from = watermarks.retained_from.max(retained_from);
             }
         }
-        let floor = marks.floor;
-        primary.superseded.retain(|(below, _)| *below > floor);
-        if marks != self.marks {
-            self.set_marks(marks);
+        let retained_from = watermarks.retained_from;
+        primary
+            .superseded
+            .retain(|(below, _)| *below > retained_from);
+        if watermarks != self.watermarks {
+            self.set_watermarks(watermarks);
         }
     }
 }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -34,13 +34,13 @@
             // record, and makes "not run" true for each of them for good.
             self.close_all(cx);
         }
-        if generation < self.marks.open_from && cx.cfg.guards.check_floor {
+        if generation < self.watermarks.open_from && cx.cfg.guards.check_watermarks {
             let code = if room {
                 ResultCode::KeyClosed
             } else {
                 ResultCode::LedgerFull
             };
-            let need = self.primary().and_then(Primary::marks_wait);
+            let need = self.primary().and_then(Primary::pending_watermarks);
             return self.after(cx, need, Wait::Refuse { token, code });
         }
         self.start(cx, token, key, digest);
@@ -48,12 +48,12 @@
 
     /// Keys that aren't on record and of which nothing definite can be said.
     pub(super) fn refuse_unknown(&self, cx: &Cx<'_>, generation: Generation) -> Option<ResultCode> {
-        if generation >= self.marks.end {
+        if generation >= self.watermarks.unissued_from {
             return Some(ResultCode::HomeUnreachable);
         }
         // Failure: a caller resends an order after its record was dropped, and the order
         // runs again. Records are dropped only below the floor.
-        if generation < self.marks.floor && cx.cfg.guards.check_floor {
+        if generation < self.watermarks.retained_from && cx.cfg.guards.check_watermarks {
             return Some(ResultCode::KeyExpired);
         }
         None
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -82,7 +82,7 @@
     /// Periods below the first were superseded at the second.
     superseded: VecDeque<(Generation, Moment)>,
     /// What the newest marks need to be on record.
-    marks_need: Option<Need>,
+    watermarks_need: Option<Need>,
     /// Number of the hand-over in the log: another entry holds the home next.
     handing_over: Option<u64>,
 }
@@ -132,7 +132,7 @@
             waits: VecDeque::new(),
             minted: None,
             superseded: VecDeque::new(),
-            marks_need: None,
+            watermarks_need: None,
             handing_over: None,
         }
     }
@@ -200,8 +200,8 @@
     }
 
     /// What a refusal by marks has to wait for.
-    fn marks_wait(&self) -> Option<Need> {
-        self.marks_need.filter(|need| !self.is_met(*need))
+    fn pending_watermarks(&self) -> Option<Need> {
+        self.watermarks_need.filter(|need| !self.is_met(*need))
     }
 }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -55,23 +55,23 @@
 /// Bounds between the periods of a home; each only goes up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Marks {
+pub struct Watermarks {
     /// Keys of periods below this one may be gone from the records, and never start.
-    pub floor: Generation,
+    pub retained_from: Generation,
     /// Keys of periods below this one that aren't on record never start and never ran.
     pub open_from: Generation,
     /// Keys of periods from this one on were not handed out yet.
-    pub end: Generation,
+    pub unissued_from: Generation,
 }
 
-impl Marks {
+impl Watermarks {
     /// The later of both, mark by mark.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
-            floor: self.floor.max(other.floor),
+            retained_from: self.retained_from.max(other.retained_from),
             open_from: self.open_from.max(other.open_from),
-            end: self.end.max(other.end),
+            unissued_from: self.unissued_from.max(other.unissued_from),
         }
     }
 }
@@ -83,7 +83,7 @@
     /// The state of a key.
     Put(KeyRecord),
     /// The bounds between periods.
-    Marks(Marks),
+    Watermarks(Watermarks),
     /// In journals only: no config up to this one is used again.
     Epoch(HomeEpoch),
     /// The last step: the receiver holds the home from the next config on.
@@ -96,7 +96,7 @@
         const FIXED: usize = 32;
         match self {
             Self::Put(record) => FIXED + record.rest.len() + record.stage.stored_len(),
-            Self::Marks(_) | Self::Epoch(_) | Self::HandOver => FIXED,
+            Self::Watermarks(_) | Self::Epoch(_) | Self::HandOver => FIXED,
         }
     }
 }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -293,6 +293,6 @@
 impl Home {
     /// Whether no key of the home can start or is on record any more.
     fn is_spent(&self) -> bool {
-        self.usage.keys == 0 && self.marks.floor >= self.marks.end
+        self.usage.keys == 0 && self.watermarks.retained_from >= self.watermarks.unissued_from
     }
 }
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -278,9 +278,9 @@
             },
         ),
         (
-            "floor",
+            "watermarks",
             Guards {
-                check_floor: false,
+                check_watermarks: false,
                 ..all
             },
         ),
