--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -133,7 +133,7 @@
         /// Period of the key.
         generation: Generation,
         /// The key, its prefix left out.
-        rest: Box<str>,
+        suffix: Box<str>,
     },
     /// To control.
     Claim(Claim),
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -82,20 +82,20 @@
         }
     }
 
-    pub(crate) fn record(&self, generation: Generation, rest: &str) -> Option<&Record> {
-        self.periods.get(&generation)?.records.get(rest)
+    pub(crate) fn record(&self, generation: Generation, suffix: &str) -> Option<&Record> {
+        self.periods.get(&generation)?.records.get(suffix)
     }
 
-    pub(crate) fn run_mut(&mut self, generation: Generation, rest: &str) -> Option<&mut Run> {
+    pub(crate) fn run_mut(&mut self, generation: Generation, suffix: &str) -> Option<&mut Run> {
         let period = self.periods.get_mut(&generation)?;
-        period.records.get_mut(rest)?.run.as_deref_mut()
+        period.records.get_mut(suffix)?.run.as_deref_mut()
     }
 
     /// Takes in a record. What is final stays, so records may come late, twice and in
     /// any order.
     pub(crate) fn put(&mut self, new: KeyRecord) {
         let period = self.periods.entry(new.generation).or_default();
-        match period.records.get_mut(&new.rest) {
+        match period.records.get_mut(&new.suffix) {
             Some(old) if old.stage.is_final() => {}
             Some(old) => {
                 self.usage.count(&new.stage);
@@ -109,17 +109,17 @@
                     stage: new.stage,
                     run: None,
                 };
-                period.records.insert(new.rest, record);
+                period.records.insert(new.suffix, record);
             }
         }
     }
 
     /// Marks a key on record as one that passes of this entry are concerned with.
-    pub(crate) fn start_run(&mut self, generation: Generation, rest: &str, token: Token) {
+    pub(crate) fn start_run(&mut self, generation: Generation, suffix: &str, token: Token) {
         let Some(period) = self.periods.get_mut(&generation) else {
             return;
         };
-        let Some(record) = period.records.get_mut(rest) else {
+        let Some(record) = period.records.get_mut(suffix) else {
             return;
         };
         let waiters = vec![token];
@@ -134,9 +134,9 @@
     }
 
     /// Ends what [`Home::start_run`] began and gives back the passes.
-    pub(crate) fn end_run(&mut self, generation: Generation, rest: &str) -> Option<Run> {
+    pub(crate) fn end_run(&mut self, generation: Generation, suffix: &str) -> Option<Run> {
         let period = self.periods.get_mut(&generation)?;
-        let run = period.records.get_mut(rest)?.run.take()?;
+        let run = period.records.get_mut(suffix)?.run.take()?;
         period.live -= 1;
         self.usage.live -= 1;
         Some(*run)
@@ -147,7 +147,7 @@
         let live = self.periods.iter().filter(|(_, period)| period.live > 0);
         live.flat_map(|(generation, period)| {
             let runs = period.records.iter().filter(|(_, r)| r.run.is_some());
-            runs.map(|(rest, _)| (*generation, rest.clone()))
+            runs.map(|(suffix, _)| (*generation, suffix.clone()))
         })
         .collect()
     }
@@ -202,7 +202,7 @@
         let mut ops = vec![Op::Epoch(self.epoch), Op::Watermarks(self.watermarks)];
         let mut cursor = None;
         while let Some(record) = self.next_after(cursor.as_ref()) {
-            cursor = Some((record.generation, record.rest.clone()));
+            cursor = Some((record.generation, record.suffix.clone()));
             ops.push(Op::Put(record));
         }
         ops
@@ -216,13 +216,13 @@
             .range(first..)
             .find_map(|(generation, period)| {
                 let after = match cursor {
-                    Some((at, rest)) if at == generation => Excluded(rest.clone()),
+                    Some((at, suffix)) if at == generation => Excluded(suffix.clone()),
                     _ => Unbounded,
                 };
-                let (rest, record) = period.records.range((after, Unbounded)).next()?;
+                let (suffix, record) = period.records.range((after, Unbounded)).next()?;
                 Some(KeyRecord {
                     generation: *generation,
-                    rest: rest.clone(),
+                    suffix: suffix.clone(),
                     digest: record.digest,
                     stage: record.stage.clone(),
                 })
@@ -230,11 +230,11 @@
     }
 
     /// Forgets a key, for the guard switch only.
-    pub(crate) fn remove(&mut self, generation: Generation, rest: &str) {
+    pub(crate) fn remove(&mut self, generation: Generation, suffix: &str) {
         let Some(period) = self.periods.get_mut(&generation) else {
             return;
         };
-        if let Some(record) = period.records.remove(rest) {
+        if let Some(record) = period.records.remove(suffix) {
             self.usage.forget(&record.stage);
         }
     }
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -14,7 +14,7 @@
 use snafu::{OptionExt, Snafu, ensure};
 
 /// Longest part that a caller may add to a prefix, in bytes.
-pub const MAX_REST_LEN: usize = 96;
+pub const MAX_SUFFIX_LEN: usize = 96;
 
 /// Identity of a home: a set of keys that one holder at a time may start.
 ///
@@ -76,8 +76,10 @@
     #[snafu(display("the key doesn't begin with a prefix from a look-up"))]
     Prefix,
     /// The caller's part is empty, too long or has other bytes than visible ASCII.
-    #[snafu(display("the part after the prefix must be 1 to {MAX_REST_LEN} visible ASCII bytes"))]
-    Rest,
+    #[snafu(display(
+        "the part after the prefix must be 1 to {MAX_SUFFIX_LEN} visible ASCII bytes"
+    ))]
+    Suffix,
 }
 
 /// A whole idempotency key.
@@ -86,12 +88,12 @@
     /// The prefix that a look-up gave.
     pub prefix: KeyPrefix,
     /// What the caller added.
-    pub rest: Box<str>,
+    pub suffix: Box<str>,
 }
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}{}", self.prefix, self.rest)
+        write!(f, "{}{}", self.prefix, self.suffix)
     }
 }
 
@@ -101,16 +103,16 @@
     fn from_str(text: &str) -> Result<Self, ParseKeyError> {
         let mut parts = text.splitn(4, ':');
         let mut part = || parts.next().context(PrefixSnafu);
-        let (domain, home, generation, rest) = (part()?, part()?, part()?, part()?);
+        let (domain, home, generation, suffix) = (part()?, part()?, part()?, part()?);
         let prefix = parse_prefix(domain, home, generation).context(PrefixSnafu)?;
-        let visible = rest.bytes().all(|b| b.is_ascii_graphic());
+        let visible = suffix.bytes().all(|b| b.is_ascii_graphic());
         ensure!(
-            visible && (1..=MAX_REST_LEN).contains(&rest.len()),
-            RestSnafu
+            visible && (1..=MAX_SUFFIX_LEN).contains(&suffix.len()),
+            SuffixSnafu
         );
         Ok(Self {
             prefix,
-            rest: rest.into(),
+            suffix: suffix.into(),
         })
     }
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -212,7 +212,7 @@
 
     fn is_on_record(&self, key: &Key) -> bool {
         let home = self.homes.get(&key.prefix.home);
-        home.is_some_and(|home| home.record(key.prefix.generation, &key.rest).is_some())
+        home.is_some_and(|home| home.record(key.prefix.generation, &key.suffix).is_some())
     }
 
     /// Whether another key may be recorded. A running key counts with the largest answer
@@ -256,7 +256,7 @@
             return;
         };
         let still_primary = self.with_home(now, &key.home, |home, cx| {
-            home.end(cx, key.generation, &key.rest, stage.clone());
+            home.end(cx, key.generation, &key.suffix, stage.clone());
             home.primary().is_some_and(|h| !h.is_handing_over())
         });
         if still_primary != Some(true) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -41,7 +41,7 @@
 };
 pub use claim_results::{ClaimResults, MAX_CLAIM_RESULTS};
 pub use config::{Config, ConfigBuilder, Guards};
-pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_REST_LEN, ParseKeyError};
+pub use key::{Generation, HomeId, Key, KeyPrefix, MAX_SUFFIX_LEN, ParseKeyError};
 pub use ledger::Ledger;
 pub use record::{KeyRecord, Op, Stage, Watermarks};
 pub use route::MAX_HOPS;
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -23,11 +23,11 @@
         self.pending.is_empty()
     }
 
-    pub(crate) fn remove(&mut self, home: &HomeId, generation: Generation, rest: &str) {
+    pub(crate) fn remove(&mut self, home: &HomeId, generation: Generation, suffix: &str) {
         let key = RequestKey {
             home: home.clone(),
             generation,
-            rest: rest.into(),
+            suffix: suffix.into(),
         };
         self.pending.remove(&key);
     }
@@ -41,12 +41,12 @@
 impl Ledger {
     pub(crate) fn report_outcome(&mut self, key: RequestKey, stage: Stage) {
         let home = self.homes.get(&key.home);
-        let Some(record) = home.and_then(|home| home.record(key.generation, &key.rest)) else {
+        let Some(record) = home.and_then(|home| home.record(key.generation, &key.suffix)) else {
             return;
         };
         let record = KeyRecord {
             generation: key.generation,
-            rest: key.rest.clone(),
+            suffix: key.suffix.clone(),
             digest: record.digest,
             stage,
         };
@@ -85,16 +85,16 @@
             if home.primary().is_none() {
                 return;
             }
-            let (generation, rest) = (record.generation, record.rest);
-            let known = home.record(generation, &rest);
+            let (generation, suffix) = (record.generation, record.suffix);
+            let known = home.record(generation, &suffix);
             // A key that runs here ran nowhere else; its own outcome is to come.
             if known.is_some_and(|known| known.run.is_none()) {
-                home.settle(generation, &rest, record.stage);
+                home.settle(generation, &suffix, record.stage);
             }
             let kept = Message::OutcomeRecorded {
                 home: cx.id.clone(),
                 generation,
-                rest,
+                suffix,
             };
             cx.send(from, kept);
         });
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -53,15 +53,15 @@
                 }
             }
         }
-        for (generation, rest) in self.live_keys() {
-            let Some(run) = self.run_mut(generation, &rest) else {
+        for (generation, suffix) in self.live_keys() {
+            let Some(run) = self.run_mut(generation, &suffix) else {
                 continue;
             };
             for token in std::mem::take(&mut run.waiters) {
                 cx.answer(token, forward());
             }
             if run.granted.is_none() {
-                self.end_run(generation, &rest);
+                self.end_run(generation, &suffix);
             }
         }
     }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -19,10 +19,10 @@
         room: bool,
     ) {
         let generation = key.prefix.generation;
-        if let Some(record) = self.record(generation, &key.rest) {
+        if let Some(record) = self.record(generation, &key.suffix) {
             match known(cx, record, digest) {
                 Known::Answer(decision) => cx.answer(token, decision),
-                Known::Wait => self.add_waiter(cx, generation, &key.rest, token),
+                Known::Wait => self.add_waiter(cx, generation, &key.suffix, token),
             }
             return;
         }
@@ -63,10 +63,10 @@
         &mut self,
         cx: &mut Cx<'_>,
         generation: Generation,
-        rest: &str,
+        suffix: &str,
         token: Token,
     ) {
-        let Some(run) = self.run_mut(generation, rest) else {
+        let Some(run) = self.run_mut(generation, suffix) else {
             return;
         };
         run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
@@ -81,12 +81,12 @@
         let generation = key.prefix.generation;
         let record = KeyRecord {
             generation,
-            rest: key.rest.clone(),
+            suffix: key.suffix.clone(),
             digest,
             stage: Stage::Started,
         };
         self.put(record.clone());
-        self.start_run(generation, &key.rest, token);
+        self.start_run(generation, &key.suffix, token);
         let mut need = self.commit(Op::Put(record));
         // Failure: the holder dies after an order went out and before its backup knows
         // of it; the backup takes over and runs the resent order again. With the start
@@ -94,8 +94,8 @@
         if !cx.cfg.guards.record_before_start {
             need = None;
         }
-        let rest = key.rest.clone();
-        self.after(cx, need, Wait::Start { generation, rest });
+        let suffix = key.suffix.clone();
+        self.after(cx, need, Wait::Start { generation, suffix });
     }
 
     pub(super) fn after(&mut self, cx: &mut Cx<'_>, need: Option<Need>, wait: Wait) {
@@ -107,21 +107,21 @@
 
     pub(super) fn fulfil(&mut self, cx: &mut Cx<'_>, wait: Wait) {
         match wait {
-            Wait::Start { generation, rest } => self.grant(cx, generation, &rest),
+            Wait::Start { generation, suffix } => self.grant(cx, generation, &suffix),
             Wait::Refuse { token, code } => cx.answer(token, refuse(cx.cfg, code)),
             Wait::Mint(generation) => self.minted(cx.now, generation),
         }
     }
 
     /// The start is on record: lets the oldest pass that still waits run the key.
-    pub(super) fn grant(&mut self, cx: &mut Cx<'_>, generation: Generation, rest: &str) {
-        let Some(run) = self.run_mut(generation, rest) else {
+    pub(super) fn grant(&mut self, cx: &mut Cx<'_>, generation: Generation, suffix: &str) {
+        let Some(run) = self.run_mut(generation, suffix) else {
             return;
         };
         run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
         if run.waiters.is_empty() {
             let stage = Stage::Closed(ResultCode::DeadlineBeforeRun);
-            return self.end(cx, generation, rest, stage);
+            return self.end(cx, generation, suffix, stage);
         }
         let token = run.waiters.remove(0);
         run.granted = Some(token);
@@ -129,7 +129,7 @@
         let key = RequestKey {
             home: cx.id.clone(),
             generation,
-            rest: rest.into(),
+            suffix: suffix.into(),
         };
         cx.requests.run(token, key);
     }
@@ -139,23 +139,23 @@
         &mut self,
         cx: &mut Cx<'_>,
         generation: Generation,
-        rest: &str,
+        suffix: &str,
         stage: Stage,
     ) {
-        let run = self.end_run(generation, rest).unwrap_or_default();
+        let run = self.end_run(generation, suffix).unwrap_or_default();
         for token in run.waiters {
             let decision = replay(cx.cfg, &stage);
             cx.answer(token, decision);
         }
         if matches!(stage, Stage::Closed(_)) && !cx.cfg.guards.close_refused {
-            return self.remove(generation, rest);
+            return self.remove(generation, suffix);
         }
-        self.settle(generation, rest, stage);
+        self.settle(generation, suffix, stage);
     }
 
     /// Records how a key ended, unless more is known already.
-    pub(crate) fn settle(&mut self, generation: Generation, rest: &str, stage: Stage) {
-        let Some(record) = self.record(generation, rest) else {
+    pub(crate) fn settle(&mut self, generation: Generation, suffix: &str, stage: Stage) {
+        let Some(record) = self.record(generation, suffix) else {
             return;
         };
         if record.stage.is_final() {
@@ -163,7 +163,7 @@
         }
         let record = KeyRecord {
             generation,
-            rest: rest.into(),
+            suffix: suffix.into(),
             digest: record.digest,
             stage,
         };
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -115,7 +115,7 @@
 enum Wait {
     Start {
         generation: Generation,
-        rest: Box<str>,
+        suffix: Box<str>,
     },
     Refuse {
         token: Token,
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -111,7 +111,7 @@
             let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
                 return;
             };
-            let last = records.last().map(|r| (r.generation, r.rest.clone()));
+            let last = records.last().map(|r| (r.generation, r.suffix.clone()));
             for record in records {
                 log.push(Op::Put(record));
             }
@@ -133,8 +133,8 @@
             let Some(record) = self.next_after(cursor.as_ref()) else {
                 break;
             };
-            len += record.rest.len() + record.stage.stored_len();
-            cursor = Some((record.generation, record.rest.clone()));
+            len += record.suffix.len() + record.stage.stored_len();
+            cursor = Some((record.generation, record.suffix.clone()));
             records.push(record);
         }
         records
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -43,8 +43,8 @@
             Message::OutcomeRecorded {
                 home,
                 generation,
-                rest,
-            } => self.outcomes.remove(&home, generation, &rest),
+                suffix,
+            } => self.outcomes.remove(&home, generation, &suffix),
             Message::ClaimResult(result) => {
                 self.decided(now, &result);
                 self.unpark(now);
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -45,7 +45,7 @@
     /// Period of the key's prefix.
     pub generation: Generation,
     /// The key, its prefix left out.
-    pub rest: Box<str>,
+    pub suffix: Box<str>,
     /// What the request is.
     pub digest: Digest,
     /// How far it has come.
@@ -95,7 +95,7 @@
     pub(crate) fn len(&self) -> usize {
         const FIXED: usize = 32;
         match self {
-            Self::Put(record) => FIXED + record.rest.len() + record.stage.stored_len(),
+            Self::Put(record) => FIXED + record.suffix.len() + record.stage.stored_len(),
             Self::Watermarks(_) | Self::Epoch(_) | Self::HandOver => FIXED,
         }
     }
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -11,7 +11,7 @@
 pub(crate) struct RequestKey {
     pub(crate) home: HomeId,
     pub(crate) generation: Generation,
-    pub(crate) rest: Box<str>,
+    pub(crate) suffix: Box<str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -36,7 +36,7 @@
             return;
         }
         let home = self.homes.get(id);
-        let record = home.and_then(|home| home.record(key.prefix.generation, &key.rest));
+        let record = home.and_then(|home| home.record(key.prefix.generation, &key.suffix));
         let known = record.map(|record| (record.digest, record.stage.clone()));
         let decision = match known {
             Some((on_record, _)) if on_record != digest => refuse(&self.cfg, ResultCode::KeyReused),
@@ -57,7 +57,7 @@
         let Some(home) = self.homes.get(id) else {
             return false;
         };
-        let known = home.record(key.prefix.generation, &key.rest);
+        let known = home.record(key.prefix.generation, &key.suffix);
         let is_known = known.is_some_and(|record| record.stage.is_final());
         let joined = matches!(&home.role, Role::Backup(backup) if backup.is_joined());
         joined && !is_known && self.primary_of(id).is_none()
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -485,9 +485,9 @@
     }
 
     /// A key under the prefix that an entry hands out now.
-    pub(crate) fn key(&self, slot: Slot, rest: &str) -> String {
+    pub(crate) fn key(&self, slot: Slot, suffix: &str) -> String {
         let prefix = self.prefix(slot).expect("the entry hands out a prefix");
-        format!("{prefix}{rest}")
+        format!("{prefix}{suffix}")
     }
 
     /// The newest word of the ledgers on a key.
--- a/crates/ledger/tests/all/journals.rs
+++ b/crates/ledger/tests/all/journals.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_home_comes_back_from_its_disk() {
     let mut world = world();
-    let [done, running, cached] = ["done", "running", "cached"].map(|rest| world.key(0, rest));
+    let [done, running, cached] = ["done", "running", "cached"].map(|suffix| world.key(0, suffix));
     for key in [&done, &running] {
         world.send(0, key);
         world.drain();
