--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -91,7 +91,7 @@
         ops: Vec<Op>,
         /// Once the receiver has all records before this number it is the backup: no
         /// key is started any more without its acknowledgement.
-        joined_at: Option<u64>,
+        active_from: Option<u64>,
     },
     /// The backup has all records before `next`.
     Ack {
--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -13,9 +13,9 @@
     pub(crate) primary_incarnation: Incarnation,
     /// Number of the first step that isn't here.
     next: u64,
-    joined: bool,
+    active: bool,
     /// When the holder was heard last.
-    pub(crate) heard: Moment,
+    pub(crate) last_seen: Moment,
     /// When control was last asked to let this entry go on alone.
     pub(crate) claimed: Option<Moment>,
 }
@@ -25,7 +25,7 @@
     pub(crate) primary: Incarnation,
     pub(crate) first: u64,
     pub(crate) ops: Vec<Op>,
-    pub(crate) joined_at: Option<u64>,
+    pub(crate) active_from: Option<u64>,
 }
 
 impl Backup {
@@ -34,15 +34,15 @@
             primary: primary.clone(),
             primary_incarnation,
             next: 0,
-            joined: false,
-            heard: now,
+            active: false,
+            last_seen: now,
             claimed: None,
         }
     }
 
     /// Whether every key that the holder may start is on record here first.
-    pub(crate) fn is_joined(&self) -> bool {
-        self.joined
+    pub(crate) fn is_active(&self) -> bool {
+        self.active
     }
 }
 
@@ -60,7 +60,7 @@
         let Some(backup) = self.backup_mut() else {
             return;
         };
-        backup.heard = cx.now;
+        backup.last_seen = cx.now;
         let Some(skip) = backup.next.checked_sub(append.first) else {
             // A gap: what is missing comes again.
             return;
@@ -74,7 +74,7 @@
         }
         if let Some(backup) = self.backup_mut() {
             backup.next = next;
-            backup.joined |= append.joined_at.is_some_and(|at| next >= at);
+            backup.active |= append.active_from.is_some_and(|at| next >= at);
         }
         self.acknowledge(cx, from, epoch, next);
         if handed_over {
@@ -117,7 +117,7 @@
         };
         // Failure: the holder dies while its records are being copied; the half copy
         // takes over, misses a key that ran, and runs it again.
-        if !backup.joined && cx.cfg.guards.complete_before_claim {
+        if !backup.active && cx.cfg.guards.complete_before_claim {
             return;
         }
         let due = backup
@@ -150,7 +150,7 @@
             failure_domain: cx.id.failure_domain.clone(),
             leaving: false,
         };
-        self.role = Role::Past {
+        self.role = Role::Former {
             primary: Some(primary.incarnation),
             since: cx.now,
         };
--- a/crates/ledger/src/config.rs
+++ b/crates/ledger/src/config.rs
@@ -14,9 +14,9 @@
     /// A copy claims its home only once it is complete.
     pub complete_before_claim: bool,
     /// A journal is given up before a first backup counts.
-    pub retire_before_pairing: bool,
+    pub retire_journal_before_backup: bool,
     /// A restarted backup doesn't go on where its predecessor was.
-    pub check_backup: bool,
+    pub check_backup_incarnation: bool,
     /// A key told "not run" stays closed.
     pub close_refused: bool,
     /// Keys older than the home's records are never started.
@@ -29,8 +29,8 @@
         record_before_start: true,
         check_epoch: true,
         complete_before_claim: true,
-        retire_before_pairing: true,
-        check_backup: true,
+        retire_journal_before_backup: true,
+        check_backup_incarnation: true,
         close_refused: true,
         check_watermarks: true,
     };
@@ -49,7 +49,7 @@
     pub(crate) generation_period: Duration,
     pub(crate) heartbeat: Duration,
     pub(crate) resend_after: Duration,
-    pub(crate) suspect_after: Duration,
+    pub(crate) failover_timeout: Duration,
     pub(crate) max_batch_bytes: usize,
     pub(crate) journal: bool,
     pub(crate) guards: Guards,
@@ -76,7 +76,7 @@
                 generation_period: Duration::from_secs(3600),
                 heartbeat: Duration::from_millis(500),
                 resend_after: Duration::from_millis(100),
-                suspect_after: Duration::from_secs(2),
+                failover_timeout: Duration::from_secs(2),
                 max_batch_bytes: 256 * 1024,
                 journal: false,
                 guards: Guards::ALL,
@@ -165,8 +165,8 @@
 
     /// Silence after which a holder or backup claims the home for itself. Default 2 s.
     #[must_use]
-    pub fn suspect_after(mut self, silence: Duration) -> Self {
-        self.cfg.suspect_after = silence;
+    pub fn failover_timeout(mut self, silence: Duration) -> Self {
+        self.cfg.failover_timeout = silence;
         self
     }
 
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -15,7 +15,7 @@
     pub(crate) role: Role,
     pub(crate) watermarks: Watermarks,
     pub(crate) usage: Usage,
-    periods: BTreeMap<Generation, Period>,
+    generations: BTreeMap<Generation, GenerationRecords>,
 }
 
 /// What this entry is to a home.
@@ -26,7 +26,7 @@
     /// Copies what the holder records.
     Backup(Backup),
     /// Was one of both. Its records are still true, but others may know more.
-    Past {
+    Former {
         /// Who held the home last, as far as known.
         primary: Option<Incarnation>,
         /// Since when.
@@ -42,15 +42,15 @@
     /// Bytes of stored answers.
     pub(crate) stored: usize,
     /// Keys that a pass of this entry runs or waits to start.
-    pub(crate) live: usize,
+    pub(crate) active: usize,
     /// Keys that were refused one by one.
     pub(crate) closed: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Period {
+struct GenerationRecords {
     records: BTreeMap<Box<str>, Record>,
-    live: usize,
+    active: usize,
 }
 
 /// What is known of one key.
@@ -78,32 +78,32 @@
             role,
             watermarks: Watermarks::default(),
             usage: Usage::default(),
-            periods: BTreeMap::new(),
+            generations: BTreeMap::new(),
         }
     }
 
     pub(crate) fn record(&self, generation: Generation, suffix: &str) -> Option<&Record> {
-        self.periods.get(&generation)?.records.get(suffix)
+        self.generations.get(&generation)?.records.get(suffix)
     }
 
     pub(crate) fn run_mut(&mut self, generation: Generation, suffix: &str) -> Option<&mut Run> {
-        let period = self.periods.get_mut(&generation)?;
+        let period = self.generations.get_mut(&generation)?;
         period.records.get_mut(suffix)?.run.as_deref_mut()
     }
 
     /// Takes in a record. What is final stays, so records may come late, twice and in
     /// any order.
     pub(crate) fn put(&mut self, new: KeyRecord) {
-        let period = self.periods.entry(new.generation).or_default();
+        let period = self.generations.entry(new.generation).or_default();
         match period.records.get_mut(&new.suffix) {
             Some(old) if old.stage.is_final() => {}
             Some(old) => {
-                self.usage.count(&new.stage);
+                self.usage.add(&new.stage);
                 old.stage = new.stage;
             }
             None => {
                 self.usage.keys += 1;
-                self.usage.count(&new.stage);
+                self.usage.add(&new.stage);
                 let record = Record {
                     digest: new.digest,
                     stage: new.stage,
@@ -116,7 +116,7 @@
 
     /// Marks a key on record as one that passes of this entry are concerned with.
     pub(crate) fn start_run(&mut self, generation: Generation, suffix: &str, token: Token) {
-        let Some(period) = self.periods.get_mut(&generation) else {
+        let Some(period) = self.generations.get_mut(&generation) else {
             return;
         };
         let Some(record) = period.records.get_mut(suffix) else {
@@ -128,34 +128,40 @@
             waiters,
         };
         if record.run.replace(Box::new(run)).is_none() {
-            period.live += 1;
-            self.usage.live += 1;
+            period.active += 1;
+            self.usage.active += 1;
         }
     }
 
     /// Ends what [`Home::start_run`] began and gives back the passes.
     pub(crate) fn end_run(&mut self, generation: Generation, suffix: &str) -> Option<Run> {
-        let period = self.periods.get_mut(&generation)?;
+        let period = self.generations.get_mut(&generation)?;
         let run = period.records.get_mut(suffix)?.run.take()?;
-        period.live -= 1;
-        self.usage.live -= 1;
+        period.active -= 1;
+        self.usage.active -= 1;
         Some(*run)
     }
 
     /// Keys with passes of this entry.
-    pub(crate) fn live_keys(&self) -> Vec<(Generation, Box<str>)> {
-        let live = self.periods.iter().filter(|(_, period)| period.live > 0);
-        live.flat_map(|(generation, period)| {
-            let runs = period.records.iter().filter(|(_, r)| r.run.is_some());
-            runs.map(|(suffix, _)| (*generation, suffix.clone()))
-        })
-        .collect()
+    pub(crate) fn active_keys(&self) -> Vec<(Generation, Box<str>)> {
+        let active = self
+            .generations
+            .iter()
+            .filter(|(_, period)| period.active > 0);
+        active
+            .flat_map(|(generation, period)| {
+                let runs = period.records.iter().filter(|(_, r)| r.run.is_some());
+                runs.map(|(suffix, _)| (*generation, suffix.clone()))
+            })
+            .collect()
     }
 
     /// The lowest period in which a key has passes of this entry.
-    pub(crate) fn lowest_live(&self) -> Option<Generation> {
-        let mut periods = self.periods.iter();
-        periods.find(|(_, period)| period.live > 0).map(|(g, _)| *g)
+    pub(crate) fn lowest_active(&self) -> Option<Generation> {
+        let mut generations = self.generations.iter();
+        generations
+            .find(|(_, period)| period.active > 0)
+            .map(|(g, _)| *g)
     }
 
     /// Raises marks and drops what they make needless.
@@ -168,14 +174,14 @@
     /// Below the floor nothing starts whether it is on record or not.
     fn drop_expired(&mut self) {
         let retained_from = self.watermarks.retained_from;
-        while let Some(entry) = self.periods.first_entry() {
+        while let Some(entry) = self.generations.first_entry() {
             if *entry.key() >= retained_from {
                 return;
             }
             let period = entry.remove();
-            self.usage.live -= period.live;
+            self.usage.active -= period.active;
             for record in period.records.values() {
-                self.usage.forget(&record.stage);
+                self.usage.remove(&record.stage);
             }
         }
     }
@@ -186,11 +192,11 @@
             return;
         }
         let usage = &mut self.usage;
-        for period in self.periods.range_mut(..self.watermarks.open_from) {
+        for period in self.generations.range_mut(..self.watermarks.open_from) {
             period.1.records.retain(|_, record| {
                 let closed = matches!(record.stage, Stage::Closed(_));
                 if closed {
-                    usage.forget(&record.stage);
+                    usage.remove(&record.stage);
                 }
                 !closed
             });
@@ -212,7 +218,7 @@
     pub(crate) fn next_after(&self, cursor: Option<&(Generation, Box<str>)>) -> Option<KeyRecord> {
         use std::ops::Bound::{Excluded, Unbounded};
         let first = cursor.map_or(Generation(0), |(generation, _)| *generation);
-        self.periods
+        self.generations
             .range(first..)
             .find_map(|(generation, period)| {
                 let after = match cursor {
@@ -231,11 +237,11 @@
 
     /// Forgets a key, for the guard switch only.
     pub(crate) fn remove(&mut self, generation: Generation, suffix: &str) {
-        let Some(period) = self.periods.get_mut(&generation) else {
+        let Some(period) = self.generations.get_mut(&generation) else {
             return;
         };
         if let Some(record) = period.records.remove(suffix) {
-            self.usage.forget(&record.stage);
+            self.usage.remove(&record.stage);
         }
     }
 
@@ -253,13 +259,13 @@
 
 impl Usage {
     /// Adds a stage that is new to a key.
-    fn count(&mut self, stage: &Stage) {
+    fn add(&mut self, stage: &Stage) {
         self.stored += stage.stored_len();
         self.closed += usize::from(matches!(stage, Stage::Closed(_)));
     }
 
     /// Takes off a key that is dropped.
-    fn forget(&mut self, stage: &Stage) {
+    fn remove(&mut self, stage: &Stage) {
         self.keys -= 1;
         self.stored -= stage.stored_len();
         self.closed -= usize::from(matches!(stage, Stage::Closed(_)));
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -23,7 +23,7 @@
     /// Steps before this one are synced.
     synced: u64,
     /// Bytes since the journal was written anew.
-    grown: usize,
+    appended_bytes: usize,
     /// Number of the step that gives the journal up, once asked for.
     retires_at: Option<u64>,
     retire_sent: bool,
@@ -47,7 +47,7 @@
             // the process dies, and its successor takes up the home without that key.
             return number;
         }
-        self.grown += op.len();
+        self.appended_bytes += op.len();
         self.pending.push(op);
         self.next += 1;
         self.next - 1
@@ -57,13 +57,13 @@
     pub(crate) fn rewrite(&mut self, ops: Vec<Op>) {
         self.pending = ops;
         self.rewrite = true;
-        self.grown = 0;
+        self.appended_bytes = 0;
         self.next += 1;
     }
 
     /// Whether it has grown by more than `live` bytes of records explain.
-    pub(crate) fn is_long(&self, live: usize) -> bool {
-        self.grown > SLACK + 2 * live
+    pub(crate) fn needs_compaction(&self, live: usize) -> bool {
+        self.appended_bytes > SLACK + 2 * live
     }
 
     pub(crate) fn is_synced(&self, number: u64) -> bool {
@@ -71,7 +71,7 @@
     }
 
     /// Whether nothing is on its way to the disk.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn is_fully_synced(&self) -> bool {
         self.synced == self.next
     }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -35,7 +35,7 @@
     pub(crate) parked: BTreeMap<HomeId, Vec<Parked>>,
     pub(crate) outcomes: Outcomes,
     pub(crate) stopping: bool,
-    pub(crate) founded: Moment,
+    pub(crate) created_at: Moment,
     pub(crate) last_tick: Moment,
     pub(crate) last_announced: Option<Moment>,
     pub(crate) out: Vec<Action>,
@@ -51,7 +51,7 @@
 
 /// Whether another key may be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Room {
+pub(crate) enum Capacity {
     /// Yes.
     Free,
     /// Not while so many run.
@@ -77,7 +77,7 @@
             parked: BTreeMap::new(),
             outcomes: Outcomes::default(),
             stopping: false,
-            founded: now,
+            created_at: now,
             last_tick: now,
             last_announced: None,
             out: Vec::new(),
@@ -103,7 +103,7 @@
                 hops,
                 failed,
             } => {
-                self.suspect(now, failed);
+                self.mark_unreachable(now, failed);
                 self.requests.wait(token, deadline);
                 self.begin(now, token, &key, digest, hops);
             }
@@ -140,7 +140,7 @@
         if self.stopping || primary.is_handing_over() || primary.is_claiming() {
             return None;
         }
-        let (generation, _) = primary.minted?;
+        let (generation, _) = primary.issued?;
         (generation >= home.watermarks.open_from).then(|| KeyPrefix {
             home: id.clone(),
             generation,
@@ -150,11 +150,12 @@
     /// Whether a planned stop may go on: nothing runs here and every home that another
     /// entry can hold is held there.
     pub fn is_handed_over(&self) -> bool {
-        let alone = |primary: &Primary| matches!(primary.pair, crate::primary::Pair::Alone);
+        let alone =
+            |primary: &Primary| matches!(primary.backup, crate::primary::BackupState::Absent);
         let homes_done = self.homes.values().all(|home| match &home.role {
             Role::Primary(primary) => alone(primary) && self.candidate().is_none(),
             Role::Backup(_) => false,
-            Role::Past { .. } => true,
+            Role::Former { .. } => true,
         });
         homes_done && !self.requests.any_running() && self.outcomes.is_empty()
     }
@@ -198,16 +199,18 @@
             let entry = to.name.clone();
             return self.answer(token, Decision::Forward { entry });
         }
-        let room = match self.room() {
+        let has_capacity = match self.capacity() {
             // It passes with the requests that run now; closing keys for it would make
             // every caller take a new prefix.
-            Room::Busy if !on_record => {
+            Capacity::Busy if !on_record => {
                 let decision = refuse(&self.cfg, ResultCode::KeyNotChecked);
                 return self.answer(token, decision);
             }
-            room => on_record || room == Room::Free,
+            capacity => on_record || capacity == Capacity::Free,
         };
-        self.with_home(now, id, |home, cx| home.begin(cx, token, key, digest, room));
+        self.with_home(now, id, |home, cx| {
+            home.begin(cx, token, key, digest, has_capacity)
+        });
     }
 
     fn is_on_record(&self, key: &Key) -> bool {
@@ -217,20 +220,20 @@
 
     /// Whether another key may be recorded. A running key counts with the largest answer
     /// that it may bring, so that a started key never lacks room for its answer.
-    pub(crate) fn room(&self) -> Room {
+    pub(crate) fn capacity(&self) -> Capacity {
         let mut used = Usage::default();
         for home in self.homes.values().filter(|home| home.primary().is_some()) {
             used.keys += home.usage.keys;
             used.stored += home.usage.stored;
-            used.live += home.usage.live;
+            used.active += home.usage.active;
         }
         let fits = |more: usize| used.stored + more * self.cfg.max_answer <= self.cfg.max_bytes;
         if used.keys >= self.cfg.max_keys || !fits(1) {
-            Room::Full
-        } else if !fits(used.live + 1) {
-            Room::Busy
+            Capacity::Full
+        } else if !fits(used.active + 1) {
+            Capacity::Busy
         } else {
-            Room::Free
+            Capacity::Free
         }
     }
 
@@ -260,7 +263,7 @@
             home.primary().is_some_and(|h| !h.is_handing_over())
         });
         if still_primary != Some(true) {
-            self.report_outcome(key, stage);
+            self.queue_outcome(key, stage);
         }
     }
 
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -29,16 +29,16 @@
     /// `None` if something is due at once.
     last_sent: Option<Moment>,
     /// When the peer was heard last.
-    pub(crate) heard: Moment,
+    pub(crate) last_seen: Moment,
     /// From which number on the peer is the backup.
-    pub(crate) joined_at: Option<u64>,
+    pub(crate) active_from: Option<u64>,
     /// Where copying of older records stands.
-    pub(crate) copy: Copying,
+    pub(crate) copy: CopyProgress,
 }
 
 /// How far the records from before this config are in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Copying {
+pub(crate) enum CopyProgress {
     /// Up to this key.
     After(Option<(Generation, Box<str>)>),
     /// All of them stand before this number.
@@ -62,9 +62,9 @@
             sent: 0,
             in_flight: 0,
             last_sent: None,
-            heard: now,
-            joined_at: None,
-            copy: Copying::After(None),
+            last_seen: now,
+            active_from: None,
+            copy: CopyProgress::After(None),
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// The peer has all steps before `next`.
     pub(crate) fn ack(&mut self, now: Moment, next: u64) {
-        self.heard = now;
+        self.last_seen = now;
         if next > self.end() {
             return;
         }
@@ -99,13 +99,15 @@
     }
 
     /// Makes a message due at once.
-    pub(crate) fn poke(&mut self) {
+    pub(crate) fn mark_due(&mut self) {
         self.last_sent = None;
     }
 
     /// Whether copying should go on: enough is in flight otherwise.
     pub(crate) fn wants_copy(&self, cfg: &Config) -> bool {
-        matches!(self.copy, Copying::After(_)) && self.has_window(cfg) && self.sent == self.end()
+        matches!(self.copy, CopyProgress::After(_))
+            && self.has_window(cfg)
+            && self.sent == self.end()
     }
 
     fn has_window(&self, cfg: &Config) -> bool {
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -33,13 +33,13 @@
     }
 
     /// Forgets the outcomes of a home that is dropped here.
-    pub(crate) fn forget(&mut self, home: &HomeId) {
+    pub(crate) fn remove_home(&mut self, home: &HomeId) {
         self.pending.retain(|key, _| key.home != *home);
     }
 }
 
 impl Ledger {
-    pub(crate) fn report_outcome(&mut self, key: RequestKey, stage: Stage) {
+    pub(crate) fn queue_outcome(&mut self, key: RequestKey, stage: Stage) {
         let home = self.homes.get(&key.home);
         let Some(record) = home.and_then(|home| home.record(key.generation, &key.suffix)) else {
             return;
@@ -74,7 +74,7 @@
     }
 
     /// Records the outcome of a key whose home is held here and that ran elsewhere.
-    pub(crate) fn take_outcome(
+    pub(crate) fn receive_outcome(
         &mut self,
         now: Moment,
         from: &NodeName,
@@ -89,7 +89,7 @@
             let known = home.record(generation, &suffix);
             // A key that runs here ran nowhere else; its own outcome is to come.
             if known.is_some_and(|known| known.run.is_none()) {
-                home.settle(generation, &suffix, record.stage);
+                home.record_outcome(generation, &suffix, record.stage);
             }
             let kept = Message::OutcomeRecorded {
                 home: cx.id.clone(),
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -2,7 +2,7 @@
 
 use filberthead_types::Moment;
 
-use super::{Cx, Need, Pair, Primary, Wait};
+use super::{BackupState, Cx, Durability, Pending, Primary};
 use crate::home::{Home, Role};
 use crate::log::Log;
 use crate::{Action, Claim, Decision, HomeEpoch, Member, Op};
@@ -11,7 +11,7 @@
     /// Becomes the holder at `config`, with the records at hand.
     pub(crate) fn take_over(&mut self, now: Moment, epoch: HomeEpoch) {
         self.epoch = epoch;
-        let mut primary = Primary::alone(None);
+        let mut primary = Primary::new(None);
         // Nothing is known of when prefixes were superseded; from now on is never too
         // early, and no new one is handed out.
         primary
@@ -21,39 +21,39 @@
     }
 
     /// The backup is out of the config; what waited for it goes on.
-    pub(crate) fn go_alone(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
+    pub(crate) fn continue_without_backup(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
         self.epoch = epoch;
         let Some(primary) = self.primary_mut() else {
             return;
         };
-        primary.pair = Pair::Alone;
+        primary.backup = BackupState::Absent;
         // Failure: both entries are stopped at once. The backup releases its holder, whose
         // hand-over it will never take; were that still in force, keys that start here
         // were left out of the copy for the next backup, which would run them again.
         primary.handing_over = None;
-        for (_, wait) in std::mem::take(&mut primary.waits) {
-            self.fulfil(cx, wait);
+        for (_, pending) in std::mem::take(&mut primary.pending) {
+            self.complete(cx, pending);
         }
     }
 
     /// Another entry holds the home; what waited here goes there.
-    pub(crate) fn depose(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
+    pub(crate) fn demote(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
         self.epoch = epoch;
-        let past = Role::Past {
+        let former = Role::Former {
             primary: Some(to.incarnation),
             since: cx.now,
         };
         let forward = || Decision::Forward {
             entry: to.name.clone(),
         };
-        if let Role::Primary(primary) = std::mem::replace(&mut self.role, past) {
-            for (_, wait) in primary.waits {
-                if let Wait::Refuse { token, .. } = wait {
+        if let Role::Primary(primary) = std::mem::replace(&mut self.role, former) {
+            for (_, pending) in primary.pending {
+                if let Pending::Refuse { token, .. } = pending {
                     cx.answer(token, forward());
                 }
             }
         }
-        for (generation, suffix) in self.live_keys() {
+        for (generation, suffix) in self.active_keys() {
             let Some(run) = self.run_mut(generation, &suffix) else {
                 continue;
             };
@@ -67,12 +67,12 @@
     }
 
     /// Starts to copy the home to `peer`.
-    pub(crate) fn invite(&mut self, now: Moment, peer: &Member) {
+    pub(crate) fn add_backup(&mut self, now: Moment, peer: &Member) {
         self.epoch = self.epoch.next();
         let mut log = Log::new(now, peer.clone(), self.epoch);
         log.push(Op::Watermarks(self.watermarks));
         if let Some(primary) = self.primary_mut() {
-            primary.pair = Pair::Joining(log);
+            primary.backup = BackupState::Joining(log);
         }
     }
 
@@ -88,14 +88,14 @@
             return;
         }
         log.ack(cx.now, next);
-        primary.join_if_copied(cx.cfg);
-        self.release_waits(cx);
+        primary.activate_if_copied(cx.cfg);
+        self.complete_durable(cx);
         self.end_hand_over(cx);
     }
 
-    pub(super) fn release_waits(&mut self, cx: &mut Cx<'_>) {
-        while let Some(wait) = self.primary_mut().and_then(Primary::next_ready) {
-            self.fulfil(cx, wait);
+    pub(super) fn complete_durable(&mut self, cx: &mut Cx<'_>) {
+        while let Some(pending) = self.primary_mut().and_then(Primary::next_ready) {
+            self.complete(cx, pending);
         }
     }
 
@@ -106,10 +106,10 @@
         };
         // Failure: this entry claimed the home a moment ago; the claim wins after the
         // hand-over has reached the backup, and both hold the home.
-        let paired = matches!(primary.pair, Pair::Paired { claimed: None, .. });
+        let paired = matches!(primary.backup, BackupState::Active { claimed: None, .. });
         if primary.handing_over.is_none()
             && paired
-            && let Some(Need::Acked(number)) = primary.commit(Op::HandOver)
+            && let Some(Durability::Acked(number)) = primary.commit(Op::HandOver)
         {
             primary.handing_over = Some(number);
         }
@@ -119,7 +119,7 @@
         let Some(primary) = self.primary() else {
             return;
         };
-        let Pair::Paired { log, .. } = &primary.pair else {
+        let BackupState::Active { log, .. } = &primary.backup else {
             return;
         };
         if !primary
@@ -129,7 +129,7 @@
             return;
         }
         let (peer, epoch) = (log.peer.clone(), log.epoch.next());
-        self.depose(cx, epoch, &peer);
+        self.demote(cx, epoch, &peer);
     }
 
     /// Asks control to let this entry go on without its backup, again and again: a
@@ -141,7 +141,7 @@
         if primary.handing_over.is_some() {
             return;
         }
-        let Pair::Paired { log, claimed } = &mut primary.pair else {
+        let BackupState::Active { log, claimed } = &mut primary.backup else {
             return;
         };
         let due = claimed.map_or(silent, |at| at + cx.cfg.heartbeat <= cx.now);
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -2,18 +2,18 @@
 
 use filberthead_types::Moment;
 
-use super::{Cx, Need, Wait};
+use super::{Cx, Durability, Pending};
 use crate::home::Home;
 use crate::{Generation, Op, Watermarks};
 
 impl Home {
-    pub(super) fn set_watermarks(&mut self, watermarks: Watermarks) -> Option<Need> {
+    pub(super) fn set_watermarks(&mut self, watermarks: Watermarks) -> Option<Durability> {
         self.raise_watermarks(watermarks);
         let watermarks = self.watermarks;
         let primary = self.primary_mut()?;
-        let need = primary.commit(Op::Watermarks(watermarks));
-        primary.watermarks_need = need;
-        need
+        let durability = primary.commit(Op::Watermarks(watermarks));
+        primary.watermarks_durability = durability;
+        durability
     }
 
     /// Starts no further key of any prefix handed out so far.
@@ -28,39 +28,40 @@
         self.set_watermarks(watermarks);
         let unissued_from = self.watermarks.unissued_from;
         if let Some(primary) = self.primary_mut() {
-            primary.minted = None;
+            primary.issued = None;
             primary.superseded.push_back((unissued_from, cx.now));
         }
     }
 
     /// Hands out a new prefix, once the backup knows of it.
-    pub(crate) fn mint(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn issue_prefix(&mut self, cx: &mut Cx<'_>) {
         let generation = self.watermarks.unissued_from;
         let watermarks = Watermarks {
             unissued_from: generation.next(),
             ..self.watermarks
         };
-        let need = self.set_watermarks(watermarks);
-        self.after(cx, need, Wait::Mint(generation));
+        let durability = self.set_watermarks(watermarks);
+        self.when_durable(cx, durability, Pending::Issue(generation));
     }
 
-    pub(super) fn minted(&mut self, now: Moment, generation: Generation) {
+    pub(super) fn issued(&mut self, now: Moment, generation: Generation) {
         let open = generation >= self.watermarks.open_from;
         if let Some(primary) = self.primary_mut() {
             primary.superseded.push_back((generation, now));
-            primary.minted = open.then_some((generation, now));
+            primary.issued = open.then_some((generation, now));
         }
     }
 
     /// Whether a new prefix is on its way to being handed out.
-    pub(crate) fn is_minting(&self) -> bool {
-        let minting = |wait: &(Need, Wait)| matches!(wait.1, Wait::Mint(_));
-        self.primary().is_some_and(|h| h.waits.iter().any(minting))
+    pub(crate) fn is_issuing(&self) -> bool {
+        let issuing = |pending: &(Durability, Pending)| matches!(pending.1, Pending::Issue(_));
+        self.primary()
+            .is_some_and(|h| h.pending.iter().any(issuing))
     }
 
     /// Closes and drops periods whose time has come.
-    pub(crate) fn age(&mut self, cx: &Cx<'_>) {
-        let lowest_live = self.lowest_live();
+    pub(crate) fn expire_generations(&mut self, cx: &Cx<'_>) {
+        let lowest_active = self.lowest_active();
         let mut watermarks = self.watermarks;
         let Some(primary) = self.primary_mut() else {
             return;
@@ -72,7 +73,7 @@
                 watermarks.open_from = watermarks.open_from.max(*below);
             }
             if *at + drops_after <= cx.now {
-                let retained_from = lowest_live.map_or(*below, |live| live.min(*below));
+                let retained_from = lowest_active.map_or(*below, |live| live.min(*below));
                 watermarks.retained_from = watermarks.retained_from.max(retained_from);
             }
         }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -2,7 +2,7 @@
 
 use filberthead_types::ResultCode;
 
-use super::{Cx, Need, Primary, Wait, refuse, replay};
+use super::{Cx, Durability, Pending, Primary, refuse, replay};
 use crate::home::{Home, Record};
 use crate::requests::RequestKey;
 use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
@@ -16,32 +16,32 @@
         token: Token,
         key: &Key,
         digest: Digest,
-        room: bool,
+        has_capacity: bool,
     ) {
         let generation = key.prefix.generation;
         if let Some(record) = self.record(generation, &key.suffix) {
-            match known(cx, record, digest) {
-                Known::Answer(decision) => cx.answer(token, decision),
-                Known::Wait => self.add_waiter(cx, generation, &key.suffix, token),
+            match check_record(cx, record, digest) {
+                RecordCheck::Answer(decision) => cx.answer(token, decision),
+                RecordCheck::Wait => self.add_waiter(cx, generation, &key.suffix, token),
             }
             return;
         }
         if let Some(code) = self.refuse_unknown(cx, generation) {
             return cx.answer(token, refuse(cx.cfg, code));
         }
-        if !room {
+        if !has_capacity {
             // Closing the period answers every key that there is no room for with one
             // record, and makes "not run" true for each of them for good.
             self.close_all(cx);
         }
         if generation < self.watermarks.open_from && cx.cfg.guards.check_watermarks {
-            let code = if room {
+            let code = if has_capacity {
                 ResultCode::KeyClosed
             } else {
                 ResultCode::LedgerFull
             };
-            let need = self.primary().and_then(Primary::pending_watermarks);
-            return self.after(cx, need, Wait::Refuse { token, code });
+            let durability = self.primary().and_then(Primary::pending_watermarks);
+            return self.when_durable(cx, durability, Pending::Refuse { token, code });
         }
         self.start(cx, token, key, digest);
     }
@@ -87,29 +87,34 @@
         };
         self.put(record.clone());
         self.start_run(generation, &key.suffix, token);
-        let mut need = self.commit(Op::Put(record));
+        let mut durability = self.commit(Op::Put(record));
         // Failure: the holder dies after an order went out and before its backup knows
         // of it; the backup takes over and runs the resent order again. With the start
         // on record at the backup first, whoever takes over knows the key.
         if !cx.cfg.guards.record_before_start {
-            need = None;
+            durability = None;
         }
         let suffix = key.suffix.clone();
-        self.after(cx, need, Wait::Start { generation, suffix });
+        self.when_durable(cx, durability, Pending::Start { generation, suffix });
     }
 
-    pub(super) fn after(&mut self, cx: &mut Cx<'_>, need: Option<Need>, wait: Wait) {
-        match (need, self.primary_mut()) {
-            (Some(need), Some(primary)) => primary.waits.push_back((need, wait)),
-            _ => self.fulfil(cx, wait),
+    pub(super) fn when_durable(
+        &mut self,
+        cx: &mut Cx<'_>,
+        durability: Option<Durability>,
+        pending: Pending,
+    ) {
+        match (durability, self.primary_mut()) {
+            (Some(durability), Some(primary)) => primary.pending.push_back((durability, pending)),
+            _ => self.complete(cx, pending),
         }
     }
 
-    pub(super) fn fulfil(&mut self, cx: &mut Cx<'_>, wait: Wait) {
-        match wait {
-            Wait::Start { generation, suffix } => self.grant(cx, generation, &suffix),
-            Wait::Refuse { token, code } => cx.answer(token, refuse(cx.cfg, code)),
-            Wait::Mint(generation) => self.minted(cx.now, generation),
+    pub(super) fn complete(&mut self, cx: &mut Cx<'_>, pending: Pending) {
+        match pending {
+            Pending::Start { generation, suffix } => self.grant(cx, generation, &suffix),
+            Pending::Refuse { token, code } => cx.answer(token, refuse(cx.cfg, code)),
+            Pending::Issue(generation) => self.issued(cx.now, generation),
         }
     }
 
@@ -150,11 +155,11 @@
         if matches!(stage, Stage::Closed(_)) && !cx.cfg.guards.close_refused {
             return self.remove(generation, suffix);
         }
-        self.settle(generation, suffix, stage);
+        self.record_outcome(generation, suffix, stage);
     }
 
     /// Records how a key ended, unless more is known already.
-    pub(crate) fn settle(&mut self, generation: Generation, suffix: &str, stage: Stage) {
+    pub(crate) fn record_outcome(&mut self, generation: Generation, suffix: &str, stage: Stage) {
         let Some(record) = self.record(generation, suffix) else {
             return;
         };
@@ -172,17 +177,17 @@
     }
 }
 
-enum Known {
+enum RecordCheck {
     Answer(Decision),
     Wait,
 }
 
-fn known(cx: &Cx<'_>, record: &Record, digest: Digest) -> Known {
+fn check_record(cx: &Cx<'_>, record: &Record, digest: Digest) -> RecordCheck {
     if record.digest != digest {
-        return Known::Answer(refuse(cx.cfg, ResultCode::KeyReused));
+        return RecordCheck::Answer(refuse(cx.cfg, ResultCode::KeyReused));
     }
     match (&record.stage, &record.run) {
-        (Stage::Started, Some(_)) => Known::Wait,
-        (stage, _) => Known::Answer(replay(cx.cfg, stage)),
+        (Stage::Started, Some(_)) => RecordCheck::Wait,
+        (stage, _) => RecordCheck::Answer(replay(cx.cfg, stage)),
     }
 }
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::home::{Home, Role};
 use crate::journal::Journal;
-use crate::log::{Copying, Log};
+use crate::log::{CopyProgress, Log};
 use crate::requests::Requests;
 use crate::{Action, Config, Decision, Generation, HomeId, Member, Message, Op, Stage, Token};
 
@@ -72,30 +72,30 @@
 /// State of a holder besides the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Primary {
-    pub(crate) pair: Pair,
+    pub(crate) backup: BackupState,
     /// Steps that are synced to the data folder while there is no backup.
     pub(crate) journal: Option<Journal>,
     /// What waits until a step is on record beside this process.
-    waits: VecDeque<(Need, Wait)>,
+    pending: VecDeque<(Durability, Pending)>,
     /// The period whose prefix is handed out, and since when.
-    pub(crate) minted: Option<(Generation, Moment)>,
+    pub(crate) issued: Option<(Generation, Moment)>,
     /// Periods below the first were superseded at the second.
     superseded: VecDeque<(Generation, Moment)>,
     /// What the newest marks need to be on record.
-    watermarks_need: Option<Need>,
+    watermarks_durability: Option<Durability>,
     /// Number of the hand-over in the log: another entry holds the home next.
     handing_over: Option<u64>,
 }
 
 /// Whether, and how far, a holder has a backup.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Pair {
+pub(crate) enum BackupState {
     /// No backup.
-    Alone,
+    Absent,
     /// A copy is being made; nothing waits for it yet.
     Joining(Log),
     /// Every start waits for the backup's acknowledgement.
-    Paired {
+    Active {
         log: Log,
         /// When control was last asked to let this entry go on alone.
         claimed: Option<Moment>,
@@ -104,7 +104,7 @@
 
 /// Where a step has to be on record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Need {
+enum Durability {
     /// At the backup, as the step of this number.
     Acked(u64),
     /// In the data folder, as the step of this number.
@@ -112,7 +112,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Wait {
+enum Pending {
     Start {
         generation: Generation,
         suffix: Box<str>,
@@ -121,32 +121,32 @@
         token: Token,
         code: ResultCode,
     },
-    Mint(Generation),
+    Issue(Generation),
 }
 
 impl Primary {
-    pub(crate) fn alone(journal: Option<Journal>) -> Self {
+    pub(crate) fn new(journal: Option<Journal>) -> Self {
         Self {
-            pair: Pair::Alone,
+            backup: BackupState::Absent,
             journal,
-            waits: VecDeque::new(),
-            minted: None,
+            pending: VecDeque::new(),
+            issued: None,
             superseded: VecDeque::new(),
-            watermarks_need: None,
+            watermarks_durability: None,
             handing_over: None,
         }
     }
 
     pub(crate) fn log_mut(&mut self) -> Option<&mut Log> {
-        match &mut self.pair {
-            Pair::Alone => None,
-            Pair::Joining(log) | Pair::Paired { log, .. } => Some(log),
+        match &mut self.backup {
+            BackupState::Absent => None,
+            BackupState::Joining(log) | BackupState::Active { log, .. } => Some(log),
         }
     }
 
     /// Whether control has been asked for leave to go on, and hasn't answered yet.
     pub(crate) fn is_claiming(&self) -> bool {
-        matches!(&self.pair, Pair::Paired { claimed, .. } if claimed.is_some())
+        matches!(&self.backup, BackupState::Active { claimed, .. } if claimed.is_some())
     }
 
     /// Whether the home is on its way to the backup.
@@ -155,44 +155,44 @@
     }
 
     /// The backup, if it counts.
-    pub(crate) fn paired_with(&self) -> Option<&Member> {
-        match &self.pair {
-            Pair::Paired { log, .. } => Some(&log.peer),
+    pub(crate) fn active_backup(&self) -> Option<&Member> {
+        match &self.backup {
+            BackupState::Active { log, .. } => Some(&log.peer),
             _ => None,
         }
     }
 
     /// Who takes the home over.
     pub(crate) fn successor(&self) -> Option<&Member> {
-        self.paired_with().filter(|_| self.is_handing_over())
+        self.active_backup().filter(|_| self.is_handing_over())
     }
 
     /// Puts a step on record; where it has to be before anything follows from it.
-    fn commit(&mut self, op: Op) -> Option<Need> {
-        match &mut self.pair {
+    fn commit(&mut self, op: Op) -> Option<Durability> {
+        match &mut self.backup {
             // Nothing behind the hand-over would be taken.
             _ if self.handing_over.is_some() => None,
-            Pair::Alone => self.write(op),
-            Pair::Joining(log) => {
+            BackupState::Absent => self.write(op),
+            BackupState::Joining(log) => {
                 log.push(op.clone());
                 self.write(op)
             }
-            Pair::Paired { log, .. } => Some(Need::Acked(log.push(op))),
+            BackupState::Active { log, .. } => Some(Durability::Acked(log.push(op))),
         }
     }
 
-    fn write(&mut self, op: Op) -> Option<Need> {
+    fn write(&mut self, op: Op) -> Option<Durability> {
         let journal = self.journal.as_mut()?;
-        Some(Need::Synced(journal.push(op)))
+        Some(Durability::Synced(journal.push(op)))
     }
 
-    fn is_met(&self, need: Need) -> bool {
-        match need {
-            Need::Acked(number) => match &self.pair {
-                Pair::Paired { log, .. } => log.is_acked(number),
-                Pair::Alone | Pair::Joining(_) => true,
+    fn is_durable(&self, durability: Durability) -> bool {
+        match durability {
+            Durability::Acked(number) => match &self.backup {
+                BackupState::Active { log, .. } => log.is_acked(number),
+                BackupState::Absent | BackupState::Joining(_) => true,
             },
-            Need::Synced(number) => match &self.journal {
+            Durability::Synced(number) => match &self.journal {
                 Some(journal) => journal.is_synced(number),
                 None => true,
             },
@@ -200,8 +200,9 @@
     }
 
     /// What a refusal by marks has to wait for.
-    fn pending_watermarks(&self) -> Option<Need> {
-        self.watermarks_need.filter(|need| !self.is_met(*need))
+    fn pending_watermarks(&self) -> Option<Durability> {
+        self.watermarks_durability
+            .filter(|durability| !self.is_durable(*durability))
     }
 }
 
@@ -220,7 +221,7 @@
         }
     }
 
-    fn commit(&mut self, op: Op) -> Option<Need> {
+    fn commit(&mut self, op: Op) -> Option<Durability> {
         self.primary_mut()?.commit(op)
     }
 }
@@ -228,11 +229,11 @@
 impl Primary {
     /// The copy is whole: from here on starts wait for the backup. It learns that it is
     /// the backup only after this, so it can't claim the home while keys start without it.
-    fn join_if_copied(&mut self, cfg: &Config) {
-        let Pair::Joining(log) = &self.pair else {
+    fn activate_if_copied(&mut self, cfg: &Config) {
+        let BackupState::Joining(log) = &self.backup else {
             return;
         };
-        let Copying::Done(at) = log.copy else {
+        let CopyProgress::Done(at) = log.copy else {
             return;
         };
         if at > 0 && !log.is_acked(at - 1) {
@@ -241,24 +242,26 @@
         // Failure: this process dies and its successor takes the home up from a journal
         // that ends where the backup came in, while the backup holds the home as well.
         let retired = self.journal.as_mut().is_none_or(Journal::retire);
-        if !retired && cfg.guards.retire_before_pairing {
+        if !retired && cfg.guards.retire_journal_before_backup {
             return;
         }
         if retired {
             self.journal = None;
         }
-        if let Pair::Joining(mut log) = std::mem::replace(&mut self.pair, Pair::Alone) {
-            log.joined_at = Some(log.end());
-            log.poke();
-            self.pair = Pair::Paired { log, claimed: None };
+        if let BackupState::Joining(mut log) =
+            std::mem::replace(&mut self.backup, BackupState::Absent)
+        {
+            log.active_from = Some(log.end());
+            log.mark_due();
+            self.backup = BackupState::Active { log, claimed: None };
         }
     }
 
-    fn next_ready(&mut self) -> Option<Wait> {
-        let need = self.waits.front()?.0;
-        if !self.is_met(need) {
+    fn next_ready(&mut self) -> Option<Pending> {
+        let durability = self.pending.front()?.0;
+        if !self.is_durable(durability) {
             return None;
         }
-        self.waits.pop_front().map(|(_, wait)| wait)
+        self.pending.pop_front().map(|(_, pending)| pending)
     }
 }
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -5,7 +5,7 @@
 use super::{Cx, Primary};
 use crate::home::{Home, Role};
 use crate::journal::Journal;
-use crate::log::Copying;
+use crate::log::CopyProgress;
 use crate::{Action, Config, Generation, HomeEpoch, KeyRecord, Message, Op};
 
 /// Bytes of a record in a journal, its answer left out, about.
@@ -23,8 +23,8 @@
         if let Some(journal) = &mut primary.journal {
             journal.synced(number);
         }
-        primary.join_if_copied(cx.cfg);
-        self.release_waits(cx);
+        primary.activate_if_copied(cx.cfg);
+        self.complete_durable(cx);
     }
 
     /// Writes what the data folder lacks.
@@ -43,10 +43,12 @@
     }
 
     /// Writes a journal anew that holds much of what was dropped.
-    pub(crate) fn shorten_journal(&mut self) {
+    pub(crate) fn compact_journal(&mut self) {
         let live = self.usage.stored + self.usage.keys * RECORD_LEN;
         let journal = self.primary().and_then(|h| h.journal.as_ref());
-        if !journal.is_some_and(|j| j.is_long(live) && j.is_settled() && !j.is_retiring()) {
+        if !journal
+            .is_some_and(|j| j.needs_compaction(live) && j.is_fully_synced() && !j.is_retiring())
+        {
             return;
         }
         let ops = self.snapshot();
@@ -57,7 +59,7 @@
 
     /// Takes up a home from the journal of a predecessor in the same data folder.
     pub(crate) fn recover(now: Moment, ops: Vec<Op>) -> Self {
-        let role = Role::Primary(Box::new(Primary::alone(None)));
+        let role = Role::Primary(Box::new(Primary::new(None)));
         let mut home = Self::new(HomeEpoch::default(), role);
         for op in ops {
             home.apply(op);
@@ -89,7 +91,7 @@
                 backup: log.peer.incarnation,
                 first: batch.first,
                 ops: batch.ops,
-                joined_at: log.joined_at,
+                active_from: log.active_from,
             };
             cx.send(&log.peer.name, message);
         }
@@ -104,7 +106,7 @@
             if !log.wants_copy(cfg) {
                 return;
             }
-            let Copying::After(cursor) = log.copy.clone() else {
+            let CopyProgress::After(cursor) = log.copy.clone() else {
                 return;
             };
             let records = self.batch_after(cursor, cfg);
@@ -116,8 +118,8 @@
                 log.push(Op::Put(record));
             }
             log.copy = match last {
-                Some(last) => Copying::After(Some(last)),
-                None => Copying::Done(log.end()),
+                Some(last) => CopyProgress::After(Some(last)),
+                None => CopyProgress::Done(log.end()),
             };
         }
     }
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -17,36 +17,36 @@
                 backup,
                 first,
                 ops,
-                joined_at,
+                active_from,
             } => {
-                if backup != self.me.incarnation && self.cfg.guards.check_backup {
+                if backup != self.me.incarnation && self.cfg.guards.check_backup_incarnation {
                     return;
                 }
                 let append = Append {
                     primary,
                     first,
                     ops,
-                    joined_at,
+                    active_from,
                 };
                 self.append(now, from, &home, epoch, append);
             }
             Message::Ack { home, epoch, next } => {
                 self.with_home(now, &home, |home, cx| home.acked(cx, epoch, next));
             }
-            Message::Release { home, epoch } => self.released(now, &home, epoch),
+            Message::Release { home, epoch } => self.backup_released(now, &home, epoch),
             Message::HeldHomes {
                 incarnation,
                 homes,
                 prefix,
             } => self.record_held_homes(now, from, incarnation, homes, prefix),
-            Message::Outcome { home, record } => self.take_outcome(now, from, &home, record),
+            Message::Outcome { home, record } => self.receive_outcome(now, from, &home, record),
             Message::OutcomeRecorded {
                 home,
                 generation,
                 suffix,
             } => self.outcomes.remove(&home, generation, &suffix),
             Message::ClaimResult(result) => {
-                self.decided(now, &result);
+                self.apply_claim_result(now, &result);
                 self.unpark(now);
             }
             Message::Claim(_) => {}
@@ -65,14 +65,14 @@
             // This entry would be gone before it is of use.
             return;
         }
-        if !self.follows(now, from, id, epoch, &append) {
+        if !self.prepare_backup(now, from, id, epoch, &append) {
             return;
         }
         self.with_home(now, id, |home, cx| home.append(cx, from, append));
     }
 
     /// Whether this entry is, or becomes, the backup that a message means.
-    fn follows(
+    fn prepare_backup(
         &mut self,
         now: Moment,
         from: &NodeName,
@@ -88,7 +88,7 @@
             }
             return append.first == 0;
         };
-        if epoch == home.epoch && matches!(home.role, Role::Past { .. }) {
+        if epoch == home.epoch && matches!(home.role, Role::Former { .. }) {
             // It didn't hear that this entry has left the config.
             self.with_home(now, id, |home, cx| home.send_release(cx, from));
             return false;
@@ -130,23 +130,23 @@
         };
         self.with_home(now, id, |home, cx| {
             if home.primary().is_some() {
-                home.depose(cx, epoch, &to);
+                home.demote(cx, epoch, &to);
             }
             home.epoch = epoch;
             home.role = Role::Backup(Backup::new(cx.now, from, primary));
         });
     }
 
-    fn released(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch) {
+    fn backup_released(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch) {
         self.with_home(now, id, |home, cx| {
             let log = home.primary_mut().and_then(Primary::log_mut);
             if log.is_some_and(|log| log.epoch == epoch) {
-                home.go_alone(cx, epoch.next());
+                home.continue_without_backup(cx, epoch.next());
             }
         });
     }
 
-    fn decided(&mut self, now: Moment, result: &ClaimResult) {
+    fn apply_claim_result(&mut self, now: Moment, result: &ClaimResult) {
         let me = self.me.incarnation;
         let next = result.epoch.next();
         self.with_home(now, &result.home, |home, cx| {
@@ -155,7 +155,7 @@
             }
             match &home.role {
                 Role::Primary(primary) => {
-                    let Some(peer) = primary.paired_with().cloned() else {
+                    let Some(peer) = primary.active_backup().cloned() else {
                         return;
                     };
                     if result.winner == me && primary.is_handing_over() {
@@ -164,20 +164,20 @@
                         return;
                     }
                     if result.winner == me {
-                        home.go_alone(cx, next);
+                        home.continue_without_backup(cx, next);
                     } else {
-                        home.depose(cx, next, &peer);
+                        home.demote(cx, next, &peer);
                     }
                 }
                 Role::Backup(_) if result.winner == me => home.take_over(cx.now, next),
                 Role::Backup(_) => {
                     home.epoch = next;
-                    home.role = Role::Past {
+                    home.role = Role::Former {
                         primary: Some(result.winner),
                         since: cx.now,
                     };
                 }
-                Role::Past { .. } => {}
+                Role::Former { .. } => {}
             }
         });
     }
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -59,8 +59,8 @@
         };
         let known = home.record(key.prefix.generation, &key.suffix);
         let is_known = known.is_some_and(|record| record.stage.is_final());
-        let joined = matches!(&home.role, Role::Backup(backup) if backup.is_joined());
-        joined && !is_known && self.primary_of(id).is_none()
+        let active = matches!(&home.role, Role::Backup(backup) if backup.is_active());
+        active && !is_known && self.primary_of(id).is_none()
     }
 
     /// Takes up requests again that waited for a holder.
@@ -89,8 +89,8 @@
         }
         let entry = self
             .primary_of(id)
-            .or_else(|| self.live(id.founder))
-            .or_else(|| self.any_of_domain(id, hops));
+            .or_else(|| self.find_live(id.founder))
+            .or_else(|| self.likely_backup(id, hops));
         match entry {
             Some(member) => Ok(Decision::Forward {
                 entry: member.name.clone(),
@@ -102,22 +102,22 @@
 
     /// Who holds a home, as far as known here.
     pub(crate) fn primary_of(&self, id: &HomeId) -> Option<&Member> {
-        let told = self.peers.values().filter_map(|peer| {
+        let reported = self.peers.values().filter_map(|peer| {
             let epoch = peer.homes.get(id)?;
             Some((*epoch, peer.incarnation))
         });
-        if let Some((_, incarnation)) = told.max() {
-            return self.live(incarnation);
+        if let Some((_, incarnation)) = reported.max() {
+            return self.find_live(incarnation);
         }
         match &self.homes.get(id)?.role {
-            Role::Backup(backup) => self.live(backup.primary_incarnation),
-            Role::Past { primary, .. } => self.live((*primary)?),
+            Role::Backup(backup) => self.find_live(backup.primary_incarnation),
+            Role::Former { primary, .. } => self.find_live((*primary)?),
             Role::Primary(_) => None,
         }
     }
 
     /// From outside of the failure domain, its most likely backup.
-    fn any_of_domain(&self, id: &HomeId, hops: u8) -> Option<&Member> {
+    fn likely_backup(&self, id: &HomeId, hops: u8) -> Option<&Member> {
         if hops > 0 || id.failure_domain == self.me.failure_domain {
             return None;
         }
@@ -134,7 +134,7 @@
         id.failure_domain == self.me.failure_domain && self.members.is_some()
     }
 
-    fn live(&self, incarnation: Incarnation) -> Option<&Member> {
+    fn find_live(&self, incarnation: Incarnation) -> Option<&Member> {
         let mut members = self.members.iter().flatten();
         let member = members.find(|member| member.incarnation == incarnation)?;
         Some(member).filter(|member| !self.unreachable.contains_key(&member.name))
@@ -143,9 +143,10 @@
     /// Failure: the list of live entries lags behind the death of a holder; resends are
     /// passed on to it again and again. What a request has just failed to reach is
     /// avoided for as long as its backup takes to notice.
-    pub(crate) fn suspect(&mut self, now: Moment, failed: Option<NodeName>) {
+    pub(crate) fn mark_unreachable(&mut self, now: Moment, failed: Option<NodeName>) {
         if let Some(name) = failed {
-            self.unreachable.insert(name, now + self.cfg.suspect_after);
+            self.unreachable
+                .insert(name, now + self.cfg.failover_timeout);
         }
     }
 
@@ -204,17 +205,17 @@
             if epoch <= home.epoch {
                 return;
             }
-            let past = Role::Past {
+            let former = Role::Former {
                 primary: Some(primary.incarnation),
                 since: cx.now,
             };
             match &home.role {
-                Role::Primary(_) => home.depose(cx, home.epoch.next(), primary),
+                Role::Primary(_) => home.demote(cx, home.epoch.next(), primary),
                 // Its holder goes on with other config numbers while it copies the home
                 // here; only another holder ends the backup's part.
                 Role::Backup(backup) if backup.primary_incarnation == primary.incarnation => {}
                 // The config stays: the holder's next invitation has a higher one.
-                Role::Backup(_) | Role::Past { .. } => home.role = past,
+                Role::Backup(_) | Role::Former { .. } => home.role = former,
             }
         });
     }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -4,8 +4,8 @@
 
 use crate::home::{Home, Role};
 use crate::journal::Journal;
-use crate::ledger::Room;
-use crate::primary::{Pair, Primary, refuse};
+use crate::ledger::Capacity;
+use crate::primary::{BackupState, Primary, refuse};
 use crate::{Action, HomeEpoch, HomeId, Ledger, Message};
 
 /// Homes known at most before no further one is founded. One is founded at the start and
@@ -15,18 +15,18 @@
 /// What a home needs next because of its role.
 enum Due {
     Nothing,
-    Invite,
-    DropPeer,
+    AddBackup,
+    RemoveBackup,
     Claim { silent: bool },
     ClaimAsBackup { silent: bool },
     Release,
-    Leave,
-    Drop,
+    BecomeFormer,
+    DropHome,
 }
 
 impl Ledger {
     pub(crate) fn tick(&mut self, now: Moment) {
-        self.forgive_own_gap(now);
+        self.reset_silence_after_pause(now);
         self.expire(now);
         self.unreachable.retain(|_, until| now < *until);
         let ids: Vec<HomeId> = self.homes.keys().cloned().collect();
@@ -34,28 +34,28 @@
             self.tick_home(now, id);
         }
         self.unpark(now);
-        self.found_if_needed(now);
-        self.mint_if_due(now);
+        self.create_home_if_needed(now);
+        self.issue_prefix_if_due(now);
         self.announce_held_homes(now);
         self.send_outcomes(now);
     }
 
     /// Silence while this process itself was stopped says nothing about others.
-    fn forgive_own_gap(&mut self, now: Moment) {
+    fn reset_silence_after_pause(&mut self, now: Moment) {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if gap * 2 <= self.cfg.suspect_after {
+        if gap * 2 <= self.cfg.failover_timeout {
             return;
         }
         for home in self.homes.values_mut() {
             match &mut home.role {
                 Role::Primary(primary) => {
                     if let Some(log) = primary.log_mut() {
-                        log.heard = now;
+                        log.last_seen = now;
                     }
                 }
-                Role::Backup(backup) => backup.heard = now,
-                Role::Past { .. } => {}
+                Role::Backup(backup) => backup.last_seen = now,
+                Role::Former { .. } => {}
             }
         }
     }
@@ -74,8 +74,8 @@
         let due = self.due(now, id, home);
         match due {
             Due::Nothing => {}
-            Due::Invite => self.invite(now, id),
-            Due::DropPeer => self.drop_peer(id),
+            Due::AddBackup => self.add_backup(now, id),
+            Due::RemoveBackup => self.remove_backup(id),
             Due::Claim { silent } => {
                 self.with_home(now, id, |home, cx| home.claim(cx, silent));
             }
@@ -85,22 +85,22 @@
             Due::Release => {
                 self.with_home(now, id, |home, cx| home.release(cx));
             }
-            Due::Leave => {
+            Due::BecomeFormer => {
                 if let Some(home) = self.homes.get_mut(id) {
                     let since = now;
-                    home.role = Role::Past {
+                    home.role = Role::Former {
                         primary: None,
                         since,
                     };
                 }
             }
-            Due::Drop => self.drop_home(id),
+            Due::DropHome => self.drop_home(id),
         }
         let max_closed = self.cfg.max_closed;
         let stopping = self.stopping;
         self.with_home(now, id, |home, cx| {
-            home.age(cx);
-            home.shorten_journal();
+            home.expire_generations(cx);
+            home.compact_journal();
             if home.primary().is_some() && home.usage.closed > max_closed {
                 home.close_all(cx);
             }
@@ -113,27 +113,29 @@
     fn due(&self, now: Moment, id: &HomeId, home: &Home) -> Due {
         let is_own = self.own.as_ref() == Some(id);
         match &home.role {
-            Role::Primary(primary) if !is_own && home.is_spent() && !primary.is_handing_over() => {
-                Due::Drop
+            Role::Primary(primary)
+                if !is_own && home.is_exhausted() && !primary.is_handing_over() =>
+            {
+                Due::DropHome
             }
             Role::Primary(primary) => self.due_as_primary(now, primary),
             Role::Backup(backup) => {
                 let restarted = self.has_restarted(&backup.primary, backup.primary_incarnation);
-                let silent = restarted || self.is_silent(now, backup.heard);
-                if silent && home.is_spent() {
-                    Due::Drop
-                } else if silent && !backup.is_joined() && self.cfg.guards.complete_before_claim {
-                    Due::Leave
+                let silent = restarted || self.is_silent(now, backup.last_seen);
+                if silent && home.is_exhausted() {
+                    Due::DropHome
+                } else if silent && !backup.is_active() && self.cfg.guards.complete_before_claim {
+                    Due::BecomeFormer
                 } else if self.stopping && !silent {
                     Due::Release
                 } else {
                     Due::ClaimAsBackup { silent }
                 }
             }
-            Role::Past { since, .. } => {
+            Role::Former { since, .. } => {
                 let kept = self.cfg.start_window + self.cfg.retention;
-                if home.usage.live == 0 && *since + kept <= now {
-                    Due::Drop
+                if home.usage.active == 0 && *since + kept <= now {
+                    Due::DropHome
                 } else {
                     Due::Nothing
                 }
@@ -142,35 +144,40 @@
     }
 
     fn due_as_primary(&self, now: Moment, primary: &Primary) -> Due {
-        match &primary.pair {
+        match &primary.backup {
             // A successor of this process must know which configs were used.
-            Pair::Alone if !primary.journal.as_ref().is_none_or(Journal::is_settled) => {
+            BackupState::Absent
+                if !primary
+                    .journal
+                    .as_ref()
+                    .is_none_or(Journal::is_fully_synced) =>
+            {
                 Due::Nothing
             }
-            Pair::Alone if self.candidate().is_some() => Due::Invite,
-            Pair::Alone => Due::Nothing,
-            Pair::Joining(log) => {
+            BackupState::Absent if self.candidate().is_some() => Due::AddBackup,
+            BackupState::Absent => Due::Nothing,
+            BackupState::Joining(log) => {
                 let restarted = self.has_restarted(&log.peer.name, log.peer.incarnation);
-                if restarted || self.is_silent(now, log.heard) {
-                    Due::DropPeer
+                if restarted || self.is_silent(now, log.last_seen) {
+                    Due::RemoveBackup
                 } else {
                     Due::Nothing
                 }
             }
-            Pair::Paired { log, .. } => {
+            BackupState::Active { log, .. } => {
                 let restarted = self.has_restarted(&log.peer.name, log.peer.incarnation);
-                let silent = restarted || self.is_silent(now, log.heard);
+                let silent = restarted || self.is_silent(now, log.last_seen);
                 Due::Claim { silent }
             }
         }
     }
 
-    fn is_silent(&self, now: Moment, heard: Moment) -> bool {
-        heard + self.cfg.suspect_after <= now
+    fn is_silent(&self, now: Moment, last_seen: Moment) -> bool {
+        last_seen + self.cfg.failover_timeout <= now
     }
 
     fn drop_home(&mut self, id: &HomeId) {
-        self.outcomes.forget(id);
+        self.outcomes.remove_home(id);
         let home = self.homes.remove(id);
         if home.is_some_and(|home| home.primary().is_some_and(|h| h.journal.is_some())) {
             self.out.push(Action::Sync {
@@ -183,22 +190,22 @@
         }
     }
 
-    fn invite(&mut self, now: Moment, id: &HomeId) {
+    fn add_backup(&mut self, now: Moment, id: &HomeId) {
         if let Some(peer) = self.candidate().cloned() {
-            self.with_home(now, id, |home, cx| home.invite(cx.now, &peer));
+            self.with_home(now, id, |home, cx| home.add_backup(cx.now, &peer));
         }
     }
 
-    fn drop_peer(&mut self, id: &HomeId) {
+    fn remove_backup(&mut self, id: &HomeId) {
         if let Some(primary) = self.homes.get_mut(id).and_then(Home::primary_mut) {
-            primary.pair = Pair::Alone;
+            primary.backup = BackupState::Absent;
         }
     }
 
     /// Failure: a failure domain that is cut off with one of its two entries dead takes
     /// no more orders, because nobody there may take over the homes of both. New keys
     /// need no verdict: a home that nobody but this entry ever had is founded for them.
-    fn found_if_needed(&mut self, now: Moment) {
+    fn create_home_if_needed(&mut self, now: Moment) {
         if self.stopping || self.homes.len() >= MAX_HOMES {
             return;
         }
@@ -216,50 +223,50 @@
         };
         self.next_serial += 1;
         let journal = self.cfg.journal.then(Journal::default);
-        let role = Role::Primary(Box::new(Primary::alone(journal)));
+        let role = Role::Primary(Box::new(Primary::new(journal)));
         let home = Home::new(HomeEpoch::default(), role);
         self.homes.insert(id.clone(), home);
         self.own = Some(id);
     }
 
     fn is_stuck(&self, now: Moment, primary: &Primary) -> bool {
-        let Pair::Paired { log, claimed } = &primary.pair else {
+        let BackupState::Active { log, claimed } = &primary.backup else {
             return false;
         };
-        claimed.is_some() && log.heard + 2 * self.cfg.suspect_after <= now
+        claimed.is_some() && log.last_seen + 2 * self.cfg.failover_timeout <= now
     }
 
-    fn mint_if_due(&mut self, now: Moment) {
-        let Some(id) = self.own.clone().filter(|_| self.is_mint_due(now)) else {
+    fn issue_prefix_if_due(&mut self, now: Moment) {
+        let Some(id) = self.own.clone().filter(|_| self.is_issue_due(now)) else {
             return;
         };
-        self.with_home(now, &id, |home, cx| home.mint(cx));
+        self.with_home(now, &id, |home, cx| home.issue_prefix(cx));
     }
 
-    fn is_mint_due(&self, now: Moment) -> bool {
+    fn is_issue_due(&self, now: Moment) -> bool {
         let Some(home) = self.own.as_ref().and_then(|id| self.homes.get(id)) else {
             return false;
         };
         let Some(primary) = home.primary() else {
             return false;
         };
-        if self.stopping || home.is_minting() || self.room() == Room::Full {
+        if self.stopping || home.is_issuing() || self.capacity() == Capacity::Full {
             return false;
         }
-        match primary.minted {
+        match primary.issued {
             Some((_, since)) => since + self.cfg.generation_period <= now,
-            None => self.may_open(now, primary),
+            None => self.may_issue_first(now, primary),
         }
     }
 
     /// The first keys of a home wait until it has a backup, unless there is none to be had.
-    fn may_open(&self, now: Moment, primary: &Primary) -> bool {
-        match &primary.pair {
-            Pair::Paired { .. } => true,
-            Pair::Joining(_) => false,
-            Pair::Alone => {
+    fn may_issue_first(&self, now: Moment, primary: &Primary) -> bool {
+        match &primary.backup {
+            BackupState::Active { .. } => true,
+            BackupState::Joining(_) => false,
+            BackupState::Absent => {
                 let known_alone = self.members.is_some() && self.candidate().is_none();
-                known_alone || self.is_silent(now, self.founded)
+                known_alone || self.is_silent(now, self.created_at)
             }
         }
     }
@@ -292,7 +299,7 @@
 
 impl Home {
     /// Whether no key of the home can start or is on record any more.
-    fn is_spent(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         self.usage.keys == 0 && self.watermarks.retained_from >= self.watermarks.unissued_from
     }
 }
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -18,7 +18,7 @@
 
 use crate::wire::{DiskWrite, Packet, Sealed};
 
-pub(crate) const SUSPECT_AFTER: Duration = Duration::from_secs(2);
+pub(crate) const FAILOVER_TIMEOUT: Duration = Duration::from_secs(2);
 pub(crate) const START_WINDOW: Duration = Duration::from_secs(20);
 pub(crate) const RETENTION: Duration = Duration::from_secs(60);
 /// Deadline of each request.
@@ -27,7 +27,7 @@
 /// Small times, so that a test sees each of them pass.
 pub(crate) fn config(guards: Guards) -> ConfigBuilder {
     Config::builder()
-        .suspect_after(SUSPECT_AFTER)
+        .failover_timeout(FAILOVER_TIMEOUT)
         .start_window(START_WINDOW)
         .retention(RETENTION)
         .generation_period(Duration::from_secs(10))
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -10,7 +10,7 @@
 use filberthead_ledger::{Event, Guards, Message};
 use pathfinding::directed::bfs::bfs;
 
-use crate::cluster::{SUSPECT_AFTER, World, config};
+use crate::cluster::{FAILOVER_TIMEOUT, World, config};
 use crate::wire::Packet;
 
 /// How often each kind of event may still happen.
@@ -137,7 +137,7 @@
 /// Time passes without any message arriving, until each suspects the other one.
 fn silence(world: &mut World) {
     for _ in 0..5 {
-        world.now += SUSPECT_AFTER / 4;
+        world.now += FAILOVER_TIMEOUT / 4;
         world.tick();
     }
 }
@@ -281,7 +281,7 @@
         (
             "backup",
             backup_restarted(Guards {
-                check_backup: false,
+                check_backup_incarnation: false,
                 ..all
             }),
         ),
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -5,7 +5,7 @@
 use filberthead_ledger::{Decision, Event, Guards};
 use filberthead_types::ResultCode;
 
-use crate::cluster::{START_WINDOW, SUSPECT_AFTER, World, config};
+use crate::cluster::{FAILOVER_TIMEOUT, START_WINDOW, World, config};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -105,7 +105,7 @@
     world.run(0);
     world.crash(0);
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     for slot in [1, 2] {
         world.send(slot, &key);
         world.drain();
@@ -126,7 +126,7 @@
     world.drain();
     world.crash(0);
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     world.send(2, &key);
     world.drain();
     assert_replayed(&world, &key);
@@ -143,7 +143,7 @@
     world.finish(0);
     world.drain();
     world.crash(0);
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     world.send_after_failure(2, &key, 0);
     world.drain();
     assert_replayed(&world, &key);
@@ -159,7 +159,7 @@
     world.send_after_failure(1, &key, 0);
     world.drain();
     assert_eq!(world.last_told(&key), None);
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     assert_eq!(world.last_told(&key), Some(&Decision::Start));
     assert_eq!(world.broken, None);
 }
@@ -172,7 +172,7 @@
     let key = world.key(0, "order");
     world.crash(0);
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     world.send(2, &key);
     world.drain();
     assert_eq!(world.started.len(), 1);
@@ -191,7 +191,7 @@
     world.drain();
     world.run(0);
     let sleeper = world.nodes.remove(&0).expect("it runs");
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     world.send(1, &late);
     world.drain();
     assert_eq!(world.started.len(), 2);
@@ -242,7 +242,7 @@
     let old = world.key(1, "old");
     world.control_cut.insert(1);
     world.crash(0);
-    world.settle(4 * SUSPECT_AFTER);
+    world.settle(4 * FAILOVER_TIMEOUT);
     world.send(1, &old);
     world.settle(6 * SECOND);
     assert_eq!(world.last_code(&old), Some(ResultCode::StillRunning));
@@ -273,7 +273,7 @@
     world.boot(0);
     world.boot(1);
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     for slot in 0..3 {
         world.send(slot, &key);
         world.drain();
--- a/crates/ledger/tests/all/journals.rs
+++ b/crates/ledger/tests/all/journals.rs
@@ -5,7 +5,7 @@
 use filberthead_ledger::Guards;
 use filberthead_types::ResultCode;
 
-use crate::cluster::{SUSPECT_AFTER, World, config};
+use crate::cluster::{FAILOVER_TIMEOUT, World, config};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -87,7 +87,7 @@
     let mut world = World::new(cfg, &["a", "a"]);
     world.crash(1);
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     let key = world.key(0, "order");
     world.boot(1);
     world.spread_members();
@@ -104,7 +104,7 @@
     world.crash(0);
     world.boot_from_disk(0);
     world.spread_members();
-    world.settle(3 * SUSPECT_AFTER);
+    world.settle(3 * FAILOVER_TIMEOUT);
     for slot in [0, 1] {
         world.send(slot, &key);
         world.settle(SECOND);
@@ -121,7 +121,7 @@
     assert_eq!(world.broken, None);
     assert_eq!(world.runs.values().sum::<u32>(), 1);
     let unguarded = Guards {
-        retire_before_pairing: false,
+        retire_journal_before_backup: false,
         ..Guards::ALL
     };
     let world = second_entry_while_the_disk_is_stuck(unguarded);
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::cluster::{Counts, RETENTION, START_WINDOW, SUSPECT_AFTER, World, config};
+use crate::cluster::{Counts, FAILOVER_TIMEOUT, RETENTION, START_WINDOW, World, config};
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 600;
@@ -118,9 +118,9 @@
                 }
             }
             Step::Wait | Step::WaitMore => self.wait(Duration::from_millis(200), 1),
-            Step::Suspect => self.wait(SUSPECT_AFTER / 4, 5),
+            Step::Suspect => self.wait(FAILOVER_TIMEOUT / 4, 5),
             Step::Jump(n) if n < 24 => {
-                let jumps = [SUSPECT_AFTER, START_WINDOW, RETENTION];
+                let jumps = [FAILOVER_TIMEOUT, START_WINDOW, RETENTION];
                 self.wait(jumps[usize::from(n) % jumps.len()], 1);
             }
             Step::Jump(_) => self.wait(Duration::from_secs(1), 1),
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -4,7 +4,7 @@
 
 use filberthead_ledger::{Decision, Event, Guards};
 
-use crate::cluster::{SUSPECT_AFTER, Slot, World, config};
+use crate::cluster::{FAILOVER_TIMEOUT, Slot, World, config};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -81,7 +81,7 @@
     let key = world.key(0, "order");
     world.cut_both_ways(0, 1);
     for _ in 0..5 {
-        world.now += SUSPECT_AFTER / 4;
+        world.now += FAILOVER_TIMEOUT / 4;
         world.tick();
     }
     world.cut.clear();
@@ -121,7 +121,7 @@
         world.crash(leaving);
     }
     world.spread_members();
-    world.settle(2 * SUSPECT_AFTER);
+    world.settle(2 * FAILOVER_TIMEOUT);
     world.send(third, &key);
     world.settle(SECOND);
     while !world.started.is_empty() {
