--- a/crates/filberthead/src/entry/carry/attempt.rs
+++ b/crates/filberthead/src/entry/carry/attempt.rs
@@ -142,7 +142,7 @@
         Check::Refuse { retry_after } => {
             return Some(Barred::Refused(quarantined(retry_after)));
         }
-        Check::Elsewhere { entry } => entry,
+        Check::RunAt { entry } => entry,
     };
     let cluster = core.cluster.borrow();
     let mut entries = cluster.entries.iter();
--- a/crates/ledger/src/quarantine/api.rs
+++ b/crates/ledger/src/quarantine/api.rs
@@ -113,7 +113,7 @@
     /// Yes.
     Run,
     /// Only at this entry, which saw an endpoint lost under it.
-    Elsewhere {
+    RunAt {
         /// The entry.
         entry: NodeName,
     },
@@ -129,9 +129,9 @@
 pub struct Config {
     pub(super) confirm_within: Duration,
     pub(super) period: Duration,
-    pub(super) doubtful_period: Duration,
+    pub(super) ambiguous_period: Duration,
     pub(super) max_period: Duration,
-    pub(super) max_suspects: usize,
+    pub(super) max_suspected: usize,
 }
 
 /// Builds a [`Config`].
@@ -147,9 +147,9 @@
             cfg: Self {
                 confirm_within: Duration::from_secs(5),
                 period: Duration::from_secs(600),
-                doubtful_period: Duration::from_secs(60),
+                ambiguous_period: Duration::from_secs(60),
                 max_period: Duration::from_secs(24 * 3600),
-                max_suspects: 4096,
+                max_suspected: 4096,
             },
         }
     }
@@ -175,8 +175,8 @@
     /// The same while another fingerprint was there at each of its losses, so that either
     /// may be the cause. Default 1 min.
     #[must_use]
-    pub fn doubtful_period(mut self, period: Duration) -> Self {
-        self.cfg.doubtful_period = period;
+    pub fn ambiguous_period(mut self, period: Duration) -> Self {
+        self.cfg.ambiguous_period = period;
         self
     }
 
@@ -190,8 +190,8 @@
     /// Fingerprints under suspicion at most; above that the one whose time ends first is
     /// forgotten. Default 4096.
     #[must_use]
-    pub fn max_suspects(mut self, suspects: usize) -> Self {
-        self.cfg.max_suspects = suspects.max(1);
+    pub fn max_suspected(mut self, fingerprints: usize) -> Self {
+        self.cfg.max_suspected = fingerprints.max(1);
         self
     }
 
--- a/crates/ledger/src/quarantine/history.rs
+++ b/crates/ledger/src/quarantine/history.rs
@@ -17,27 +17,27 @@
     /// Until when it counts.
     pub(super) until: Moment,
     /// What else ran there, this one included.
-    pub(super) together: BTreeSet<Fingerprint>,
+    pub(super) concurrent: BTreeSet<Fingerprint>,
 }
 
 /// What is held against a fingerprint.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Suspect {
+pub(super) struct LossHistory {
     losses: Vec<Loss>,
     /// Ids of deaths; each counts once.
     deaths: Vec<LossId>,
     /// Deaths so far, those that no longer count included.
-    strikes: u32,
+    death_count: u32,
     /// Until when it is refused.
     refused_until: Moment,
     /// Until when it is remembered at all.
-    remembered_until: Moment,
+    expires_at: Moment,
 }
 
-impl Suspect {
+impl LossHistory {
     /// Adds a loss unless it is known.
     pub(super) fn add(&mut self, loss: Loss) {
-        self.remembered_until = self.remembered_until.max(loss.until);
+        self.expires_at = self.expires_at.max(loss.until);
         if self.losses.iter().any(|known| known.id == loss.id) {
             return;
         }
@@ -48,13 +48,13 @@
     }
 
     /// The endpoint of a loss has died.
-    pub(super) fn confirm(
+    pub(super) fn confirm_death(
         &mut self,
         now: Moment,
         cfg: &Config,
         id: &LossId,
-        me: Fingerprint,
-        together: &BTreeSet<Fingerprint>,
+        fingerprint: Fingerprint,
+        concurrent: &BTreeSet<Fingerprint>,
     ) {
         if self.deaths.contains(id) {
             return;
@@ -63,49 +63,49 @@
             self.deaths.remove(0);
         }
         self.deaths.push(id.clone());
-        self.strikes += 1;
+        self.death_count += 1;
         if let Some(loss) = self.losses.iter_mut().find(|loss| loss.id == *id) {
-            loss.together.clone_from(together);
+            loss.concurrent.clone_from(concurrent);
         }
-        let period = self.period(now, cfg, me);
+        let period = self.period(now, cfg, fingerprint);
         for loss in self.losses.iter_mut().filter(|loss| loss.id == *id) {
             loss.until = now + period;
         }
-        self.remembered_until = self.remembered_until.max(now + 2 * period);
-        if self.strikes >= 2 {
+        self.expires_at = self.expires_at.max(now + 2 * period);
+        if self.death_count >= 2 {
             self.refused_until = now + period;
         }
     }
 
     /// How long the newest death counts.
-    fn period(&self, now: Moment, cfg: &Config, me: Fingerprint) -> Duration {
-        let doubtful = self.strikes >= 2 && !self.is_alone(now, me);
-        if doubtful {
-            return cfg.doubtful_period;
+    fn period(&self, now: Moment, cfg: &Config, fingerprint: Fingerprint) -> Duration {
+        let ambiguous = self.death_count >= 2 && !self.is_only_candidate(now, fingerprint);
+        if ambiguous {
+            return cfg.ambiguous_period;
         }
-        let doublings = self.strikes.saturating_sub(2).min(16);
+        let doublings = self.death_count.saturating_sub(2).min(16);
         (cfg.period * (1 << doublings)).min(cfg.max_period)
     }
 
     /// Whether no other fingerprint was there at each loss.
-    fn is_alone(&self, now: Moment, me: Fingerprint) -> bool {
+    fn is_only_candidate(&self, now: Moment, fingerprint: Fingerprint) -> bool {
         let mut losses = self.losses.iter().filter(|loss| now < loss.until);
         let Some(first) = losses.next() else {
             return true;
         };
-        let common = losses.fold(first.together.clone(), |common, loss| {
-            common.intersection(&loss.together).copied().collect()
+        let common = losses.fold(first.concurrent.clone(), |common, loss| {
+            common.intersection(&loss.concurrent).copied().collect()
         });
-        common.iter().all(|fingerprint| *fingerprint == me)
+        common.iter().all(|other| *other == fingerprint)
     }
 
     /// Losses that count now. A fingerprint that was refused once has one for as long as
     /// it is remembered: it runs one at a time until it is answered.
-    pub(super) fn losses(&self, now: Moment) -> usize {
+    pub(super) fn active_losses(&self, now: Moment) -> usize {
         let counting = self.losses.iter().filter(|loss| now < loss.until).count();
         if now < self.refused_until {
             counting.max(2)
-        } else if self.strikes > 0 {
+        } else if self.death_count > 0 {
             counting.max(1)
         } else {
             counting
@@ -113,7 +113,7 @@
     }
 
     /// The losses that count now, one by one.
-    pub(super) fn counting(&self, now: Moment) -> Vec<LossId> {
+    pub(super) fn active_loss_ids(&self, now: Moment) -> Vec<LossId> {
         let counting = self.losses.iter().filter(|loss| now < loss.until);
         counting.map(|loss| loss.id.clone()).collect()
     }
@@ -127,12 +127,12 @@
 
     /// The entry at which it may run: the reporter of the death, the same for everybody
     /// who heard of it.
-    pub(super) fn judge(&self) -> Option<&NodeName> {
+    pub(super) fn designated_entry(&self) -> Option<&NodeName> {
         self.deaths.iter().min().map(|id| &id.reporter)
     }
 
     /// Until when it is remembered.
-    pub(super) fn until(&self) -> Moment {
-        self.remembered_until
+    pub(super) fn expires_at(&self) -> Moment {
+        self.expires_at
     }
 }
--- a/crates/ledger/src/quarantine/mod.rs
+++ b/crates/ledger/src/quarantine/mod.rs
@@ -27,12 +27,12 @@
 pub use self::api::{
     Action, Check, Config, ConfigBuilder, Event, Fingerprint, LossId, Message, RunEnd, RunId,
 };
-use self::history::{Loss, Suspect};
+use self::history::{Loss, LossHistory};
 
 /// Losses of endpoints within this time count as one event.
-const SAME_TIME: Duration = Duration::from_secs(2);
+const DOMAIN_LOSS_WINDOW: Duration = Duration::from_secs(2);
 /// Fewer lost endpoints than this are never taken for a lost failure domain.
-const FEW: usize = 3;
+const MIN_DOMAIN_LOSSES: usize = 3;
 
 /// What runs at this entry, and which fingerprints are under suspicion anywhere.
 #[derive(Clone, Debug)]
@@ -41,12 +41,12 @@
     me: NodeName,
     runs: BTreeMap<RunId, Run>,
     /// Broken runs whose endpoint may have died.
-    broken: Vec<Broken>,
+    broken: Vec<BrokenRun>,
     /// Endpoints that break runs without dying of them.
     down: BTreeMap<NodeName, Down>,
     /// When endpoints died lately.
     deaths: BTreeMap<NodeName, Death>,
-    suspects: BTreeMap<Fingerprint, Suspect>,
+    histories: BTreeMap<Fingerprint, LossHistory>,
     next_loss: u64,
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Broken {
+struct BrokenRun {
     fingerprint: Fingerprint,
     endpoint: NodeName,
     id: LossId,
@@ -71,14 +71,14 @@
     /// When it broke, or when its process was found gone.
     since: Moment,
     /// Whether its process is known to be gone.
-    gone: bool,
+    process_gone: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Death {
     at: Moment,
     id: LossId,
-    accused: BTreeSet<Fingerprint>,
+    affected: BTreeSet<Fingerprint>,
 }
 
 impl Quarantine {
@@ -91,7 +91,7 @@
             broken: Vec::new(),
             down: BTreeMap::new(),
             deaths: BTreeMap::new(),
-            suspects: BTreeMap::new(),
+            histories: BTreeMap::new(),
             next_loss: 0,
         }
     }
@@ -99,24 +99,24 @@
     /// Whether a request may be handed to an endpoint now. Follow [`Check::Run`] at once
     /// with [`Event::Started`].
     pub fn check(&self, now: Moment, fingerprint: Fingerprint) -> Check {
-        let Some(suspect) = self.suspects.get(&fingerprint) else {
+        let Some(history) = self.histories.get(&fingerprint) else {
             return Check::Run;
         };
-        let losses = suspect.losses(now);
+        let losses = history.active_losses(now);
         if losses >= 2 {
-            let retry_after = suspect.quarantined_for(now);
+            let retry_after = history.quarantined_for(now);
             return Check::Refuse { retry_after };
         }
         if losses == 0 {
             return Check::Run;
         }
-        let Some(judge) = suspect.judge() else {
+        let Some(designated) = history.designated_entry() else {
             // A broken connection may be no more than that.
             return Check::Run;
         };
-        if *judge != self.me {
-            let entry = judge.clone();
-            return Check::Elsewhere { entry };
+        if *designated != self.me {
+            let entry = designated.clone();
+            return Check::RunAt { entry };
         }
         // Failure: two sends of one request, each the second chance of the other, crash
         // two more endpoints at the same time.
@@ -158,37 +158,43 @@
                 if replaced {
                     self.down.remove(&endpoint);
                 } else {
-                    let gone = true;
-                    self.down.insert(endpoint, Down { since: now, gone });
+                    let process_gone = true;
+                    self.down.insert(
+                        endpoint,
+                        Down {
+                            since: now,
+                            process_gone,
+                        },
+                    );
                 }
                 action
             }
             Event::Received(Message::Crashed { id, fingerprints }) => {
-                self.accuse(now, &id, &fingerprints, true);
+                self.record_loss(now, &id, &fingerprints, true);
                 None
             }
             Event::Received(Message::Broke { ids, fingerprint }) => {
                 for id in &ids {
-                    self.accuse(now, id, &[fingerprint], false);
+                    self.record_loss(now, id, &[fingerprint], false);
                 }
                 None
             }
             Event::Received(Message::Cleared { fingerprints }) => {
                 for fingerprint in &fingerprints {
-                    self.suspects.remove(fingerprint);
+                    self.histories.remove(fingerprint);
                 }
                 None
             }
             Event::Tick => {
-                self.forget(now);
+                self.expire(now);
                 None
             }
         }
     }
 
     /// Fingerprints under suspicion, for operators.
-    pub fn suspects(&self) -> usize {
-        self.suspects.len()
+    pub fn suspected(&self) -> usize {
+        self.histories.len()
     }
 
     fn ended(&mut self, now: Moment, id: RunId, end: RunEnd) -> Option<Action> {
@@ -206,9 +212,9 @@
     fn clear(&mut self, answered: impl IntoIterator<Item = Fingerprint>) -> Option<Action> {
         // Everybody hears it from the one entry that may run it; were all that see an
         // answer to tell all others, one crash would cost a message for each pair.
-        let judged_here = |suspect: Suspect| suspect.judge() == Some(&self.me);
-        let accused = |f: &Fingerprint| self.suspects.remove(f).is_some_and(judged_here);
-        let fingerprints: Vec<_> = answered.into_iter().filter(accused).collect();
+        let designated_here = |history: LossHistory| history.designated_entry() == Some(&self.me);
+        let cleared_here = |f: &Fingerprint| self.histories.remove(f).is_some_and(designated_here);
+        let fingerprints: Vec<_> = answered.into_iter().filter(cleared_here).collect();
         if fingerprints.is_empty() {
             return None;
         }
@@ -219,41 +225,41 @@
         let death = self.deaths.get_mut(&run.endpoint);
         if let Some(death) = death.filter(|death| run.since < death.at) {
             // Broke because of that death, which was known before.
-            death.accused.insert(run.fingerprint);
+            death.affected.insert(run.fingerprint);
             let id = death.id.clone();
             let fingerprints = vec![run.fingerprint];
-            self.accuse(now, &id, &fingerprints, true);
+            self.record_loss(now, &id, &fingerprints, true);
             return Some(Action::Broadcast(Message::Crashed { id, fingerprints }));
         }
         // Failure: a search kills an endpoint, and all that is sent there before its
         // death is known breaks as well. It met a dead endpoint and didn't kill it.
         let first = Down {
             since: now,
-            gone: false,
+            process_gone: false,
         };
         let down = *self.down.entry(run.endpoint.clone()).or_insert(first);
         if down.since < run.since {
             return None;
         }
         let id = self.loss_id(now, &run.endpoint);
-        self.accuse(now, &id, &[run.fingerprint], false);
-        if self.broken.len() < self.cfg.max_suspects {
-            self.broken.push(Broken {
+        self.record_loss(now, &id, &[run.fingerprint], false);
+        if self.broken.len() < self.cfg.max_suspected {
+            self.broken.push(BrokenRun {
                 fingerprint: run.fingerprint,
                 endpoint: run.endpoint,
                 id,
                 at: now,
             });
         }
-        self.warn(now, run.fingerprint)
+        self.broadcast_losses(now, run.fingerprint)
     }
 
     /// Failure: a search has crashed two endpoints here, and its caller, answered at once,
     /// sends it to the next entry, which hears of the deaths only once health checks have
     /// found them, and loses two more.
-    fn warn(&self, now: Moment, fingerprint: Fingerprint) -> Option<Action> {
-        let suspect = self.suspects.get(&fingerprint)?;
-        let ids = suspect.counting(now);
+    fn broadcast_losses(&self, now: Moment, fingerprint: Fingerprint) -> Option<Action> {
+        let history = self.histories.get(&fingerprint)?;
+        let ids = history.active_loss_ids(now);
         (ids.len() >= 2).then_some(Action::Broadcast(Message::Broke { ids, fingerprint }))
     }
 
@@ -273,26 +279,26 @@
     }
 
     fn died(&mut self, now: Moment, endpoint: NodeName, endpoints: usize) -> Option<Action> {
-        self.forget(now);
+        self.expire(now);
         let id = self.loss_id(now, &endpoint);
         // What still runs there breaks in a moment and is accused then.
         let broken = self.broken.iter().filter(|b| b.endpoint == endpoint);
-        let accused: BTreeSet<_> = broken.map(|broken| broken.fingerprint).collect();
+        let affected: BTreeSet<_> = broken.map(|broken| broken.fingerprint).collect();
         // An endpoint that is started again may die again at once.
         self.broken.retain(|broken| broken.endpoint != endpoint);
         let death = Death {
             at: now,
             id: id.clone(),
-            accused: accused.clone(),
+            affected: affected.clone(),
         };
         self.deaths.insert(endpoint, death);
-        if accused.is_empty() {
+        if affected.is_empty() {
             return None;
         }
-        let fingerprints: Vec<_> = accused.into_iter().collect();
-        self.accuse(now, &id, &fingerprints, true);
-        if self.deaths.len() >= FEW && 2 * self.deaths.len() > endpoints {
-            return self.acquit();
+        let fingerprints: Vec<_> = affected.into_iter().collect();
+        self.record_loss(now, &id, &fingerprints, true);
+        if self.deaths.len() >= MIN_DOMAIN_LOSSES && 2 * self.deaths.len() > endpoints {
+            return self.clear_domain_losses();
         }
         Some(Action::Broadcast(Message::Crashed { id, fingerprints }))
     }
@@ -300,9 +306,9 @@
     /// Failure: a failure domain loses its power, and whatever ran there is refused
     /// everywhere. So many endpoints at once aren't lost by a request that ran on one of
     /// them; what ran on two of them stays under suspicion until it is answered.
-    fn acquit(&mut self) -> Option<Action> {
+    fn clear_domain_losses(&mut self) -> Option<Action> {
         let mut deaths: BTreeMap<Fingerprint, usize> = BTreeMap::new();
-        for fingerprint in self.deaths.values().flat_map(|death| &death.accused) {
+        for fingerprint in self.deaths.values().flat_map(|death| &death.affected) {
             *deaths.entry(*fingerprint).or_default() += 1;
         }
         let once = deaths.into_iter().filter(|(_, deaths)| *deaths == 1);
@@ -312,38 +318,45 @@
         self.clear(once)
     }
 
-    fn accuse(&mut self, now: Moment, id: &LossId, fingerprints: &[Fingerprint], died: bool) {
+    fn record_loss(&mut self, now: Moment, id: &LossId, fingerprints: &[Fingerprint], died: bool) {
         let all: BTreeSet<_> = fingerprints.iter().copied().collect();
         for fingerprint in fingerprints {
-            self.make_room(*fingerprint);
-            let suspect = self.suspects.entry(*fingerprint).or_default();
-            suspect.add(Loss {
+            self.evict_if_full(*fingerprint);
+            let history = self.histories.entry(*fingerprint).or_default();
+            history.add(Loss {
                 id: id.clone(),
                 until: now + self.cfg.confirm_within,
-                together: all.clone(),
+                concurrent: all.clone(),
             });
             if died {
-                suspect.confirm(now, &self.cfg, id, *fingerprint, &all);
+                history.confirm_death(now, &self.cfg, id, *fingerprint, &all);
             }
         }
     }
 
-    fn make_room(&mut self, fingerprint: Fingerprint) {
-        if self.suspects.len() < self.cfg.max_suspects || self.suspects.contains_key(&fingerprint) {
+    fn evict_if_full(&mut self, fingerprint: Fingerprint) {
+        if self.histories.len() < self.cfg.max_suspected
+            || self.histories.contains_key(&fingerprint)
+        {
             return;
         }
-        let soonest = self.suspects.iter().min_by_key(|(_, s)| s.until());
+        let soonest = self
+            .histories
+            .iter()
+            .min_by_key(|(_, history)| history.expires_at());
         if let Some(soonest) = soonest.map(|(fingerprint, _)| *fingerprint) {
-            self.suspects.remove(&soonest);
+            self.histories.remove(&soonest);
         }
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn expire(&mut self, now: Moment) {
         let within = self.cfg.confirm_within;
         self.broken.retain(|broken| now < broken.at + within);
         self.down
-            .retain(|_, down| down.gone || now < down.since + within);
-        self.deaths.retain(|_, death| now < death.at + SAME_TIME);
-        self.suspects.retain(|_, suspect| now < suspect.until());
+            .retain(|_, down| down.process_gone || now < down.since + within);
+        self.deaths
+            .retain(|_, death| now < death.at + DOMAIN_LOSS_WINDOW);
+        self.histories
+            .retain(|_, history| now < history.expires_at());
     }
 }
--- a/crates/ledger/tests/all/quarantine.rs
+++ b/crates/ledger/tests/all/quarantine.rs
@@ -68,7 +68,7 @@
     fn start(&mut self, entry: usize, fingerprint: Fingerprint, n: usize) -> Option<Running> {
         let entry = match self.entries[entry].check(self.now, fingerprint) {
             Check::Run => entry,
-            Check::Elsewhere { entry: to } => (0..self.entries.len()).find(|n| name(*n) == to)?,
+            Check::RunAt { entry: to } => (0..self.entries.len()).find(|n| name(*n) == to)?,
             Check::Refuse { .. } => return None,
         };
         if self.entries[entry].check(self.now, fingerprint) != Check::Run {
