--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -21,7 +21,7 @@
 /// Both members of a config claim it; the second one's claim comes after a long sleep.
 /// It gets the first one's verdict, or both would run the same order.
 #[test]
-fn the_first_claim_wins_for_ever() {
+fn the_first_claim_wins_permanently() {
     let mut claim_results = ClaimResults::default();
     let first = claim_results.apply(&claim(1, 1));
     for other in 2..1_000 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn verdicts_leave_room_for_the_fullest_table() {
+fn claim_results_leave_room_for_the_largest_table() {
     let mut claim_results = ClaimResults::default();
     for founder in 0..MAX_CLAIM_RESULTS as u64 + 100 {
         claim_results.apply(&claim(founder, founder));
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -16,13 +16,13 @@
 };
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
 
-use crate::wire::{DiskWrite, Packet, Sealed};
+use crate::wire::{DiskWrite, HashedMessage, Packet};
 
 pub(crate) const FAILOVER_TIMEOUT: Duration = Duration::from_secs(2);
 pub(crate) const START_WINDOW: Duration = Duration::from_secs(20);
 pub(crate) const RETENTION: Duration = Duration::from_secs(60);
 /// Deadline of each request.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Small times, so that a test sees each of them pass.
 pub(crate) fn config(guards: Guards) -> ConfigBuilder {
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     cfg: Config,
     pub(crate) now: Moment,
     /// Running entries; by `Rc`, so that clones share what a step doesn't touch.
@@ -79,19 +79,19 @@
     pub(crate) started: Vec<Started>,
     pub(crate) runs: BTreeMap<String, u32>,
     answers: BTreeMap<String, Vec<u8>>,
-    told_not_run: BTreeSet<String>,
+    refused_not_run: BTreeSet<String>,
     /// Every answer of the ledgers, by key.
-    pub(crate) told: Vec<(String, Decision)>,
-    pub(crate) broken: Option<String>,
+    pub(crate) decisions: Vec<(String, Decision)>,
+    pub(crate) violation: Option<String>,
     pub(crate) counts: Counts,
     next_incarnation: u64,
     next_token: u64,
 }
 
-impl World {
+impl Cluster {
     /// A world with one entry for each failure domain in `domains`.
     pub(crate) fn new(cfg: Config, domains: &[&str]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             cfg,
             now: Duration::ZERO,
             nodes: BTreeMap::new(),
@@ -106,9 +106,9 @@
             started: Vec::new(),
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
-            told: Vec::new(),
-            broken: None,
+            refused_not_run: BTreeSet::new(),
+            decisions: Vec::new(),
+            violation: None,
             counts: Counts::default(),
             next_incarnation: 1,
             next_token: 1,
@@ -120,11 +120,11 @@
                 failure_domain: domain.parse().expect("a valid name"),
                 leaving: false,
             };
-            world.members.insert(slot, member);
-            world.boot(slot);
+            cluster.members.insert(slot, member);
+            cluster.boot(slot);
         }
-        world.spread_members();
-        world
+        cluster.announce_members();
+        cluster
     }
 
     /// Starts a process without any record.
@@ -179,7 +179,7 @@
     }
 
     /// Tells every entry which entries run.
-    pub(crate) fn spread_members(&mut self) {
+    pub(crate) fn announce_members(&mut self) {
         let live: Vec<Slot> = self.nodes.keys().copied().collect();
         let members: Vec<Member> = live.iter().map(|s| self.members[s].clone()).collect();
         for slot in live {
@@ -216,7 +216,7 @@
                 if matches!(&message, Message::Append { ops, .. } if ops.contains(&Op::HandOver)) {
                     self.counts.hand_overs += 1;
                 }
-                let body = Sealed::new(message);
+                let body = HashedMessage::new(message);
                 self.post(Packet::Message { from, to, body });
             }
             Action::Claim(claim) => self.post(Packet::Claim { from, claim }),
@@ -252,10 +252,10 @@
 
     fn decided(&mut self, slot: Slot, token: Token, decision: Decision) {
         let Some((_, key, digest, hops)) = self.requests.remove(&token) else {
-            self.broken = Some(format!("request {token:?} got two answers"));
+            self.violation = Some(format!("request {token:?} got two answers"));
             return;
         };
-        self.told.push((key.clone(), decision.clone()));
+        self.decisions.push((key.clone(), decision.clone()));
         match decision {
             Decision::Start => {
                 self.counts.started += 1;
@@ -270,7 +270,7 @@
             Decision::Replay(answer) => {
                 self.counts.replayed += 1;
                 if self.answers.get(&key).map(Vec::as_slice) != Some(&answer[..]) {
-                    self.broken = Some(format!("{key} got another answer than its own"));
+                    self.violation = Some(format!("{key} got another answer than its own"));
                 }
             }
             Decision::Refuse { code, .. } => self.refused(&key, code),
@@ -295,14 +295,14 @@
             _ if code == ResultCode::KeyReused => {}
             Meaning::NotRun => {
                 self.counts.not_run += 1;
-                self.told_not_run.insert(key.to_owned());
+                self.refused_not_run.insert(key.to_owned());
                 if runs > 0 {
-                    self.broken = Some(format!("{key} ran and was told {code}"));
+                    self.violation = Some(format!("{key} ran and was told {code}"));
                 }
             }
             Meaning::MayHaveRun => self.counts.may_have_run += 1,
             Meaning::Ran if runs == 0 => {
-                self.broken = Some(format!("{key} didn't run and was told {code}"));
+                self.violation = Some(format!("{key} didn't run and was told {code}"));
             }
             Meaning::Ran => {}
         }
@@ -334,7 +334,7 @@
             token,
             key: key.parse::<Key>().expect("a valid key"),
             digest: Digest(digest),
-            deadline: self.now + PATIENCE,
+            deadline: self.now + REQUEST_TIMEOUT,
             hops,
             failed,
         };
@@ -402,10 +402,10 @@
         let runs = self.runs.entry(key.clone()).or_default();
         *runs += 1;
         if *runs > 1 {
-            self.broken = Some(format!("{key} ran {runs} times"));
+            self.violation = Some(format!("{key} ran {runs} times"));
         }
-        if self.told_not_run.contains(&key) {
-            self.broken = Some(format!("{key} ran after it was told not run"));
+        if self.refused_not_run.contains(&key) {
+            self.violation = Some(format!("{key} ran after it was told not run"));
         }
         let answer = format!("answer to {key}").into_bytes();
         self.answers.insert(key, answer);
@@ -470,11 +470,11 @@
                 self.deliver(0);
             }
         }
-        self.broken = Some("the entries never fall silent".to_owned());
+        self.violation = Some("the entries never fall silent".to_owned());
     }
 
     /// Delivers until the wire is empty, with all disks stuck.
-    pub(crate) fn drain_but_disks(&mut self) {
+    pub(crate) fn drain_network(&mut self) {
         while !self.wire.is_empty() {
             self.deliver(0);
         }
@@ -491,29 +491,31 @@
     }
 
     /// The newest word of the ledgers on a key.
-    pub(crate) fn last_told(&self, key: &str) -> Option<&Decision> {
-        let mut told = self.told.iter().rev();
-        told.find(|(of, _)| of == key).map(|(_, decision)| decision)
+    pub(crate) fn last_decision(&self, key: &str) -> Option<&Decision> {
+        let mut decisions = self.decisions.iter().rev();
+        decisions
+            .find(|(of, _)| of == key)
+            .map(|(_, decision)| decision)
     }
 
     /// The newest refusal's code.
     pub(crate) fn last_code(&self, key: &str) -> Option<ResultCode> {
-        match self.last_told(key)? {
+        match self.last_decision(key)? {
             Decision::Refuse { code, .. } => Some(*code),
             _ => None,
         }
     }
 
     /// Whether the same can happen in both worlds from here on.
-    pub(crate) fn is_same(&self, other: &Self) -> bool {
-        self.facts() == other.facts()
+    pub(crate) fn is_equivalent(&self, other: &Self) -> bool {
+        self.observable_state() == other.observable_state()
     }
 
     pub(crate) fn hash_into(&self, state: &mut impl Hasher) {
-        self.facts().hash(state);
+        self.observable_state().hash(state);
     }
 
-    fn facts(&self) -> impl Hash + Eq + '_ {
+    fn observable_state(&self) -> impl Hash + Eq + '_ {
         let disks = (&self.disks, &self.unsynced);
         let settings = (
             &self.now,
@@ -533,8 +535,8 @@
             settings,
             moving,
             &self.runs,
-            &self.told_not_run,
-            &self.broken,
+            &self.refused_not_run,
+            &self.violation,
         )
     }
 
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -10,15 +10,15 @@
 use filberthead_ledger::{Event, Guards, Message};
 use pathfinding::directed::bfs::bfs;
 
-use crate::cluster::{FAILOVER_TIMEOUT, World, config};
+use crate::cluster::{Cluster, FAILOVER_TIMEOUT, config};
 use crate::wire::Packet;
 
 /// How often each kind of event may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Budget {
+struct EventBudget {
     depth: u8,
     sends: u8,
-    silences: u8,
+    timeouts: u8,
     crashes: u8,
     boots: u8,
     stops: u8,
@@ -27,15 +27,15 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    world: World,
+    cluster: Cluster,
     key: Rc<str>,
-    budget: Budget,
+    budget: EventBudget,
 }
 
 /// Two states are one if the same can happen from them; how they came about doesn't count.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.budget == other.budget && self.world.is_same(&other.world)
+        self.budget == other.budget && self.cluster.is_equivalent(&other.cluster)
     }
 }
 
@@ -44,14 +44,14 @@
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.budget.hash(state);
-        self.world.hash_into(state);
+        self.cluster.hash_into(state);
     }
 }
 
 impl State {
-    fn new(world: World, key: &str, budget: Budget) -> Self {
+    fn new(cluster: Cluster, key: &str, budget: EventBudget) -> Self {
         Self {
-            world,
+            cluster,
             key: key.into(),
             budget,
         }
@@ -59,20 +59,20 @@
 
     /// The state after `f`, brought into a form that doesn't depend on the order of
     /// what is on the wire.
-    fn after(&self, spend: impl FnOnce(&mut Budget), f: impl FnOnce(&mut World)) -> Self {
+    fn after(&self, spend: impl FnOnce(&mut EventBudget), f: impl FnOnce(&mut Cluster)) -> Self {
         let mut next = self.clone();
         next.budget.depth -= 1;
         spend(&mut next.budget);
-        f(&mut next.world);
-        next.world.told.clear();
+        f(&mut next.cluster);
+        next.cluster.decisions.clear();
         // Heartbeats only inform; a key must be safe without them.
         let heartbeat = |packet: &Packet| match packet {
             Packet::Message { body, .. } => matches!(body.message(), Message::HeldHomes { .. }),
             _ => false,
         };
-        let wire = std::mem::take(&mut next.world.wire);
+        let wire = std::mem::take(&mut next.cluster.wire);
         let wire: BTreeSet<_> = wire.into_iter().filter(|p| !heartbeat(p)).collect();
-        next.world.wire = wire.into_iter().collect();
+        next.cluster.wire = wire.into_iter().collect();
         next
     }
 
@@ -82,15 +82,15 @@
             return next;
         }
         let budget = self.budget;
-        for index in 0..self.world.wire.len() {
+        for index in 0..self.cluster.wire.len() {
             next.push(self.after(|_| {}, |w| w.deliver(index)));
             if budget.duplicates > 0 {
-                let packet = self.world.wire[index].clone();
+                let packet = self.cluster.wire[index].clone();
                 next.push(self.after(|b| b.duplicates -= 1, |w| w.arrive(&packet)));
             }
         }
-        for index in 0..self.world.started.len() {
-            if !self.world.started[index].ran {
+        for index in 0..self.cluster.started.len() {
+            if !self.cluster.started[index].ran {
                 next.push(self.after(|_| {}, |w| w.run(index)));
                 next.push(self.after(|_| {}, |w| w.give_up(index)));
             } else {
@@ -103,14 +103,14 @@
 
     fn faults(&self, next: &mut Vec<Self>) {
         let budget = self.budget;
-        let live: Vec<_> = self.world.nodes.keys().copied().collect();
+        let live: Vec<_> = self.cluster.nodes.keys().copied().collect();
         if budget.sends > 0 {
             for slot in &live {
                 next.push(self.after(|b| b.sends -= 1, |w| w.send(*slot, &self.key)));
             }
         }
-        if budget.silences > 0 {
-            next.push(self.after(|b| b.silences -= 1, silence));
+        if budget.timeouts > 0 {
+            next.push(self.after(|b| b.timeouts -= 1, run_out_failover_timeout));
         }
         if budget.crashes > 0 {
             for slot in live.iter().filter(|slot| **slot < 2) {
@@ -119,9 +119,9 @@
         }
         if budget.boots > 0 {
             for slot in (0..2).filter(|slot| !live.contains(slot)) {
-                let boot = |w: &mut World| {
+                let boot = |w: &mut Cluster| {
                     w.boot(slot);
-                    w.spread_members();
+                    w.announce_members();
                 };
                 next.push(self.after(|b| b.boots -= 1, boot));
             }
@@ -135,10 +135,10 @@
 }
 
 /// Time passes without any message arriving, until each suspects the other one.
-fn silence(world: &mut World) {
+fn run_out_failover_timeout(cluster: &mut Cluster) {
     for _ in 0..5 {
-        world.now += FAILOVER_TIMEOUT / 4;
-        world.tick();
+        cluster.now += FAILOVER_TIMEOUT / 4;
+        cluster.tick();
     }
 }
 
@@ -150,25 +150,27 @@
         seen += 1;
         state.successors()
     };
-    let path = bfs(&start, successors, |state| state.world.broken.is_some());
-    let broken = path.and_then(|path| {
+    let path = bfs(&start, successors, |state| {
+        state.cluster.violation.is_some()
+    });
+    let violation = path.and_then(|path| {
         let last = path.last()?;
-        Some((last.world.broken.clone()?, path.len() - 1))
+        Some((last.cluster.violation.clone()?, path.len() - 1))
     });
-    (broken, seen)
+    (violation, seen)
 }
 
 /// Entry 0 holds a home whose backup is entry 1; nothing is on its way.
-fn paired(guards: Guards) -> World {
-    let mut world = World::new(config(guards).build(), &["a", "a", "b"]);
-    world.settle(Duration::from_secs(1));
-    world
+fn primary_with_backup(guards: Guards) -> Cluster {
+    let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
+    cluster.settle(Duration::from_secs(1));
+    cluster
 }
 
-const BUDGET: Budget = Budget {
+const BUDGET: EventBudget = EventBudget {
     depth: 9,
     sends: 2,
-    silences: 1,
+    timeouts: 1,
     crashes: 1,
     boots: 0,
     stops: 0,
@@ -176,55 +178,55 @@
 };
 
 fn crash_or_silence(guards: Guards) -> State {
-    let world = paired(guards);
-    let key = world.key(0, "order");
-    State::new(world, &key, BUDGET)
+    let cluster = primary_with_backup(guards);
+    let key = cluster.key(0, "order");
+    State::new(cluster, &key, BUDGET)
 }
 
 fn planned_stop(guards: Guards) -> State {
-    let world = paired(guards);
-    let key = world.key(0, "order");
-    let budget = Budget {
-        silences: 1,
+    let cluster = primary_with_backup(guards);
+    let key = cluster.key(0, "order");
+    let budget = EventBudget {
+        timeouts: 1,
         crashes: 0,
         stops: 1,
         ..BUDGET
     };
-    State::new(world, &key, budget)
+    State::new(cluster, &key, budget)
 }
 
 /// A key has run at entry 0, whose backup is about to be replaced by a new process of
 /// the same name, while copies of everything ever sent to the old one are still about.
 fn backup_restarted(guards: Guards) -> State {
-    let mut world = World::new(config(guards).build(), &["a", "a", "b"]);
+    let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
     let mut old = BTreeSet::new();
     let end = Duration::from_secs(1);
-    while world.now < end {
-        while !world.wire.is_empty() {
-            let packet = world.wire[0].clone();
+    while cluster.now < end {
+        while !cluster.wire.is_empty() {
+            let packet = cluster.wire[0].clone();
             if is_append_of_home(&packet, 0) {
                 old.insert(packet);
             }
-            world.deliver(0);
+            cluster.deliver(0);
         }
-        world.now += Duration::from_millis(50);
-        world.tick();
+        cluster.now += Duration::from_millis(50);
+        cluster.tick();
     }
-    world.drain();
-    let key = world.key(0, "order");
-    world.send(0, &key);
-    world.drain();
-    world.run(0);
-    world.crash(1);
-    world.wire = old.into_iter().collect();
-    let budget = Budget {
+    cluster.drain();
+    let key = cluster.key(0, "order");
+    cluster.send(0, &key);
+    cluster.drain();
+    cluster.run(0);
+    cluster.crash(1);
+    cluster.wire = old.into_iter().collect();
+    let budget = EventBudget {
         depth: 11,
         sends: 1,
         crashes: 0,
         boots: 1,
         ..BUDGET
     };
-    State::new(world, &key, budget)
+    State::new(cluster, &key, budget)
 }
 
 fn is_append_of_home(packet: &Packet, from: usize) -> bool {
@@ -238,25 +240,25 @@
 }
 
 #[test]
-fn every_order_of_events_keeps_the_promises() {
+fn every_order_of_events_keeps_the_guarantees() {
     let scenarios = [
-        ("crash or silence", crash_or_silence(Guards::ALL)),
+        ("crash or failover timeout", crash_or_silence(Guards::ALL)),
         ("planned stop", planned_stop(Guards::ALL)),
         ("backup restarted", backup_restarted(Guards::ALL)),
     ];
     for (name, start) in scenarios {
         let depth = start.budget.depth;
-        let (broken, seen) = explore(start);
+        let (violation, seen) = explore(start);
         println!("{name}: {seen} states to depth {depth}");
-        assert_eq!(broken, None, "{name}");
+        assert_eq!(violation, None, "{name}");
         assert!(seen > 1_000, "{name}: only {seen} states");
     }
 }
 
 #[test]
-fn exploration_notices_a_guard_switched_off() {
+fn exploration_detects_a_disabled_guard() {
     let all = Guards::ALL;
-    let twins = [
+    let variants = [
         (
             "record before start",
             crash_or_silence(Guards {
@@ -286,11 +288,11 @@
             }),
         ),
     ];
-    for (guard, start) in twins {
-        let (broken, seen) = explore(start);
-        println!("without {guard}: {broken:?} after {seen} states");
+    for (guard, start) in variants {
+        let (violation, seen) = explore(start);
+        println!("without {guard}: {violation:?} after {seen} states");
         assert!(
-            broken.is_some(),
+            violation.is_some(),
             "nothing breaks without the guard `{guard}`"
         );
     }
--- a/crates/ledger/tests/all/quarantine.rs
+++ b/crates/ledger/tests/all/quarantine.rs
@@ -14,11 +14,11 @@
 
 use crate::cluster::name;
 
-const KILLER: Fingerprint = Fingerprint(666);
+const CRASHING: Fingerprint = Fingerprint(666);
 /// Endpoints of each entry.
 const ENDPOINTS: usize = 6;
 
-fn innocent(n: u128) -> Fingerprint {
+fn harmless(n: u128) -> Fingerprint {
     Fingerprint(n)
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// Entries that tell each other at once, and endpoints that die under the killer.
-struct Site {
+struct Cluster {
     now: Moment,
     entries: Vec<Quarantine>,
     next_run: u64,
@@ -44,7 +44,7 @@
     endpoint: NodeName,
 }
 
-impl Site {
+impl Cluster {
     fn new(entries: usize) -> Self {
         let quarantine = |n| Quarantine::new(Config::builder().build(), name(n));
         Self {
@@ -96,7 +96,7 @@
     }
 
     /// The endpoint's process is gone, and every run there breaks.
-    fn die(&mut self, running: &[Running]) {
+    fn crash(&mut self, running: &[Running]) {
         for run in running {
             self.end(run, RunEnd::Lost);
         }
@@ -130,157 +130,167 @@
 /// A clerk's search crashes each endpoint that runs it. She sends it ten times, at one
 /// entry after the other. Two endpoints are lost, then it is refused everywhere.
 #[test]
-fn ten_sends_of_a_killer_cost_two_endpoints() {
-    let mut site = Site::new(3);
+fn ten_sends_of_a_crashing_request_cost_two_endpoints() {
+    let mut cluster = Cluster::new(3);
     for n in 0..10 {
-        if let Some(running) = site.start(n % 3, KILLER, n % ENDPOINTS) {
-            site.die(&[running]);
+        if let Some(running) = cluster.start(n % 3, CRASHING, n % ENDPOINTS) {
+            cluster.crash(&[running]);
         }
     }
-    assert_eq!(site.deaths, 2);
-    assert!((0..3).all(|entry| is_refused(&site.check(entry, KILLER))));
+    assert_eq!(cluster.deaths, 2);
+    assert!((0..3).all(|entry| is_refused(&cluster.check(entry, CRASHING))));
 }
 
 /// A health check finds a new process in an endpoint's place before the broken connection
 /// of the search that killed the old one is noticed. It counts all the same.
 #[test]
-fn a_death_known_before_its_broken_connection_counts() {
-    let mut site = Site::new(2);
+fn a_death_detected_before_its_broken_connection_counts() {
+    let mut cluster = Cluster::new(2);
     for n in 0..2 {
-        let running = site.start(0, KILLER, n).expect("a chance");
-        site.now += Duration::from_millis(100);
-        site.step(0, died(running.endpoint.clone(), true));
-        site.end(&running, RunEnd::Lost);
+        let running = cluster.start(0, CRASHING, n).expect("a chance");
+        cluster.now += Duration::from_millis(100);
+        cluster.step(0, died(running.endpoint.clone(), true));
+        cluster.end(&running, RunEnd::Lost);
     }
-    assert!(is_refused(&site.check(1, KILLER)));
+    assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
 /// A search has killed two endpoints, whose deaths aren't known yet. A page that is sent
 /// to both of them breaks twice and must not pass for the killer.
 #[test]
-fn a_page_that_meets_dead_endpoints_is_not_blamed() {
-    let mut site = Site::new(1);
+fn a_request_sent_to_dead_endpoints_is_not_quarantined() {
+    let mut cluster = Cluster::new(1);
     for n in 0..2 {
-        let killer = site.start(0, KILLER, n).expect("a chance");
-        site.end(&killer, RunEnd::Lost);
+        let crashing = cluster.start(0, CRASHING, n).expect("a chance");
+        cluster.end(&crashing, RunEnd::Lost);
     }
-    site.now += Duration::from_millis(10);
+    cluster.now += Duration::from_millis(10);
     for n in 0..2 {
-        let page = site.start(0, innocent(1), n).expect("it isn't refused");
-        site.end(&page, RunEnd::Lost);
+        let page = cluster.start(0, harmless(1), n).expect("it isn't refused");
+        cluster.end(&page, RunEnd::Lost);
     }
-    assert_eq!(site.check(0, innocent(1)), Check::Run);
+    assert_eq!(cluster.check(0, harmless(1)), Check::Run);
     // Nor after their deaths are known, for as long as nothing answers there.
     for n in 0..2 {
-        site.step(0, died(endpoint(0, n), false));
+        cluster.step(0, died(endpoint(0, n), false));
     }
-    site.now += Duration::from_secs(60);
-    site.step(0, Event::Tick);
+    cluster.now += Duration::from_secs(60);
+    cluster.step(0, Event::Tick);
     for n in 0..2 {
-        let page = site.start(0, innocent(1), n).expect("it isn't refused");
-        site.end(&page, RunEnd::Lost);
+        let page = cluster.start(0, harmless(1), n).expect("it isn't refused");
+        cluster.end(&page, RunEnd::Lost);
     }
-    assert_eq!(site.check(0, innocent(1)), Check::Run);
+    assert_eq!(cluster.check(0, harmless(1)), Check::Run);
 }
 
 /// A search has broken two connections at one entry, and its next send reaches another
 /// entry before any health check has found the endpoints dead.
 #[test]
-fn two_broken_runs_warn_every_entry() {
-    let mut site = Site::new(2);
+fn two_broken_runs_quarantine_the_request_at_every_entry() {
+    let mut cluster = Cluster::new(2);
     for n in 0..2 {
-        let killer = site.start(0, KILLER, n).expect("a chance");
-        site.end(&killer, RunEnd::Lost);
+        let crashing = cluster.start(0, CRASHING, n).expect("a chance");
+        cluster.end(&crashing, RunEnd::Lost);
     }
-    assert!(is_refused(&site.check(1, KILLER)));
+    assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
 /// Two orders ran beside the search when the endpoint died, and nothing tells which one
 /// it was. The orders' next runs are answered, and nobody suspects them any more; the
 /// search is caught.
 #[test]
-fn innocents_beside_a_killer_are_cleared() {
-    let mut site = Site::new(2);
-    let beside: Vec<_> = [KILLER, innocent(1), innocent(2)]
+fn harmless_requests_beside_a_crashing_one_are_cleared() {
+    let mut cluster = Cluster::new(2);
+    let beside: Vec<_> = [CRASHING, harmless(1), harmless(2)]
         .iter()
-        .map(|f| site.start(0, *f, 0).expect("nobody is under suspicion yet"))
+        .map(|f| {
+            cluster
+                .start(0, *f, 0)
+                .expect("nobody is under suspicion yet")
+        })
         .collect();
-    site.die(&beside);
+    cluster.crash(&beside);
     for n in [1, 2] {
-        let again = site.start(1, innocent(n), 1).expect("one run is allowed");
+        let again = cluster
+            .start(1, harmless(n), 1)
+            .expect("one run is allowed");
         assert_eq!(again.entry, 0, "the entry that saw the loss tries it");
-        site.end(&again, RunEnd::Answered);
-        assert_eq!(site.check(1, innocent(n)), Check::Run);
+        cluster.end(&again, RunEnd::Answered);
+        assert_eq!(cluster.check(1, harmless(n)), Check::Run);
     }
-    let killer = site.start(1, KILLER, 2).expect("its second chance");
-    site.die(&[killer]);
-    assert_eq!(site.deaths, 2);
-    assert!(is_refused(&site.check(1, KILLER)));
+    let crashing = cluster.start(1, CRASHING, 2).expect("its second chance");
+    cluster.crash(&[crashing]);
+    assert_eq!(cluster.deaths, 2);
+    assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
 /// The same page runs at many endpoints all the time and so is there whenever one dies.
 /// It is answered elsewhere a moment later and must not be refused.
 #[test]
-fn a_page_that_runs_everywhere_is_not_blamed() {
-    let mut site = Site::new(2);
-    let page = innocent(1);
+fn a_request_that_runs_everywhere_is_not_quarantined() {
+    let mut cluster = Cluster::new(2);
+    let page = harmless(1);
     for n in 0..4 {
-        let elsewhere = site.start(0, page, 5).expect("it isn't refused");
-        let dying = site.start(0, page, n).expect("it isn't refused");
-        site.die(&[dying]);
-        site.end(&elsewhere, RunEnd::Answered);
-        assert_eq!(site.check(0, page), Check::Run);
-        assert_eq!(site.check(1, page), Check::Run);
-        site.now += Duration::from_secs(5);
+        let elsewhere = cluster.start(0, page, 5).expect("it isn't refused");
+        let dying = cluster.start(0, page, n).expect("it isn't refused");
+        cluster.crash(&[dying]);
+        cluster.end(&elsewhere, RunEnd::Answered);
+        assert_eq!(cluster.check(0, page), Check::Run);
+        assert_eq!(cluster.check(1, page), Check::Run);
+        cluster.now += Duration::from_secs(5);
     }
 }
 
 /// A rack loses power: most endpoints die at the same time, each with its requests. No
 /// request does that, and none is refused afterwards.
 #[test]
-fn a_lost_failure_domain_accuses_nobody() {
-    let mut site = Site::new(2);
+fn a_lost_failure_domain_quarantines_nothing() {
+    let mut cluster = Cluster::new(2);
     let running: Vec<_> = (0..ENDPOINTS)
-        .map(|n| site.start(0, innocent(n as u128), n).expect("it may run"))
+        .map(|n| {
+            cluster
+                .start(0, harmless(n as u128), n)
+                .expect("it may run")
+        })
         .collect();
     for run in &running {
-        site.end(run, RunEnd::Lost);
+        cluster.end(run, RunEnd::Lost);
     }
     for run in &running {
-        site.step(0, died(run.endpoint.clone(), true));
+        cluster.step(0, died(run.endpoint.clone(), true));
     }
     for n in 0..ENDPOINTS as u128 {
-        assert_eq!(site.check(0, innocent(n)), Check::Run, "{n}");
-        assert_eq!(site.check(1, innocent(n)), Check::Run, "{n}");
+        assert_eq!(cluster.check(0, harmless(n)), Check::Run, "{n}");
+        assert_eq!(cluster.check(1, harmless(n)), Check::Run, "{n}");
     }
 }
 
 /// The network between an entry and its endpoints is cut for a moment, twice. Requests
 /// that broke are refused for seconds at most, since no endpoint died.
 #[test]
-fn broken_connections_alone_accuse_nobody_for_long() {
-    let mut site = Site::new(1);
+fn broken_connections_alone_quarantine_only_briefly() {
+    let mut cluster = Cluster::new(1);
     for n in 0..2 {
-        let running = site.start(0, innocent(1), n).expect("it may run");
-        site.end(&running, RunEnd::Lost);
+        let running = cluster.start(0, harmless(1), n).expect("it may run");
+        cluster.end(&running, RunEnd::Lost);
     }
-    assert!(is_refused(&site.check(0, innocent(1))));
-    site.now += Duration::from_secs(6);
-    assert_eq!(site.check(0, innocent(1)), Check::Run);
+    assert!(is_refused(&cluster.check(0, harmless(1))));
+    cluster.now += Duration::from_secs(6);
+    assert_eq!(cluster.check(0, harmless(1)), Check::Run);
 }
 
 /// After its time a killer gets another chance, alone, and loses it for twice as long.
 #[test]
-fn a_killer_that_comes_back_is_refused_for_longer() {
-    let mut site = Site::new(2);
+fn a_crashing_request_sent_again_is_refused_for_longer() {
+    let mut cluster = Cluster::new(2);
     let mut refused_for = Vec::new();
     for n in 0..4 {
-        let running = site.start(n % 2, KILLER, n).expect("a chance");
-        site.die(&[running]);
-        if let Check::Refuse { retry_after } = site.check(0, KILLER) {
+        let running = cluster.start(n % 2, CRASHING, n).expect("a chance");
+        cluster.crash(&[running]);
+        if let Check::Refuse { retry_after } = cluster.check(0, CRASHING) {
             refused_for.push(retry_after);
-            site.now += retry_after;
-            site.step(0, Event::Tick);
+            cluster.now += retry_after;
+            cluster.step(0, Event::Tick);
         }
     }
     assert_eq!(refused_for.len(), 3);
@@ -301,35 +311,38 @@
 /// Killers among innocents, at random entries and endpoints, answered in random order.
 /// No killer takes more than two endpoints, and every innocent may run at the end.
 #[test]
-fn no_order_of_sends_lets_a_killer_take_a_third_endpoint() {
+fn no_order_of_sends_lets_a_request_crash_a_third_endpoint() {
     const SEEDS: u64 = 5_000;
     const STEPS: usize = 120;
     let options = Options::default().with_max_len(STEPS * 4);
     let mut refused = 0;
     for seed in 0..SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
-        let mut site = Site::new(3);
+        let mut cluster = Cluster::new(3);
         let mut running: Vec<Running> = Vec::new();
-        let mut killed: BTreeMap<Fingerprint, usize> = BTreeMap::new();
+        let mut crashed: BTreeMap<Fingerprint, usize> = BTreeMap::new();
         for _ in 0..STEPS {
             let Some(step) = Step::generate(&mut driver) else {
                 break;
             };
             match step {
-                Step::Send(entry, what, n) => {
-                    let kills = what < 24;
-                    let fingerprint =
-                        Fingerprint(u128::from(if kills { what % 2 } else { what % 12 + 10 }));
+                Step::Send(entry, request, n) => {
+                    let crashes = request < 24;
+                    let fingerprint = Fingerprint(u128::from(if crashes {
+                        request % 2
+                    } else {
+                        request % 12 + 10
+                    }));
                     let n = usize::from(n) % ENDPOINTS;
-                    match site.start(usize::from(entry) % 3, fingerprint, n) {
-                        Some(run) if kills => {
+                    match cluster.start(usize::from(entry) % 3, fingerprint, n) {
+                        Some(run) if crashes => {
                             let at = run.endpoint.clone();
                             let (mut lost, left): (Vec<_>, Vec<_>) =
                                 running.into_iter().partition(|r| r.endpoint == at);
                             lost.insert(0, run);
                             running = left;
-                            site.die(&lost);
-                            *killed.entry(fingerprint).or_default() += 1;
+                            cluster.crash(&lost);
+                            *crashed.entry(fingerprint).or_default() += 1;
                         }
                         Some(run) => running.push(run),
                         None => refused += 1,
@@ -337,23 +350,23 @@
                 }
                 Step::Answer(n) if !running.is_empty() => {
                     let run = running.remove(usize::from(n) % running.len());
-                    site.end(&run, RunEnd::Answered);
+                    cluster.end(&run, RunEnd::Answered);
                 }
                 Step::Answer(_) => {}
-                Step::Wait(ms) => site.now += Duration::from_millis(u64::from(ms)),
+                Step::Wait(ms) => cluster.now += Duration::from_millis(u64::from(ms)),
             }
         }
-        let worst = killed.values().max().copied().unwrap_or(0);
-        assert!(worst <= 2, "seed {seed}: {killed:?}");
+        let most_crashes = crashed.values().max().copied().unwrap_or(0);
+        assert!(most_crashes <= 2, "seed {seed}: {crashed:?}");
         for run in std::mem::take(&mut running) {
-            site.end(&run, RunEnd::Answered);
+            cluster.end(&run, RunEnd::Answered);
         }
-        site.now += Duration::from_secs(601);
-        for what in 10..22 {
+        cluster.now += Duration::from_secs(601);
+        for request in 10..22 {
             for entry in 0..3 {
-                let run = site.start(entry, Fingerprint(what), 0);
-                let run = run.unwrap_or_else(|| panic!("seed {seed}: {what} is refused"));
-                site.end(&run, RunEnd::Answered);
+                let run = cluster.start(entry, Fingerprint(request), 0);
+                let run = run.unwrap_or_else(|| panic!("seed {seed}: {request} is refused"));
+                cluster.end(&run, RunEnd::Answered);
             }
         }
     }
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -8,12 +8,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::cluster::{Counts, FAILOVER_TIMEOUT, RETENTION, START_WINDOW, World, config};
+use crate::cluster::{Cluster, Counts, FAILOVER_TIMEOUT, RETENTION, START_WINDOW, config};
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 600;
 /// Keys that are resent; older ones only by delayed packets.
-const KEPT_KEYS: usize = 6;
+const RESENT_KEYS: usize = 6;
 
 /// What happens next; each names what it acts on by a number that is reduced to what
 /// there is.
@@ -32,7 +32,7 @@
     GiveUp(u8),
     Wait,
     WaitMore,
-    Suspect,
+    FailoverTimeout,
     Jump(u8),
     Crash(u8),
     Boot(u8),
@@ -47,21 +47,21 @@
     Wipe(u8),
 }
 
-struct Run {
-    world: World,
+struct RandomRun {
+    cluster: Cluster,
     keys: Vec<String>,
-    made: usize,
+    keys_made: usize,
 }
 
-impl Run {
-    fn new(guards: Guards, disks: bool) -> Self {
-        let cfg = config(guards).max_keys(20).max_closed(3).journal(disks);
-        let mut world = World::new(cfg.build(), &["a", "a", "a", "b"]);
-        world.settle(Duration::from_secs(1));
+impl RandomRun {
+    fn new(guards: Guards, journal: bool) -> Self {
+        let cfg = config(guards).max_keys(20).max_closed(3).journal(journal);
+        let mut cluster = Cluster::new(cfg.build(), &["a", "a", "a", "b"]);
+        cluster.settle(Duration::from_secs(1));
         Self {
-            world,
+            cluster,
             keys: Vec::new(),
-            made: 0,
+            keys_made: 0,
         }
     }
 
@@ -70,100 +70,100 @@
     }
 
     fn apply(&mut self, step: Step) {
-        let world = &mut self.world;
-        let in_flight = world.wire.len();
-        let started = world.started.len();
-        let slots = world.members.len();
+        let cluster = &mut self.cluster;
+        let in_flight = cluster.wire.len();
+        let started = cluster.started.len();
+        let slots = cluster.members.len();
         match step {
             Step::Deliver(n) | Step::DeliverMore(n) => {
                 if let Some(index) = Self::pick(n, in_flight) {
-                    world.deliver(index);
+                    cluster.deliver(index);
                 }
             }
             Step::DeliverAll => {
                 for _ in 0..in_flight {
-                    world.deliver(0);
+                    cluster.deliver(0);
                 }
             }
             Step::Duplicate(n) => {
                 if let Some(index) = Self::pick(n, in_flight) {
-                    let packet = world.wire[index].clone();
-                    world.arrive(&packet);
+                    let packet = cluster.wire[index].clone();
+                    cluster.arrive(&packet);
                 }
             }
             Step::Lose(n) => {
                 if let Some(index) = Self::pick(n, in_flight) {
-                    world.wire.remove(index);
+                    cluster.wire.remove(index);
                 }
             }
             Step::NewKey(n) => self.new_key(usize::from(n) % slots),
             Step::Resend(n, k) => {
                 if let Some(index) = Self::pick(k, self.keys.len()) {
-                    world.send(usize::from(n) % slots, &self.keys[index]);
+                    cluster.send(usize::from(n) % slots, &self.keys[index]);
                 }
             }
             Step::Finish(n) => {
                 if let Some(index) = Self::pick(n, started) {
-                    world.finish(index);
+                    cluster.finish(index);
                 }
             }
             Step::Run(n) => {
                 if let Some(index) = Self::pick(n, started) {
-                    world.run(index);
+                    cluster.run(index);
                 }
             }
             Step::GiveUp(n) => {
                 if let Some(index) = Self::pick(n, started) {
-                    world.give_up(index);
+                    cluster.give_up(index);
                 }
             }
             Step::Wait | Step::WaitMore => self.wait(Duration::from_millis(200), 1),
-            Step::Suspect => self.wait(FAILOVER_TIMEOUT / 4, 5),
+            Step::FailoverTimeout => self.wait(FAILOVER_TIMEOUT / 4, 5),
             Step::Jump(n) if n < 24 => {
                 let jumps = [FAILOVER_TIMEOUT, START_WINDOW, RETENTION];
                 self.wait(jumps[usize::from(n) % jumps.len()], 1);
             }
             Step::Jump(_) => self.wait(Duration::from_secs(1), 1),
-            Step::Crash(n) if n < 64 => world.crash(usize::from(n) % slots),
+            Step::Crash(n) if n < 64 => cluster.crash(usize::from(n) % slots),
             Step::Boot(n) => {
                 let slot = usize::from(n) % slots;
-                if !world.nodes.contains_key(&slot) {
-                    world.boot(slot);
-                    world.spread_members();
+                if !cluster.nodes.contains_key(&slot) {
+                    cluster.boot(slot);
+                    cluster.announce_members();
                 }
             }
-            Step::Members => world.spread_members(),
+            Step::Members => cluster.announce_members(),
             Step::Stop(n) if n < 24 => {
                 let slot = usize::from(n) % slots;
-                if let Some(member) = world.members.get_mut(&slot) {
+                if let Some(member) = cluster.members.get_mut(&slot) {
                     member.leaving = true;
                 }
-                world.step(slot, Event::Stop);
+                cluster.step(slot, Event::Stop);
             }
             Step::Cut(a, b) if a < 64 => {
-                world
+                cluster
                     .cut
                     .insert((usize::from(a) % slots, usize::from(b) % slots));
             }
             Step::CutControl(n) if n < 32 => {
-                world.control_cut.insert(usize::from(n) % slots);
+                cluster.control_cut.insert(usize::from(n) % slots);
             }
             Step::Heal => {
-                world.cut.clear();
-                world.control_cut.clear();
+                cluster.cut.clear();
+                cluster.control_cut.clear();
             }
-            Step::Sync(n) | Step::SyncMore(n) => world.sync(usize::from(n) % slots),
+            Step::Sync(n) | Step::SyncMore(n) => cluster.sync(usize::from(n) % slots),
             Step::BootFromDisk(n) => {
                 let slot = usize::from(n) % slots;
-                if !world.nodes.contains_key(&slot) {
-                    world.boot_from_disk(slot);
-                    world.spread_members();
+                if !cluster.nodes.contains_key(&slot) {
+                    cluster.boot_from_disk(slot);
+                    cluster.announce_members();
                 }
             }
             Step::Wipe(n) => {
                 let slot = usize::from(n) % slots;
-                if n < 64 && !world.nodes.contains_key(&slot) {
-                    world.wipe(slot);
+                if n < 64 && !cluster.nodes.contains_key(&slot) {
+                    cluster.wipe(slot);
                 }
             }
             Step::Crash(_) | Step::Stop(_) | Step::Cut(..) | Step::CutControl(_) => {}
@@ -171,43 +171,43 @@
     }
 
     fn new_key(&mut self, slot: usize) {
-        let Some(prefix) = self.world.prefix(slot) else {
+        let Some(prefix) = self.cluster.prefix(slot) else {
             return;
         };
-        let key = format!("{prefix}{}", self.made);
-        self.made += 1;
-        if self.keys.len() == KEPT_KEYS {
+        let key = format!("{prefix}{}", self.keys_made);
+        self.keys_made += 1;
+        if self.keys.len() == RESENT_KEYS {
             self.keys.remove(0);
         }
         self.keys.push(key.clone());
-        self.world.send(slot, &key);
+        self.cluster.send(slot, &key);
     }
 
     fn wait(&mut self, time: Duration, times: u32) {
         for _ in 0..times {
-            self.world.now += time;
-            self.world.tick();
+            self.cluster.now += time;
+            self.cluster.tick();
         }
     }
 }
 
 /// Runs every seed; what happened, and the first broken promise with its seed.
-fn run_seeds(guards: Guards, disks: bool) -> (Counts, Option<String>) {
+fn run_seeds(guards: Guards, journal: bool) -> (Counts, Option<String>) {
     let options = Options::default().with_max_len(STEPS * 8);
     let mut total = Counts::default();
     for seed in 0..SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
-        let mut run = Run::new(guards, disks);
+        let mut run = RandomRun::new(guards, journal);
         for _ in 0..STEPS {
             let Some(step) = Step::generate(&mut driver) else {
                 break;
             };
             run.apply(step);
-            if let Some(broken) = run.world.broken {
-                return (total, Some(format!("seed {seed}: {broken}")));
+            if let Some(violation) = run.cluster.violation {
+                return (total, Some(format!("seed {seed}: {violation}")));
             }
         }
-        add(&mut total, &run.world.counts);
+        add(&mut total, &run.cluster.counts);
     }
     (total, None)
 }
@@ -226,9 +226,9 @@
 /// messages come late, twice or not at all. Whatever the order of events, it runs at
 /// most once, and "not run" stays true.
 #[test]
-fn no_order_of_events_breaks_a_promise() {
-    let (counts, broken) = run_seeds(Guards::ALL, false);
-    assert_eq!(broken, None);
+fn no_order_of_events_breaks_a_guarantee() {
+    let (counts, violation) = run_seeds(Guards::ALL, false);
+    assert_eq!(violation, None);
     println!("random run: {counts:?}");
     // The run is worth something only if each of these happened often.
     assert!(counts.started > 2_000, "{counts:?}");
@@ -242,9 +242,9 @@
 /// The same with a data folder at each entry. Processes come back from their journals, or
 /// from none, while their disks are behind.
 #[test]
-fn no_order_of_events_breaks_a_promise_with_disks() {
-    let (counts, broken) = run_seeds(Guards::ALL, true);
-    assert_eq!(broken, None);
+fn no_order_of_events_breaks_a_guarantee_with_disks() {
+    let (counts, violation) = run_seeds(Guards::ALL, true);
+    assert_eq!(violation, None);
     println!("random run with disks: {counts:?}");
     assert!(counts.started > 2_000, "{counts:?}");
     assert!(counts.replayed > 500, "{counts:?}");
@@ -253,9 +253,9 @@
 
 /// The guards that show only in rare orders are left to the exploration.
 #[test]
-fn a_guard_switched_off_is_noticed() {
+fn a_disabled_guard_is_detected() {
     let all = Guards::ALL;
-    let twins = [
+    let variants = [
         (
             "record before start",
             Guards {
@@ -285,11 +285,11 @@
             },
         ),
     ];
-    for (guard, guards) in twins {
-        let (_, broken) = run_seeds(guards, false);
-        println!("without {guard}: {broken:?}");
+    for (guard, guards) in variants {
+        let (_, violation) = run_seeds(guards, false);
+        println!("without {guard}: {violation:?}");
         assert!(
-            broken.is_some(),
+            violation.is_some(),
             "nothing breaks without the guard `{guard}`"
         );
     }
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -14,7 +14,7 @@
     Message {
         from: Slot,
         to: Slot,
-        body: Sealed,
+        body: HashedMessage,
     },
     Claim {
         from: Slot,
@@ -58,34 +58,34 @@
 
 /// A message with an order, by a digest of its own, so that packets can stand in a set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Sealed {
+pub(crate) struct HashedMessage {
     digest: u64,
-    message: Unordered,
+    message: WithoutOrder,
 }
 
 /// Leaves the order to the digest that stands before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Unordered(Message);
+struct WithoutOrder(Message);
 
-impl PartialOrd for Unordered {
+impl PartialOrd for WithoutOrder {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Unordered {
+impl Ord for WithoutOrder {
     fn cmp(&self, _: &Self) -> Ordering {
         Ordering::Equal
     }
 }
 
-impl Sealed {
+impl HashedMessage {
     pub(crate) fn new(message: Message) -> Self {
         let mut hasher = DefaultHasher::new();
         message.hash(&mut hasher);
         Self {
             digest: hasher.finish(),
-            message: Unordered(message),
+            message: WithoutOrder(message),
         }
     }
 
