--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a ledger and what comes out of it.
+//! Input and output of a [`Ledger`](crate::Ledger), and the messages between ledgers.
 
 use std::time::Duration;
 
@@ -8,53 +8,54 @@
 
 use crate::{Generation, HomeId, Key, KeyPrefix, KeyRecord, Op};
 
-/// One pass of a request through the ledger; chosen by the ledger's owner, never reused.
+/// Identifies one request in one ledger; assigned by the ledger's owner and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Digest of what a request is: service, method, path, query and body.
+/// Digest of a request: service, method, path, query and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Digest(pub u128);
 
-/// A running entry, as far as ledgers care.
+/// A running entry, with what a ledger needs of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Its node name.
     pub name: NodeName,
-    /// Drawn at its start.
+    /// Incarnation of its process, drawn at random when it starts.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it is on a planned stop.
+    /// Whether it has begun a planned stop.
     pub leaving: bool,
 }
 
-/// Who holds a home, numbered: each change of holder or backup raises the number.
+/// Numbers the pairs of primary and backup that a home has had: each change of either
+/// raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HomeEpoch(pub u64);
 
 impl HomeEpoch {
-    /// The next higher number.
+    /// The epoch after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// One of a config's two members asks to go on alone. Control gives a home's config to
-/// the first one that asks, and the same answer to everybody who asks later.
+/// Request of one member of an epoch to control, to continue without the other member. The
+/// first claim on an epoch wins; every later claim on it gets the same result.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Claim {
     /// The home.
     pub home: HomeId,
-    /// The config whose other member is silent.
+    /// The epoch whose other member is silent.
     pub epoch: HomeEpoch,
-    /// Incarnation of the member that asks.
+    /// Incarnation of the member that sends the claim.
     pub claimant: Incarnation,
 }
 
@@ -64,9 +65,9 @@
 pub struct ClaimResult {
     /// The home.
     pub home: HomeId,
-    /// The config that ended.
+    /// The epoch that was claimed, and so has ended.
     pub epoch: HomeEpoch,
-    /// Who holds the home from the next config on.
+    /// Incarnation of the primary from the next epoch on.
     pub winner: Incarnation,
 }
 
@@ -74,191 +75,197 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// Records of a home, from its holder to its backup. With no records a heartbeat.
+    /// Operations of a home's log, from its primary to its backup. Without any it is a
+    /// heartbeat.
     Append {
         /// The home.
         home: HomeId,
-        /// The config that the receiver is, or is to become, backup of.
+        /// The epoch that the receiver is, or is to become, the backup of.
         epoch: HomeEpoch,
         /// Incarnation of the sender.
         primary: Incarnation,
-        /// Incarnation of the receiver that the holder means. A restarted receiver has
-        /// lost what its predecessor acknowledged and must not speak for it.
+        /// Incarnation of the receiver that the primary replicates to. A restarted receiver
+        /// has lost the records that its predecessor acknowledged and must not acknowledge
+        /// in its place.
         backup: Incarnation,
-        /// Number of the first record.
+        /// Number of the first operation.
         first: u64,
-        /// The records.
+        /// The operations.
         ops: Vec<Op>,
-        /// Once the receiver has all records before this number it is the backup: no
-        /// key is started any more without its acknowledgement.
+        /// Number of operations after which the receiver is the active backup: once it has
+        /// all operations before this number, no key starts without its acknowledgement.
+        /// `None` until the copy of the older records is complete.
         active_from: Option<u64>,
     },
-    /// The backup has all records before `next`.
+    /// From backup to primary: the backup has all operations before `next`.
     Ack {
         /// The home.
         home: HomeId,
-        /// The config.
+        /// The epoch.
         epoch: HomeEpoch,
-        /// Number of the first record that it doesn't have.
+        /// Number of the first operation that it doesn't have.
         next: u64,
     },
-    /// The backup goes on a planned stop: it acknowledges no more records of the config
-    /// and never claims it, so that the holder may go on without it.
+    /// From backup to primary: the backup begins a planned stop. It acknowledges no more
+    /// operations of the epoch and never claims it, so that the primary may continue
+    /// without it.
     Release {
         /// The home.
         home: HomeId,
-        /// The config.
+        /// The epoch.
         epoch: HomeEpoch,
     },
-    /// Heartbeat to the entries of the failure domain: what the sender holds.
+    /// Heartbeat to the entries of the failure domain, with the homes that the sender is
+    /// primary of.
     HeldHomes {
         /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Homes that it holds, with their configs.
+        /// The homes, with their epochs.
         homes: Vec<(HomeId, HomeEpoch)>,
-        /// The prefix that it hands out.
+        /// The prefix that it hands out, `None` while it issues no new keys.
         prefix: Option<KeyPrefix>,
     },
-    /// A request that ran at the sender has an outcome, but its home has moved on.
+    /// To the current primary: outcome of a request that ran at the sender after the home
+    /// had moved to another entry.
     Outcome {
         /// The home.
         home: HomeId,
-        /// The record of the key.
+        /// The record of the key, with the outcome.
         record: KeyRecord,
     },
-    /// [`Message::Outcome`] is on record.
+    /// Confirms that the outcome in a [`Message::Outcome`] is on record.
     OutcomeRecorded {
         /// The home.
         home: HomeId,
-        /// Period of the key.
+        /// Generation of the key.
         generation: Generation,
-        /// The key, its prefix left out.
+        /// The key without its prefix.
         suffix: Box<str>,
     },
-    /// To control.
+    /// From an entry to control.
     Claim(Claim),
-    /// From control.
+    /// Control's answer to a [`Message::Claim`].
     ClaimResult(ClaimResult),
 }
 
-/// What happened.
+/// What a ledger is to process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed. Sent at least every quarter heartbeat.
     Tick,
-    /// The entries known to be live, this one included or not.
+    /// The live entries; whether this one is among them doesn't matter.
     Members(Vec<Member>),
-    /// A request with a key asks for leave to run.
+    /// A request with a key asks whether it may run.
     Begin {
-        /// Comes back in [`Action::Decide`].
+        /// Returned in [`Action::Decide`].
         token: Token,
-        /// Its key.
+        /// Its idempotency key.
         key: Key,
-        /// What the request is.
+        /// Its digest.
         digest: Digest,
-        /// When its caller gives up.
+        /// When its caller stops waiting.
         deadline: Moment,
-        /// How many entries have passed it on before it came here.
+        /// How many entries have forwarded it before this one.
         hops: u8,
-        /// The entry that an earlier [`Decision::Forward`] of the request named, if it
+        /// The entry that an earlier [`Decision::Forward`] for the request named, if it
         /// couldn't be reached.
         failed: Option<NodeName>,
     },
-    /// The caller of a pass that waits is gone.
+    /// The caller of a request that waits for its decision is gone.
     Cancel {
-        /// The pass.
+        /// The request.
         token: Token,
     },
-    /// A started request has its whole answer.
+    /// The whole answer to a started request has arrived.
     Finished {
-        /// The pass that was started.
+        /// The started request.
         token: Token,
-        /// The answer, opaque here; `None` if it is too large to be kept.
+        /// The answer, opaque to the ledger; `None` if it is too large to be stored.
         answer: Option<Bytes>,
     },
-    /// A started request was handed to an endpoint and its outcome is not known.
+    /// A started request was handed to an endpoint, and its outcome isn't known.
     Unknown {
-        /// The pass that was started.
+        /// The started request.
         token: Token,
     },
-    /// No byte of a started request went to any endpoint, and none will.
+    /// No byte of a started request was sent to any endpoint, and none will be.
     NotRun {
-        /// The pass that was started.
+        /// The started request.
         token: Token,
         /// Why.
         code: ResultCode,
     },
-    /// A message of another entry, or of control.
+    /// A message from another entry or from control.
     Received {
-        /// Who sent it.
+        /// The sender.
         from: NodeName,
         /// The message.
         message: Message,
     },
-    /// The [`Action::Sync`] of this home with this number, and all before it, are synced.
+    /// The [`Action::Sync`] of this home with this number, and all before it, are on disk.
     Synced {
         /// The home.
         home: HomeId,
         /// Its number.
         number: u64,
     },
-    /// This entry starts its planned stop: it hands over its homes.
+    /// This entry begins its planned stop and hands over its homes.
     Stop,
 }
 
-/// Whether, and how, a request goes on.
+/// What is to be done with a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// It may run, once; report how it ended with the same pass.
+    /// It may run, once; its owner reports the end with the same token.
     Start,
-    /// It has run; this is its answer.
+    /// It has run before; this is its answer.
     Replay(Bytes),
-    /// It doesn't go on.
+    /// It is rejected.
     Refuse {
-        /// Why. The code's meaning holds for every send of the key, past and future: a
-        /// key that was told "not run" never runs.
+        /// The reason. The meaning of the code holds for every send of the key, past and
+        /// future: after a "not run" the key never runs.
         code: ResultCode,
-        /// When a resend may bring more.
+        /// Time after which a resend may be answered otherwise.
         retry_after: Duration,
     },
-    /// Another entry decides.
+    /// Another entry decides about it.
     Forward {
         /// Its name.
         entry: NodeName,
     },
 }
 
-/// What to do next.
+/// What the owner of a ledger is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Answer to [`Event::Begin`]; exactly one for each pass that isn't cancelled.
+    /// Answers [`Event::Begin`]; exactly one for each request that isn't cancelled.
     Decide {
-        /// The pass.
+        /// The request.
         token: Token,
-        /// How it goes on.
+        /// The decision.
         decision: Decision,
     },
-    /// Send a message to another entry; it may be lost.
+    /// Send a message to another entry. It may get lost.
     Send {
-        /// To whom.
+        /// Name of the receiver.
         to: NodeName,
         /// The message.
         message: Message,
     },
-    /// Write to the home's journal in the data folder and sync, in this order, then
-    /// report [`Event::Synced`].
+    /// Append to the journal of the home in the data folder and sync it, in the order of
+    /// these actions, then report [`Event::Synced`].
     Sync {
         /// The home.
         home: HomeId,
-        /// Number to report back.
+        /// Number to report back in [`Event::Synced`].
         number: u64,
-        /// What to append.
+        /// The operations to append.
         ops: Vec<Op>,
-        /// Whether it replaces all that was written before.
+        /// Whether they replace everything written before.
         rewrite: bool,
-        /// Whether the journal is to be removed instead.
+        /// Whether the journal is to be deleted instead.
         retire: bool,
     },
-    /// Send a claim to control. It is repeated until its verdict has come.
+    /// Send a claim to control. The ledger repeats it until the result has arrived.
     Claim(Claim),
 }
--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -1,4 +1,4 @@
-//! What the backup of a home does.
+//! The backup of a home.
 
 use filberthead_types::{Incarnation, Moment, NodeName};
 
@@ -6,21 +6,21 @@
 use crate::primary::Cx;
 use crate::{Action, Claim, HomeEpoch, Member, Message, Op};
 
-/// State of a backup besides the records.
+/// State of a backup, without the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Backup {
     pub(crate) primary: NodeName,
     pub(crate) primary_incarnation: Incarnation,
-    /// Number of the first step that isn't here.
+    /// Number of the first operation that it doesn't have.
     next: u64,
     active: bool,
-    /// When the holder was heard last.
+    /// When the last message from the primary arrived.
     pub(crate) last_seen: Moment,
-    /// When control was last asked to let this entry go on alone.
+    /// When the last claim was sent; `None` if it never sent one in this epoch.
     pub(crate) claimed: Option<Moment>,
 }
 
-/// A message of a home's holder, its home and config left out.
+/// A [`Message::Append`] without home, epoch and receiver.
 pub(crate) struct Append {
     pub(crate) primary: Incarnation,
     pub(crate) first: u64,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether every key that the holder may start is on record here first.
+    /// Whether no key starts before its record is here.
     pub(crate) fn is_active(&self) -> bool {
         self.active
     }
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Takes in the steps of a message that fit, and acknowledges all that are here.
+    /// Applies the operations that follow the ones it has, and acknowledges everything up
+    /// to them.
     pub(crate) fn append(&mut self, cx: &mut Cx<'_>, from: &NodeName, append: Append) {
         let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
@@ -62,7 +63,7 @@
         };
         backup.last_seen = cx.now;
         let Some(skip) = backup.next.checked_sub(append.first) else {
-            // A gap: what is missing comes again.
+            // A gap: the primary sends the missing operations again.
             return;
         };
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
@@ -82,7 +83,8 @@
         }
     }
 
-    /// What happens without the check of configs, for the guard switch only.
+    /// Applies operations without checking their epoch. Used only where the guard
+    /// `check_epoch` is off.
     pub(crate) fn append_unchecked(
         &mut self,
         cx: &mut Cx<'_>,
@@ -108,15 +110,16 @@
         cx.send(to, message);
     }
 
-    /// Asks control to let this entry hold the home, again and again: a claim on its way
-    /// may win, so only its verdict ends it.
+    /// Sends a claim to become primary, and repeats it: a claim in flight may win, so only
+    /// its result ends it.
     pub(crate) fn claim_as_backup(&mut self, cx: &mut Cx<'_>, silent: bool) {
         let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
             return;
         };
-        // Failure: the holder dies while its records are being copied; the half copy
-        // takes over, misses a key that ran, and runs it again.
+        // Guards against an incomplete copy: if the primary died while its records are
+        // being copied and this entry took over, it would miss a key that ran, and run it
+        // again.
         if !backup.active && cx.cfg.guards.complete_before_claim {
             return;
         }
@@ -135,13 +138,13 @@
         cx.out.push(Action::Claim(claim));
     }
 
-    /// Leaves the config on a planned stop, if the holder still counts on this entry.
+    /// Leaves the epoch on a planned stop, unless this entry has claimed the home.
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>) {
         let Role::Backup(backup) = &self.role else {
             return;
         };
         if backup.claimed.is_some() {
-            // A claim on its way may win, and nobody would hold the home then.
+            // A claim in flight may win, and then the home would have no primary.
             return;
         }
         let primary = Member {
--- a/crates/ledger/src/claim_results.rs
+++ b/crates/ledger/src/claim_results.rs
@@ -1,9 +1,10 @@
-//! Control's part: who goes on when the two members of a config lose each other.
+//! Results of claims, decided by control: which member of an epoch continues when primary
+//! and backup can't reach each other.
 //!
-//! The state machine is applied from the replicated log, so every replica comes to the
-//! same verdicts. A verdict is never changed, and kept far longer than any member that
-//! slept through it may come back: a member whose claim came after the verdict was
-//! dropped would win as well.
+//! The state is changed by entries of the replicated log, so every replica has the same
+//! results. A result never changes, and is kept far longer than a suspended member may take
+//! to resume: if it were dropped before that member's claim arrived, that member would win
+//! as well.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +13,20 @@
 
 use crate::{Claim, ClaimResult, HomeEpoch};
 
-/// Verdicts that are kept. There is one for each entry that fails without a planned stop
-/// and each home that it was holder or backup of, so a hundred days of a hundred such
-/// failures a day are on record. At 24 bytes each they take a snapshot's 240 KB.
+/// Results that are kept. There is one for each home whose primary or backup fails without
+/// a planned stop, which covers a hundred days of a hundred such failures a day. At 24
+/// bytes each they take 240 KB of a snapshot.
 pub const MAX_CLAIM_RESULTS: usize = 10_000;
 
-/// The config that a verdict is on. The founder's incarnation is random, so it needs no
-/// failure domain beside it.
+/// The claimed epoch. The creator's incarnation is random and identifies it without its
+/// failure domain.
 type Key = (Incarnation, u32, HomeEpoch);
 
-/// The newest verdicts.
+/// The newest results of claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimResults {
-    /// Winners, with the number of the verdict.
+    /// Winners, with the number of the result, to drop the oldest first.
     winners: BTreeMap<Key, (u64, Incarnation)>,
     next: u64,
 }
@@ -35,13 +36,14 @@
 }
 
 impl ClaimResults {
-    /// The verdict on a config if there is one; a claim on it needs no log entry.
+    /// The result of earlier claims on the same epoch, if there is one; then no log entry
+    /// is needed.
     pub fn get(&self, claim: &Claim) -> Option<ClaimResult> {
         let (_, winner) = *self.winners.get(&key(claim))?;
         Some(result(claim, winner))
     }
 
-    /// Applies a claim from the log: the first one on a config wins it.
+    /// Applies a claim from the log: the first one on an epoch wins.
     pub fn apply(&mut self, claim: &Claim) -> ClaimResult {
         if let Some(result) = self.get(claim) {
             return result;
@@ -61,12 +63,12 @@
         }
     }
 
-    /// How many verdicts are kept.
+    /// Number of stored results.
     pub fn len(&self) -> usize {
         self.winners.len()
     }
 
-    /// Whether there is none yet.
+    /// Whether no claim was applied yet.
     pub fn is_empty(&self) -> bool {
         self.winners.is_empty()
     }
--- a/crates/ledger/src/config.rs
+++ b/crates/ledger/src/config.rs
@@ -2,29 +2,29 @@
 
 use std::time::Duration;
 
-/// Guards that the ledger's promises rest on. A test switches one off to show that its
-/// checks notice; nothing else may.
+/// Safety checks of the ledger. A test disables one to show that its own checks detect the
+/// consequences; nothing else may.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// A start is given out only once the backup has recorded it.
+    /// A request may run only once the backup has recorded its start.
     pub record_before_start: bool,
-    /// Records of another config of a home than the one in force are dropped.
+    /// Operations of another epoch of a home than its current one are dropped.
     pub check_epoch: bool,
-    /// A copy claims its home only once it is complete.
+    /// A backup claims its home only once its copy is complete.
     pub complete_before_claim: bool,
-    /// A journal is given up before a first backup counts.
+    /// The journal of a home is deleted before its first backup becomes active.
     pub retire_journal_before_backup: bool,
-    /// A restarted backup doesn't go on where its predecessor was.
+    /// A restarted backup doesn't continue the log of its predecessor.
     pub check_backup_incarnation: bool,
-    /// A key told "not run" stays closed.
+    /// A key refused as "not run" stays closed.
     pub close_refused: bool,
-    /// Keys older than the home's records are never started.
+    /// Keys of generations whose records may be dropped are never started.
     pub check_watermarks: bool,
 }
 
 impl Guards {
-    /// Every guard in place.
+    /// All guards enabled.
     pub const ALL: Self = Self {
         record_before_start: true,
         check_epoch: true,
@@ -62,7 +62,7 @@
 }
 
 impl Config {
-    /// Starts from the defaults that each method names.
+    /// A builder with the defaults that each method names.
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             cfg: Self {
@@ -86,16 +86,17 @@
 }
 
 impl ConfigBuilder {
-    /// Keys on record at most in the homes held here; as many again may be kept as backup
-    /// for each other entry of the failure domain. Default 100,000.
+    /// Most keys on record in the homes that this entry is primary of; as many again may be
+    /// stored as backup of each other entry of the failure domain. Default 100,000.
     #[must_use]
     pub fn max_keys(mut self, keys: usize) -> Self {
         self.cfg.max_keys = keys;
         self
     }
 
-    /// Bytes of stored answers at most; a running key counts with the largest answer
-    /// that may be stored, so that a started key never lacks room. Default 64 MiB.
+    /// Most bytes of stored answers. A running key counts with the largest answer that may
+    /// be stored, so that there is always space for the answer of a started key. Default 64
+    /// MiB.
     #[must_use]
     pub fn max_bytes(mut self, bytes: usize) -> Self {
         self.cfg.max_bytes = bytes;
@@ -109,7 +110,7 @@
         self
     }
 
-    /// Resends that wait for one running key at most; further ones are told at once that
+    /// Most resends that wait for one running key; further ones are answered at once that
     /// it is still running. Default 8.
     #[must_use]
     pub fn max_waiters(mut self, waiters: usize) -> Self {
@@ -117,15 +118,15 @@
         self
     }
 
-    /// Refused keys that are remembered one by one; above that the home closes all keys
-    /// of its prefix at once and hands out the next one. Default 10,000.
+    /// Most refused keys with a record each; above that the home closes all keys of its
+    /// prefix at once and issues the next prefix. Default 10,000.
     #[must_use]
     pub fn max_closed(mut self, keys: usize) -> Self {
         self.cfg.max_closed = keys;
         self
     }
 
-    /// How long a key is kept at least after the last moment at which it could start.
+    /// Least time that a key stays on record after the last moment at which it could start.
     /// Default 24 h.
     #[must_use]
     pub fn retention(mut self, retention: Duration) -> Self {
@@ -133,51 +134,52 @@
         self
     }
 
-    /// How long keys of a prefix may still start after the next one is handed out. Must
-    /// be longer than callers cache a look-up's answer. Default 10 min.
+    /// How long keys of a prefix may still start after the next prefix is issued. Must be
+    /// longer than callers cache a look-up. Default 10 min.
     #[must_use]
     pub fn start_window(mut self, window: Duration) -> Self {
         self.cfg.start_window = window;
         self
     }
 
-    /// How long one prefix is handed out. Default 1 h.
+    /// How long a prefix is handed out before the next one is issued. Default 1 h.
     #[must_use]
     pub fn generation_period(mut self, period: Duration) -> Self {
         self.cfg.generation_period = period;
         self
     }
 
-    /// Time between messages to other entries when there is nothing to say.
-    /// Default 500 ms.
+    /// Interval of messages to other entries when there is nothing else to send. Default
+    /// 500 ms.
     #[must_use]
     pub fn heartbeat(mut self, period: Duration) -> Self {
         self.cfg.heartbeat = period;
         self
     }
 
-    /// Time after which what isn't acknowledged is sent again. Default 100 ms.
+    /// Time after which an unacknowledged operation is sent again. Default 100 ms.
     #[must_use]
     pub fn resend_after(mut self, period: Duration) -> Self {
         self.cfg.resend_after = period;
         self
     }
 
-    /// Silence after which a holder or backup claims the home for itself. Default 2 s.
+    /// How long a primary or backup must be silent before the other one claims the home.
+    /// Default 2 s.
     #[must_use]
     pub fn failover_timeout(mut self, silence: Duration) -> Self {
         self.cfg.failover_timeout = silence;
         self
     }
 
-    /// Most bytes of records in one message. Default 256 KiB.
+    /// Most bytes of operations in one message. Default 256 KiB.
     #[must_use]
     pub fn max_batch_bytes(mut self, bytes: usize) -> Self {
         self.cfg.max_batch_bytes = bytes;
         self
     }
 
-    /// Whether homes without a backup are kept in a data folder, by
+    /// Whether homes without a backup are stored in a data folder, by
     /// [`Action::Sync`](crate::Action::Sync). Default no.
     #[must_use]
     pub fn journal(mut self, journal: bool) -> Self {
@@ -185,7 +187,7 @@
         self
     }
 
-    /// Switches guards off, in tests of the checks themselves.
+    /// Sets the enabled guards, in tests of the checks themselves.
     #[doc(hidden)]
     #[must_use]
     pub fn guards(mut self, guards: Guards) -> Self {
@@ -193,7 +195,7 @@
         self
     }
 
-    /// The finished settings.
+    /// The finished configuration.
     pub fn build(self) -> Config {
         self.cfg
     }
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -1,4 +1,4 @@
-//! The records of one home, without any decision about who may start a key.
+//! The records of one home. Which keys may start is decided in [`crate::primary`].
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use crate::{Digest, Generation, HomeEpoch, KeyRecord, Op, Stage, Token, Watermarks};
 use filberthead_types::{Incarnation, Moment};
 
-/// A home as one entry knows it.
+/// State of a home at one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Home {
-    /// Newest config that this entry knows of.
+    /// Newest epoch that this entry has seen.
     pub(crate) epoch: HomeEpoch,
     pub(crate) role: Role,
     pub(crate) watermarks: Watermarks,
@@ -18,32 +18,33 @@
     generations: BTreeMap<Generation, GenerationRecords>,
 }
 
-/// What this entry is to a home.
+/// Role of this entry for a home.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
-    /// Decides on each key.
+    /// Decides which keys start.
     Primary(Box<Primary>),
-    /// Copies what the holder records.
+    /// Stores a copy of the primary's records.
     Backup(Backup),
-    /// Was one of both. Its records are still true, but others may know more.
+    /// Was primary or backup before. Its final records are still valid, but other entries
+    /// may have newer ones.
     Former {
-        /// Who held the home last, as far as known.
+        /// The last known primary, `None` if this entry doesn't know of any.
         primary: Option<Incarnation>,
-        /// Since when.
+        /// When this entry got this role.
         since: Moment,
     },
 }
 
-/// How much a home keeps.
+/// Sizes of a home's records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Usage {
     /// Keys on record.
     pub(crate) keys: usize,
     /// Bytes of stored answers.
     pub(crate) stored: usize,
-    /// Keys that a pass of this entry runs or waits to start.
+    /// Keys that a request at this entry runs or waits to start.
     pub(crate) active: usize,
-    /// Keys that were refused one by one.
+    /// Keys that were refused with a record each.
     pub(crate) closed: usize,
 }
 
@@ -53,21 +54,21 @@
     active: usize,
 }
 
-/// What is known of one key.
+/// Record of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Record {
     pub(crate) digest: Digest,
     pub(crate) stage: Stage,
-    /// Set while a pass of this entry runs the key or waits to start it.
+    /// Set while a request at this entry runs the key or waits to start it.
     pub(crate) run: Option<Box<Run>>,
 }
 
-/// Passes of this entry that are concerned with a started key.
+/// Requests at this entry for a started key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Run {
-    /// The pass that was told to start.
+    /// The request that was allowed to run.
     pub(crate) granted: Option<Token>,
-    /// Passes that wait, the oldest first; some may have given up since.
+    /// Requests that wait, the oldest first; some may have been cancelled since.
     pub(crate) waiters: Vec<Token>,
 }
 
@@ -91,8 +92,8 @@
         period.records.get_mut(suffix)?.run.as_deref_mut()
     }
 
-    /// Takes in a record. What is final stays, so records may come late, twice and in
-    /// any order.
+    /// Stores a record. A final state is never replaced, so records may arrive late, twice
+    /// and in any order.
     pub(crate) fn put(&mut self, new: KeyRecord) {
         let period = self.generations.entry(new.generation).or_default();
         match period.records.get_mut(&new.suffix) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Marks a key on record as one that passes of this entry are concerned with.
+    /// Adds a run to a key that is on record, with the request that is to start it.
     pub(crate) fn start_run(&mut self, generation: Generation, suffix: &str, token: Token) {
         let Some(period) = self.generations.get_mut(&generation) else {
             return;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Ends what [`Home::start_run`] began and gives back the passes.
+    /// Removes the run that [`Home::start_run`] added and returns it.
     pub(crate) fn end_run(&mut self, generation: Generation, suffix: &str) -> Option<Run> {
         let period = self.generations.get_mut(&generation)?;
         let run = period.records.get_mut(suffix)?.run.take()?;
@@ -142,7 +143,7 @@
         Some(*run)
     }
 
-    /// Keys with passes of this entry.
+    /// Keys that have a run at this entry.
     pub(crate) fn active_keys(&self) -> Vec<(Generation, Box<str>)> {
         let active = self
             .generations
@@ -156,7 +157,7 @@
             .collect()
     }
 
-    /// The lowest period in which a key has passes of this entry.
+    /// The lowest generation in which a key has a run at this entry.
     pub(crate) fn lowest_active(&self) -> Option<Generation> {
         let mut generations = self.generations.iter();
         generations
@@ -164,14 +165,15 @@
             .map(|(g, _)| *g)
     }
 
-    /// Raises marks and drops what they make needless.
+    /// Raises the watermarks and drops the records that they make unnecessary.
     pub(crate) fn raise_watermarks(&mut self, watermarks: Watermarks) {
         self.watermarks = self.watermarks.max(watermarks);
         self.drop_expired();
         self.drop_closed();
     }
 
-    /// Below the floor nothing starts whether it is on record or not.
+    /// Drops the generations below `retained_from`: their keys never start, on record or
+    /// not.
     fn drop_expired(&mut self) {
         let retained_from = self.watermarks.retained_from;
         while let Some(entry) = self.generations.first_entry() {
@@ -186,7 +188,8 @@
         }
     }
 
-    /// Where unknown keys are refused as "not run" anyway, a refused key needs no record.
+    /// Drops refused keys below `open_from`: there, keys without a record are refused as
+    /// "not run" anyway.
     fn drop_closed(&mut self) {
         if self.usage.closed == 0 {
             return;
@@ -203,7 +206,7 @@
         }
     }
 
-    /// All that a journal written anew has to hold.
+    /// The operations that a rewritten journal has to contain.
     pub(crate) fn snapshot(&self) -> Vec<Op> {
         let mut ops = vec![Op::Epoch(self.epoch), Op::Watermarks(self.watermarks)];
         let mut cursor = None;
@@ -214,7 +217,7 @@
         ops
     }
 
-    /// The record after `cursor` in the order of periods and keys, to be copied.
+    /// The record after `cursor` in the order of generations and keys.
     pub(crate) fn next_after(&self, cursor: Option<&(Generation, Box<str>)>) -> Option<KeyRecord> {
         use std::ops::Bound::{Excluded, Unbounded};
         let first = cursor.map_or(Generation(0), |(generation, _)| *generation);
@@ -235,7 +238,7 @@
             })
     }
 
-    /// Forgets a key, for the guard switch only.
+    /// Removes a key. Used only where the guard `close_refused` is off.
     pub(crate) fn remove(&mut self, generation: Generation, suffix: &str) {
         let Some(period) = self.generations.get_mut(&generation) else {
             return;
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Applies a step of the holder's log; whether it hands the home over.
+    /// Applies an operation of the primary's log; returns whether it hands the home over.
     pub(crate) fn apply(&mut self, op: Op) -> bool {
         match op {
             Op::Put(record) => self.put(record),
@@ -258,13 +261,13 @@
 }
 
 impl Usage {
-    /// Adds a stage that is new to a key.
+    /// Adds the state that a key changes to.
     fn add(&mut self, stage: &Stage) {
         self.stored += stage.stored_len();
         self.closed += usize::from(matches!(stage, Stage::Closed(_)));
     }
 
-    /// Takes off a key that is dropped.
+    /// Subtracts a key whose record is dropped.
     fn remove(&mut self, stage: &Stage) {
         self.keys -= 1;
         self.stored -= stage.stored_len();
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,35 +1,36 @@
-//! What a home without a backup asks to be synced to the data folder.
+//! Journal of a home without a backup, synced to the data folder.
 //!
-//! A home whose failure domain has one entry only has its records here alone. With a data
-//! folder a start waits until it is synced, so a process that finds the journal of its
-//! predecessor knows every key that ever started, and may hold the home in its place.
-//! That is safe because nobody else ever was a member: the journal is given up, on disk,
-//! before a first backup counts.
+//! If a failure domain has only one entry, nobody else stores the records of its homes.
+//! With a data folder a key starts only after its start is synced, so a process that finds
+//! the journal of its predecessor has every key that ever started and may be primary in its
+//! place. That is safe because no other entry was ever a member: the journal is deleted
+//! from disk before a first backup becomes active.
 
 use crate::Op;
 
-/// Bytes that a journal may grow by before it is written anew.
+/// Bytes that a journal may grow by, beyond twice its live records, before it is rewritten.
 const SLACK: usize = 1024 * 1024;
 
-/// The journal of one home.
+/// Journal of one home.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Journal {
-    /// Steps that weren't handed out yet.
+    /// Operations that were not returned by [`Journal::write`] yet.
     pending: Vec<Op>,
-    /// Whether the pending steps replace all before them.
+    /// Whether the pending operations replace everything before them.
     rewrite: bool,
-    /// Number of the next step.
+    /// Number of the next operation.
     next: u64,
-    /// Steps before this one are synced.
+    /// Operations before this number are synced.
     synced: u64,
-    /// Bytes since the journal was written anew.
+    /// Bytes appended since the journal was last rewritten.
     appended_bytes: usize,
-    /// Number of the step that gives the journal up, once asked for.
+    /// Number under which the deletion of the journal is to be confirmed, once it was
+    /// requested.
     retires_at: Option<u64>,
     retire_sent: bool,
 }
 
-/// What to write next.
+/// One write to the disk.
 #[derive(Debug)]
 pub(crate) struct Write {
     /// Number to report when all of it is synced.
@@ -40,11 +41,13 @@
 }
 
 impl Journal {
-    /// Adds a step; the number that must be synced before anything follows from it.
+    /// Adds an operation. Returns the number that must be synced before its effects may
+    /// become visible.
     pub(crate) fn push(&mut self, op: Op) -> u64 {
         if let Some(number) = self.retires_at {
-            // Failure: a key starts without a record in a journal that is still on disk;
-            // the process dies, and its successor takes up the home without that key.
+            // Guards against a lost start: if a key started without a record while the
+            // journal is still on disk and the process died, its successor would recover
+            // the home without that key.
             return number;
         }
         self.appended_bytes += op.len();
@@ -53,7 +56,7 @@
         self.next - 1
     }
 
-    /// Replaces all steps so far by these.
+    /// Replaces all operations so far by `ops`.
     pub(crate) fn rewrite(&mut self, ops: Vec<Op>) {
         self.pending = ops;
         self.rewrite = true;
@@ -61,7 +64,7 @@
         self.next += 1;
     }
 
-    /// Whether it has grown by more than `live` bytes of records explain.
+    /// Whether it has grown far beyond its live records, which take about `live` bytes.
     pub(crate) fn needs_compaction(&self, live: usize) -> bool {
         self.appended_bytes > SLACK + 2 * live
     }
@@ -70,7 +73,7 @@
         number < self.synced
     }
 
-    /// Whether nothing is on its way to the disk.
+    /// Whether everything added so far is synced.
     pub(crate) fn is_fully_synced(&self) -> bool {
         self.synced == self.next
     }
@@ -79,7 +82,8 @@
         self.synced = self.synced.max(number + 1);
     }
 
-    /// Gives the journal up; whether that is on disk already.
+    /// Requests the deletion of the journal; returns whether the deletion is on disk
+    /// already.
     pub(crate) fn retire(&mut self) -> bool {
         match self.retires_at {
             Some(number) => self.is_synced(number),
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Whether no further step is taken.
+    /// Whether its deletion was requested, so that it accepts no more operations.
     pub(crate) fn is_retiring(&self) -> bool {
         self.retires_at.is_some()
     }
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -1,10 +1,10 @@
-//! Idempotency keys and the ledgers they name.
+//! Idempotency keys and the homes that they belong to.
 //!
-//! A key is `DOMAIN:FOUNDER.SERIAL:GENERATION:REST`. Everything up to the last colon is
-//! the prefix that a look-up hands out; the caller adds the rest. The prefix is what
-//! makes a key safe to refuse: it names the one home that may start the key, by an
-//! identity that no other process ever has, and the time, counted by that home, at which
-//! the key can first have been made.
+//! A key is `DOMAIN:FOUNDER.SERIAL:GENERATION:SUFFIX`. Everything up to the last colon is
+//! the prefix that a look-up returns; the caller adds the suffix. The prefix is what makes
+//! a key safe to refuse: it names the one home that may start the key, by an identity that
+//! no other process ever has, and the generation of that home in which the key can first
+//! have been made.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,21 +13,21 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu, ensure};
 
-/// Longest part that a caller may add to a prefix, in bytes.
+/// Longest suffix that a caller may add to a prefix, in bytes.
 pub const MAX_SUFFIX_LEN: usize = 96;
 
-/// Identity of a home: a set of keys that one holder at a time may start.
+/// Identity of a home: a set of keys that one primary at a time may start.
 ///
-/// An entry founds homes under its own incarnation, so a home needs no permission to
-/// come into being, and no later process can take itself for it.
+/// An entry creates homes under its own incarnation, so it needs nobody's permission to do
+/// so, and no later process can mistake itself for their creator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct HomeId {
-    /// Failure domain of the founder.
+    /// Failure domain of the entry that created the home.
     pub failure_domain: FailureDomain,
-    /// Incarnation of the entry that founded the home.
+    /// Incarnation of the entry that created the home.
     pub founder: Incarnation,
-    /// Tells apart the homes that one entry has founded.
+    /// Counts the homes that the same process has created.
     pub serial: u32,
 }
 
@@ -38,27 +38,27 @@
     }
 }
 
-/// Number of a period of a home, in which it handed out one prefix. Only goes up.
+/// Numbers the prefixes that a home has issued, one after the other. Only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Generation(pub u32);
 
 impl Generation {
-    /// The next higher number.
+    /// The generation after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// What a caller puts before its own part of an idempotency key.
+/// The part of an idempotency key that a look-up returns; the caller appends its suffix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyPrefix {
     /// The home.
     pub home: HomeId,
-    /// Its period.
+    /// Its generation.
     pub generation: Generation,
 }
 
@@ -68,14 +68,14 @@
     }
 }
 
-/// Why a text is no idempotency key of this system.
+/// Why a text is not an idempotency key of this system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum ParseKeyError {
-    /// No prefix stands before the caller's part.
+    /// There is no valid prefix before the suffix.
     #[snafu(display("the key doesn't begin with a prefix from a look-up"))]
     Prefix,
-    /// The caller's part is empty, too long or has other bytes than visible ASCII.
+    /// The suffix is empty, too long or contains bytes other than visible ASCII.
     #[snafu(display(
         "the part after the prefix must be 1 to {MAX_SUFFIX_LEN} visible ASCII bytes"
     ))]
@@ -85,9 +85,9 @@
 /// A whole idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The prefix that a look-up gave.
+    /// The prefix from a look-up.
     pub prefix: KeyPrefix,
-    /// What the caller added.
+    /// The part that the caller added.
     pub suffix: Box<str>,
 }
 
@@ -132,8 +132,8 @@
     })
 }
 
-/// Accepts only the one way in which [`KeyPrefix`] writes a number: were `0a` read as
-/// `a`, two texts would be one key here and two keys to whoever compares texts.
+/// Accepts only the form in which [`KeyPrefix`] writes a number: if `0a` were accepted for
+/// `a`, two texts would be one key here and two keys to code that compares texts.
 fn parse_hex(text: &str) -> Option<u64> {
     let number = u64::from_str_radix(text, 16).ok()?;
     (format!("{number:x}") == text).then_some(number)
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The step function: takes events apart and hands them to the homes concerned.
+//! The step function: passes events on to the homes concerned.
 
 use std::collections::BTreeMap;
 
@@ -15,23 +15,23 @@
     Token,
 };
 
-/// The at-most-once ledger of one entry.
+/// At-most-once ledger of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub(crate) cfg: Config,
     pub(crate) me: Member,
     pub(crate) homes: BTreeMap<HomeId, Home>,
-    /// The home whose prefix is handed out.
+    /// The home whose prefix is handed out, `None` before the first one is created.
     pub(crate) own: Option<HomeId>,
     pub(crate) next_serial: u32,
-    /// The other live entries, `None` until they are first told.
+    /// The other live entries, `None` until the first [`Event::Members`].
     pub(crate) members: Option<Vec<Member>>,
-    /// What entries of the failure domain said last.
+    /// The last heartbeat of each entry of the failure domain.
     pub(crate) peers: BTreeMap<NodeName, Peer>,
-    /// Entries that requests couldn't be passed on to, and until when they are avoided.
+    /// Entries that requests couldn't be forwarded to, and until when they are avoided.
     pub(crate) unreachable: BTreeMap<NodeName, Moment>,
     pub(crate) requests: Requests,
-    /// Requests that wait for a holder, by home.
+    /// Requests that wait for a primary, by home.
     pub(crate) parked: BTreeMap<HomeId, Vec<Parked>>,
     pub(crate) outcomes: Outcomes,
     pub(crate) stopping: bool,
@@ -41,7 +41,7 @@
     pub(crate) out: Vec<Action>,
 }
 
-/// Another entry's newest [`Message::HeldHomes`].
+/// Newest [`Message::HeldHomes`](crate::Message::HeldHomes) of another entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub(crate) incarnation: Incarnation,
@@ -49,20 +49,20 @@
     pub(crate) prefix: Option<KeyPrefix>,
 }
 
-/// Whether another key may be recorded.
+/// Whether there is space for the record of another key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Capacity {
-    /// Yes.
+    /// There is.
     Free,
-    /// Not while so many run.
+    /// Not until some of the running keys end.
     Busy,
-    /// Not before records expire.
+    /// Not until records expire.
     Full,
 }
 
 impl Ledger {
-    /// A ledger without any record. `me` must carry an incarnation that no process ever
-    /// had: the homes founded here rest on it.
+    /// A ledger without any records. `me` must have an incarnation that no other process
+    /// ever had, since the identity of the homes created here depends on it.
     pub fn new(now: Moment, cfg: Config, me: Member) -> Self {
         Self {
             cfg,
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Takes up a home from a journal in this process's data folder: all steps that were
-    /// synced, in their order. No other process may use that folder.
+    /// Recovers a home from a journal in the data folder of this process: all operations
+    /// that were synced, in order. No other process may use that folder.
     pub fn recover(&mut self, now: Moment, home: HomeId, ops: Vec<Op>) {
         self.homes.insert(home, Home::recover(now, ops));
     }
 
-    /// Takes in what happened at `now` and tells what to do, in that order.
+    /// Processes an event at `now` and returns what to do, in that order.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -126,8 +126,8 @@
         std::mem::take(&mut self.out)
     }
 
-    /// The prefix that look-ups hand out now; that of another entry of the failure domain
-    /// while this one takes no new keys.
+    /// The prefix that look-ups hand out now: that of this entry, or of another entry of
+    /// the failure domain while this one issues no new keys.
     pub fn prefix(&self) -> Option<KeyPrefix> {
         let own = self.own_prefix();
         own.or_else(|| self.peers.values().find_map(|peer| peer.prefix.clone()))
@@ -147,8 +147,8 @@
         })
     }
 
-    /// Whether a planned stop may go on: nothing runs here and every home that another
-    /// entry can hold is held there.
+    /// Whether a planned stop may continue: nothing runs here, and each home that another
+    /// entry can be primary of has been handed over.
     pub fn is_handed_over(&self) -> bool {
         let alone =
             |primary: &Primary| matches!(primary.backup, crate::primary::BackupState::Absent);
@@ -160,7 +160,7 @@
         homes_done && !self.requests.any_running() && self.outcomes.is_empty()
     }
 
-    /// Keys on record here, as holder or copy.
+    /// Number of keys on record here, as primary or copy.
     pub fn keys(&self) -> usize {
         self.homes.values().map(|home| home.usage.keys).sum()
     }
@@ -200,8 +200,8 @@
             return self.answer(token, Decision::Forward { entry });
         }
         let has_capacity = match self.capacity() {
-            // It passes with the requests that run now; closing keys for it would make
-            // every caller take a new prefix.
+            // The shortage ends when the running keys end; closing the generation for it
+            // would make every caller look up a new prefix.
             Capacity::Busy if !on_record => {
                 let decision = refuse(&self.cfg, ResultCode::KeyNotChecked);
                 return self.answer(token, decision);
@@ -218,8 +218,8 @@
         home.is_some_and(|home| home.record(key.prefix.generation, &key.suffix).is_some())
     }
 
-    /// Whether another key may be recorded. A running key counts with the largest answer
-    /// that it may bring, so that a started key never lacks room for its answer.
+    /// Space for the record of another key. A running key counts with the largest answer
+    /// that may be stored, so that there is always space for the answer of a started key.
     pub(crate) fn capacity(&self) -> Capacity {
         let mut used = Usage::default();
         for home in self.homes.values().filter(|home| home.primary().is_some()) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,22 +1,26 @@
-//! At-most-once ledger, and quarantine of crashing requests, as step functions free of I/O.
+//! At-most-once execution of requests by idempotency key, and quarantine of requests that
+//! crash endpoints, both as step functions free of I/O.
 //!
-//! A request that isn't idempotent carries a [`Key`]. Its prefix names a home: a set of
-//! keys that one entry at a time, the holder, may start. [`Ledger`] is what one entry
-//! knows of homes; it is told what happens by [`Event`]s and answers with [`Action`]s.
-//! [`ClaimResults`] is control's part: who goes on when holder and backup lose each other.
+//! A request that isn't idempotent carries a [`Key`]. The key's prefix names its home: a
+//! set of keys that only one entry at a time, the home's primary, may start. Where the
+//! failure domain has a second entry, that one is the backup and stores the same records.
+//! [`Ledger`] is the state of one entry for all homes that it is or was primary or backup
+//! of; its owner passes it [`Event`]s and carries out the [`Action`]s that it returns.
+//! [`ClaimResults`] is the part that runs in the control replicas: it decides which member
+//! continues when primary and backup can't reach each other.
 //!
 //! Invariants, checked at each step of the random runs and the exploration in `tests`:
 //!
-//! - a key starts at most once, whatever entries crash, stop, sleep or lose each other;
-//! - a key that was refused with a code that means "not run" never starts afterwards;
-//! - a replayed answer is the one that the only run of the key gave.
+//! - A key starts at most once, even if entries crash, stop, are suspended or lose contact.
+//! - A key that was refused with a code that means "not run" never starts afterwards.
+//! - A replayed answer is the one that the only run of the key gave.
 //!
-//! They rest on three things. Homes are founded under an incarnation that no other process
-//! ever has, so there is one first holder. A start is on record at every member of a
-//! home's config before it is given out, so every later holder knows it. And a config ends
-//! only by an act of the member that leaves, or by a verdict that never changes, so there
-//! is one next holder. No clock is part of any of them; clocks only decide when to ask for
-//! a verdict and when to close and drop old keys.
+//! They hold for three reasons. A home is created under the incarnation of its creator,
+//! which no other process ever has, so there is one first primary. A start is on record at
+//! every member of the home's epoch before the request may run, so every later primary has
+//! that record. And an epoch ends only by an act of the member that leaves it, or by a
+//! claim result, which never changes, so there is one next primary. None of this depends on
+//! a clock; clocks only decide when to send a claim and when to close and drop old keys.
 
 mod api;
 mod backup;
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -1,8 +1,8 @@
-//! The numbered steps that a holder sends to its backup.
+//! The numbered operations that a primary sends to its backup.
 //!
-//! Steps are sent as they come and again after a while if they aren't acknowledged, the
-//! oldest first. The backup takes them only without gaps, so an acknowledgement of one
-//! is an acknowledgement of all before it.
+//! Operations are sent as they are added, and again from the oldest on if they aren't
+//! acknowledged in time. The backup applies them only without gaps, so an acknowledgement
+//! of one covers all before it.
 
 use std::collections::VecDeque;
 
@@ -10,42 +10,42 @@
 
 use crate::{Config, Generation, HomeEpoch, Member, Op};
 
-/// Batches that may be unacknowledged before sending pauses.
+/// Most batches in flight before sending pauses.
 const WINDOW_BATCHES: usize = 4;
 
-/// The log of one config.
+/// Log of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Log {
     pub(crate) peer: Member,
     pub(crate) epoch: HomeEpoch,
-    /// Number of the first step that isn't acknowledged.
+    /// Number of the first operation that isn't acknowledged.
     base: u64,
-    /// Steps from `base` on.
+    /// Operations from `base` on.
     ops: VecDeque<Op>,
-    /// Number of the first step that wasn't sent since the last resend.
+    /// Number of the first operation to be sent next; a resend sets it back to `base`.
     sent: u64,
-    /// Bytes from `base` to `sent`.
+    /// Bytes of the operations from `base` to `sent`.
     in_flight: usize,
-    /// `None` if something is due at once.
+    /// When a message was last sent, `None` if one is due at once.
     last_sent: Option<Moment>,
-    /// When the peer was heard last.
+    /// When the last message from the peer arrived.
     pub(crate) last_seen: Moment,
-    /// From which number on the peer is the backup.
+    /// Number from which on the peer is the active backup; see [`crate::Message::Append`].
     pub(crate) active_from: Option<u64>,
-    /// Where copying of older records stands.
+    /// Progress of the copy of older records.
     pub(crate) copy: CopyProgress,
 }
 
-/// How far the records from before this config are in the log.
+/// How many of the records from before this epoch have been added to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CopyProgress {
-    /// Up to this key.
+    /// Those up to this key; `None` is no record yet.
     After(Option<(Generation, Box<str>)>),
-    /// All of them stand before this number.
+    /// All, by operations before this number.
     Done(u64),
 }
 
-/// Steps to be sent.
+/// Operations to be sent in one message.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub(crate) first: u64,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Number of the next step.
+    /// Number of the next operation to be added.
     pub(crate) fn end(&self) -> u64 {
         self.base + self.ops.len() as u64
     }
@@ -82,7 +82,7 @@
         self.end() - 1
     }
 
-    /// The peer has all steps before `next`.
+    /// Records that the peer has all operations before `next`.
     pub(crate) fn ack(&mut self, now: Moment, next: u64) {
         self.last_seen = now;
         if next > self.end() {
@@ -103,7 +103,8 @@
         self.last_sent = None;
     }
 
-    /// Whether copying should go on: enough is in flight otherwise.
+    /// Whether more older records should be added: everything added so far was sent, and
+    /// the window isn't full.
     pub(crate) fn wants_copy(&self, cfg: &Config) -> bool {
         matches!(self.copy, CopyProgress::After(_))
             && self.has_window(cfg)
@@ -114,7 +115,7 @@
         self.in_flight < WINDOW_BATCHES * cfg.max_batch_bytes
     }
 
-    /// Steps that weren't sent yet, as far as the window lets them.
+    /// The next operations that were not sent yet, if the window allows it.
     pub(crate) fn unsent(&mut self, now: Moment, cfg: &Config) -> Option<Batch> {
         if self.sent == self.end() || !self.has_window(cfg) {
             return None;
@@ -122,7 +123,7 @@
         Some(self.batch(now, cfg))
     }
 
-    /// What is due after a silence: unacknowledged steps again, or a heartbeat.
+    /// What is due after a pause: the unacknowledged operations again, or a heartbeat.
     pub(crate) fn due(&mut self, now: Moment, cfg: &Config) -> Option<Batch> {
         let period = if self.ops.is_empty() {
             cfg.heartbeat
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -1,8 +1,8 @@
-//! Outcomes of requests that ran here while their home moved on.
+//! Outcomes of requests that ran here while their home moved to another entry.
 //!
-//! A holder that is deposed, or hands its homes over, still runs what it has started.
-//! The new holder knows these keys as started; it is told the outcome until it has it
-//! on record, so that resends get their answer instead of "may have run".
+//! A primary that is replaced, or hands its homes over, still runs what it has started. The
+//! new primary has these keys on record as started; the outcome is sent to it until it
+//! confirms, so that resends get their answer instead of "may have run".
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::requests::RequestKey;
 use crate::{Action, Generation, HomeId, KeyRecord, Ledger, Message, Stage};
 
-/// Outcomes that the new holder hasn't confirmed; at most one for each pass that ran.
+/// Outcomes that the new primary hasn't confirmed; at most one for each request that ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outcomes {
     /// The record, and when it was last sent.
@@ -32,7 +32,7 @@
         self.pending.remove(&key);
     }
 
-    /// Forgets the outcomes of a home that is dropped here.
+    /// Drops the outcomes of a home.
     pub(crate) fn remove_home(&mut self, home: &HomeId) {
         self.pending.retain(|key, _| key.home != *home);
     }
@@ -53,7 +53,7 @@
         self.outcomes.pending.insert(key, (record, None));
     }
 
-    /// Sends each outcome that is due to whoever holds its home now.
+    /// Sends each outcome that is due to the current primary of its home.
     pub(crate) fn send_outcomes(&mut self, now: Moment) {
         let period = self.cfg.resend_after;
         let due = |sent: &Option<Moment>| sent.is_none_or(|at| at + period <= now);
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Records the outcome of a key whose home is held here and that ran elsewhere.
+    /// Records the outcome of a key that ran at another entry, if this one is the primary
+    /// of its home.
     pub(crate) fn receive_outcome(
         &mut self,
         now: Moment,
@@ -87,7 +88,7 @@
             }
             let (generation, suffix) = (record.generation, record.suffix);
             let known = home.record(generation, &suffix);
-            // A key that runs here ran nowhere else; its own outcome is to come.
+            // A key that runs here ran nowhere else; its own outcome will follow.
             if known.is_some_and(|known| known.run.is_none()) {
                 home.record_outcome(generation, &suffix, record.stage);
             }
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -1,4 +1,4 @@
-//! Changes of holder and backup.
+//! Changes of primary and backup.
 
 use filberthead_types::Moment;
 
@@ -8,35 +8,35 @@
 use crate::{Action, Claim, Decision, HomeEpoch, Member, Op};
 
 impl Home {
-    /// Becomes the holder at `config`, with the records at hand.
+    /// Becomes the primary at `epoch`, with the records that are here.
     pub(crate) fn take_over(&mut self, now: Moment, epoch: HomeEpoch) {
         self.epoch = epoch;
         let mut primary = Primary::new(None);
-        // Nothing is known of when prefixes were superseded; from now on is never too
-        // early, and no new one is handed out.
+        // When the earlier prefixes were superseded isn't known. Counting from now never
+        // closes one too early, and no new one is issued here.
         primary
             .superseded
             .push_back((self.watermarks.unissued_from, now));
         self.role = Role::Primary(Box::new(primary));
     }
 
-    /// The backup is out of the config; what waited for it goes on.
+    /// Continues at `epoch` without the backup; what waited for it completes.
     pub(crate) fn continue_without_backup(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
         self.epoch = epoch;
         let Some(primary) = self.primary_mut() else {
             return;
         };
         primary.backup = BackupState::Absent;
-        // Failure: both entries are stopped at once. The backup releases its holder, whose
-        // hand-over it will never take; were that still in force, keys that start here
-        // were left out of the copy for the next backup, which would run them again.
+        // Guards against two stops at once: the backup releases its primary and never
+        // applies its hand-over. If the hand-over stayed in force, keys that start here
+        // would be left out of the copy for the next backup, which would run them again.
         primary.handing_over = None;
         for (_, pending) in std::mem::take(&mut primary.pending) {
             self.complete(cx, pending);
         }
     }
 
-    /// Another entry holds the home; what waited here goes there.
+    /// Another entry is the primary; requests that wait here are forwarded to it.
     pub(crate) fn demote(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
         self.epoch = epoch;
         let former = Role::Former {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Starts to copy the home to `peer`.
+    /// Starts to copy the home to `peer` as its backup.
     pub(crate) fn add_backup(&mut self, now: Moment, peer: &Member) {
         self.epoch = self.epoch.next();
         let mut log = Log::new(now, peer.clone(), self.epoch);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The backup has the steps before `next`.
+    /// Handles an acknowledgement: the backup has the operations before `next`.
     pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, next: u64) {
         let Some(primary) = self.primary_mut() else {
             return;
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Asks the backup to hold the home, with everything before in its log.
+    /// Hands the home over to the backup, by an operation after all others in the log.
     pub(crate) fn hand_over(&mut self) {
         let Some(primary) = self.primary_mut() else {
             return;
         };
-        // Failure: this entry claimed the home a moment ago; the claim wins after the
-        // hand-over has reached the backup, and both hold the home.
+        // Guards against two primaries: if this entry has just sent a claim, it could win
+        // after the hand-over has reached the backup.
         let paired = matches!(primary.backup, BackupState::Active { claimed: None, .. });
         if primary.handing_over.is_none()
             && paired
@@ -132,8 +132,8 @@
         self.demote(cx, epoch, &peer);
     }
 
-    /// Asks control to let this entry go on without its backup, again and again: a
-    /// claim on its way may win, so only its verdict ends it.
+    /// Sends a claim to continue without the backup, and repeats it: a claim in flight may
+    /// win, so only its result ends it.
     pub(crate) fn claim(&mut self, cx: &mut Cx<'_>, silent: bool) {
         let Some(primary) = self.primary_mut() else {
             return;
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -1,4 +1,4 @@
-//! Prefixes that are handed out, closed and dropped.
+//! Generations: prefixes are issued, closed and, with their records, dropped.
 
 use filberthead_types::Moment;
 
@@ -16,7 +16,7 @@
         durability
     }
 
-    /// Starts no further key of any prefix handed out so far.
+    /// Closes every generation issued so far: no further key of them starts.
     pub(crate) fn close_all(&mut self, cx: &Cx<'_>) {
         if self.watermarks.open_from == self.watermarks.unissued_from {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Hands out a new prefix, once the backup knows of it.
+    /// Issues a new prefix, which is handed out once the watermark for it is durable.
     pub(crate) fn issue_prefix(&mut self, cx: &mut Cx<'_>) {
         let generation = self.watermarks.unissued_from;
         let watermarks = Watermarks {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Whether a new prefix is on its way to being handed out.
+    /// Whether a new prefix waits to become durable.
     pub(crate) fn is_issuing(&self) -> bool {
         let issuing = |pending: &(Durability, Pending)| matches!(pending.1, Pending::Issue(_));
         self.primary()
             .is_some_and(|h| h.pending.iter().any(issuing))
     }
 
-    /// Closes and drops periods whose time has come.
+    /// Closes and drops generations whose time is over.
     pub(crate) fn expire_generations(&mut self, cx: &Cx<'_>) {
         let lowest_active = self.lowest_active();
         let mut watermarks = self.watermarks;
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -1,4 +1,4 @@
-//! Decisions on keys.
+//! Decisions about keys.
 
 use filberthead_types::ResultCode;
 
@@ -8,8 +8,7 @@
 use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
 
 impl Home {
-    /// Decides on a request whose home is held here. `room` tells whether another key
-    /// may be recorded.
+    /// Decides about a request. `has_capacity` is whether there is space for another key.
     pub(crate) fn begin(
         &mut self,
         cx: &mut Cx<'_>,
@@ -30,8 +29,8 @@
             return cx.answer(token, refuse(cx.cfg, code));
         }
         if !has_capacity {
-            // Closing the period answers every key that there is no room for with one
-            // record, and makes "not run" true for each of them for good.
+            // Closing the generation answers every key that there is no space for with one
+            // record, and makes "not run" permanently true for each of them.
             self.close_all(cx);
         }
         if generation < self.watermarks.open_from && cx.cfg.guards.check_watermarks {
@@ -46,13 +45,14 @@
         self.start(cx, token, key, digest);
     }
 
-    /// Keys that aren't on record and of which nothing definite can be said.
+    /// The refusal of a key that isn't on record and that may or may not have run; `None`
+    /// if it certainly hasn't.
     pub(super) fn refuse_unknown(&self, cx: &Cx<'_>, generation: Generation) -> Option<ResultCode> {
         if generation >= self.watermarks.unissued_from {
             return Some(ResultCode::HomeUnreachable);
         }
-        // Failure: a caller resends an order after its record was dropped, and the order
-        // runs again. Records are dropped only below the floor.
+        // Guards against a resend after the record of its key was dropped, which would run
+        // the request again. Records are dropped only below this watermark.
         if generation < self.watermarks.retained_from && cx.cfg.guards.check_watermarks {
             return Some(ResultCode::KeyExpired);
         }
@@ -88,9 +88,9 @@
         self.put(record.clone());
         self.start_run(generation, &key.suffix, token);
         let mut durability = self.commit(Op::Put(record));
-        // Failure: the holder dies after an order went out and before its backup knows
-        // of it; the backup takes over and runs the resent order again. With the start
-        // on record at the backup first, whoever takes over knows the key.
+        // Guards against a primary that dies after the request was sent out and before its
+        // backup has the record: the backup would take over and run a resend. With the
+        // start on record at the backup first, every later primary has the key.
         if !cx.cfg.guards.record_before_start {
             durability = None;
         }
@@ -118,7 +118,8 @@
         }
     }
 
-    /// The start is on record: lets the oldest pass that still waits run the key.
+    /// Called once the start is on record: lets the oldest request that still waits run the
+    /// key.
     pub(super) fn grant(&mut self, cx: &mut Cx<'_>, generation: Generation, suffix: &str) {
         let Some(run) = self.run_mut(generation, suffix) else {
             return;
@@ -139,7 +140,7 @@
         cx.requests.run(token, key);
     }
 
-    /// A started key has come to its end, as far as it will ever be known here.
+    /// Ends the run of a key, with the last state that this entry will learn.
     pub(crate) fn end(
         &mut self,
         cx: &mut Cx<'_>,
@@ -158,7 +159,7 @@
         self.record_outcome(generation, suffix, stage);
     }
 
-    /// Records how a key ended, unless more is known already.
+    /// Records the outcome of a key unless its state is final.
     pub(crate) fn record_outcome(&mut self, generation: Generation, suffix: &str, stage: Stage) {
         let Some(record) = self.record(generation, suffix) else {
             return;
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -1,14 +1,16 @@
-//! What the holder of a home decides.
+//! Decisions of the primary of a home.
 //!
-//! A home has a holder and, where the failure domain has a second entry, a backup. Both
-//! together are a numbered config. Invariants:
+//! A home has a primary and, where the failure domain has a second entry, a backup. Both
+//! together are its members, and each pair has a number, the epoch. Invariants:
 //!
-//! - A key starts only once its start is on record at every member of the config, so
-//!   whichever member goes on alone knows every key that ever started.
-//! - A config ends by an act of the member that leaves it (hand-over, release), or by
-//!   control's verdict, which names one winner for ever. No lease is needed: a holder
-//!   that lost its config without knowing gets no acknowledgement, so it starts nothing.
-//! - A key told "not run" is closed on record, or belongs to a period closed on record.
+//! - A key starts only once its start is on record at every member of the epoch, so
+//!   whichever member continues alone has every key that ever started.
+//! - An epoch ends by an act of the member that leaves it (hand-over, release), or by a
+//!   claim result from control, which names one winner permanently. No lease is needed: a
+//!   primary that has been replaced without noticing gets no acknowledgement, so it starts
+//!   nothing.
+//! - A key refused as "not run" is closed on record, or belongs to a generation closed on
+//!   record.
 
 mod failover;
 mod generations;
@@ -25,7 +27,7 @@
 use crate::requests::Requests;
 use crate::{Action, Config, Decision, Generation, HomeId, Member, Message, Op, Stage, Token};
 
-/// What a holder's decisions need besides the home.
+/// State of the ledger that the methods of a home need.
 pub(crate) struct Cx<'a> {
     pub(crate) now: Moment,
     pub(crate) cfg: &'a Config,
@@ -36,7 +38,7 @@
 }
 
 impl Cx<'_> {
-    /// Answers a pass if it still waits.
+    /// Answers a request if it still waits.
     pub(crate) fn answer(&mut self, token: Token, decision: Decision) {
         if self.requests.end_wait(token) {
             self.out.push(Action::Decide { token, decision });
@@ -51,7 +53,7 @@
     }
 }
 
-/// A refusal, with the time after which a resend may bring more.
+/// A refusal, with the time after which a resend may be answered otherwise.
 pub(crate) fn refuse(cfg: &Config, code: ResultCode) -> Decision {
     Decision::Refuse {
         code,
@@ -59,7 +61,7 @@
     }
 }
 
-/// What a key on record means to another send of it.
+/// The answer to another send of a key that is on record.
 pub(crate) fn replay(cfg: &Config, stage: &Stage) -> Decision {
     match stage {
         Stage::Finished(answer) => Decision::Replay(answer.clone()),
@@ -69,45 +71,46 @@
     }
 }
 
-/// State of a holder besides the records.
+/// State of a primary, without the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Primary {
     pub(crate) backup: BackupState,
-    /// Steps that are synced to the data folder while there is no backup.
+    /// Journal in the data folder, while there is no backup; `None` without a data folder
+    /// or once the backup is active.
     pub(crate) journal: Option<Journal>,
-    /// What waits until a step is on record beside this process.
+    /// What waits until an operation is durable, in order.
     pending: VecDeque<(Durability, Pending)>,
-    /// The period whose prefix is handed out, and since when.
+    /// The generation whose prefix is handed out, and since when.
     pub(crate) issued: Option<(Generation, Moment)>,
-    /// Periods below the first were superseded at the second.
+    /// Generations below the first were superseded at the second.
     superseded: VecDeque<(Generation, Moment)>,
-    /// What the newest marks need to be on record.
+    /// Where the newest watermarks have to be on record.
     watermarks_durability: Option<Durability>,
-    /// Number of the hand-over in the log: another entry holds the home next.
+    /// Number of the [`Op::HandOver`] in the log, once it was added.
     handing_over: Option<u64>,
 }
 
-/// Whether, and how far, a holder has a backup.
+/// Whether a primary has a backup.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum BackupState {
-    /// No backup.
+    /// There is none.
     Absent,
-    /// A copy is being made; nothing waits for it yet.
+    /// The records are being copied to it; no start waits for it yet.
     Joining(Log),
-    /// Every start waits for the backup's acknowledgement.
+    /// Every start waits for its acknowledgement.
     Active {
         log: Log,
-        /// When control was last asked to let this entry go on alone.
+        /// When the last claim to continue without it was sent, `None` if none was sent.
         claimed: Option<Moment>,
     },
 }
 
-/// Where a step has to be on record.
+/// Where an operation has to be on record before its effects become visible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Durability {
-    /// At the backup, as the step of this number.
+    /// At the backup, which must acknowledge the operation of this number.
     Acked(u64),
-    /// In the data folder, as the step of this number.
+    /// In the data folder, which must have synced the operation of this number.
     Synced(u64),
 }
 
@@ -144,17 +147,17 @@
         }
     }
 
-    /// Whether control has been asked for leave to go on, and hasn't answered yet.
+    /// Whether a claim was sent and its result hasn't arrived.
     pub(crate) fn is_claiming(&self) -> bool {
         matches!(&self.backup, BackupState::Active { claimed, .. } if claimed.is_some())
     }
 
-    /// Whether the home is on its way to the backup.
+    /// Whether the home is being handed over to the backup.
     pub(crate) fn is_handing_over(&self) -> bool {
         self.handing_over.is_some()
     }
 
-    /// The backup, if it counts.
+    /// The backup, if it is active.
     pub(crate) fn active_backup(&self) -> Option<&Member> {
         match &self.backup {
             BackupState::Active { log, .. } => Some(&log.peer),
@@ -162,15 +165,16 @@
         }
     }
 
-    /// Who takes the home over.
+    /// The entry that the home is being handed over to.
     pub(crate) fn successor(&self) -> Option<&Member> {
         self.active_backup().filter(|_| self.is_handing_over())
     }
 
-    /// Puts a step on record; where it has to be before anything follows from it.
+    /// Adds an operation to the log or the journal. Returns where it has to be on record
+    /// before its effects become visible, `None` if nowhere.
     fn commit(&mut self, op: Op) -> Option<Durability> {
         match &mut self.backup {
-            // Nothing behind the hand-over would be taken.
+            // The backup would apply nothing after the hand-over.
             _ if self.handing_over.is_some() => None,
             BackupState::Absent => self.write(op),
             BackupState::Joining(log) => {
@@ -199,7 +203,8 @@
         }
     }
 
-    /// What a refusal by marks has to wait for.
+    /// What a refusal that is based on the watermarks has to wait for, `None` if they are
+    /// durable.
     fn pending_watermarks(&self) -> Option<Durability> {
         self.watermarks_durability
             .filter(|durability| !self.is_durable(*durability))
@@ -227,8 +232,9 @@
 }
 
 impl Primary {
-    /// The copy is whole: from here on starts wait for the backup. It learns that it is
-    /// the backup only after this, so it can't claim the home while keys start without it.
+    /// Makes the backup active once its copy is complete: from here on starts wait for it.
+    /// It is notified only after this, so it can't claim the home while keys start without
+    /// it.
     fn activate_if_copied(&mut self, cfg: &Config) {
         let BackupState::Joining(log) = &self.backup else {
             return;
@@ -239,8 +245,9 @@
         if at > 0 && !log.is_acked(at - 1) {
             return;
         }
-        // Failure: this process dies and its successor takes the home up from a journal
-        // that ends where the backup came in, while the backup holds the home as well.
+        // Guards against two primaries: if this process died, its successor would recover
+        // the home from a journal that ends where the backup became active, while the
+        // backup has become primary as well.
         let retired = self.journal.as_mut().is_none_or(Journal::retire);
         if !retired && cfg.guards.retire_journal_before_backup {
             return;
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -1,4 +1,4 @@
-//! Copies of the records: at the backup, and in the data folder.
+//! Replication of the records, to the backup and to the data folder.
 
 use filberthead_types::Moment;
 
@@ -8,14 +8,15 @@
 use crate::log::CopyProgress;
 use crate::{Action, Config, Generation, HomeEpoch, KeyRecord, Message, Op};
 
-/// Bytes of a record in a journal, its answer left out, about.
+/// Approximate bytes of a record in a journal, without its answer.
 const RECORD_LEN: usize = 96;
-/// Configs that a process may use before a successor takes its journal up: the successor
-/// starts above all of them, since which ones it used isn't written.
+/// Most epochs that a process may use before a successor recovers its journal. The
+/// successor starts above all of them, since the journal doesn't contain which ones were
+/// used.
 const RECOVERED_CONFIGS: u64 = 1 << 32;
 
 impl Home {
-    /// Steps up to this one are in the data folder.
+    /// Records that operations up to this one are in the data folder.
     pub(crate) fn synced(&mut self, cx: &mut Cx<'_>, number: u64) {
         let Some(primary) = self.primary_mut() else {
             return;
@@ -27,7 +28,7 @@
         self.complete_durable(cx);
     }
 
-    /// Writes what the data folder lacks.
+    /// Emits the next write to the data folder, if there is one.
     pub(crate) fn write(&mut self, cx: &mut Cx<'_>) {
         let journal = self.primary_mut().and_then(|h| h.journal.as_mut());
         let Some(write) = journal.and_then(Journal::write) else {
@@ -42,7 +43,7 @@
         });
     }
 
-    /// Writes a journal anew that holds much of what was dropped.
+    /// Rewrites a journal that consists largely of dropped records.
     pub(crate) fn compact_journal(&mut self) {
         let live = self.usage.stored + self.usage.keys * RECORD_LEN;
         let journal = self.primary().and_then(|h| h.journal.as_ref());
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes up a home from the journal of a predecessor in the same data folder.
+    /// Recovers a home from the journal of a predecessor in the same data folder.
     pub(crate) fn recover(now: Moment, ops: Vec<Op>) -> Self {
         let role = Role::Primary(Box::new(Primary::new(None)));
         let mut home = Self::new(HomeEpoch::default(), role);
@@ -74,7 +75,8 @@
         home
     }
 
-    /// Sends what the backup lacks, copies included.
+    /// Sends the operations that the backup doesn't have yet, copies of older records
+    /// included.
     pub(crate) fn flush(&mut self, cx: &mut Cx<'_>) {
         self.copy(cx.cfg);
         let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Puts a batch of older records into the log of a backup that is joining.
+    /// Adds older records to the log of a joining backup, batch by batch.
     pub(super) fn copy(&mut self, cfg: &Config) {
         loop {
             let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
--- a/crates/ledger/src/receive.rs
+++ b/crates/ledger/src/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other ledgers and of control.
+//! Messages from other ledgers and from control.
 
 use filberthead_types::{Incarnation, Moment, NodeName};
 
@@ -62,7 +62,7 @@
         append: Append,
     ) {
         if self.stopping && !self.homes.contains_key(id) {
-            // This entry would be gone before it is of use.
+            // This entry will have stopped before the copy is complete.
             return;
         }
         if !self.prepare_backup(now, from, id, epoch, &append) {
@@ -71,7 +71,8 @@
         self.with_home(now, id, |home, cx| home.append(cx, from, append));
     }
 
-    /// Whether this entry is, or becomes, the backup that a message means.
+    /// Prepares the home for an append. Returns whether this entry is, or has become, the
+    /// backup that the append addresses.
     fn prepare_backup(
         &mut self,
         now: Moment,
@@ -89,11 +90,11 @@
             return append.first == 0;
         };
         if epoch == home.epoch && matches!(home.role, Role::Former { .. }) {
-            // It didn't hear that this entry has left the config.
+            // The primary didn't receive the release by which this entry left the epoch.
             self.with_home(now, id, |home, cx| home.send_release(cx, from));
             return false;
         }
-        // Failure: a holder that was replaced without knowing goes on sending; were it
+        // Guards against a replaced primary that hasn't noticed and still sends: if it were
         // acknowledged, it and its successor would both run a key.
         if epoch < home.epoch {
             if !self.cfg.guards.check_epoch {
@@ -113,7 +114,8 @@
         true
     }
 
-    /// Starts over as backup of a newer config; the records at hand are still true.
+    /// Starts again as the backup of a newer epoch, keeping the records, which are still
+    /// valid.
     fn rejoin(
         &mut self,
         now: Moment,
@@ -159,8 +161,8 @@
                         return;
                     };
                     if result.winner == me && primary.is_handing_over() {
-                        // Nobody asks for a config while it is handed over; the successor
-                        // may hold the home already.
+                        // An epoch that is being handed over isn't claimed; the successor
+                        // may be the primary already.
                         return;
                     }
                     if result.winner == me {
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! What a home keeps of a key, and how it is copied.
+//! Records of keys, and the operations that replicate them.
 
 use bytes::Bytes;
 use filberthead_types::ResultCode;
@@ -6,15 +6,15 @@
 
 use crate::{Digest, Generation, HomeEpoch};
 
-/// How far a key has come.
+/// State of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Stage {
-    /// Its start is on record.
+    /// Its start is on record; it may be running.
     Started,
     /// It ran, and this is its answer.
     Finished(Bytes),
-    /// It ran, and its answer was too large to be kept.
+    /// It ran, and its answer was too large to be stored.
     NotStored,
     /// It was handed to an endpoint, and its outcome isn't known.
     Unknown,
@@ -23,12 +23,12 @@
 }
 
 impl Stage {
-    /// Whether nothing that is learned later can say more.
+    /// Whether no later report can change the state.
     pub(crate) fn is_final(&self) -> bool {
         matches!(self, Self::Finished(_) | Self::NotStored | Self::Closed(_))
     }
 
-    /// Bytes of a stored answer.
+    /// Bytes of the stored answer, 0 without one.
     pub(crate) fn stored_len(&self) -> usize {
         match self {
             Self::Finished(answer) => answer.len(),
@@ -37,35 +37,36 @@
     }
 }
 
-/// A key's record, as copied to the backup and to the data folder. It carries the whole
-/// state, so that applying it twice, or over an older one, is the same as applying it once.
+/// Record of a key, as sent to the backup and written to the journal. It carries the whole
+/// state, so that applying it twice, or over an older one, has the effect of applying it
+/// once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// Period of the key's prefix.
+    /// Generation of the key's prefix.
     pub generation: Generation,
-    /// The key, its prefix left out.
+    /// The key without its prefix.
     pub suffix: Box<str>,
-    /// What the request is.
+    /// Digest of its request.
     pub digest: Digest,
-    /// How far it has come.
+    /// Its state.
     pub stage: Stage,
 }
 
-/// Bounds between the periods of a home; each only goes up.
+/// Watermarks of a home's generations; each only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Watermarks {
-    /// Keys of periods below this one may be gone from the records, and never start.
+    /// Keys of generations below this one may be gone from the records, and never start.
     pub retained_from: Generation,
-    /// Keys of periods below this one that aren't on record never start and never ran.
+    /// Keys of generations below this one that aren't on record never start and never ran.
     pub open_from: Generation,
-    /// Keys of periods from this one on were not handed out yet.
+    /// Generations from this one on have not been issued yet.
     pub unissued_from: Generation,
 }
 
 impl Watermarks {
-    /// The later of both, mark by mark.
+    /// The higher of both, watermark by watermark.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -76,22 +77,22 @@
     }
 }
 
-/// One step of a home's log.
+/// One operation of a home's log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Op {
-    /// The state of a key.
+    /// Stores the record of a key.
     Put(KeyRecord),
-    /// The bounds between periods.
+    /// Raises the watermarks.
     Watermarks(Watermarks),
-    /// In journals only: no config up to this one is used again.
+    /// In journals only: no epoch up to this one is used again.
     Epoch(HomeEpoch),
-    /// The last step: the receiver holds the home from the next config on.
+    /// The last operation: the receiver is the primary of the home from the next epoch on.
     HandOver,
 }
 
 impl Op {
-    /// Bytes that the step takes in a message, about.
+    /// Approximate size in a message, in bytes.
     pub(crate) fn len(&self) -> usize {
         const FIXED: usize = 32;
         match self {
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -1,4 +1,4 @@
-//! Passes that wait for an answer or run.
+//! Requests that wait for a decision or run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use crate::{Generation, HomeId, Token};
 
-/// The key that a pass is concerned with.
+/// The key of a running request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RequestKey {
     pub(crate) home: HomeId,
@@ -19,7 +19,7 @@
     deadline: Moment,
 }
 
-/// Every pass whose answer, or whose end, is still to come.
+/// Every request that is still to be decided, or that runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Requests {
     waiting: BTreeMap<Token, Waiting>,
@@ -37,7 +37,7 @@
         self.waiting.contains_key(&token)
     }
 
-    /// Whether the pass waited until now.
+    /// Ends the wait of a request; returns whether it was waiting.
     pub(crate) fn end_wait(&mut self, token: Token) -> bool {
         let Some(waiting) = self.waiting.remove(&token) else {
             return false;
@@ -45,7 +45,7 @@
         self.deadlines.remove(&(waiting.deadline, token))
     }
 
-    /// A waiting pass whose deadline has come.
+    /// Removes and returns a waiting request whose deadline has passed.
     pub(crate) fn pop_expired(&mut self, now: Moment) -> Option<Token> {
         let (deadline, token) = *self.deadlines.first()?;
         if now < deadline {
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -1,4 +1,4 @@
-//! Where a request goes whose home isn't held here.
+//! Requests for homes that this entry isn't the primary of.
 
 use filberthead_types::{Incarnation, Moment, NodeName, ResultCode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -8,12 +8,12 @@
 use crate::primary::{refuse, replay};
 use crate::{Decision, Digest, HomeEpoch, HomeId, Key, KeyPrefix, Ledger, Member, Token};
 
-/// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
-/// failure domain of the home, and one there, which knows the holder. The bound ends
-/// loops between entries that each take the other one for the holder.
+/// Most times that a request is forwarded. Two are enough: by an entry elsewhere, which
+/// knows the failure domain of the home, and by one there, which knows the primary. The
+/// bound ends loops between entries that each take the other one for the primary.
 pub const MAX_HOPS: u8 = 2;
 
-/// A request that waits until it is known who holds its home.
+/// A request that waits until the primary of its home is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Parked {
     token: Token,
@@ -40,7 +40,7 @@
         let known = record.map(|record| (record.digest, record.stage.clone()));
         let decision = match known {
             Some((on_record, _)) if on_record != digest => refuse(&self.cfg, ResultCode::KeyReused),
-            // What is final is true wherever it is on record.
+            // A final state is valid at whichever entry it is on record.
             Some((_, stage)) if stage.is_final() => replay(&self.cfg, &stage),
             known => self.forward(id, hops).unwrap_or_else(|code| {
                 let code = known.map_or(code, |_| ResultCode::OutcomeUnknown);
@@ -50,8 +50,9 @@
         self.answer(token, decision);
     }
 
-    /// Whether this entry is about to hold the home, or to learn who does: its holder can't
-    /// be reached. A caller that waits these seconds needs no resend.
+    /// Whether the primary can't be reached and this entry, as its backup, is about to
+    /// become primary or to receive the claim result. Letting the caller wait these seconds
+    /// saves it a resend.
     fn awaits_claim_result(&self, key: &Key) -> bool {
         let id = &key.prefix.home;
         let Some(home) = self.homes.get(id) else {
@@ -63,7 +64,7 @@
         active && !is_known && self.primary_of(id).is_none()
     }
 
-    /// Takes up requests again that waited for a holder.
+    /// Decides again about the requests that waited for a primary.
     pub(crate) fn unpark(&mut self, now: Moment) {
         if self.parked.is_empty() {
             return;
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Who holds a home, as far as known here.
+    /// The primary of a home, `None` if it isn't known here or isn't live.
     pub(crate) fn primary_of(&self, id: &HomeId) -> Option<&Member> {
         let reported = self.peers.values().filter_map(|peer| {
             let epoch = peer.homes.get(id)?;
@@ -116,7 +117,7 @@
         }
     }
 
-    /// From outside of the failure domain, its most likely backup.
+    /// For an entry of another failure domain: the most likely backup of the home.
     fn likely_backup(&self, id: &HomeId, hops: u8) -> Option<&Member> {
         if hops > 0 || id.failure_domain == self.me.failure_domain {
             return None;
@@ -128,8 +129,9 @@
             .max_by_key(|member| weight(id, &member.name))
     }
 
-    /// Whether the home's founder is gone and nobody in its failure domain, which is
-    /// this entry's, holds it.
+    /// Whether the home is lost. Called where neither a primary nor the founder is live: if
+    /// this entry is in the failure domain of the home and has the list of live entries, no
+    /// entry has its records.
     fn is_lost(&self, id: &HomeId) -> bool {
         id.failure_domain == self.me.failure_domain && self.members.is_some()
     }
@@ -140,9 +142,9 @@
         Some(member).filter(|member| !self.unreachable.contains_key(&member.name))
     }
 
-    /// Failure: the list of live entries lags behind the death of a holder; resends are
-    /// passed on to it again and again. What a request has just failed to reach is
-    /// avoided for as long as its backup takes to notice.
+    /// Avoids an entry that a request has just failed to reach, for as long as its backup
+    /// takes to detect the failure. Otherwise, while the list of live entries still
+    /// contains a dead primary, resends are forwarded to it again and again.
     pub(crate) fn mark_unreachable(&mut self, now: Moment, failed: Option<NodeName>) {
         if let Some(name) = failed {
             self.unreachable
@@ -150,13 +152,13 @@
         }
     }
 
-    /// Whether a process of this name runs that isn't `incarnation`.
+    /// Whether a process other than `incarnation` runs under this name.
     pub(crate) fn has_restarted(&self, name: &NodeName, incarnation: Incarnation) -> bool {
         let mut members = self.members.iter().flatten();
         members.any(|member| member.name == *name && member.incarnation != incarnation)
     }
 
-    /// The entry to be backup of a home that has none.
+    /// The entry that is to be the backup of homes that have none.
     pub(crate) fn candidate(&self) -> Option<&Member> {
         let id = self.own.as_ref()?;
         let members = self.members.iter().flatten();
@@ -198,8 +200,8 @@
         self.peers.insert(from.clone(), peer);
     }
 
-    /// Another entry holds a home; with a newer config than here, what this entry was to
-    /// the home is over.
+    /// Another entry is the primary of a home. If its epoch is newer than the one here, the
+    /// role of this entry ends.
     fn observe_primary(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch, primary: &Member) {
         self.with_home(now, id, |home, cx| {
             if epoch <= home.epoch {
@@ -211,17 +213,18 @@
             };
             match &home.role {
                 Role::Primary(_) => home.demote(cx, home.epoch.next(), primary),
-                // Its holder goes on with other config numbers while it copies the home
-                // here; only another holder ends the backup's part.
+                // Its primary uses other epochs while it copies the home to this entry;
+                // only another primary ends the role of the backup.
                 Role::Backup(backup) if backup.primary_incarnation == primary.incarnation => {}
-                // The config stays: the holder's next invitation has a higher one.
+                // The epoch stays: the primary's next append from number 0 has a higher
+                // one.
                 Role::Backup(_) | Role::Former { .. } => home.role = former,
             }
         });
     }
 }
 
-/// Rendezvous hashing: each home prefers the entries in an order of its own.
+/// Rendezvous hashing: each home has its own order of preferred entries.
 fn weight(id: &HomeId, name: &NodeName) -> u64 {
     xxh3_64(format!("{id} {name}").as_bytes())
 }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -1,4 +1,4 @@
-//! What happens because time has passed.
+//! Work that is due because of the time.
 
 use filberthead_types::{Moment, ResultCode};
 
@@ -8,11 +8,11 @@
 use crate::primary::{BackupState, Primary, refuse};
 use crate::{Action, HomeEpoch, HomeId, Ledger, Message};
 
-/// Homes known at most before no further one is founded. One is founded at the start and
-/// one each time that control can't be asked for a verdict for long.
+/// Most homes in a ledger before it creates no more. It creates one at its start and one
+/// each time that control doesn't answer a claim for long.
 const MAX_HOMES: usize = 64;
 
-/// What a home needs next because of its role.
+/// What is due for a home because of this entry's role.
 enum Due {
     Nothing,
     AddBackup,
@@ -40,7 +40,8 @@
         self.send_outcomes(now);
     }
 
-    /// Silence while this process itself was stopped says nothing about others.
+    /// Restarts all silence timeouts if this process was suspended: it received nothing in
+    /// that time, which says nothing about the other entries.
     fn reset_silence_after_pause(&mut self, now: Moment) {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -145,7 +146,7 @@
 
     fn due_as_primary(&self, now: Moment, primary: &Primary) -> Due {
         match &primary.backup {
-            // A successor of this process must know which configs were used.
+            // A process that recovers the journal must find in it which epochs were used.
             BackupState::Absent
                 if !primary
                     .journal
@@ -202,9 +203,10 @@
         }
     }
 
-    /// Failure: a failure domain that is cut off with one of its two entries dead takes
-    /// no more orders, because nobody there may take over the homes of both. New keys
-    /// need no verdict: a home that nobody but this entry ever had is founded for them.
+    /// Creates a home for new keys if this entry has none that works. Otherwise a failure
+    /// domain that is partitioned, with one of its two entries dead, could accept no new
+    /// keys, since without control the survivor may not take over the old homes. A new home
+    /// needs no claim: this entry is its only member.
     fn create_home_if_needed(&mut self, now: Moment) {
         if self.stopping || self.homes.len() >= MAX_HOMES {
             return;
@@ -259,7 +261,8 @@
         }
     }
 
-    /// The first keys of a home wait until it has a backup, unless there is none to be had.
+    /// Whether a home may issue its first prefix: once it has a backup, or if there is no
+    /// entry that could be one.
     fn may_issue_first(&self, now: Moment, primary: &Primary) -> bool {
         match &primary.backup {
             BackupState::Active { .. } => true,
@@ -298,7 +301,7 @@
 }
 
 impl Home {
-    /// Whether no key of the home can start or is on record any more.
+    /// Whether no key of the home is on record or can still start.
     fn is_exhausted(&self) -> bool {
         self.usage.keys == 0 && self.watermarks.retained_from >= self.watermarks.unissued_from
     }
