--- a/crates/ledger/src/quarantine/api.rs
+++ b/crates/ledger/src/quarantine/api.rs
@@ -1,42 +1,44 @@
-//! What goes into a quarantine and what comes out of it.
+//! Input and output of a [`Quarantine`](super::Quarantine), and the messages between
+//! entries.
 
 use std::time::Duration;
 
 use filberthead_types::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// Digest of what an endpoint is asked: service, method, path, query and body.
+/// Digest of a request to an endpoint: service, method, path, query and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u128);
 
-/// One run of a request at an endpoint; chosen by the owner, never reused.
+/// Identifies one run of a request at an endpoint; assigned by the owner of the quarantine
+/// and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// The loss of an endpoint; the same one whoever hears of it.
+/// Identifies the loss of an endpoint; the same at every entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LossId {
-    /// The entry that saw it.
+    /// The entry that recorded it.
     pub reporter: NodeName,
-    /// Counted there.
+    /// Number of the loss at that entry.
     pub number: u64,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RunEnd {
-    /// The endpoint gave a whole answer, whatever its status.
+    /// The endpoint sent a whole answer, whatever its status.
     Answered,
-    /// The connection broke before that.
+    /// The connection broke before the end of the answer.
     Lost,
-    /// It was never sent, was cancelled, or its deadline passed.
+    /// The request was never sent or was cancelled, or its deadline passed.
     Other,
 }
 
-/// Messages between the quarantines of entries.
+/// Messages between the quarantines of entries. Their `Debug` form is logged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
@@ -47,30 +49,30 @@
         /// What ran.
         fingerprint: Fingerprint,
     },
-    /// An endpoint died while these ran.
+    /// The process of an endpoint died while these ran.
     Crashed {
         /// The loss.
         id: LossId,
         /// What ran.
         fingerprints: Vec<Fingerprint>,
     },
-    /// These were answered, or accused for no good reason.
+    /// These were answered, or their only loss was that of a whole failure domain.
     Cleared {
         /// The fingerprints.
         fingerprints: Vec<Fingerprint>,
     },
 }
 
-/// What happened.
+/// What a quarantine is to process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed. Sent about once a second.
     Tick,
-    /// A request is handed to an endpoint.
+    /// A request is sent to an endpoint.
     Started {
-        /// This run of it.
+        /// Its run.
         run: RunId,
-        /// The request.
+        /// Its fingerprint.
         fingerprint: Fingerprint,
         /// The endpoint.
         endpoint: NodeName,
@@ -82,7 +84,7 @@
         /// How.
         end: RunEnd,
     },
-    /// An endpoint that was gone answers health checks again.
+    /// An endpoint whose process was gone answers health checks again.
     Up {
         /// The endpoint.
         endpoint: NodeName,
@@ -91,35 +93,35 @@
     Died {
         /// The endpoint.
         endpoint: NodeName,
-        /// Whether another process answers in its place already.
+        /// Whether another process already answers in its place.
         replaced: bool,
-        /// Endpoints that this entry knew as live a moment ago.
+        /// Number of endpoints that were live at this entry a moment ago.
         endpoints: usize,
     },
-    /// A message of another entry.
+    /// A message from another entry.
     Received(Message),
 }
 
-/// What to do next.
+/// What the owner of a quarantine is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Tell every other live entry.
+    /// Send the message to every other live entry.
     Broadcast(Message),
 }
 
-/// Whether a request may be handed to an endpoint.
+/// Whether a request may be sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Check {
-    /// Yes.
+    /// It may run.
     Run,
-    /// Only at this entry, which saw an endpoint lost under it.
+    /// It may run only at this entry, which recorded the death of an endpoint that ran it.
     RunAt {
         /// The entry.
         entry: NodeName,
     },
-    /// No; result code 1207.
+    /// It is refused, with result code 1207.
     Refuse {
-        /// When it may be looked at again.
+        /// Time after which it may be checked again.
         retry_after: Duration,
     },
 }
@@ -141,7 +143,7 @@
 }
 
 impl Config {
-    /// Starts from the defaults that each method names.
+    /// A builder with the defaults that each method names.
     pub fn builder() -> ConfigBuilder {
         ConfigBuilder {
             cfg: Self {
@@ -156,8 +158,8 @@
 }
 
 impl ConfigBuilder {
-    /// How long after a connection broke the death of its endpoint may be learned.
-    /// Default 5 s.
+    /// How long after a connection broke the death of its endpoint may be detected. Default
+    /// 5 s.
     #[must_use]
     pub fn confirm_within(mut self, within: Duration) -> Self {
         self.cfg.confirm_within = within;
@@ -165,15 +167,15 @@
     }
 
     /// How long a fingerprint is refused after its second loss; doubled by each further
-    /// one. Also how long one loss counts. Default 10 min.
+    /// one. Also how long a single loss counts. Default 10 min.
     #[must_use]
     pub fn period(mut self, period: Duration) -> Self {
         self.cfg.period = period;
         self
     }
 
-    /// The same while another fingerprint was there at each of its losses, so that either
-    /// may be the cause. Default 1 min.
+    /// The same if another fingerprint also ran at each of its losses, so that either may
+    /// be the cause. Default 1 min.
     #[must_use]
     pub fn ambiguous_period(mut self, period: Duration) -> Self {
         self.cfg.ambiguous_period = period;
@@ -187,15 +189,15 @@
         self
     }
 
-    /// Fingerprints under suspicion at most; above that the one whose time ends first is
-    /// forgotten. Default 4096.
+    /// Most fingerprints with losses; above that the one whose history expires first is
+    /// evicted. Default 4096.
     #[must_use]
     pub fn max_suspected(mut self, fingerprints: usize) -> Self {
         self.cfg.max_suspected = fingerprints.max(1);
         self
     }
 
-    /// The finished settings.
+    /// The finished configuration.
     pub fn build(self) -> Config {
         self.cfg
     }
--- a/crates/ledger/src/quarantine/history.rs
+++ b/crates/ledger/src/quarantine/history.rs
@@ -1,4 +1,4 @@
-//! Evidence against one fingerprint.
+//! Losses of endpoints that ran one fingerprint.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,35 +7,35 @@
 
 use super::api::{Config, Fingerprint, LossId};
 
-/// Losses that are kept; two are enough to refuse, and more say nothing new.
+/// Most losses that are stored; two are enough to refuse.
 const MAX_LOSSES: usize = 4;
 
-/// An endpoint that was lost while the fingerprint ran there.
+/// Loss of an endpoint while the fingerprint ran there.
 #[derive(Clone, Debug)]
 pub(super) struct Loss {
     pub(super) id: LossId,
     /// Until when it counts.
     pub(super) until: Moment,
-    /// What else ran there, this one included.
+    /// Everything that ran there, this fingerprint included.
     pub(super) concurrent: BTreeSet<Fingerprint>,
 }
 
-/// What is held against a fingerprint.
+/// The losses of one fingerprint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LossHistory {
     losses: Vec<Loss>,
-    /// Ids of deaths; each counts once.
+    /// The latest losses that were confirmed as deaths; each counts once.
     deaths: Vec<LossId>,
-    /// Deaths so far, those that no longer count included.
+    /// Number of deaths so far, those that no longer count included.
     death_count: u32,
     /// Until when it is refused.
     refused_until: Moment,
-    /// Until when it is remembered at all.
+    /// When the whole history expires.
     expires_at: Moment,
 }
 
 impl LossHistory {
-    /// Adds a loss unless it is known.
+    /// Adds a loss unless its id is stored already.
     pub(super) fn add(&mut self, loss: Loss) {
         self.expires_at = self.expires_at.max(loss.until);
         if self.losses.iter().any(|known| known.id == loss.id) {
@@ -47,7 +47,7 @@
         self.losses.push(loss);
     }
 
-    /// The endpoint of a loss has died.
+    /// Confirms a loss: the process of the endpoint has died.
     pub(super) fn confirm_death(
         &mut self,
         now: Moment,
@@ -87,7 +87,7 @@
         (cfg.period * (1 << doublings)).min(cfg.max_period)
     }
 
-    /// Whether no other fingerprint was there at each loss.
+    /// Whether no other fingerprint ran at all of the losses that count now.
     fn is_only_candidate(&self, now: Moment, fingerprint: Fingerprint) -> bool {
         let mut losses = self.losses.iter().filter(|loss| now < loss.until);
         let Some(first) = losses.next() else {
@@ -99,8 +99,9 @@
         common.iter().all(|other| *other == fingerprint)
     }
 
-    /// Losses that count now. A fingerprint that was refused once has one for as long as
-    /// it is remembered: it runs one at a time until it is answered.
+    /// Number of losses that count now. After a death it is at least one until the history
+    /// expires, so that the fingerprint runs one at a time until it is answered; while it
+    /// is refused, at least two.
     pub(super) fn active_losses(&self, now: Moment) -> usize {
         let counting = self.losses.iter().filter(|loss| now < loss.until).count();
         if now < self.refused_until {
@@ -112,26 +113,26 @@
         }
     }
 
-    /// The losses that count now, one by one.
+    /// Ids of the losses that count now.
     pub(super) fn active_loss_ids(&self, now: Moment) -> Vec<LossId> {
         let counting = self.losses.iter().filter(|loss| now < loss.until);
         counting.map(|loss| loss.id.clone()).collect()
     }
 
-    /// How long it is refused from now on.
+    /// How much longer it is refused.
     pub(super) fn quarantined_for(&self, now: Moment) -> Duration {
         let losses = self.losses.iter().map(|loss| loss.until);
         let until = losses.min().unwrap_or_default().max(self.refused_until);
         until.saturating_sub(now)
     }
 
-    /// The entry at which it may run: the reporter of the death, the same for everybody
-    /// who heard of it.
+    /// The entry at which it may run: the reporter of a death, the same one at every entry
+    /// that has the same deaths. `None` without a death.
     pub(super) fn designated_entry(&self) -> Option<&NodeName> {
         self.deaths.iter().min().map(|id| &id.reporter)
     }
 
-    /// Until when it is remembered.
+    /// When the whole history expires.
     pub(super) fn expires_at(&self) -> Moment {
         self.expires_at
     }
--- a/crates/ledger/src/quarantine/mod.rs
+++ b/crates/ledger/src/quarantine/mod.rs
@@ -1,20 +1,22 @@
-//! Keeps requests that crash endpoints from crashing one endpoint after the other.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! A request that crashes whatever runs it is sent again by its caller, or by an entry
-//! that takes the crash for a lost connection. Each entry notes, by fingerprint, what ran
-//! on an endpoint that was lost, and tells the others. Who else ran there is innocent,
-//! and nothing tells which one it was; so evidence has to come twice, and goes at once
-//! when any run of the fingerprint is answered:
+//! A request that crashes its endpoint is sent again by its caller, or by an entry that
+//! takes the crash for a lost connection, and crashes the next endpoint. Each entry
+//! records, by fingerprint, what ran on an endpoint that was lost, and notifies the other
+//! entries. Of the requests that ran there at most one is the cause, and it can't be told
+//! which one; so a request is refused only after two losses, and its history is cleared as
+//! soon as any run of it is answered:
 //!
-//! - after one loss a fingerprint runs one at a time, at the entry that saw the loss;
+//! - after one loss the fingerprint runs one at a time, at the entry that recorded the
+//!   loss;
 //! - after two losses it is refused, for a time that doubles with each further loss;
-//! - an answer to any run of it, anywhere, clears it;
-//! - when most endpoints are lost at once, it is their failure domain, and nobody is
-//!   accused.
+//! - an answer to any run of it, at any entry, clears it;
+//! - when most endpoints are lost at once, the cause is their failure domain, and nothing
+//!   is recorded against the requests.
 //!
-//! A loss counts for a few seconds from the broken connection on, and longer only once
-//! the endpoint is known to have died: a cut network accuses nobody for long. All of it is
-//! kept in tables with bounds; a fingerprint that falls out of them may run again.
+//! A loss counts for a few seconds from the broken connection on, and longer only once the
+//! process of the endpoint is known to have died: a network partition causes no long
+//! refusals. All tables are bounded; a fingerprint that is evicted from them may run again.
 
 mod api;
 mod history;
@@ -29,22 +31,22 @@
 };
 use self::history::{Loss, LossHistory};
 
-/// Losses of endpoints within this time count as one event.
+/// Deaths within this time count as one event that may be the loss of a failure domain.
 const DOMAIN_LOSS_WINDOW: Duration = Duration::from_secs(2);
-/// Fewer lost endpoints than this are never taken for a lost failure domain.
+/// With fewer deaths than this the failure domain is never taken for lost.
 const MIN_DOMAIN_LOSSES: usize = 3;
 
-/// What runs at this entry, and which fingerprints are under suspicion anywhere.
+/// Tracks what runs at this entry, and the fingerprints with losses at any entry.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     cfg: Config,
     me: NodeName,
     runs: BTreeMap<RunId, Run>,
-    /// Broken runs whose endpoint may have died.
+    /// Runs with a broken connection whose endpoint may have died.
     broken: Vec<BrokenRun>,
-    /// Endpoints that break runs without dying of them.
+    /// Endpoints with a broken run and no answer since.
     down: BTreeMap<NodeName, Down>,
-    /// When endpoints died lately.
+    /// The latest deaths of endpoints.
     deaths: BTreeMap<NodeName, Death>,
     histories: BTreeMap<Fingerprint, LossHistory>,
     next_loss: u64,
@@ -65,10 +67,10 @@
     at: Moment,
 }
 
-/// An endpoint with a broken run and no answer since.
+/// State of an endpoint since a run broke there.
 #[derive(Clone, Copy, Debug)]
 struct Down {
-    /// When it broke, or when its process was found gone.
+    /// When the first run broke, or when its process was found gone.
     since: Moment,
     /// Whether its process is known to be gone.
     process_gone: bool,
@@ -82,7 +84,7 @@
 }
 
 impl Quarantine {
-    /// Nothing runs and nobody is under suspicion.
+    /// A quarantine without runs and losses.
     pub fn new(cfg: Config, me: NodeName) -> Self {
         Self {
             cfg,
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Whether a request may be handed to an endpoint now. Follow [`Check::Run`] at once
-    /// with [`Event::Started`].
+    /// Whether a request may be sent to an endpoint now. After [`Check::Run`] report
+    /// [`Event::Started`] at once.
     pub fn check(&self, now: Moment, fingerprint: Fingerprint) -> Check {
         let Some(history) = self.histories.get(&fingerprint) else {
             return Check::Run;
@@ -111,15 +113,15 @@
             return Check::Run;
         }
         let Some(designated) = history.designated_entry() else {
-            // A broken connection may be no more than that.
+            // No endpoint is known to have died; the connection alone may have failed.
             return Check::Run;
         };
         if *designated != self.me {
             let entry = designated.clone();
             return Check::RunAt { entry };
         }
-        // Failure: two sends of one request, each the second chance of the other, crash
-        // two more endpoints at the same time.
+        // Guards against two concurrent sends of a request that is allowed one more run,
+        // which would crash two more endpoints.
         let mut runs = self.runs.values();
         if runs.any(|run| run.fingerprint == fingerprint) {
             let retry_after = self.cfg.confirm_within;
@@ -128,7 +130,7 @@
         Check::Run
     }
 
-    /// Takes in what happened at `now` and tells what to do.
+    /// Processes an event at `now` and returns what to do.
     pub fn step(&mut self, now: Moment, event: Event) -> Option<Action> {
         match event {
             Event::Started {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Fingerprints under suspicion, for operators.
+    /// Number of fingerprints with losses.
     pub fn suspected(&self) -> usize {
         self.histories.len()
     }
@@ -210,8 +212,8 @@
     }
 
     fn clear(&mut self, answered: impl IntoIterator<Item = Fingerprint>) -> Option<Action> {
-        // Everybody hears it from the one entry that may run it; were all that see an
-        // answer to tell all others, one crash would cost a message for each pair.
+        // Only the entry that may run the request broadcasts this; if every entry that gets
+        // an answer did, one crash would cost a message for each pair of entries.
         let designated_here = |history: LossHistory| history.designated_entry() == Some(&self.me);
         let cleared_here = |f: &Fingerprint| self.histories.remove(f).is_some_and(designated_here);
         let fingerprints: Vec<_> = answered.into_iter().filter(cleared_here).collect();
@@ -224,15 +226,15 @@
     fn lost(&mut self, now: Moment, run: Run) -> Option<Action> {
         let death = self.deaths.get_mut(&run.endpoint);
         if let Some(death) = death.filter(|death| run.since < death.at) {
-            // Broke because of that death, which was known before.
+            // Broke because of that death, which was detected before.
             death.affected.insert(run.fingerprint);
             let id = death.id.clone();
             let fingerprints = vec![run.fingerprint];
             self.record_loss(now, &id, &fingerprints, true);
             return Some(Action::Broadcast(Message::Crashed { id, fingerprints }));
         }
-        // Failure: a search kills an endpoint, and all that is sent there before its
-        // death is known breaks as well. It met a dead endpoint and didn't kill it.
+        // Guards against counting runs on an endpoint that is already down: after a request
+        // crashed it, everything sent there before its death is detected breaks as well.
         let first = Down {
             since: now,
             process_gone: false,
@@ -254,16 +256,17 @@
         self.broadcast_losses(now, run.fingerprint)
     }
 
-    /// Failure: a search has crashed two endpoints here, and its caller, answered at once,
-    /// sends it to the next entry, which hears of the deaths only once health checks have
-    /// found them, and loses two more.
+    /// Notifies the other entries of two losses before the deaths are confirmed. Otherwise
+    /// a request that has crashed two endpoints here is sent to the next entry at once,
+    /// which learns of the deaths only from health checks, and crashes two more.
     fn broadcast_losses(&self, now: Moment, fingerprint: Fingerprint) -> Option<Action> {
         let history = self.histories.get(&fingerprint)?;
         let ids = history.active_loss_ids(now);
         (ids.len() >= 2).then_some(Action::Broadcast(Message::Broke { ids, fingerprint }))
     }
 
-    /// All that an endpoint takes down at once is one loss.
+    /// The id of a loss; all runs that break with an endpoint within `confirm_within` are
+    /// one loss.
     fn loss_id(&mut self, now: Moment, endpoint: &NodeName) -> LossId {
         let earlier = self.broken.iter().find(|broken| {
             broken.endpoint == *endpoint && now < broken.at + self.cfg.confirm_within
@@ -281,10 +284,10 @@
     fn died(&mut self, now: Moment, endpoint: NodeName, endpoints: usize) -> Option<Action> {
         self.expire(now);
         let id = self.loss_id(now, &endpoint);
-        // What still runs there breaks in a moment and is accused then.
+        // Runs that are still open there break in a moment; their loss is recorded then.
         let broken = self.broken.iter().filter(|b| b.endpoint == endpoint);
         let affected: BTreeSet<_> = broken.map(|broken| broken.fingerprint).collect();
-        // An endpoint that is started again may die again at once.
+        // A restarted endpoint may die again at once.
         self.broken.retain(|broken| broken.endpoint != endpoint);
         let death = Death {
             at: now,
@@ -303,9 +306,10 @@
         Some(Action::Broadcast(Message::Crashed { id, fingerprints }))
     }
 
-    /// Failure: a failure domain loses its power, and whatever ran there is refused
-    /// everywhere. So many endpoints at once aren't lost by a request that ran on one of
-    /// them; what ran on two of them stays under suspicion until it is answered.
+    /// Clears the fingerprints with one of the latest deaths only. Otherwise, when a
+    /// failure domain loses its power, everything that ran there is refused everywhere. So
+    /// many endpoints at once aren't lost to a request that ran on one of them; what ran on
+    /// two of them keeps its history until it is answered.
     fn clear_domain_losses(&mut self) -> Option<Action> {
         let mut deaths: BTreeMap<Fingerprint, usize> = BTreeMap::new();
         for fingerprint in self.deaths.values().flat_map(|death| &death.affected) {
