--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -1,6 +1,6 @@
-//! What the ledger costs: time a call, memory a key, bytes between holder and backup.
+//! Cost of the ledger: time of a call, memory of a key, bytes between primary and backup.
 //!
-//! Prints `name: value unit`, a line each.
+//! Prints one line of `name: value unit` for each.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
     elapsed.as_nanos() as f64 / count as f64
 }
 
-/// Memory that this process has in use, in bytes.
+/// Resident memory of this process, in bytes.
 fn resident() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|text| text.parse().ok());
@@ -170,7 +170,7 @@
     }
     print("replay", ns_each(start.elapsed(), KEYS), "ns");
 
-    // Another entry joins and gets all records.
+    // A second entry joins and receives all records.
     pair.ledgers
         .push(Ledger::new(pair.now, config(), member(1)));
     (pair.messages, pair.bytes) = (0, 0);
--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -1,9 +1,10 @@
-//! Control's verdicts.
+//! Results of claims.
 
 use filberthead_ledger::{Claim, ClaimResults, HomeEpoch, HomeId, MAX_CLAIM_RESULTS};
 use filberthead_types::Incarnation;
 
-/// What the fullest table leaves of the longest message between control replicas.
+/// Bytes that the largest routing table leaves of the longest message between control
+/// replicas.
 const ROOM_IN_SNAPSHOT: usize = 400 * 1024;
 
 fn claim(founder: u64, claimant: u64) -> Claim {
@@ -18,8 +19,8 @@
     }
 }
 
-/// Both members of a config claim it; the second one's claim comes after a long sleep.
-/// It gets the first one's verdict, or both would run the same order.
+/// Both members of an epoch claim it, one of them after it was suspended for a long time.
+/// It must get the result of the first claim, or both would run the same request.
 #[test]
 fn the_first_claim_wins_permanently() {
     let mut claim_results = ClaimResults::default();
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -1,9 +1,10 @@
-//! Several ledgers, control's verdicts and the messages between them, in one value.
+//! Several ledgers, the claim results of control, and the messages between them, in one
+//! value.
 //!
-//! Every promise of the ledger is checked at each step: a key runs at most once, a key
-//! told "not run" never runs, a replayed answer is the one that the endpoint gave. A
-//! broken promise is kept in [`World::broken`], so that tests can show that a ledger
-//! with a guard switched off breaks it.
+//! The guarantees of the ledger are checked at each step: a key runs at most once, a key
+//! refused as "not run" never runs, a replayed answer is the one that the endpoint gave. A
+//! broken guarantee is stored in [`Cluster::violation`], so that tests can show that a
+//! ledger with a disabled guard breaks it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -21,10 +22,10 @@
 pub(crate) const FAILOVER_TIMEOUT: Duration = Duration::from_secs(2);
 pub(crate) const START_WINDOW: Duration = Duration::from_secs(20);
 pub(crate) const RETENTION: Duration = Duration::from_secs(60);
-/// Deadline of each request.
+/// Time from each request to its deadline.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Small times, so that a test sees each of them pass.
+/// Short times, so that each of them elapses in a test.
 pub(crate) fn config(guards: Guards) -> ConfigBuilder {
     Config::builder()
         .failover_timeout(FAILOVER_TIMEOUT)
@@ -36,10 +37,10 @@
         .guards(guards)
 }
 
-/// Number of an entry's VM; its process may come and go.
+/// Number of the VM of an entry, which outlives the entry's processes.
 pub(crate) type Slot = usize;
 
-/// A request that was told to start.
+/// A request that was allowed to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Started {
     pub(crate) slot: Slot,
@@ -49,7 +50,7 @@
     pub(crate) ran: bool,
 }
 
-/// How often things happened, to show that a test exercises what it is meant for.
+/// How often each event happened, to show that a test covers what it is meant to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counts {
     pub(crate) started: u64,
@@ -65,7 +66,7 @@
 pub(crate) struct Cluster {
     cfg: Config,
     pub(crate) now: Moment,
-    /// Running entries; by `Rc`, so that clones share what a step doesn't touch.
+    /// Running entries; in an `Rc`, so that clones share what a step doesn't change.
     pub(crate) nodes: BTreeMap<Slot, Rc<Ledger>>,
     pub(crate) members: BTreeMap<Slot, Member>,
     pub(crate) wire: Vec<Rc<Packet>>,
@@ -80,7 +81,7 @@
     pub(crate) runs: BTreeMap<String, u32>,
     answers: BTreeMap<String, Vec<u8>>,
     refused_not_run: BTreeSet<String>,
-    /// Every answer of the ledgers, by key.
+    /// Every decision of the ledgers, with its key.
     pub(crate) decisions: Vec<(String, Decision)>,
     pub(crate) violation: Option<String>,
     pub(crate) counts: Counts,
@@ -89,7 +90,7 @@
 }
 
 impl Cluster {
-    /// A world with one entry for each failure domain in `domains`.
+    /// A cluster with one entry for each item of `domains`, its failure domain.
     pub(crate) fn new(cfg: Config, domains: &[&str]) -> Self {
         let mut cluster = Self {
             cfg,
@@ -127,7 +128,7 @@
         cluster
     }
 
-    /// Starts a process without any record.
+    /// Starts a process without any records.
     pub(crate) fn boot(&mut self, slot: Slot) {
         let member = self.members.get_mut(&slot).expect("a known slot");
         member.incarnation = Incarnation(self.next_incarnation);
@@ -137,7 +138,7 @@
         self.nodes.insert(slot, Rc::new(ledger));
     }
 
-    /// Starts a process that takes up what is synced on its VM's disk.
+    /// Starts a process that recovers the journals on the disk of its VM.
     pub(crate) fn boot_from_disk(&mut self, slot: Slot) {
         self.boot(slot);
         let journals = self.disks.get(&slot).cloned().unwrap_or_default();
@@ -148,18 +149,18 @@
         }
     }
 
-    /// Steps in all journals of a VM.
+    /// Number of operations in all journals of a VM.
     pub(crate) fn journal_len(&self, slot: Slot) -> usize {
         let disk = self.disks.get(&slot);
         disk.map_or(0, |journals| journals.values().map(Vec::len).sum())
     }
 
-    /// Loses a VM's disk; its process must not run.
+    /// Erases the disk of a VM; its process must not run.
     pub(crate) fn wipe(&mut self, slot: Slot) {
         self.disks.remove(&slot);
     }
 
-    /// The oldest write of a VM that is on its way reaches the disk.
+    /// Completes the oldest outstanding write of a VM.
     pub(crate) fn sync(&mut self, slot: Slot) {
         let Some(write) = self.unsynced.get_mut(&slot).and_then(VecDeque::pop_front) else {
             return;
@@ -178,7 +179,7 @@
         self.step(slot, Event::Synced { home, number });
     }
 
-    /// Tells every entry which entries run.
+    /// Sends the list of live entries to each of them.
     pub(crate) fn announce_members(&mut self) {
         let live: Vec<Slot> = self.nodes.keys().copied().collect();
         let members: Vec<Member> = live.iter().map(|s| self.members[s].clone()).collect();
@@ -291,7 +292,7 @@
     fn refused(&mut self, key: &str, code: ResultCode) {
         let runs = self.runs.get(key).copied().unwrap_or(0);
         match code.meaning() {
-            // It speaks of another request than the one that the key belongs to.
+            // The refusal is about this request, not about the one that the key belongs to.
             _ if code == ResultCode::KeyReused => {}
             Meaning::NotRun => {
                 self.counts.not_run += 1;
@@ -308,12 +309,13 @@
         }
     }
 
-    /// A caller sends a key to an entry.
+    /// Sends a key to an entry, as a caller does.
     pub(crate) fn send(&mut self, slot: Slot, key: &str) {
         self.request(slot, key, 1, 0);
     }
 
-    /// The entry that a request was passed on to gave no answer; its sender asks again.
+    /// Sends a key again after `failed`, the entry that it was forwarded to, gave no
+    /// answer.
     pub(crate) fn send_after_failure(&mut self, slot: Slot, key: &str, failed: Slot) {
         self.begin(slot, key, 1, 0, Some(name(failed)));
     }
@@ -341,7 +343,7 @@
         self.step(slot, event);
     }
 
-    /// Takes a packet off the wire to its receiver, unless the way is cut.
+    /// Removes a packet from the network and delivers it, unless its link is cut.
     pub(crate) fn deliver(&mut self, index: usize) {
         let packet = self.wire.remove(index);
         self.arrive(&packet);
@@ -391,7 +393,7 @@
         }
     }
 
-    /// An endpoint runs a started request.
+    /// Runs a started request at an endpoint.
     pub(crate) fn run(&mut self, index: usize) {
         let started = &mut self.started[index];
         if started.ran {
@@ -411,7 +413,7 @@
         self.answers.insert(key, answer);
     }
 
-    /// The whole answer of a request that ran comes back.
+    /// Runs a started request unless it ran already, and reports its whole answer.
     pub(crate) fn finish(&mut self, index: usize) {
         self.run(index);
         let Started {
@@ -421,7 +423,7 @@
         self.step(slot, Event::Finished { token, answer });
     }
 
-    /// A started request ends without an answer.
+    /// Ends a started request without an answer.
     pub(crate) fn give_up(&mut self, index: usize) {
         let Started {
             slot,
@@ -444,7 +446,7 @@
         }
     }
 
-    /// Lets time elapse with every packet arriving at once.
+    /// Advances the time in small steps, delivering every packet at once.
     pub(crate) fn settle(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -457,7 +459,8 @@
         }
     }
 
-    /// Delivers until the wire is empty, within a bound.
+    /// Delivers and syncs until nothing is in flight; reports a violation if that takes too
+    /// many steps.
     pub(crate) fn drain(&mut self) {
         for _ in 0..100_000 {
             let mut unsynced = self.unsynced.iter();
@@ -473,7 +476,7 @@
         self.violation = Some("the entries never fall silent".to_owned());
     }
 
-    /// Delivers until the wire is empty, with all disks stuck.
+    /// Delivers until no packet is in flight, without completing any disk write.
     pub(crate) fn drain_network(&mut self) {
         while !self.wire.is_empty() {
             self.deliver(0);
@@ -484,13 +487,13 @@
         self.nodes.get(&slot)?.prefix()
     }
 
-    /// A key under the prefix that an entry hands out now.
+    /// A key with the prefix that an entry hands out now.
     pub(crate) fn key(&self, slot: Slot, suffix: &str) -> String {
         let prefix = self.prefix(slot).expect("the entry hands out a prefix");
         format!("{prefix}{suffix}")
     }
 
-    /// The newest word of the ledgers on a key.
+    /// The newest decision about a key.
     pub(crate) fn last_decision(&self, key: &str) -> Option<&Decision> {
         let mut decisions = self.decisions.iter().rev();
         decisions
@@ -498,7 +501,7 @@
             .map(|(_, decision)| decision)
     }
 
-    /// The newest refusal's code.
+    /// The code of the newest decision about a key, `None` if it isn't a refusal.
     pub(crate) fn last_code(&self, key: &str) -> Option<ResultCode> {
         match self.last_decision(key)? {
             Decision::Refuse { code, .. } => Some(*code),
@@ -506,7 +509,7 @@
         }
     }
 
-    /// Whether the same can happen in both worlds from here on.
+    /// Whether the same events are possible from here on in both clusters.
     pub(crate) fn is_equivalent(&self, other: &Self) -> bool {
         self.observable_state() == other.observable_state()
     }
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -1,6 +1,6 @@
-//! Exhaustive exploration of the real step function over a small configuration: two
-//! entries of one failure domain and one elsewhere, one key, every order of events up to
-//! a depth. What isn't delivered stands for what is lost or late.
+//! Exhaustive exploration of the real step function in a small cluster: two entries of one
+//! failure domain and one elsewhere, one key, every order of events up to a depth. A packet
+//! that is never delivered stands for one that is lost or late.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -13,7 +13,7 @@
 use crate::cluster::{Cluster, FAILOVER_TIMEOUT, config};
 use crate::wire::Packet;
 
-/// How often each kind of event may still happen.
+/// How many more events of each kind may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct EventBudget {
     depth: u8,
@@ -32,7 +32,7 @@
     budget: EventBudget,
 }
 
-/// Two states are one if the same can happen from them; how they came about doesn't count.
+/// Two states are equal if the same events are possible from them, whatever led to them.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         self.budget == other.budget && self.cluster.is_equivalent(&other.cluster)
@@ -57,15 +57,15 @@
         }
     }
 
-    /// The state after `f`, brought into a form that doesn't depend on the order of
-    /// what is on the wire.
+    /// The state after `f`, in a form that doesn't depend on the order of the packets in
+    /// flight.
     fn after(&self, spend: impl FnOnce(&mut EventBudget), f: impl FnOnce(&mut Cluster)) -> Self {
         let mut next = self.clone();
         next.budget.depth -= 1;
         spend(&mut next.budget);
         f(&mut next.cluster);
         next.cluster.decisions.clear();
-        // Heartbeats only inform; a key must be safe without them.
+        // Drops heartbeats: the guarantees must hold without them.
         let heartbeat = |packet: &Packet| match packet {
             Packet::Message { body, .. } => matches!(body.message(), Message::HeldHomes { .. }),
             _ => false,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Time passes without any message arriving, until each suspects the other one.
+/// Advances the time by more than the failover timeout without delivering anything.
 fn run_out_failover_timeout(cluster: &mut Cluster) {
     for _ in 0..5 {
         cluster.now += FAILOVER_TIMEOUT / 4;
@@ -142,8 +142,8 @@
     }
 }
 
-/// Explores from `start`; the broken promise and the steps to it if there is one, and
-/// how many states were seen.
+/// Explores from `start`. Returns the violation and the number of steps that led to it, if
+/// there is one, and the number of states explored.
 fn explore(start: State) -> (Option<(String, usize)>, usize) {
     let mut seen = 0;
     let successors = |state: &State| {
@@ -160,7 +160,8 @@
     (violation, seen)
 }
 
-/// Entry 0 holds a home whose backup is entry 1; nothing is on its way.
+/// A cluster in which entry 0 is the primary of a home, entry 1 its backup, and nothing is
+/// in flight.
 fn primary_with_backup(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
     cluster.settle(Duration::from_secs(1));
@@ -195,8 +196,8 @@
     State::new(cluster, &key, budget)
 }
 
-/// A key has run at entry 0, whose backup is about to be replaced by a new process of
-/// the same name, while copies of everything ever sent to the old one are still about.
+/// A key has run at entry 0, whose backup is about to be replaced by a new process of the
+/// same name, while copies of everything ever sent to the old process are still in flight.
 fn backup_restarted(guards: Guards) -> State {
     let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
     let mut old = BTreeSet::new();
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -1,4 +1,4 @@
-//! Failures that users have had, or would have, as stories.
+//! Single failures around requests with a key.
 
 use std::time::Duration;
 
@@ -27,9 +27,9 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// A shop owner's connection is cut after the order went out. Her till resends it at
-/// another entry while the order still runs, and once more when it is done. Without a
-/// common home each entry would run the order for itself.
+/// The connection of a caller breaks after its request was sent. It resends at another
+/// entry while the request still runs, and once more after its end. Without a common home
+/// each entry would run the request itself.
 #[test]
 fn a_resend_elsewhere_gets_the_answer_of_the_first_run() {
     let mut cluster = cluster();
@@ -58,9 +58,9 @@
     }
 }
 
-/// Two tills send the same order at the same moment through two entries. Both see the
-/// answer of one run. Cause of a double bill otherwise: each entry looks before the
-/// other one has written.
+/// The same request is sent through two entries at the same moment. Both callers must get
+/// the answer of one run; it would run twice if each entry looked for the key before the
+/// other one has recorded it.
 #[test]
 fn the_same_key_at_two_entries_at_once_runs_once() {
     let mut cluster = cluster();
@@ -78,8 +78,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// A shop owner corrects her order and the till sends it under the old key. She must not
-/// be shown the old order's answer as if the new one were placed.
+/// A changed request is sent under an old key. It must not get the answer to the old
+/// request.
 #[test]
 fn another_request_under_the_same_key_is_refused() {
     let mut cluster = cluster();
@@ -94,8 +94,8 @@
     }
 }
 
-/// The entry dies after the order went to an endpoint. The owner's resend reaches the
-/// backup, which can't know whether the order was placed and must not place it again.
+/// The primary dies after it sent the request to an endpoint. A resend reaches the backup,
+/// which can't know whether the request ran and must not run it again.
 #[test]
 fn a_key_whose_primary_died_while_it_ran_never_runs_again() {
     let mut cluster = cluster();
@@ -114,8 +114,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// The entry dies after the order was answered. The owner lost the answer; her resend at
-/// the backup brings it back, byte for byte.
+/// The primary dies after the request was answered, and the caller lost the answer. Its
+/// resend at the backup must get the same answer, byte for byte.
 #[test]
 fn a_finished_key_is_replayed_by_the_backup() {
     let mut cluster = cluster();
@@ -132,8 +132,9 @@
     assert_replayed(&cluster, &key);
 }
 
-/// The list of live entries still names the dead holder. A till's resend elsewhere would
-/// be passed on to it over and over; after the first failure it goes to the backup.
+/// The list of live entries still contains the dead primary. A resend at another entry
+/// would be forwarded to it over and over; after the first failure it must go to the
+/// backup.
 #[test]
 fn a_dead_primary_on_a_stale_list_is_avoided() {
     let mut cluster = cluster();
@@ -149,8 +150,8 @@
     assert_replayed(&cluster, &key);
 }
 
-/// An entry has just died, and an owner's order, with a cached prefix, reaches its backup
-/// before that has taken over. She waits for these seconds; no resend is needed.
+/// An entry has just died, and a request with a cached prefix reaches its backup before the
+/// takeover. It must wait for these seconds, so that no resend is needed.
 #[test]
 fn a_request_during_the_takeover_waits_for_it() {
     let mut cluster = cluster();
@@ -164,8 +165,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// The entry dies before a cached prefix is first used. The order, sent to the entry
-/// next on the caller's list, is placed as if nothing had happened.
+/// The entry dies before a cached prefix is first used. The request, sent to the next entry
+/// on the caller's list, must run as usual.
 #[test]
 fn an_unused_prefix_survives_the_death_of_its_entry() {
     let mut cluster = cluster();
@@ -179,9 +180,9 @@
     assert_eq!(cluster.started[0].slot, 1);
 }
 
-/// An entry's VM is suspended while an order runs, its backup takes over, and the VM
-/// wakes with old requests at hand. What it had started goes on; anything else goes to
-/// the new holder, also before the sleeper has learned that it is deposed.
+/// The VM of a primary is suspended while a request runs, its backup takes over, and the VM
+/// resumes with old requests. The started one must end as usual; any other must go to the
+/// new primary, also before the old one has learned that it was replaced.
 #[test]
 fn a_suspended_primary_starts_nothing_when_it_resumes() {
     let mut cluster = cluster();
@@ -210,8 +211,9 @@
     assert_replayed(&cluster, &running);
 }
 
-/// A failure domain is cut off from everything. Orders made there go on there; the same
-/// key sent elsewhere is refused, and not as "not run", for it may run where it was made.
+/// A failure domain is partitioned from everything else. Its own keys must still run there.
+/// The same key sent elsewhere is refused, and not as "not run", since it may run in its
+/// home.
 #[test]
 fn only_the_partitioned_home_serves_its_keys() {
     let mut cluster = cluster();
@@ -237,9 +239,9 @@
     assert_replayed(cluster, key);
 }
 
-/// A cut-off failure domain loses one of its two entries. Nobody may say which of both
-/// goes on with the old keys, so first sends of those wait and are told "may have run";
-/// but new orders are taken under a prefix of the survivor's own.
+/// A partitioned failure domain loses one of its two entries. Without control the survivor
+/// may not take over the old keys, so their first sends wait and are refused as "may have
+/// run"; but it must accept new keys under a prefix of its own.
 #[test]
 fn the_survivor_of_a_partitioned_failure_domain_accepts_new_keys() {
     let mut cluster = cluster();
@@ -263,8 +265,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// Both entries of a failure domain die and come back empty. A resend of an order from
-/// before can't be told anything but "may have run".
+/// Both entries of a failure domain die and restart without records. A resend from before
+/// can only be answered with "may have run".
 #[test]
 fn a_home_that_lost_its_records_never_runs_its_keys() {
     let mut cluster = cluster();
@@ -286,8 +288,8 @@
     }
 }
 
-/// The ledger is full. An owner's order is refused as "not run"; a copy of it that was
-/// on its way longer arrives when there is room again, and must not run.
+/// The ledger is full, and a request is refused as "not run". A delayed copy of it arrives
+/// when there is space again, and must not run.
 #[test]
 fn a_key_refused_by_a_full_ledger_stays_refused() {
     let cfg = config(Guards::ALL).max_keys(2).build();
@@ -313,8 +315,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// More orders run at once than the ledger keeps room for answers of. A further one is
-/// asked to come again with the same key, and goes through when the others are done.
+/// More requests run at once than there is space for answers. A further one is asked to be
+/// sent again with the same key, and must run when the others have ended.
 #[test]
 fn a_request_beside_too_many_running_ones_may_be_resent() {
     let cfg = config(Guards::ALL).max_bytes(3 * 64).build();
@@ -338,8 +340,8 @@
     Duration::from_secs(10 + 20 + 60 + 10)
 }
 
-/// Hundreds of orders are refused in an overload. The ledger doesn't keep each of them:
-/// it closes their prefix as a whole, and each stays refused.
+/// Hundreds of requests are refused in an overload. The ledger must not store a record of
+/// each: it closes their prefix as a whole, and each stays refused.
 #[test]
 fn many_refusals_take_bounded_memory() {
     let cfg = config(Guards::ALL).max_closed(3).build();
@@ -373,8 +375,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// A till that was switched off for the weekend resends Friday's order. Its record is
-/// gone by then; the order must not be placed once more, and nobody can say "not run".
+/// A request is resent after its record was dropped. It must not run again, and "not run"
+/// would be wrong.
 #[test]
 fn a_resend_after_retention_never_runs() {
     let mut cluster = cluster();
@@ -390,8 +392,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// An owner looks up an entry, fills in an order at leisure and sends it after its
-/// prefix was closed. She is told "not run", for good, and orders with a new key.
+/// A key is first sent after its prefix was closed. It is refused as "not run",
+/// permanently; the caller needs a new key.
 #[test]
 fn a_first_send_after_the_start_window_is_not_run() {
     let mut cluster = cluster();
@@ -402,8 +404,8 @@
     assert_eq!(cluster.last_code(&key), Some(ResultCode::KeyClosed));
 }
 
-/// An answer is larger than the ledger stores. The resend is told that the order ran,
-/// and that its answer is gone.
+/// An answer is larger than the ledger stores. A resend is answered that the request ran
+/// and that its answer isn't stored.
 #[test]
 fn a_large_answer_is_not_replayed_but_reported_as_run() {
     let mut cluster = cluster();
--- a/crates/ledger/tests/all/journals.rs
+++ b/crates/ledger/tests/all/journals.rs
@@ -1,4 +1,4 @@
-//! Homes without a backup, kept in a data folder, as stories.
+//! Homes without a backup, stored in a data folder.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
     cluster
 }
 
-/// The only entry of a failure domain loses its power and comes back with its disk. What
-/// was answered is answered again, what ran is not run again, and an order with a cached
-/// prefix is placed.
+/// The only entry of a failure domain loses its power and restarts with its disk. What was
+/// answered must be replayed, what ran must not run again, and a request with a cached
+/// prefix must run.
 #[test]
 fn a_home_is_recovered_from_its_journal() {
     let mut cluster = cluster();
@@ -50,8 +50,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// The disk is stuck. An order isn't placed before its start is on disk: were it, a
-/// restarted entry would place it again.
+/// Disk writes don't complete. A request must not run before its start is on disk, or a
+/// restarted entry would run it again.
 #[test]
 fn nothing_starts_before_it_is_synced() {
     let mut cluster = cluster();
@@ -63,8 +63,7 @@
     assert_eq!(cluster.started.len(), 1);
 }
 
-/// The entry comes back with a new, empty disk. Nobody can say any more what became of
-/// its keys.
+/// The entry restarts with a new, empty disk. Nothing is known about its keys any more.
 #[test]
 fn a_lost_disk_loses_the_home() {
     let mut cluster = cluster();
@@ -83,9 +82,9 @@
     assert_eq!(cluster.last_code(&key), Some(ResultCode::HomeLostRecords));
 }
 
-/// A second entry is added and becomes the backup, while the first one's disk is stuck
-/// and still holds the journal. The first one loses its power, comes back, takes the home
-/// up from that journal, and so does the backup after its claim.
+/// A second entry is added and becomes the backup while the disk of the first one, with the
+/// journal on it, completes no writes. The first one loses its power, restarts and recovers
+/// the home from that journal, while the backup takes it over by a claim.
 fn add_second_entry_while_the_disk_is_stuck(guards: Guards) -> Cluster {
     let cfg = config(guards).journal(true).build();
     let mut cluster = Cluster::new(cfg, &["a", "a"]);
@@ -135,8 +134,8 @@
     );
 }
 
-/// Thousands of orders pass through a small failure domain in a day. Its journal doesn't
-/// grow without bound, and what is written anew holds what counts.
+/// Thousands of requests run in a small failure domain in a day. Its journal must not grow
+/// without bound, and a rewritten journal must contain all live records.
 #[test]
 fn a_long_journal_is_compacted() {
     let cfg = config(Guards::ALL)
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the ledger: stories of failures, random events, exhaustive exploration.
+//! Tests of the ledger: single failures, random events, exhaustive exploration.
 
 mod claim_results;
 mod cluster;
--- a/crates/ledger/tests/all/quarantine.rs
+++ b/crates/ledger/tests/all/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints, as stories and as a random run.
+//! Requests that crash endpoints: single cases and a random run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
         .expect("a valid name")
 }
 
-/// Entries that tell each other at once, and endpoints that die under the killer.
+/// Entries whose messages arrive at once, and their endpoints.
 struct Cluster {
     now: Moment,
     entries: Vec<Quarantine>,
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Hands a request to an endpoint if it may run, where it may run.
+    /// Sends a request to endpoint `n` of the entry where it may run; `None` if it is
+    /// refused.
     fn start(&mut self, entry: usize, fingerprint: Fingerprint, n: usize) -> Option<Running> {
         let entry = match self.entries[entry].check(self.now, fingerprint) {
             Check::Run => entry,
@@ -95,7 +96,7 @@
         self.step(running.entry, Event::Ended { run, end });
     }
 
-    /// The endpoint's process is gone, and every run there breaks.
+    /// The process of an endpoint dies, and every run there breaks.
     fn crash(&mut self, running: &[Running]) {
         for run in running {
             self.end(run, RunEnd::Lost);
@@ -127,8 +128,8 @@
     matches!(check, Check::Refuse { .. })
 }
 
-/// A clerk's search crashes each endpoint that runs it. She sends it ten times, at one
-/// entry after the other. Two endpoints are lost, then it is refused everywhere.
+/// A request crashes each endpoint that runs it, and is sent ten times, to one entry after
+/// the other. Two endpoints are lost, then it must be refused everywhere.
 #[test]
 fn ten_sends_of_a_crashing_request_cost_two_endpoints() {
     let mut cluster = Cluster::new(3);
@@ -141,8 +142,8 @@
     assert!((0..3).all(|entry| is_refused(&cluster.check(entry, CRASHING))));
 }
 
-/// A health check finds a new process in an endpoint's place before the broken connection
-/// of the search that killed the old one is noticed. It counts all the same.
+/// A health check finds a new process in place of an endpoint before the broken connection
+/// of the request that crashed it is noticed. The loss must count all the same.
 #[test]
 fn a_death_detected_before_its_broken_connection_counts() {
     let mut cluster = Cluster::new(2);
@@ -155,8 +156,8 @@
     assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
-/// A search has killed two endpoints, whose deaths aren't known yet. A page that is sent
-/// to both of them breaks twice and must not pass for the killer.
+/// A request has crashed two endpoints, whose deaths aren't detected yet. Another one that
+/// is sent to both breaks twice and must not be taken for the cause.
 #[test]
 fn a_request_sent_to_dead_endpoints_is_not_quarantined() {
     let mut cluster = Cluster::new(1);
@@ -170,7 +171,7 @@
         cluster.end(&page, RunEnd::Lost);
     }
     assert_eq!(cluster.check(0, harmless(1)), Check::Run);
-    // Nor after their deaths are known, for as long as nothing answers there.
+    // Nor after the deaths are detected, for as long as nothing answers there.
     for n in 0..2 {
         cluster.step(0, died(endpoint(0, n), false));
     }
@@ -183,7 +184,7 @@
     assert_eq!(cluster.check(0, harmless(1)), Check::Run);
 }
 
-/// A search has broken two connections at one entry, and its next send reaches another
+/// A request has broken two connections at one entry, and its next send reaches another
 /// entry before any health check has found the endpoints dead.
 #[test]
 fn two_broken_runs_quarantine_the_request_at_every_entry() {
@@ -195,9 +196,9 @@
     assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
-/// Two orders ran beside the search when the endpoint died, and nothing tells which one
-/// it was. The orders' next runs are answered, and nobody suspects them any more; the
-/// search is caught.
+/// Two other requests ran beside the crashing one when the endpoint died, and any of them
+/// may be the cause. Their next runs are answered, which must clear them; the crashing one
+/// must be refused.
 #[test]
 fn harmless_requests_beside_a_crashing_one_are_cleared() {
     let mut cluster = Cluster::new(2);
@@ -224,8 +225,8 @@
     assert!(is_refused(&cluster.check(1, CRASHING)));
 }
 
-/// The same page runs at many endpoints all the time and so is there whenever one dies.
-/// It is answered elsewhere a moment later and must not be refused.
+/// The same request runs at many endpoints all the time, and so at each one that dies. It
+/// is answered elsewhere a moment later and must not be refused.
 #[test]
 fn a_request_that_runs_everywhere_is_not_quarantined() {
     let mut cluster = Cluster::new(2);
@@ -241,8 +242,8 @@
     }
 }
 
-/// A rack loses power: most endpoints die at the same time, each with its requests. No
-/// request does that, and none is refused afterwards.
+/// A failure domain loses its power: most endpoints die at the same time, each with its
+/// requests. No request causes that, so none may be refused afterwards.
 #[test]
 fn a_lost_failure_domain_quarantines_nothing() {
     let mut cluster = Cluster::new(2);
@@ -265,8 +266,8 @@
     }
 }
 
-/// The network between an entry and its endpoints is cut for a moment, twice. Requests
-/// that broke are refused for seconds at most, since no endpoint died.
+/// The network between an entry and its endpoints fails for a moment, twice. Requests whose
+/// connections broke may be refused for seconds at most, since no endpoint died.
 #[test]
 fn broken_connections_alone_quarantine_only_briefly() {
     let mut cluster = Cluster::new(1);
@@ -279,7 +280,8 @@
     assert_eq!(cluster.check(0, harmless(1)), Check::Run);
 }
 
-/// After its time a killer gets another chance, alone, and loses it for twice as long.
+/// After the quarantine a crashing request may run once more, and must then be refused for
+/// twice as long.
 #[test]
 fn a_crashing_request_sent_again_is_refused_for_longer() {
     let mut cluster = Cluster::new(2);
@@ -308,8 +310,9 @@
     Wait(u8),
 }
 
-/// Killers among innocents, at random entries and endpoints, answered in random order.
-/// No killer takes more than two endpoints, and every innocent may run at the end.
+/// Crashing requests among others, at random entries and endpoints, answered in random
+/// order. None may crash more than two endpoints, and every other request must run at the
+/// end.
 #[test]
 fn no_order_of_sends_lets_a_request_crash_a_third_endpoint() {
     const SEEDS: u64 = 5_000;
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -1,4 +1,4 @@
-//! Random orders of events: loss, delay, duplicates, crashes, cuts and clock jumps.
+//! Random orders of events: loss, delay, duplicates, crashes, cut links and clock jumps.
 
 use std::time::Duration;
 
@@ -12,11 +12,10 @@
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 600;
-/// Keys that are resent; older ones only by delayed packets.
+/// Number of the newest keys that are sent again; older ones come only in delayed packets.
 const RESENT_KEYS: usize = 6;
 
-/// What happens next; each names what it acts on by a number that is reduced to what
-/// there is.
+/// The next event. A number selects what it applies to, modulo the number of candidates.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
@@ -191,7 +190,8 @@
     }
 }
 
-/// Runs every seed; what happened, and the first broken promise with its seed.
+/// Runs every seed. Returns how often each event happened, and the first violation with its
+/// seed.
 fn run_seeds(guards: Guards, journal: bool) -> (Counts, Option<String>) {
     let options = Options::default().with_max_len(STEPS * 8);
     let mut total = Counts::default();
@@ -222,15 +222,15 @@
     total.recovered += counts.recovered;
 }
 
-/// An order is sent again and again while entries crash, stop and lose each other, and
-/// messages come late, twice or not at all. Whatever the order of events, it runs at
-/// most once, and "not run" stays true.
+/// A request is sent again and again while entries crash, stop and lose contact, and
+/// messages arrive late, twice or not at all. In every order of events it must run at most
+/// once, and a key refused as "not run" must never run.
 #[test]
 fn no_order_of_events_breaks_a_guarantee() {
     let (counts, violation) = run_seeds(Guards::ALL, false);
     assert_eq!(violation, None);
     println!("random run: {counts:?}");
-    // The run is worth something only if each of these happened often.
+    // The test is meaningful only if each of these happened often.
     assert!(counts.started > 2_000, "{counts:?}");
     assert!(counts.replayed > 500, "{counts:?}");
     assert!(counts.not_run > 500, "{counts:?}");
@@ -239,8 +239,8 @@
     assert!(counts.hand_overs > 20, "{counts:?}");
 }
 
-/// The same with a data folder at each entry. Processes come back from their journals, or
-/// from none, while their disks are behind.
+/// The same with a data folder at each entry. Processes recover from their journals, or
+/// from none, while disk writes are outstanding.
 #[test]
 fn no_order_of_events_breaks_a_guarantee_with_disks() {
     let (counts, violation) = run_seeds(Guards::ALL, true);
@@ -251,7 +251,7 @@
     assert!(counts.recovered > 100, "{counts:?}");
 }
 
-/// The guards that show only in rare orders are left to the exploration.
+/// Guards that matter only in rare orders of events are tested by the exploration.
 #[test]
 fn a_disabled_guard_is_detected() {
     let all = Guards::ALL;
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops, as stories.
+//! Planned stops of entries.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     cluster
 }
 
-/// SIGTERM: the entry tells the others that it leaves, and hands over.
+/// Begins a planned stop: the entry is announced as leaving and hands its homes over.
 fn stop(cluster: &mut Cluster, slot: Slot) {
     let member = cluster.members.get_mut(&slot).expect("a known slot");
     member.leaving = true;
@@ -22,8 +22,8 @@
     cluster.announce_members();
 }
 
-/// An entry is stopped while an order runs. The order goes on to its end; resends, and
-/// orders with keys from cached look-ups, go to the successor. Nobody asks control.
+/// An entry is stopped while a request runs. The request must end as usual; resends, and
+/// requests with cached prefixes, must go to the successor. No claim is needed.
 #[test]
 fn a_planned_stop_hands_homes_and_outcomes_over() {
     let mut cluster = cluster();
@@ -55,8 +55,8 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// The backup of a home is stopped. Its holder goes on at once, without waiting for a
-/// silence and without control.
+/// The backup of a home is stopped. Its primary must continue at once, without waiting for
+/// a timeout and without control.
 #[test]
 fn a_backup_that_stops_releases_its_primary() {
     let mut cluster = cluster();
@@ -72,9 +72,9 @@
     assert_eq!(cluster.counts.claim_results, 0);
 }
 
-/// An entry has just asked control to go on without its silent backup when it is
-/// stopped. Had it handed the home over while that claim was on its way, the claim would
-/// have won after the successor took over, and both had run the next resend.
+/// An entry is stopped just after it sent a claim to continue without its silent backup. If
+/// it handed the home over while that claim is in flight, the claim would win after the
+/// successor took over, and both would run the next resend.
 #[test]
 fn a_claim_in_flight_delays_the_hand_over() {
     let mut cluster = cluster();
@@ -96,9 +96,10 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// Both entries of a failure domain are stopped at the same moment, and a third one is
-/// there. The first hands its home to the second while the second releases the first. An
-/// order that starts in between must be known to the third, which takes over in the end.
+/// Both members of a home are stopped at the same moment, and a third entry is there. The
+/// primary hands the home to the backup while the backup releases the primary. A request
+/// that starts in between must be on record at the third entry, which becomes primary in
+/// the end.
 #[test]
 fn two_stops_at_once_lose_no_start() {
     let mut cluster = Cluster::new(config(Guards::ALL).build(), &["a", "a", "a"]);
@@ -109,7 +110,8 @@
     cluster.step(backup, Event::Stop);
     cluster.drain();
     cluster.tick();
-    // The third has the records from before; it isn't told yet that it is the backup.
+    // The third entry has the records from before, but no notice yet that it is the active
+    // backup.
     cluster.drain();
     cluster.send(0, &key);
     cluster.settle(SECOND);
@@ -131,7 +133,7 @@
     assert_eq!(cluster.violation, None);
 }
 
-/// The entry to which another one's records go.
+/// The backup of the home of `primary`.
 fn backup_of(cluster: &Cluster, primary: Slot) -> Slot {
     let mut cluster = cluster.clone();
     let key = cluster.key(primary, "probe");
@@ -140,8 +142,8 @@
     to.expect("a record on its way to the backup")
 }
 
-/// All entries are stopped and started one after the other, as in an upgrade, while
-/// orders are sent and resent. Each is answered by its only run.
+/// All entries are stopped and restarted one after the other, as in an upgrade, while
+/// requests are sent and resent. Each must get the answer of its only run.
 #[test]
 fn a_rolling_restart_loses_no_answer() {
     let mut cluster = cluster();
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -1,4 +1,4 @@
-//! What is on its way between the entries of a world, to their disks and to control.
+//! Packets and disk writes in flight in a test cluster.
 
 use std::cmp::Ordering;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,7 +8,7 @@
 
 use crate::cluster::Slot;
 
-/// Something on its way.
+/// A packet in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Packet {
     Message {
@@ -34,7 +34,7 @@
 }
 
 impl Packet {
-    /// Where a record on its way to a backup goes.
+    /// The receiver, if the packet carries operations from a primary to a backup.
     pub(crate) fn record_to(&self) -> Option<Slot> {
         match self {
             Self::Message { to, body, .. } => match body.message() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A write on its way to a disk. Disks write in order.
+/// A disk write in flight. Disks complete writes in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DiskWrite {
     pub(crate) home: HomeId,
@@ -56,14 +56,15 @@
     pub(crate) retire: bool,
 }
 
-/// A message with an order, by a digest of its own, so that packets can stand in a set.
+/// A message ordered by its digest, so that packets can be stored in a set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct HashedMessage {
     digest: u64,
     message: WithoutOrder,
 }
 
-/// Leaves the order to the digest that stands before it.
+/// Compares as equal to any other message, so that the derived order of [`HashedMessage`]
+/// depends on the digest alone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct WithoutOrder(Message);
 
