--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -88,15 +88,15 @@
     }
 
     pub(crate) fn run_mut(&mut self, generation: Generation, suffix: &str) -> Option<&mut Run> {
-        let period = self.generations.get_mut(&generation)?;
-        period.records.get_mut(suffix)?.run.as_deref_mut()
+        let gen_records = self.generations.get_mut(&generation)?;
+        gen_records.records.get_mut(suffix)?.run.as_deref_mut()
     }
 
     /// Stores a record. A final state is never replaced, so records may arrive late, twice
     /// and in any order.
     pub(crate) fn put(&mut self, new: KeyRecord) {
-        let period = self.generations.entry(new.generation).or_default();
-        match period.records.get_mut(&new.suffix) {
+        let gen_records = self.generations.entry(new.generation).or_default();
+        match gen_records.records.get_mut(&new.suffix) {
             Some(old) if old.stage.is_final() => {}
             Some(old) => {
                 self.usage.add(&new.stage);
@@ -110,17 +110,17 @@
                     stage: new.stage,
                     run: None,
                 };
-                period.records.insert(new.suffix, record);
+                gen_records.records.insert(new.suffix, record);
             }
         }
     }
 
     /// Adds a run to a key that is on record, with the request that is to start it.
     pub(crate) fn start_run(&mut self, generation: Generation, suffix: &str, token: Token) {
-        let Some(period) = self.generations.get_mut(&generation) else {
+        let Some(gen_records) = self.generations.get_mut(&generation) else {
             return;
         };
-        let Some(record) = period.records.get_mut(suffix) else {
+        let Some(record) = gen_records.records.get_mut(suffix) else {
             return;
         };
         let waiters = vec![token];
@@ -129,16 +129,16 @@
             waiters,
         };
         if record.run.replace(Box::new(run)).is_none() {
-            period.active += 1;
+            gen_records.active += 1;
             self.usage.active += 1;
         }
     }
 
     /// Removes the run that [`Home::start_run`] added and returns it.
     pub(crate) fn end_run(&mut self, generation: Generation, suffix: &str) -> Option<Run> {
-        let period = self.generations.get_mut(&generation)?;
-        let run = period.records.get_mut(suffix)?.run.take()?;
-        period.active -= 1;
+        let gen_records = self.generations.get_mut(&generation)?;
+        let run = gen_records.records.get_mut(suffix)?.run.take()?;
+        gen_records.active -= 1;
         self.usage.active -= 1;
         Some(*run)
     }
@@ -148,10 +148,10 @@
         let active = self
             .generations
             .iter()
-            .filter(|(_, period)| period.active > 0);
+            .filter(|(_, gen_records)| gen_records.active > 0);
         active
-            .flat_map(|(generation, period)| {
-                let runs = period.records.iter().filter(|(_, r)| r.run.is_some());
+            .flat_map(|(generation, gen_records)| {
+                let runs = gen_records.records.iter().filter(|(_, r)| r.run.is_some());
                 runs.map(|(suffix, _)| (*generation, suffix.clone()))
             })
             .collect()
@@ -161,7 +161,7 @@
     pub(crate) fn lowest_active(&self) -> Option<Generation> {
         let mut generations = self.generations.iter();
         generations
-            .find(|(_, period)| period.active > 0)
+            .find(|(_, gen_records)| gen_records.active > 0)
             .map(|(g, _)| *g)
     }
 
@@ -180,9 +180,9 @@
             if *entry.key() >= retained_from {
                 return;
             }
-            let period = entry.remove();
-            self.usage.active -= period.active;
-            for record in period.records.values() {
+            let gen_records = entry.remove();
+            self.usage.active -= gen_records.active;
+            for record in gen_records.records.values() {
                 self.usage.remove(&record.stage);
             }
         }
@@ -195,8 +195,8 @@
             return;
         }
         let usage = &mut self.usage;
-        for period in self.generations.range_mut(..self.watermarks.open_from) {
-            period.1.records.retain(|_, record| {
+        for gen_records in self.generations.range_mut(..self.watermarks.open_from) {
+            gen_records.1.records.retain(|_, record| {
                 let closed = matches!(record.stage, Stage::Closed(_));
                 if closed {
                     usage.remove(&record.stage);
@@ -223,12 +223,12 @@
         let first = cursor.map_or(Generation(0), |(generation, _)| *generation);
         self.generations
             .range(first..)
-            .find_map(|(generation, period)| {
+            .find_map(|(generation, gen_records)| {
                 let after = match cursor {
                     Some((at, suffix)) if at == generation => Excluded(suffix.clone()),
                     _ => Unbounded,
                 };
-                let (suffix, record) = period.records.range((after, Unbounded)).next()?;
+                let (suffix, record) = gen_records.records.range((after, Unbounded)).next()?;
                 Some(KeyRecord {
                     generation: *generation,
                     suffix: suffix.clone(),
@@ -240,10 +240,10 @@
 
     /// Removes a key. Used only where the guard `close_refused` is off.
     pub(crate) fn remove(&mut self, generation: Generation, suffix: &str) {
-        let Some(period) = self.generations.get_mut(&generation) else {
+        let Some(gen_records) = self.generations.get_mut(&generation) else {
             return;
         };
-        if let Some(record) = period.records.remove(suffix) {
+        if let Some(record) = gen_records.records.remove(suffix) {
             self.usage.remove(&record.stage);
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -260,7 +260,8 @@
         };
         let still_primary = self.with_home(now, &key.home, |home, cx| {
             home.end(cx, key.generation, &key.suffix, stage.clone());
-            home.primary().is_some_and(|h| !h.is_handing_over())
+            home.primary()
+                .is_some_and(|primary| !primary.is_handing_over())
         });
         if still_primary != Some(true) {
             self.queue_outcome(key, stage);
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -92,12 +92,12 @@
             if known.is_some_and(|known| known.run.is_none()) {
                 home.record_outcome(generation, &suffix, record.stage);
             }
-            let kept = Message::OutcomeRecorded {
+            let recorded = Message::OutcomeRecorded {
                 home: cx.id.clone(),
                 generation,
                 suffix,
             };
-            cx.send(from, kept);
+            cx.send(from, recorded);
         });
     }
 }
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -106,10 +106,10 @@
         };
         // Guards against two primaries: if this entry has just sent a claim, it could win
         // after the hand-over has reached the backup.
-        let paired = matches!(primary.backup, BackupState::Active { claimed: None, .. });
+        let may_hand_over = matches!(primary.backup, BackupState::Active { claimed: None, .. });
         if primary.handing_over.is_none()
-            && paired
-            && let Some(Durability::Acked(number)) = primary.commit(Op::HandOver)
+            && may_hand_over
+            && let Some(Durability::Acked(number)) = primary.log_op(Op::HandOver)
         {
             primary.handing_over = Some(number);
         }
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -11,7 +11,7 @@
         self.raise_watermarks(watermarks);
         let watermarks = self.watermarks;
         let primary = self.primary_mut()?;
-        let durability = primary.commit(Op::Watermarks(watermarks));
+        let durability = primary.log_op(Op::Watermarks(watermarks));
         primary.watermarks_durability = durability;
         durability
     }
@@ -56,7 +56,7 @@
     pub(crate) fn is_issuing(&self) -> bool {
         let issuing = |pending: &(Durability, Pending)| matches!(pending.1, Pending::Issue(_));
         self.primary()
-            .is_some_and(|h| h.pending.iter().any(issuing))
+            .is_some_and(|primary| primary.pending.iter().any(issuing))
     }
 
     /// Closes and drops generations whose time is over.
@@ -73,7 +73,7 @@
                 watermarks.open_from = watermarks.open_from.max(*below);
             }
             if *at + drops_after <= cx.now {
-                let retained_from = lowest_active.map_or(*below, |live| live.min(*below));
+                let retained_from = lowest_active.map_or(*below, |active| active.min(*below));
                 watermarks.retained_from = watermarks.retained_from.max(retained_from);
             }
         }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -87,7 +87,7 @@
         };
         self.put(record.clone());
         self.start_run(generation, &key.suffix, token);
-        let mut durability = self.commit(Op::Put(record));
+        let mut durability = self.log_op(Op::Put(record));
         // Guards against a primary that dies after the request was sent out and before its
         // backup has the record: the backup would take over and run a resend. With the
         // start on record at the backup first, every later primary has the key.
@@ -174,7 +174,7 @@
             stage,
         };
         self.put(record.clone());
-        self.commit(Op::Put(record));
+        self.log_op(Op::Put(record));
     }
 }
 
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -172,7 +172,7 @@
 
     /// Adds an operation to the log or the journal. Returns where it has to be on record
     /// before its effects become visible, `None` if nowhere.
-    fn commit(&mut self, op: Op) -> Option<Durability> {
+    fn log_op(&mut self, op: Op) -> Option<Durability> {
         match &mut self.backup {
             // The backup would apply nothing after the hand-over.
             _ if self.handing_over.is_some() => None,
@@ -226,8 +226,8 @@
         }
     }
 
-    fn commit(&mut self, op: Op) -> Option<Durability> {
-        self.primary_mut()?.commit(op)
+    fn log_op(&mut self, op: Op) -> Option<Durability> {
+        self.primary_mut()?.log_op(op)
     }
 }
 
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -13,7 +13,7 @@
 /// Most epochs that a process may use before a successor recovers its journal. The
 /// successor starts above all of them, since the journal doesn't contain which ones were
 /// used.
-const RECOVERED_CONFIGS: u64 = 1 << 32;
+const RECOVERY_EPOCH_GAP: u64 = 1 << 32;
 
 impl Home {
     /// Records that operations up to this one are in the data folder.
@@ -30,7 +30,9 @@
 
     /// Emits the next write to the data folder, if there is one.
     pub(crate) fn write(&mut self, cx: &mut Cx<'_>) {
-        let journal = self.primary_mut().and_then(|h| h.journal.as_mut());
+        let journal = self
+            .primary_mut()
+            .and_then(|primary| primary.journal.as_mut());
         let Some(write) = journal.and_then(Journal::write) else {
             return;
         };
@@ -46,14 +48,17 @@
     /// Rewrites a journal that consists largely of dropped records.
     pub(crate) fn compact_journal(&mut self) {
         let live = self.usage.stored + self.usage.keys * RECORD_LEN;
-        let journal = self.primary().and_then(|h| h.journal.as_ref());
+        let journal = self.primary().and_then(|primary| primary.journal.as_ref());
         if !journal
             .is_some_and(|j| j.needs_compaction(live) && j.is_fully_synced() && !j.is_retiring())
         {
             return;
         }
         let ops = self.snapshot();
-        if let Some(journal) = self.primary_mut().and_then(|h| h.journal.as_mut()) {
+        if let Some(journal) = self
+            .primary_mut()
+            .and_then(|primary| primary.journal.as_mut())
+        {
             journal.rewrite(ops);
         }
     }
@@ -65,7 +70,7 @@
         for op in ops {
             home.apply(op);
         }
-        let epoch = HomeEpoch(home.epoch.0 + RECOVERED_CONFIGS);
+        let epoch = HomeEpoch(home.epoch.0 + RECOVERY_EPOCH_GAP);
         home.take_over(now, epoch);
         if let Some(primary) = home.primary_mut() {
             let mut journal = Journal::default();
--- a/crates/ledger/src/quarantine/mod.rs
+++ b/crates/ledger/src/quarantine/mod.rs
@@ -211,12 +211,12 @@
         }
     }
 
-    fn clear(&mut self, answered: impl IntoIterator<Item = Fingerprint>) -> Option<Action> {
+    fn clear(&mut self, cleared: impl IntoIterator<Item = Fingerprint>) -> Option<Action> {
         // Only the entry that may run the request broadcasts this; if every entry that gets
         // an answer did, one crash would cost a message for each pair of entries.
         let designated_here = |history: LossHistory| history.designated_entry() == Some(&self.me);
         let cleared_here = |f: &Fingerprint| self.histories.remove(f).is_some_and(designated_here);
-        let fingerprints: Vec<_> = answered.into_iter().filter(cleared_here).collect();
+        let fingerprints: Vec<_> = cleared.into_iter().filter(cleared_here).collect();
         if fingerprints.is_empty() {
             return None;
         }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -180,7 +180,10 @@
     fn drop_home(&mut self, id: &HomeId) {
         self.outcomes.remove_home(id);
         let home = self.homes.remove(id);
-        if home.is_some_and(|home| home.primary().is_some_and(|h| h.journal.is_some())) {
+        if home.is_some_and(|home| {
+            home.primary()
+                .is_some_and(|primary| primary.journal.is_some())
+        }) {
             self.out.push(Action::Sync {
                 home: id.clone(),
                 number: 0,
