--- a/crates/ledger/src/api.rs
+++ b/crates/ledger/src/api.rs
@@ -125,8 +125,8 @@
         /// The prefix that it hands out, `None` while it issues no new keys.
         prefix: Option<KeyPrefix>,
     },
-    /// To the current primary: outcome of a request that ran at the sender after the home
-    /// had moved to another entry.
+    /// To the current primary: outcome of a request that was started at the sender before
+    /// the home moved to another entry.
     Outcome {
         /// The home.
         home: HomeId,
--- a/crates/ledger/src/config.rs
+++ b/crates/ledger/src/config.rs
@@ -87,7 +87,7 @@
 
 impl ConfigBuilder {
     /// Most keys on record in the homes that this entry is primary of; as many again may be
-    /// stored as backup of each other entry of the failure domain. Default 100,000.
+    /// stored as backup for each other entry of the failure domain. Default 100,000.
     #[must_use]
     pub fn max_keys(mut self, keys: usize) -> Self {
         self.cfg.max_keys = keys;
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -45,9 +45,9 @@
     /// become visible.
     pub(crate) fn push(&mut self, op: Op) -> u64 {
         if let Some(number) = self.retires_at {
-            // Guards against a lost start: if a key started without a record while the
-            // journal is still on disk and the process died, its successor would recover
-            // the home without that key.
+            // The effects wait for the deletion: if a key started without a record while
+            // the journal is still on disk and the process died, its successor would
+            // recover the home without that key.
             return number;
         }
         self.appended_bytes += op.len();
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -27,7 +27,7 @@
     pub failure_domain: FailureDomain,
     /// Incarnation of the entry that created the home.
     pub founder: Incarnation,
-    /// Counts the homes that the same process has created.
+    /// Number of the home among those that the same process has created.
     pub serial: u32,
 }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -37,7 +37,9 @@
     pub(crate) stopping: bool,
     pub(crate) created_at: Moment,
     pub(crate) last_tick: Moment,
+    /// When the last [`Message::HeldHomes`](crate::Message::HeldHomes) was sent.
     pub(crate) last_announced: Option<Moment>,
+    /// Actions of the current step.
     pub(crate) out: Vec<Action>,
 }
 
@@ -147,7 +149,7 @@
         })
     }
 
-    /// Whether a planned stop may continue: nothing runs here, and each home that another
+    /// Whether a planned stop of this entry may go on: nothing runs here, and each home that another
     /// entry can be primary of has been handed over.
     pub fn is_handed_over(&self) -> bool {
         let alone =
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -44,6 +44,7 @@
         self.when_durable(cx, durability, Pending::Issue(generation));
     }
 
+    /// Hands out the prefix of a generation whose watermark is durable.
     pub(super) fn issued(&mut self, now: Moment, generation: Generation) {
         let open = generation >= self.watermarks.open_from;
         if let Some(primary) = self.primary_mut() {
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -98,6 +98,8 @@
         self.when_durable(cx, durability, Pending::Start { generation, suffix });
     }
 
+    /// Completes `pending` once the operation is durable, or at once if it has to be on
+    /// record nowhere else.
     pub(super) fn when_durable(
         &mut self,
         cx: &mut Cx<'_>,
--- a/crates/ledger/src/primary/mod.rs
+++ b/crates/ledger/src/primary/mod.rs
@@ -27,7 +27,7 @@
 use crate::requests::Requests;
 use crate::{Action, Config, Decision, Generation, HomeId, Member, Message, Op, Stage, Token};
 
-/// State of the ledger that the methods of a home need.
+/// What the methods of a home need of its ledger.
 pub(crate) struct Cx<'a> {
     pub(crate) now: Moment,
     pub(crate) cfg: &'a Config,
@@ -114,16 +114,17 @@
     Synced(u64),
 }
 
+/// What is done once an operation is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Pending {
+    /// Let a request run the key.
     Start {
         generation: Generation,
         suffix: Box<str>,
     },
-    Refuse {
-        token: Token,
-        code: ResultCode,
-    },
+    /// Refuse a request.
+    Refuse { token: Token, code: ResultCode },
+    /// Hand out the prefix of this generation.
     Issue(Generation),
 }
 
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -234,6 +234,8 @@
         self.own = Some(id);
     }
 
+    /// Whether this entry has claimed the home and its backup has been silent for twice the
+    /// failover timeout.
     fn is_stuck(&self, now: Moment, primary: &Primary) -> bool {
         let BackupState::Active { log, claimed } = &primary.backup else {
             return false;
