--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -15,8 +15,8 @@
 const IDLE: Duration = Duration::from_secs(60);
 
 fn main() {
-    alone();
-    paired();
+    without_backup();
+    with_backup();
     idle();
     quarantine();
 }
@@ -57,7 +57,7 @@
 }
 
 /// Ledgers whose messages arrive at once.
-struct Pair {
+struct Cluster {
     now: Moment,
     ledgers: Vec<Ledger>,
     decision: Option<Decision>,
@@ -65,22 +65,22 @@
     bytes: u64,
 }
 
-impl Pair {
+impl Cluster {
     fn new(count: u64) -> Self {
         let ledger = |n| Ledger::new(Duration::ZERO, config(), member(n));
-        let mut pair = Self {
+        let mut cluster = Self {
             now: Duration::ZERO,
             ledgers: (0..count).map(ledger).collect(),
             decision: None,
             messages: 0,
             bytes: 0,
         };
-        for n in 0..pair.ledgers.len() {
+        for n in 0..cluster.ledgers.len() {
             let members = (0..count).map(member).collect();
-            pair.step(n, Event::Members(members));
+            cluster.step(n, Event::Members(members));
         }
-        pair.advance(Duration::from_secs(1));
-        pair
+        cluster.advance(Duration::from_secs(1));
+        cluster
     }
 
     fn step(&mut self, to: usize, event: Event) {
@@ -148,14 +148,14 @@
     }
 }
 
-fn alone() {
-    let mut pair = Pair::new(1);
-    let prefix = pair.prefix();
+fn without_backup() {
+    let mut cluster = Cluster::new(1);
+    let prefix = cluster.prefix();
     let before = resident();
     let start = Instant::now();
     for n in 0..KEYS {
-        assert_eq!(pair.begin(&prefix, n), Decision::Start);
-        pair.finish(n);
+        assert_eq!(cluster.begin(&prefix, n), Decision::Start);
+        cluster.finish(n);
     }
     print(
         "begin_and_finish_alone",
@@ -165,39 +165,40 @@
     print("memory_a_key", (resident() - before) / KEYS as f64, "bytes");
     let start = Instant::now();
     for n in 0..KEYS {
-        let replayed = pair.begin(&prefix, n);
+        let replayed = cluster.begin(&prefix, n);
         assert!(matches!(replayed, Decision::Replay(_)));
     }
     print("replay", ns_each(start.elapsed(), KEYS), "ns");
 
     // A second entry joins and receives all records.
-    pair.ledgers
-        .push(Ledger::new(pair.now, config(), member(1)));
-    (pair.messages, pair.bytes) = (0, 0);
+    cluster
+        .ledgers
+        .push(Ledger::new(cluster.now, config(), member(1)));
+    (cluster.messages, cluster.bytes) = (0, 0);
     let start = Instant::now();
     for n in 0..2 {
         let members = vec![member(0), member(1)];
-        pair.step(n, Event::Members(members));
+        cluster.step(n, Event::Members(members));
     }
-    while pair.ledgers[1].keys() < KEYS as usize {
-        pair.advance(Duration::from_millis(50));
+    while cluster.ledgers[1].keys() < KEYS as usize {
+        cluster.advance(Duration::from_millis(50));
     }
     print(
         "copy_of_100k_keys",
         start.elapsed().as_secs_f64() * 1e3,
         "ms",
     );
-    print("copy_of_100k_keys_sent", pair.bytes as f64 / 1e6, "MB");
+    print("copy_of_100k_keys_sent", cluster.bytes as f64 / 1e6, "MB");
 }
 
-fn paired() {
-    let mut pair = Pair::new(2);
-    let prefix = pair.prefix();
-    (pair.messages, pair.bytes) = (0, 0);
+fn with_backup() {
+    let mut cluster = Cluster::new(2);
+    let prefix = cluster.prefix();
+    (cluster.messages, cluster.bytes) = (0, 0);
     let start = Instant::now();
     for n in 0..KEYS {
-        assert_eq!(pair.begin(&prefix, n), Decision::Start);
-        pair.finish(n);
+        assert_eq!(cluster.begin(&prefix, n), Decision::Start);
+        cluster.finish(n);
     }
     print(
         "begin_and_finish_both_entries",
@@ -206,27 +207,27 @@
     );
     print(
         "messages_a_key",
-        pair.messages as f64 / KEYS as f64,
+        cluster.messages as f64 / KEYS as f64,
         "messages",
     );
-    print("sent_a_key", pair.bytes as f64 / KEYS as f64, "bytes");
+    print("sent_a_key", cluster.bytes as f64 / KEYS as f64, "bytes");
 }
 
 fn idle() {
-    let mut pair = Pair::new(2);
-    (pair.messages, pair.bytes) = (0, 0);
+    let mut cluster = Cluster::new(2);
+    (cluster.messages, cluster.bytes) = (0, 0);
     let start = Instant::now();
-    pair.advance(IDLE);
+    cluster.advance(IDLE);
     let seconds = IDLE.as_secs_f64() * 2.0;
     let busy = start.elapsed().as_secs_f64() / seconds * 1e6;
     print(
         "idle_messages_an_entry",
-        pair.messages as f64 / seconds,
+        cluster.messages as f64 / seconds,
         "per_second",
     );
     print(
         "idle_sent_an_entry",
-        pair.bytes as f64 / seconds,
+        cluster.bytes as f64 / seconds,
         "bytes_per_second",
     );
     print("idle_time_an_entry", busy, "us_per_second");
@@ -234,12 +235,12 @@
 
 fn quarantine() {
     let cfg = quarantine::Config::builder().build();
-    let mut guard = Quarantine::new(cfg, name(0));
+    let mut tracker = Quarantine::new(cfg, name(0));
     let endpoint: NodeName = "endpoint-1".parse().expect("a valid name");
     let start = Instant::now();
     for n in 0..KEYS {
         let fingerprint = Fingerprint(u128::from(n % 100));
-        assert_eq!(guard.check(Duration::ZERO, fingerprint), Check::Run);
+        assert_eq!(tracker.check(Duration::ZERO, fingerprint), Check::Run);
         let run = RunId(n);
         let endpoint = endpoint.clone();
         let started = quarantine::Event::Started {
@@ -247,9 +248,9 @@
             fingerprint,
             endpoint,
         };
-        guard.step(Duration::ZERO, started);
+        tracker.step(Duration::ZERO, started);
         let end = RunEnd::Answered;
-        guard.step(Duration::ZERO, quarantine::Event::Ended { run, end });
+        tracker.step(Duration::ZERO, quarantine::Event::Ended { run, end });
     }
     print("quarantine_a_request", ns_each(start.elapsed(), KEYS), "ns");
 }
--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -5,7 +5,7 @@
 
 /// Bytes that the largest routing table leaves of the longest message between control
 /// replicas.
-const ROOM_IN_SNAPSHOT: usize = 400 * 1024;
+const SNAPSHOT_BUDGET: usize = 400 * 1024;
 
 fn claim(founder: u64, claimant: u64) -> Claim {
     Claim {
@@ -40,8 +40,8 @@
     }
     assert_eq!(claim_results.len(), MAX_CLAIM_RESULTS);
     let len = postcard::to_stdvec(&claim_results)
-        .expect("they encode")
+        .expect("they are encodable")
         .len();
-    assert!(len < ROOM_IN_SNAPSHOT, "{len} bytes");
+    assert!(len < SNAPSHOT_BUDGET, "{len} bytes");
     println!("{len} bytes");
 }
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -298,12 +298,12 @@
                 self.counts.not_run += 1;
                 self.refused_not_run.insert(key.to_owned());
                 if runs > 0 {
-                    self.violation = Some(format!("{key} ran and was told {code}"));
+                    self.violation = Some(format!("{key} ran and was refused with {code}"));
                 }
             }
             Meaning::MayHaveRun => self.counts.may_have_run += 1,
             Meaning::Ran if runs == 0 => {
-                self.violation = Some(format!("{key} didn't run and was told {code}"));
+                self.violation = Some(format!("{key} didn't run and was refused with {code}"));
             }
             Meaning::Ran => {}
         }
@@ -407,7 +407,7 @@
             self.violation = Some(format!("{key} ran {runs} times"));
         }
         if self.refused_not_run.contains(&key) {
-            self.violation = Some(format!("{key} ran after it was told not run"));
+            self.violation = Some(format!("{key} ran after it was refused as not run"));
         }
         let answer = format!("answer to {key}").into_bytes();
         self.answers.insert(key, answer);
@@ -473,7 +473,7 @@
                 self.deliver(0);
             }
         }
-        self.violation = Some("the entries never fall silent".to_owned());
+        self.violation = Some("the entries never stop sending".to_owned());
     }
 
     /// Delivers until no packet is in flight, without completing any disk write.
@@ -511,14 +511,14 @@
 
     /// Whether the same events are possible from here on in both clusters.
     pub(crate) fn is_equivalent(&self, other: &Self) -> bool {
-        self.observable_state() == other.observable_state()
+        self.relevant_state() == other.relevant_state()
     }
 
     pub(crate) fn hash_into(&self, state: &mut impl Hasher) {
-        self.observable_state().hash(state);
+        self.relevant_state().hash(state);
     }
 
-    fn observable_state(&self) -> impl Hash + Eq + '_ {
+    fn relevant_state(&self) -> impl Hash + Eq + '_ {
         let disks = (&self.disks, &self.unsynced);
         let settings = (
             &self.now,
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -83,18 +83,18 @@
         }
         let budget = self.budget;
         for index in 0..self.cluster.wire.len() {
-            next.push(self.after(|_| {}, |w| w.deliver(index)));
+            next.push(self.after(|_| {}, |cluster| cluster.deliver(index)));
             if budget.duplicates > 0 {
                 let packet = self.cluster.wire[index].clone();
-                next.push(self.after(|b| b.duplicates -= 1, |w| w.arrive(&packet)));
+                next.push(self.after(|b| b.duplicates -= 1, |cluster| cluster.arrive(&packet)));
             }
         }
         for index in 0..self.cluster.started.len() {
             if !self.cluster.started[index].ran {
-                next.push(self.after(|_| {}, |w| w.run(index)));
-                next.push(self.after(|_| {}, |w| w.give_up(index)));
+                next.push(self.after(|_| {}, |cluster| cluster.run(index)));
+                next.push(self.after(|_| {}, |cluster| cluster.give_up(index)));
             } else {
-                next.push(self.after(|_| {}, |w| w.finish(index)));
+                next.push(self.after(|_| {}, |cluster| cluster.finish(index)));
             }
         }
         self.faults(&mut next);
@@ -106,7 +106,7 @@
         let live: Vec<_> = self.cluster.nodes.keys().copied().collect();
         if budget.sends > 0 {
             for slot in &live {
-                next.push(self.after(|b| b.sends -= 1, |w| w.send(*slot, &self.key)));
+                next.push(self.after(|b| b.sends -= 1, |cluster| cluster.send(*slot, &self.key)));
             }
         }
         if budget.timeouts > 0 {
@@ -114,21 +114,21 @@
         }
         if budget.crashes > 0 {
             for slot in live.iter().filter(|slot| **slot < 2) {
-                next.push(self.after(|b| b.crashes -= 1, |w| w.crash(*slot)));
+                next.push(self.after(|b| b.crashes -= 1, |cluster| cluster.crash(*slot)));
             }
         }
         if budget.boots > 0 {
             for slot in (0..2).filter(|slot| !live.contains(slot)) {
-                let boot = |w: &mut Cluster| {
-                    w.boot(slot);
-                    w.announce_members();
+                let boot = |cluster: &mut Cluster| {
+                    cluster.boot(slot);
+                    cluster.announce_members();
                 };
                 next.push(self.after(|b| b.boots -= 1, boot));
             }
         }
         if budget.stops > 0 {
             for slot in live.iter().filter(|slot| **slot < 2) {
-                next.push(self.after(|b| b.stops -= 1, |w| w.step(*slot, Event::Stop)));
+                next.push(self.after(|b| b.stops -= 1, |cluster| cluster.step(*slot, Event::Stop)));
             }
         }
     }
@@ -145,9 +145,9 @@
 /// Explores from `start`. Returns the violation and the number of steps that led to it, if
 /// there is one, and the number of states explored.
 fn explore(start: State) -> (Option<(String, usize)>, usize) {
-    let mut seen = 0;
+    let mut explored = 0;
     let successors = |state: &State| {
-        seen += 1;
+        explored += 1;
         state.successors()
     };
     let path = bfs(&start, successors, |state| {
@@ -157,7 +157,7 @@
         let last = path.last()?;
         Some((last.cluster.violation.clone()?, path.len() - 1))
     });
-    (violation, seen)
+    (violation, explored)
 }
 
 /// A cluster in which entry 0 is the primary of a home, entry 1 its backup, and nothing is
@@ -178,7 +178,7 @@
     duplicates: 0,
 };
 
-fn crash_or_silence(guards: Guards) -> State {
+fn crash_or_timeout(guards: Guards) -> State {
     let cluster = primary_with_backup(guards);
     let key = cluster.key(0, "order");
     State::new(cluster, &key, BUDGET)
@@ -200,13 +200,13 @@
 /// same name, while copies of everything ever sent to the old process are still in flight.
 fn backup_restarted(guards: Guards) -> State {
     let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
-    let mut old = BTreeSet::new();
+    let mut old_packets = BTreeSet::new();
     let end = Duration::from_secs(1);
     while cluster.now < end {
         while !cluster.wire.is_empty() {
             let packet = cluster.wire[0].clone();
-            if is_append_of_home(&packet, 0) {
-                old.insert(packet);
+            if is_append_from(&packet, 0) {
+                old_packets.insert(packet);
             }
             cluster.deliver(0);
         }
@@ -219,7 +219,7 @@
     cluster.drain();
     cluster.run(0);
     cluster.crash(1);
-    cluster.wire = old.into_iter().collect();
+    cluster.wire = old_packets.into_iter().collect();
     let budget = EventBudget {
         depth: 11,
         sends: 1,
@@ -230,7 +230,7 @@
     State::new(cluster, &key, budget)
 }
 
-fn is_append_of_home(packet: &Packet, from: usize) -> bool {
+fn is_append_from(packet: &Packet, from: usize) -> bool {
     let Packet::Message {
         from: sender, body, ..
     } = packet
@@ -243,16 +243,16 @@
 #[test]
 fn every_order_of_events_keeps_the_guarantees() {
     let scenarios = [
-        ("crash or failover timeout", crash_or_silence(Guards::ALL)),
+        ("crash or failover timeout", crash_or_timeout(Guards::ALL)),
         ("planned stop", planned_stop(Guards::ALL)),
         ("backup restarted", backup_restarted(Guards::ALL)),
     ];
     for (name, start) in scenarios {
         let depth = start.budget.depth;
-        let (violation, seen) = explore(start);
-        println!("{name}: {seen} states to depth {depth}");
+        let (violation, explored) = explore(start);
+        println!("{name}: {explored} states to depth {depth}");
         assert_eq!(violation, None, "{name}");
-        assert!(seen > 1_000, "{name}: only {seen} states");
+        assert!(explored > 1_000, "{name}: only {explored} states");
     }
 }
 
@@ -262,21 +262,21 @@
     let variants = [
         (
             "record before start",
-            crash_or_silence(Guards {
+            crash_or_timeout(Guards {
                 record_before_start: false,
                 ..all
             }),
         ),
         (
-            "config",
-            crash_or_silence(Guards {
+            "epoch",
+            crash_or_timeout(Guards {
                 check_epoch: false,
                 ..all
             }),
         ),
         (
             "closing of refused keys",
-            crash_or_silence(Guards {
+            crash_or_timeout(Guards {
                 close_refused: false,
                 ..all
             }),
@@ -290,11 +290,11 @@
         ),
     ];
     for (guard, start) in variants {
-        let (violation, seen) = explore(start);
-        println!("without {guard}: {violation:?} after {seen} states");
+        let (violation, explored) = explore(start);
+        println!("without {guard}: {violation:?} after {explored} states");
         assert!(
             violation.is_some(),
-            "nothing breaks without the guard `{guard}`"
+            "no violation without the guard `{guard}`"
         );
     }
 }
--- a/crates/ledger/tests/all/failures.rs
+++ b/crates/ledger/tests/all/failures.rs
@@ -73,7 +73,7 @@
     let replays = cluster
         .decisions
         .iter()
-        .filter(|(_, b)| matches!(b, Decision::Replay(_)));
+        .filter(|(_, decision)| matches!(decision, Decision::Replay(_)));
     assert_eq!(replays.count(), 1);
     assert_eq!(cluster.violation, None);
 }
@@ -350,7 +350,7 @@
     let mut keys = Vec::new();
     for n in 0..200 {
         let Some(prefix) = cluster.prefix(0) else {
-            panic!("no prefix at order {n}");
+            panic!("no prefix at request {n}");
         };
         let key = format!("{prefix}{n}");
         cluster.send(0, &key);
--- a/crates/ledger/tests/all/journals.rs
+++ b/crates/ledger/tests/all/journals.rs
@@ -130,7 +130,7 @@
     let cluster = add_second_entry_while_the_disk_is_stuck(unguarded);
     assert!(
         cluster.violation.is_some(),
-        "nothing breaks without the guard"
+        "no violation without the guard"
     );
 }
 
@@ -157,7 +157,10 @@
     }
     cluster.settle(SECOND);
     let written = cluster.journal_len(0);
-    assert!(written < 30_000, "{written} steps for the keys of 90 s");
+    assert!(
+        written < 30_000,
+        "{written} operations for the keys of 90 s"
+    );
     cluster.crash(0);
     cluster.boot_from_disk(0);
     cluster.settle(SECOND);
--- a/crates/ledger/tests/all/quarantine.rs
+++ b/crates/ledger/tests/all/quarantine.rs
@@ -148,7 +148,7 @@
 fn a_death_detected_before_its_broken_connection_counts() {
     let mut cluster = Cluster::new(2);
     for n in 0..2 {
-        let running = cluster.start(0, CRASHING, n).expect("a chance");
+        let running = cluster.start(0, CRASHING, n).expect("it may still run");
         cluster.now += Duration::from_millis(100);
         cluster.step(0, died(running.endpoint.clone(), true));
         cluster.end(&running, RunEnd::Lost);
@@ -162,13 +162,13 @@
 fn a_request_sent_to_dead_endpoints_is_not_quarantined() {
     let mut cluster = Cluster::new(1);
     for n in 0..2 {
-        let crashing = cluster.start(0, CRASHING, n).expect("a chance");
+        let crashing = cluster.start(0, CRASHING, n).expect("it may still run");
         cluster.end(&crashing, RunEnd::Lost);
     }
     cluster.now += Duration::from_millis(10);
     for n in 0..2 {
-        let page = cluster.start(0, harmless(1), n).expect("it isn't refused");
-        cluster.end(&page, RunEnd::Lost);
+        let run = cluster.start(0, harmless(1), n).expect("it isn't refused");
+        cluster.end(&run, RunEnd::Lost);
     }
     assert_eq!(cluster.check(0, harmless(1)), Check::Run);
     // Nor after the deaths are detected, for as long as nothing answers there.
@@ -178,8 +178,8 @@
     cluster.now += Duration::from_secs(60);
     cluster.step(0, Event::Tick);
     for n in 0..2 {
-        let page = cluster.start(0, harmless(1), n).expect("it isn't refused");
-        cluster.end(&page, RunEnd::Lost);
+        let run = cluster.start(0, harmless(1), n).expect("it isn't refused");
+        cluster.end(&run, RunEnd::Lost);
     }
     assert_eq!(cluster.check(0, harmless(1)), Check::Run);
 }
@@ -190,7 +190,7 @@
 fn two_broken_runs_quarantine_the_request_at_every_entry() {
     let mut cluster = Cluster::new(2);
     for n in 0..2 {
-        let crashing = cluster.start(0, CRASHING, n).expect("a chance");
+        let crashing = cluster.start(0, CRASHING, n).expect("it may still run");
         cluster.end(&crashing, RunEnd::Lost);
     }
     assert!(is_refused(&cluster.check(1, CRASHING)));
@@ -202,24 +202,23 @@
 #[test]
 fn harmless_requests_beside_a_crashing_one_are_cleared() {
     let mut cluster = Cluster::new(2);
-    let beside: Vec<_> = [CRASHING, harmless(1), harmless(2)]
+    let concurrent: Vec<_> = [CRASHING, harmless(1), harmless(2)]
         .iter()
-        .map(|f| {
-            cluster
-                .start(0, *f, 0)
-                .expect("nobody is under suspicion yet")
-        })
+        .map(|f| cluster.start(0, *f, 0).expect("it has no losses yet"))
         .collect();
-    cluster.crash(&beside);
+    cluster.crash(&concurrent);
     for n in [1, 2] {
         let again = cluster
             .start(1, harmless(n), 1)
             .expect("one run is allowed");
-        assert_eq!(again.entry, 0, "the entry that saw the loss tries it");
+        assert_eq!(
+            again.entry, 0,
+            "it runs at the entry that recorded the loss"
+        );
         cluster.end(&again, RunEnd::Answered);
         assert_eq!(cluster.check(1, harmless(n)), Check::Run);
     }
-    let crashing = cluster.start(1, CRASHING, 2).expect("its second chance");
+    let crashing = cluster.start(1, CRASHING, 2).expect("it may run once more");
     cluster.crash(&[crashing]);
     assert_eq!(cluster.deaths, 2);
     assert!(is_refused(&cluster.check(1, CRASHING)));
@@ -230,14 +229,14 @@
 #[test]
 fn a_request_that_runs_everywhere_is_not_quarantined() {
     let mut cluster = Cluster::new(2);
-    let page = harmless(1);
+    let request = harmless(1);
     for n in 0..4 {
-        let elsewhere = cluster.start(0, page, 5).expect("it isn't refused");
-        let dying = cluster.start(0, page, n).expect("it isn't refused");
+        let elsewhere = cluster.start(0, request, 5).expect("it isn't refused");
+        let dying = cluster.start(0, request, n).expect("it isn't refused");
         cluster.crash(&[dying]);
         cluster.end(&elsewhere, RunEnd::Answered);
-        assert_eq!(cluster.check(0, page), Check::Run);
-        assert_eq!(cluster.check(1, page), Check::Run);
+        assert_eq!(cluster.check(0, request), Check::Run);
+        assert_eq!(cluster.check(1, request), Check::Run);
         cluster.now += Duration::from_secs(5);
     }
 }
@@ -287,7 +286,7 @@
     let mut cluster = Cluster::new(2);
     let mut refused_for = Vec::new();
     for n in 0..4 {
-        let running = cluster.start(n % 2, CRASHING, n).expect("a chance");
+        let running = cluster.start(n % 2, CRASHING, n).expect("it may still run");
         cluster.crash(&[running]);
         if let Check::Refuse { retry_after } = cluster.check(0, CRASHING) {
             refused_for.push(retry_after);
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -290,7 +290,7 @@
         println!("without {guard}: {violation:?}");
         assert!(
             violation.is_some(),
-            "nothing breaks without the guard `{guard}`"
+            "no violation without the guard `{guard}`"
         );
     }
 }
--- a/crates/ledger/tests/all/stops.rs
+++ b/crates/ledger/tests/all/stops.rs
@@ -34,7 +34,7 @@
     cluster.run(0);
     stop(&mut cluster, 0);
     cluster.settle(SECOND);
-    assert!(!cluster.nodes[&0].is_handed_over(), "an order still runs");
+    assert!(!cluster.nodes[&0].is_handed_over(), "a request still runs");
     cluster.send(0, &cached);
     cluster.drain();
     assert_eq!(cluster.started.len(), 2);
@@ -138,8 +138,11 @@
     let mut cluster = cluster.clone();
     let key = cluster.key(primary, "probe");
     cluster.send(primary, &key);
-    let to = cluster.wire.iter().find_map(|packet| packet.record_to());
-    to.expect("a record on its way to the backup")
+    let to = cluster
+        .wire
+        .iter()
+        .find_map(|packet| packet.append_receiver());
+    to.expect("an append in flight to the backup")
 }
 
 /// All entries are stopped and restarted one after the other, as in an upgrade, while
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -35,7 +35,7 @@
 
 impl Packet {
     /// The receiver, if the packet carries operations from a primary to a backup.
-    pub(crate) fn record_to(&self) -> Option<Slot> {
+    pub(crate) fn append_receiver(&self) -> Option<Slot> {
         match self {
             Self::Message { to, body, .. } => match body.message() {
                 Message::Append { ops, .. } if !ops.is_empty() => Some(*to),
