--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -201,7 +201,7 @@
             let entry = to.name.clone();
             return self.answer(token, Decision::Forward { entry });
         }
-        let has_capacity = match self.capacity() {
+        let fits = match self.capacity() {
             // The shortage ends when the running keys end; closing the generation for it
             // would make every caller look up a new prefix.
             Capacity::Busy if !on_record => {
@@ -210,9 +210,7 @@
             }
             capacity => on_record || capacity == Capacity::Free,
         };
-        self.with_home(now, id, |home, cx| {
-            home.begin(cx, token, key, digest, has_capacity)
-        });
+        self.with_home(now, id, |home, cx| home.begin(cx, token, key, digest, fits));
     }
 
     fn is_on_record(&self, key: &Key) -> bool {
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -8,14 +8,14 @@
 use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
 
 impl Home {
-    /// Decides about a request. `has_capacity` is whether there is space for another key.
+    /// Decides about a request. `fits` is whether there is space for another key.
     pub(crate) fn begin(
         &mut self,
         cx: &mut Cx<'_>,
         token: Token,
         key: &Key,
         digest: Digest,
-        has_capacity: bool,
+        fits: bool,
     ) {
         let generation = key.prefix.generation;
         if let Some(record) = self.record(generation, &key.suffix) {
@@ -28,13 +28,13 @@
         if let Some(code) = self.refuse_unknown(cx, generation) {
             return cx.answer(token, refuse(cx.cfg, code));
         }
-        if !has_capacity {
+        if !fits {
             // Closing the generation answers every key that there is no space for with one
             // record, and makes "not run" permanently true for each of them.
             self.close_all(cx);
         }
         if generation < self.watermarks.open_from && cx.cfg.guards.check_watermarks {
-            let code = if has_capacity {
+            let code = if fits {
                 ResultCode::KeyClosed
             } else {
                 ResultCode::LedgerFull
--- a/crates/ledger/src/quarantine/mod.rs
+++ b/crates/ledger/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! A request that crashes its endpoint is sent again by its caller, or by an entry that
 //! takes the crash for a lost connection, and crashes the next endpoint. Each entry
 //! records, by fingerprint, what ran on an endpoint that was lost, and notifies the other
-//! entries. Of the requests that ran there at most one is the cause, and it can't be told
+//! entries. Of the requests that ran there at most one is the cause, and nothing shows
 //! which one; so a request is refused only after two losses, and its history is cleared as
 //! soon as any run of it is answered:
 //!
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -69,20 +69,29 @@
     /// Running entries; in an `Rc`, so that clones share what a step doesn't change.
     pub(crate) nodes: BTreeMap<Slot, Rc<Ledger>>,
     pub(crate) members: BTreeMap<Slot, Member>,
+    /// Packets in flight.
     pub(crate) wire: Vec<Rc<Packet>>,
     pub(crate) claim_results: ClaimResults,
     /// Synced journals, by VM.
     disks: BTreeMap<Slot, BTreeMap<HomeId, Vec<Op>>>,
+    /// Outstanding disk writes, by VM.
     unsynced: BTreeMap<Slot, VecDeque<DiskWrite>>,
+    /// Links that drop every message, by sender and receiver.
     pub(crate) cut: BTreeSet<(Slot, Slot)>,
+    /// Entries without a connection to control.
     pub(crate) control_cut: BTreeSet<Slot>,
+    /// Undecided requests: entry, key, digest and hops.
     requests: BTreeMap<Token, (Slot, String, u128, u8)>,
     pub(crate) started: Vec<Started>,
+    /// How often each key has run.
     pub(crate) runs: BTreeMap<String, u32>,
+    /// Answer of each key that ran.
     answers: BTreeMap<String, Vec<u8>>,
+    /// Keys that were refused with a code that means "not run".
     refused_not_run: BTreeSet<String>,
     /// Every decision of the ledgers, with its key.
     pub(crate) decisions: Vec<(String, Decision)>,
+    /// The last broken guarantee.
     pub(crate) violation: Option<String>,
     pub(crate) counts: Counts,
     next_incarnation: u64,
@@ -349,6 +358,7 @@
         self.arrive(&packet);
     }
 
+    /// Delivers a packet, unless its link is cut.
     pub(crate) fn arrive(&mut self, packet: &Packet) {
         match packet.clone() {
             Packet::Message { from, to, body } => {
@@ -518,6 +528,7 @@
         self.relevant_state().hash(state);
     }
 
+    /// What later events depend on, and what the guarantees are checked against.
     fn relevant_state(&self) -> impl Hash + Eq + '_ {
         let disks = (&self.disks, &self.unsynced);
         let settings = (
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -15,7 +15,8 @@
 /// Number of the newest keys that are sent again; older ones come only in delayed packets.
 const RESENT_KEYS: usize = 6;
 
-/// The next event. A number selects what it applies to, modulo the number of candidates.
+/// The next event. A number selects what it applies to, modulo the number of candidates;
+/// `…More` variants repeat an event to make it more frequent.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
@@ -190,7 +191,7 @@
     }
 }
 
-/// Runs every seed. Returns how often each event happened, and the first violation with its
+/// Applies random events to a new cluster for every seed. Returns how often each event happened, and the first violation with its
 /// seed.
 fn run_seeds(guards: Guards, journal: bool) -> (Counts, Option<String>) {
     let options = Options::default().with_max_len(STEPS * 8);
