--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -131,7 +131,7 @@
 
     /// Whether the home is lost. Called where neither a primary nor the founder is live: if
     /// this entry is in the failure domain of the home and has the list of live entries, no
-    /// entry has its records.
+    /// entry is its primary any more.
     fn is_lost(&self, id: &HomeId) -> bool {
         id.failure_domain == self.me.failure_domain && self.members.is_some()
     }
--- a/crates/ledger/src/tick.rs
+++ b/crates/ledger/src/tick.rs
@@ -146,7 +146,8 @@
 
     fn due_as_primary(&self, now: Moment, primary: &Primary) -> Due {
         match &primary.backup {
-            // A process that recovers the journal must find in it which epochs were used.
+            // A process that recovers the journal must start above every epoch used here, so
+            // the journal has to be synced before the next one is used.
             BackupState::Absent
                 if !primary
                     .journal
