--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -38,9 +38,9 @@
         let Some(verdict) = self.machine.verdicts.get(claim) else {
             return false;
         };
-        info!(home:% = verdict.home, config = verdict.config.0, winner = verdict.winner.0;
+        info!(home:% = verdict.home, config = verdict.epoch.0, winner = verdict.winner.0;
             "verdict sent for a claim on a home");
-        self.send(to, Body::Ledger(Message::Verdict(verdict)));
+        self.send(to, Body::Ledger(Message::ClaimResult(verdict)));
         true
     }
 
--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -146,7 +146,7 @@
         Check::Refuse { retry_after } => {
             return Some(Blocked::Refused(quarantined(retry_after)));
         }
-        Check::Elsewhere { entry } => entry,
+        Check::RunAt { entry } => entry,
     };
     let cluster = core.cluster.borrow();
     let mut entries = cluster.entries.iter();
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Action, Begun, Config, Event, Ledger, Member, Message, Pass};
+use filberthead_ledger::{Action, Config, Decision, Event, Ledger, Member, Message, Token};
 use filberthead_peer::Body;
 use filberthead_ring::{PushError, Receiver, Sender};
 use filberthead_spread::MemberInfo;
@@ -76,8 +76,8 @@
     journal: Sender<JournalWrite>,
     /// Writes that didn't fit into the journal's ring, in order.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Pass, WaitingPass>,
-    next_pass: u64,
+    waiting: HashMap<Token, WaitingPass>,
+    next_token: u64,
 }
 
 async fn run(duty: LedgerDuty, mut stop: Stop) {
@@ -112,7 +112,7 @@
         journal: writes,
         unwritten: VecDeque::new(),
         waiting: HashMap::new(),
-        next_pass: 0,
+        next_token: 0,
     };
     for Recovered { home, ops } in recovered {
         state.ledger.recover(clock.now(), home, ops);
@@ -185,15 +185,15 @@
     }
 
     fn begin(&mut self, begin: BeginCommand) {
-        let pass = Pass(self.next_pass);
-        self.next_pass += 1;
+        let token = Token(self.next_token);
+        self.next_token += 1;
         let waiting = WaitingPass {
             admission: begin.admission,
             reply: begin.reply,
         };
-        self.waiting.insert(pass, waiting);
+        self.waiting.insert(token, waiting);
         self.step(Event::Begin {
-            pass,
+            token,
             key: begin.key,
             digest: begin.digest,
             deadline: begin.deadline,
@@ -203,11 +203,11 @@
     }
 
     fn end(&mut self, end: EndCommand) {
-        let pass = end.pass;
+        let token = end.token;
         self.step(match end.end {
-            End::Finished(answer) => Event::Finished { pass, answer },
-            End::Unknown => Event::Unknown { pass },
-            End::NotRun(code) => Event::NotRun { pass, code },
+            End::Finished(answer) => Event::Finished { token, answer },
+            End::Unknown => Event::Unknown { token },
+            End::NotRun(code) => Event::NotRun { token, code },
         });
     }
 
@@ -226,14 +226,14 @@
 
     /// Cancels the passes whose request no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(pass, waiting): (&Pass, &WaitingPass)| {
+        let abandoned = |(token, waiting): (&Token, &WaitingPass)| {
             let closed = waiting.reply.is_closed();
-            closed.then_some(*pass)
+            closed.then_some(*token)
         };
-        let passes: Vec<Pass> = self.waiting.iter().filter_map(abandoned).collect();
-        for pass in passes {
-            self.waiting.remove(&pass);
-            self.step(Event::Cancel { pass });
+        let tokens: Vec<Token> = self.waiting.iter().filter_map(abandoned).collect();
+        for token in tokens {
+            self.waiting.remove(&token);
+            self.step(Event::Cancel { token });
         }
     }
 
@@ -251,7 +251,7 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.reply_begun(pass, begun),
+            Action::Decide { token, decision } => self.reply_decision(token, decision),
             Action::Send { to, message } => self.send(&to, message),
             Action::Sync {
                 home,
@@ -302,19 +302,19 @@
         }
     }
 
-    fn reply_begun(&mut self, pass: Pass, begun: Begun) {
-        let Some(waiting) = self.waiting.remove(&pass) else {
-            warn!(pass = pass.0; "the ledger answered a pass that isn't waiting");
+    fn reply_decision(&mut self, token: Token, decision: Decision) {
+        let Some(waiting) = self.waiting.remove(&token) else {
+            warn!(pass = token.0; "the ledger answered a pass that isn't waiting");
             return;
         };
-        let reply = match begun {
-            Begun::Start => {
+        let reply = match decision {
+            Decision::Start => {
                 let commands = self.commands.clone();
-                Reply::Start(Grant::new(pass, waiting.admission, commands))
+                Reply::Start(Grant::new(token, waiting.admission, commands))
             }
-            Begun::Replay(answer) => Reply::Replay(answer),
-            Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
-            Begun::Forward { entry } => self.forward(entry),
+            Decision::Replay(answer) => Reply::Replay(answer),
+            Decision::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
+            Decision::Forward { entry } => self.forward(entry),
         };
         // The request may be gone; the grant is then dropped and ends as not run.
         let _ = waiting.reply.send(reply);
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Digest, Key, KeyPrefix, Pass};
+use filberthead_ledger::{Digest, Key, KeyPrefix, Token};
 use filberthead_ring::{Receiver, Sender, ring};
 use filberthead_types::{Moment, NodeName, ResultCode};
 use log::error;
@@ -52,7 +52,7 @@
 /// The end of a started request.
 #[derive(Debug)]
 pub(crate) struct EndCommand {
-    pub(super) pass: Pass,
+    pub(super) token: Token,
     pub(super) end: End,
     /// Released once the duty has handled the command.
     _admission: OwnedSemaphorePermit,
@@ -93,7 +93,7 @@
 /// The right to run a key once, as held by [`Grant`] and [`Permit`].
 #[derive(Debug)]
 struct RunRight {
-    pass: Pass,
+    token: Token,
     admission: OwnedSemaphorePermit,
     tx: Sender<Command>,
 }
@@ -101,7 +101,7 @@
 impl RunRight {
     fn end(self, end: End) {
         let command = Command::End(EndCommand {
-            pass: self.pass,
+            token: self.token,
             end,
             _admission: self.admission,
         });
@@ -114,10 +114,9 @@
 }
 
 impl Grant {
-    pub(super) fn new(pass: Pass, admission: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
+    pub(super) fn new(token: Token, admission: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
         Self {
-            right: Some(RunRight {
-                pass,
+            right: Some(RunRight { token,
                 admission,
                 tx,
             }),
--- a/crates/ledger/src/home.rs
+++ b/crates/ledger/src/home.rs
@@ -1,250 +1,259 @@
-//! The records of one home, without any decision about who may start a key.
+//! The records of one home. Which keys may start is decided in [`crate::primary`].
 
 use std::collections::BTreeMap;
 
 use crate::backup::Backup;
-use crate::primary::Holder;
-use crate::{ConfigNumber, Digest, Generation, KeyRecord, Marks, Op, Pass, Stage};
+use crate::primary::Primary;
+use crate::{Digest, Generation, HomeEpoch, KeyRecord, Op, Stage, Token, Watermarks};
 use filberthead_types::{Incarnation, Moment};
 
-/// A home as one entry knows it.
+/// State of a home at one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Home {
-    /// Newest config that this entry knows of.
-    pub(crate) config: ConfigNumber,
+    /// Newest epoch that this entry has seen.
+    pub(crate) epoch: HomeEpoch,
     pub(crate) role: Role,
-    pub(crate) marks: Marks,
+    pub(crate) watermarks: Watermarks,
     pub(crate) usage: Usage,
-    periods: BTreeMap<Generation, Period>,
+    generations: BTreeMap<Generation, GenerationRecords>,
 }
 
-/// What this entry is to a home.
+/// Role of this entry for a home.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
-    /// Decides on each key.
-    Holder(Box<Holder>),
-    /// Copies what the holder records.
+    /// Decides which keys start.
+    Primary(Box<Primary>),
+    /// Stores a copy of the primary's records.
     Backup(Backup),
-    /// Was one of both. Its records are still true, but others may know more.
-    Past {
-        /// Who held the home last, as far as known.
-        holder: Option<Incarnation>,
-        /// Since when.
+    /// Was primary or backup before. Its final records are still valid, but other entries
+    /// may have newer ones.
+    Former {
+        /// The last known primary, `None` if this entry doesn't know of any.
+        primary: Option<Incarnation>,
+        /// When this entry got this role.
         since: Moment,
     },
 }
 
-/// How much a home keeps.
+/// Sizes of a home's records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Usage {
     /// Keys on record.
     pub(crate) keys: usize,
     /// Bytes of stored answers.
     pub(crate) stored: usize,
-    /// Keys that a pass of this entry runs or waits to start.
-    pub(crate) live: usize,
-    /// Keys that were refused one by one.
+    /// Keys that a request at this entry runs or waits to start.
+    pub(crate) active: usize,
+    /// Keys that were refused with a record each.
     pub(crate) closed: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Period {
+struct GenerationRecords {
     records: BTreeMap<Box<str>, Record>,
-    live: usize,
+    active: usize,
 }
 
-/// What is known of one key.
+/// Record of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Record {
     pub(crate) digest: Digest,
     pub(crate) stage: Stage,
-    /// Set while a pass of this entry runs the key or waits to start it.
+    /// Set while a request at this entry runs the key or waits to start it.
     pub(crate) run: Option<Box<Run>>,
 }
 
-/// Passes of this entry that are concerned with a started key.
+/// Requests at this entry for a started key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Run {
-    /// The pass that was told to start.
-    pub(crate) granted: Option<Pass>,
-    /// Passes that wait, the oldest first; some may have given up since.
-    pub(crate) waiters: Vec<Pass>,
+    /// The request that was allowed to run.
+    pub(crate) granted: Option<Token>,
+    /// Requests that wait, the oldest first; some may have been cancelled since.
+    pub(crate) waiters: Vec<Token>,
 }
 
 impl Home {
-    pub(crate) fn new(config: ConfigNumber, role: Role) -> Self {
+    pub(crate) fn new(epoch: HomeEpoch, role: Role) -> Self {
         Self {
-            config,
+            epoch,
             role,
-            marks: Marks::default(),
+            watermarks: Watermarks::default(),
             usage: Usage::default(),
-            periods: BTreeMap::new(),
+            generations: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn record(&self, generation: Generation, rest: &str) -> Option<&Record> {
-        self.periods.get(&generation)?.records.get(rest)
+    pub(crate) fn record(&self, generation: Generation, suffix: &str) -> Option<&Record> {
+        self.generations.get(&generation)?.records.get(suffix)
     }
 
-    pub(crate) fn run_mut(&mut self, generation: Generation, rest: &str) -> Option<&mut Run> {
-        let period = self.periods.get_mut(&generation)?;
-        period.records.get_mut(rest)?.run.as_deref_mut()
+    pub(crate) fn run_mut(&mut self, generation: Generation, suffix: &str) -> Option<&mut Run> {
+        let gen_records = self.generations.get_mut(&generation)?;
+        gen_records.records.get_mut(suffix)?.run.as_deref_mut()
     }
 
-    /// Takes in a record. What is final stays, so records may come late, twice and in
-    /// any order.
+    /// Stores a record. A final state is never replaced, so records may arrive late, twice
+    /// and in any order.
     pub(crate) fn put(&mut self, new: KeyRecord) {
-        let period = self.periods.entry(new.generation).or_default();
-        match period.records.get_mut(&new.rest) {
+        let gen_records = self.generations.entry(new.generation).or_default();
+        match gen_records.records.get_mut(&new.suffix) {
             Some(old) if old.stage.is_final() => {}
             Some(old) => {
-                self.usage.count(&new.stage);
+                self.usage.add(&new.stage);
                 old.stage = new.stage;
             }
             None => {
                 self.usage.keys += 1;
-                self.usage.count(&new.stage);
+                self.usage.add(&new.stage);
                 let record = Record {
                     digest: new.digest,
                     stage: new.stage,
                     run: None,
                 };
-                period.records.insert(new.rest, record);
+                gen_records.records.insert(new.suffix, record);
             }
         }
     }
 
-    /// Marks a key on record as one that passes of this entry are concerned with.
-    pub(crate) fn start_run(&mut self, generation: Generation, rest: &str, pass: Pass) {
-        let Some(period) = self.periods.get_mut(&generation) else {
+    /// Adds a run to a key that is on record, with the request that is to start it.
+    pub(crate) fn start_run(&mut self, generation: Generation, suffix: &str, token: Token) {
+        let Some(gen_records) = self.generations.get_mut(&generation) else {
             return;
         };
-        let Some(record) = period.records.get_mut(rest) else {
+        let Some(record) = gen_records.records.get_mut(suffix) else {
             return;
         };
-        let waiters = vec![pass];
+        let waiters = vec![token];
         let run = Run {
             granted: None,
             waiters,
         };
         if record.run.replace(Box::new(run)).is_none() {
-            period.live += 1;
-            self.usage.live += 1;
+            gen_records.active += 1;
+            self.usage.active += 1;
         }
     }
 
-    /// Ends what [`Home::start_run`] began and gives back the passes.
-    pub(crate) fn end_run(&mut self, generation: Generation, rest: &str) -> Option<Run> {
-        let period = self.periods.get_mut(&generation)?;
-        let run = period.records.get_mut(rest)?.run.take()?;
-        period.live -= 1;
-        self.usage.live -= 1;
+    /// Removes the run that [`Home::start_run`] added and returns it.
+    pub(crate) fn end_run(&mut self, generation: Generation, suffix: &str) -> Option<Run> {
+        let gen_records = self.generations.get_mut(&generation)?;
+        let run = gen_records.records.get_mut(suffix)?.run.take()?;
+        gen_records.active -= 1;
+        self.usage.active -= 1;
         Some(*run)
     }
 
-    /// Keys with passes of this entry.
-    pub(crate) fn live_keys(&self) -> Vec<(Generation, Box<str>)> {
-        let live = self.periods.iter().filter(|(_, period)| period.live > 0);
-        live.flat_map(|(generation, period)| {
-            let runs = period.records.iter().filter(|(_, r)| r.run.is_some());
-            runs.map(|(rest, _)| (*generation, rest.clone()))
-        })
-        .collect()
+    /// Keys that have a run at this entry.
+    pub(crate) fn active_keys(&self) -> Vec<(Generation, Box<str>)> {
+        let active = self
+            .generations
+            .iter()
+            .filter(|(_, gen_records)| gen_records.active > 0);
+        active
+            .flat_map(|(generation, gen_records)| {
+                let runs = gen_records.records.iter().filter(|(_, r)| r.run.is_some());
+                runs.map(|(suffix, _)| (*generation, suffix.clone()))
+            })
+            .collect()
     }
 
-    /// The lowest period in which a key has passes of this entry.
-    pub(crate) fn lowest_live(&self) -> Option<Generation> {
-        let mut periods = self.periods.iter();
-        periods.find(|(_, period)| period.live > 0).map(|(g, _)| *g)
+    /// The lowest generation in which a key has a run at this entry.
+    pub(crate) fn lowest_active(&self) -> Option<Generation> {
+        let mut generations = self.generations.iter();
+        generations
+            .find(|(_, gen_records)| gen_records.active > 0)
+            .map(|(g, _)| *g)
     }
 
-    /// Raises marks and drops what they make needless.
-    pub(crate) fn raise_marks(&mut self, marks: Marks) {
-        self.marks = self.marks.max(marks);
-        self.drop_below_floor();
+    /// Raises the watermarks and drops the records that they make unnecessary.
+    pub(crate) fn raise_watermarks(&mut self, watermarks: Watermarks) {
+        self.watermarks = self.watermarks.max(watermarks);
+        self.drop_expired();
         self.drop_closed();
     }
 
-    /// Below the floor nothing starts whether it is on record or not.
-    fn drop_below_floor(&mut self) {
-        let floor = self.marks.floor;
-        while let Some(entry) = self.periods.first_entry() {
-            if *entry.key() >= floor {
+    /// Drops the generations below `retained_from`: their keys never start, on record or
+    /// not.
+    fn drop_expired(&mut self) {
+        let retained_from = self.watermarks.retained_from;
+        while let Some(entry) = self.generations.first_entry() {
+            if *entry.key() >= retained_from {
                 return;
             }
-            let period = entry.remove();
-            self.usage.live -= period.live;
-            for record in period.records.values() {
-                self.usage.forget(&record.stage);
+            let gen_records = entry.remove();
+            self.usage.active -= gen_records.active;
+            for record in gen_records.records.values() {
+                self.usage.remove(&record.stage);
             }
         }
     }
 
-    /// Where unknown keys are refused as "not run" anyway, a refused key needs no record.
+    /// Drops refused keys below `open_from`: there, keys without a record are refused as
+    /// "not run" anyway.
     fn drop_closed(&mut self) {
         if self.usage.closed == 0 {
             return;
         }
         let usage = &mut self.usage;
-        for period in self.periods.range_mut(..self.marks.open_from) {
-            period.1.records.retain(|_, record| {
+        for gen_records in self.generations.range_mut(..self.watermarks.open_from) {
+            gen_records.1.records.retain(|_, record| {
                 let closed = matches!(record.stage, Stage::Closed(_));
                 if closed {
-                    usage.forget(&record.stage);
+                    usage.remove(&record.stage);
                 }
                 !closed
             });
         }
     }
 
-    /// All that a journal written anew has to hold.
+    /// The operations that a rewritten journal has to contain.
     pub(crate) fn snapshot(&self) -> Vec<Op> {
-        let mut ops = vec![Op::Config(self.config), Op::Marks(self.marks)];
+        let mut ops = vec![Op::Epoch(self.epoch), Op::Watermarks(self.watermarks)];
         let mut cursor = None;
         while let Some(record) = self.next_after(cursor.as_ref()) {
-            cursor = Some((record.generation, record.rest.clone()));
+            cursor = Some((record.generation, record.suffix.clone()));
             ops.push(Op::Put(record));
         }
         ops
     }
 
-    /// The record after `cursor` in the order of periods and keys, to be copied.
+    /// The record after `cursor` in the order of generations and keys.
     pub(crate) fn next_after(&self, cursor: Option<&(Generation, Box<str>)>) -> Option<KeyRecord> {
         use std::ops::Bound::{Excluded, Unbounded};
         let first = cursor.map_or(Generation(0), |(generation, _)| *generation);
-        self.periods
+        self.generations
             .range(first..)
-            .find_map(|(generation, period)| {
+            .find_map(|(generation, gen_records)| {
                 let after = match cursor {
-                    Some((at, rest)) if at == generation => Excluded(rest.clone()),
+                    Some((at, suffix)) if at == generation => Excluded(suffix.clone()),
                     _ => Unbounded,
                 };
-                let (rest, record) = period.records.range((after, Unbounded)).next()?;
+                let (suffix, record) = gen_records.records.range((after, Unbounded)).next()?;
                 Some(KeyRecord {
                     generation: *generation,
-                    rest: rest.clone(),
+                    suffix: suffix.clone(),
                     digest: record.digest,
                     stage: record.stage.clone(),
                 })
             })
     }
 
-    /// Forgets a key, for the guard switch only.
-    pub(crate) fn remove(&mut self, generation: Generation, rest: &str) {
-        let Some(period) = self.periods.get_mut(&generation) else {
+    /// Removes a key. Used only where the guard `close_refused` is off.
+    pub(crate) fn remove(&mut self, generation: Generation, suffix: &str) {
+        let Some(gen_records) = self.generations.get_mut(&generation) else {
             return;
         };
-        if let Some(record) = period.records.remove(rest) {
-            self.usage.forget(&record.stage);
+        if let Some(record) = gen_records.records.remove(suffix) {
+            self.usage.remove(&record.stage);
         }
     }
 
-    /// Applies a step of the holder's log; whether it hands the home over.
+    /// Applies an operation of the primary's log; returns whether it hands the home over.
     pub(crate) fn apply(&mut self, op: Op) -> bool {
         match op {
             Op::Put(record) => self.put(record),
-            Op::Marks(marks) => self.raise_marks(marks),
-            Op::Config(config) => self.config = self.config.max(config),
+            Op::Watermarks(watermarks) => self.raise_watermarks(watermarks),
+            Op::Epoch(epoch) => self.epoch = self.epoch.max(epoch),
             Op::HandOver => return true,
         }
         false
@@ -252,14 +261,14 @@
 }
 
 impl Usage {
-    /// Adds a stage that is new to a key.
-    fn count(&mut self, stage: &Stage) {
+    /// Adds the state that a key changes to.
+    fn add(&mut self, stage: &Stage) {
         self.stored += stage.stored_len();
         self.closed += usize::from(matches!(stage, Stage::Closed(_)));
     }
 
-    /// Takes off a key that is dropped.
-    fn forget(&mut self, stage: &Stage) {
+    /// Subtracts a key whose record is dropped.
+    fn remove(&mut self, stage: &Stage) {
         self.keys -= 1;
         self.stored -= stage.stored_len();
         self.closed -= usize::from(matches!(stage, Stage::Closed(_)));
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The step function: takes events apart and hands them to the homes concerned.
+//! The step function: passes events on to the homes concerned.
 
 use std::collections::BTreeMap;
 
@@ -7,62 +7,64 @@
 
 use crate::home::{Home, Role, Usage};
 use crate::outcome::Outcomes;
-use crate::primary::{Cx, Holder, refuse};
-use crate::requests::Passes;
+use crate::primary::{Cx, Primary, refuse};
+use crate::requests::Requests;
 use crate::route::Parked;
 use crate::{
-    Action, Begun, Config, ConfigNumber, Digest, Event, HomeId, Key, KeyPrefix, Member, Op, Pass,
-    Stage,
+    Action, Config, Decision, Digest, Event, HomeEpoch, HomeId, Key, KeyPrefix, Member, Op, Stage,
+    Token,
 };
 
-/// The at-most-once ledger of one entry.
+/// At-most-once ledger of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub(crate) cfg: Config,
     pub(crate) me: Member,
     pub(crate) homes: BTreeMap<HomeId, Home>,
-    /// The home whose prefix is handed out.
+    /// The home whose prefix is handed out, `None` before the first one is created.
     pub(crate) own: Option<HomeId>,
     pub(crate) next_serial: u32,
-    /// The other live entries, `None` until they are first told.
+    /// The other live entries, `None` until the first [`Event::Members`].
     pub(crate) members: Option<Vec<Member>>,
-    /// What entries of the failure domain said last.
+    /// The last heartbeat of each entry of the failure domain.
     pub(crate) peers: BTreeMap<NodeName, Peer>,
-    /// Entries that requests couldn't be passed on to, and until when they are avoided.
+    /// Entries that requests couldn't be forwarded to, and until when they are avoided.
     pub(crate) unreachable: BTreeMap<NodeName, Moment>,
-    pub(crate) passes: Passes,
-    /// Requests that wait for a holder, by home.
+    pub(crate) requests: Requests,
+    /// Requests that wait for a primary, by home.
     pub(crate) parked: BTreeMap<HomeId, Vec<Parked>>,
     pub(crate) outcomes: Outcomes,
     pub(crate) stopping: bool,
-    pub(crate) founded: Moment,
+    pub(crate) created_at: Moment,
     pub(crate) last_tick: Moment,
-    pub(crate) last_holds: Option<Moment>,
+    /// When the last [`Message::HeldHomes`](crate::Message::HeldHomes) was sent.
+    pub(crate) last_announced: Option<Moment>,
+    /// Actions of the current step.
     pub(crate) out: Vec<Action>,
 }
 
-/// Another entry's newest [`Message::Holds`].
+/// Newest [`Message::HeldHomes`](crate::Message::HeldHomes) of another entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub(crate) incarnation: Incarnation,
-    pub(crate) homes: BTreeMap<HomeId, ConfigNumber>,
+    pub(crate) homes: BTreeMap<HomeId, HomeEpoch>,
     pub(crate) prefix: Option<KeyPrefix>,
 }
 
-/// Whether another key may be recorded.
+/// Whether there is space for the record of another key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Room {
-    /// Yes.
+pub(crate) enum Capacity {
+    /// There is.
     Free,
-    /// Not while so many run.
+    /// Not until some of the running keys end.
     Busy,
-    /// Not before records expire.
+    /// Not until records expire.
     Full,
 }
 
 impl Ledger {
-    /// A ledger without any record. `me` must carry an incarnation that no process ever
-    /// had: the homes founded here rest on it.
+    /// A ledger without any records. `me` must have an incarnation that no other process
+    /// ever had, since the identity of the homes created here depends on it.
     pub fn new(now: Moment, cfg: Config, me: Member) -> Self {
         Self {
             cfg,
@@ -73,46 +75,46 @@
             members: None,
             peers: BTreeMap::new(),
             unreachable: BTreeMap::new(),
-            passes: Passes::default(),
+            requests: Requests::default(),
             parked: BTreeMap::new(),
             outcomes: Outcomes::default(),
             stopping: false,
-            founded: now,
+            created_at: now,
             last_tick: now,
-            last_holds: None,
+            last_announced: None,
             out: Vec::new(),
         }
     }
 
-    /// Takes up a home from a journal in this process's data folder: all steps that were
-    /// synced, in their order. No other process may use that folder.
+    /// Recovers a home from a journal in the data folder of this process: all operations
+    /// that were synced, in order. No other process may use that folder.
     pub fn recover(&mut self, now: Moment, home: HomeId, ops: Vec<Op>) {
         self.homes.insert(home, Home::recover(now, ops));
     }
 
-    /// Takes in what happened at `now` and tells what to do, in that order.
+    /// Processes an event at `now` and returns what to do, in that order.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
             Event::Members(members) => self.set_members(now, members),
             Event::Begin {
-                pass,
+                token,
                 key,
                 digest,
                 deadline,
                 hops,
                 failed,
             } => {
-                self.suspect(now, failed);
-                self.passes.wait(pass, deadline);
-                self.begin(now, pass, &key, digest, hops);
+                self.mark_unreachable(now, failed);
+                self.requests.wait(token, deadline);
+                self.begin(now, token, &key, digest, hops);
             }
-            Event::Cancel { pass } => {
-                self.passes.end_wait(pass);
+            Event::Cancel { token } => {
+                self.requests.end_wait(token);
             }
-            Event::Finished { pass, answer } => self.finished(now, pass, answer),
-            Event::Unknown { pass } => self.ended(now, pass, Stage::Unknown),
-            Event::NotRun { pass, code } => self.not_run(now, pass, code),
+            Event::Finished { token, answer } => self.finished(now, token, answer),
+            Event::Unknown { token } => self.ended(now, token, Stage::Unknown),
+            Event::NotRun { token, code } => self.not_run(now, token, code),
             Event::Received { from, message } => self.received(now, &from, message),
             Event::Synced { home, number } => {
                 self.with_home(now, &home, |home, cx| home.synced(cx, number));
@@ -126,8 +128,8 @@
         std::mem::take(&mut self.out)
     }
 
-    /// The prefix that look-ups hand out now; that of another entry of the failure domain
-    /// while this one takes no new keys.
+    /// The prefix that look-ups hand out now: that of this entry, or of another entry of
+    /// the failure domain while this one issues no new keys.
     pub fn prefix(&self) -> Option<KeyPrefix> {
         let own = self.own_prefix();
         own.or_else(|| self.peers.values().find_map(|peer| peer.prefix.clone()))
@@ -136,30 +138,31 @@
     pub(crate) fn own_prefix(&self) -> Option<KeyPrefix> {
         let id = self.own.as_ref()?;
         let home = self.homes.get(id)?;
-        let holder = home.holder()?;
-        if self.stopping || holder.is_handing_over() || holder.is_claiming() {
+        let primary = home.primary()?;
+        if self.stopping || primary.is_handing_over() || primary.is_claiming() {
             return None;
         }
-        let (generation, _) = holder.minted?;
-        (generation >= home.marks.open_from).then(|| KeyPrefix {
+        let (generation, _) = primary.issued?;
+        (generation >= home.watermarks.open_from).then(|| KeyPrefix {
             home: id.clone(),
             generation,
         })
     }
 
-    /// Whether a planned stop may go on: nothing runs here and every home that another
-    /// entry can hold is held there.
+    /// Whether a planned stop of this entry may go on: nothing runs here, and each home that another
+    /// entry can be primary of has been handed over.
     pub fn is_handed_over(&self) -> bool {
-        let alone = |holder: &Holder| matches!(holder.pair, crate::primary::Pair::Alone);
+        let alone =
+            |primary: &Primary| matches!(primary.backup, crate::primary::BackupState::Absent);
         let homes_done = self.homes.values().all(|home| match &home.role {
-            Role::Holder(holder) => alone(holder) && self.candidate().is_none(),
+            Role::Primary(primary) => alone(primary) && self.candidate().is_none(),
             Role::Backup(_) => false,
-            Role::Past { .. } => true,
+            Role::Former { .. } => true,
         });
-        homes_done && !self.passes.any_running() && self.outcomes.is_empty()
+        homes_done && !self.requests.any_running() && self.outcomes.is_empty()
     }
 
-    /// Keys on record here, as holder or copy.
+    /// Number of keys on record here, as primary or copy.
     pub fn keys(&self) -> usize {
         self.homes.values().map(|home| home.usage.keys).sum()
     }
@@ -176,96 +179,97 @@
             cfg: &self.cfg,
             me: &self.me,
             id,
-            passes: &mut self.passes,
+            requests: &mut self.requests,
             out: &mut self.out,
         };
         Some(f(home, &mut cx))
     }
 
-    pub(crate) fn answer(&mut self, pass: Pass, begun: Begun) {
-        if self.passes.end_wait(pass) {
-            self.out.push(Action::Begun { pass, begun });
+    pub(crate) fn answer(&mut self, token: Token, decision: Decision) {
+        if self.requests.end_wait(token) {
+            self.out.push(Action::Decide { token, decision });
         }
     }
 
-    pub(crate) fn begin(&mut self, now: Moment, pass: Pass, key: &Key, digest: Digest, hops: u8) {
+    pub(crate) fn begin(&mut self, now: Moment, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
-        let Some(holder) = self.homes.get(id).and_then(Home::holder) else {
-            return self.begin_elsewhere(pass, key, digest, hops);
+        let Some(primary) = self.homes.get(id).and_then(Home::primary) else {
+            return self.begin_elsewhere(token, key, digest, hops);
         };
         let on_record = self.is_on_record(key);
-        if let Some(to) = holder.successor().filter(|_| !on_record) {
+        if let Some(to) = primary.successor().filter(|_| !on_record) {
             let entry = to.name.clone();
-            return self.answer(pass, Begun::Forward { entry });
+            return self.answer(token, Decision::Forward { entry });
         }
-        let room = match self.room() {
-            // It passes with the requests that run now; closing keys for it would make
-            // every caller take a new prefix.
-            Room::Busy if !on_record => {
-                let begun = refuse(&self.cfg, ResultCode::KeyNotChecked);
-                return self.answer(pass, begun);
+        let fits = match self.capacity() {
+            // The shortage ends when the running keys end; closing the generation for it
+            // would make every caller look up a new prefix.
+            Capacity::Busy if !on_record => {
+                let decision = refuse(&self.cfg, ResultCode::KeyNotChecked);
+                return self.answer(token, decision);
             }
-            room => on_record || room == Room::Free,
+            capacity => on_record || capacity == Capacity::Free,
         };
-        self.with_home(now, id, |home, cx| home.begin(cx, pass, key, digest, room));
+        self.with_home(now, id, |home, cx| home.begin(cx, token, key, digest, fits));
     }
 
     fn is_on_record(&self, key: &Key) -> bool {
         let home = self.homes.get(&key.prefix.home);
-        home.is_some_and(|home| home.record(key.prefix.generation, &key.rest).is_some())
+        home.is_some_and(|home| home.record(key.prefix.generation, &key.suffix).is_some())
     }
 
-    /// Whether another key may be recorded. A running key counts with the largest answer
-    /// that it may bring, so that a started key never lacks room for its answer.
-    pub(crate) fn room(&self) -> Room {
+    /// Space for the record of another key. A running key counts with the largest answer
+    /// that may be stored, so that there is always space for the answer of a started key.
+    pub(crate) fn capacity(&self) -> Capacity {
         let mut used = Usage::default();
-        for home in self.homes.values().filter(|home| home.holder().is_some()) {
+        for home in self.homes.values().filter(|home| home.primary().is_some()) {
             used.keys += home.usage.keys;
             used.stored += home.usage.stored;
-            used.live += home.usage.live;
+            used.active += home.usage.active;
         }
         let fits = |more: usize| used.stored + more * self.cfg.max_answer <= self.cfg.max_bytes;
         if used.keys >= self.cfg.max_keys || !fits(1) {
-            Room::Full
-        } else if !fits(used.live + 1) {
-            Room::Busy
+            Capacity::Full
+        } else if !fits(used.active + 1) {
+            Capacity::Busy
         } else {
-            Room::Free
+            Capacity::Free
         }
     }
 
-    fn finished(&mut self, now: Moment, pass: Pass, answer: Option<Bytes>) {
+    fn finished(&mut self, now: Moment, token: Token, answer: Option<Bytes>) {
         let max = self.cfg.max_answer;
         let stage = match answer {
             Some(answer) if answer.len() <= max => Stage::Finished(answer),
             _ => Stage::NotStored,
         };
-        self.ended(now, pass, stage);
+        self.ended(now, token, stage);
     }
 
-    fn not_run(&mut self, now: Moment, pass: Pass, code: ResultCode) {
+    fn not_run(&mut self, now: Moment, token: Token, code: ResultCode) {
         let stage = match code.meaning() {
             Meaning::NotRun => Stage::Closed(code),
             Meaning::MayHaveRun | Meaning::Ran => Stage::Unknown,
         };
-        self.ended(now, pass, stage);
+        self.ended(now, token, stage);
     }
 
-    fn ended(&mut self, now: Moment, pass: Pass, stage: Stage) {
-        let Some(key) = self.passes.end_run(pass) else {
+    fn ended(&mut self, now: Moment, token: Token, stage: Stage) {
+        let Some(key) = self.requests.end_run(token) else {
             return;
         };
-        let held_on = self.with_home(now, &key.home, |home, cx| {
-            home.end(cx, key.generation, &key.rest, stage.clone());
-            home.holder().is_some_and(|h| !h.is_handing_over())
+        let still_primary = self.with_home(now, &key.home, |home, cx| {
+            home.end(cx, key.generation, &key.suffix, stage.clone());
+            home.primary()
+                .is_some_and(|primary| !primary.is_handing_over())
         });
-        if held_on != Some(true) {
-            self.report_outcome(key, stage);
+        if still_primary != Some(true) {
+            self.queue_outcome(key, stage);
         }
     }
 
     fn flush(&mut self, now: Moment) {
-        let ids: Vec<HomeId> = self.held().cloned().collect();
+        let ids: Vec<HomeId> = self.primary_homes().cloned().collect();
         for id in ids {
             self.with_home(now, &id, |home, cx| {
                 home.flush(cx);
@@ -274,11 +278,11 @@
         }
     }
 
-    pub(crate) fn held(&self) -> impl Iterator<Item = &HomeId> {
+    pub(crate) fn primary_homes(&self) -> impl Iterator<Item = &HomeId> {
         let held = self
             .homes
             .iter()
-            .filter(|(_, home)| home.holder().is_some());
+            .filter(|(_, home)| home.primary().is_some());
         held.map(|(id, _)| id)
     }
 }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -1,51 +1,51 @@
-//! The numbered steps that a holder sends to its backup.
+//! The numbered operations that a primary sends to its backup.
 //!
-//! Steps are sent as they come and again after a while if they aren't acknowledged, the
-//! oldest first. The backup takes them only without gaps, so an acknowledgement of one
-//! is an acknowledgement of all before it.
+//! Operations are sent as they are added, and again from the oldest on if they aren't
+//! acknowledged in time. The backup applies them only without gaps, so an acknowledgement
+//! of one covers all before it.
 
 use std::collections::VecDeque;
 
 use filberthead_types::Moment;
 
-use crate::{Config, ConfigNumber, Generation, Member, Op};
+use crate::{Config, Generation, HomeEpoch, Member, Op};
 
-/// Batches that may be unacknowledged before sending pauses.
+/// Most batches in flight before sending pauses.
 const WINDOW_BATCHES: usize = 4;
 
-/// The log of one config.
+/// Log of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Log {
     pub(crate) peer: Member,
-    pub(crate) config: ConfigNumber,
-    /// Number of the first step that isn't acknowledged.
+    pub(crate) epoch: HomeEpoch,
+    /// Number of the first operation that isn't acknowledged.
     base: u64,
-    /// Steps from `base` on.
+    /// Operations from `base` on.
     ops: VecDeque<Op>,
-    /// Number of the first step that wasn't sent since the last resend.
+    /// Number of the first operation to be sent next; a resend sets it back to `base`.
     sent: u64,
-    /// Bytes from `base` to `sent`.
+    /// Bytes of the operations from `base` to `sent`.
     in_flight: usize,
-    /// `None` if something is due at once.
+    /// When a message was last sent, `None` if one is due at once.
     last_sent: Option<Moment>,
-    /// When the peer was heard last.
-    pub(crate) heard: Moment,
-    /// From which number on the peer is the backup.
-    pub(crate) joined_at: Option<u64>,
-    /// Where copying of older records stands.
-    pub(crate) copy: Copying,
+    /// When the last message from the peer arrived.
+    pub(crate) last_seen: Moment,
+    /// Number from which on the peer is the active backup; see [`crate::Message::Append`].
+    pub(crate) active_from: Option<u64>,
+    /// Progress of the copy of older records.
+    pub(crate) copy: CopyProgress,
 }
 
-/// How far the records from before this config are in the log.
+/// How many of the records from before this epoch have been added to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Copying {
-    /// Up to this key.
+pub(crate) enum CopyProgress {
+    /// Those up to this key; `None` is no record yet.
     After(Option<(Generation, Box<str>)>),
-    /// All of them stand before this number.
+    /// All, by operations before this number.
     Done(u64),
 }
 
-/// Steps to be sent.
+/// Operations to be sent in one message.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub(crate) first: u64,
@@ -53,22 +53,22 @@
 }
 
 impl Log {
-    pub(crate) fn new(now: Moment, peer: Member, config: ConfigNumber) -> Self {
+    pub(crate) fn new(now: Moment, peer: Member, epoch: HomeEpoch) -> Self {
         Self {
             peer,
-            config,
+            epoch,
             base: 0,
             ops: VecDeque::new(),
             sent: 0,
             in_flight: 0,
             last_sent: None,
-            heard: now,
-            joined_at: None,
-            copy: Copying::After(None),
+            last_seen: now,
+            active_from: None,
+            copy: CopyProgress::After(None),
         }
     }
 
-    /// Number of the next step.
+    /// Number of the next operation to be added.
     pub(crate) fn end(&self) -> u64 {
         self.base + self.ops.len() as u64
     }
@@ -82,9 +82,9 @@
         self.end() - 1
     }
 
-    /// The peer has all steps before `next`.
+    /// Records that the peer has all operations before `next`.
     pub(crate) fn ack(&mut self, now: Moment, next: u64) {
-        self.heard = now;
+        self.last_seen = now;
         if next > self.end() {
             return;
         }
@@ -99,20 +99,23 @@
     }
 
     /// Makes a message due at once.
-    pub(crate) fn poke(&mut self) {
+    pub(crate) fn mark_due(&mut self) {
         self.last_sent = None;
     }
 
-    /// Whether copying should go on: enough is in flight otherwise.
+    /// Whether more older records should be added: everything added so far was sent, and
+    /// the window isn't full.
     pub(crate) fn wants_copy(&self, cfg: &Config) -> bool {
-        matches!(self.copy, Copying::After(_)) && self.has_window(cfg) && self.sent == self.end()
+        matches!(self.copy, CopyProgress::After(_))
+            && self.has_window(cfg)
+            && self.sent == self.end()
     }
 
     fn has_window(&self, cfg: &Config) -> bool {
         self.in_flight < WINDOW_BATCHES * cfg.max_batch_bytes
     }
 
-    /// Steps that weren't sent yet, as far as the window lets them.
+    /// The next operations that were not sent yet, if the window allows it.
     pub(crate) fn unsent(&mut self, now: Moment, cfg: &Config) -> Option<Batch> {
         if self.sent == self.end() || !self.has_window(cfg) {
             return None;
@@ -120,7 +123,7 @@
         Some(self.batch(now, cfg))
     }
 
-    /// What is due after a silence: unacknowledged steps again, or a heartbeat.
+    /// What is due after a pause: the unacknowledged operations again, or a heartbeat.
     pub(crate) fn due(&mut self, now: Moment, cfg: &Config) -> Option<Batch> {
         let period = if self.ops.is_empty() {
             cfg.heartbeat
--- a/crates/ledger/src/primary/failover.rs
+++ b/crates/ledger/src/primary/failover.rs
@@ -1,145 +1,147 @@
-//! Changes of holder and backup.
+//! Changes of primary and backup.
 
 use filberthead_types::Moment;
 
-use super::{Cx, Holder, Need, Pair, Wait};
+use super::{BackupState, Cx, Durability, Pending, Primary};
 use crate::home::{Home, Role};
 use crate::log::Log;
-use crate::{Action, Begun, Claim, ConfigNumber, Member, Op};
+use crate::{Action, Claim, Decision, HomeEpoch, Member, Op};
 
 impl Home {
-    /// Becomes the holder at `config`, with the records at hand.
-    pub(crate) fn take_over(&mut self, now: Moment, config: ConfigNumber) {
-        self.config = config;
-        let mut holder = Holder::alone(None);
-        // Nothing is known of when prefixes were superseded; from now on is never too
-        // early, and no new one is handed out.
-        holder.superseded.push_back((self.marks.end, now));
-        self.role = Role::Holder(Box::new(holder));
+    /// Becomes the primary at `epoch`, with the records that are here.
+    pub(crate) fn take_over(&mut self, now: Moment, epoch: HomeEpoch) {
+        self.epoch = epoch;
+        let mut primary = Primary::new(None);
+        // When the earlier prefixes were superseded isn't known. Counting from now never
+        // closes one too early, and no new one is issued here.
+        primary
+            .superseded
+            .push_back((self.watermarks.unissued_from, now));
+        self.role = Role::Primary(Box::new(primary));
     }
 
-    /// The backup is out of the config; what waited for it goes on.
-    pub(crate) fn go_alone(&mut self, cx: &mut Cx<'_>, config: ConfigNumber) {
-        self.config = config;
-        let Some(holder) = self.holder_mut() else {
+    /// Continues at `epoch` without the backup; what waited for it completes.
+    pub(crate) fn continue_without_backup(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch) {
+        self.epoch = epoch;
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        holder.pair = Pair::Alone;
-        // Failure: both entries are stopped at once. The backup releases its holder, whose
-        // hand-over it will never take; were that still in force, keys that start here
-        // were left out of the copy for the next backup, which would run them again.
-        holder.handing_over = None;
-        for (_, wait) in std::mem::take(&mut holder.waits) {
-            self.fulfil(cx, wait);
+        primary.backup = BackupState::Absent;
+        // Guards against two stops at once: the backup releases its primary and never
+        // applies its hand-over. If the hand-over stayed in force, keys that start here
+        // would be left out of the copy for the next backup, which would run them again.
+        primary.handing_over = None;
+        for (_, pending) in std::mem::take(&mut primary.pending) {
+            self.complete(cx, pending);
         }
     }
 
-    /// Another entry holds the home; what waited here goes there.
-    pub(crate) fn depose(&mut self, cx: &mut Cx<'_>, config: ConfigNumber, to: &Member) {
-        self.config = config;
-        let past = Role::Past {
-            holder: Some(to.incarnation),
+    /// Another entry is the primary; requests that wait here are forwarded to it.
+    pub(crate) fn demote(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, to: &Member) {
+        self.epoch = epoch;
+        let former = Role::Former {
+            primary: Some(to.incarnation),
             since: cx.now,
         };
-        let forward = || Begun::Forward {
+        let forward = || Decision::Forward {
             entry: to.name.clone(),
         };
-        if let Role::Holder(holder) = std::mem::replace(&mut self.role, past) {
-            for (_, wait) in holder.waits {
-                if let Wait::Refuse { pass, .. } = wait {
-                    cx.answer(pass, forward());
+        if let Role::Primary(primary) = std::mem::replace(&mut self.role, former) {
+            for (_, pending) in primary.pending {
+                if let Pending::Refuse { token, .. } = pending {
+                    cx.answer(token, forward());
                 }
             }
         }
-        for (generation, rest) in self.live_keys() {
-            let Some(run) = self.run_mut(generation, &rest) else {
+        for (generation, suffix) in self.active_keys() {
+            let Some(run) = self.run_mut(generation, &suffix) else {
                 continue;
             };
-            for pass in std::mem::take(&mut run.waiters) {
-                cx.answer(pass, forward());
+            for token in std::mem::take(&mut run.waiters) {
+                cx.answer(token, forward());
             }
             if run.granted.is_none() {
-                self.end_run(generation, &rest);
+                self.end_run(generation, &suffix);
             }
         }
     }
 
-    /// Starts to copy the home to `peer`.
-    pub(crate) fn invite(&mut self, now: Moment, peer: &Member) {
-        self.config = self.config.next();
-        let mut log = Log::new(now, peer.clone(), self.config);
-        log.push(Op::Marks(self.marks));
-        if let Some(holder) = self.holder_mut() {
-            holder.pair = Pair::Joining(log);
+    /// Starts to copy the home to `peer` as its backup.
+    pub(crate) fn add_backup(&mut self, now: Moment, peer: &Member) {
+        self.epoch = self.epoch.next();
+        let mut log = Log::new(now, peer.clone(), self.epoch);
+        log.push(Op::Watermarks(self.watermarks));
+        if let Some(primary) = self.primary_mut() {
+            primary.backup = BackupState::Joining(log);
         }
     }
 
-    /// The backup has the steps before `next`.
-    pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, config: ConfigNumber, next: u64) {
-        let Some(holder) = self.holder_mut() else {
+    /// Handles an acknowledgement: the backup has the operations before `next`.
+    pub(crate) fn acked(&mut self, cx: &mut Cx<'_>, epoch: HomeEpoch, next: u64) {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        let Some(log) = holder.log_mut() else {
+        let Some(log) = primary.log_mut() else {
             return;
         };
-        if log.config != config {
+        if log.epoch != epoch {
             return;
         }
         log.ack(cx.now, next);
-        holder.join_if_copied(cx.cfg);
-        self.release_waits(cx);
+        primary.activate_if_copied(cx.cfg);
+        self.complete_durable(cx);
         self.end_hand_over(cx);
     }
 
-    pub(super) fn release_waits(&mut self, cx: &mut Cx<'_>) {
-        while let Some(wait) = self.holder_mut().and_then(Holder::next_ready) {
-            self.fulfil(cx, wait);
+    pub(super) fn complete_durable(&mut self, cx: &mut Cx<'_>) {
+        while let Some(pending) = self.primary_mut().and_then(Primary::next_ready) {
+            self.complete(cx, pending);
         }
     }
 
-    /// Asks the backup to hold the home, with everything before in its log.
+    /// Hands the home over to the backup, by an operation after all others in the log.
     pub(crate) fn hand_over(&mut self) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        // Failure: this entry claimed the home a moment ago; the claim wins after the
-        // hand-over has reached the backup, and both hold the home.
-        let paired = matches!(holder.pair, Pair::Paired { claimed: None, .. });
-        if holder.handing_over.is_none()
-            && paired
-            && let Some(Need::Acked(number)) = holder.commit(Op::HandOver)
+        // Guards against two primaries: if this entry has just sent a claim, it could win
+        // after the hand-over has reached the backup.
+        let may_hand_over = matches!(primary.backup, BackupState::Active { claimed: None, .. });
+        if primary.handing_over.is_none()
+            && may_hand_over
+            && let Some(Durability::Acked(number)) = primary.log_op(Op::HandOver)
         {
-            holder.handing_over = Some(number);
+            primary.handing_over = Some(number);
         }
     }
 
     pub(super) fn end_hand_over(&mut self, cx: &mut Cx<'_>) {
-        let Some(holder) = self.holder() else {
+        let Some(primary) = self.primary() else {
             return;
         };
-        let Pair::Paired { log, .. } = &holder.pair else {
+        let BackupState::Active { log, .. } = &primary.backup else {
             return;
         };
-        if !holder
+        if !primary
             .handing_over
             .is_some_and(|number| log.is_acked(number))
         {
             return;
         }
-        let (peer, config) = (log.peer.clone(), log.config.next());
-        self.depose(cx, config, &peer);
+        let (peer, epoch) = (log.peer.clone(), log.epoch.next());
+        self.demote(cx, epoch, &peer);
     }
 
-    /// Asks control to let this entry go on without its backup, again and again: a
-    /// claim on its way may win, so only its verdict ends it.
+    /// Sends a claim to continue without the backup, and repeats it: a claim in flight may
+    /// win, so only its result ends it.
     pub(crate) fn claim(&mut self, cx: &mut Cx<'_>, silent: bool) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        if holder.handing_over.is_some() {
+        if primary.handing_over.is_some() {
             return;
         }
-        let Pair::Paired { log, claimed } = &mut holder.pair else {
+        let BackupState::Active { log, claimed } = &mut primary.backup else {
             return;
         };
         let due = claimed.map_or(silent, |at| at + cx.cfg.heartbeat <= cx.now);
@@ -149,7 +151,7 @@
         *claimed = Some(cx.now);
         let claim = Claim {
             home: cx.id.clone(),
-            config: log.config,
+            epoch: log.epoch,
             claimant: cx.me.incarnation,
         };
         cx.out.push(Action::Claim(claim));
--- a/crates/ledger/src/primary/generations.rs
+++ b/crates/ledger/src/primary/generations.rs
@@ -1,85 +1,89 @@
-//! Prefixes that are handed out, closed and dropped.
+//! Generations: prefixes are issued, closed and, with their records, dropped.
 
 use filberthead_types::Moment;
 
-use super::{Cx, Need, Wait};
+use super::{Cx, Durability, Pending};
 use crate::home::Home;
-use crate::{Generation, Marks, Op};
+use crate::{Generation, Op, Watermarks};
 
 impl Home {
-    pub(super) fn set_marks(&mut self, marks: Marks) -> Option<Need> {
-        self.raise_marks(marks);
-        let marks = self.marks;
-        let holder = self.holder_mut()?;
-        let need = holder.commit(Op::Marks(marks));
-        holder.marks_need = need;
-        need
+    pub(super) fn set_watermarks(&mut self, watermarks: Watermarks) -> Option<Durability> {
+        self.raise_watermarks(watermarks);
+        let watermarks = self.watermarks;
+        let primary = self.primary_mut()?;
+        let durability = primary.log_op(Op::Watermarks(watermarks));
+        primary.watermarks_durability = durability;
+        durability
     }
 
-    /// Starts no further key of any prefix handed out so far.
+    /// Closes every generation issued so far: no further key of them starts.
     pub(crate) fn close_all(&mut self, cx: &Cx<'_>) {
-        if self.marks.open_from == self.marks.end {
+        if self.watermarks.open_from == self.watermarks.unissued_from {
             return;
         }
-        let marks = Marks {
-            open_from: self.marks.end,
-            ..self.marks
+        let watermarks = Watermarks {
+            open_from: self.watermarks.unissued_from,
+            ..self.watermarks
         };
-        self.set_marks(marks);
-        let end = self.marks.end;
-        if let Some(holder) = self.holder_mut() {
-            holder.minted = None;
-            holder.superseded.push_back((end, cx.now));
+        self.set_watermarks(watermarks);
+        let unissued_from = self.watermarks.unissued_from;
+        if let Some(primary) = self.primary_mut() {
+            primary.issued = None;
+            primary.superseded.push_back((unissued_from, cx.now));
         }
     }
 
-    /// Hands out a new prefix, once the backup knows of it.
-    pub(crate) fn mint(&mut self, cx: &mut Cx<'_>) {
-        let generation = self.marks.end;
-        let marks = Marks {
-            end: generation.next(),
-            ..self.marks
+    /// Issues a new prefix, which is handed out once the watermark for it is durable.
+    pub(crate) fn issue_prefix(&mut self, cx: &mut Cx<'_>) {
+        let generation = self.watermarks.unissued_from;
+        let watermarks = Watermarks {
+            unissued_from: generation.next(),
+            ..self.watermarks
         };
-        let need = self.set_marks(marks);
-        self.after(cx, need, Wait::Mint(generation));
+        let durability = self.set_watermarks(watermarks);
+        self.when_durable(cx, durability, Pending::Issue(generation));
     }
 
-    pub(super) fn minted(&mut self, now: Moment, generation: Generation) {
-        let open = generation >= self.marks.open_from;
-        if let Some(holder) = self.holder_mut() {
-            holder.superseded.push_back((generation, now));
-            holder.minted = open.then_some((generation, now));
+    /// Hands out the prefix of a generation whose watermark is durable.
+    pub(super) fn issued(&mut self, now: Moment, generation: Generation) {
+        let open = generation >= self.watermarks.open_from;
+        if let Some(primary) = self.primary_mut() {
+            primary.superseded.push_back((generation, now));
+            primary.issued = open.then_some((generation, now));
         }
     }
 
-    /// Whether a new prefix is on its way to being handed out.
-    pub(crate) fn is_minting(&self) -> bool {
-        let minting = |wait: &(Need, Wait)| matches!(wait.1, Wait::Mint(_));
-        self.holder().is_some_and(|h| h.waits.iter().any(minting))
+    /// Whether a new prefix waits to become durable.
+    pub(crate) fn is_issuing(&self) -> bool {
+        let issuing = |pending: &(Durability, Pending)| matches!(pending.1, Pending::Issue(_));
+        self.primary()
+            .is_some_and(|primary| primary.pending.iter().any(issuing))
     }
 
-    /// Closes and drops periods whose time has come.
-    pub(crate) fn age(&mut self, cx: &Cx<'_>) {
-        let lowest_live = self.lowest_live();
-        let mut marks = self.marks;
-        let Some(holder) = self.holder_mut() else {
+    /// Closes and drops generations whose time is over.
+    pub(crate) fn expire_generations(&mut self, cx: &Cx<'_>) {
+        let lowest_active = self.lowest_active();
+        let mut watermarks = self.watermarks;
+        let Some(primary) = self.primary_mut() else {
             return;
         };
         let closes_after = cx.cfg.start_window;
         let drops_after = closes_after + cx.cfg.retention;
-        for (below, at) in &holder.superseded {
+        for (below, at) in &primary.superseded {
             if *at + closes_after <= cx.now {
-                marks.open_from = marks.open_from.max(*below);
+                watermarks.open_from = watermarks.open_from.max(*below);
             }
             if *at + drops_after <= cx.now {
-                let floor = lowest_live.map_or(*below, |live| live.min(*below));
-                marks.floor = marks.floor.max(floor);
+                let retained_from = lowest_active.map_or(*below, |active| active.min(*below));
+                watermarks.retained_from = watermarks.retained_from.max(retained_from);
             }
         }
-        let floor = marks.floor;
-        holder.superseded.retain(|(below, _)| *below > floor);
-        if marks != self.marks {
-            self.set_marks(marks);
+        let retained_from = watermarks.retained_from;
+        primary
+            .superseded
+            .retain(|(below, _)| *below > retained_from);
+        if watermarks != self.watermarks {
+            self.set_watermarks(watermarks);
         }
     }
 }
--- a/crates/ledger/src/primary/keys.rs
+++ b/crates/ledger/src/primary/keys.rs
@@ -1,59 +1,59 @@
-//! Decisions on keys.
+//! Decisions about keys.
 
 use filberthead_types::ResultCode;
 
-use super::{Cx, Holder, Need, Wait, refuse, replay};
+use super::{Cx, Durability, Pending, Primary, refuse, replay};
 use crate::home::{Home, Record};
-use crate::requests::PassKey;
-use crate::{Begun, Digest, Generation, Key, KeyRecord, Op, Pass, Stage};
+use crate::requests::RequestKey;
+use crate::{Decision, Digest, Generation, Key, KeyRecord, Op, Stage, Token};
 
 impl Home {
-    /// Decides on a request whose home is held here. `room` tells whether another key
-    /// may be recorded.
+    /// Decides about a request. `fits` is whether there is space for another key.
     pub(crate) fn begin(
         &mut self,
         cx: &mut Cx<'_>,
-        pass: Pass,
+        token: Token,
         key: &Key,
         digest: Digest,
-        room: bool,
+        fits: bool,
     ) {
         let generation = key.prefix.generation;
-        if let Some(record) = self.record(generation, &key.rest) {
-            match known(cx, record, digest) {
-                Known::Answer(begun) => cx.answer(pass, begun),
-                Known::Wait => self.add_waiter(cx, generation, &key.rest, pass),
+        if let Some(record) = self.record(generation, &key.suffix) {
+            match check_record(cx, record, digest) {
+                RecordCheck::Answer(decision) => cx.answer(token, decision),
+                RecordCheck::Wait => self.add_waiter(cx, generation, &key.suffix, token),
             }
             return;
         }
         if let Some(code) = self.refuse_unknown(cx, generation) {
-            return cx.answer(pass, refuse(cx.cfg, code));
+            return cx.answer(token, refuse(cx.cfg, code));
         }
-        if !room {
-            // Closing the period answers every key that there is no room for with one
-            // record, and makes "not run" true for each of them for good.
+        if !fits {
+            // Closing the generation answers every key that there is no space for with one
+            // record, and makes "not run" permanently true for each of them.
             self.close_all(cx);
         }
-        if generation < self.marks.open_from && cx.cfg.guards.check_floor {
-            let code = if room {
+        if generation < self.watermarks.open_from && cx.cfg.guards.check_watermarks {
+            let code = if fits {
                 ResultCode::KeyClosed
             } else {
                 ResultCode::LedgerFull
             };
-            let need = self.holder().and_then(Holder::marks_wait);
-            return self.after(cx, need, Wait::Refuse { pass, code });
+            let durability = self.primary().and_then(Primary::pending_watermarks);
+            return self.when_durable(cx, durability, Pending::Refuse { token, code });
         }
-        self.start(cx, pass, key, digest);
+        self.start(cx, token, key, digest);
     }
 
-    /// Keys that aren't on record and of which nothing definite can be said.
+    /// The refusal of a key that isn't on record and that may or may not have run; `None`
+    /// if it certainly hasn't.
     pub(super) fn refuse_unknown(&self, cx: &Cx<'_>, generation: Generation) -> Option<ResultCode> {
-        if generation >= self.marks.end {
+        if generation >= self.watermarks.unissued_from {
             return Some(ResultCode::HomeUnreachable);
         }
-        // Failure: a caller resends an order after its record was dropped, and the order
-        // runs again. Records are dropped only below the floor.
-        if generation < self.marks.floor && cx.cfg.guards.check_floor {
+        // Guards against a resend after the record of its key was dropped, which would run
+        // the request again. Records are dropped only below this watermark.
+        if generation < self.watermarks.retained_from && cx.cfg.guards.check_watermarks {
             return Some(ResultCode::KeyExpired);
         }
         None
@@ -63,99 +63,107 @@
         &mut self,
         cx: &mut Cx<'_>,
         generation: Generation,
-        rest: &str,
-        pass: Pass,
+        suffix: &str,
+        token: Token,
     ) {
-        let Some(run) = self.run_mut(generation, rest) else {
+        let Some(run) = self.run_mut(generation, suffix) else {
             return;
         };
-        run.waiters.retain(|waiter| cx.passes.is_waiting(*waiter));
+        run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
         if run.waiters.len() < cx.cfg.max_waiters {
-            run.waiters.push(pass);
+            run.waiters.push(token);
         } else {
-            cx.answer(pass, refuse(cx.cfg, ResultCode::StillRunning));
+            cx.answer(token, refuse(cx.cfg, ResultCode::StillRunning));
         }
     }
 
-    pub(super) fn start(&mut self, cx: &mut Cx<'_>, pass: Pass, key: &Key, digest: Digest) {
+    pub(super) fn start(&mut self, cx: &mut Cx<'_>, token: Token, key: &Key, digest: Digest) {
         let generation = key.prefix.generation;
         let record = KeyRecord {
             generation,
-            rest: key.rest.clone(),
+            suffix: key.suffix.clone(),
             digest,
             stage: Stage::Started,
         };
         self.put(record.clone());
-        self.start_run(generation, &key.rest, pass);
-        let mut need = self.commit(Op::Put(record));
-        // Failure: the holder dies after an order went out and before its backup knows
-        // of it; the backup takes over and runs the resent order again. With the start
-        // on record at the backup first, whoever takes over knows the key.
+        self.start_run(generation, &key.suffix, token);
+        let mut durability = self.log_op(Op::Put(record));
+        // Guards against a primary that dies after the request was sent out and before its
+        // backup has the record: the backup would take over and run a resend. With the
+        // start on record at the backup first, every later primary has the key.
         if !cx.cfg.guards.record_before_start {
-            need = None;
+            durability = None;
         }
-        let rest = key.rest.clone();
-        self.after(cx, need, Wait::Start { generation, rest });
+        let suffix = key.suffix.clone();
+        self.when_durable(cx, durability, Pending::Start { generation, suffix });
     }
 
-    pub(super) fn after(&mut self, cx: &mut Cx<'_>, need: Option<Need>, wait: Wait) {
-        match (need, self.holder_mut()) {
-            (Some(need), Some(holder)) => holder.waits.push_back((need, wait)),
-            _ => self.fulfil(cx, wait),
+    /// Completes `pending` once the operation is durable, or at once if it has to be on
+    /// record nowhere else.
+    pub(super) fn when_durable(
+        &mut self,
+        cx: &mut Cx<'_>,
+        durability: Option<Durability>,
+        pending: Pending,
+    ) {
+        match (durability, self.primary_mut()) {
+            (Some(durability), Some(primary)) => primary.pending.push_back((durability, pending)),
+            _ => self.complete(cx, pending),
         }
     }
 
-    pub(super) fn fulfil(&mut self, cx: &mut Cx<'_>, wait: Wait) {
-        match wait {
-            Wait::Start { generation, rest } => self.grant(cx, generation, &rest),
-            Wait::Refuse { pass, code } => cx.answer(pass, refuse(cx.cfg, code)),
-            Wait::Mint(generation) => self.minted(cx.now, generation),
+    pub(super) fn complete(&mut self, cx: &mut Cx<'_>, pending: Pending) {
+        match pending {
+            Pending::Start { generation, suffix } => self.grant(cx, generation, &suffix),
+            Pending::Refuse { token, code } => cx.answer(token, refuse(cx.cfg, code)),
+            Pending::Issue(generation) => self.issued(cx.now, generation),
         }
     }
 
-    /// The start is on record: lets the oldest pass that still waits run the key.
-    pub(super) fn grant(&mut self, cx: &mut Cx<'_>, generation: Generation, rest: &str) {
-        let Some(run) = self.run_mut(generation, rest) else {
+    /// Called once the start is on record: lets the oldest request that still waits run the
+    /// key.
+    pub(super) fn grant(&mut self, cx: &mut Cx<'_>, generation: Generation, suffix: &str) {
+        let Some(run) = self.run_mut(generation, suffix) else {
             return;
         };
-        run.waiters.retain(|waiter| cx.passes.is_waiting(*waiter));
+        run.waiters.retain(|waiter| cx.requests.is_waiting(*waiter));
         if run.waiters.is_empty() {
             let stage = Stage::Closed(ResultCode::DeadlineBeforeRun);
-            return self.end(cx, generation, rest, stage);
+            return self.end(cx, generation, suffix, stage);
         }
-        let pass = run.waiters.remove(0);
-        run.granted = Some(pass);
-        cx.answer(pass, Begun::Start);
-        let key = PassKey {
+        let token = run.waiters.remove(0);
+        run.granted = Some(token);
+        cx.answer(token, Decision::Start);
+        let key = RequestKey {
             home: cx.id.clone(),
             generation,
-            rest: rest.into(),
+            suffix: suffix.into(),
         };
-        cx.passes.run(pass, key);
+        cx.requests.run(token, key);
     }
 
-    /// A started key has come to its end, as far as it will ever be known here.
+    /// Ends the run of a key, with the last state that this entry will learn.
     pub(crate) fn end(
         &mut self,
         cx: &mut Cx<'_>,
         generation: Generation,
-        rest: &str,
+        suffix: &str,
         stage: Stage,
     ) {
-        let run = self.end_run(generation, rest).unwrap_or_default();
-        for pass in run.waiters {
-            let begun = replay(cx.cfg, &stage);
-            cx.answer(pass, begun);
+        let run = self.end_run(generation, suffix).unwrap_or_default();
+        for token in run.waiters {
+            let decision = replay(cx.cfg, &stage);
+            cx.answer(token, decision);
         }
         if matches!(stage, Stage::Closed(_)) && !cx.cfg.guards.close_refused {
-            return self.remove(generation, rest);
+            return self.remove(generation, suffix);
         }
-        self.settle(generation, rest, stage);
+        self.record_outcome(generation, suffix, stage);
     }
 
-    /// Records how a key ended, unless more is known already.
-    pub(crate) fn settle(&mut self, generation: Generation, rest: &str, stage: Stage) {
-        let Some(record) = self.record(generation, rest) else {
+    /// Records the outcome of a key unless its state is final.
+    pub(crate) fn record_outcome(&mut self, generation: Generation, suffix: &str, stage: Stage) {
+        let Some(record) = self.record(generation, suffix) else {
             return;
         };
         if record.stage.is_final() {
@@ -163,26 +171,26 @@
         }
         let record = KeyRecord {
             generation,
-            rest: rest.into(),
+            suffix: suffix.into(),
             digest: record.digest,
             stage,
         };
         self.put(record.clone());
-        self.commit(Op::Put(record));
+        self.log_op(Op::Put(record));
     }
 }
 
-enum Known {
-    Answer(Begun),
+enum RecordCheck {
+    Answer(Decision),
     Wait,
 }
 
-fn known(cx: &Cx<'_>, record: &Record, digest: Digest) -> Known {
+fn check_record(cx: &Cx<'_>, record: &Record, digest: Digest) -> RecordCheck {
     if record.digest != digest {
-        return Known::Answer(refuse(cx.cfg, ResultCode::KeyReused));
+        return RecordCheck::Answer(refuse(cx.cfg, ResultCode::KeyReused));
     }
     match (&record.stage, &record.run) {
-        (Stage::Started, Some(_)) => Known::Wait,
-        (stage, _) => Known::Answer(replay(cx.cfg, stage)),
+        (Stage::Started, Some(_)) => RecordCheck::Wait,
+        (stage, _) => RecordCheck::Answer(replay(cx.cfg, stage)),
     }
 }
--- a/crates/ledger/src/primary/replication.rs
+++ b/crates/ledger/src/primary/replication.rs
@@ -1,35 +1,38 @@
-//! Copies of the records: at the backup, and in the data folder.
+//! Replication of the records, to the backup and to the data folder.
 
 use filberthead_types::Moment;
 
-use super::{Cx, Holder};
+use super::{Cx, Primary};
 use crate::home::{Home, Role};
 use crate::journal::Journal;
-use crate::log::Copying;
-use crate::{Action, Config, ConfigNumber, Generation, KeyRecord, Message, Op};
+use crate::log::CopyProgress;
+use crate::{Action, Config, Generation, HomeEpoch, KeyRecord, Message, Op};
 
-/// Bytes of a record in a journal, its answer left out, about.
+/// Approximate bytes of a record in a journal, without its answer.
 const RECORD_LEN: usize = 96;
-/// Configs that a process may use before a successor takes its journal up: the successor
-/// starts above all of them, since which ones it used isn't written.
-const RECOVERED_CONFIGS: u64 = 1 << 32;
+/// Most epochs that a process may use before a successor recovers its journal. The
+/// successor starts above all of them, since the journal doesn't contain which ones were
+/// used.
+const RECOVERY_EPOCH_GAP: u64 = 1 << 32;
 
 impl Home {
-    /// Steps up to this one are in the data folder.
+    /// Records that operations up to this one are in the data folder.
     pub(crate) fn synced(&mut self, cx: &mut Cx<'_>, number: u64) {
-        let Some(holder) = self.holder_mut() else {
+        let Some(primary) = self.primary_mut() else {
             return;
         };
-        if let Some(journal) = &mut holder.journal {
+        if let Some(journal) = &mut primary.journal {
             journal.synced(number);
         }
-        holder.join_if_copied(cx.cfg);
-        self.release_waits(cx);
+        primary.activate_if_copied(cx.cfg);
+        self.complete_durable(cx);
     }
 
-    /// Writes what the data folder lacks.
+    /// Emits the next write to the data folder, if there is one.
     pub(crate) fn write(&mut self, cx: &mut Cx<'_>) {
-        let journal = self.holder_mut().and_then(|h| h.journal.as_mut());
+        let journal = self
+            .primary_mut()
+            .and_then(|primary| primary.journal.as_mut());
         let Some(write) = journal.and_then(Journal::write) else {
             return;
         };
@@ -42,40 +45,46 @@
         });
     }
 
-    /// Writes a journal anew that holds much of what was dropped.
-    pub(crate) fn shorten_journal(&mut self) {
+    /// Rewrites a journal that consists largely of dropped records.
+    pub(crate) fn compact_journal(&mut self) {
         let live = self.usage.stored + self.usage.keys * RECORD_LEN;
-        let journal = self.holder().and_then(|h| h.journal.as_ref());
-        if !journal.is_some_and(|j| j.is_long(live) && j.is_settled() && !j.is_retiring()) {
+        let journal = self.primary().and_then(|primary| primary.journal.as_ref());
+        if !journal
+            .is_some_and(|j| j.needs_compaction(live) && j.is_fully_synced() && !j.is_retiring())
+        {
             return;
         }
         let ops = self.snapshot();
-        if let Some(journal) = self.holder_mut().and_then(|h| h.journal.as_mut()) {
+        if let Some(journal) = self
+            .primary_mut()
+            .and_then(|primary| primary.journal.as_mut())
+        {
             journal.rewrite(ops);
         }
     }
 
-    /// Takes up a home from the journal of a predecessor in the same data folder.
+    /// Recovers a home from the journal of a predecessor in the same data folder.
     pub(crate) fn recover(now: Moment, ops: Vec<Op>) -> Self {
-        let role = Role::Holder(Box::new(Holder::alone(None)));
-        let mut home = Self::new(ConfigNumber::default(), role);
+        let role = Role::Primary(Box::new(Primary::new(None)));
+        let mut home = Self::new(HomeEpoch::default(), role);
         for op in ops {
             home.apply(op);
         }
-        let config = ConfigNumber(home.config.0 + RECOVERED_CONFIGS);
-        home.take_over(now, config);
-        if let Some(holder) = home.holder_mut() {
+        let epoch = HomeEpoch(home.epoch.0 + RECOVERY_EPOCH_GAP);
+        home.take_over(now, epoch);
+        if let Some(primary) = home.primary_mut() {
             let mut journal = Journal::default();
-            journal.push(Op::Config(config));
-            holder.journal = Some(journal);
+            journal.push(Op::Epoch(epoch));
+            primary.journal = Some(journal);
         }
         home
     }
 
-    /// Sends what the backup lacks, copies included.
+    /// Sends the operations that the backup doesn't have yet, copies of older records
+    /// included.
     pub(crate) fn flush(&mut self, cx: &mut Cx<'_>) {
         self.copy(cx.cfg);
-        let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+        let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
             return;
         };
         while let Some(batch) = log
@@ -84,40 +93,40 @@
         {
             let message = Message::Append {
                 home: cx.id.clone(),
-                config: log.config,
-                holder: cx.me.incarnation,
+                epoch: log.epoch,
+                primary: cx.me.incarnation,
                 backup: log.peer.incarnation,
                 first: batch.first,
                 ops: batch.ops,
-                joined_at: log.joined_at,
+                active_from: log.active_from,
             };
             cx.send(&log.peer.name, message);
         }
     }
 
-    /// Puts a batch of older records into the log of a backup that is joining.
+    /// Adds older records to the log of a joining backup, batch by batch.
     pub(super) fn copy(&mut self, cfg: &Config) {
         loop {
-            let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+            let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
                 return;
             };
             if !log.wants_copy(cfg) {
                 return;
             }
-            let Copying::After(cursor) = log.copy.clone() else {
+            let CopyProgress::After(cursor) = log.copy.clone() else {
                 return;
             };
             let records = self.batch_after(cursor, cfg);
-            let Some(log) = self.holder_mut().and_then(Holder::log_mut) else {
+            let Some(log) = self.primary_mut().and_then(Primary::log_mut) else {
                 return;
             };
-            let last = records.last().map(|r| (r.generation, r.rest.clone()));
+            let last = records.last().map(|r| (r.generation, r.suffix.clone()));
             for record in records {
                 log.push(Op::Put(record));
             }
             log.copy = match last {
-                Some(last) => Copying::After(Some(last)),
-                None => Copying::Done(log.end()),
+                Some(last) => CopyProgress::After(Some(last)),
+                None => CopyProgress::Done(log.end()),
             };
         }
     }
@@ -133,8 +142,8 @@
             let Some(record) = self.next_after(cursor.as_ref()) else {
                 break;
             };
-            len += record.rest.len() + record.stage.stored_len();
-            cursor = Some((record.generation, record.rest.clone()));
+            len += record.suffix.len() + record.stage.stored_len();
+            cursor = Some((record.generation, record.suffix.clone()));
             records.push(record);
         }
         records
--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -1,4 +1,4 @@
-//! Where a request goes whose home isn't held here.
+//! Requests for homes that this entry isn't the primary of.
 
 use filberthead_types::{Incarnation, Moment, NodeName, ResultCode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -6,28 +6,28 @@
 use crate::home::Role;
 use crate::ledger::Peer;
 use crate::primary::{refuse, replay};
-use crate::{Begun, ConfigNumber, Digest, HomeId, Key, KeyPrefix, Ledger, Member, Pass};
+use crate::{Decision, Digest, HomeEpoch, HomeId, Key, KeyPrefix, Ledger, Member, Token};
 
-/// Entries that may pass a request on. Two are enough: one elsewhere, which knows the
-/// failure domain of the home, and one there, which knows the holder. The bound ends
-/// loops between entries that each take the other one for the holder.
+/// Most times that a request is forwarded. Two are enough: by an entry elsewhere, which
+/// knows the failure domain of the home, and by one there, which knows the primary. The
+/// bound ends loops between entries that each take the other one for the primary.
 pub const MAX_HOPS: u8 = 2;
 
-/// A request that waits until it is known who holds its home.
+/// A request that waits until the primary of its home is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Parked {
-    pass: Pass,
+    token: Token,
     key: Key,
     digest: Digest,
     hops: u8,
 }
 
 impl Ledger {
-    pub(crate) fn begin_elsewhere(&mut self, pass: Pass, key: &Key, digest: Digest, hops: u8) {
+    pub(crate) fn begin_elsewhere(&mut self, token: Token, key: &Key, digest: Digest, hops: u8) {
         let id = &key.prefix.home;
-        if self.waits_for_verdict(key) {
+        if self.awaits_claim_result(key) {
             let parked = Parked {
-                pass,
+                token,
                 key: key.clone(),
                 digest,
                 hops,
@@ -36,63 +36,64 @@
             return;
         }
         let home = self.homes.get(id);
-        let record = home.and_then(|home| home.record(key.prefix.generation, &key.rest));
+        let record = home.and_then(|home| home.record(key.prefix.generation, &key.suffix));
         let known = record.map(|record| (record.digest, record.stage.clone()));
-        let begun = match known {
+        let decision = match known {
             Some((on_record, _)) if on_record != digest => refuse(&self.cfg, ResultCode::KeyReused),
-            // What is final is true wherever it is on record.
+            // A final state is valid at whichever entry it is on record.
             Some((_, stage)) if stage.is_final() => replay(&self.cfg, &stage),
             known => self.forward(id, hops).unwrap_or_else(|code| {
                 let code = known.map_or(code, |_| ResultCode::OutcomeUnknown);
                 refuse(&self.cfg, code)
             }),
         };
-        self.answer(pass, begun);
+        self.answer(token, decision);
     }
 
-    /// Whether this entry is about to hold the home, or to learn who does: its holder can't
-    /// be reached. A caller that waits these seconds needs no resend.
-    fn waits_for_verdict(&self, key: &Key) -> bool {
+    /// Whether the primary can't be reached and this entry, as its backup, is about to
+    /// become primary or to receive the claim result. Letting the caller wait these seconds
+    /// saves it a resend.
+    fn awaits_claim_result(&self, key: &Key) -> bool {
         let id = &key.prefix.home;
         let Some(home) = self.homes.get(id) else {
             return false;
         };
-        let known = home.record(key.prefix.generation, &key.rest);
+        let known = home.record(key.prefix.generation, &key.suffix);
         let is_known = known.is_some_and(|record| record.stage.is_final());
-        let joined = matches!(&home.role, Role::Backup(backup) if backup.is_joined());
-        joined && !is_known && self.holder_of(id).is_none()
+        let active = matches!(&home.role, Role::Backup(backup) if backup.is_active());
+        active && !is_known && self.primary_of(id).is_none()
     }
 
-    /// Takes up requests again that waited for a holder.
+    /// Decides again about the requests that waited for a primary.
     pub(crate) fn unpark(&mut self, now: Moment) {
         if self.parked.is_empty() {
             return;
         }
         for (_, parked) in std::mem::take(&mut self.parked) {
             for Parked {
-                pass,
+                token,
                 key,
                 digest,
                 hops,
             } in parked
             {
-                if self.passes.is_waiting(pass) {
-                    self.begin(now, pass, &key, digest, hops);
+                if self.requests.is_waiting(token) {
+                    self.begin(now, token, &key, digest, hops);
                 }
             }
         }
     }
 
-    fn forward(&self, id: &HomeId, hops: u8) -> Result<Begun, ResultCode> {
+    fn forward(&self, id: &HomeId, hops: u8) -> Result<Decision, ResultCode> {
         if hops >= MAX_HOPS {
             return Err(ResultCode::HomeUnreachable);
         }
         let entry = self
-            .holder_of(id)
-            .or_else(|| self.live(id.founder))
-            .or_else(|| self.any_of_domain(id, hops));
+            .primary_of(id)
+            .or_else(|| self.find_live(id.founder))
+            .or_else(|| self.likely_backup(id, hops));
         match entry {
-            Some(member) => Ok(Begun::Forward {
+            Some(member) => Ok(Decision::Forward {
                 entry: member.name.clone(),
             }),
             None if self.is_lost(id) => Err(ResultCode::HomeLostRecords),
@@ -100,24 +101,24 @@
         }
     }
 
-    /// Who holds a home, as far as known here.
-    pub(crate) fn holder_of(&self, id: &HomeId) -> Option<&Member> {
-        let told = self.peers.values().filter_map(|peer| {
-            let config = peer.homes.get(id)?;
-            Some((*config, peer.incarnation))
+    /// The primary of a home, `None` if it isn't known here or isn't live.
+    pub(crate) fn primary_of(&self, id: &HomeId) -> Option<&Member> {
+        let reported = self.peers.values().filter_map(|peer| {
+            let epoch = peer.homes.get(id)?;
+            Some((*epoch, peer.incarnation))
         });
-        if let Some((_, incarnation)) = told.max() {
-            return self.live(incarnation);
+        if let Some((_, incarnation)) = reported.max() {
+            return self.find_live(incarnation);
         }
         match &self.homes.get(id)?.role {
-            Role::Backup(backup) => self.live(backup.holder_incarnation),
-            Role::Past { holder, .. } => self.live((*holder)?),
-            Role::Holder(_) => None,
+            Role::Backup(backup) => self.find_live(backup.primary_incarnation),
+            Role::Former { primary, .. } => self.find_live((*primary)?),
+            Role::Primary(_) => None,
         }
     }
 
-    /// From outside of the failure domain, its most likely backup.
-    fn any_of_domain(&self, id: &HomeId, hops: u8) -> Option<&Member> {
+    /// For an entry of another failure domain: the most likely backup of the home.
+    fn likely_backup(&self, id: &HomeId, hops: u8) -> Option<&Member> {
         if hops > 0 || id.failure_domain == self.me.failure_domain {
             return None;
         }
@@ -128,34 +129,36 @@
             .max_by_key(|member| weight(id, &member.name))
     }
 
-    /// Whether the home's founder is gone and nobody in its failure domain, which is
-    /// this entry's, holds it.
+    /// Whether the home is lost. Called where neither a primary nor the founder is live: if
+    /// this entry is in the failure domain of the home and has the list of live entries, no
+    /// entry is its primary any more.
     fn is_lost(&self, id: &HomeId) -> bool {
         id.failure_domain == self.me.failure_domain && self.members.is_some()
     }
 
-    fn live(&self, incarnation: Incarnation) -> Option<&Member> {
+    fn find_live(&self, incarnation: Incarnation) -> Option<&Member> {
         let mut members = self.members.iter().flatten();
         let member = members.find(|member| member.incarnation == incarnation)?;
         Some(member).filter(|member| !self.unreachable.contains_key(&member.name))
     }
 
-    /// Failure: the list of live entries lags behind the death of a holder; resends are
-    /// passed on to it again and again. What a request has just failed to reach is
-    /// avoided for as long as its backup takes to notice.
-    pub(crate) fn suspect(&mut self, now: Moment, failed: Option<NodeName>) {
+    /// Avoids an entry that a request has just failed to reach, for as long as its backup
+    /// takes to detect the failure. Otherwise, while the list of live entries still
+    /// contains a dead primary, resends are forwarded to it again and again.
+    pub(crate) fn mark_unreachable(&mut self, now: Moment, failed: Option<NodeName>) {
         if let Some(name) = failed {
-            self.unreachable.insert(name, now + self.cfg.suspect_after);
+            self.unreachable
+                .insert(name, now + self.cfg.failover_timeout);
         }
     }
 
-    /// Whether a process of this name runs that isn't `incarnation`.
+    /// Whether a process other than `incarnation` runs under this name.
     pub(crate) fn has_restarted(&self, name: &NodeName, incarnation: Incarnation) -> bool {
         let mut members = self.members.iter().flatten();
         members.any(|member| member.name == *name && member.incarnation != incarnation)
     }
 
-    /// The entry to be backup of a home that has none.
+    /// The entry that is to be the backup of homes that have none.
     pub(crate) fn candidate(&self) -> Option<&Member> {
         let id = self.own.as_ref()?;
         let members = self.members.iter().flatten();
@@ -172,22 +175,22 @@
         self.tick(now);
     }
 
-    pub(crate) fn learn_holds(
+    pub(crate) fn record_held_homes(
         &mut self,
         now: Moment,
         from: &NodeName,
         incarnation: Incarnation,
-        homes: Vec<(HomeId, ConfigNumber)>,
+        homes: Vec<(HomeId, HomeEpoch)>,
         prefix: Option<KeyPrefix>,
     ) {
-        let holder = Member {
+        let primary = Member {
             name: from.clone(),
             incarnation,
             failure_domain: self.me.failure_domain.clone(),
             leaving: false,
         };
-        for (id, config) in &homes {
-            self.learn_holder(now, id, *config, &holder);
+        for (id, epoch) in &homes {
+            self.observe_primary(now, id, *epoch, &primary);
         }
         let peer = Peer {
             incarnation,
@@ -197,30 +200,31 @@
         self.peers.insert(from.clone(), peer);
     }
 
-    /// Another entry holds a home; with a newer config than here, what this entry was to
-    /// the home is over.
-    fn learn_holder(&mut self, now: Moment, id: &HomeId, config: ConfigNumber, holder: &Member) {
+    /// Another entry is the primary of a home. If its epoch is newer than the one here, the
+    /// role of this entry ends.
+    fn observe_primary(&mut self, now: Moment, id: &HomeId, epoch: HomeEpoch, primary: &Member) {
         self.with_home(now, id, |home, cx| {
-            if config <= home.config {
+            if epoch <= home.epoch {
                 return;
             }
-            let past = Role::Past {
-                holder: Some(holder.incarnation),
+            let former = Role::Former {
+                primary: Some(primary.incarnation),
                 since: cx.now,
             };
             match &home.role {
-                Role::Holder(_) => home.depose(cx, home.config.next(), holder),
-                // Its holder goes on with other config numbers while it copies the home
-                // here; only another holder ends the backup's part.
-                Role::Backup(backup) if backup.holder_incarnation == holder.incarnation => {}
-                // The config stays: the holder's next invitation has a higher one.
-                Role::Backup(_) | Role::Past { .. } => home.role = past,
+                Role::Primary(_) => home.demote(cx, home.epoch.next(), primary),
+                // Its primary uses other epochs while it copies the home to this entry;
+                // only another primary ends the role of the backup.
+                Role::Backup(backup) if backup.primary_incarnation == primary.incarnation => {}
+                // The epoch stays: the primary's next append from number 0 has a higher
+                // one.
+                Role::Backup(_) | Role::Former { .. } => home.role = former,
             }
         });
     }
 }
 
-/// Rendezvous hashing: each home prefers the entries in an order of its own.
+/// Rendezvous hashing: each home has its own order of preferred entries.
 fn weight(id: &HomeId, name: &NodeName) -> u64 {
     xxh3_64(format!("{id} {name}").as_bytes())
 }
--- a/crates/ledger/tests/all/claim_results.rs
+++ b/crates/ledger/tests/all/claim_results.rs
@@ -1,10 +1,11 @@
-//! Control's verdicts.
+//! Results of claims.
 
-use filberthead_ledger::{Claim, ConfigNumber, HomeId, KEPT_VERDICTS, Verdicts};
+use filberthead_ledger::{Claim, ClaimResults, HomeEpoch, HomeId, MAX_CLAIM_RESULTS};
 use filberthead_types::Incarnation;
 
-/// What the fullest table leaves of the longest message between control replicas.
-const ROOM_IN_SNAPSHOT: usize = 400 * 1024;
+/// Bytes that the largest routing table leaves of the longest message between control
+/// replicas.
+const SNAPSHOT_BUDGET: usize = 400 * 1024;
 
 fn claim(founder: u64, claimant: u64) -> Claim {
     Claim {
@@ -13,32 +14,34 @@
             founder: Incarnation(u64::MAX - founder),
             serial: 7,
         },
-        config: ConfigNumber(9),
+        epoch: HomeEpoch(9),
         claimant: Incarnation(u64::MAX - claimant),
     }
 }
 
-/// Both members of a config claim it; the second one's claim comes after a long sleep.
-/// It gets the first one's verdict, or both would run the same order.
+/// Both members of an epoch claim it, one of them after it was suspended for a long time.
+/// It must get the result of the first claim, or both would run the same request.
 #[test]
-fn the_first_claim_wins_for_ever() {
-    let mut verdicts = Verdicts::default();
-    let first = verdicts.apply(&claim(1, 1));
+fn the_first_claim_wins_permanently() {
+    let mut claim_results = ClaimResults::default();
+    let first = claim_results.apply(&claim(1, 1));
     for other in 2..1_000 {
-        verdicts.apply(&claim(other, other));
+        claim_results.apply(&claim(other, other));
     }
-    assert_eq!(verdicts.apply(&claim(1, 2)), first);
-    assert_eq!(verdicts.apply(&claim(1, 1)), first);
+    assert_eq!(claim_results.apply(&claim(1, 2)), first);
+    assert_eq!(claim_results.apply(&claim(1, 1)), first);
 }
 
 #[test]
-fn verdicts_leave_room_for_the_fullest_table() {
-    let mut verdicts = Verdicts::default();
-    for founder in 0..KEPT_VERDICTS as u64 + 100 {
-        verdicts.apply(&claim(founder, founder));
+fn claim_results_leave_room_for_the_largest_table() {
+    let mut claim_results = ClaimResults::default();
+    for founder in 0..MAX_CLAIM_RESULTS as u64 + 100 {
+        claim_results.apply(&claim(founder, founder));
     }
-    assert_eq!(verdicts.len(), KEPT_VERDICTS);
-    let len = postcard::to_stdvec(&verdicts).expect("they encode").len();
-    assert!(len < ROOM_IN_SNAPSHOT, "{len} bytes");
+    assert_eq!(claim_results.len(), MAX_CLAIM_RESULTS);
+    let len = postcard::to_stdvec(&claim_results)
+        .expect("they are encodable")
+        .len();
+    assert!(len < SNAPSHOT_BUDGET, "{len} bytes");
     println!("{len} bytes");
 }
--- a/crates/ledger/tests/all/cluster.rs
+++ b/crates/ledger/tests/all/cluster.rs
@@ -1,9 +1,10 @@
-//! Several ledgers, control's verdicts and the messages between them, in one value.
+//! Several ledgers, the claim results of control, and the messages between them, in one
+//! value.
 //!
-//! Every promise of the ledger is checked at each step: a key runs at most once, a key
-//! told "not run" never runs, a replayed answer is the one that the endpoint gave. A
-//! broken promise is kept in [`World::broken`], so that tests can show that a ledger
-//! with a guard switched off breaks it.
+//! The guarantees of the ledger are checked at each step: a key runs at most once, a key
+//! refused as "not run" never runs, a replayed answer is the one that the endpoint gave. A
+//! broken guarantee is stored in [`Cluster::violation`], so that tests can show that a
+//! ledger with a disabled guard breaks it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -11,23 +12,23 @@
 use std::time::Duration;
 
 use filberthead_ledger::{
-    Action, Begun, Config, ConfigBuilder, Digest, Event, Guards, HomeId, Key, KeyPrefix, Ledger,
-    Member, Message, Op, Pass, Verdict, Verdicts,
+    Action, ClaimResult, ClaimResults, Config, ConfigBuilder, Decision, Digest, Event, Guards,
+    HomeId, Key, KeyPrefix, Ledger, Member, Message, Op, Token,
 };
 use filberthead_types::{Incarnation, Meaning, Moment, NodeName, ResultCode};
 
-use crate::wire::{DiskWrite, Packet, Sealed};
+use crate::wire::{DiskWrite, HashedMessage, Packet};
 
-pub(crate) const SUSPECT_AFTER: Duration = Duration::from_secs(2);
+pub(crate) const FAILOVER_TIMEOUT: Duration = Duration::from_secs(2);
 pub(crate) const START_WINDOW: Duration = Duration::from_secs(20);
 pub(crate) const RETENTION: Duration = Duration::from_secs(60);
-/// Deadline of each request.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time from each request to its deadline.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Small times, so that a test sees each of them pass.
+/// Short times, so that each of them elapses in a test.
 pub(crate) fn config(guards: Guards) -> ConfigBuilder {
     Config::builder()
-        .suspect_after(SUSPECT_AFTER)
+        .failover_timeout(FAILOVER_TIMEOUT)
         .start_window(START_WINDOW)
         .retention(RETENTION)
         .generation_period(Duration::from_secs(10))
@@ -36,82 +37,91 @@
         .guards(guards)
 }
 
-/// Number of an entry's VM; its process may come and go.
+/// Number of the VM of an entry, which outlives the entry's processes.
 pub(crate) type Slot = usize;
 
-/// A request that was told to start.
+/// A request that was allowed to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Started {
     pub(crate) slot: Slot,
-    pub(crate) pass: Pass,
+    pub(crate) token: Token,
     pub(crate) key: String,
     /// Whether an endpoint has run it.
     pub(crate) ran: bool,
 }
 
-/// How often things happened, to show that a test exercises what it is meant for.
+/// How often each event happened, to show that a test covers what it is meant to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counts {
     pub(crate) started: u64,
     pub(crate) replayed: u64,
     pub(crate) not_run: u64,
     pub(crate) may_have_run: u64,
-    pub(crate) verdicts: u64,
+    pub(crate) claim_results: u64,
     pub(crate) hand_overs: u64,
     pub(crate) recovered: u64,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     cfg: Config,
     pub(crate) now: Moment,
-    /// Running entries; by `Rc`, so that clones share what a step doesn't touch.
+    /// Running entries; in an `Rc`, so that clones share what a step doesn't change.
     pub(crate) nodes: BTreeMap<Slot, Rc<Ledger>>,
     pub(crate) members: BTreeMap<Slot, Member>,
+    /// Packets in flight.
     pub(crate) wire: Vec<Rc<Packet>>,
-    pub(crate) verdicts: Verdicts,
+    pub(crate) claim_results: ClaimResults,
     /// Synced journals, by VM.
     disks: BTreeMap<Slot, BTreeMap<HomeId, Vec<Op>>>,
+    /// Outstanding disk writes, by VM.
     unsynced: BTreeMap<Slot, VecDeque<DiskWrite>>,
+    /// Links that drop every message, by sender and receiver.
     pub(crate) cut: BTreeSet<(Slot, Slot)>,
+    /// Entries without a connection to control.
     pub(crate) control_cut: BTreeSet<Slot>,
-    passes: BTreeMap<Pass, (Slot, String, u128, u8)>,
+    /// Undecided requests: entry, key, digest and hops.
+    requests: BTreeMap<Token, (Slot, String, u128, u8)>,
     pub(crate) started: Vec<Started>,
+    /// How often each key has run.
     pub(crate) runs: BTreeMap<String, u32>,
+    /// Answer of each key that ran.
     answers: BTreeMap<String, Vec<u8>>,
-    told_not_run: BTreeSet<String>,
-    /// Every answer of the ledgers, by key.
-    pub(crate) told: Vec<(String, Begun)>,
-    pub(crate) broken: Option<String>,
+    /// Keys that were refused with a code that means "not run".
+    refused_not_run: BTreeSet<String>,
+    /// Every decision of the ledgers, with its key.
+    pub(crate) decisions: Vec<(String, Decision)>,
+    /// The last broken guarantee.
+    pub(crate) violation: Option<String>,
     pub(crate) counts: Counts,
     next_incarnation: u64,
-    next_pass: u64,
+    next_token: u64,
 }
 
-impl World {
-    /// A world with one entry for each failure domain in `domains`.
+impl Cluster {
+    /// A cluster with one entry for each item of `domains`, its failure domain.
     pub(crate) fn new(cfg: Config, domains: &[&str]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             cfg,
             now: Duration::ZERO,
             nodes: BTreeMap::new(),
             members: BTreeMap::new(),
             wire: Vec::new(),
-            verdicts: Verdicts::default(),
+            claim_results: ClaimResults::default(),
             disks: BTreeMap::new(),
             unsynced: BTreeMap::new(),
             cut: BTreeSet::new(),
             control_cut: BTreeSet::new(),
-            passes: BTreeMap::new(),
+            requests: BTreeMap::new(),
             started: Vec::new(),
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
-            told: Vec::new(),
-            broken: None,
+            refused_not_run: BTreeSet::new(),
+            decisions: Vec::new(),
+            violation: None,
             counts: Counts::default(),
             next_incarnation: 1,
-            next_pass: 1,
+            next_token: 1,
         };
         for (slot, domain) in domains.iter().enumerate() {
             let member = Member {
@@ -120,14 +130,14 @@
                 failure_domain: domain.parse().expect("a valid name"),
                 leaving: false,
             };
-            world.members.insert(slot, member);
-            world.boot(slot);
+            cluster.members.insert(slot, member);
+            cluster.boot(slot);
         }
-        world.spread_members();
-        world
+        cluster.announce_members();
+        cluster
     }
 
-    /// Starts a process without any record.
+    /// Starts a process without any records.
     pub(crate) fn boot(&mut self, slot: Slot) {
         let member = self.members.get_mut(&slot).expect("a known slot");
         member.incarnation = Incarnation(self.next_incarnation);
@@ -137,7 +147,7 @@
         self.nodes.insert(slot, Rc::new(ledger));
     }
 
-    /// Starts a process that takes up what is synced on its VM's disk.
+    /// Starts a process that recovers the journals on the disk of its VM.
     pub(crate) fn boot_from_disk(&mut self, slot: Slot) {
         self.boot(slot);
         let journals = self.disks.get(&slot).cloned().unwrap_or_default();
@@ -148,18 +158,18 @@
         }
     }
 
-    /// Steps in all journals of a VM.
+    /// Number of operations in all journals of a VM.
     pub(crate) fn journal_len(&self, slot: Slot) -> usize {
         let disk = self.disks.get(&slot);
         disk.map_or(0, |journals| journals.values().map(Vec::len).sum())
     }
 
-    /// Loses a VM's disk; its process must not run.
+    /// Erases the disk of a VM; its process must not run.
     pub(crate) fn wipe(&mut self, slot: Slot) {
         self.disks.remove(&slot);
     }
 
-    /// The oldest write of a VM that is on its way reaches the disk.
+    /// Completes the oldest outstanding write of a VM.
     pub(crate) fn sync(&mut self, slot: Slot) {
         let Some(write) = self.unsynced.get_mut(&slot).and_then(VecDeque::pop_front) else {
             return;
@@ -178,8 +188,8 @@
         self.step(slot, Event::Synced { home, number });
     }
 
-    /// Tells every entry which entries run.
-    pub(crate) fn spread_members(&mut self) {
+    /// Sends the list of live entries to each of them.
+    pub(crate) fn announce_members(&mut self) {
         let live: Vec<Slot> = self.nodes.keys().copied().collect();
         let members: Vec<Member> = live.iter().map(|s| self.members[s].clone()).collect();
         for slot in live {
@@ -192,7 +202,7 @@
         self.nodes.remove(&slot);
         self.unsynced.remove(&slot);
         self.started.retain(|s| s.slot != slot);
-        self.passes.retain(|_, (at, ..)| *at != slot);
+        self.requests.retain(|_, (at, ..)| *at != slot);
     }
 
     pub(crate) fn step(&mut self, slot: Slot, event: Event) {
@@ -208,7 +218,7 @@
 
     fn act(&mut self, from: Slot, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.begun(from, pass, begun),
+            Action::Decide { token, decision } => self.decided(from, token, decision),
             Action::Send { to, message } => {
                 let Some(to) = self.slot_of(&to) else {
                     return;
@@ -216,7 +226,7 @@
                 if matches!(&message, Message::Append { ops, .. } if ops.contains(&Op::HandOver)) {
                     self.counts.hand_overs += 1;
                 }
-                let body = Sealed::new(message);
+                let body = HashedMessage::new(message);
                 self.post(Packet::Message { from, to, body });
             }
             Action::Claim(claim) => self.post(Packet::Claim { from, claim }),
@@ -250,31 +260,31 @@
             .map(|(slot, _)| *slot)
     }
 
-    fn begun(&mut self, slot: Slot, pass: Pass, begun: Begun) {
-        let Some((_, key, digest, hops)) = self.passes.remove(&pass) else {
-            self.broken = Some(format!("pass {pass:?} got two answers"));
+    fn decided(&mut self, slot: Slot, token: Token, decision: Decision) {
+        let Some((_, key, digest, hops)) = self.requests.remove(&token) else {
+            self.violation = Some(format!("request {token:?} got two answers"));
             return;
         };
-        self.told.push((key.clone(), begun.clone()));
-        match begun {
-            Begun::Start => {
+        self.decisions.push((key.clone(), decision.clone()));
+        match decision {
+            Decision::Start => {
                 self.counts.started += 1;
                 let ran = false;
                 self.started.push(Started {
                     slot,
-                    pass,
+                    token,
                     key,
                     ran,
                 });
             }
-            Begun::Replay(answer) => {
+            Decision::Replay(answer) => {
                 self.counts.replayed += 1;
                 if self.answers.get(&key).map(Vec::as_slice) != Some(&answer[..]) {
-                    self.broken = Some(format!("{key} got another answer than its own"));
+                    self.violation = Some(format!("{key} got another answer than its own"));
                 }
             }
-            Begun::Refuse { code, .. } => self.refused(&key, code),
-            Begun::Forward { entry } => {
+            Decision::Refuse { code, .. } => self.refused(&key, code),
+            Decision::Forward { entry } => {
                 if let Some(to) = self.slot_of(&entry) {
                     let hops = hops + 1;
                     self.post(Packet::Request {
@@ -291,29 +301,30 @@
     fn refused(&mut self, key: &str, code: ResultCode) {
         let runs = self.runs.get(key).copied().unwrap_or(0);
         match code.meaning() {
-            // It speaks of another request than the one that the key belongs to.
+            // The refusal is about this request, not about the one that the key belongs to.
             _ if code == ResultCode::KeyReused => {}
             Meaning::NotRun => {
                 self.counts.not_run += 1;
-                self.told_not_run.insert(key.to_owned());
+                self.refused_not_run.insert(key.to_owned());
                 if runs > 0 {
-                    self.broken = Some(format!("{key} ran and was told {code}"));
+                    self.violation = Some(format!("{key} ran and was refused with {code}"));
                 }
             }
             Meaning::MayHaveRun => self.counts.may_have_run += 1,
             Meaning::Ran if runs == 0 => {
-                self.broken = Some(format!("{key} didn't run and was told {code}"));
+                self.violation = Some(format!("{key} didn't run and was refused with {code}"));
             }
             Meaning::Ran => {}
         }
     }
 
-    /// A caller sends a key to an entry.
+    /// Sends a key to an entry, as a caller does.
     pub(crate) fn send(&mut self, slot: Slot, key: &str) {
         self.request(slot, key, 1, 0);
     }
 
-    /// The entry that a request was passed on to gave no answer; its sender asks again.
+    /// Sends a key again after `failed`, the entry that it was forwarded to, gave no
+    /// answer.
     pub(crate) fn send_after_failure(&mut self, slot: Slot, key: &str, failed: Slot) {
         self.begin(slot, key, 1, 0, Some(name(failed)));
     }
@@ -326,27 +337,28 @@
         if !self.nodes.contains_key(&slot) {
             return;
         }
-        let pass = Pass(self.next_pass);
-        self.next_pass += 1;
-        self.passes
-            .insert(pass, (slot, key.to_owned(), digest, hops));
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        self.requests
+            .insert(token, (slot, key.to_owned(), digest, hops));
         let event = Event::Begin {
-            pass,
+            token,
             key: key.parse::<Key>().expect("a valid key"),
             digest: Digest(digest),
-            deadline: self.now + PATIENCE,
+            deadline: self.now + REQUEST_TIMEOUT,
             hops,
             failed,
         };
         self.step(slot, event);
     }
 
-    /// Takes a packet off the wire to its receiver, unless the way is cut.
+    /// Removes a packet from the network and delivers it, unless its link is cut.
     pub(crate) fn deliver(&mut self, index: usize) {
         let packet = self.wire.remove(index);
         self.arrive(&packet);
     }
 
+    /// Delivers a packet, unless its link is cut.
     pub(crate) fn arrive(&mut self, packet: &Packet) {
         match packet.clone() {
             Packet::Message { from, to, body } => {
@@ -361,24 +373,24 @@
                 if self.control_cut.contains(&from) {
                     return;
                 }
-                self.counts.verdicts += u64::from(self.verdicts.get(&claim).is_none());
-                let winner = self.verdicts.apply(&claim).winner;
-                self.post(Packet::Verdict {
+                self.counts.claim_results += u64::from(self.claim_results.get(&claim).is_none());
+                let winner = self.claim_results.apply(&claim).winner;
+                self.post(Packet::ClaimResult {
                     to: from,
                     claim,
                     winner,
                 });
             }
-            Packet::Verdict { to, claim, winner } => {
+            Packet::ClaimResult { to, claim, winner } => {
                 if self.control_cut.contains(&to) {
                     return;
                 }
-                let verdict = Verdict {
+                let result = ClaimResult {
                     home: claim.home,
-                    config: claim.config,
+                    epoch: claim.epoch,
                     winner,
                 };
-                let message = Message::Verdict(verdict);
+                let message = Message::ClaimResult(result);
                 let from = "control".parse().expect("a valid name");
                 self.step(to, Event::Received { from, message });
             }
@@ -391,7 +403,7 @@
         }
     }
 
-    /// An endpoint runs a started request.
+    /// Runs a started request at an endpoint.
     pub(crate) fn run(&mut self, index: usize) {
         let started = &mut self.started[index];
         if started.ran {
@@ -402,39 +414,39 @@
         let runs = self.runs.entry(key.clone()).or_default();
         *runs += 1;
         if *runs > 1 {
-            self.broken = Some(format!("{key} ran {runs} times"));
+            self.violation = Some(format!("{key} ran {runs} times"));
         }
-        if self.told_not_run.contains(&key) {
-            self.broken = Some(format!("{key} ran after it was told not run"));
+        if self.refused_not_run.contains(&key) {
+            self.violation = Some(format!("{key} ran after it was refused as not run"));
         }
         let answer = format!("answer to {key}").into_bytes();
         self.answers.insert(key, answer);
     }
 
-    /// The whole answer of a request that ran comes back.
+    /// Runs a started request unless it ran already, and reports its whole answer.
     pub(crate) fn finish(&mut self, index: usize) {
         self.run(index);
         let Started {
-            slot, pass, key, ..
+            slot, token, key, ..
         } = self.started.remove(index);
         let answer = Some(self.answers[&key].clone().into());
-        self.step(slot, Event::Finished { pass, answer });
+        self.step(slot, Event::Finished { token, answer });
     }
 
-    /// A started request ends without an answer.
+    /// Ends a started request without an answer.
     pub(crate) fn give_up(&mut self, index: usize) {
         let Started {
             slot,
-            pass,
+            token,
             key,
             ran,
         } = self.started.remove(index);
         if ran {
-            return self.step(slot, Event::Unknown { pass });
+            return self.step(slot, Event::Unknown { token });
         }
         let code = ResultCode::NoEndpoint;
         self.refused(&key, code);
-        self.step(slot, Event::NotRun { pass, code });
+        self.step(slot, Event::NotRun { token, code });
     }
 
     pub(crate) fn tick(&mut self) {
@@ -444,7 +456,7 @@
         }
     }
 
-    /// Lets time pass with every packet arriving at once.
+    /// Advances the time in small steps, delivering every packet at once.
     pub(crate) fn settle(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -457,7 +469,8 @@
         }
     }
 
-    /// Delivers until the wire is empty, within a bound.
+    /// Delivers and syncs until nothing is in flight; reports a violation if that takes too
+    /// many steps.
     pub(crate) fn drain(&mut self) {
         for _ in 0..100_000 {
             let mut unsynced = self.unsynced.iter();
@@ -470,11 +483,11 @@
                 self.deliver(0);
             }
         }
-        self.broken = Some("the entries never fall silent".to_owned());
+        self.violation = Some("the entries never stop sending".to_owned());
     }
 
-    /// Delivers until the wire is empty, with all disks stuck.
-    pub(crate) fn drain_but_disks(&mut self) {
+    /// Delivers until no packet is in flight, without completing any disk write.
+    pub(crate) fn drain_network(&mut self) {
         while !self.wire.is_empty() {
             self.deliver(0);
         }
@@ -484,36 +497,39 @@
         self.nodes.get(&slot)?.prefix()
     }
 
-    /// A key under the prefix that an entry hands out now.
-    pub(crate) fn key(&self, slot: Slot, rest: &str) -> String {
+    /// A key with the prefix that an entry hands out now.
+    pub(crate) fn key(&self, slot: Slot, suffix: &str) -> String {
         let prefix = self.prefix(slot).expect("the entry hands out a prefix");
-        format!("{prefix}{rest}")
+        format!("{prefix}{suffix}")
     }
 
-    /// The newest word of the ledgers on a key.
-    pub(crate) fn last_told(&self, key: &str) -> Option<&Begun> {
-        let mut told = self.told.iter().rev();
-        told.find(|(of, _)| of == key).map(|(_, begun)| begun)
+    /// The newest decision about a key.
+    pub(crate) fn last_decision(&self, key: &str) -> Option<&Decision> {
+        let mut decisions = self.decisions.iter().rev();
+        decisions
+            .find(|(of, _)| of == key)
+            .map(|(_, decision)| decision)
     }
 
-    /// The newest refusal's code.
+    /// The code of the newest decision about a key, `None` if it isn't a refusal.
     pub(crate) fn last_code(&self, key: &str) -> Option<ResultCode> {
-        match self.last_told(key)? {
-            Begun::Refuse { code, .. } => Some(*code),
+        match self.last_decision(key)? {
+            Decision::Refuse { code, .. } => Some(*code),
             _ => None,
         }
     }
 
-    /// Whether the same can happen in both worlds from here on.
-    pub(crate) fn is_same(&self, other: &Self) -> bool {
-        self.facts() == other.facts()
+    /// Whether the same events are possible from here on in both clusters.
+    pub(crate) fn is_equivalent(&self, other: &Self) -> bool {
+        self.relevant_state() == other.relevant_state()
     }
 
     pub(crate) fn hash_into(&self, state: &mut impl Hasher) {
-        self.facts().hash(state);
+        self.relevant_state().hash(state);
     }
 
-    fn facts(&self) -> impl Hash + Eq + '_ {
+    /// What later events depend on, and what the guarantees are checked against.
+    fn relevant_state(&self) -> impl Hash + Eq + '_ {
         let disks = (&self.disks, &self.unsynced);
         let settings = (
             &self.now,
@@ -525,16 +541,16 @@
         let moving = (
             &self.nodes,
             &self.wire,
-            &self.verdicts,
-            &self.passes,
+            &self.claim_results,
+            &self.requests,
             &self.started,
         );
         (
             settings,
             moving,
             &self.runs,
-            &self.told_not_run,
-            &self.broken,
+            &self.refused_not_run,
+            &self.violation,
         )
     }
 
