--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -5,12 +5,12 @@
 //! envelope. So a cut in one direction shows as just that, and no sender ever waits for
 //! a receiver: a destination that doesn't drain costs a bounded buffer, then messages
 //! to it are dropped and counted. A connection that has gone silent is found out by what
-//! the other side acknowledges, and made anew ([`silence`]). Every protocol above this
+//! the other side acknowledges, and made anew ([`liveness`]). Every protocol above this
 //! package repeats what it needs answered.
 
 mod codec;
 mod message;
-pub mod silence;
+pub mod liveness;
 mod transport;
 
 pub use codec::{DecodeError, MAX_MESSAGE_LEN, decode, encode};
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -16,7 +16,7 @@
 use nng::{Protocol, Socket};
 use snafu::{ResultExt, Snafu};
 
-use crate::silence::{Acknowledgements, Belief, Watch};
+use crate::liveness::{Acknowledgements, Belief, Watch};
 use crate::{Body, Envelope, MAX_MESSAGE_LEN, Origin, decode, encode};
 
 /// Messages that wait for a destination whose connection is slow or down. When they
--- a/crates/peer/tests/silence.rs
+++ b/crates/peer/tests/liveness.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use filberthead_peer::silence::{Acknowledgements, Belief, Watch};
+use filberthead_peer::liveness::{Acknowledgements, Belief, Watch};
 
 /// As gateways report to control.
 const PERIOD: Duration = Duration::from_millis(500);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -8,14 +8,14 @@
 mod code;
 pub mod header;
 mod id;
-mod place;
+mod name;
 mod reference;
 
 pub use code::{Meaning, ResultCode, UnknownCodeError};
 pub use id::{
     ChangeId, ClusterId, Epoch, Incarnation, ParseIdError, ReplicaId, RequestId, Revision, Version,
 };
-pub use place::{FailureDomain, NameError, NodeName, Region, ServiceName};
+pub use name::{FailureDomain, NameError, NodeName, Region, ServiceName};
 pub use reference::result_codes_page;
 
 /// A moment on the monotonic clock: time since an origin fixed at process start.
