--- a/crates/filberthead/src/control/discovery.rs
+++ b/crates/filberthead/src/control/discovery.rs
@@ -39,11 +39,11 @@
         }
         let members = self.replica.status(now).members;
         let is_member = members.voters.contains(&from) || members.learners.contains(&from);
-        if is_member || hello.answers || self.leader_addr(now).is_none() {
+        if is_member || hello.is_reply || self.leader_addr(now).is_none() {
             return;
         }
         let reply = HelloInfo {
-            answers: true,
+            is_reply: true,
             ..self.current_hello(now)
         };
         self.send(addr, Body::Hello(reply));
--- a/crates/filberthead/src/control/mod.rs
+++ b/crates/filberthead/src/control/mod.rs
@@ -202,7 +202,7 @@
             leads: false,
             operator_addr,
             leader: None,
-            answers: false,
+            is_reply: false,
         },
         identity: Identity {
             cluster: cfg.cluster.clone(),
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -20,8 +20,8 @@
 const FORMAT: u8 = 5;
 const TAG_LEN: usize = 4;
 const CHECKSUM_LEN: usize = 4;
-const CHECKSUM_AT: usize = 1 + TAG_LEN;
-const HEADER_LEN: usize = CHECKSUM_AT + CHECKSUM_LEN;
+const CHECKSUM_OFFSET: usize = 1 + TAG_LEN;
+const HEADER_LEN: usize = CHECKSUM_OFFSET + CHECKSUM_LEN;
 
 /// Why bytes are no acceptable message.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     buf.extend_from_slice(&[0; CHECKSUM_LEN]);
     let mut buf = postcard::to_extend(envelope, buf)?;
     let checksum = checksum(&buf[HEADER_LEN..]);
-    buf[CHECKSUM_AT..HEADER_LEN].copy_from_slice(&checksum.to_le_bytes());
+    buf[CHECKSUM_OFFSET..HEADER_LEN].copy_from_slice(&checksum.to_le_bytes());
     Ok(buf)
 }
 
@@ -112,13 +112,13 @@
 
 /// The part of a cluster's identity that stands in each header.
 fn tag(cluster: ClusterId) -> u32 {
-    low_half(cluster.0)
+    low_32_bits(cluster.0)
 }
 
 fn checksum(body: &[u8]) -> u32 {
-    low_half(xxh3_64(body))
+    low_32_bits(xxh3_64(body))
 }
 
-fn low_half(value: u64) -> u32 {
+fn low_32_bits(value: u64) -> u32 {
     (value & u64::from(u32::MAX)) as u32
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -9,8 +9,8 @@
 //! package repeats what it needs answered.
 
 mod codec;
-mod message;
 pub mod liveness;
+mod message;
 mod transport;
 
 pub use codec::{DecodeError, MAX_MESSAGE_LEN, decode, encode};
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -49,7 +49,7 @@
     /// Where the leader takes messages, if the sender knows of another replica that leads.
     pub leader: Option<SocketAddr>,
     /// Whether it answers a greeting. It isn't answered itself then.
-    pub answers: bool,
+    pub is_reply: bool,
 }
 
 /// The protocols that share the transport.
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -16,7 +16,7 @@
 use nng::{Protocol, Socket};
 use snafu::{ResultExt, Snafu};
 
-use crate::liveness::{Acknowledgements, Belief, Watch};
+use crate::liveness::{Acknowledgements, ConnectionMonitor, Liveness};
 use crate::{Body, Envelope, MAX_MESSAGE_LEN, Origin, decode, encode};
 
 /// Messages that wait for a destination whose connection is slow or down. When they
@@ -81,41 +81,41 @@
 impl Counters {
     /// Bytes of messages handed to nng, by protocol.
     pub fn sent_bytes_by_protocol(&self) -> HashMap<&'static str, u64> {
-        copy(&self.sent_bytes_by_protocol)
+        snapshot(&self.sent_bytes_by_protocol)
     }
 
     /// Bytes of messages received and accepted, by kind of message.
     pub fn received_bytes_by_kind(&self) -> HashMap<&'static str, u64> {
-        copy(&self.received_bytes_by_kind)
+        snapshot(&self.received_bytes_by_kind)
     }
 
     /// Messages rejected, by reason.
     pub fn rejected(&self) -> HashMap<&'static str, u64> {
-        copy(&self.rejected)
+        snapshot(&self.rejected)
     }
 
     fn sent(&self, protocol: &'static str, len: u64) {
         self.sent.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes.fetch_add(len, Ordering::Relaxed);
-        raise(&self.sent_bytes_by_protocol, protocol, len);
+        add_to(&self.sent_bytes_by_protocol, protocol, len);
     }
 
     fn received(&self, kind: &'static str, len: u64) {
         self.received.fetch_add(1, Ordering::Relaxed);
         self.received_bytes.fetch_add(len, Ordering::Relaxed);
-        raise(&self.received_bytes_by_kind, kind, len);
+        add_to(&self.received_bytes_by_kind, kind, len);
     }
 
     fn reject(&self, reason: &'static str) {
-        raise(&self.rejected, reason, 1);
+        add_to(&self.rejected, reason, 1);
     }
 }
 
-fn copy(totals: &Mutex<HashMap<&'static str, u64>>) -> HashMap<&'static str, u64> {
+fn snapshot(totals: &Mutex<HashMap<&'static str, u64>>) -> HashMap<&'static str, u64> {
     totals.lock().map(|map| map.clone()).unwrap_or_default()
 }
 
-fn raise(totals: &Mutex<HashMap<&'static str, u64>>, label: &'static str, by: u64) {
+fn add_to(totals: &Mutex<HashMap<&'static str, u64>>, label: &'static str, by: u64) {
     if let Ok(mut map) = totals.lock() {
         *map.entry(label).or_default() += by;
     }
@@ -182,7 +182,7 @@
             cluster,
             origin,
             destinations: HashMap::new(),
-            swept: Instant::now(),
+            last_sweep: Instant::now(),
             counters: Arc::clone(&self.counters),
             acknowledgements: Arc::clone(&self.acknowledgements),
         }
@@ -232,7 +232,7 @@
     fn run(self, mut deliver: impl Deliver) {
         while !self.stop.load(Ordering::Acquire) {
             match self.socket.recv() {
-                Ok(buf) => self.take(&buf, &mut deliver),
+                Ok(buf) => self.handle_message(&buf, &mut deliver),
                 Err(nng::Error::TimedOut) => {}
                 Err(e) => {
                     warn!(error:% = e; "receiving from peers failed");
@@ -243,7 +243,7 @@
         self.socket.close();
     }
 
-    fn take(&self, buf: &[u8], deliver: &mut impl Deliver) {
+    fn handle_message(&self, buf: &[u8], deliver: &mut impl Deliver) {
         match decode(self.cluster, buf) {
             Ok(envelope) => {
                 self.counters
@@ -265,8 +265,8 @@
 #[derive(Debug)]
 struct Destination {
     socket: Socket,
-    used: Instant,
-    watch: Watch,
+    last_used: Instant,
+    monitor: ConnectionMonitor,
 }
 
 /// Sends messages; never waits for a destination.
@@ -275,7 +275,7 @@
     cluster: ClusterId,
     origin: Origin,
     destinations: HashMap<SocketAddr, Destination>,
-    swept: Instant,
+    last_sweep: Instant,
     counters: Arc<Counters>,
     acknowledgements: Arc<Acknowledgements>,
 }
@@ -291,7 +291,7 @@
         let protocol = body.protocol();
         let envelope = Envelope {
             origin: self.origin.clone(),
-            received: self.acknowledgements.count(to),
+            received: self.acknowledgements.received_count(to),
             body,
         };
         let buf = match encode(self.cluster, &envelope) {
@@ -302,14 +302,14 @@
             }
         };
         let len = buf.len() as u64;
-        if self.hand_over(to, &buf) {
+        if self.try_send(to, &buf) {
             self.counters.sent(protocol, len);
         } else {
             self.counters.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn hand_over(&mut self, to: SocketAddr, buf: &[u8]) -> bool {
+    fn try_send(&mut self, to: SocketAddr, buf: &[u8]) -> bool {
         let now = Instant::now();
         self.close_idle(now);
         let destination = match self.destinations.entry(to) {
@@ -317,8 +317,8 @@
             Entry::Vacant(e) => match dial(to) {
                 Ok(socket) => e.insert(Destination {
                     socket,
-                    used: now,
-                    watch: Watch::default(),
+                    last_used: now,
+                    monitor: ConnectionMonitor::default(),
                 }),
                 Err(error) => {
                     warn!(to:%, error:%; "can't dial a peer");
@@ -326,9 +326,11 @@
                 }
             },
         };
-        destination.used = now;
-        let belief = destination.watch.sending(now, to, &self.acknowledgements);
-        if belief == Belief::Silent {
+        destination.last_used = now;
+        let liveness = destination
+            .monitor
+            .before_send(now, to, &self.acknowledgements);
+        if liveness == Liveness::Stalled {
             debug!(to:%; "what was sent isn't acknowledged, the connection is made anew");
             match dial(to) {
                 Ok(socket) => destination.socket = socket,
@@ -339,13 +341,13 @@
     }
 
     fn close_idle(&mut self, now: Instant) {
-        if now < self.swept + IDLE_CLOSE {
+        if now < self.last_sweep + IDLE_CLOSE {
             return;
         }
-        self.swept = now;
-        self.acknowledgements.forget(now);
+        self.last_sweep = now;
+        self.acknowledgements.remove_expired(now);
         self.destinations
-            .retain(|_, destination| now < destination.used + IDLE_CLOSE);
+            .retain(|_, destination| now < destination.last_used + IDLE_CLOSE);
     }
 }
 
--- a/crates/peer/tests/codec.rs
+++ b/crates/peer/tests/codec.rs
@@ -21,7 +21,7 @@
             leads: true,
             operator_addr: addr,
             leader: None,
-            answers: false,
+            is_reply: false,
         }),
     }
 }
--- a/crates/peer/tests/liveness.rs
+++ b/crates/peer/tests/liveness.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use filberthead_peer::liveness::{Acknowledgements, Belief, Watch};
+use filberthead_peer::liveness::{Acknowledgements, ConnectionMonitor, Liveness};
 
 /// As gateways report to control.
 const PERIOD: Duration = Duration::from_millis(500);
 /// What a process may take to be heard again once the way to it is back: less than the time
 /// after which callers count on it to obey a change.
-const DEAF_AT_MOST: Duration = Duration::from_secs(3);
+const MAX_RECONNECT_GAP: Duration = Duration::from_secs(3);
 
 fn peer() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7540))
@@ -24,17 +24,17 @@
     let start = Instant::now();
     let acknowledgements = Acknowledgements::default();
     acknowledgements.received(start, peer(), 1);
-    let mut watch = Watch::default();
-    let mut anew = vec![Duration::ZERO];
+    let mut monitor = ConnectionMonitor::default();
+    let mut reconnects = vec![Duration::ZERO];
     for step in 1..150 {
         let at = PERIOD * step;
-        if watch.sending(start + at, peer(), &acknowledgements) == Belief::Silent {
-            anew.push(at);
+        if monitor.before_send(start + at, peer(), &acknowledgements) == Liveness::Stalled {
+            reconnects.push(at);
         }
     }
-    let gaps = anew.windows(2).map(|pair| pair[1] - pair[0]);
+    let gaps = reconnects.windows(2).map(|pair| pair[1] - pair[0]);
     let longest = gaps.max().expect("it is tried again");
-    assert!(longest <= DEAF_AT_MOST, "{longest:?} between attempts");
+    assert!(longest <= MAX_RECONNECT_GAP, "{longest:?} between attempts");
 }
 
 /// A slow VM acknowledges what it is sent after 1.8 s, longer than is waited at first. If its
@@ -44,18 +44,18 @@
     let slow = Duration::from_millis(1800);
     let start = Instant::now();
     let acknowledgements = Acknowledgements::default();
-    let mut watch = Watch::default();
-    let mut since_anew = Duration::ZERO;
-    let mut anew = 0;
+    let mut monitor = ConnectionMonitor::default();
+    let mut connected_at = Duration::ZERO;
+    let mut reconnects = 0;
     for step in 1..200 {
         let at = PERIOD * step;
-        if let Some(sent) = at.checked_sub(slow).filter(|sent| *sent >= since_anew) {
+        if let Some(sent) = at.checked_sub(slow).filter(|sent| *sent >= connected_at) {
             acknowledgements.received(start + at, peer(), sent.as_millis() as u64);
         }
-        if watch.sending(start + at, peer(), &acknowledgements) == Belief::Silent {
-            since_anew = at;
-            anew += 1;
+        if monitor.before_send(start + at, peer(), &acknowledgements) == Liveness::Stalled {
+            connected_at = at;
+            reconnects += 1;
         }
     }
-    assert!(anew <= 2, "{anew} times in 100 s");
+    assert!(reconnects <= 2, "{reconnects} times in 100 s");
 }
--- a/tests/all/control/hostile.rs
+++ b/tests/all/control/hostile.rs
@@ -28,7 +28,7 @@
             leads: false,
             operator_addr: addr,
             leader: None,
-            answers: false,
+            is_reply: false,
         }),
     }
 }
