--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum AnswerBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Piece by piece. The channel holds few pieces, and the sender waits while it is
     /// full, so a slow reader costs a fixed amount of memory.
     Stream(mpsc::Receiver<Piece>),
@@ -49,9 +49,9 @@
 }
 
 impl AnswerBody {
-    fn take_whole(&mut self) -> Option<Bytes> {
+    fn take_buffered(&mut self) -> Option<Bytes> {
         match std::mem::replace(self, Self::Done) {
-            Self::Whole(bytes) if !bytes.is_empty() => Some(bytes),
+            Self::Buffered(bytes) if !bytes.is_empty() => Some(bytes),
             _ => None,
         }
     }
@@ -67,8 +67,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         let piece = match &mut *self {
             Self::Done => return Poll::Ready(None),
-            Self::Whole(_) => {
-                let frame = self.take_whole().map(Frame::data);
+            Self::Buffered(_) => {
+                let frame = self.take_buffered().map(Frame::data);
                 return Poll::Ready(frame.map(Ok));
             }
             Self::Stream(rx) => std::task::ready!(rx.poll_recv(cx)),
@@ -90,7 +90,7 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             Self::Stream(_) => false,
             Self::Done => true,
         }
@@ -98,7 +98,7 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Stream(_) => SizeHint::default(),
             Self::Done => SizeHint::with_exact(0),
         }
@@ -107,7 +107,7 @@
 
 impl From<Bytes> for AnswerBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(bytes)
+        Self::Buffered(bytes)
     }
 }
 
@@ -159,7 +159,7 @@
             request_id: id,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let mut response = Response::new(AnswerBody::Whole(body.into()));
+        let mut response = Response::new(AnswerBody::Buffered(body.into()));
         *response.status_mut() =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -266,7 +266,7 @@
         if body.is_empty() {
             return Err(Refusal::new(ResultCode::NoEntry).retry_after(RETRY_AFTER));
         }
-        let mut response = Response::new(AnswerBody::Whole(body));
+        let mut response = Response::new(AnswerBody::Buffered(body));
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         // The time to live stands in the body; caches between us and the caller know
--- a/crates/endpoint/src/body.rs
+++ b/crates/endpoint/src/body.rs
@@ -11,16 +11,16 @@
 #[derive(Debug)]
 pub enum RequestBody {
     /// All of it; can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// As it comes from the caller; can be sent once.
     Stream(Incoming),
 }
 
 impl RequestBody {
     /// A copy for another attempt, if there can be one.
-    pub fn again(&self) -> Option<Self> {
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
-            Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
+            Self::Buffered(bytes) => Some(Self::Buffered(bytes.clone())),
             Self::Stream(_) => None,
         }
     }
@@ -29,7 +29,7 @@
 impl From<Incoming> for RequestBody {
     fn from(body: Incoming) -> Self {
         if body.is_end_stream() {
-            return Self::Whole(Bytes::new());
+            return Self::Buffered(Bytes::new());
         }
         Self::Stream(body)
     }
@@ -45,8 +45,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match self.get_mut() {
             Self::Stream(body) => Pin::new(body).poll_frame(cx),
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => {
                 let frame = Frame::data(std::mem::take(bytes));
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -55,14 +55,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             Self::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Stream(body) => body.size_hint(),
         }
     }
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -16,7 +16,7 @@
 
 /// How sending ended.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The head of an answer came.
     Answer(Answer),
     /// No byte of the request reached the other side; here it is back.
@@ -25,12 +25,12 @@
     /// the request may have run.
     Lost,
     /// The deadline passed with the request on the connection, which is closed.
-    Late,
+    TimedOut,
 }
 
 /// How an answer is known to be the one to its request.
 #[derive(Clone, Copy, Debug)]
-pub enum Trust<'a> {
+pub enum AnswerCheck<'a> {
     /// If it carries an id, it is this one; and its end can be told from a cut.
     Id(RequestId),
     /// If it carries this header, it has this value. An answer without a length ends with
@@ -73,70 +73,74 @@
     pub async fn send(
         &self,
         addr: SocketAddr,
-        trust: Trust<'_>,
+        check: AnswerCheck<'_>,
         reuse: Reuse,
         deadline: Instant,
         req: Request<RequestBody>,
-    ) -> Sent {
+    ) -> SendOutcome {
         let mut connection = match timeout_at(deadline, self.pool.connection(addr, reuse)).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(e)) => {
-                debug!(addr:%, request:? = trust, error:% = e; "not sent");
-                return Sent::NotSent(req);
+                debug!(addr:%, request:? = check, error:% = e; "not sent");
+                return SendOutcome::NotSent(req);
             }
-            Err(_) => return Sent::NotSent(req),
+            Err(_) => return SendOutcome::NotSent(req),
         };
         let method = req.method().clone();
         let sending = connection.sender.try_send_request(req);
         let response = match timeout_at(deadline, sending).await {
             Ok(Ok(response)) => response,
             Ok(Err(mut e)) => {
-                debug!(addr:%, request:? = trust, error:% = e.error(); "lost while sending");
+                debug!(addr:%, request:? = check, error:% = e.error(); "lost while sending");
                 // hyper hands the request back only if it had not begun to write it.
-                return e.take_message().map_or(Sent::Lost, Sent::NotSent);
+                return e
+                    .take_message()
+                    .map_or(SendOutcome::Lost, SendOutcome::NotSent);
             }
-            Err(_) => return Sent::Late,
+            Err(_) => return SendOutcome::TimedOut,
         };
-        if let Some(reason) = distrust(&response, &method, trust) {
-            debug!(addr:%, request:? = trust, reason; "answer dropped with its connection");
-            return Sent::Lost;
+        if let Some(reason) = rejection_reason(&response, &method, check) {
+            debug!(addr:%, request:? = check, reason; "answer dropped with its connection");
+            return SendOutcome::Lost;
         }
-        Sent::Answer(Answer {
+        SendOutcome::Answer(Answer {
             response,
             connection,
         })
     }
 
     /// Connections that are open to an address, idle ones included.
-    pub fn open(&self, addr: SocketAddr) -> u32 {
-        self.pool.open(addr)
+    pub fn open_count(&self, addr: SocketAddr) -> u32 {
+        self.pool.open_count(addr)
     }
 
     /// Of these, the ones that the next request can use.
-    pub fn idle(&self, addr: SocketAddr) -> u32 {
-        self.pool.idle(addr)
+    pub fn idle_count(&self, addr: SocketAddr) -> u32 {
+        self.pool.idle_count(addr)
     }
 
     /// Closes the kept connections to an address that is gone.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.pool.forget(addr);
+    pub fn close_idle(&self, addr: SocketAddr) {
+        self.pool.close_idle(addr);
     }
 }
 
 /// Why an answer must not be given to the caller.
-fn distrust(
+fn rejection_reason(
     response: &Response<Incoming>,
     method: &Method,
-    trust: Trust<'_>,
+    check: AnswerCheck<'_>,
 ) -> Option<&'static str> {
-    let crossed = match trust {
-        Trust::Id(id) => is_crossed(response, id),
-        Trust::Echo { name, value } => response.headers().get(name).is_some_and(|v| v != value),
+    let crossed = match check {
+        AnswerCheck::Id(id) => is_crossed(response, id),
+        AnswerCheck::Echo { name, value } => {
+            response.headers().get(name).is_some_and(|v| v != value)
+        }
     };
     if crossed {
         return Some("it carries the id of another request");
     }
-    if matches!(trust, Trust::Id(_)) && is_unframed(response, method) {
+    if matches!(check, AnswerCheck::Id(_)) && is_unframed(response, method) {
         return Some("its end can't be told from a cut");
     }
     None
--- a/crates/endpoint/src/headers.rs
+++ b/crates/endpoint/src/headers.rs
@@ -57,7 +57,7 @@
     /// The request has none.
     None,
     /// The request goes to the home of its key; so many entries have passed it on.
-    Asking(u8),
+    ToHome(u8),
     /// The home of its key has started it.
     Started,
 }
@@ -67,7 +67,7 @@
 /// endpoints that want to check it themselves.
 pub fn request_headers(headers: &mut HeaderMap, id: RequestId, left: Duration, hop: Hop<'_>) {
     remove_hop_by_hop(headers);
-    remove_own(headers);
+    remove_internal(headers);
     headers.remove(HOST);
     insert_text(headers, REQUEST_ID, id.to_string());
     let left = HeaderValue::from(u64::try_from(left.as_millis()).unwrap_or(u64::MAX));
@@ -88,7 +88,7 @@
             }
             match key {
                 KeyHop::None => {}
-                KeyHop::Asking(hops) => {
+                KeyHop::ToHome(hops) => {
                     headers.insert(KEY_HOPS, HeaderValue::from(u16::from(hops)));
                 }
                 KeyHop::Started => {
@@ -111,7 +111,7 @@
 pub fn answer_headers(headers: &mut HeaderMap, from_entry: bool) {
     remove_hop_by_hop(headers);
     if !from_entry {
-        remove_own(headers);
+        remove_internal(headers);
     }
 }
 
@@ -129,13 +129,13 @@
     }
 }
 
-fn remove_own(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> = headers
+fn remove_internal(headers: &mut HeaderMap) {
+    let internal: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(header::PREFIX))
         .cloned()
         .collect();
-    for name in &own {
+    for name in &internal {
         headers.remove(name);
     }
 }
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP towards endpoints, and towards other entries that requests are passed on to.
 //!
 //! [`Client::send`] says how a request ended in terms of what may have run
-//! ([`Sent`]): only what is provably untouched by the other side is `NotSent`. An
+//! ([`SendOutcome`]): only what is provably untouched by the other side is `NotSent`. An
 //! answer holds its connection; the connection goes back to the pool only when the
 //! whole answer was read, and is closed in every other case, so that a late or
 //! crossed answer can't reach the next request.
@@ -16,7 +16,7 @@
 mod resume;
 
 pub use body::RequestBody;
-pub use client::{Answer, Client, Sent, Trust};
+pub use client::{Answer, AnswerCheck, Client, SendOutcome};
 pub use headers::{Hop, KeyHop, answer_headers, remove_hop_by_hop, request_headers};
 pub use pool::{Connection, Reuse};
 pub use probe::{Health, ProbeError, probe};
--- a/crates/endpoint/src/pool.rs
+++ b/crates/endpoint/src/pool.rs
@@ -29,8 +29,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest answer that is read only to keep its connection.
-const MAX_UNWANTED: usize = 16 * 1024;
-const UNWANTED_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_DRAINED_LEN: usize = 16 * 1024;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether a kept connection will do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,7 +94,7 @@
     pool: Rc<Pool>,
     idle_since: Instant,
     /// How long the other side said it keeps the connection without a request.
-    kept_for: Duration,
+    peer_idle_timeout: Duration,
 }
 
 /// Connections that wait for the next request, by address.
@@ -113,8 +113,8 @@
 
 impl Connection {
     /// Notes how long the other side says that it keeps the connection without a request.
-    pub fn keep_for(&mut self, kept_for: Duration) {
-        self.kept_for = kept_for;
+    pub fn set_idle_timeout(&mut self, peer_idle_timeout: Duration) {
+        self.peer_idle_timeout = peer_idle_timeout;
     }
 
     /// Gives the connection back for the next request. Only for a connection whose
@@ -134,10 +134,10 @@
 
     /// Reads an answer that nobody wants to its end and then gives the connection back,
     /// or closes it if the answer is long or late.
-    pub fn release_after(self, body: Incoming) {
+    pub fn drain_and_release(self, body: Incoming) {
         tokio::task::spawn_local(async move {
-            let body = Limited::new(body, MAX_UNWANTED).collect();
-            if let Ok(Ok(_)) = timeout(UNWANTED_TIMEOUT, body).await {
+            let body = Limited::new(body, MAX_DRAINED_LEN).collect();
+            if let Ok(Ok(_)) = timeout(DRAIN_TIMEOUT, body).await {
                 self.release();
             }
         });
@@ -149,7 +149,7 @@
         // Ends the connection with whatever may still arrive on it: an answer that
         // nobody waits for must not be taken for the answer to a later request.
         self.task.abort();
-        self.pool.closed(self.addr);
+        self.pool.record_closed(self.addr);
     }
 }
 
@@ -169,7 +169,7 @@
         reuse: Reuse,
     ) -> Result<Connection, ConnectError> {
         if reuse != Reuse::Never
-            && let Some(kept) = self.kept(addr, reuse.idle_limit())
+            && let Some(kept) = self.take_idle(addr, reuse.idle_limit())
         {
             return Ok(kept);
         }
@@ -181,17 +181,17 @@
     /// The connection that was used last: the longer one lies idle, the more likely it
     /// is closed on the other side. Those that lay idle for too long stand before it and
     /// go when they are met.
-    fn kept(&self, addr: SocketAddr, idle_limit: Duration) -> Option<Connection> {
-        let mut unready = Vec::new();
+    fn take_idle(&self, addr: SocketAddr, idle_limit: Duration) -> Option<Connection> {
+        let mut unsuitable = Vec::new();
         let mut found = None;
         while let Some(conn) = self.pop(addr) {
             let idle = conn.idle_since.elapsed();
-            if conn.sender.is_closed() || idle >= IDLE_TIMEOUT.min(conn.kept_for) {
+            if conn.sender.is_closed() || idle >= IDLE_TIMEOUT.min(conn.peer_idle_timeout) {
                 continue;
             }
             if idle >= idle_limit {
                 // Too old for this request, and so are all below it; it may do for others.
-                unready.push(conn);
+                unsuitable.push(conn);
                 break;
             }
             if conn.sender.is_ready() {
@@ -199,11 +199,11 @@
                 break;
             }
             // Its answer was read, but its task hasn't run since.
-            unready.push(conn);
+            unsuitable.push(conn);
         }
-        if !unready.is_empty() {
+        if !unsuitable.is_empty() {
             let mut idle = self.idle.borrow_mut();
-            idle.entry(addr).or_default().extend(unready);
+            idle.entry(addr).or_default().extend(unsuitable);
         }
         found
     }
@@ -234,26 +234,26 @@
             task,
             pool: Rc::clone(self),
             idle_since: Instant::now(),
-            kept_for: IDLE_TIMEOUT,
+            peer_idle_timeout: IDLE_TIMEOUT,
         })
     }
 
     /// Closes the kept connections to an address that is gone.
-    pub(crate) fn forget(&self, addr: SocketAddr) {
+    pub(crate) fn close_idle(&self, addr: SocketAddr) {
         let gone = self.idle.borrow_mut().remove(&addr);
         drop(gone);
     }
 
-    pub(crate) fn open(&self, addr: SocketAddr) -> u32 {
+    pub(crate) fn open_count(&self, addr: SocketAddr) -> u32 {
         self.open.borrow().get(&addr).copied().unwrap_or(0)
     }
 
-    pub(crate) fn idle(&self, addr: SocketAddr) -> u32 {
+    pub(crate) fn idle_count(&self, addr: SocketAddr) -> u32 {
         let idle = self.idle.borrow();
         idle.get(&addr).map_or(0, |kept| kept.len() as u32)
     }
 
-    fn closed(&self, addr: SocketAddr) {
+    fn record_closed(&self, addr: SocketAddr) {
         let mut open = self.open.borrow_mut();
         if let Some(count) = open.get_mut(&addr) {
             *count -= 1;
--- a/crates/endpoint/src/probe.rs
+++ b/crates/endpoint/src/probe.rs
@@ -11,7 +11,7 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use tokio::time::Instant;
 
-use crate::{Answer, Client, RequestBody, Reuse, Sent, Trust};
+use crate::{Answer, AnswerCheck, Client, RequestBody, Reuse, SendOutcome};
 
 const PATH: &str = "/health";
 /// An answer that takes longer tells less than none.
@@ -68,13 +68,13 @@
 ///
 /// Fails if no well-formed report comes within a second.
 pub async fn probe(client: &Client, addr: SocketAddr, id: RequestId) -> Result<Health, ProbeError> {
-    let req = Request::get(PATH).body(RequestBody::Whole(Bytes::new()));
+    let req = Request::get(PATH).body(RequestBody::Buffered(Bytes::new()));
     let req = req.ok().context(UnreachableSnafu)?;
     let deadline = Instant::now() + TIMEOUT;
     let sent = client
-        .send(addr, Trust::Id(id), Reuse::Allowed, deadline, req)
+        .send(addr, AnswerCheck::Id(id), Reuse::Allowed, deadline, req)
         .await;
-    let Sent::Answer(answer) = sent else {
+    let SendOutcome::Answer(answer) = sent else {
         return UnreachableSnafu.fail();
     };
     match tokio::time::timeout_at(deadline, read(answer)).await {
--- a/crates/endpoint/src/resume.rs
+++ b/crates/endpoint/src/resume.rs
@@ -25,7 +25,7 @@
 
 impl Resume {
     /// Reads an answer's head; `None` if the rest couldn't be asked for.
-    pub fn of(request: &request::Parts, response: &response::Parts) -> Option<Self> {
+    pub fn from_response(request: &request::Parts, response: &response::Parts) -> Option<Self> {
         if request.method != Method::GET || response.headers.contains_key("content-encoding") {
             return None;
         }
@@ -61,7 +61,7 @@
     }
 
     /// Makes the headers of a request ask for the rest.
-    pub fn ask(&self, headers: &mut HeaderMap) {
+    pub fn set_range(&self, headers: &mut HeaderMap) {
         let range = format!("bytes={}-{}", self.next, self.last);
         if let Ok(range) = HeaderValue::try_from(range) {
             headers.insert(RANGE, range);
@@ -70,7 +70,7 @@
     }
 
     /// Whether an answer is the rest of this file, byte for byte.
-    pub fn fits(&self, response: &response::Parts) -> bool {
+    pub fn matches(&self, response: &response::Parts) -> bool {
         response.status == StatusCode::PARTIAL_CONTENT
             && content_range(&response.headers) == Some((self.next, self.last, self.total))
             && validator(&response.headers).as_ref() == Some(&self.validator)
--- a/crates/filberthead/src/entry/carry/attempt.rs
+++ b/crates/filberthead/src/entry/carry/attempt.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use filberthead_caller::Refusal;
-use filberthead_endpoint::{Answer, Connection, RequestBody, Sent, Trust, answer_headers};
+use filberthead_endpoint::{
+    Answer, AnswerCheck, Connection, RequestBody, SendOutcome, answer_headers,
+};
 use filberthead_ledger::quarantine::{Check, Fingerprint};
 use filberthead_steer::FinishKind;
 use filberthead_types::{Meaning, ResultCode, header};
@@ -170,7 +172,7 @@
     let req = job.request(core, &target, body);
     let sending = core.client.send(
         target.addr(),
-        Trust::Id(job.id),
+        AnswerCheck::Id(job.id),
         job.reuse(),
         job.deadline,
         req,
@@ -181,16 +183,16 @@
         () = &mut abandoned => return Attempt::Abandoned,
     };
     match sent {
-        Sent::NotSent(req) => {
+        SendOutcome::NotSent(req) => {
             slot.finish(FinishKind::ConnectFailed);
             Attempt::NotSent(req.into_body())
         }
-        Sent::Lost => {
+        SendOutcome::Lost => {
             slot.finish(FinishKind::Broken);
             Attempt::Lost
         }
-        Sent::Late => Attempt::Late,
-        Sent::Answer(answer) => {
+        SendOutcome::TimedOut => Attempt::Late,
+        SendOutcome::Answer(answer) => {
             slot.answered();
             receive(job, &target, answer, slot).await
         }
@@ -202,12 +204,12 @@
     match claim(target, &head) {
         Claim::NotRun(refusal) => {
             debug!(request:% = job.id, by:% = target.name(), code:% = refusal.code; "not run there");
-            answer.connection.release_after(body);
+            answer.connection.drain_and_release(body);
             slot.finish(FinishKind::Shed);
             return Attempt::NotRun(refusal);
         }
         Claim::MayHaveRun if job.is_repeatable() => {
-            answer.connection.release_after(body);
+            answer.connection.drain_and_release(body);
             slot.finish(FinishKind::Broken);
             return Attempt::LostElsewhere;
         }
--- a/crates/filberthead/src/entry/carry/core.rs
+++ b/crates/filberthead/src/entry/carry/core.rs
@@ -345,8 +345,8 @@
     /// Tells steering what connections to these endpoints are open.
     pub(crate) fn count_connections(self: &Rc<Self>, endpoints: &[(NodeName, SocketAddr)]) {
         for (endpoint, addr) in endpoints {
-            let open = self.client.open(*addr);
-            let idle = self.client.idle(*addr);
+            let open = self.client.open_count(*addr);
+            let idle = self.client.idle_count(*addr);
             let endpoint = endpoint.clone();
             self.observe(Event::Connections {
                 endpoint,
--- a/crates/filberthead/src/entry/carry/job.rs
+++ b/crates/filberthead/src/entry/carry/job.rs
@@ -118,7 +118,7 @@
     fn key_hop(&self) -> KeyHop {
         match self.execution {
             Execution::Keyed(_) if self.started => KeyHop::Started,
-            Execution::Keyed(_) => KeyHop::Asking(self.hops.saturating_add(1)),
+            Execution::Keyed(_) => KeyHop::ToHome(self.hops.saturating_add(1)),
             Execution::Repeatable | Execution::Once => KeyHop::None,
         }
     }
--- a/crates/filberthead/src/entry/carry/keyed.rs
+++ b/crates/filberthead/src/entry/carry/keyed.rs
@@ -12,7 +12,7 @@
 
 use bytes::{Bytes, BytesMut};
 use filberthead_caller::{Refusal, mark};
-use filberthead_endpoint::{RequestBody, Reuse, Sent, Trust};
+use filberthead_endpoint::{AnswerCheck, RequestBody, Reuse, SendOutcome};
 use filberthead_ledger::Digest;
 use filberthead_types::{Meaning, NodeName, ResultCode, header};
 use http::response::Parts;
@@ -58,7 +58,7 @@
                 return Outcome::Refused(Refusal::new(code).retry_after(retry_after));
             }
             Begin::Forward { entry, addr } => {
-                match forward(core, job, &entry, addr, body.again()).await {
+                match forward(core, job, &entry, addr, body.try_clone()).await {
                     Some(outcome) => return outcome,
                     None => failed = Some(entry),
                 }
@@ -71,7 +71,7 @@
 
 /// What makes two sends of a key the same request.
 fn digest(job: &Job, body: &RequestBody) -> Option<Digest> {
-    let RequestBody::Whole(body) = body else {
+    let RequestBody::Buffered(body) = body else {
         return None;
     };
     let mut hash = Xxh3Default::new();
@@ -180,12 +180,18 @@
     let req = job.request(core, &target, body?);
     let sent = core
         .client
-        .send(addr, Trust::Id(job.id), Reuse::Allowed, job.deadline, req)
+        .send(
+            addr,
+            AnswerCheck::Id(job.id),
+            Reuse::Allowed,
+            job.deadline,
+            req,
+        )
         .await;
     let answer = match sent {
-        Sent::Answer(answer) => answer,
-        Sent::NotSent(_) | Sent::Lost => return None,
-        Sent::Late => return Some(refused(ResultCode::DeadlineWhileRunning)),
+        SendOutcome::Answer(answer) => answer,
+        SendOutcome::NotSent(_) | SendOutcome::Lost => return None,
+        SendOutcome::TimedOut => return Some(refused(ResultCode::DeadlineWhileRunning)),
     };
     let (mut head, body) = answer.response.into_parts();
     clean(&target, &mut head);
--- a/crates/filberthead/src/entry/carry/mod.rs
+++ b/crates/filberthead/src/entry/carry/mod.rs
@@ -88,7 +88,7 @@
     // A caller that is gone at this moment takes no answer; nothing is left to do.
     match outcome {
         Outcome::Answer(head, body) => {
-            let _ = reply.send(Ok(Response::from_parts(head, AnswerBody::Whole(body))));
+            let _ = reply.send(Ok(Response::from_parts(head, AnswerBody::Buffered(body))));
             Some(ResultCode::Answered)
         }
         Outcome::Refused(refusal) => {
@@ -128,7 +128,7 @@
     let mut fallback = None;
     let mut waits = false;
     loop {
-        let spare = body.again();
+        let spare = body.try_clone();
         let cancellable = job.is_repeatable();
         let gone = async {
             if !cancellable {
@@ -163,7 +163,7 @@
 async fn hold(job: &Job, body: RequestBody) -> Result<RequestBody, Outcome> {
     let body = Limited::new(body, MAX_KEYED_BODY).collect();
     match tokio::time::timeout_at(job.deadline, body).await {
-        Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
+        Ok(Ok(body)) => Ok(RequestBody::Buffered(body.to_bytes())),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(refused(ResultCode::BodyTooLarge)),
         Ok(Err(_)) => Err(Outcome::Abandoned),
         // An earlier send of the key may have run.
--- a/crates/filberthead/src/entry/carry/stream.rs
+++ b/crates/filberthead/src/entry/carry/stream.rs
@@ -53,7 +53,7 @@
     reply: Reply,
     mut keep: Option<Keep>,
 ) -> Option<ResultCode> {
-    let mut resume = Resume::of(&job.parts, &upstream.head);
+    let mut resume = Resume::from_response(&job.parts, &upstream.head);
     let (tx, rx) = mpsc::channel(PIECES);
     let response = Response::from_parts(upstream.head.clone(), AnswerBody::Stream(rx));
     let taken = reply.send(Ok(response)).is_ok();
@@ -130,7 +130,7 @@
     tx: &mpsc::Sender<Piece>,
 ) -> Option<Upstream> {
     let resume = resume?;
-    resume.ask(&mut job.parts.headers);
+    resume.set_range(&mut job.parts.headers);
     job.resuming = true;
     // All but the endpoint that was just lost may have the rest.
     let tried = job.tried.len().saturating_sub(1);
@@ -143,9 +143,9 @@
             return None;
         }
         job.deadline = give_up;
-        let body = RequestBody::Whole(Bytes::new());
+        let body = RequestBody::Buffered(Bytes::new());
         match attempt(core, job, body, tx.closed()).await {
-            Attempt::Streaming(upstream) if resume.fits(&upstream.head) => {
+            Attempt::Streaming(upstream) if resume.matches(&upstream.head) => {
                 debug!(request:% = job.id; "a download goes on elsewhere");
                 return Some(*upstream);
             }
--- a/crates/filberthead/src/entry/carry/suspicion.rs
+++ b/crates/filberthead/src/entry/carry/suspicion.rs
@@ -151,7 +151,7 @@
         hash.update(part.as_bytes());
     }
     match body {
-        RequestBody::Whole(body) => hash.update(body),
+        RequestBody::Buffered(body) => hash.update(body),
         _ => {
             let len = job.parts.headers.get(http::header::CONTENT_LENGTH);
             hash.update(len.map_or(&[][..], |len| len.as_bytes()));
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use filberthead_endpoint::{Answer, RequestBody, Reuse, Sent, Trust, remove_hop_by_hop};
+use filberthead_endpoint::{
+    Answer, AnswerCheck, RequestBody, Reuse, SendOutcome, remove_hop_by_hop,
+};
 use filberthead_place::{Load, Outcome, Target};
 use filberthead_route::Kind;
 use filberthead_types::{Moment, ServiceName};
@@ -92,7 +94,7 @@
             *waited = now.saturating_sub(self.started);
             if *waited >= STALE_CONNECTION_TIMEOUT {
                 // Other pooled connections may be dead too, without a reset.
-                self.core.client.forget(self.target.addr);
+                self.core.client.close_idle(self.target.addr);
             }
         }
         let (level, name) = match self.outcome {
@@ -138,7 +140,7 @@
     let empty = HeaderValue::from_static("");
     let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
-    let trust = Trust::Echo { name, value };
+    let trust = AnswerCheck::Echo { name, value };
     let reuse = match job.kind {
         Kind::Unsafe => Reuse::Within(MAX_IDLE_FOR_UNSAFE),
         Kind::Safe | Kind::Download => Reuse::Allowed,
@@ -149,16 +151,16 @@
         .send(target.addr, trust, reuse, deadline, req)
         .await
     {
-        Sent::NotSent(req) => {
+        SendOutcome::NotSent(req) => {
             in_flight.outcome = Outcome::Broken;
             Attempt::NotSent(req.into_body())
         }
-        Sent::Lost => {
+        SendOutcome::Lost => {
             in_flight.outcome = Outcome::Broken;
             Attempt::Lost
         }
-        Sent::Late => Attempt::TimedOut,
-        Sent::Answer(answer) => receive(core, job, answer, &mut in_flight).await,
+        SendOutcome::TimedOut => Attempt::TimedOut,
+        SendOutcome::Answer(answer) => receive(core, job, answer, &mut in_flight).await,
     }
 }
 
@@ -197,13 +199,13 @@
     let mut connection = answer.connection;
     record_load(core, &head.headers, in_flight.target);
     if let Some(timeout) = keep_alive_timeout(&head.headers) {
-        connection.keep_for(timeout);
+        connection.set_idle_timeout(timeout);
     }
     if let Some(outcome) = not_run(core, head.status, &head.headers) {
         in_flight.outcome = outcome;
         debug!(endpoint:% = in_flight.target.id, status:% = head.status;
             "endpoint refused to run the request");
-        connection.release_after(body);
+        connection.drain_and_release(body);
         let load_reported = parse_load(header_text(&head.headers, &core.protocol.load)).is_some();
         return Attempt::NotRun { load_reported };
     }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -382,7 +382,7 @@
     fn close_connections(&self, replaced: &[SocketAddr]) {
         for addr in replaced {
             info!(addr:%; "an endpoint has started anew");
-            self.client.forget(*addr);
+            self.client.close_idle(*addr);
         }
     }
 
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -152,7 +152,7 @@
         return Ok(RequestBody::from(body));
     }
     match timeout_at(deadline.respond_by, body.collect()).await {
-        Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
+        Ok(Ok(body)) => Ok(RequestBody::Buffered(body.to_bytes())),
         Ok(Err(_)) => Err(ResultCode::BadRequest),
         Err(_) => Err(ResultCode::DeadlineBeforeRun),
     }
@@ -196,7 +196,7 @@
             }
         };
         self.tries.record_sent(target.id.clone());
-        let retry_body = body.again();
+        let retry_body = body.try_clone();
         let job = Job {
             route: &self.route.name,
             head: self.head,
