--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -23,7 +23,7 @@
 
 /// Part of a streamed answer.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyPart {
     /// Data or trailers.
     Frame(Frame<Bytes>),
     /// The answer is complete.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
 #[snafu(display("the answer was cut"))]
-pub struct Cut;
+pub struct IncompleteBody;
 
 /// Body of an answer.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     Buffered(Bytes),
     /// Piece by piece. The channel holds few pieces, and the sender waits while it is
     /// full, so a slow reader costs a fixed amount of memory.
-    Stream(mpsc::Receiver<Piece>),
+    Stream(mpsc::Receiver<BodyPart>),
     /// Nothing is left.
     Done,
 }
@@ -59,13 +59,13 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        let piece = match &mut *self {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
+        let part = match &mut *self {
             Self::Done => return Poll::Ready(None),
             Self::Buffered(_) => {
                 let frame = self.take_buffered().map(Frame::data);
@@ -73,9 +73,9 @@
             }
             Self::Stream(rx) => std::task::ready!(rx.poll_recv(cx)),
         };
-        Poll::Ready(match piece {
-            Some(Piece::Frame(frame)) => Some(Ok(frame)),
-            Some(Piece::End) => {
+        Poll::Ready(match part {
+            Some(BodyPart::Frame(frame)) => Some(Ok(frame)),
+            Some(BodyPart::End) => {
                 *self = Self::Done;
                 None
             }
@@ -83,7 +83,7 @@
             // sent would pass a cut answer off as whole wherever no length was given.
             None => {
                 *self = Self::Done;
-                Some(Err(Cut))
+                Some(Err(IncompleteBody))
             }
         })
     }
@@ -111,7 +111,7 @@
     }
 }
 
-impl From<Infallible> for Cut {
+impl From<Infallible> for IncompleteBody {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -166,22 +166,22 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         if let Some(after) = self.retry_after {
-            headers.insert(RETRY_AFTER, whole_seconds(after));
+            headers.insert(RETRY_AFTER, ceil_seconds(after));
         }
-        mark(&mut response, id, self.code);
+        insert_result_headers(&mut response, id, self.code);
         response
     }
 }
 
 /// `Retry-After` knows whole seconds only; a part counts as one, because a resend
 /// that comes too early is refused again.
-fn whole_seconds(after: Duration) -> HeaderValue {
-    let part = u64::from(after.subsec_nanos() > 0);
-    HeaderValue::from(after.as_secs() + part)
+fn ceil_seconds(after: Duration) -> HeaderValue {
+    let round_up = u64::from(after.subsec_nanos() > 0);
+    HeaderValue::from(after.as_secs() + round_up)
 }
 
 /// Adds the headers that every answer to a request carries.
-pub fn mark<B>(response: &mut Response<B>, id: RequestId, code: ResultCode) {
+pub fn insert_result_headers<B>(response: &mut Response<B>, id: RequestId, code: ResultCode) {
     let headers = response.headers_mut();
     headers.insert(RESULT, HeaderValue::from(code.number()));
     headers.insert(MEANING, HeaderValue::from_static(code.meaning().as_str()));
--- a/crates/caller/src/connection.rs
+++ b/crates/caller/src/connection.rs
@@ -22,20 +22,20 @@
 
 /// What the task of a connection and the rest of the server share.
 #[derive(Debug, Default)]
-pub(crate) struct Control {
+pub(crate) struct ConnectionState {
     waker: RefCell<Option<Waker>>,
-    ending: Cell<bool>,
+    closing: Cell<bool>,
     /// Requests that are being answered; 0 or 1.
     running: Cell<bool>,
     /// Sweep in which it was last used.
-    used: Cell<u32>,
+    last_used: Cell<u32>,
 }
 
 /// All connections of a server.
 #[derive(Debug, Default)]
 pub(crate) struct Connections {
-    open: RefCell<HashMap<u64, Rc<Control>>>,
-    next: Cell<u64>,
+    open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
+    next_id: Cell<u64>,
     sweep: Cell<u32>,
 }
 
@@ -43,55 +43,55 @@
 #[derive(Debug)]
 pub(crate) struct Registration {
     connections: Rc<Connections>,
-    number: u64,
+    id: u64,
     /// What the connection's task looks at.
-    pub(crate) control: Rc<Control>,
+    pub(crate) state: Rc<ConnectionState>,
 }
 
 impl Connections {
     pub(crate) fn register(self: &Rc<Self>) -> Registration {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let control = Rc::new(Control::default());
-        control.used.set(self.sweep.get());
-        self.open.borrow_mut().insert(number, Rc::clone(&control));
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let state = Rc::new(ConnectionState::default());
+        state.last_used.set(self.sweep.get());
+        self.open.borrow_mut().insert(id, Rc::clone(&state));
         Registration {
             connections: Rc::clone(self),
-            number,
-            control,
+            id,
+            state,
         }
     }
 
     /// Notes that a request begins.
-    pub(crate) fn begin(&self, control: &Control) {
-        control.running.set(true);
-        control.used.set(self.sweep.get());
+    pub(crate) fn begin_request(&self, state: &ConnectionState) {
+        state.running.set(true);
+        state.last_used.set(self.sweep.get());
     }
 
     /// Notes that a request has its answer.
-    pub(crate) fn end(&self, control: &Control) {
-        control.running.set(false);
-        control.used.set(self.sweep.get());
+    pub(crate) fn end_request(&self, state: &ConnectionState) {
+        state.running.set(false);
+        state.last_used.set(self.sweep.get());
     }
 
     /// Ends connections that weren't used for `sweeps` calls of this.
     pub(crate) fn sweep(&self, sweeps: u32) {
         let now = self.sweep.get().wrapping_add(1);
         self.sweep.set(now);
-        let unused = |control: &Control| {
-            !control.running.get() && now.wrapping_sub(control.used.get()) > sweeps
+        let unused = |state: &ConnectionState| {
+            !state.running.get() && now.wrapping_sub(state.last_used.get()) > sweeps
         };
-        for control in self.open.borrow().values() {
-            if unused(control) {
-                control.end();
+        for state in self.open.borrow().values() {
+            if unused(state) {
+                state.close();
             }
         }
     }
 
     /// Ends all connections, each after the request that it is answering.
-    pub(crate) fn end_all(&self) {
-        for control in self.open.borrow().values() {
-            control.end();
+    pub(crate) fn close_all(&self) {
+        for state in self.open.borrow().values() {
+            state.close();
         }
     }
 
@@ -100,9 +100,9 @@
     }
 }
 
-impl Control {
-    fn end(&self) {
-        self.ending.set(true);
+impl ConnectionState {
+    fn close(&self) {
+        self.closing.set(true);
         if let Some(waker) = self.waker.take() {
             waker.wake();
         }
@@ -111,18 +111,18 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.connections.open.borrow_mut().remove(&self.number);
+        self.connections.open.borrow_mut().remove(&self.id);
     }
 }
 
 /// A connection that ends in order once it is told to.
-pub(crate) struct Serving<S: HttpService<hyper::body::Incoming>> {
+pub(crate) struct ServedConnection<S: HttpService<hyper::body::Incoming>> {
     connection: Pin<Box<http1::Connection<TokioIo<TcpStream>, S>>>,
     registration: Registration,
     shut_down: bool,
 }
 
-impl<S> Serving<S>
+impl<S> ServedConnection<S>
 where
     S: HttpService<hyper::body::Incoming, ResBody = AnswerBody>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -138,8 +138,8 @@
         }
     }
 
-    fn note_waker(&self, cx: &Context<'_>) {
-        let mut waker = self.registration.control.waker.borrow_mut();
+    fn store_waker(&self, cx: &Context<'_>) {
+        let mut waker = self.registration.state.waker.borrow_mut();
         match &*waker {
             Some(known) if known.will_wake(cx.waker()) => {}
             _ => *waker = Some(cx.waker().clone()),
@@ -147,7 +147,7 @@
     }
 }
 
-impl<S> Future for Serving<S>
+impl<S> Future for ServedConnection<S>
 where
     S: HttpService<hyper::body::Incoming, ResBody = AnswerBody>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -156,15 +156,15 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         if !self.shut_down {
-            if self.registration.control.ending.get() {
+            if self.registration.state.closing.get() {
                 self.shut_down = true;
                 self.connection.as_mut().graceful_shutdown();
             } else {
-                self.note_waker(cx);
+                self.store_waker(cx);
             }
         }
-        let ended = std::task::ready!(self.connection.as_mut().poll(cx));
-        if let Err(e) = ended {
+        let result = std::task::ready!(self.connection.as_mut().poll(cx));
+        if let Err(e) = result {
             debug!(error:% = e; "a caller's connection broke");
         }
         Poll::Ready(())
--- a/crates/caller/src/directory.rs
+++ b/crates/caller/src/directory.rs
@@ -13,7 +13,7 @@
 
 /// Entries that an answer names at most: enough for a caller to outlive a failure
 /// domain within one time to live, few enough for an answer of one packet.
-const MAX_LISTED: usize = 6;
+const MAX_ENTRIES: usize = 6;
 
 /// A live entry, as look-ups name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,10 +36,10 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     start: Option<StartNumber>,
-    current: bool,
+    complete: bool,
     key_prefix: String,
     answers: HashMap<Box<str>, Vec<Bytes>>,
-    forwarders: HashMap<NodeName, Incarnation>,
+    incarnations: HashMap<NodeName, Incarnation>,
 }
 
 /// Builds a [`Directory`].
@@ -48,7 +48,7 @@
     failure_domain: FailureDomain,
     ttl: Duration,
     start: Option<StartNumber>,
-    current: bool,
+    complete: bool,
     key_prefix: String,
     entries: BTreeMap<NodeName, Entry>,
     services: BTreeMap<ServiceName, Vec<Vec<NodeName>>>,
@@ -109,7 +109,7 @@
         DirectoryBuilder {
             failure_domain,
             start: None,
-            current: false,
+            complete: false,
             ttl: Duration::from_secs(10),
             key_prefix: String::new(),
             entries: BTreeMap::new(),
@@ -124,8 +124,8 @@
 
     /// Why a service isn't known: it doesn't exist, or that can't be told here. A table that
     /// may have been overtaken names services, but can't deny any: callers take that as final.
-    pub fn unknown(&self) -> ResultCode {
-        match self.current {
+    pub fn unknown_service_code(&self) -> ResultCode {
+        match self.complete {
             true => ResultCode::UnknownService,
             false => ResultCode::NotReady,
         }
@@ -137,7 +137,7 @@
     }
 
     /// Whether the service is known.
-    pub fn knows(&self, service: &ServiceName) -> bool {
+    pub fn has_service(&self, service: &ServiceName) -> bool {
         self.answers.contains_key(service.as_str())
     }
 
@@ -153,7 +153,7 @@
 
     /// Whether this name and incarnation are those of an entry known here.
     pub fn is_entry(&self, name: &NodeName, incarnation: Incarnation) -> bool {
-        self.forwarders.get(name) == Some(&incarnation)
+        self.incarnations.get(name) == Some(&incarnation)
     }
 }
 
@@ -175,8 +175,8 @@
 
     /// Whether services that aren't added don't exist. Default false.
     #[must_use]
-    pub fn current(mut self, current: bool) -> Self {
-        self.current = current;
+    pub fn complete(mut self, complete: bool) -> Self {
+        self.complete = complete;
         self
     }
 
@@ -204,7 +204,7 @@
 
     /// Makes the answers.
     pub fn build(&self) -> Directory {
-        let forwarders = self
+        let incarnations = self
             .entries
             .values()
             .map(|entry| (entry.name.clone(), entry.incarnation))
@@ -216,41 +216,41 @@
             .collect();
         Directory {
             start: self.start,
-            current: self.current,
+            complete: self.complete,
             key_prefix: self.key_prefix.clone(),
             answers,
-            forwarders,
+            incarnations,
         }
     }
 
     fn answers(&self, orders: &[Vec<NodeName>]) -> Vec<Bytes> {
         orders
             .iter()
-            .map(|order| self.listed(order))
-            .filter(|listed| !listed.is_empty())
-            .map(|listed| self.body(&listed))
+            .map(|order| self.select_entries(order))
+            .filter(|selected| !selected.is_empty())
+            .map(|selected| self.body(&selected))
             .collect()
     }
 
     /// The entries to be named: whatever the order says, none that is leaving, and the
     /// second in another failure domain than the first if there is such a one, because
     /// a caller that tries the second does so when the first's domain may be gone.
-    fn listed(&self, order: &[NodeName]) -> Vec<&Entry> {
-        let mut listed: Vec<_> = order
+    fn select_entries(&self, order: &[NodeName]) -> Vec<&Entry> {
+        let mut selected: Vec<_> = order
             .iter()
             .filter_map(|name| self.entries.get(name))
             .filter(|entry| !entry.leaving)
             .collect();
-        let first = listed.first().map(|entry| &entry.failure_domain);
-        let other = listed
+        let first = selected.first().map(|entry| &entry.failure_domain);
+        let other = selected
             .iter()
             .position(|entry| Some(&entry.failure_domain) != first);
         if let Some(other) = other {
-            let other = listed.remove(other);
-            listed.insert(1, other);
+            let other = selected.remove(other);
+            selected.insert(1, other);
         }
-        listed.truncate(MAX_LISTED);
-        listed
+        selected.truncate(MAX_ENTRIES);
+        selected
     }
 
     fn body(&self, entries: &[&Entry]) -> Bytes {
--- a/crates/caller/src/heartbeat.rs
+++ b/crates/caller/src/heartbeat.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     /// Milliseconds from the origin to the last beat.
-    last: AtomicU64,
+    last_beat: AtomicU64,
     starts: AtomicU64,
 }
 
@@ -27,16 +27,16 @@
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     origin: Instant,
-    bound: Duration,
+    timeout: Duration,
     shared: Arc<Shared>,
 }
 
 impl Heartbeat {
-    /// A heartbeat that counts as lost after `bound` without a beat.
-    pub fn new(bound: Duration) -> Self {
+    /// A heartbeat that counts as lost after `timeout` without a beat.
+    pub fn new(timeout: Duration) -> Self {
         Self {
             origin: Instant::now(),
-            bound,
+            timeout,
             shared: Arc::default(),
         }
     }
@@ -55,14 +55,14 @@
     pub fn beat(&self) {
         let millis = u64::try_from(self.origin.elapsed().as_millis());
         let millis = millis.unwrap_or(u64::MAX);
-        self.shared.last.store(millis, Ordering::Release);
+        self.shared.last_beat.store(millis, Ordering::Release);
     }
 
     /// Whether callers may be answered by what was prepared under `start`; `None` was
     /// prepared before the newest table was known.
-    pub fn vouches_for(&self, start: Option<StartNumber>) -> bool {
-        let last = Duration::from_millis(self.shared.last.load(Ordering::Acquire));
-        let recent = self.origin.elapsed().saturating_sub(last) < self.bound;
+    pub fn is_valid_for(&self, start: Option<StartNumber>) -> bool {
+        let last = Duration::from_millis(self.shared.last_beat.load(Ordering::Acquire));
+        let recent = self.origin.elapsed().saturating_sub(last) < self.timeout;
         recent && start == Some(self.start())
     }
 }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -11,7 +11,7 @@
 //!   an idempotency key, as not checked, for an earlier send of the key may have run;
 //! - a call whose answering side vanished without a word is answered as one that may
 //!   have run, never as one that didn't;
-//! - a streamed answer is complete only after [`Piece::End`]; whatever else ends the
+//! - a streamed answer is complete only after [`BodyPart::End`]; whatever else ends the
 //!   channel breaks the caller's connection, so that no cut answer looks whole.
 
 mod answer;
@@ -22,7 +22,7 @@
 mod route;
 mod server;
 
-pub use answer::{Answer, AnswerBody, Cut, Piece, Refusal, mark};
+pub use answer::{Answer, AnswerBody, BodyPart, IncompleteBody, Refusal, insert_result_headers};
 pub use call::{Call, Execution, ForwardedBy};
 pub use directory::{CallerGroup, Directory, DirectoryBuilder, Entry};
 pub use heartbeat::{Heartbeat, StartNumber};
--- a/crates/caller/src/route.rs
+++ b/crates/caller/src/route.rs
@@ -41,14 +41,14 @@
     };
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, target) = rest.split_at(end);
-    match (service.parse(), target_of(target)) {
+    match (service.parse(), parse_target(target)) {
         (Ok(service), Ok(target)) => Route::Service(service, target),
         (Err(_), _) => Route::Refuse(ResultCode::UnknownService),
         (_, Err(_)) => Route::Refuse(ResultCode::BadRequest),
     }
 }
 
-fn target_of(text: &str) -> Result<PathAndQuery, http::uri::InvalidUri> {
+fn parse_target(text: &str) -> Result<PathAndQuery, http::uri::InvalidUri> {
     if text.starts_with('/') {
         return text.parse();
     }
@@ -78,13 +78,13 @@
         _ => {}
     }
     match request.headers().get(header::IDEMPOTENCY_KEY) {
-        Some(key) => keyed(key.as_bytes()),
+        Some(key) => parse_key(key.as_bytes()),
         None if matches!(*request.method(), Method::PUT | Method::DELETE) => Ok(Execution::Once),
         None => Err(ResultCode::KeyMissing),
     }
 }
 
-fn keyed(key: &[u8]) -> Result<Execution, ResultCode> {
+fn parse_key(key: &[u8]) -> Result<Execution, ResultCode> {
     let valid = !key.is_empty() && key.len() <= MAX_KEY_LEN && key.iter().all(u8::is_ascii_graphic);
     let key = std::str::from_utf8(key).ok().filter(|_| valid);
     let key = key.ok_or(ResultCode::BadRequest)?;
@@ -130,7 +130,7 @@
 }
 
 /// Reads what an entry says about a request that it passes on.
-pub(crate) fn forwarded(headers: &HeaderMap) -> Option<Forwarded> {
+pub(crate) fn parse_forwarded(headers: &HeaderMap) -> Option<Forwarded> {
     let text = |name| headers.get(name)?.to_str().ok();
     let (name, incarnation) = text(header::FORWARDED_BY)?.split_once(' ')?;
     let id = text(header::REQUEST_ID)?.parse().ok()?;
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -24,8 +24,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::time::Instant;
 
-use crate::answer::mark;
-use crate::connection::{Connections, Control, Serving};
+use crate::answer::insert_result_headers;
+use crate::connection::{ConnectionState, Connections, ServedConnection};
 use crate::route::{self, Route};
 use crate::{
     Answer, AnswerBody, Call, CallerGroup, Directory, Execution, ForwardedBy, Heartbeat, Refusal,
@@ -35,9 +35,9 @@
 const SWEEP_PERIOD: Duration = Duration::from_secs(5);
 /// After so many sweeps without a whole request's head a connection is ended, be its
 /// caller idle, gone or slow on purpose.
-const UNUSED_SWEEPS: u32 = 12;
+const MAX_UNUSED_SWEEPS: u32 = 12;
 /// How often a server that closes looks whether its last connection has ended.
-const CLOSING_PERIOD: Duration = Duration::from_millis(20);
+const CLOSING_POLL_PERIOD: Duration = Duration::from_millis(20);
 /// Bytes that a connection holds at most of what its caller hasn't read yet; also the
 /// bound of a request's head. 16 KiB keeps a thousand slow readers within tens of MB.
 const MAX_BUF: usize = 16 * 1024;
@@ -104,8 +104,8 @@
 
 /// A server that runs.
 #[derive(Debug)]
-struct Running {
-    parts: Server,
+struct RunningServer {
+    server: Server,
     /// The phase as it was followed last.
     phase: Cell<Phase>,
     connections: Rc<Connections>,
@@ -147,13 +147,13 @@
     pub async fn run(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(self.bounds.connections));
         let phase = *self.phase.borrow();
-        let server = Rc::new(Running {
-            parts: self,
+        let server = Rc::new(RunningServer {
+            server: self,
             phase: Cell::new(phase),
             connections: Rc::default(),
             next_id: Cell::new(0),
         });
-        let mut closing = pin!(server.follow());
+        let mut closing = pin!(server.follow_phase());
         loop {
             let accepted = tokio::select! {
                 accepted = accept(&listener, &permits) => accepted,
@@ -176,16 +176,16 @@
         drop(listener);
         while !server.connections.is_empty() {
             // Also reaches connections whose task had not begun when they were told.
-            server.connections.end_all();
-            tokio::time::sleep(CLOSING_PERIOD).await;
+            server.connections.close_all();
+            tokio::time::sleep(CLOSING_POLL_PERIOD).await;
         }
     }
 }
 
-impl Running {
+impl RunningServer {
     /// Follows the phase and ends unused connections, until [`Phase::Closing`].
-    async fn follow(&self) {
-        let mut phase = self.parts.phase.clone();
+    async fn follow_phase(&self) {
+        let mut phase = self.server.phase.clone();
         let mut sweep = tokio::time::interval(SWEEP_PERIOD);
         loop {
             let now = *phase.borrow_and_update();
@@ -198,7 +198,7 @@
                     // Nobody is left to change the phase: the process ends.
                     return;
                 },
-                _ = sweep.tick() => self.connections.sweep(UNUSED_SWEEPS),
+                _ = sweep.tick() => self.connections.sweep(MAX_UNUSED_SWEEPS),
             }
         }
     }
@@ -212,7 +212,7 @@
         let registration = self.connections.register();
         let service = CallerService {
             server: self,
-            control: Rc::clone(&registration.control),
+            state: Rc::clone(&registration.state),
             from: Peer {
                 addr: from,
                 group: CallerGroup::of(from),
@@ -221,11 +221,11 @@
         let connection = http1::Builder::new()
             .max_buf_size(MAX_BUF)
             .serve_connection(TokioIo::new(stream), service);
-        Serving::new(connection, registration).await;
+        ServedConnection::new(connection, registration).await;
     }
 
     /// Asks for the end of the connection while a planned stop is under way.
-    fn finish(&self, mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+    fn close_if_stopping(&self, mut response: Response<AnswerBody>) -> Response<AnswerBody> {
         if matches!(self.phase.get(), Phase::Leaving | Phase::Closing) {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -234,34 +234,35 @@
     }
 
     fn is_up_to_date(&self) -> bool {
-        let start = self.parts.directory.borrow().start();
-        self.parts.heartbeat.vouches_for(start)
+        let start = self.server.directory.borrow().start();
+        self.server.heartbeat.is_valid_for(start)
     }
 
     fn lookup(&self, from: Peer, service: &str) -> Response<AnswerBody> {
-        let Some(observer) = &self.parts.observer else {
-            return self.look_up(from, service).1;
+        let Some(observer) = &self.server.observer else {
+            return self.lookup_with_code(from, service).1;
         };
         let begun = Instant::now();
-        let (code, response) = self.look_up(from, service);
+        let (code, response) = self.lookup_with_code(from, service);
         observer.looked_up(code, begun.elapsed());
         response
     }
 
-    fn look_up(&self, from: Peer, service: &str) -> (ResultCode, Response<AnswerBody>) {
-        match self.prepared(from, service) {
+    fn lookup_with_code(&self, from: Peer, service: &str) -> (ResultCode, Response<AnswerBody>) {
+        match self.lookup_response(from, service) {
             Ok(response) => (ResultCode::LookedUp, response),
-            Err(refusal) => (refusal.code, refusal.into_response(self.id())),
+            Err(refusal) => (refusal.code, refusal.into_response(self.next_request_id())),
         }
     }
 
-    fn prepared(&self, from: Peer, service: &str) -> Result<Response<AnswerBody>, Refusal> {
+    fn lookup_response(&self, from: Peer, service: &str) -> Result<Response<AnswerBody>, Refusal> {
         if !self.is_up_to_date() {
-            return Err(refusal(ResultCode::NotReady, false));
+            return Err(refusal_before_key_check(ResultCode::NotReady, false));
         }
-        let directory = self.parts.directory.borrow();
+        let directory = self.server.directory.borrow();
         let answer = directory.answer(service, from.group);
-        let body = answer.ok_or_else(|| refusal(directory.unknown(), false))?;
+        let body = answer
+            .ok_or_else(|| refusal_before_key_check(directory.unknown_service_code(), false))?;
         drop(directory);
         if body.is_empty() {
             return Err(Refusal::new(ResultCode::NoEntry).retry_after(RETRY_AFTER));
@@ -282,15 +283,15 @@
         target: PathAndQuery,
         req: Request<Incoming>,
     ) -> Response<AnswerBody> {
-        let takes_key = !req.method().is_safe();
-        let mut response = self.carry(from, service, target, req).await;
-        if takes_key {
-            self.offer_prefix(&mut response);
+        let needs_key = !req.method().is_safe();
+        let mut response = self.forward(from, service, target, req).await;
+        if needs_key {
+            self.insert_key_prefix(&mut response);
         }
         response
     }
 
-    async fn carry(
+    async fn forward(
         &self,
         from: IpAddr,
         service: ServiceName,
@@ -301,28 +302,30 @@
         let keyed = matches!(route::execution(&req), Ok(Execution::Keyed(_)));
         let source = match self.source(from, req.headers()) {
             Ok(source) => source,
-            Err(code) => return refusal(code, keyed).into_response(self.id()),
+            Err(code) => {
+                return refusal_before_key_check(code, keyed).into_response(self.next_request_id());
+            }
         };
         let id = source.id;
         if !self.is_up_to_date() {
-            return refusal(ResultCode::NotReady, keyed).into_response(id);
+            return refusal_before_key_check(ResultCode::NotReady, keyed).into_response(id);
         }
         let (tx, rx) = oneshot::channel();
         let call = match self.call(source, service, req, tx) {
             Ok(call) => call,
-            Err(code) => return refusal(code, keyed).into_response(id),
+            Err(code) => return refusal_before_key_check(code, keyed).into_response(id),
         };
-        let answer = match self.parts.calls.push(call) {
-            Ok(()) => wait(rx).await,
+        let answer = match self.server.calls.push(call) {
+            Ok(()) => receive_answer(rx).await,
             // The thread that talks to endpoints is behind by the whole ring. Nothing
             // of the request has left this thread.
-            Err(PushError::Full(_)) => Err(refusal(ResultCode::Overloaded, keyed)),
-            Err(PushError::Closed(_)) => Err(refusal(ResultCode::Stopping, keyed)),
+            Err(PushError::Full(_)) => Err(refusal_before_key_check(ResultCode::Overloaded, keyed)),
+            Err(PushError::Closed(_)) => Err(refusal_before_key_check(ResultCode::Stopping, keyed)),
         };
         match answer {
             Ok(mut response) => {
                 if !response.headers().contains_key(header::RESULT) {
-                    mark(&mut response, id, ResultCode::Answered);
+                    insert_result_headers(&mut response, id, ResultCode::Answered);
                 }
                 response
             }
@@ -332,8 +335,8 @@
 
     /// Brings a caller that sends keys the prefix for its next one: of the entry that it
     /// uses, so that its next request finds its home here.
-    fn offer_prefix(&self, response: &mut Response<AnswerBody>) {
-        let directory = self.parts.directory.borrow();
+    fn insert_key_prefix(&self, response: &mut Response<AnswerBody>) {
+        let directory = self.server.directory.borrow();
         let prefix = Some(directory.key_prefix()).filter(|prefix| !prefix.is_empty());
         if let Some(Ok(prefix)) = prefix.map(HeaderValue::from_str) {
             response.headers_mut().insert(header::KEY_PREFIX, prefix);
@@ -348,15 +351,15 @@
     fn source(&self, from: IpAddr, headers: &HeaderMap) -> Result<Source, ResultCode> {
         if !headers.contains_key(header::FORWARDED_BY) {
             return Ok(Source {
-                id: self.id(),
+                id: self.next_request_id(),
                 caller: Some(from),
                 forwarded_by: None,
             });
         }
-        let forwarded = route::forwarded(headers).ok_or(ResultCode::BadRequest)?;
+        let forwarded = route::parse_forwarded(headers).ok_or(ResultCode::BadRequest)?;
         let by = forwarded.by;
         if !self
-            .parts
+            .server
             .directory
             .borrow()
             .is_entry(&by.name, by.incarnation)
@@ -384,13 +387,13 @@
         // What became of a key is asked first; a service that is gone was there when an
         // earlier send may have run.
         let keyed = matches!(execution, Execution::Keyed(_));
-        let directory = self.parts.directory.borrow();
-        if !keyed && !directory.knows(&service) {
-            return Err(directory.unknown());
+        let directory = self.server.directory.borrow();
+        if !keyed && !directory.has_service(&service) {
+            return Err(directory.unknown_service_code());
         }
         drop(directory);
         let timeout = route::timeout(request.headers())?;
-        let timeout = timeout.unwrap_or(self.parts.bounds.request_timeout);
+        let timeout = timeout.unwrap_or(self.server.bounds.request_timeout);
         Ok(Call {
             id: source.id,
             service,
@@ -404,10 +407,10 @@
         })
     }
 
-    fn id(&self) -> RequestId {
+    fn next_request_id(&self) -> RequestId {
         let next = self.next_id.get();
         self.next_id.set(next.wrapping_add(1));
-        RequestId(u128::from(self.parts.incarnation.0) << 64 | u128::from(next))
+        RequestId(u128::from(self.server.incarnation.0) << 64 | u128::from(next))
     }
 }
 
@@ -424,63 +427,63 @@
 
 /// Answers the requests of one connection.
 struct CallerService {
-    server: Rc<Running>,
-    control: Rc<Control>,
+    server: Rc<RunningServer>,
+    state: Rc<ConnectionState>,
     from: Peer,
 }
 
 /// An answer that is there, as to a look-up, or one to wait for. Only the latter needs
 /// memory of its own.
-enum Answering {
-    Now(Option<Response<AnswerBody>>),
-    Later(Pin<Box<dyn Future<Output = Response<AnswerBody>>>>),
+enum ResponseFuture {
+    Ready(Option<Response<AnswerBody>>),
+    Pending(Pin<Box<dyn Future<Output = Response<AnswerBody>>>>),
 }
 
 impl Service<Request<Incoming>> for CallerService {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
-    fn call(&self, req: Request<Incoming>) -> Answering {
+    fn call(&self, req: Request<Incoming>) -> ResponseFuture {
         let server = &self.server;
-        server.connections.begin(&self.control);
+        server.connections.begin_request(&self.state);
         let response = match route::route(req.method(), req.uri()) {
             Route::Lookup(service) => server.lookup(self.from, service),
-            Route::Refuse(code) => Refusal::new(code).into_response(server.id()),
+            Route::Refuse(code) => Refusal::new(code).into_response(server.next_request_id()),
             Route::Service(service, target) => {
                 let server = Rc::clone(server);
-                let control = Rc::clone(&self.control);
+                let state = Rc::clone(&self.state);
                 let from = self.from.addr;
-                return Answering::Later(Box::pin(async move {
+                return ResponseFuture::Pending(Box::pin(async move {
                     let response = server.request(from, service, target, req).await;
-                    server.connections.end(&control);
-                    server.finish(response)
+                    server.connections.end_request(&state);
+                    server.close_if_stopping(response)
                 }));
             }
         };
-        server.connections.end(&self.control);
-        Answering::Now(Some(server.finish(response)))
+        server.connections.end_request(&self.state);
+        ResponseFuture::Ready(Some(server.close_if_stopping(response)))
     }
 }
 
-impl Future for Answering {
+impl Future for ResponseFuture {
     type Output = Result<Response<AnswerBody>, Infallible>;
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         match self.get_mut() {
-            Self::Now(response) => match response.take() {
+            Self::Ready(response) => match response.take() {
                 Some(response) => Poll::Ready(Ok(response)),
                 // Polled again after its end, which no executor does.
                 None => Poll::Pending,
             },
-            Self::Later(response) => response.as_mut().poll(cx).map(Ok),
+            Self::Pending(response) => response.as_mut().poll(cx).map(Ok),
         }
     }
 }
 
 /// A refusal before the home of the request's key was asked, if it has a key: then
 /// nobody here can say that an earlier send of it didn't run.
-fn refusal(code: ResultCode, keyed: bool) -> Refusal {
+fn refusal_before_key_check(code: ResultCode, keyed: bool) -> Refusal {
     let code = match code.meaning() {
         Meaning::NotRun if keyed => ResultCode::KeyNotChecked,
         _ => code,
@@ -493,7 +496,7 @@
     }
 }
 
-async fn wait(rx: oneshot::Receiver<Answer>) -> Answer {
+async fn receive_answer(rx: oneshot::Receiver<Answer>) -> Answer {
     // The carrying task ended without an answer: a fault of ours after the request
     // left this thread, so nothing may be claimed about its execution.
     let lost = Refusal::new(ResultCode::EndpointLost);
--- a/crates/filberthead/src/entry/carry/keyed.rs
+++ b/crates/filberthead/src/entry/carry/keyed.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use filberthead_caller::{Refusal, mark};
+use filberthead_caller::{Refusal, insert_result_headers};
 use filberthead_endpoint::{AnswerCheck, RequestBody, Reuse, SendOutcome};
 use filberthead_ledger::Digest;
 use filberthead_types::{Meaning, NodeName, ResultCode, header};
@@ -162,7 +162,7 @@
             response.headers_mut().append(name, value);
         }
     }
-    mark(&mut response, job.id, ResultCode::Replayed);
+    insert_result_headers(&mut response, job.id, ResultCode::Replayed);
     let (head, ()) = response.into_parts();
     Outcome::Answer(head, answer.body)
 }
--- a/crates/filberthead/src/entry/carry/stream.rs
+++ b/crates/filberthead/src/entry/carry/stream.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filberthead_caller::{AnswerBody, Piece};
+use filberthead_caller::{AnswerBody, BodyPart};
 use filberthead_endpoint::{RequestBody, Resume};
 use filberthead_types::ResultCode;
 use http::Response;
@@ -68,7 +68,7 @@
                     keep.whole();
                 }
                 // A caller that is gone by now lacks nothing but the end.
-                let _ = tx.send(Piece::End).await;
+                let _ = tx.send(BodyPart::End).await;
                 return Some(ResultCode::Answered);
             }
             Copied::CallerGone => return None,
@@ -92,7 +92,7 @@
 async fn copy(
     core: &Core,
     upstream: &mut Upstream,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyPart>,
     mut resume: Option<&mut Resume>,
     keep: &mut Option<Keep>,
 ) -> Copied {
@@ -110,7 +110,7 @@
         if let (Some(keep), Some(data)) = (keep.as_mut(), frame.data_ref()) {
             keep.push(data);
         }
-        match timeout(READER_TIMEOUT, tx.send(Piece::Frame(frame))).await {
+        match timeout(READER_TIMEOUT, tx.send(BodyPart::Frame(frame))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) if keep.is_some() => {}
             Ok(Err(_)) | Err(_) => return Copied::CallerGone,
@@ -127,7 +127,7 @@
     core: &Rc<Core>,
     job: &mut Job,
     resume: Option<&Resume>,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyPart>,
 ) -> Option<Upstream> {
     let resume = resume?;
     resume.set_range(&mut job.parts.headers);
--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -264,7 +264,7 @@
         let mut builder =
             Directory::builder(self.cfg.failure_domain.clone()).ttl(self.cfg.lookup_ttl);
         builder = builder.start(self.start.get());
-        builder = builder.current(self.core.cluster.borrow().current);
+        builder = builder.complete(self.core.cluster.borrow().current);
         if let Some(prefix) = self.core.ledger.prefix() {
             builder = builder.key_prefix(prefix.to_string());
         }
