--- a/crates/peer/tests/codec.rs
+++ b/crates/peer/tests/codec.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn own_messages_come_back_as_they_were() {
+fn decoding_restores_the_encoded_message() {
     let buf = encoded("shops");
     let envelope = decode(cluster_id("shops"), &buf).expect("an own message");
     assert_eq!(envelope, hello());
@@ -46,13 +46,13 @@
 /// An operator copies settings from the other user's cluster and forgets the addresses:
 /// replicas of two clusters greet each other. Neither may take the other for its own.
 #[test]
-fn foreign_clusters_are_told_apart() {
+fn messages_of_other_clusters_are_rejected() {
     assert_eq!(reason(&encoded("stations")), "foreign");
 }
 
 /// A port scanner, or a process of another version, sends what it likes.
 #[test]
-fn strange_bytes_are_rejected_by_reason() {
+fn invalid_bytes_are_rejected_with_a_reason() {
     assert_eq!(reason(b""), "short");
     assert_eq!(reason(b"GET / HTTP/1.1\r\n\r\n"), "format");
     assert_eq!(reason(&vec![2; MAX_MESSAGE_LEN + 1]), "oversize");
@@ -64,7 +64,7 @@
 /// A bit flips on the way, past TCP's checksum. Without a checksum of its own the
 /// message could decode to another term or vote and be believed.
 #[test]
-fn every_flipped_bit_is_noticed() {
+fn every_flipped_bit_is_detected() {
     let good = encoded("shops");
     for bit in 0..good.len() * 8 {
         let mut bad = good.clone();
@@ -75,7 +75,7 @@
 
 /// A message that is whole but of a shape that this version doesn't know.
 #[test]
-fn unknown_shapes_are_malformed() {
+fn undecodable_bodies_are_malformed() {
     let envelope = hello();
     let mut buf = encode(cluster_id("shops"), &envelope).expect("a hello can be encoded");
     let header = 9;
--- a/crates/peer/tests/liveness.rs
+++ b/crates/peer/tests/liveness.rs
@@ -20,7 +20,7 @@
 /// for another 5.4 s without hearing control, and refused what had been added meanwhile:
 /// attempts were 3, 6 and then 12 s apart.
 #[test]
-fn a_process_is_tried_again_soon_however_long_it_was_cut_off() {
+fn reconnects_stay_frequent_however_long_a_peer_was_unreachable() {
     let start = Instant::now();
     let acknowledgements = Acknowledgements::default();
     acknowledgements.received(start, peer(), 1);
@@ -40,7 +40,7 @@
 /// A slow VM acknowledges what it is sent after 1.8 s, longer than is waited at first. If its
 /// connection were made anew each time, nothing sent on it would ever arrive.
 #[test]
-fn a_slow_process_keeps_its_connection() {
+fn a_slow_peer_keeps_its_connection() {
     let slow = Duration::from_millis(1800);
     let start = Instant::now();
     let acknowledgements = Acknowledgements::default();
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -63,21 +63,21 @@
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Line {
+enum ListItem {
     Vm(Vm),
     Other(IgnoredAny),
 }
 
 /// Reads a list; also tells how many of its lines were left out as malformed.
 pub(crate) fn parse(buf: &[u8]) -> Result<(List, usize), serde_json::Error> {
-    let lines: Vec<Line> = serde_json::from_slice(buf)?;
-    let total = lines.len();
-    let list: List = lines.into_iter().filter_map(Line::into_vm).collect();
+    let items: Vec<ListItem> = serde_json::from_slice(buf)?;
+    let total = items.len();
+    let list: List = items.into_iter().filter_map(ListItem::into_vm).collect();
     let left_out = total - list.len();
     Ok((list, left_out))
 }
 
-impl Line {
+impl ListItem {
     fn into_vm(self) -> Option<Vm> {
         match self {
             Self::Vm(vm) => Some(vm),
--- a/crates/ring/src/lib.rs
+++ b/crates/ring/src/lib.rs
@@ -17,7 +17,7 @@
     queue: ArrayQueue<T>,
     items: Notify,
     senders: AtomicUsize,
-    receiver_gone: AtomicBool,
+    receiver_closed: AtomicBool,
     refused: AtomicU64,
 }
 
@@ -48,7 +48,7 @@
         queue: ArrayQueue::new(capacity.max(1)),
         items: Notify::new(),
         senders: AtomicUsize::new(1),
-        receiver_gone: AtomicBool::new(false),
+        receiver_closed: AtomicBool::new(false),
         refused: AtomicU64::new(0),
     });
     let tx = Sender {
@@ -60,7 +60,7 @@
 impl<T> Sender<T> {
     /// Puts an item into the ring unless it is full or its receiver has ended.
     pub fn push(&self, item: T) -> Result<(), PushError<T>> {
-        if self.shared.receiver_gone.load(Ordering::Acquire) {
+        if self.shared.receiver_closed.load(Ordering::Acquire) {
             return Err(PushError::Closed(item));
         }
         match self.shared.queue.push(item) {
@@ -135,6 +135,6 @@
 
 impl<T> Drop for Receiver<T> {
     fn drop(&mut self) {
-        self.shared.receiver_gone.store(true, Ordering::Release);
+        self.shared.receiver_closed.store(true, Ordering::Release);
     }
 }
--- a/crates/types/tests/result_codes.rs
+++ b/crates/types/tests/result_codes.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn numbers_and_names_stand_for_one_code_each() {
+fn numbers_and_slugs_are_unique() {
     let numbers: Vec<_> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     assert!(numbers.is_sorted_by(|a, b| a < b), "{numbers:?}");
     let slugs: BTreeSet<_> = ResultCode::ALL.iter().map(|code| code.slug()).collect();
@@ -30,7 +30,7 @@
 /// A status of success beside "not run" would let a client that looks at the status alone
 /// take a refusal for an answer.
 #[test]
-fn success_is_said_only_of_what_ran() {
+fn success_statuses_are_used_only_for_requests_that_ran() {
     for code in ResultCode::ALL {
         let is_success = (200..300).contains(&code.status());
         assert!(!is_success || code.meaning() == Meaning::Ran, "{code}");
