--- a/crates/peer/examples/cost.rs
+++ b/crates/peer/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints the encoded sizes of messages between gateways and control, a line each.
+//! Prints the encoded sizes of messages between gateways and control, one per line.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -117,7 +117,7 @@
         "fleet-endpoint: {} B",
         (size(endpoints(1000)) - size(endpoints(0))) / 1000
     );
-    // Two reports a second to each of seven replicas, and as many notices back.
+    // A gateway sends two reports a second to each of seven replicas, each answered by a notice.
     println!("fleet-gateway-22-domains: {} B/s", 14 * (report + target));
     println!("fleet-replica-a-gateway: {} B/s", 2 * (report + target));
 }
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,11 +1,11 @@
-//! Encoding of envelopes: `postcard`, behind a format byte, a tag of the cluster and a
-//! checksum. A control leader sends mostly heartbeats, smaller than their envelope, so
-//! the header is kept short: four bytes tell clusters apart that were configured apart,
-//! and four find damage that TCP's own checksum let through.
+//! Encoding of envelopes: a format byte, a cluster tag and a checksum, then the `postcard`
+//! body. A control leader sends mostly heartbeats, which are smaller than their envelope,
+//! so the header is kept short: a 4-byte tag distinguishes clusters with different names,
+//! and a 4-byte checksum detects corruption that TCP's own checksum missed.
 //!
-//! The transport hands over whole messages, but anything may connect to a port. The
-//! checks here make sure that only messages of this cluster and this format reach a
-//! protocol; the rest is counted by reason and dropped.
+//! The transport delivers complete messages, but anything may connect to a port. The
+//! checks here ensure that only messages of this cluster and this format reach a
+//! protocol; all others are counted by reason and dropped.
 
 use filberthead_types::ClusterId;
 use snafu::{ResultExt, Snafu, ensure};
@@ -13,17 +13,17 @@
 
 use crate::Envelope;
 
-/// Longest message accepted, in bytes, header included.
+/// Maximum length of a message in bytes, header included.
 pub const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
-/// Changes with every incompatible change of a message.
+/// Format version; raised with every incompatible change of a message.
 const FORMAT: u8 = 5;
 const TAG_LEN: usize = 4;
 const CHECKSUM_LEN: usize = 4;
 const CHECKSUM_OFFSET: usize = 1 + TAG_LEN;
 const HEADER_LEN: usize = CHECKSUM_OFFSET + CHECKSUM_LEN;
 
-/// Why bytes are no acceptable message.
+/// Why a received buffer was rejected.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum DecodeError {
@@ -34,28 +34,28 @@
         len: usize,
     },
     /// Longer than [`MAX_MESSAGE_LEN`].
-    #[snafu(display("message of {len} bytes is over the bound"))]
+    #[snafu(display("message of {len} bytes is too long"))]
     Oversize {
         /// Its length in bytes.
         len: usize,
     },
-    /// Another format.
+    /// Sent in another format version.
     #[snafu(display("message has format {format}"))]
     Format {
         /// Its format byte.
         format: u8,
     },
-    /// Damaged, or no message at all.
+    /// Corrupted, or not a message of this protocol.
     #[snafu(display("message fails its checksum"))]
     Checksum,
-    /// Not an envelope.
+    /// The checksum is correct, but the body doesn't decode to an envelope.
     #[snafu(display("message is malformed"))]
     Malformed {
-        /// The codec's word.
+        /// The codec's error.
         source: postcard::Error,
     },
-    /// Of another cluster.
-    #[snafu(display("message is of a cluster with the tag {tag:08x}"))]
+    /// From another cluster.
+    #[snafu(display("message is from another cluster, with tag {tag:08x}"))]
     Foreign {
         /// The tag of that cluster.
         tag: u32,
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a value can't be serialized; no type in an envelope can cause that.
+/// Fails if a value can't be serialized, which no type in an envelope can cause.
 pub fn encode(cluster: ClusterId, envelope: &Envelope) -> Result<Vec<u8>, postcard::Error> {
     let mut buf = vec![FORMAT];
     buf.extend_from_slice(&tag(cluster).to_le_bytes());
@@ -91,11 +91,11 @@
     Ok(buf)
 }
 
-/// Decodes and checks a message.
+/// Checks and decodes a message.
 ///
 /// # Errors
 ///
-/// Each check that fails has a variant of its own in [`DecodeError`].
+/// Returns a [`DecodeError`] whose variant names the failed check.
 pub fn decode(cluster: ClusterId, buf: &[u8]) -> Result<Envelope, DecodeError> {
     let len = buf.len();
     ensure!(len <= MAX_MESSAGE_LEN, OversizeSnafu { len });
@@ -110,7 +110,7 @@
     postcard::from_bytes(body).context(MalformedSnafu)
 }
 
-/// The part of a cluster's identity that stands in each header.
+/// The part of a cluster's identity that is written into each header.
 fn tag(cluster: ClusterId) -> u32 {
     low_32_bits(cluster.0)
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,12 +1,12 @@
 //! Messages and transport between the system's own processes.
 //!
-//! Messages go one way, over one nng `push` socket to each destination into one `pull`
-//! socket of the receiver. A reply is a message of its own, to the address in the
-//! envelope. So a cut in one direction shows as just that, and no sender ever waits for
-//! a receiver: a destination that doesn't drain costs a bounded buffer, then messages
-//! to it are dropped and counted. A connection that has gone silent is found out by what
-//! the other side acknowledges, and made anew ([`liveness`]). Every protocol above this
-//! package repeats what it needs answered.
+//! Messages are one-way: each process has one nng `push` socket per destination and one
+//! `pull` socket to receive. A reply is a separate message to the address in the envelope.
+//! A network fault in one direction therefore affects that direction alone, and a sender
+//! never waits for a receiver: messages to a destination that doesn't read are queued in a
+//! bounded buffer, then dropped and counted. A connection that no longer delivers is
+//! detected by missing acknowledgements and reopened ([`liveness`]). Every protocol on top
+//! of this package retries the messages that need a reply.
 
 mod codec;
 pub mod liveness;
--- a/crates/peer/src/liveness.rs
+++ b/crates/peer/src/liveness.rs
@@ -1,51 +1,51 @@
-//! Finds out connections that have gone silent.
+//! Detects connections that no longer deliver.
 //!
-//! A device on the way may forget a connection without telling either side: what is sent
-//! on it vanishes, and nothing resets it for minutes. Messages go one way on a connection,
-//! so hearing from a process says nothing of the connection *to* it. Each message
-//! therefore tells how many messages its sender has had from its receiver. As long as that
-//! number changes, what is sent arrives; if it doesn't although messages were sent, the
-//! connection is made anew.
+//! A network device may drop its state of a connection without closing either side: data
+//! sent on it is lost, and nothing resets it for minutes. A connection carries messages in
+//! one direction only, so a message received from a peer proves nothing about the
+//! connection *to* that peer. Each message therefore carries the number of messages that its
+//! sender has received from the destination. While that number changes, messages arrive; if
+//! it doesn't change although messages were sent, the connection is reopened.
 //!
-//! The guard holds because all processes that talk to each other do so both ways, several
-//! times within a second and a half. Where one doesn't, or is down, a connection is made anew for
-//! nothing, every two seconds.
+//! This works because all processes that communicate do so in both directions, several times
+//! within 1.5 s. The connection to a peer that doesn't, or that is down, is reopened
+//! needlessly every two seconds.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time after which a sent message should have been acknowledged: three periods of the
-/// rarest protocol, so that a lost message or a slow VM closes no good connection.
+/// Time within which a message is expected to be acknowledged: three periods of the least
+/// frequent protocol, so that a lost message or a slow VM doesn't close a working connection.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest time between attempts to reach a process that acknowledges nothing. An attempt over
-/// a path that is cut hangs, and the system repeats it after 1, 3, 7 s and so on; one that is
-/// begun anew this often succeeds soon after the path is back. Longer than [`ACK_TIMEOUT`], so that
-/// a slow VM's connection isn't given up again and again before anything has arrived.
+/// Maximum time between connection attempts to a peer that acknowledges nothing. While the path
+/// is down, an attempt hangs, and the operating system resends its SYN after 1, 3, 7 s and so on;
+/// a new attempt this often succeeds soon after the path is back. Longer than [`ACK_TIMEOUT`], so
+/// that the connection to a slow VM isn't reopened repeatedly before anything has arrived.
 const MAX_ACK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which a process that was not heard is forgotten.
+/// The state of a peer that sent nothing for this long is removed.
 const PEER_EXPIRY: Duration = Duration::from_secs(120);
 
-/// What was heard from another process.
+/// What is known of the messages exchanged with a peer.
 #[derive(Clone, Copy, Debug)]
 struct PeerState {
-    /// Messages that came from it.
+    /// Messages received from it.
     received: u64,
-    /// What it last said that it had received from here.
+    /// Messages from this process that it last reported as received.
     acknowledged: u64,
-    /// When that last changed.
+    /// When that number last changed.
     acknowledged_at: Instant,
-    /// When it was last heard.
+    /// When its last message arrived.
     last_seen: Instant,
 }
 
-/// What was heard from all others; shared by the threads that send and receive.
+/// Message counts of all peers, by address; shared by the threads that send and receive.
 #[derive(Debug, Default)]
 pub struct Acknowledgements(Mutex<HashMap<SocketAddr, PeerState>>);
 
 impl Acknowledgements {
-    /// Notes a message, and what its sender says that it has received from here.
+    /// Records a received message and the count of messages that its sender acknowledges.
     pub fn received(&self, now: Instant, from: SocketAddr, acknowledged: u64) {
         let mut all = self.lock();
         let peer = all.entry(from).or_insert(PeerState {
@@ -62,17 +62,17 @@
         }
     }
 
-    /// How many messages came from a process.
+    /// How many messages were received from a peer.
     pub fn received_count(&self, from: SocketAddr) -> u64 {
         self.lock().get(&from).map_or(0, |peer| peer.received)
     }
 
-    /// When a process last acknowledged something new.
+    /// When the count that a peer acknowledges last changed.
     fn acknowledged_at(&self, by: SocketAddr) -> Option<Instant> {
         self.lock().get(&by).map(|peer| peer.acknowledged_at)
     }
 
-    /// Drops what is long out of date.
+    /// Removes peers that sent nothing for two minutes.
     pub fn remove_expired(&self, now: Instant) {
         self.lock()
             .retain(|_, peer| now < peer.last_seen + PEER_EXPIRY);
@@ -83,19 +83,19 @@
     }
 }
 
-/// Whether a connection is still believed in.
+/// Whether a connection delivers its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// Go on with it.
+    /// Messages are acknowledged, or their timeout hasn't passed.
     Alive,
-    /// Make it anew.
+    /// No message was acknowledged within the timeout; reopen the connection.
     Stalled,
 }
 
-/// Watches one connection.
+/// Checks the connection to one peer for missing acknowledgements.
 #[derive(Debug)]
 pub struct ConnectionMonitor {
-    /// When the oldest message was sent that isn't acknowledged.
+    /// When the oldest unacknowledged message was sent; `None` if there is none.
     unacknowledged_since: Option<Instant>,
     ack_timeout: Duration,
 }
@@ -110,7 +110,7 @@
 }
 
 impl ConnectionMonitor {
-    /// Comes before each message that is sent.
+    /// Must be called before each message that is sent.
     pub fn before_send(
         &mut self,
         now: Instant,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! The envelope and all bodies.
+//! The envelope and the bodies of all messages between processes.
 
 use std::net::SocketAddr;
 
@@ -6,49 +6,49 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Identity of the cluster of that name.
+/// Computes a cluster's identity from its name.
 pub fn cluster_id(name: &str) -> ClusterId {
     ClusterId(xxh3_64(name.as_bytes()))
 }
 
-/// Who sent a message, and where an answer goes.
+/// The sender of a message, and the address for replies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Origin {
-    /// Name from the sender's settings.
+    /// Node name from the sender's settings.
     pub name: NodeName,
-    /// Drawn at the sender's start.
+    /// Random number drawn at the sender's start.
     pub incarnation: Incarnation,
-    /// Where the sender takes messages.
+    /// Where the sender receives messages.
     pub addr: SocketAddr,
-    /// Set by control replicas.
+    /// The sender's replica id; `None` unless it is a control replica.
     pub replica: Option<ReplicaId>,
 }
 
-/// A message as it goes over the wire.
+/// A message as sent over the wire.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub origin: Origin,
-    /// How many messages the sender has had from the receiver: what tells the receiver
-    /// that its own connection to the sender carries.
+    /// How many messages the sender has received from the destination: acknowledges that
+    /// the destination's own connection to the sender works.
     pub received: u64,
-    /// What is said.
+    /// The message of one of the protocols.
     pub body: Body,
 }
 
-/// What a control replica says about itself to other replicas and to entries.
+/// What a control replica announces about itself to other replicas and to entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HelloInfo {
-    /// Whether the sender leads with a valid lease.
+    /// Whether the sender is the leader and holds a valid lease.
     pub leads: bool,
-    /// Where its administration API listens.
+    /// Address of its administration API.
     pub operator_addr: SocketAddr,
-    /// Where the leader takes messages, if the sender knows of another replica that leads.
+    /// Where the leader receives messages, if the sender knows that another replica leads.
     pub leader: Option<SocketAddr>,
-    /// Whether it answers a greeting. It isn't answered itself then.
+    /// Whether this is a reply to another replica's hello. A reply gets no reply itself.
     pub is_reply: bool,
 }
 
@@ -58,19 +58,19 @@
 pub enum Body {
     /// Replicated log.
     Consensus(filberthead_consensus::Message),
-    /// A control replica makes itself known.
+    /// A control replica announces itself (peer discovery).
     Hello(HelloInfo),
-    /// Table versions and members.
+    /// Distribution of table versions and of cluster membership.
     Spread(filberthead_spread::Message),
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     Quarantine(filberthead_ledger::quarantine::Message),
-    /// At-most-once records.
+    /// At-most-once execution under idempotency keys.
     Ledger(filberthead_ledger::Message),
-    /// Shares and readings.
+    /// Steering: leases of limits, and load reports.
     Steer(filberthead_steer::Message),
     /// Routes, evacuations and endpoints, between gateways and control.
     Fleet(filberthead_fleet::Message),
-    /// What an entry counted, for the burn report.
+    /// Samples of an entry's counters, for the burn report.
     Samples(filberthead_observe::samples::SampleReport),
 }
 
@@ -89,7 +89,8 @@
         }
     }
 
-    /// The kind of message where the protocol tells several apart, else the protocol.
+    /// Metrics label: the kind of message if the protocol distinguishes several, otherwise the
+    /// protocol.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Fleet(message) => message.kind(),
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! nng sockets: one `pull` to listen, one `push` for each destination.
+//! nng sockets: one `pull` socket to receive, one `push` socket per destination.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -19,51 +19,52 @@
 use crate::liveness::{Acknowledgements, ConnectionMonitor, Liveness};
 use crate::{Body, Envelope, MAX_MESSAGE_LEN, Origin, decode, encode};
 
-/// Messages that wait for a destination whose connection is slow or down. When they
-/// are this many, further ones are dropped: each protocol repeats what it needs.
+/// Messages queued for a destination whose connection is slow or down. Further ones are
+/// dropped: each protocol retries the messages that it needs.
 const SEND_BUFFER_MESSAGES: i32 = 64;
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(400);
-/// Longest message that nng takes in. It closes the connection of a longer one without
-/// a word; what is only somewhat too long is taken in, so that it can be counted.
+/// Maximum message length that nng accepts. It closes the connection of a longer one without
+/// an error; slightly oversized messages are accepted, so that they can be counted.
 const RECV_MAX_LEN: usize = 2 * MAX_MESSAGE_LEN;
-/// A connection that carried nothing for this long is closed. Without that a node that
-/// talks to a random other one now and then would in time hold one to every node.
+/// A connection unused for this long is closed. Otherwise a node that occasionally sends to a
+/// randomly chosen node would eventually keep a connection to every node.
 const IDLE_CLOSE: Duration = Duration::from_secs(15);
-/// How often the receiving thread looks whether it is to end.
+/// Receive timeout, after which the receiving thread checks whether it must stop.
 const RECV_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why the transport can't start.
+/// Why the transport failed to start.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum TransportError {
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[snafu(display("can't listen for peers on {addr}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// nng's word.
+        /// nng's error.
         source: nng::Error,
     },
     /// The receiving thread can't be started.
     #[snafu(display("can't start the thread that receives from peers"))]
     Thread {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-/// Takes messages from the receiving thread. Must not block: what it can't hand on at
-/// once it drops, because every protocol repeats what it needs answered.
+/// Callback for received messages, called on the receiving thread. Must not block: messages
+/// that it can't pass on at once are dropped, because every protocol retries those that need a
+/// reply.
 pub trait Deliver: Send {
-    /// Takes one message.
+    /// Handles one message.
     fn deliver(&mut self, origin: Origin, body: Body);
 }
 
-/// What the transport has counted since its start.
+/// Counts of messages since the transport's start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Messages handed to nng.
+    /// Messages passed to nng.
     pub sent: AtomicU64,
     /// Bytes of those.
     pub sent_bytes: AtomicU64,
@@ -79,7 +80,7 @@
 }
 
 impl Counters {
-    /// Bytes of messages handed to nng, by protocol.
+    /// Bytes of messages passed to nng, by protocol.
     pub fn sent_bytes_by_protocol(&self) -> HashMap<&'static str, u64> {
         snapshot(&self.sent_bytes_by_protocol)
     }
@@ -121,7 +122,7 @@
     }
 }
 
-/// A listening transport; ends its thread when dropped.
+/// A listening transport; stops its receiving thread when dropped.
 #[derive(Debug)]
 pub struct Transport {
     addr: SocketAddr,
@@ -132,7 +133,7 @@
 }
 
 impl Transport {
-    /// Listens on `addr` and hands every accepted message to `deliver`.
+    /// Listens on `addr` and passes every accepted message to `deliver`.
     ///
     /// # Errors
     ///
@@ -166,17 +167,17 @@
         })
     }
 
-    /// The address that is listened on, its port known.
+    /// The address listened on, with the actual port.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What has been counted.
+    /// The counters, which stay shared with the transport.
     pub fn counters(&self) -> Arc<Counters> {
         Arc::clone(&self.counters)
     }
 
-    /// Makes a sender; `origin` stands in each of its messages.
+    /// Creates a sender that puts `origin` into each of its messages.
     pub fn outbox(&self, cluster: ClusterId, origin: Origin) -> Outbox {
         Outbox {
             cluster,
@@ -195,7 +196,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            warn!("the thread that receives from peers had panicked");
+            warn!("the thread that receives from peers panicked");
         }
     }
 }
@@ -207,7 +208,7 @@
     let builder = nng::ListenerBuilder::new(&socket, &url(addr))?;
     let listener = builder.start().map_err(|(_, e)| e)?;
     let mut bound = addr;
-    // The library hands the port out in network byte order.
+    // nng returns the port in network byte order.
     match listener.get_opt::<nng::options::LocalAddr>()? {
         nng::SocketAddr::Inet(v4) => bound.set_port(u16::from_be(v4.port())),
         nng::SocketAddr::Inet6(v6) => bound.set_port(u16::from_be(v6.port())),
@@ -255,13 +256,13 @@
             }
             Err(e) => {
                 self.counters.reject(e.reason());
-                debug!(error:% = e; "rejected a message");
+                debug!(error:% = e; "rejected a message from a peer");
             }
         }
     }
 }
 
-/// A connection to another process.
+/// The connection to a peer.
 #[derive(Debug)]
 struct Destination {
     socket: Socket,
@@ -269,7 +270,7 @@
     monitor: ConnectionMonitor,
 }
 
-/// Sends messages; never waits for a destination.
+/// Sends messages to peers without blocking.
 #[derive(Debug)]
 pub struct Outbox {
     cluster: ClusterId,
@@ -281,12 +282,12 @@
 }
 
 impl Outbox {
-    /// The sender as it stands in messages.
+    /// The sender as named in each message's envelope.
     pub fn origin(&self) -> &Origin {
         &self.origin
     }
 
-    /// Sends a message, or drops and counts it if the destination doesn't drain.
+    /// Sends a message, or drops and counts it if the destination's buffer is full.
     pub fn send(&mut self, to: SocketAddr, body: Body) {
         let protocol = body.protocol();
         let envelope = Envelope {
@@ -297,7 +298,7 @@
         let buf = match encode(self.cluster, &envelope) {
             Ok(buf) => buf,
             Err(e) => {
-                warn!(error:% = e; "a message can't be encoded");
+                warn!(error:% = e; "encoding a message to a peer failed");
                 return;
             }
         };
@@ -321,7 +322,7 @@
                     monitor: ConnectionMonitor::default(),
                 }),
                 Err(error) => {
-                    warn!(to:%, error:%; "can't dial a peer");
+                    warn!(to:%, error:%; "connecting to a peer failed");
                     return false;
                 }
             },
@@ -331,10 +332,10 @@
             .monitor
             .before_send(now, to, &self.acknowledgements);
         if liveness == Liveness::Stalled {
-            debug!(to:%; "what was sent isn't acknowledged, the connection is made anew");
+            debug!(to:%; "messages to a peer aren't acknowledged, reconnecting");
             match dial(to) {
                 Ok(socket) => destination.socket = socket,
-                Err(error) => warn!(to:%, error:%; "can't dial a peer"),
+                Err(error) => warn!(to:%, error:%; "connecting to a peer failed"),
             }
         }
         destination.socket.try_send(buf).is_ok()
--- a/crates/peer/tests/codec.rs
+++ b/crates/peer/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages that are not to be accepted.
+//! Encoding of messages, and rejection of invalid ones.
 
 use std::net::SocketAddr;
 
@@ -32,25 +32,25 @@
 
 fn reason(buf: &[u8]) -> &'static str {
     decode(cluster_id("shops"), buf)
-        .expect_err("not acceptable")
+        .expect_err("must be rejected")
         .reason()
 }
 
 #[test]
 fn decoding_restores_the_encoded_message() {
     let buf = encoded("shops");
-    let envelope = decode(cluster_id("shops"), &buf).expect("an own message");
+    let envelope = decode(cluster_id("shops"), &buf).expect("a message of this cluster");
     assert_eq!(envelope, hello());
 }
 
-/// An operator copies settings from the other user's cluster and forgets the addresses:
-/// replicas of two clusters greet each other. Neither may take the other for its own.
+/// An operator copies settings from another user's cluster but doesn't change the addresses:
+/// replicas of two clusters send each other messages. Neither may accept the other's.
 #[test]
 fn messages_of_other_clusters_are_rejected() {
     assert_eq!(reason(&encoded("stations")), "foreign");
 }
 
-/// A port scanner, or a process of another version, sends what it likes.
+/// A port scanner, or a process of another version, may send any bytes.
 #[test]
 fn invalid_bytes_are_rejected_with_a_reason() {
     assert_eq!(reason(b""), "short");
@@ -61,8 +61,8 @@
     assert_eq!(reason(&cut), "checksum");
 }
 
-/// A bit flips on the way, past TCP's checksum. Without a checksum of its own the
-/// message could decode to another term or vote and be believed.
+/// A bit flips in transit without TCP's checksum detecting it. Without a checksum of its own
+/// the message could decode to another term or vote and be accepted.
 #[test]
 fn every_flipped_bit_is_detected() {
     let good = encoded("shops");
@@ -73,7 +73,7 @@
     }
 }
 
-/// A message that is whole but of a shape that this version doesn't know.
+/// An intact message with a body that this version can't decode.
 #[test]
 fn undecodable_bodies_are_malformed() {
     let envelope = hello();
@@ -83,7 +83,7 @@
     buf.extend_from_slice(&[0xff; 20]);
     let checksum = (xxhash_rust::xxh3::xxh3_64(&buf[header..]) & 0xffff_ffff) as u32;
     buf[5..header].copy_from_slice(&checksum.to_le_bytes());
-    let error = decode(cluster_id("shops"), &buf).expect_err("no known shape");
+    let error = decode(cluster_id("shops"), &buf).expect_err("must be rejected");
     assert!(matches!(error, DecodeError::Malformed { .. }));
 }
 
@@ -93,7 +93,7 @@
         .with_iterations(20_000)
         .with_type::<Vec<u8>>()
         .for_each(|buf| {
-            // Whatever comes, it is either refused or a message; both are fine.
+            // Either result is fine: rejected, or decoded.
             let _ = decode(cluster_id("shops"), buf);
         });
 }
--- a/crates/peer/tests/liveness.rs
+++ b/crates/peer/tests/liveness.rs
@@ -1,24 +1,24 @@
-//! When connections that acknowledge nothing are made anew.
+//! When connections without acknowledgements are reopened.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use filberthead_peer::liveness::{Acknowledgements, ConnectionMonitor, Liveness};
 
-/// As gateways report to control.
+/// How often a message is sent; the period of gateways' reports to control.
 const PERIOD: Duration = Duration::from_millis(500);
-/// What a process may take to be heard again once the way to it is back: less than the time
-/// after which callers count on it to obey a change.
+/// Maximum time between reconnects, and so until messages arrive again once the path is back:
+/// less than the time after which callers rely on a process to have applied a change.
 const MAX_RECONNECT_GAP: Duration = Duration::from_secs(3);
 
 fn peer() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7540))
 }
 
-/// The way to a process is cut for over a minute. Each new connection hangs, and what the
-/// system itself tries for it becomes rarer and rarer. After a cut of 18 s gateways went on
-/// for another 5.4 s without hearing control, and refused what had been added meanwhile:
-/// attempts were 3, 6 and then 12 s apart.
+/// The path to a peer is down for over a minute. Each new connection hangs, and the operating
+/// system's own retries become less and less frequent. With attempts 3, 6 and then 12 s apart,
+/// gateways received nothing from control for another 5.4 s after an outage of 18 s, and
+/// rejected requests for what had been added in the meantime.
 #[test]
 fn reconnects_stay_frequent_however_long_a_peer_was_unreachable() {
     let start = Instant::now();
@@ -33,12 +33,15 @@
         }
     }
     let gaps = reconnects.windows(2).map(|pair| pair[1] - pair[0]);
-    let longest = gaps.max().expect("it is tried again");
-    assert!(longest <= MAX_RECONNECT_GAP, "{longest:?} between attempts");
+    let longest = gaps.max().expect("the connection is reopened");
+    assert!(
+        longest <= MAX_RECONNECT_GAP,
+        "{longest:?} between reconnects"
+    );
 }
 
-/// A slow VM acknowledges what it is sent after 1.8 s, longer than is waited at first. If its
-/// connection were made anew each time, nothing sent on it would ever arrive.
+/// A slow VM acknowledges messages after 1.8 s, longer than the first timeout. If its
+/// connection were reopened each time, nothing sent on it would ever arrive.
 #[test]
 fn a_slow_peer_keeps_its_connection() {
     let slow = Duration::from_millis(1800);
@@ -57,5 +60,5 @@
             reconnects += 1;
         }
     }
-    assert!(reconnects <= 2, "{reconnects} times in 100 s");
+    assert!(reconnects <= 2, "reopened {reconnects} times in 100 s");
 }
