--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals on their way to a caller.
+//! Answers and refusals sent to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -21,30 +21,30 @@
 /// The answer to a call: a response, or a refusal with its result code.
 pub type Answer = Result<Response<AnswerBody>, Refusal>;
 
-/// Part of a streamed answer.
+/// Item of a streamed answer body.
 #[derive(Debug)]
 pub enum BodyPart {
     /// Data or trailers.
     Frame(Frame<Bytes>),
-    /// The answer is complete.
+    /// The body is complete.
     End,
 }
 
-/// A streamed answer ended before it was complete.
+/// A streamed answer whose channel closed before [`BodyPart::End`].
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
-#[snafu(display("the answer was cut"))]
+#[snafu(display("the answer ended before its body was complete"))]
 pub struct IncompleteBody;
 
 /// Body of an answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// Buffered in memory.
     Buffered(Bytes),
-    /// Piece by piece. The channel holds few pieces, and the sender waits while it is
-    /// full, so a slow reader costs a fixed amount of memory.
+    /// Streamed from an endpoint. The channel holds few parts, and the sender waits while it
+    /// is full, so a slow reader costs a fixed amount of memory.
     Stream(mpsc::Receiver<BodyPart>),
-    /// Nothing is left.
+    /// Completely read.
     Done,
 }
 
@@ -79,8 +79,8 @@
                 *self = Self::Done;
                 None
             }
-            // The sending task died without a word: to end here as if all had been
-            // sent would pass a cut answer off as whole wherever no length was given.
+            // The sending task ended without `End`. Ending the body normally would make a
+            // truncated answer look complete wherever it has no length.
             None => {
                 *self = Self::Done;
                 Some(Err(IncompleteBody))
@@ -117,12 +117,12 @@
     }
 }
 
-/// A request that gets no endpoint's answer.
+/// An error answer of this system to a request that gets no endpoint's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why, and what that says about execution.
+    /// The reason, which also implies whether the request may have run.
     pub code: ResultCode,
-    /// When a resend makes sense.
+    /// Time for the `Retry-After` header; `None` leaves the header out.
     pub retry_after: Option<Duration>,
 }
 
@@ -135,7 +135,7 @@
 }
 
 impl Refusal {
-    /// A refusal without a time for a resend.
+    /// A refusal without `Retry-After`.
     pub fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -143,14 +143,14 @@
         }
     }
 
-    /// Names when a resend makes sense.
+    /// Sets the time for the `Retry-After` header.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The HTTP answer that tells it.
+    /// Converts it to an HTTP response with a JSON body.
     pub fn into_response(self, id: RequestId) -> Response<AnswerBody> {
         let body = RefusalBody {
             code: self.code.number(),
@@ -173,14 +173,15 @@
     }
 }
 
-/// `Retry-After` knows whole seconds only; a part counts as one, because a resend
-/// that comes too early is refused again.
+/// `Retry-After` allows whole seconds only; fractions are rounded up, because a retry that
+/// comes too early is rejected again.
 fn ceil_seconds(after: Duration) -> HeaderValue {
     let round_up = u64::from(after.subsec_nanos() > 0);
     HeaderValue::from(after.as_secs() + round_up)
 }
 
-/// Adds the headers that every answer to a request carries.
+/// Adds the headers that every answer to a request carries: result code, meaning and
+/// request id.
 pub fn insert_result_headers<B>(response: &mut Response<B>, id: RequestId, code: ResultCode) {
     let headers = response.headers_mut();
     headers.insert(RESULT, HeaderValue::from(code.number()));
--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -1,4 +1,4 @@
-//! A request on its way from a caller to the thread that talks to endpoints.
+//! A caller's request as passed to the thread that sends requests to endpoints.
 
 use std::net::IpAddr;
 
@@ -10,48 +10,49 @@
 
 use crate::Answer;
 
-/// How often a request may run.
+/// How often a request may be sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// A safe method (`GET`, `HEAD`, `OPTIONS`): as often as it takes.
+    /// A safe method (`GET`, `HEAD`, `OPTIONS`): any number of times.
     Repeatable,
-    /// `PUT` or `DELETE` without a key. The method allows its caller to send it again,
-    /// so it needs no key; but an entry hands it to one endpoint only. So does an entry
-    /// with a request that the home of its key has started.
+    /// `PUT` or `DELETE` without a key. HTTP allows the caller to send it again, so it needs
+    /// no key, but an entry sends it to one endpoint only. The same holds for a request that
+    /// the home of its key has started.
     Once,
-    /// At most once under this key, whoever sends it again and wherever.
+    /// At most once under this idempotency key, whichever entries receive the retries.
     Keyed(String),
 }
 
-/// The entry that passed a request on.
+/// The entry that forwarded a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedBy {
     /// Its name.
     pub name: NodeName,
-    /// Its incarnation, which only entries know: proof that no caller made this up.
+    /// Its incarnation. Only entries know it, which proves that the header isn't forged by a
+    /// caller.
     pub incarnation: Incarnation,
 }
 
-/// A request, its deadline and the way back.
+/// A request, its deadline and the channel for its answer.
 #[derive(Debug)]
 pub struct Call {
-    /// Ties the answer to the request on every hop.
+    /// Identifies the request, and its answer, on every hop.
     pub id: RequestId,
-    /// The service asked for.
+    /// The requested service.
     pub service: ServiceName,
-    /// How often it may run.
+    /// How often it may be sent to an endpoint.
     pub execution: Execution,
-    /// When the caller gives up.
+    /// When the caller's timeout expires.
     pub deadline: Instant,
-    /// The caller's address; behind a forwarding entry, as that entry saw it.
+    /// The caller's address; of a forwarded request, the one that the forwarding entry sent.
+    /// `None` if that entry sent no valid address.
     pub caller: Option<IpAddr>,
-    /// How many entries have passed it on towards the home of its key.
+    /// How many entries have forwarded it towards the home of its key.
     pub key_hops: u8,
-    /// The entry that passed it on, if it comes from one.
+    /// The entry that forwarded it; `None` if it comes from a caller.
     pub forwarded_by: Option<ForwardedBy>,
-    /// Method, path and query as the endpoint is to see them, headers as received,
-    /// and the body, unread.
+    /// Method, path and query for the endpoint, headers as received, and the unread body.
     pub request: Request<Incoming>,
-    /// Takes the answer. Closed once the caller is gone.
+    /// Channel for the answer; closed when the caller disconnects.
     pub answer: oneshot::Sender<Answer>,
 }
--- a/crates/caller/src/connection.rs
+++ b/crates/caller/src/connection.rs
@@ -1,10 +1,9 @@
-//! Connections of callers, and how all of them are reached at once.
+//! Callers' connections, and how idle ones are closed.
 //!
-//! A caller's connection is polled for every request, so nothing else may be polled
-//! with it: neither a timer that each request would set anew nor a channel that tells
-//! of a planned stop. Instead each connection notes in a cell when it was last used,
-//! and a task that runs every few seconds, or at a planned stop, wakes those that are
-//! to end.
+//! A connection is polled for every request, so nothing else is polled along with it:
+//! neither a timer that each request would reset nor a channel that signals a planned stop.
+//! Instead each connection stores in a cell when it was last used, and a task that runs every
+//! few seconds, or at a planned stop, wakes the connections that must close.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,18 +19,18 @@
 
 use crate::AnswerBody;
 
-/// What the task of a connection and the rest of the server share.
+/// State shared by a connection's task and the rest of the server.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionState {
     waker: RefCell<Option<Waker>>,
     closing: Cell<bool>,
-    /// Requests that are being answered; 0 or 1.
+    /// Whether a request is being answered.
     running: Cell<bool>,
-    /// Sweep in which it was last used.
+    /// Number of the sweep during which a request last began or ended.
     last_used: Cell<u32>,
 }
 
-/// All connections of a server.
+/// All open connections of a server.
 #[derive(Debug, Default)]
 pub(crate) struct Connections {
     open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
@@ -39,12 +38,12 @@
     sweep: Cell<u32>,
 }
 
-/// Registers a connection until it is dropped.
+/// Keeps a connection in the list of open ones until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Registration {
     connections: Rc<Connections>,
     id: u64,
-    /// What the connection's task looks at.
+    /// Read by the connection's task.
     pub(crate) state: Rc<ConnectionState>,
 }
 
@@ -62,19 +61,20 @@
         }
     }
 
-    /// Notes that a request begins.
+    /// Records that a request begins.
     pub(crate) fn begin_request(&self, state: &ConnectionState) {
         state.running.set(true);
         state.last_used.set(self.sweep.get());
     }
 
-    /// Notes that a request has its answer.
+    /// Records that a request was answered.
     pub(crate) fn end_request(&self, state: &ConnectionState) {
         state.running.set(false);
         state.last_used.set(self.sweep.get());
     }
 
-    /// Ends connections that weren't used for `sweeps` calls of this.
+    /// Closes idle connections that weren't used during the last `sweeps` calls of this
+    /// function.
     pub(crate) fn sweep(&self, sweeps: u32) {
         let now = self.sweep.get().wrapping_add(1);
         self.sweep.set(now);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends all connections, each after the request that it is answering.
+    /// Closes all connections gracefully, each after the request that it is answering.
     pub(crate) fn close_all(&self) {
         for state in self.open.borrow().values() {
             state.close();
@@ -115,7 +115,8 @@
     }
 }
 
-/// A connection that ends in order once it is told to.
+/// Future that serves a connection, and shuts it down gracefully once
+/// [`ConnectionState::closing`] is set.
 pub(crate) struct ServedConnection<S: HttpService<hyper::body::Incoming>> {
     connection: Pin<Box<http1::Connection<TokioIo<TcpStream>, S>>>,
     registration: Registration,
@@ -165,7 +166,7 @@
         }
         let result = std::task::ready!(self.connection.as_mut().poll(cx));
         if let Err(e) = result {
-            debug!(error:% = e; "a caller's connection broke");
+            debug!(error:% = e; "a caller's connection failed");
         }
         Poll::Ready(())
     }
--- a/crates/caller/src/directory.rs
+++ b/crates/caller/src/directory.rs
@@ -1,4 +1,4 @@
-//! What look-ups are answered from.
+//! Prepared answers to look-ups.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
@@ -11,28 +11,29 @@
 
 use crate::StartNumber;
 
-/// Entries that an answer names at most: enough for a caller to outlive a failure
-/// domain within one time to live, few enough for an answer of one packet.
+/// Maximum number of entries in an answer: enough for a caller to survive the loss of a
+/// failure domain within one TTL, few enough for the answer to fit into one packet.
 const MAX_ENTRIES: usize = 6;
 
-/// A live entry, as look-ups name it.
+/// A live entry, as listed in answers to look-ups.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Its name.
     pub name: NodeName,
-    /// Its incarnation, to know requests that it forwards.
+    /// Its incarnation, which authenticates the requests that it forwards.
     pub incarnation: Incarnation,
-    /// Where callers reach it.
+    /// Its address for callers.
     pub addr: SocketAddr,
     /// Its region.
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it is on a planned stop: known, but not to be named to callers.
+    /// Whether it is in a planned stop: it may still forward requests, but isn't listed to
+    /// callers.
     pub leaving: bool,
 }
 
-/// Answers to look-ups, made beforehand, and the entries that may forward requests.
+/// Answers to look-ups, prepared in advance, and the entries that may forward requests.
 #[derive(Debug, Default)]
 pub struct Directory {
     start: Option<StartNumber>,
@@ -69,15 +70,15 @@
     failure_domain: &'a FailureDomain,
 }
 
-/// Callers fall into as many groups, each with answers of its own, so that weights can
-/// be met to within 1% although answers are made beforehand.
+/// Number of caller groups. Each has its own prepared answers, so that the distribution of
+/// callers matches the weights to within 1%.
 const GROUPS: u16 = 128;
 
 /// A group of callers that get the same answers.
 ///
-/// Steering draws a caller's region and entry from its address. It is asked about
-/// groups instead, for look-ups and for requests alike, so that answers can be made
-/// before a caller asks and still agree with what steering decides on its request.
+/// Steering chooses a caller's region and entry by hashing its address. For look-ups and for
+/// requests alike it gets the group's address instead, so that answers can be prepared in
+/// advance and still agree with what steering decides for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerGroup(u16);
 
@@ -96,15 +97,15 @@
         Self((hash % u64::from(GROUPS)) as u16)
     }
 
-    /// The address that steering is told for every caller of the group.
+    /// The address passed to steering for every caller of the group.
     pub fn address(self) -> IpAddr {
         IpAddr::V6(Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 0, self.0))
     }
 }
 
 impl Directory {
-    /// Starts a directory as seen from a failure domain, without entries or
-    /// services; callers may keep its answers for 10 s, and keys get no prefix.
+    /// Creates a builder of a directory for an entry in this failure domain, without entries
+    /// or services, with a TTL of 10 s and no key prefix.
     pub fn builder(failure_domain: FailureDomain) -> DirectoryBuilder {
         DirectoryBuilder {
             failure_domain,
@@ -117,13 +118,15 @@
         }
     }
 
-    /// The start of the process under which it was made, once the newest table was known.
+    /// The start of the process under which it was built; `None` if the newest table wasn't
+    /// known then.
     pub fn start(&self) -> Option<StartNumber> {
         self.start
     }
 
-    /// Why a service isn't known: it doesn't exist, or that can't be told here. A table that
-    /// may have been overtaken names services, but can't deny any: callers take that as final.
+    /// The result code for a service that isn't in the directory: it doesn't exist, or that
+    /// can't be decided here. An outdated table may lack a new service, so a directory built
+    /// from it must not deny one: callers treat that as final.
     pub fn unknown_service_code(&self) -> ResultCode {
         match self.complete {
             true => ResultCode::UnknownService,
@@ -131,18 +134,17 @@
         }
     }
 
-    /// What callers put before their idempotency keys; empty if no keys are taken.
+    /// The prefix for callers' idempotency keys; empty if no keys are accepted.
     pub fn key_prefix(&self) -> &str {
         &self.key_prefix
     }
 
-    /// Whether the service is known.
+    /// Whether the directory lists the service.
     pub fn has_service(&self, service: &ServiceName) -> bool {
         self.answers.contains_key(service.as_str())
     }
 
-    /// The answer to a look-up: empty if the service is known but no entry serves it.
-    ///
+    /// The answer to a look-up; `None` if the service isn't listed, empty if no entry serves it.
     pub fn answer(&self, service: &str, group: CallerGroup) -> Option<Bytes> {
         let prepared = self.answers.get(service)?;
         if prepared.is_empty() {
@@ -151,36 +153,36 @@
         Some(prepared[usize::from(group.0) % prepared.len()].clone())
     }
 
-    /// Whether this name and incarnation are those of an entry known here.
+    /// Whether this name and incarnation are those of a listed entry.
     pub fn is_entry(&self, name: &NodeName, incarnation: Incarnation) -> bool {
         self.incarnations.get(name) == Some(&incarnation)
     }
 }
 
 impl DirectoryBuilder {
-    /// How long callers may keep an answer. Default 10 s.
+    /// How long callers may cache an answer. Default 10 s.
     #[must_use]
     pub fn ttl(mut self, ttl: Duration) -> Self {
         self.ttl = ttl;
         self
     }
 
-    /// Start of the process whose table the answers are made by. Default none, and none of
-    /// them is given.
+    /// The start of the process under which the answers are prepared. Default `None`, with
+    /// which no answer is given to callers.
     #[must_use]
     pub fn start(mut self, start: Option<StartNumber>) -> Self {
         self.start = start;
         self
     }
 
-    /// Whether services that aren't added don't exist. Default false.
+    /// Whether the services added are all that exist. Default false.
     #[must_use]
     pub fn complete(mut self, complete: bool) -> Self {
         self.complete = complete;
         self
     }
 
-    /// What callers put before their idempotency keys. Default nothing.
+    /// The prefix for callers' idempotency keys. Default empty.
     #[must_use]
     pub fn key_prefix(mut self, prefix: impl Into<String>) -> Self {
         self.key_prefix = prefix.into();
@@ -194,15 +196,14 @@
         self
     }
 
-    /// Adds a service and, for each [`CallerGroup`], the order, best entry first, in
-    /// which its look-ups name entries.
+    /// Adds a service with one list of entries per [`CallerGroup`], best entry first.
     #[must_use]
     pub fn service(mut self, service: ServiceName, orders: Vec<Vec<NodeName>>) -> Self {
         self.services.insert(service, orders);
         self
     }
 
-    /// Makes the answers.
+    /// Prepares the answers.
     pub fn build(&self) -> Directory {
         let incarnations = self
             .entries
@@ -232,9 +233,9 @@
             .collect()
     }
 
-    /// The entries to be named: whatever the order says, none that is leaving, and the
-    /// second in another failure domain than the first if there is such a one, because
-    /// a caller that tries the second does so when the first's domain may be gone.
+    /// The entries to list, in the given order except that leaving ones are skipped, and that
+    /// the second is one in another failure domain than the first if there is one, because a
+    /// caller tries the second when the first's failure domain may be down.
     fn select_entries(&self, order: &[NodeName]) -> Vec<&Entry> {
         let mut selected: Vec<_> = order
             .iter()
--- a/crates/caller/src/heartbeat.rs
+++ b/crates/caller/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Whether what callers are answered by is that of a process that has run all along.
+//! Detects that the process was suspended, so that callers aren't answered from old data.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-/// Number of a start of the process; waking from a suspension is one as well.
+/// Counts the starts of the process; resuming after a suspension counts as a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartNumber(u64);
 
@@ -14,16 +14,16 @@
 struct Shared {
     /// Milliseconds from the origin to the last beat.
     last_beat: AtomicU64,
+    /// Number of the current start.
     starts: AtomicU64,
 }
 
-/// Beaten by the thread that knows the table in force, and looked at before each answer.
+/// Heartbeat of the thread that maintains the table in force, checked before each answer.
 ///
-/// Guards against a process that was suspended: it wakes with weights that may be hours
-/// old. Each thread may have its turn first, so two things are looked at. The last beat
-/// is as old as the suspension until the thread that knows the table has had its turn;
-/// then the start has a new number, and whatever was prepared under an earlier one
-/// counts for nothing, however late it is replaced.
+/// A process that was suspended resumes with weights that may be hours old. Any thread may
+/// run first after that, so two things are checked. Until the table's thread has run, the
+/// last beat is too old. Once it has run, the start has a new number, and data prepared under
+/// an earlier start is invalid, however late it is replaced.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     origin: Instant,
@@ -32,7 +32,7 @@
 }
 
 impl Heartbeat {
-    /// A heartbeat that counts as lost after `timeout` without a beat.
+    /// A heartbeat that expires `timeout` after the last beat.
     pub fn new(timeout: Duration) -> Self {
         Self {
             origin: Instant::now(),
@@ -41,25 +41,25 @@
         }
     }
 
-    /// Begins a new start. Must come before the beat of the step that noticed it.
+    /// Begins a new start. Must be called before the beat of the step that detected it.
     pub fn start_over(&self) {
         self.shared.starts.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// The start that is under way.
+    /// Number of the current start.
     pub fn start(&self) -> StartNumber {
         StartNumber(self.shared.starts.load(Ordering::Acquire))
     }
 
-    /// Says that the process runs at this moment.
+    /// Records that the table's thread is running now.
     pub fn beat(&self) {
         let millis = u64::try_from(self.origin.elapsed().as_millis());
         let millis = millis.unwrap_or(u64::MAX);
         self.shared.last_beat.store(millis, Ordering::Release);
     }
 
-    /// Whether callers may be answered by what was prepared under `start`; `None` was
-    /// prepared before the newest table was known.
+    /// Whether callers may be answered from data prepared under `start`. Always false for
+    /// `None`, which stands for data prepared before the newest table was known.
     pub fn is_valid_for(&self, start: Option<StartNumber>) -> bool {
         let last = Duration::from_millis(self.shared.last_beat.load(Ordering::Acquire));
         let recent = self.origin.elapsed().saturating_sub(last) < self.timeout;
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,18 +1,19 @@
-//! HTTP towards callers: look-ups and requests.
+//! HTTP server for callers: look-ups and requests.
 //!
-//! A look-up is answered on the connection's own thread from bytes that were made
-//! when the table or the set of entries last changed ([`Directory`]); it never waits
-//! for another thread. A request becomes a [`Call`] and goes through a bounded ring to
-//! the thread that talks to endpoints, which answers through the call's own channel.
+//! A look-up is answered on the connection's own thread from bytes prepared when the table
+//! or the set of entries last changed ([`Directory`]); it never waits for another thread. A
+//! request becomes a [`Call`] and is passed through a bounded ring to the thread that sends
+//! requests to endpoints, which answers through the call's own channel.
 //!
 //! Invariants relied on elsewhere:
 //!
-//! - a call that couldn't be put into the ring is refused at once: as not run, or, under
-//!   an idempotency key, as not checked, for an earlier send of the key may have run;
-//! - a call whose answering side vanished without a word is answered as one that may
+//! - a call that couldn't be pushed into the ring is refused at once: as not run, or, with
+//!   an idempotency key, as not checked, because an earlier send with the key may have run;
+//! - a call whose answer channel is dropped without an answer is answered as one that may
 //!   have run, never as one that didn't;
-//! - a streamed answer is complete only after [`BodyPart::End`]; whatever else ends the
-//!   channel breaks the caller's connection, so that no cut answer looks whole.
+//! - a streamed answer is complete only after [`BodyPart::End`]; if the channel closes
+//!   without it, the caller's connection is closed, so that no truncated answer looks
+//!   complete.
 
 mod answer;
 mod call;
--- a/crates/caller/src/route.rs
+++ b/crates/caller/src/route.rs
@@ -1,4 +1,4 @@
-//! What a request line and its headers ask for.
+//! Parses the request line and the headers of a caller's request.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use crate::{Execution, ForwardedBy};
 
-/// Longest idempotency key accepted, in bytes, the prefix of a look-up included.
+/// Maximum length of an idempotency key in bytes, including the prefix from a look-up.
 pub const MAX_KEY_LEN: usize = 200;
 
 const LOOKUP_PATH: &str = "/v1/lookup";
 const SERVICES_PATH: &str = "/v1/services/";
 const SERVICE_PARAMETER: &str = "service=";
 
-/// What to do with a request.
+/// How a request is handled.
 #[derive(Debug)]
 pub(crate) enum Route<'a> {
-    /// Name entries for this service.
+    /// A look-up of this service.
     Lookup(&'a str),
-    /// Carry the request to an endpoint of this service, with this path and query.
+    /// A request to an endpoint of this service, with this path and query.
     Service(ServiceName, PathAndQuery),
-    /// Answer with this code.
+    /// Refuse the request with this code.
     Refuse(ResultCode),
 }
 
-/// Reads the request line.
+/// Parses the request line.
 pub(crate) fn route<'a>(method: &Method, uri: &'a Uri) -> Route<'a> {
     let path = uri.path();
     if path == LOOKUP_PATH {
@@ -66,11 +66,11 @@
     service.map_or(Route::Refuse(ResultCode::BadRequest), Route::Lookup)
 }
 
-/// How often a request may run, from its method and key.
+/// How often a request may be sent to an endpoint, from its method and key.
 ///
-/// Only safe methods count as repeatable. HTTP calls `PUT` and `DELETE` idempotent too,
-/// but a registration sent twice by `PUT` may well be counted twice by the service, and
-/// nothing in the request tells.
+/// Only safe methods count as repeatable. HTTP defines `PUT` and `DELETE` as idempotent too,
+/// but a service may count a registration sent twice by `PUT` twice, and nothing in the
+/// request shows that.
 pub(crate) fn execution<B>(request: &Request<B>) -> Result<Execution, ResultCode> {
     match *request.method() {
         Method::GET | Method::HEAD | Method::OPTIONS => return Ok(Execution::Repeatable),
@@ -91,8 +91,8 @@
     Ok(Execution::Keyed(key.to_owned()))
 }
 
-/// How often a request from another entry may run, and how many entries have passed it
-/// on towards the home of its key.
+/// How often a request from another entry may be sent to an endpoint, and how many entries
+/// have forwarded it towards the home of its key.
 pub(crate) fn forwarded_execution<B>(request: &Request<B>) -> Result<(Execution, u8), ResultCode> {
     let execution = execution(request)?;
     let headers = request.headers();
@@ -104,11 +104,11 @@
     }
     let hops = headers.get(header::KEY_HOPS);
     let hops = hops.and_then(|value| value.to_str().ok()?.parse().ok());
-    // Without a readable number it has gone far enough.
+    // Without a valid number it must not be forwarded any further.
     Ok((execution, hops.unwrap_or(u8::MAX)))
 }
 
-/// How long the caller waits, if it says so.
+/// The caller's timeout; `None` if it sent none.
 pub(crate) fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, ResultCode> {
     let Some(value) = headers.get(header::TIMEOUT_MS) else {
         return Ok(None);
@@ -118,18 +118,18 @@
         .ok_or(ResultCode::BadRequest)
 }
 
-/// A request that claims to come from another entry.
+/// Headers of a request that claims to come from another entry.
 #[derive(Debug)]
 pub(crate) struct Forwarded {
-    /// The entry that passed it on.
+    /// The entry that forwarded it.
     pub(crate) by: ForwardedBy,
-    /// The id that it gave the request.
+    /// The request id that the entry assigned.
     pub(crate) id: RequestId,
-    /// The caller as that entry saw it.
+    /// The caller's address; `None` if missing or invalid.
     pub(crate) caller: Option<IpAddr>,
 }
 
-/// Reads what an entry says about a request that it passes on.
+/// Parses the headers that an entry adds to a forwarded request; `None` if invalid.
 pub(crate) fn parse_forwarded(headers: &HeaderMap) -> Option<Forwarded> {
     let text = |name| headers.get(name)?.to_str().ok();
     let (name, incarnation) = text(header::FORWARDED_BY)?.split_once(' ')?;
