--- a/crates/caller/src/directory.rs
+++ b/crates/caller/src/directory.rs
@@ -76,7 +76,7 @@
 
 /// A group of callers that get the same answers.
 ///
-/// Steering chooses a caller's region and entry by hashing its address. For look-ups and for
+/// Steering chooses a caller's region and entry by its address. For look-ups and for
 /// requests alike it gets the group's address instead, so that answers can be prepared in
 /// advance and still agree with what steering decides for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -160,7 +160,7 @@
 }
 
 impl DirectoryBuilder {
-    /// How long callers may cache an answer. Default 10 s.
+    /// How long callers may use an answer. Default 10 s.
     #[must_use]
     pub fn ttl(mut self, ttl: Duration) -> Self {
         self.ttl = ttl;
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -31,66 +31,67 @@
     Answer, AnswerBody, Call, CallerGroup, Directory, Execution, ForwardedBy, Heartbeat, Refusal,
 };
 
-/// How often unused connections are looked for.
+/// How often the server checks for idle connections.
 const SWEEP_PERIOD: Duration = Duration::from_secs(5);
-/// After so many sweeps without a whole request's head a connection is ended, be its
-/// caller idle, gone or slow on purpose.
+/// After this many sweeps without a complete request head a connection is closed, whether its
+/// caller is idle, gone or deliberately slow.
 const MAX_UNUSED_SWEEPS: u32 = 12;
-/// How often a server that closes looks whether its last connection has ended.
+/// How often a closing server checks whether its last connection has closed.
 const CLOSING_POLL_PERIOD: Duration = Duration::from_millis(20);
-/// Bytes that a connection holds at most of what its caller hasn't read yet; also the
-/// bound of a request's head. 16 KiB keeps a thousand slow readers within tens of MB.
+/// Maximum number of bytes buffered per connection that its caller hasn't read yet; also the
+/// maximum length of a request head. 16 KiB keeps a thousand slow readers within tens of MB.
 const MAX_BUF: usize = 16 * 1024;
-/// Pause after an accept that failed for want of file descriptors.
+/// Pause after a failed accept, such as one for which no file descriptor was left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A caller that is refused for want of room is asked to come back after this.
+/// `Retry-After` of refusals for lack of capacity or because this entry isn't ready.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Most that a caller may ask for as its timeout.
+/// Maximum timeout; longer ones from callers are reduced to it.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Where the server stands on its way to a planned stop.
+/// Stage of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes requests.
+    /// Accepts requests; no stop is planned.
     Serving,
-    /// Takes requests of callers that still hold an older look-up's answer, and asks
-    /// each to close its connection.
+    /// Still accepts requests, from callers that use an older answer to a look-up, and asks
+    /// each caller to close its connection.
     Leaving,
-    /// Takes no more connections, finishes what is running.
+    /// Accepts no more connections and finishes the running requests.
     Closing,
 }
 
-/// Bounds of the server.
+/// Limits of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections at the same time. Further ones wait in the system's own bounded
-    /// queue of connections.
+    /// Maximum number of open connections. Further ones wait in the operating system's bounded
+    /// accept queue.
     pub connections: usize,
-    /// Deadline of a request that names none.
+    /// Timeout of a request that sends none.
     pub request_timeout: Duration,
 }
 
-/// The other end of a connection.
+/// The remote end of a connection.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     addr: IpAddr,
     group: CallerGroup,
 }
 
-/// Who sends a request.
+/// The verified origin of a request.
 struct Source {
     id: RequestId,
     caller: Option<IpAddr>,
     forwarded_by: Option<ForwardedBy>,
 }
 
-/// Takes note of look-ups. Called on the thread that answers them, so it must not wait.
+/// Receives an event per look-up. Called on the thread that answers look-ups, so it must not
+/// block.
 pub trait LookupObserver: fmt::Debug + Send + Sync {
-    /// A look-up was answered.
+    /// A look-up was answered with `code` after the time `took`.
     fn looked_up(&self, code: ResultCode, took: Duration);
 }
 
-/// What a server is made of; [`Server::run`] makes one of it on its own thread.
+/// The configured server; [`Server::run`] starts it on the calling thread.
 #[derive(Debug)]
 pub struct Server {
     bounds: Bounds,
@@ -102,20 +103,19 @@
     observer: Option<Arc<dyn LookupObserver>>,
 }
 
-/// A server that runs.
+/// A server that is running, with its state.
 #[derive(Debug)]
 struct RunningServer {
     server: Server,
-    /// The phase as it was followed last.
+    /// The last phase read from the server's channel.
     phase: Cell<Phase>,
     connections: Rc<Connections>,
     next_id: Cell<u64>,
 }
 
 impl Server {
-    /// A server that answers look-ups from the newest `directory` and puts requests
-    /// into `calls`, and refuses both unless the
-    /// `heartbeat` vouches for the directory.
+    /// Creates a server that answers look-ups from the newest `directory` and pushes requests
+    /// into `calls`. It refuses both if the directory isn't valid under the `heartbeat`.
     pub fn new(
         bounds: Bounds,
         incarnation: Incarnation,
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Tells an observer of each look-up. Default none.
+    /// Sets an observer that is called after each look-up. Default none.
     #[must_use]
     pub fn observer(mut self, observer: Arc<dyn LookupObserver>) -> Self {
         self.observer = Some(observer);
         self
     }
 
-    /// Serves until [`Phase::Closing`] and the end of the last connection. Must run
+    /// Serves until [`Phase::Closing`], then until the last connection has closed. Must run
     /// within a `LocalSet`.
     pub async fn run(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(self.bounds.connections));
@@ -168,14 +168,14 @@
                     });
                 }
                 Err(e) => {
-                    warn!(error:% = e; "accepting a caller failed");
+                    warn!(error:% = e; "accepting a caller's connection failed");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
         drop(listener);
         while !server.connections.is_empty() {
-            // Also reaches connections whose task had not begun when they were told.
+            // Repeated, to include connections whose task hadn't registered them yet.
             server.connections.close_all();
             tokio::time::sleep(CLOSING_POLL_PERIOD).await;
         }
@@ -183,7 +183,7 @@
 }
 
 impl RunningServer {
-    /// Follows the phase and ends unused connections, until [`Phase::Closing`].
+    /// Tracks the phase and closes idle connections, until [`Phase::Closing`].
     async fn follow_phase(&self) {
         let mut phase = self.server.phase.clone();
         let mut sweep = tokio::time::interval(SWEEP_PERIOD);
@@ -195,7 +195,7 @@
             }
             tokio::select! {
                 changed = phase.changed() => if changed.is_err() {
-                    // Nobody is left to change the phase: the process ends.
+                    // The sender of the phase was dropped: the process is ending.
                     return;
                 },
                 _ = sweep.tick() => self.connections.sweep(MAX_UNUSED_SWEEPS),
@@ -204,9 +204,9 @@
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, from: IpAddr) {
-        // Answers are written in one piece; waiting for more would only add latency.
+        // Answers are written at once; waiting for more data would only add latency.
         if let Err(e) = stream.set_nodelay(true) {
-            debug!(error:% = e; "a caller went away");
+            debug!(error:% = e; "setting TCP_NODELAY on a caller's connection failed");
             return;
         }
         let registration = self.connections.register();
@@ -224,7 +224,7 @@
         ServedConnection::new(connection, registration).await;
     }
 
-    /// Asks for the end of the connection while a planned stop is under way.
+    /// Adds `Connection: close` during a planned stop.
     fn close_if_stopping(&self, mut response: Response<AnswerBody>) -> Response<AnswerBody> {
         if matches!(self.phase.get(), Phase::Leaving | Phase::Closing) {
             let close = HeaderValue::from_static("close");
@@ -270,8 +270,8 @@
         let mut response = Response::new(AnswerBody::Buffered(body));
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        // The time to live stands in the body; caches between us and the caller know
-        // nothing of planned stops.
+        // The TTL is in the body; caches between this entry and the caller don't learn of
+        // planned stops.
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         Ok(response)
     }
@@ -317,8 +317,8 @@
         };
         let answer = match self.server.calls.push(call) {
             Ok(()) => receive_answer(rx).await,
-            // The thread that talks to endpoints is behind by the whole ring. Nothing
-            // of the request has left this thread.
+            // The ring to the thread that sends requests to endpoints is full. Nothing of the
+            // request has left this thread.
             Err(PushError::Full(_)) => Err(refusal_before_key_check(ResultCode::Overloaded, keyed)),
             Err(PushError::Closed(_)) => Err(refusal_before_key_check(ResultCode::Stopping, keyed)),
         };
@@ -333,8 +333,8 @@
         }
     }
 
-    /// Brings a caller that sends keys the prefix for its next one: of the entry that it
-    /// uses, so that its next request finds its home here.
+    /// Sends a caller that uses idempotency keys this entry's prefix for its next key, so that
+    /// the key's home is this entry.
     fn insert_key_prefix(&self, response: &mut Response<AnswerBody>) {
         let directory = self.server.directory.borrow();
         let prefix = Some(directory.key_prefix()).filter(|prefix| !prefix.is_empty());
@@ -343,11 +343,11 @@
         }
     }
 
-    /// Who sends a request: a caller, or an entry that proves to be one.
+    /// The origin of a request: a caller, or an entry that is authenticated by its incarnation.
     ///
-    /// A caller that could pass for an entry would skip the forwarding that a caller's
-    /// request gets. An entry that restarted a moment ago and isn't known yet is
-    /// refused as well; nothing has run, so it may ask elsewhere.
+    /// A caller that could impersonate an entry would bypass the forwarding that applies to
+    /// callers' requests. A request of an entry that has just restarted and whose new
+    /// incarnation isn't known here is refused too; nothing has run, so it may try elsewhere.
     fn source(&self, from: IpAddr, headers: &HeaderMap) -> Result<Source, ResultCode> {
         if !headers.contains_key(header::FORWARDED_BY) {
             return Ok(Source {
@@ -384,8 +384,8 @@
             Some(_) => route::forwarded_execution(&request)?,
             None => (route::execution(&request)?, 0),
         };
-        // What became of a key is asked first; a service that is gone was there when an
-        // earlier send may have run.
+        // A request with a key isn't checked here: the key's outcome comes first, because a
+        // service that was removed existed when an earlier send may have run.
         let keyed = matches!(execution, Execution::Keyed(_));
         let directory = self.server.directory.borrow();
         if !keyed && !directory.has_service(&service) {
@@ -418,7 +418,7 @@
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
 ) -> std::io::Result<(TcpStream, SocketAddr, OwnedSemaphorePermit)> {
-    // The semaphore is never closed, so this only waits for room.
+    // The semaphore is never closed, so this only waits for a free permit.
     let permit = Arc::clone(permits).acquire_owned().await;
     let permit = permit.map_err(std::io::Error::other)?;
     let (stream, from) = listener.accept().await?;
@@ -432,8 +432,8 @@
     from: Peer,
 }
 
-/// An answer that is there, as to a look-up, or one to wait for. Only the latter needs
-/// memory of its own.
+/// A response that is ready, as to a look-up, or one that is awaited. Only the latter is
+/// allocated.
 enum ResponseFuture {
     Ready(Option<Response<AnswerBody>>),
     Pending(Pin<Box<dyn Future<Output = Response<AnswerBody>>>>),
@@ -473,7 +473,7 @@
         match self.get_mut() {
             Self::Ready(response) => match response.take() {
                 Some(response) => Poll::Ready(Ok(response)),
-                // Polled again after its end, which no executor does.
+                // Polled again after completion, which no executor does.
                 None => Poll::Pending,
             },
             Self::Pending(response) => response.as_mut().poll(cx).map(Ok),
@@ -481,8 +481,9 @@
     }
 }
 
-/// A refusal before the home of the request's key was asked, if it has a key: then
-/// nobody here can say that an earlier send of it didn't run.
+/// A refusal before the home of the request's idempotency key was asked. `keyed` is whether the
+/// request has a key: if so, an earlier send with the key may have run, so the answer must not
+/// claim that nothing did.
 fn refusal_before_key_check(code: ResultCode, keyed: bool) -> Refusal {
     let code = match code.meaning() {
         Meaning::NotRun if keyed => ResultCode::KeyNotChecked,
@@ -497,8 +498,8 @@
 }
 
 async fn receive_answer(rx: oneshot::Receiver<Answer>) -> Answer {
-    // The carrying task ended without an answer: a fault of ours after the request
-    // left this thread, so nothing may be claimed about its execution.
+    // The task that handled the request ended without an answer: an internal fault after the
+    // request left this thread, so the answer must claim nothing about its execution.
     let lost = Refusal::new(ResultCode::EndpointLost);
     rx.await.unwrap_or(Err(lost))
 }
