--- a/crates/endpoint/src/body.rs
+++ b/crates/endpoint/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests towards endpoints.
+//! Bodies of requests sent to endpoints and to other entries.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,14 +10,14 @@
 /// Body of a request.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// All of it; can be sent again.
+    /// Buffered in memory; can be sent again.
     Buffered(Bytes),
-    /// As it comes from the caller; can be sent once.
+    /// Streamed from the caller; can be sent only once.
     Stream(Incoming),
 }
 
 impl RequestBody {
-    /// A copy for another attempt, if there can be one.
+    /// A copy for another attempt; `None` if the body is a stream.
     pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Buffered(bytes) => Some(Self::Buffered(bytes.clone())),
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -1,4 +1,4 @@
-//! Sends a request and says how that ended.
+//! Sends a request and classifies the outcome by whether the request may have run.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,62 +14,63 @@
 use crate::pool::Pool;
 use crate::{Connection, RequestBody, Reuse};
 
-/// How sending ended.
+/// Outcome of sending a request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The head of an answer came.
+    /// The head of the answer was received and passed its check.
     Answer(Answer),
-    /// No byte of the request reached the other side; here it is back.
+    /// No byte of the request reached the other side; returns the request.
     NotSent(Request<RequestBody>),
-    /// The connection broke with the request on it, or the answer can't be trusted:
-    /// the request may have run.
+    /// The connection broke after sending began, or the answer failed its check: the request
+    /// may have run.
     Lost,
-    /// The deadline passed with the request on the connection, which is closed.
+    /// The deadline passed after sending began: the request may have run. The connection is
+    /// closed.
     TimedOut,
 }
 
-/// How an answer is known to be the one to its request.
+/// How an answer is checked to belong to its request.
 #[derive(Clone, Copy, Debug)]
 pub enum AnswerCheck<'a> {
-    /// If it carries an id, it is this one; and its end can be told from a cut.
+    /// A request id in the answer must be this one, and the body must be framed by a length or
+    /// by chunks, so that truncation is detected.
     Id(RequestId),
-    /// If it carries this header, it has this value. An answer without a length ends with
-    /// its connection, in order or else by an error.
+    /// If the answer has this header, its value must be that of the request. The body needs no
+    /// framing: without a length it ends with the connection, either cleanly or with an error.
     Echo {
         /// The header.
         name: &'a HeaderName,
-        /// What the request carried in it.
+        /// Its value in the request.
         value: &'a HeaderValue,
     },
 }
 
-/// An answer and the connection that its body is still coming from.
+/// An answer and the connection from which its body is still read.
 #[derive(Debug)]
 pub struct Answer {
     /// Head and unread body.
     pub response: Response<Incoming>,
-    /// To be given back once the body was read to its end.
+    /// To be released once the body was read to its end.
     pub connection: Connection,
 }
 
-/// Sends requests over kept connections.
+/// Sends requests over pooled connections.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     pool: Rc<Pool>,
 }
 
 impl Client {
-    /// A client that waits no longer than this for a connection.
+    /// Creates a client with this timeout for opening a connection.
     pub fn with_connect_timeout(timeout: Duration) -> Self {
         Self {
             pool: Rc::new(Pool::new(timeout)),
         }
     }
 
-    /// Sends a request and waits for the head of its answer until `deadline`.
+    /// Sends a request and waits until `deadline` for the head of its answer.
     ///
-    /// Dropping the returned future closes the connection, which is how a request is
-    /// cancelled.
+    /// To cancel the request, drop the returned future, which closes the connection.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -81,7 +82,7 @@
         let mut connection = match timeout_at(deadline, self.pool.connection(addr, reuse)).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(e)) => {
-                debug!(addr:%, request:? = check, error:% = e; "not sent");
+                debug!(addr:%, request:? = check, error:% = e; "request not sent");
                 return SendOutcome::NotSent(req);
             }
             Err(_) => return SendOutcome::NotSent(req),
@@ -91,8 +92,8 @@
         let response = match timeout_at(deadline, sending).await {
             Ok(Ok(response)) => response,
             Ok(Err(mut e)) => {
-                debug!(addr:%, request:? = check, error:% = e.error(); "lost while sending");
-                // hyper hands the request back only if it had not begun to write it.
+                debug!(addr:%, request:? = check, error:% = e.error(); "sending a request failed");
+                // hyper returns the request only if it had not begun to write it.
                 return e
                     .take_message()
                     .map_or(SendOutcome::Lost, SendOutcome::NotSent);
@@ -100,7 +101,7 @@
             Err(_) => return SendOutcome::TimedOut,
         };
         if let Some(reason) = rejection_reason(&response, &method, check) {
-            debug!(addr:%, request:? = check, reason; "answer dropped with its connection");
+            debug!(addr:%, request:? = check, reason; "answer rejected, closing its connection");
             return SendOutcome::Lost;
         }
         SendOutcome::Answer(Answer {
@@ -109,23 +110,23 @@
         })
     }
 
-    /// Connections that are open to an address, idle ones included.
+    /// Number of open connections to an address, including idle ones.
     pub fn open_count(&self, addr: SocketAddr) -> u32 {
         self.pool.open_count(addr)
     }
 
-    /// Of these, the ones that the next request can use.
+    /// Number of idle connections to an address.
     pub fn idle_count(&self, addr: SocketAddr) -> u32 {
         self.pool.idle_count(addr)
     }
 
-    /// Closes the kept connections to an address that is gone.
+    /// Closes the idle connections to an address that is no longer in use.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.pool.close_idle(addr);
     }
 }
 
-/// Why an answer must not be given to the caller.
+/// Why an answer must not be passed to the caller; `None` if it may.
 fn rejection_reason(
     response: &Response<Incoming>,
     method: &Method,
@@ -138,22 +139,23 @@
         }
     };
     if crossed {
-        return Some("it carries the id of another request");
+        return Some("the answer has the id of another request");
     }
     if matches!(check, AnswerCheck::Id(_)) && is_unframed(response, method) {
-        return Some("its end can't be told from a cut");
+        return Some("the answer has neither a length nor chunks");
     }
     None
 }
 
-/// An answer that names another request than ours: a proxy or endpoint on the way mixed
-/// up two connections, or sends an answer that came too late for its own request.
+/// Whether an answer has the id of another request: a proxy or the endpoint confused two
+/// connections, or sent an answer that came too late for its own request.
 fn is_crossed(response: &Response<Incoming>, id: RequestId) -> bool {
     let named = response.headers().get(header::REQUEST_ID);
     named.is_some_and(|named| named.to_str().ok().and_then(|text| text.parse().ok()) != Some(id))
 }
 
-/// An answer that ends with its connection looks whole however early it was cut.
+/// Whether an answer's body ends with its connection, so that a truncated body can't be
+/// distinguished from a complete one.
 fn is_unframed(response: &Response<Incoming>, method: &Method) -> bool {
     let headers = response.headers();
     let status = response.status();
--- a/crates/endpoint/src/headers.rs
+++ b/crates/endpoint/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass an entry, and which it adds.
+//! Headers that an entry or gateway forwards, removes and adds.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const KEY_STARTED: HeaderName = HeaderName::from_static(header::KEY_STARTED);
 const CALLER: HeaderName = HeaderName::from_static(header::CALLER);
 
-/// Headers that hold for one connection only.
+/// Headers that apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -33,38 +33,38 @@
     UPGRADE,
 ];
 
-/// Where a request goes next, as its headers tell it.
+/// The next hop of a request, which determines its headers.
 #[derive(Clone, Copy, Debug)]
 pub enum Hop<'a> {
     /// To an endpoint.
     Endpoint,
     /// To an entry.
     Entry {
-        /// The entry that passes the request on.
+        /// The entry that forwards the request.
         from: &'a NodeName,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// The caller's address.
+        /// The caller's address; `None` leaves its header out.
         caller: Option<IpAddr>,
-        /// What the home of its idempotency key has to do with it.
+        /// State of the request's idempotency key.
         key: KeyHop,
     },
 }
 
-/// What an entry tells the next one about a request's idempotency key.
+/// State of a request's idempotency key, as sent from one entry to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyHop {
-    /// The request has none.
+    /// The request has no key.
     None,
-    /// The request goes to the home of its key; so many entries have passed it on.
+    /// The request is forwarded to the home of its key, and this many entries have done so.
     ToHome(u8),
-    /// The home of its key has started it.
+    /// The home of its key has started the request; the receiver sends it to an endpoint.
     Started,
 }
 
-/// Makes a caller's headers fit for the next hop: without those of the connection,
-/// without what a caller may not claim, with id and time left. The key stays, for
-/// endpoints that want to check it themselves.
+/// Converts a caller's headers for the next hop: removes hop-by-hop headers and those that a
+/// caller may not set, adds the request id and the time `left`. The idempotency key stays, for
+/// endpoints that check it themselves.
 pub fn request_headers(headers: &mut HeaderMap, id: RequestId, left: Duration, hop: Hop<'_>) {
     remove_hop_by_hop(headers);
     remove_internal(headers);
@@ -100,14 +100,14 @@
 }
 
 fn insert_text(headers: &mut HeaderMap, name: HeaderName, text: String) {
-    // Names, numbers and addresses are plain ASCII; the check can't fail on them.
+    // Names, numbers and addresses are ASCII, so the conversion can't fail.
     if let Ok(value) = HeaderValue::try_from(text) {
         headers.insert(name, value);
     }
 }
 
-/// Makes an answer's headers fit for the caller. Result headers come from entries
-/// only: what an endpoint claims about execution is read before and goes no further.
+/// Converts an answer's headers for the caller. Result headers are accepted from entries only:
+/// what an endpoint reports about execution is read before this and isn't forwarded.
 pub fn answer_headers(headers: &mut HeaderMap, from_entry: bool) {
     remove_hop_by_hop(headers);
     if !from_entry {
@@ -115,7 +115,8 @@
     }
 }
 
-/// Removes what holds for one connection only.
+/// Removes the headers that apply to one connection only, including those named in
+/// `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP towards endpoints, and towards other entries that requests are passed on to.
+//! HTTP client for endpoints, and for other entries to which requests are forwarded.
 //!
-//! [`Client::send`] says how a request ended in terms of what may have run
-//! ([`SendOutcome`]): only what is provably untouched by the other side is `NotSent`. An
-//! answer holds its connection; the connection goes back to the pool only when the
-//! whole answer was read, and is closed in every other case, so that a late or
-//! crossed answer can't reach the next request.
+//! [`Client::send`] classifies a request's outcome by whether it may have run
+//! ([`SendOutcome`]): `NotSent` only if provably no byte reached the other side. An answer
+//! owns its connection, which returns to the pool only after the whole answer was read and
+//! is closed in every other case, so that a late or misdirected answer can't reach the next
+//! request.
 //!
-//! Everything here lives on one thread and is not `Send` for that reason.
+//! All of this runs on one thread and is therefore not `Send`.
 
 mod body;
 mod client;
--- a/crates/endpoint/src/pool.rs
+++ b/crates/endpoint/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept for the next request.
+//! Pool of idle connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,30 +18,30 @@
 
 use crate::RequestBody;
 
-/// Bytes that a connection holds at most of an answer that isn't read yet; also the
-/// bound of an answer's head.
+/// Maximum number of bytes buffered per connection of an answer that isn't read yet; also the
+/// maximum length of an answer's head.
 const MAX_BUF: usize = 16 * 1024;
-/// Connections kept without a request, for each address.
+/// Maximum number of idle connections per address.
 const MAX_IDLE: usize = 64;
-/// Connections idle for longer may be half closed; they aren't used again.
+/// Connections idle for longer may be half closed and aren't reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A place that takes longer to accept a connection counts as one that doesn't.
+/// An address that doesn't accept a connection within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest answer that is read only to keep its connection.
+/// Maximum length of an unneeded answer that is read so that its connection can be reused.
 const MAX_DRAINED_LEN: usize = 16 * 1024;
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether a kept connection will do.
+/// Whether an idle connection may be reused for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// A kept connection, or else a new one.
+    /// Reuse an idle connection if there is one.
     Allowed,
-    /// A new one. The other side may close a kept connection at the moment it is used;
-    /// a request that may run only once could then not be told from one that ran.
+    /// Always open a new one. The other side may close an idle connection just as it is reused;
+    /// for a request that may run only once it would be unknown whether it ran.
     Never,
-    /// A kept connection that was used this lately, or else a new one: the other side
-    /// closes those that lie idle for longer, and may do so while a request is on its way.
+    /// Reuse a connection idle for less than this: the other side closes those that are idle
+    /// for longer, and may do so while a request is in transit.
     Within(Duration),
 }
 
@@ -55,37 +55,37 @@
     }
 }
 
-/// Why no connection can be had; nothing was sent.
+/// Why no connection is available; nothing was sent.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub(crate) enum ConnectError {
-    /// No connection in time.
-    #[snafu(display("no connection to {addr} in time"))]
+    /// Connecting timed out.
+    #[snafu(display("connecting to {addr} timed out"))]
     Late {
-        /// Where to.
+        /// The address.
         addr: SocketAddr,
-        /// The clock's word.
+        /// The timer's error.
         source: tokio::time::error::Elapsed,
     },
-    /// The connection is refused.
-    #[snafu(display("no connection to {addr}"))]
+    /// Connecting failed.
+    #[snafu(display("connecting to {addr} failed"))]
     Refused {
-        /// Where to.
+        /// The address.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The connection ended before its first request.
-    #[snafu(display("the connection to {addr} ended at once"))]
+    /// The connection closed before its first request.
+    #[snafu(display("the connection to {addr} closed before its first request"))]
     Ended {
-        /// Where to.
+        /// The address.
         addr: SocketAddr,
-        /// hyper's word.
+        /// hyper's error.
         source: hyper::Error,
     },
 }
 
-/// A connection in use. Closes when dropped, unless given back.
+/// A connection in use. Closed when dropped, unless released to the pool.
 #[derive(Debug)]
 pub struct Connection {
     addr: SocketAddr,
@@ -93,11 +93,11 @@
     task: JoinHandle<()>,
     pool: Rc<Pool>,
     idle_since: Instant,
-    /// How long the other side said it keeps the connection without a request.
+    /// How long the other side keeps the connection open without a request.
     peer_idle_timeout: Duration,
 }
 
-/// Connections that wait for the next request, by address.
+/// Idle connections, and counts of all open ones, by address.
 #[derive(Debug)]
 pub(crate) struct Pool {
     connect_timeout: Duration,
@@ -112,13 +112,14 @@
 }
 
 impl Connection {
-    /// Notes how long the other side says that it keeps the connection without a request.
+    /// Sets how long the other side keeps the connection open without a request, as it
+    /// announced.
     pub fn set_idle_timeout(&mut self, peer_idle_timeout: Duration) {
         self.peer_idle_timeout = peer_idle_timeout;
     }
 
-    /// Gives the connection back for the next request. Only for a connection whose
-    /// last answer was read to its end.
+    /// Returns the connection to the pool. Only for a connection whose last answer was read to
+    /// its end.
     pub fn release(mut self) {
         let pool = Rc::clone(&self.pool);
         if self.sender.is_closed() {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Reads an answer that nobody wants to its end and then gives the connection back,
-    /// or closes it if the answer is long or late.
+    /// Reads and discards the rest of an answer, then returns the connection to the pool, or
+    /// closes it if the answer is too long or too slow.
     pub fn drain_and_release(self, body: Incoming) {
         tokio::task::spawn_local(async move {
             let body = Limited::new(body, MAX_DRAINED_LEN).collect();
@@ -146,8 +147,8 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Ends the connection with whatever may still arrive on it: an answer that
-        // nobody waits for must not be taken for the answer to a later request.
+        // Closes the connection with any data that may still arrive on it: the answer to an
+        // abandoned request must not be taken for the answer to a later one.
         self.task.abort();
         self.pool.record_closed(self.addr);
     }
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A kept connection if that will do and there is one, or else a new one.
+    /// An idle connection if there is one and `reuse` allows it, otherwise a new one.
     pub(crate) async fn connection(
         self: &Rc<Self>,
         addr: SocketAddr,
@@ -178,9 +179,8 @@
             .context(LateSnafu { addr })?
     }
 
-    /// The connection that was used last: the longer one lies idle, the more likely it
-    /// is closed on the other side. Those that lay idle for too long stand before it and
-    /// go when they are met.
+    /// Takes the most recently used connection: the longer one is idle, the more likely the
+    /// other side has closed it. Closed or expired ones found on the way are dropped.
     fn take_idle(&self, addr: SocketAddr, idle_limit: Duration) -> Option<Connection> {
         let mut unsuitable = Vec::new();
         let mut found = None;
@@ -190,7 +190,7 @@
                 continue;
             }
             if idle >= idle_limit {
-                // Too old for this request, and so are all below it; it may do for others.
+                // Idle too long for this request, as are all below it; others may use it.
                 unsuitable.push(conn);
                 break;
             }
@@ -198,7 +198,7 @@
                 found = Some(conn);
                 break;
             }
-            // Its answer was read, but its task hasn't run since.
+            // Its answer was read, but its task hasn't run since then.
             unsuitable.push(conn);
         }
         if !unsuitable.is_empty() {
@@ -224,7 +224,7 @@
             .context(EndedSnafu { addr })?;
         let task = tokio::task::spawn_local(async move {
             if let Err(e) = conn.await {
-                debug!(addr:%, error:% = e; "a connection broke");
+                debug!(addr:%, error:% = e; "a connection failed");
             }
         });
         *self.open.borrow_mut().entry(addr).or_default() += 1;
@@ -238,7 +238,7 @@
         })
     }
 
-    /// Closes the kept connections to an address that is gone.
+    /// Closes the idle connections to an address that is no longer in use.
     pub(crate) fn close_idle(&self, addr: SocketAddr) {
         let gone = self.idle.borrow_mut().remove(&addr);
         drop(gone);
--- a/crates/endpoint/src/probe.rs
+++ b/crates/endpoint/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an endpoint how it is.
+//! Health probes of endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +14,32 @@
 use crate::{Answer, AnswerCheck, Client, RequestBody, Reuse, SendOutcome};
 
 const PATH: &str = "/health";
-/// An answer that takes longer tells less than none.
+/// An answer that takes longer than this is treated as none.
 const TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_ANSWER_LEN: usize = 4096;
 
-/// What an endpoint says about itself.
+/// An endpoint's health report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct Health {
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether it is in a planned stop.
     #[serde(default)]
     pub leaving: bool,
-    /// How full it is, 0 to 1.
+    /// Its utilisation, 0 to 1.
     #[serde(default)]
     pub load: f64,
-    /// Drawn at its start; 0 if it says nothing.
+    /// Identifies this start of the endpoint; 0 if not reported.
     #[serde(default)]
     pub incarnation: Incarnation,
 }
 
-/// Why there is no answer that counts.
+/// Why a probe failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ProbeError {
-    /// The endpoint can't be reached, or not in time.
+    /// The endpoint can't be reached, or didn't answer in time.
     #[snafu(display("no answer"))]
     Unreachable,
     /// An answer other than 200.
@@ -48,21 +48,21 @@
         /// Its status.
         status: StatusCode,
     },
-    /// The body was cut or is too long.
-    #[snafu(display("the body was cut or is too long"))]
+    /// The body is incomplete or too long.
+    #[snafu(display("the body is incomplete or too long"))]
     Body {
-        /// The reader's word.
+        /// The reader's error.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The body is no health report.
-    #[snafu(display("the body is no health report"))]
+    /// The body isn't a valid health report.
+    #[snafu(display("the body is not a valid health report"))]
     Malformed {
-        /// The parser's word.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// Asks the endpoint at `addr`.
+/// Requests a health report from the endpoint at `addr`.
 ///
 /// # Errors
 ///
--- a/crates/endpoint/src/resume.rs
+++ b/crates/endpoint/src/resume.rs
@@ -1,8 +1,8 @@
-//! Goes on with a download whose endpoint was lost.
+//! Resumes a download whose endpoint was lost.
 //!
-//! The rest is asked for by `Range` with `If-Range`, so that another endpoint sends the
-//! rest only if it holds the very same bytes; otherwise the download is cut, which its
-//! caller sees. A validator must be strong: two files with the same weak one may differ.
+//! The rest is requested with `Range` and `If-Range`, so that another endpoint sends it only
+//! if it has exactly the same bytes; otherwise the download is aborted, which the caller
+//! detects. The validator must be strong: two files with the same weak one may differ.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
 };
 use http::{HeaderMap, HeaderValue, Method, StatusCode, request, response};
 
-/// What is needed to ask for the rest of an answer.
+/// State needed to request the rest of an answer.
 #[derive(Clone, Debug)]
 pub struct Resume {
+    /// Strong `ETag` or `Last-Modified` of the file.
     validator: HeaderValue,
-    /// Place in the whole file of the next byte that the caller lacks.
+    /// Offset in the file of the next byte to send to the caller.
     next: u64,
-    /// Place of the last byte that it asked for.
+    /// Offset of the last byte that the caller requested.
     last: u64,
-    /// Length of the whole file.
+    /// Length of the file.
     total: u64,
 }
 
 impl Resume {
-    /// Reads an answer's head; `None` if the rest couldn't be asked for.
+    /// Reads the state from an answer's head; `None` if the answer can't be resumed.
     pub fn from_response(request: &request::Parts, response: &response::Parts) -> Option<Self> {
         if request.method != Method::GET || response.headers.contains_key("content-encoding") {
             return None;
@@ -50,17 +51,17 @@
         })
     }
 
-    /// Counts bytes that went to the caller.
+    /// Records bytes sent to the caller.
     pub fn advance(&mut self, bytes: u64) {
         self.next += bytes;
     }
 
-    /// Whether the caller has everything.
+    /// Whether all requested bytes were sent to the caller.
     pub fn is_complete(&self) -> bool {
         self.next > self.last
     }
 
-    /// Makes the headers of a request ask for the rest.
+    /// Sets `Range` and `If-Range` of a request for the rest.
     pub fn set_range(&self, headers: &mut HeaderMap) {
         let range = format!("bytes={}-{}", self.next, self.last);
         if let Ok(range) = HeaderValue::try_from(range) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether an answer is the rest of this file, byte for byte.
+    /// Whether an answer is exactly the rest of this file.
     pub fn matches(&self, response: &response::Parts) -> bool {
         response.status == StatusCode::PARTIAL_CONTENT
             && content_range(&response.headers) == Some((self.next, self.last, self.total))
@@ -85,8 +86,8 @@
     is_strong(modified, headers.get(DATE)?).then(|| modified.clone())
 }
 
-/// A date is a strong validator only if the file can't have changed again within the
-/// same second after this answer was made.
+/// A date is a strong validator only if the file can't have changed again within the same
+/// second, after this answer was generated.
 fn is_strong(modified: &HeaderValue, date: &HeaderValue) -> bool {
     let time = |value: &HeaderValue| httpdate::parse_http_date(value.to_str().ok()?).ok();
     let (Some(modified), Some(date)) = (time(modified), time(date)) else {
@@ -96,7 +97,7 @@
         .is_ok_and(|age| age >= Duration::from_secs(1))
 }
 
-/// First byte, last byte and whole length of a `Content-Range`.
+/// Parses a `Content-Range` into first byte, last byte and total length.
 fn content_range(headers: &HeaderMap) -> Option<(u64, u64, u64)> {
     let text = headers.get(CONTENT_RANGE)?.to_str().ok()?;
     let (range, total) = text.strip_prefix("bytes ")?.split_once('/')?;
