--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! Client of the platform's list of live and leaving VMs.
+//! Client for the platform's list of live and leaving VMs.
 //!
-//! The list lags. So it only adds knowledge: a name that it shows as leaving leaves,
-//! whoever else says it is live; a name that is missing from it isn't taken for dead;
-//! and when the list can't be had, the last one stands and its age is told.
+//! The list lags behind the real state, so it is used only in addition to other sources: a VM
+//! listed as leaving counts as leaving, even if other sources report it as live; a VM missing
+//! from the list doesn't count as dead; and if the list can't be fetched, the last one stays in
+//! use and its age is reported.
 
 mod list;
 mod poll;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The list as the platform writes it.
+//! The list in the platform's JSON format.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
     Entry,
 }
 
-/// What the platform has in mind for a VM.
+/// The state that the platform intends for a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It stays.
+    /// It keeps running.
     Live,
-    /// It is to go.
+    /// It is going to be stopped.
     Leaving,
 }
 
@@ -36,29 +36,29 @@
     pub name: NodeName,
     /// What runs on it.
     pub kind: Kind,
-    /// The service that it runs, if it is an endpoint.
+    /// The service that it runs; `None` unless it is an endpoint.
     #[serde(default, deserialize_with = "service")]
     pub service: Option<ServiceName>,
     /// Its region.
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Requests that it runs at the same time.
+    /// Maximum number of concurrent requests; 0 if missing.
     #[serde(default)]
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections; 0 if missing.
     #[serde(default)]
     pub connections: u32,
-    /// What the platform has in mind for it.
+    /// The state that the platform intends for it.
     pub state: State,
 }
 
-/// The whole list.
+/// The complete list.
 pub type List = Vec<Vm>;
 
-/// A line of the list. One that can't be understood must not hide all the others, which
+/// An item of the list. A malformed one must not make the others unreadable, because these
 /// may be leaving.
 #[derive(Debug)]
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
     Other(IgnoredAny),
 }
 
-/// Reads a list; also tells how many of its lines were left out as malformed.
+/// Parses a list; also returns the number of malformed items that were skipped.
 pub(crate) fn parse(buf: &[u8]) -> Result<(List, usize), serde_json::Error> {
     let items: Vec<ListItem> = serde_json::from_slice(buf)?;
     let total = items.len();
@@ -86,7 +86,7 @@
     }
 }
 
-/// An entry's line may have an empty service as well as none.
+/// Accepts an empty service as well as a missing one, as for entries.
 fn service<'de, D: Deserializer<'de>>(de: D) -> Result<Option<ServiceName>, D::Error> {
     let text = Option::<String>::deserialize(de)?;
     match text.as_deref() {
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -1,4 +1,4 @@
-//! Fetches the list again and again.
+//! Fetches the list over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,36 +17,36 @@
 use crate::List;
 use crate::list::parse;
 
-/// Longer than any list that the platform may have for a few hundred VMs.
+/// Maximum length of a list; longer than any list of a few hundred VMs.
 const MAX_LIST_LEN: usize = 4 * 1024 * 1024;
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the list can't be had.
+/// Why the list couldn't be fetched.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum PollError {
-    /// The URL names no `http` address by IP number and port.
-    #[snafu(display("`{url}` is no http URL with an IP number"))]
+    /// The URL isn't an `http` URL with an IP address and a port.
+    #[snafu(display("`{url}` is not an http URL with an IP address and a port"))]
     Url {
         /// The URL.
         url: String,
     },
-    /// No answer in time.
+    /// The timeout expired.
     #[snafu(display("no answer in time"))]
     Late {
-        /// The clock's word.
+        /// The timer's error.
         source: tokio::time::error::Elapsed,
     },
-    /// No connection.
-    #[snafu(display("no connection"))]
+    /// Connecting failed.
+    #[snafu(display("connecting failed"))]
     Connect {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The connection broke.
-    #[snafu(display("the connection broke"))]
+    /// The connection failed.
+    #[snafu(display("the connection failed"))]
     Broken {
-        /// hyper's word.
+        /// hyper's error.
         source: hyper::Error,
     },
     /// An answer other than 200.
@@ -55,21 +55,21 @@
         /// Its status.
         status: StatusCode,
     },
-    /// The answer was cut or is too long.
-    #[snafu(display("the list was cut or is too long"))]
+    /// The answer is incomplete or too long.
+    #[snafu(display("the list is incomplete or too long"))]
     Body {
-        /// The reader's word.
+        /// The reader's error.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The answer is no list.
+    /// The answer isn't a valid list.
     #[snafu(display("the list is malformed"))]
     Malformed {
-        /// The parser's word.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// Knows where the list is.
+/// Fetches the list from its URL.
 #[derive(Clone, Debug)]
 pub struct Poller {
     addr: SocketAddr,
@@ -77,11 +77,11 @@
 }
 
 impl Poller {
-    /// Reads the URL.
+    /// Creates a poller of this URL.
     ///
     /// # Errors
     ///
-    /// Fails unless it is `http://IP:PORT/...`; names aren't resolved here.
+    /// Fails unless the URL is `http://IP:PORT/...`; host names aren't resolved.
     pub fn new(url: &str) -> Result<Self, PollError> {
         let uri: Uri = url.parse().ok().context(UrlSnafu { url })?;
         let authority = uri.authority().context(UrlSnafu { url })?;
@@ -90,8 +90,8 @@
         Ok(Self { addr, uri })
     }
 
-    /// Fetches the list once, over a connection of its own: every few seconds one, and
-    /// none that a fault could leave half open.
+    /// Fetches the list once, over a new connection. That is cheap at one fetch every few
+    /// seconds, and no connection is kept that a fault could leave half open.
     ///
     /// # Errors
     ///
@@ -122,14 +122,14 @@
             let body = body.collect().await.context(BodySnafu)?.to_bytes();
             let (list, left_out) = parse(&body).context(MalformedSnafu)?;
             if left_out > 0 {
-                warn!(left_out; "the platform's list has lines that can't be understood");
+                warn!(left_out; "skipped malformed items of the platform's list");
             }
             Ok(list)
         };
         let mut exchange = std::pin::pin!(exchange);
         tokio::select! {
             list = &mut exchange => list,
-            // The connection may end just after the answer was read from it.
+            // The connection may close just after the answer was read from it.
             ended = conn => match ended {
                 Ok(()) => exchange.await,
                 Err(source) => Err(PollError::Broken { source }),
--- a/crates/ring/src/lib.rs
+++ b/crates/ring/src/lib.rs
@@ -1,10 +1,10 @@
-//! Bounded rings that join the threads of a process.
+//! Bounded queues between the threads of a process.
 //!
-//! Each duty of a process is a thread with a runtime of its own; a ring is the only
-//! way between two of them. A ring has a fixed capacity, so that nothing callers or
-//! the network can send makes a process grow without bound. A full ring hands the
-//! item back to the sender, who decides, at the place where the ring is declared,
-//! what full means: refuse, drop because the message will be repeated, or wait.
+//! Each duty of a process, such as disk writes, runs on its own thread with its own runtime,
+//! and the threads communicate through rings only. A ring has a fixed capacity, so that a
+//! process's memory stays bounded whatever callers or the network send. A full ring returns
+//! the item to the sender, which refuses the request, drops the message because it will be
+//! retried, or waits; which of them is decided where the ring is declared.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -21,16 +21,16 @@
     refused: AtomicU64,
 }
 
-/// Why an item wasn't taken; carries the item back.
+/// Why an item wasn't accepted; returns the item.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PushError<T> {
-    /// Every place of the ring is taken.
+    /// The ring is full.
     Full(T),
-    /// The receiving thread has ended.
+    /// The receiver was dropped.
     Closed(T),
 }
 
-/// Sending side of a ring; clones feed the same ring.
+/// Sending side of a ring; clones send to the same ring.
 #[derive(Debug)]
 pub struct Sender<T> {
     shared: Arc<Shared<T>>,
@@ -42,7 +42,7 @@
     shared: Arc<Shared<T>>,
 }
 
-/// Makes a ring of `capacity` places, at least one.
+/// Creates a ring for up to `capacity` items, at least one.
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let shared = Arc::new(Shared {
         queue: ArrayQueue::new(capacity.max(1)),
@@ -58,7 +58,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Puts an item into the ring unless it is full or its receiver has ended.
+    /// Adds an item to the ring unless it is full or its receiver was dropped.
     pub fn push(&self, item: T) -> Result<(), PushError<T>> {
         if self.shared.receiver_closed.load(Ordering::Acquire) {
             return Err(PushError::Closed(item));
@@ -75,7 +75,7 @@
         }
     }
 
-    /// How many items this ring has refused because it was full.
+    /// Number of items rejected because the ring was full.
     pub fn refused(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
@@ -99,35 +99,36 @@
 }
 
 impl<T> Receiver<T> {
-    /// Takes the oldest item, or waits for one; `None` once all senders are gone.
+    /// Removes the oldest item, or waits for one; `None` once the ring is empty and all senders
+    /// were dropped.
     ///
-    /// Cancel safe: an item leaves the ring only when it is returned.
+    /// Cancel safe: an item is removed only when it is returned.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
             if let Some(item) = self.shared.queue.pop() {
                 return Some(item);
             }
             if self.shared.senders.load(Ordering::Acquire) == 0 {
-                // A sender may have pushed between the pop and its own end.
+                // A sender may have pushed an item between the pop above and its drop.
                 return self.shared.queue.pop();
             }
-            // `notify_one` stores a permit when nobody waits, so a push between the
-            // pop above and this wait is not missed.
+            // `notify_one` stores a permit if there is no waiter, so a push between the pop
+            // above and this wait isn't missed.
             self.shared.items.notified().await;
         }
     }
 
-    /// Takes the oldest item if there is one.
+    /// Removes the oldest item; `None` if the ring is empty.
     pub fn try_recv(&mut self) -> Option<T> {
         self.shared.queue.pop()
     }
 
-    /// How many items wait in the ring.
+    /// Number of items in the ring.
     pub fn len(&self) -> usize {
         self.shared.queue.len()
     }
 
-    /// Whether no item waits in the ring.
+    /// Whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         self.shared.queue.is_empty()
     }
