--- a/crates/types/examples/result_codes.rs
+++ b/crates/types/examples/result_codes.rs
@@ -1,4 +1,4 @@
-//! Prints the page of result codes.
+//! Prints the documentation page of result codes.
 
 fn main() {
     print!("{}", filberthead_types::result_codes_page());
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -1,8 +1,8 @@
-//! Result codes: one number for each way in which a request, look-up or change ends.
+//! Result codes: one number per outcome of a request, look-up or change.
 //!
-//! A code tells its [`Meaning`] by itself, so that no caller has to guess from an
-//! HTTP status whether its request ran. `docs/RESULT-CODES.md` lists them all; a
-//! test holds the page and [`ResultCode::ALL`] together.
+//! Each code implies a [`Meaning`], so that callers needn't derive from an HTTP status whether
+//! their request ran. `docs/RESULT-CODES.md` lists all codes; a test checks that the page
+//! matches [`ResultCode::ALL`].
 
 use std::fmt;
 
@@ -21,7 +21,7 @@
 }
 
 impl Meaning {
-    /// The text used in the result header and in bodies.
+    /// The text used in the [`header::MEANING`](crate::header::MEANING) header and in bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -37,7 +37,7 @@
     }
 }
 
-/// A number that stands for no result code.
+/// A number that isn't a result code.
 #[derive(Clone, Debug)]
 #[derive(Snafu)]
 #[snafu(display("{number} is no result code"))]
@@ -58,10 +58,10 @@
         }
 
         impl ResultCode {
-            /// Every code, in the order of their numbers.
+            /// All codes in ascending order.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
 
-            /// HTTP status that goes with the code.
+            /// The HTTP status sent with the code.
             pub fn status(self) -> u16 {
                 match self {
                     $(Self::$name => $status,)*
@@ -75,14 +75,14 @@
                 }
             }
 
-            /// What the code stands for, in a sentence.
+            /// Description of the code, from its doc comment.
             pub fn description(self) -> &'static str {
                 match self {
                     $(Self::$name => concat!($($doc),*).trim_ascii(),)*
                 }
             }
 
-            /// Short stable name, as in logs and bodies.
+            /// Short stable name, used in logs and bodies.
             pub fn slug(self) -> &'static str {
                 match self {
                     $(Self::$name => $slug,)*
@@ -218,7 +218,7 @@
 }
 
 impl ResultCode {
-    /// The number that stands in the result header.
+    /// The number used in the [`header::RESULT`](crate::header::RESULT) header.
     pub fn number(self) -> u16 {
         self as u16
     }
--- a/crates/types/src/header.rs
+++ b/crates/types/src/header.rs
@@ -1,33 +1,33 @@
 //! Names of the HTTP headers that callers, entries and endpoints exchange.
 //!
-//! Every name of our own starts with [`PREFIX`]. What a caller sends under that
-//! prefix is removed unless it stands here as a caller's header, so that a caller can
-//! pass for neither an entry nor an endpoint.
+//! All names specific to this system start with [`PREFIX`]. Headers with that prefix are
+//! removed from callers' requests before these are sent on, so that a caller can impersonate
+//! neither an entry nor an endpoint.
 
-/// What all header names of our own start with.
+/// Prefix of all header names specific to this system.
 pub const PREFIX: &str = "filberthead-";
 /// From a caller: the key under which a request runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// From a caller: milliseconds until it gives up.
+/// From a caller, or between entries: the caller's timeout in milliseconds.
 pub const TIMEOUT_MS: &str = "filberthead-timeout-ms";
-/// On each hop, both ways: id of this pass of the request.
+/// On each hop, in both directions: the request's id.
 pub const REQUEST_ID: &str = "filberthead-request-id";
-/// Towards an endpoint: milliseconds left until the answer is of no use.
+/// To an endpoint: milliseconds until the deadline.
 pub const DEADLINE_MS: &str = "filberthead-deadline-ms";
-/// Towards a caller: number of the result code.
+/// To a caller: number of the result code.
 pub const RESULT: &str = "filberthead-result";
-/// Towards a caller: what the result says about execution. From an endpoint that
-/// refuses for want of room: its word that the request did not run.
+/// To a caller: whether the request ran ([`Meaning`](crate::Meaning)). From an endpoint that
+/// rejects a request for lack of capacity: confirms that the request didn't run.
 pub const MEANING: &str = "filberthead-meaning";
-/// Between entries: name and incarnation of the entry that forwards.
+/// Between entries: name and incarnation of the forwarding entry.
 pub const FORWARDED_BY: &str = "filberthead-forwarded-by";
-/// Between entries: how many of them have passed a request on towards the home of its
+/// Between entries: how many of them have forwarded a request towards the home of its
 /// idempotency key.
 pub const KEY_HOPS: &str = "filberthead-key-hops";
-/// Between entries: the home of the request's idempotency key has started it; the
-/// receiver hands it to one endpoint and asks no ledger.
+/// Between entries: the home of the request's idempotency key has started the request; the
+/// receiver sends it to one endpoint without asking a ledger.
 pub const KEY_STARTED: &str = "filberthead-key-started";
-/// Towards a caller: a prefix for its next idempotency key.
+/// To a caller: the prefix for its next idempotency key.
 pub const KEY_PREFIX: &str = "filberthead-key-prefix";
-/// Between entries: IP address of the caller that the forwarded request came from.
+/// Between entries: IP address of the caller that sent the forwarded request.
 pub const CALLER: &str = "filberthead-caller";
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,5 +1,5 @@
-//! Numbered identifiers. Each is a type of its own, so that a revision can't be
-//! passed where a version is meant.
+//! Numeric identifiers. Each is a separate type, so that a revision can't be passed where a
+//! version is expected.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use snafu::{ResultExt, Snafu};
 
-/// Why a text is no identifier.
+/// A text that isn't a hexadecimal identifier.
 #[derive(Clone, Debug)]
 #[derive(Snafu)]
 #[snafu(display("`{text}` is no hexadecimal identifier"))]
@@ -48,7 +48,7 @@
         #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub $int);
 
-        // Hexadecimal text where people read it, a plain number in messages.
+        // Hexadecimal text in human-readable formats, an integer in binary ones.
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, ser: S) -> Result<S::Ok, S::Error> {
                 if ser.is_human_readable() {
@@ -94,38 +94,39 @@
 }
 
 counter! {
-    /// Number of accepted changes up to a state of the table. Only goes up.
+    /// Version of the table: the number of changes accepted so far. Only increases.
     Version
 }
 counter! {
-    /// Version at which a row was last changed; 0 for a row never set.
+    /// Table version at which a row was last changed; 0 if it was never set.
     Revision
 }
 counter! {
-    /// Number of a grant or of an owner's term; a higher one fences off all lower ones.
+    /// Fencing number of a grant or of an owner's term; a higher one invalidates all lower ones.
     Epoch
 }
 counter! {
-    /// Tells a restarted process from its predecessor of the same name. Processes of ours
-    /// draw a random number at their start; of an endpoint it is the moment of its start,
-    /// so a later one is higher.
+    /// Distinguishes a restarted process from its predecessor of the same name. The system's own
+    /// processes draw a random number at their start; an endpoint uses its start time, so that a
+    /// later incarnation is higher.
     Incarnation
 }
 
 hex_id! {
-    /// Identity of a control replica: drawn at random when its data folder is
-    /// first used, and lost with that folder.
+    /// Identity of a control replica: random, created when its data directory is first used,
+    /// and lost with that directory.
     ReplicaId, u64, "016"
 }
 hex_id! {
-    /// Identity of an operator's change, chosen by the client; a resend carries it again.
+    /// Identity of an operator's change, chosen by the client; a retry uses the same one.
     ChangeId, u128, "032"
 }
 hex_id! {
-    /// Identity of one pass of a request through the system; ties an answer to it on each hop.
+    /// Identity of one passage of a request through the system, so that its answer is matched on
+    /// each hop; a retry by the caller gets a new one.
     RequestId, u128, "032"
 }
 hex_id! {
-    /// Hash of the cluster's name; a message of another cluster is rejected.
+    /// Hash of the cluster's name; messages from other clusters are rejected.
     ClusterId, u64, "016"
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,9 +1,9 @@
-//! Identifiers, units and result codes that every package shares.
+//! Identifiers, units and result codes shared by all packages.
 //!
-//! They stand in one small package below all others, so that the step functions
-//! (`consensus`, `ledger`, `steer`, `spread`) can name nodes and results without
-//! depending on any transport. Nothing here does I/O or reads a clock: a moment
-//! is a [`Moment`], handed in by whoever owns the runtime.
+//! They are in a small package below all others, so that the state machines (`consensus`,
+//! `ledger`, `steer`, `spread`) can refer to nodes and results without depending on a
+//! transport. Nothing here does I/O or reads a clock: the time is a [`Moment`] passed in by
+//! the caller.
 
 mod code;
 pub mod header;
@@ -20,7 +20,6 @@
 
 /// A moment on the monotonic clock: time since an origin fixed at process start.
 ///
-/// Step functions take it as an argument and never read a clock of their own, so
-/// that tests pause and advance time, and so that a process that was suspended
-/// sees the whole gap at its next step.
+/// State machines take it as an argument and never read a clock, so that tests can pause and
+/// advance time, and so that a process that was suspended sees the full gap at its next step.
 pub type Moment = std::time::Duration;
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,7 +1,7 @@
-//! Names of nodes, places and services.
+//! Names of nodes, regions, failure domains and services.
 //!
-//! All are short ASCII words, because they stand in file names, URLs, metrics
-//! labels and message headers without any escaping.
+//! All are short ASCII words, because they are used unescaped in file names, URLs, metric
+//! labels and message headers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,10 +10,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME_LEN: usize = 63;
 
-/// Why a text is no valid name.
+/// A text that isn't a valid name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("`{text}` is no valid name: 1 to 63 of a-z, 0-9, `-`, `.` and `_`"))]
@@ -82,18 +82,18 @@
 }
 
 name! {
-    /// Name of a process of the system, or of an endpoint; unique in a cluster.
+    /// Name of a process of the system or of an endpoint; unique in a cluster.
     NodeName
 }
 name! {
-    /// A region: a group of failure domains that share a place, such as `zagreb`.
+    /// A region: a group of failure domains in the same location, such as `zagreb`.
     Region
 }
 name! {
-    /// A failure domain: what one fault can cut off or stop as a whole.
+    /// A failure domain: a group of VMs that a single fault can disconnect or stop together.
     FailureDomain
 }
 name! {
-    /// A service of a user, such as `catalogue`.
+    /// A service that requests are routed to, such as `catalogue`.
     ServiceName
 }
--- a/crates/types/src/reference.rs
+++ b/crates/types/src/reference.rs
@@ -1,4 +1,4 @@
-//! The page of result codes, from their one declaration.
+//! The documentation page of result codes, generated from their declarations.
 
 use std::fmt::Write;
 
@@ -35,7 +35,7 @@
     for code in ResultCode::ALL {
         let (number, slug, status) = (code.number(), code.slug(), code.status());
         let (meaning, when) = (code.meaning(), code.description());
-        // Writing into a string doesn't fail.
+        // Writing to a `String` can't fail.
         let _ = writeln!(
             page,
             "| {number} | `{slug}` | {status} | `{meaning}` | {when} |"
--- a/crates/types/tests/result_codes.rs
+++ b/crates/types/tests/result_codes.rs
@@ -1,4 +1,4 @@
-//! The page of result codes, and what holds for each code.
+//! The documentation page of result codes, and properties of all codes.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 #[test]
 fn the_page_lists_every_code_as_declared() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/RESULT-CODES.md");
-    let page = std::fs::read_to_string(path).expect("the page is there");
+    let page = std::fs::read_to_string(path).expect("the page exists");
     assert_eq!(
         page,
         result_codes_page(),
-        "renew docs/RESULT-CODES.md: its first lines tell how"
+        "docs/RESULT-CODES.md is outdated: its first lines state how to regenerate it"
     );
 }
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// A status of success beside "not run" would let a client that looks at the status alone
-/// take a refusal for an answer.
+/// With a success status on a code that means "not run", a client that checks the status alone
+/// would take a refusal for an answer.
 #[test]
 fn success_statuses_are_used_only_for_requests_that_ran() {
     for code in ResultCode::ALL {
