--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -102,11 +102,14 @@
     let Some((header, body)) = buf.split_first_chunk::<HEADER_LEN>() else {
         return ShortSnafu { len }.fail();
     };
-    let [format, t0, t1, t2, t3, checked @ ..] = *header;
+    let [format, t0, t1, t2, t3, received_checksum @ ..] = *header;
     ensure!(format == FORMAT, FormatSnafu { format });
-    ensure!(checksum(body).to_le_bytes() == checked, ChecksumSnafu);
-    let sender = u32::from_le_bytes([t0, t1, t2, t3]);
-    ensure!(sender == tag(cluster), ForeignSnafu { tag: sender });
+    ensure!(
+        checksum(body).to_le_bytes() == received_checksum,
+        ChecksumSnafu
+    );
+    let sender_tag = u32::from_le_bytes([t0, t1, t2, t3]);
+    ensure!(sender_tag == tag(cluster), ForeignSnafu { tag: sender_tag });
     postcard::from_bytes(body).context(MalformedSnafu)
 }
 
