--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -16,8 +16,8 @@
     /// A safe method (`GET`, `HEAD`, `OPTIONS`): any number of times.
     Repeatable,
     /// `PUT` or `DELETE` without a key. HTTP allows the caller to send it again, so it needs
-    /// no key, but an entry sends it to one endpoint only. The same holds for a request that
-    /// the home of its key has started.
+    /// no key, but an entry sends it to one endpoint only. The same holds for a request with a
+    /// key that was started by the home of its key, which is the entry whose ledger records it.
     Once,
     /// At most once under this idempotency key, whichever entries receive the retries.
     Keyed(String),
--- a/crates/caller/src/connection.rs
+++ b/crates/caller/src/connection.rs
@@ -26,7 +26,7 @@
     closing: Cell<bool>,
     /// Whether a request is being answered.
     running: Cell<bool>,
-    /// Number of the sweep during which a request last began or ended.
+    /// Number of sweeps so far when a request last began or ended.
     last_used: Cell<u32>,
 }
 
@@ -35,6 +35,7 @@
 pub(crate) struct Connections {
     open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
     next_id: Cell<u64>,
+    /// Number of sweeps so far.
     sweep: Cell<u32>,
 }
 
--- a/crates/peer/src/liveness.rs
+++ b/crates/peer/src/liveness.rs
@@ -95,8 +95,10 @@
 /// Checks the connection to one peer for missing acknowledgements.
 #[derive(Debug)]
 pub struct ConnectionMonitor {
-    /// When the oldest unacknowledged message was sent; `None` if there is none.
+    /// When the oldest unacknowledged message on the current connection was sent; `None` if there
+    /// is none.
     unacknowledged_since: Option<Instant>,
+    /// Doubled with each reopening, up to [`MAX_ACK_TIMEOUT`].
     ack_timeout: Duration,
 }
 
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -22,6 +22,7 @@
 /// Messages queued for a destination whose connection is slow or down. Further ones are
 /// dropped: each protocol retries the messages that it needs.
 const SEND_BUFFER_MESSAGES: i32 = 64;
+/// Bounds of nng's delay between attempts to connect.
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(400);
 /// Maximum message length that nng accepts. It closes the connection of a longer one without
@@ -137,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be listened on or no thread can be started.
+    /// Fails if listening on the address fails or no thread can be started.
     pub fn listen(
         addr: SocketAddr,
         cluster: ClusterId,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! They are in a small package below all others, so that the state machines (`consensus`,
 //! `ledger`, `steer`, `spread`) can refer to nodes and results without depending on a
-//! transport. Nothing here does I/O or reads a clock: the time is a [`Moment`] passed in by
-//! the caller.
+//! transport. Nothing here does I/O or reads a clock: the time is a [`Moment`] passed in as an
+//! argument.
 
 mod code;
 pub mod header;
