--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals on their way to a caller.
+//! Answers and refusals sent to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -21,37 +21,37 @@
 /// The answer to a call: a response, or a refusal with its result code.
 pub type Answer = Result<Response<AnswerBody>, Refusal>;
 
-/// Part of a streamed answer.
+/// Item of a streamed answer body.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyPart {
     /// Data or trailers.
     Frame(Frame<Bytes>),
-    /// The answer is complete.
+    /// The body is complete.
     End,
 }
 
-/// A streamed answer ended before it was complete.
+/// A streamed answer whose channel closed before [`BodyPart::End`].
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
-#[snafu(display("the answer was cut"))]
-pub struct Cut;
+#[snafu(display("the answer ended before its body was complete"))]
+pub struct IncompleteBody;
 
 /// Body of an answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
-    Whole(Bytes),
-    /// Piece by piece. The channel holds few pieces, and the sender waits while it is
-    /// full, so a slow reader costs a fixed amount of memory.
-    Stream(mpsc::Receiver<Piece>),
-    /// Nothing is left.
+    /// Buffered in memory.
+    Buffered(Bytes),
+    /// Streamed from an endpoint. The channel holds few parts, and the sender waits while it
+    /// is full, so a slow reader costs a fixed amount of memory.
+    Stream(mpsc::Receiver<BodyPart>),
+    /// Completely read.
     Done,
 }
 
 impl AnswerBody {
-    fn take_whole(&mut self) -> Option<Bytes> {
+    fn take_buffered(&mut self) -> Option<Bytes> {
         match std::mem::replace(self, Self::Done) {
-            Self::Whole(bytes) if !bytes.is_empty() => Some(bytes),
+            Self::Buffered(bytes) if !bytes.is_empty() => Some(bytes),
             _ => None,
         }
     }
@@ -59,38 +59,38 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        let piece = match &mut *self {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
+        let part = match &mut *self {
             Self::Done => return Poll::Ready(None),
-            Self::Whole(_) => {
-                let frame = self.take_whole().map(Frame::data);
+            Self::Buffered(_) => {
+                let frame = self.take_buffered().map(Frame::data);
                 return Poll::Ready(frame.map(Ok));
             }
             Self::Stream(rx) => std::task::ready!(rx.poll_recv(cx)),
         };
-        Poll::Ready(match piece {
-            Some(Piece::Frame(frame)) => Some(Ok(frame)),
-            Some(Piece::End) => {
+        Poll::Ready(match part {
+            Some(BodyPart::Frame(frame)) => Some(Ok(frame)),
+            Some(BodyPart::End) => {
                 *self = Self::Done;
                 None
             }
-            // The sending task died without a word: to end here as if all had been
-            // sent would pass a cut answer off as whole wherever no length was given.
+            // The sending task ended without `End`. Ending the body normally would make a
+            // truncated answer look complete wherever it has no length.
             None => {
                 *self = Self::Done;
-                Some(Err(Cut))
+                Some(Err(IncompleteBody))
             }
         })
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             Self::Stream(_) => false,
             Self::Done => true,
         }
@@ -98,7 +98,7 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Stream(_) => SizeHint::default(),
             Self::Done => SizeHint::with_exact(0),
         }
@@ -107,22 +107,22 @@
 
 impl From<Bytes> for AnswerBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(bytes)
+        Self::Buffered(bytes)
     }
 }
 
-impl From<Infallible> for Cut {
+impl From<Infallible> for IncompleteBody {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
-/// A request that gets no endpoint's answer.
+/// An error answer of this system to a request that gets no endpoint's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why, and what that says about execution.
+    /// The reason, which also implies whether the request may have run.
     pub code: ResultCode,
-    /// When a resend makes sense.
+    /// Time for the `Retry-After` header; `None` leaves the header out.
     pub retry_after: Option<Duration>,
 }
 
@@ -135,7 +135,7 @@
 }
 
 impl Refusal {
-    /// A refusal without a time for a resend.
+    /// A refusal without `Retry-After`.
     pub fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -143,14 +143,14 @@
         }
     }
 
-    /// Names when a resend makes sense.
+    /// Sets the time for the `Retry-After` header.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The HTTP answer that tells it.
+    /// Converts it to an HTTP response with a JSON body.
     pub fn into_response(self, id: RequestId) -> Response<AnswerBody> {
         let body = RefusalBody {
             code: self.code.number(),
@@ -159,29 +159,30 @@
             request_id: id,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let mut response = Response::new(AnswerBody::Whole(body.into()));
+        let mut response = Response::new(AnswerBody::Buffered(body.into()));
         *response.status_mut() =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         if let Some(after) = self.retry_after {
-            headers.insert(RETRY_AFTER, whole_seconds(after));
+            headers.insert(RETRY_AFTER, ceil_seconds(after));
         }
-        mark(&mut response, id, self.code);
+        insert_result_headers(&mut response, id, self.code);
         response
     }
 }
 
-/// `Retry-After` knows whole seconds only; a part counts as one, because a resend
-/// that comes too early is refused again.
-fn whole_seconds(after: Duration) -> HeaderValue {
-    let part = u64::from(after.subsec_nanos() > 0);
-    HeaderValue::from(after.as_secs() + part)
+/// `Retry-After` allows whole seconds only; fractions are rounded up, because a retry that
+/// comes too early is rejected again.
+fn ceil_seconds(after: Duration) -> HeaderValue {
+    let round_up = u64::from(after.subsec_nanos() > 0);
+    HeaderValue::from(after.as_secs() + round_up)
 }
 
-/// Adds the headers that every answer to a request carries.
-pub fn mark<B>(response: &mut Response<B>, id: RequestId, code: ResultCode) {
+/// Adds the headers that every answer to a request carries: result code, meaning and
+/// request id.
+pub fn insert_result_headers<B>(response: &mut Response<B>, id: RequestId, code: ResultCode) {
     let headers = response.headers_mut();
     headers.insert(RESULT, HeaderValue::from(code.number()));
     headers.insert(MEANING, HeaderValue::from_static(code.meaning().as_str()));
--- a/crates/endpoint/src/probe.rs
+++ b/crates/endpoint/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an endpoint how it is.
+//! Health probes of endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use tokio::time::Instant;
 
-use crate::{Answer, Client, RequestBody, Reuse, Sent, Trust};
+use crate::{Answer, AnswerCheck, Client, RequestBody, Reuse, SendOutcome};
 
 const PATH: &str = "/health";
-/// An answer that takes longer tells less than none.
+/// An answer that takes longer than this is treated as none.
 const TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_ANSWER_LEN: usize = 4096;
 
-/// What an endpoint says about itself.
+/// An endpoint's health report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct Health {
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether it is in a planned stop.
     #[serde(default)]
     pub leaving: bool,
-    /// How full it is, 0 to 1.
+    /// Its utilisation, 0 to 1.
     #[serde(default)]
     pub load: f64,
-    /// Drawn at its start; 0 if it says nothing.
+    /// Identifies this start of the endpoint; 0 if not reported.
     #[serde(default)]
     pub incarnation: Incarnation,
 }
 
-/// Why there is no answer that counts.
+/// Why a probe failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ProbeError {
-    /// The endpoint can't be reached, or not in time.
+    /// The endpoint can't be reached, or didn't answer in time.
     #[snafu(display("no answer"))]
     Unreachable,
     /// An answer other than 200.
@@ -48,33 +48,33 @@
         /// Its status.
         status: StatusCode,
     },
-    /// The body was cut or is too long.
-    #[snafu(display("the body was cut or is too long"))]
+    /// The body is incomplete or too long.
+    #[snafu(display("the body is incomplete or too long"))]
     Body {
-        /// The reader's word.
+        /// The reader's error.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The body is no health report.
-    #[snafu(display("the body is no health report"))]
+    /// The body isn't a valid health report.
+    #[snafu(display("the body is not a valid health report"))]
     Malformed {
-        /// The parser's word.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// Asks the endpoint at `addr`.
+/// Requests a health report from the endpoint at `addr`.
 ///
 /// # Errors
 ///
 /// Fails if no well-formed report comes within a second.
 pub async fn probe(client: &Client, addr: SocketAddr, id: RequestId) -> Result<Health, ProbeError> {
-    let req = Request::get(PATH).body(RequestBody::Whole(Bytes::new()));
+    let req = Request::get(PATH).body(RequestBody::Buffered(Bytes::new()));
     let req = req.ok().context(UnreachableSnafu)?;
     let deadline = Instant::now() + TIMEOUT;
     let sent = client
-        .send(addr, Trust::Id(id), Reuse::Allowed, deadline, req)
+        .send(addr, AnswerCheck::Id(id), Reuse::Allowed, deadline, req)
         .await;
-    let Sent::Answer(answer) = sent else {
+    let SendOutcome::Answer(answer) = sent else {
         return UnreachableSnafu.fail();
     };
     match tokio::time::timeout_at(deadline, read(answer)).await {
--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use filberthead_caller::Refusal;
-use filberthead_endpoint::{Answer, Connection, RequestBody, Sent, Trust, answer_headers};
+use filberthead_endpoint::{
+    Answer, AnswerCheck, Connection, RequestBody, SendOutcome, answer_headers,
+};
 use filberthead_ledger::quarantine::{Check, Fingerprint};
 use filberthead_steer::FinishKind;
 use filberthead_types::{Meaning, ResultCode, header};
@@ -175,7 +177,7 @@
     let req = ctx.build_request(core, &target, body);
     let sending = core.client.send(
         target.addr(),
-        Trust::Id(ctx.id),
+        AnswerCheck::Id(ctx.id),
         ctx.connection_reuse(),
         ctx.deadline,
         req,
@@ -186,16 +188,16 @@
         () = &mut abandoned => return Attempt::Abandoned,
     };
     match sent {
-        Sent::NotSent(req) => {
+        SendOutcome::NotSent(req) => {
             slot.finish(FinishKind::ConnectFailed);
             Attempt::NotSent(req.into_body())
         }
-        Sent::Lost => {
+        SendOutcome::Lost => {
             slot.finish(FinishKind::Broken);
             Attempt::Lost
         }
-        Sent::Late => Attempt::Late,
-        Sent::Answer(answer) => {
+        SendOutcome::TimedOut => Attempt::Late,
+        SendOutcome::Answer(answer) => {
             slot.answered();
             receive(ctx, &target, answer, slot).await
         }
@@ -208,12 +210,12 @@
     match execution_claim(target, &head) {
         ExecutionClaim::NotRun(refusal) => {
             debug!(request:% = ctx.id, by:% = target.name(), code:% = refusal.code; "not run there");
-            answer.connection.release_after(body);
+            answer.connection.drain_and_release(body);
             slot.finish(FinishKind::Shed);
             return Attempt::NotRun(refusal);
         }
         ExecutionClaim::MayHaveRun if ctx.is_repeatable() => {
-            answer.connection.release_after(body);
+            answer.connection.drain_and_release(body);
             slot.finish(FinishKind::Broken);
             return Attempt::LostElsewhere;
         }
--- a/crates/filberthead/src/entry/forward/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -356,8 +356,8 @@
     /// Reports the open and idle connections to these endpoints to steering.
     pub(crate) fn report_connections(self: &Rc<Self>, endpoints: &[(NodeName, SocketAddr)]) {
         for (endpoint, addr) in endpoints {
-            let open = self.client.open(*addr);
-            let idle = self.client.idle(*addr);
+            let open = self.client.open_count(*addr);
+            let idle = self.client.idle_count(*addr);
             let endpoint = endpoint.clone();
             self.observe(Event::Connections {
                 endpoint,
--- a/crates/filberthead/src/entry/forward/crash_tracking.rs
+++ b/crates/filberthead/src/entry/forward/crash_tracking.rs
@@ -168,7 +168,7 @@
         hash.update(part.as_bytes());
     }
     match body {
-        RequestBody::Whole(body) => hash.update(body),
+        RequestBody::Buffered(body) => hash.update(body),
         _ => {
             let len = ctx.parts.headers.get(http::header::CONTENT_LENGTH);
             hash.update(len.map_or(&[][..], |len| len.as_bytes()));
--- a/crates/filberthead/src/entry/forward/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use filberthead_caller::{Refusal, mark};
-use filberthead_endpoint::{RequestBody, Reuse, Sent, Trust};
+use filberthead_caller::{Refusal, insert_result_headers};
+use filberthead_endpoint::{AnswerCheck, RequestBody, Reuse, SendOutcome};
 use filberthead_ledger::Digest;
 use filberthead_types::{Meaning, NodeName, ResultCode, header};
 use http::response::Parts;
@@ -58,7 +58,7 @@
                 return Outcome::Refused(Refusal::new(code).retry_after(retry_after));
             }
             LedgerDecision::Forward { entry, addr } => {
-                match forward(core, ctx, &entry, addr, body.again()).await {
+                match forward(core, ctx, &entry, addr, body.try_clone()).await {
                     Some(outcome) => return outcome,
                     None => failed = Some(entry),
                 }
@@ -72,7 +72,7 @@
 /// Hash of the request: two sends of a key with the same digest are the same request.
 /// `None` if the body isn't buffered.
 fn digest(ctx: &RequestContext, body: &RequestBody) -> Option<Digest> {
-    let RequestBody::Whole(body) = body else {
+    let RequestBody::Buffered(body) = body else {
         return None;
     };
     let mut hash = Xxh3Default::new();
@@ -167,7 +167,7 @@
             response.headers_mut().append(name, value);
         }
     }
-    mark(&mut response, ctx.id, ResultCode::Replayed);
+    insert_result_headers(&mut response, ctx.id, ResultCode::Replayed);
     let (head, ()) = response.into_parts();
     Outcome::Answer(head, answer.body)
 }
@@ -185,12 +185,17 @@
     let req = ctx.build_request(core, &target, body?);
     let sent = core
         .client
-        .send(addr, Trust::Id(ctx.id), Reuse::Allowed, ctx.deadline, req)
+        .send(
+            addr,
+            AnswerCheck::Id(ctx.id),
+            Reuse::Allowed, ctx.deadline,
+            req,
+        )
         .await;
     let answer = match sent {
-        Sent::Answer(answer) => answer,
-        Sent::NotSent(_) | Sent::Lost => return None,
-        Sent::Late => return Some(refused(ResultCode::DeadlineWhileRunning)),
+        SendOutcome::Answer(answer) => answer,
+        SendOutcome::NotSent(_) | SendOutcome::Lost => return None,
+        SendOutcome::TimedOut => return Some(refused(ResultCode::DeadlineWhileRunning)),
     };
     let (mut head, body) = answer.response.into_parts();
     clean_headers(&target, &mut head);
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -97,7 +97,7 @@
     // A send fails if the caller is gone; there is nothing left to do then.
     match outcome {
         Outcome::Answer(head, body) => {
-            let _ = reply.send(Ok(Response::from_parts(head, AnswerBody::Whole(body))));
+            let _ = reply.send(Ok(Response::from_parts(head, AnswerBody::Buffered(body))));
             Some(ResultCode::Answered)
         }
         Outcome::Refused(refusal) => {
@@ -146,7 +146,7 @@
     let mut fallback = None;
     let mut wait_logged = false;
     loop {
-        let body_copy = body.again();
+        let body_copy = body.try_clone();
         let cancellable = ctx.is_repeatable();
         let caller_gone = async {
             if !cancellable {
@@ -182,7 +182,7 @@
 async fn buffer_body(ctx: &RequestContext, body: RequestBody) -> Result<RequestBody, Outcome> {
     let body = Limited::new(body, MAX_KEYED_BODY).collect();
     match tokio::time::timeout_at(ctx.deadline, body).await {
-        Ok(Ok(body)) => Ok(RequestBody::Whole(body.to_bytes())),
+        Ok(Ok(body)) => Ok(RequestBody::Buffered(body.to_bytes())),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(refused(ResultCode::BodyTooLarge)),
         Ok(Err(_)) => Err(Outcome::Abandoned),
         // Not a "not run" refusal: an earlier send of the key may have run.
--- a/crates/filberthead/src/entry/forward/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filberthead_caller::{AnswerBody, Piece};
+use filberthead_caller::{AnswerBody, BodyPart};
 use filberthead_endpoint::{RequestBody, Resume};
 use filberthead_types::ResultCode;
 use http::Response;
@@ -52,7 +52,7 @@
     reply: Reply,
     mut recorder: Option<AnswerRecorder>,
 ) -> Option<ResultCode> {
-    let mut resume = Resume::of(&ctx.parts, &upstream.head);
+    let mut resume = Resume::from_response(&ctx.parts, &upstream.head);
     let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
     let response = Response::from_parts(upstream.head.clone(), AnswerBody::Stream(rx));
     let delivered = reply.send(Ok(response)).is_ok();
@@ -67,7 +67,7 @@
                     recorder.complete();
                 }
                 // If the caller is gone by now, it has all but the end.
-                let _ = tx.send(Piece::End).await;
+                let _ = tx.send(BodyPart::End).await;
                 return Some(ResultCode::Answered);
             }
             CopyEnd::CallerGone => return None,
@@ -93,7 +93,7 @@
 async fn copy(
     core: &Core,
     upstream: &mut Upstream,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyPart>,
     mut resume: Option<&mut Resume>,
     recorder: &mut Option<AnswerRecorder>,
 ) -> CopyEnd {
@@ -111,7 +111,7 @@
         if let (Some(recorder), Some(data)) = (recorder.as_mut(), frame.data_ref()) {
             recorder.push(data);
         }
-        match timeout(READER_TIMEOUT, tx.send(Piece::Frame(frame))).await {
+        match timeout(READER_TIMEOUT, tx.send(BodyPart::Frame(frame))).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) if recorder.is_some() => {}
             Ok(Err(_)) | Err(_) => return CopyEnd::CallerGone,
@@ -128,10 +128,10 @@
     core: &Rc<Core>,
     ctx: &mut RequestContext,
     resume: Option<&Resume>,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyPart>,
 ) -> Option<Upstream> {
     let resume = resume?;
-    resume.ask(&mut ctx.parts.headers);
+    resume.set_range(&mut ctx.parts.headers);
     ctx.resuming = true;
     // Any endpoint but the one that was just lost may have the rest.
     let earlier = ctx.tried.len().saturating_sub(1);
@@ -144,9 +144,9 @@
             return None;
         }
         ctx.deadline = give_up_at;
-        let body = RequestBody::Whole(Bytes::new());
+        let body = RequestBody::Buffered(Bytes::new());
         match attempt(core, ctx, body, tx.closed()).await {
-            Attempt::Streaming(upstream) if resume.fits(&upstream.head) => {
+            Attempt::Streaming(upstream) if resume.matches(&upstream.head) => {
                 debug!(request:% = ctx.id; "a download is resumed from another endpoint");
                 return Some(*upstream);
             }
--- a/crates/peer/src/liveness.rs
+++ b/crates/peer/src/liveness.rs
@@ -1,135 +1,138 @@
-//! Finds out connections that have gone silent.
+//! Detects connections that no longer deliver.
 //!
-//! A device on the way may forget a connection without telling either side: what is sent
-//! on it vanishes, and nothing resets it for minutes. Messages go one way on a connection,
-//! so hearing from a process says nothing of the connection *to* it. Each message
-//! therefore tells how many messages its sender has had from its receiver. As long as that
-//! number changes, what is sent arrives; if it doesn't although messages were sent, the
-//! connection is made anew.
+//! A network device may drop its state of a connection without closing either side: data
+//! sent on it is lost, and nothing resets it for minutes. A connection carries messages in
+//! one direction only, so a message received from a peer proves nothing about the
+//! connection *to* that peer. Each message therefore carries the number of messages that its
+//! sender has received from the destination. While that number changes, messages arrive; if
+//! it doesn't change although messages were sent, the connection is reopened.
 //!
-//! The guard holds because all processes that talk to each other do so both ways, several
-//! times within a second and a half. Where one doesn't, or is down, a connection is made anew for
-//! nothing, every two seconds.
+//! This works because all processes that communicate do so in both directions, several times
+//! within 1.5 s. The connection to a peer that doesn't, or that is down, is reopened
+//! needlessly every two seconds.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time after which a sent message should have been acknowledged: three periods of the
-/// rarest protocol, so that a lost message or a slow VM closes no good connection.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// Longest time between attempts to reach a process that acknowledges nothing. An attempt over
-/// a path that is cut hangs, and the system repeats it after 1, 3, 7 s and so on; one that is
-/// begun anew this often succeeds soon after the path is back. Longer than [`PATIENCE`], so that
-/// a slow VM's connection isn't given up again and again before anything has arrived.
-const MAX_PATIENCE: Duration = Duration::from_secs(2);
-/// Time after which a process that was not heard is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(120);
+/// Time within which a message is expected to be acknowledged: three periods of the least
+/// frequent protocol, so that a lost message or a slow VM doesn't close a working connection.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum time between connection attempts to a peer that acknowledges nothing. While the path
+/// is down, an attempt hangs, and the operating system resends its SYN after 1, 3, 7 s and so on;
+/// a new attempt this often succeeds soon after the path is back. Longer than [`ACK_TIMEOUT`], so
+/// that the connection to a slow VM isn't reopened repeatedly before anything has arrived.
+const MAX_ACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// The state of a peer that sent nothing for this long is removed.
+const PEER_EXPIRY: Duration = Duration::from_secs(120);
 
-/// What was heard from another process.
+/// What is known of the messages exchanged with a peer.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    /// Messages that came from it.
+struct PeerState {
+    /// Messages received from it.
     received: u64,
-    /// What it last said that it had received from here.
+    /// Messages from this process that it last reported as received.
     acknowledged: u64,
-    /// When that last changed.
-    changed: Instant,
-    /// When it was last heard.
-    at: Instant,
+    /// When that number last changed.
+    acknowledged_at: Instant,
+    /// When its last message arrived.
+    last_seen: Instant,
 }
 
-/// What was heard from all others; shared by the threads that send and receive.
+/// Message counts of all peers, by address; shared by the threads that send and receive.
 #[derive(Debug, Default)]
-pub struct Acknowledgements(Mutex<HashMap<SocketAddr, Heard>>);
+pub struct Acknowledgements(Mutex<HashMap<SocketAddr, PeerState>>);
 
 impl Acknowledgements {
-    /// Notes a message, and what its sender says that it has received from here.
+    /// Records a received message and the count of messages that its sender acknowledges.
     pub fn received(&self, now: Instant, from: SocketAddr, acknowledged: u64) {
         let mut all = self.lock();
-        let heard = all.entry(from).or_insert(Heard {
+        let peer = all.entry(from).or_insert(PeerState {
             received: 0,
             acknowledged,
-            changed: now,
-            at: now,
+            acknowledged_at: now,
+            last_seen: now,
         });
-        heard.received += 1;
-        heard.at = now;
-        if heard.acknowledged != acknowledged {
-            heard.acknowledged = acknowledged;
-            heard.changed = now;
+        peer.received += 1;
+        peer.last_seen = now;
+        if peer.acknowledged != acknowledged {
+            peer.acknowledged = acknowledged;
+            peer.acknowledged_at = now;
         }
     }
 
-    /// How many messages came from a process.
-    pub fn count(&self, from: SocketAddr) -> u64 {
-        self.lock().get(&from).map_or(0, |heard| heard.received)
+    /// How many messages were received from a peer.
+    pub fn received_count(&self, from: SocketAddr) -> u64 {
+        self.lock().get(&from).map_or(0, |peer| peer.received)
     }
 
-    /// When a process last acknowledged something new.
-    fn changed(&self, by: SocketAddr) -> Option<Instant> {
-        self.lock().get(&by).map(|heard| heard.changed)
+    /// When the count that a peer acknowledges last changed.
+    fn acknowledged_at(&self, by: SocketAddr) -> Option<Instant> {
+        self.lock().get(&by).map(|peer| peer.acknowledged_at)
     }
 
-    /// Drops what is long out of date.
-    pub fn forget(&self, now: Instant) {
+    /// Removes peers that sent nothing for two minutes.
+    pub fn remove_expired(&self, now: Instant) {
         self.lock()
-            .retain(|_, heard| now < heard.at + FORGOTTEN_AFTER);
+            .retain(|_, peer| now < peer.last_seen + PEER_EXPIRY);
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Heard>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, PeerState>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whether a connection is still believed in.
+/// Whether a connection delivers its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
-    /// Go on with it.
+pub enum Liveness {
+    /// Messages are acknowledged, or their timeout hasn't passed.
     Alive,
-    /// Make it anew.
-    Silent,
+    /// No message was acknowledged within the timeout; reopen the connection.
+    Stalled,
 }
 
-/// Watches one connection.
+/// Checks the connection to one peer for missing acknowledgements.
 #[derive(Debug)]
-pub struct Watch {
-    /// When the oldest message was sent that isn't acknowledged.
-    waiting: Option<Instant>,
-    patience: Duration,
+pub struct ConnectionMonitor {
+    /// When the oldest unacknowledged message on the current connection was sent; `None` if there
+    /// is none.
+    unacknowledged_since: Option<Instant>,
+    /// Doubled with each reopening, up to [`MAX_ACK_TIMEOUT`].
+    ack_timeout: Duration,
 }
 
-impl Default for Watch {
+impl Default for ConnectionMonitor {
     fn default() -> Self {
         Self {
-            waiting: None,
-            patience: PATIENCE,
+            unacknowledged_since: None,
+            ack_timeout: ACK_TIMEOUT,
         }
     }
 }
 
-impl Watch {
-    /// Comes before each message that is sent.
-    pub fn sending(
+impl ConnectionMonitor {
+    /// Must be called before each message that is sent.
+    pub fn before_send(
         &mut self,
         now: Instant,
         to: SocketAddr,
         acknowledgements: &Acknowledgements,
-    ) -> Belief {
-        let changed = acknowledgements.changed(to);
-        if let (Some(waiting), Some(changed)) = (self.waiting, changed)
-            && changed >= waiting
+    ) -> Liveness {
+        let acknowledged_at = acknowledgements.acknowledged_at(to);
+        if let (Some(unacknowledged_since), Some(acknowledged_at)) =
+            (self.unacknowledged_since, acknowledged_at)
+            && acknowledged_at >= unacknowledged_since
         {
-            self.waiting = None;
-            self.patience = PATIENCE;
+            self.unacknowledged_since = None;
+            self.ack_timeout = ACK_TIMEOUT;
         }
-        let waiting = *self.waiting.get_or_insert(now);
-        if now < waiting + self.patience {
-            return Belief::Alive;
+        let unacknowledged_since = *self.unacknowledged_since.get_or_insert(now);
+        if now < unacknowledged_since + self.ack_timeout {
+            return Liveness::Alive;
         }
-        self.waiting = Some(now);
-        self.patience = (2 * self.patience).min(MAX_PATIENCE);
-        Belief::Silent
+        self.unacknowledged_since = Some(now);
+        self.ack_timeout = (2 * self.ack_timeout).min(MAX_ACK_TIMEOUT);
+        Liveness::Stalled
     }
 }
