--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -10,7 +10,7 @@
 mod logging;
 mod metrics;
 pub mod samples;
-mod story;
+mod trace;
 
 pub use logging::{
     DroppedLines, LineAllowance, LogGuard, LoggingError, format_line, init_logging, logger,
@@ -19,4 +19,4 @@
     ControlMetrics, EntryMetrics, GatewayMetrics, PeerMetrics, PeerTotals, RequestMetrics,
     SlotMetrics,
 };
-pub use story::{Event, Story};
+pub use trace::{Event, Story};
--- a/crates/observe/src/logging/mod.rs
+++ b/crates/observe/src/logging/mod.rs
@@ -6,9 +6,9 @@
 //! queue, and a thread of its own writes it out. When the queue is full the line is
 //! dropped and counted, and the next line that gets through tells how many are missing.
 
-mod allowance;
 mod line;
 mod queue;
+mod rate_limit;
 
 use std::io::Write;
 use std::sync::mpsc::sync_channel;
@@ -18,11 +18,11 @@
 use log::{Level, Log, Record};
 use snafu::{ResultExt, Snafu};
 
-pub use allowance::LineAllowance;
 pub use line::format_line;
 pub(crate) use queue::dropped_lines;
 pub use queue::{DroppedLines, LogGuard};
 use queue::{MissingLines, QueueWriter, write_out};
+pub use rate_limit::LineAllowance;
 
 /// Lines that wait to be written. At a kilobyte each that is a few megabytes, and a
 /// burst of this size takes a terminal or a pipe well under a second to swallow.
--- a/crates/observe/src/samples/mod.rs
+++ b/crates/observe/src/samples/mod.rs
@@ -19,15 +19,15 @@
 mod collector;
 mod frame;
 mod message;
+mod period_counter;
+mod sparse_histogram;
 mod store;
-mod tally;
-mod window;
 
 pub use collector::Collector;
 pub use message::{Counts, PeriodSamples, Reporter, SampleReport, ServiceSample};
+pub(crate) use period_counter::{Window, Windows};
+pub use sparse_histogram::Tally;
 pub use store::{Damage, History, Record, SampleStore, StoreError, read_history, visit_history};
-pub use tally::Tally;
-pub(crate) use window::{Window, Windows};
 
 /// Seconds that a sample covers.
 pub const PERIOD_SECONDS: u64 = 60;
