--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -19,4 +19,4 @@
     ControlMetrics, EntryMetrics, GatewayMetrics, PeerMetrics, PeerTotals, RequestMetrics,
     SlotMetrics,
 };
-pub use trace::{Event, Story};
+pub use trace::{Event, RequestTrace};
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -1,6 +1,6 @@
 //! The story of one request, from the logs of all processes.
 //!
-//! A request leaves lines in the log of each process that decided about it. [`Story`] puts
+//! A request leaves lines in the log of each process that decided about it. [`RequestTrace`] puts
 //! those of one id in the order of time, and before them what each of these processes last
 //! said about what it believed: which routes, which endpoints, whether it heard control.
 //! Clocks of VMs differ, so lines of different processes may stand in a wrong order by that
@@ -86,17 +86,17 @@
 
 /// What logs tell of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
+pub struct RequestTrace {
     /// What the processes that it met believed before.
-    pub beliefs: Vec<Event>,
+    pub process_states: Vec<Event>,
     /// What happened to it, in order.
     pub events: Vec<Event>,
 }
 
-impl Story {
+impl RequestTrace {
     /// Collects the story of a request from lines of logs. Each log's lines come in their
     /// order, one log after the other.
-    pub fn of<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut beliefs: BTreeMap<(String, &str), Event> = BTreeMap::new();
         let mut story = Self::default();
         for line in lines {
@@ -115,7 +115,7 @@
         }
         // Lines of one process at the same moment keep their order.
         story.events.sort_by(|a, b| a.at.cmp(&b.at));
-        story.beliefs.sort_by(|a, b| a.at.cmp(&b.at));
+        story.process_states.sort_by(|a, b| a.at.cmp(&b.at));
         story
     }
 
@@ -125,7 +125,8 @@
             return;
         }
         let own = beliefs.iter().filter(|((of, _), _)| of == process);
-        self.beliefs.extend(own.map(|(_, event)| event.clone()));
+        self.process_states
+            .extend(own.map(|(_, event)| event.clone()));
     }
 }
 
--- a/crates/observe/tests/trace.rs
+++ b/crates/observe/tests/trace.rs
@@ -1,7 +1,7 @@
 //! The story of a request comes from all logs, in order, and from nothing else.
 
 use bolero::check;
-use filberthead_observe::{Event, Story};
+use filberthead_observe::{Event, RequestTrace};
 
 fn line(ts: &str, process: &str, msg: &str, more: &str) -> String {
     format!(
@@ -21,7 +21,7 @@
     let refused = format!("  17.25 {}", line("02.000", "gateway-1", "refused", code));
     let other = line("02.500", "gateway-1", "refused", r#","request":"a12""#);
     let lines = [&routes, &newer, &lost, &after, &refused, &other];
-    let story = Story::of("a1", lines.into_iter().map(String::as_str));
+    let story = RequestTrace::from_lines("a1", lines.into_iter().map(String::as_str));
     let told: Vec<_> = story.events.iter().map(ToString::to_string).collect();
     assert_eq!(
         told,
@@ -30,7 +30,11 @@
             "2026-10-14T09:21:03.000Z gateway-2: lost ran=1",
         ]
     );
-    let believed: Vec<_> = story.beliefs.iter().map(ToString::to_string).collect();
+    let believed: Vec<_> = story
+        .process_states
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(
         believed,
         ["2026-10-14T09:21:01.500Z gateway-2: routes in force version=8"]
@@ -43,6 +47,6 @@
     check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
         let _ = Event::parse(&text);
-        assert!(Story::of("a1", text.lines()).events.len() <= text.lines().count());
+        assert!(RequestTrace::from_lines("a1", text.lines()).events.len() <= text.lines().count());
     });
 }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use filberthead_observe::{Event, Story};
+use filberthead_observe::{Event, RequestTrace};
 use serde_json::json;
 
 use super::args::Args;
@@ -21,10 +21,10 @@
     } else {
         files.iter().map(|file| read(file)).collect::<Result<_>>()?
     };
-    let story = Story::of(&id, logs.iter().flat_map(|log| log.lines()));
+    let story = RequestTrace::from_lines(&id, logs.iter().flat_map(|log| log.lines()));
     let found = !story.events.is_empty();
     if as_json {
-        let (beliefs, events) = (list(&story.beliefs), list(&story.events));
+        let (beliefs, events) = (list(&story.process_states), list(&story.events));
         text::print(&format!(
             "{:#}\n",
             json!({ "beliefs": beliefs, "events": events })
@@ -61,7 +61,7 @@
     events.iter().map(object).collect()
 }
 
-fn page(id: &str, story: &Story) -> String {
+fn page(id: &str, story: &RequestTrace) -> String {
     if story.events.is_empty() {
         return format!(
             "no line names {id}: it was served at once, or never reached a process whose log \
@@ -72,10 +72,10 @@
     for event in &story.events {
         page.push_str(&format!("  {event}\n"));
     }
-    if !story.beliefs.is_empty() {
+    if !story.process_states.is_empty() {
         page.push_str("what the processes that it met believed before\n");
     }
-    for event in &story.beliefs {
+    for event in &story.process_states {
         page.push_str(&format!("  {event}\n"));
     }
     page
--- a/tests/all/turned_away.rs
+++ b/tests/all/turned_away.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use filberthead_observe::{Event, Story};
+use filberthead_observe::{Event, RequestTrace};
 use filberthead_testing::site::{HOST, Site, request};
 use filberthead_testing::{eventually, wait_until};
 
@@ -67,9 +67,11 @@
 #[track_caller]
 fn line(site: &Site, id: &str) -> Event {
     wait_until("a line about the request", BOUND, || {
-        !Story::of(id, log(site).lines()).events.is_empty()
+        !RequestTrace::from_lines(id, log(site).lines())
+            .events
+            .is_empty()
     });
-    let mut events = Story::of(id, log(site).lines()).events;
+    let mut events = RequestTrace::from_lines(id, log(site).lines()).events;
     assert_eq!(events.len(), 1, "{events:?}");
     let event = events.remove(0);
     assert_eq!(event.message, MESSAGE);
