--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -11,7 +11,7 @@
 
 use filberthead_endpoint::Client;
 use filberthead_fleet::{Load, Member, Outbound, Stamp, Update, UpdateDelay};
-use filberthead_observe::{GatewayMetrics, LineAllowance};
+use filberthead_observe::{GatewayMetrics, LogRateLimiter};
 use filberthead_peer::Body;
 use filberthead_place::{ConnectionBalancer, LargeResponseAdmission, Link, Placer};
 use filberthead_ring::Sender;
@@ -107,7 +107,7 @@
     /// When the endpoint list last changed.
     list_changed_at: Cell<Moment>,
     /// Rate limit of the log lines about rejected requests, by result code.
-    log_allowance: RefCell<LineAllowance<ResultCode>>,
+    log_allowance: RefCell<LogRateLimiter<ResultCode>>,
 }
 
 /// Counts a request as running until dropped.
@@ -149,7 +149,7 @@
             seeds: RefCell::new(parts.seeds),
             control_silent: Cell::new(true),
             list_changed_at: Cell::new(Moment::ZERO),
-            log_allowance: RefCell::new(LineAllowance::new(LOG_LINES_PER_SECOND)),
+            log_allowance: RefCell::new(LogRateLimiter::new(LOG_LINES_PER_SECOND)),
         })
     }
 
@@ -265,7 +265,7 @@
     /// Whether a line about a rejection with this code may be logged now: the number of lines
     /// suppressed before it, or `None` if this one is to be suppressed too.
     pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
-        self.log_allowance.borrow_mut().take(self.now(), code)
+        self.log_allowance.borrow_mut().allow(self.now(), code)
     }
 
     pub(crate) fn track_request(self: &Rc<Self>) -> RequestGuard {
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -13,7 +13,7 @@
 mod trace;
 
 pub use logging::{
-    DroppedLines, LineAllowance, LogGuard, LoggingError, format_line, init_logging, logger,
+    DroppedLines, LogGuard, LogRateLimiter, LoggingError, format_line, init_logging, logger,
 };
 pub use metrics::{
     ControlMetrics, EntryMetrics, GatewayMetrics, PeerMetrics, PeerTotals, RequestMetrics,
--- a/crates/observe/src/logging/mod.rs
+++ b/crates/observe/src/logging/mod.rs
@@ -22,7 +22,7 @@
 pub(crate) use queue::dropped_lines;
 pub use queue::{DroppedLines, LogGuard};
 use queue::{MissingLines, QueueWriter, write_out};
-pub use rate_limit::LineAllowance;
+pub use rate_limit::LogRateLimiter;
 
 /// Lines that wait to be written. At a kilobyte each that is a few megabytes, and a
 /// burst of this size takes a terminal or a pipe well under a second to swallow.
--- a/crates/observe/src/logging/rate_limit.rs
+++ b/crates/observe/src/logging/rate_limit.rs
@@ -13,7 +13,7 @@
 
 /// Bounds lines by kind. Kinds come from an enumeration of the code: each is kept for good.
 #[derive(Clone, Debug)]
-pub struct LineAllowance<K> {
+pub struct LogRateLimiter<K> {
     a_second: u32,
     kinds: HashMap<K, Kind>,
 }
@@ -26,7 +26,7 @@
     omitted: u64,
 }
 
-impl<K: Eq + Hash> LineAllowance<K> {
+impl<K: Eq + Hash> LogRateLimiter<K> {
     /// Allows so many lines of each kind in a second.
     pub fn new(a_second: u32) -> Self {
         Self {
@@ -37,7 +37,7 @@
 
     /// Whether a line may be written now: `None` if not, else how many of its kind were
     /// left out since the last one that was written.
-    pub fn take(&mut self, now: Moment, kind: K) -> Option<u64> {
+    pub fn allow(&mut self, now: Moment, kind: K) -> Option<u64> {
         let left = self.a_second;
         let kind = self.kinds.entry(kind).or_insert(Kind {
             begun: now,
--- a/crates/observe/tests/rate_limit.rs
+++ b/crates/observe/tests/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filberthead_observe::LineAllowance;
+use filberthead_observe::LogRateLimiter;
 use filberthead_types::{Moment, ResultCode};
 
 const A_SECOND: u32 = 3;
@@ -13,17 +13,17 @@
 
 /// Tries so many lines of a kind; for each that is written, how many were left out before.
 fn written(
-    lines: &mut LineAllowance<ResultCode>,
+    lines: &mut LogRateLimiter<ResultCode>,
     now: Moment,
     kind: ResultCode,
     tries: usize,
 ) -> Vec<u64> {
-    (0..tries).filter_map(|_| lines.take(now, kind)).collect()
+    (0..tries).filter_map(|_| lines.allow(now, kind)).collect()
 }
 
 #[test]
 fn the_next_line_tells_what_was_left_out() {
-    let mut lines = LineAllowance::new(A_SECOND);
+    let mut lines = LogRateLimiter::new(A_SECOND);
     let kind = ResultCode::UnknownService;
     assert_eq!(written(&mut lines, at(500), kind, 10), [0, 0, 0]);
     assert!(written(&mut lines, at(1_499), kind, 5).is_empty());
@@ -35,7 +35,7 @@
 /// that is refused for another reason in that second must still have its line.
 #[test]
 fn a_flood_of_one_kind_leaves_the_others_their_lines() {
-    let mut lines = LineAllowance::new(A_SECOND);
+    let mut lines = LogRateLimiter::new(A_SECOND);
     written(&mut lines, at(0), ResultCode::UnknownService, 10_000);
     assert_eq!(written(&mut lines, at(0), ResultCode::NotReady, 1), [0]);
 }
@@ -44,7 +44,7 @@
 /// out add up to those that were tried.
 #[test]
 fn a_long_flood_stays_bounded() {
-    let mut lines = LineAllowance::new(A_SECOND);
+    let mut lines = LogRateLimiter::new(A_SECOND);
     let kind = ResultCode::BodyTooLarge;
     let mut told = Vec::new();
     for step in 0..1_000 {
