--- a/crates/filberthead/src/control/samples.rs
+++ b/crates/filberthead/src/control/samples.rs
@@ -55,7 +55,7 @@
     let duty = SamplesDuty {
         dir: samples_folder(&cfg.data),
         max_bytes: cfg.samples.max_bytes,
-        collector: Collector::of_control(),
+        collector: Collector::for_control(),
         store: None,
     };
     Duty::spawn("samples", move || duty.run(rx, stop))
@@ -98,12 +98,12 @@
             name, incarnation, ..
         } = &received.origin;
         self.collector
-            .take(unix_seconds(), name, *incarnation, received.report);
+            .add_report(unix_seconds(), name, *incarnation, received.report);
     }
 
     fn close_periods(&mut self, now: u64) {
         let periods = self.collector.close(now);
-        let records: Vec<_> = periods.into_iter().flat_map(Record::of).collect();
+        let records: Vec<_> = periods.into_iter().flat_map(Record::from_period).collect();
         if records.is_empty() {
             return;
         }
--- a/crates/filberthead/src/entry/samples.rs
+++ b/crates/filberthead/src/entry/samples.rs
@@ -48,7 +48,7 @@
 /// Starts the duty.
 pub(crate) fn spawn(duty: SamplesDuty, stop: Stop) -> Result<Duty, DutyError> {
     let relay = Relay {
-        collector: Collector::of_relay(),
+        collector: Collector::for_relay(),
         reporter: Reporter::default(),
     };
     Duty::spawn("samples", move || duty.run(relay, stop))
@@ -103,7 +103,7 @@
                     name, incarnation, ..
                 } = &self.me;
                 let now = unix_seconds();
-                relay.collector.take(now, name, *incarnation, report);
+                relay.collector.add_report(now, name, *incarnation, report);
             }
         }
     }
@@ -148,7 +148,7 @@
         let now = unix_seconds();
         relay
             .collector
-            .take(now, &origin.name, origin.incarnation, report);
+            .add_report(now, &origin.name, origin.incarnation, report);
     }
 }
 
--- a/crates/observe/src/samples/collector.rs
+++ b/crates/observe/src/samples/collector.rs
@@ -54,12 +54,12 @@
 
 impl Collector {
     /// Of a control replica.
-    pub fn of_control() -> Self {
+    pub fn for_control() -> Self {
         Self::new(CONTROL_GRACE_SECONDS)
     }
 
     /// Of a relay.
-    pub fn of_relay() -> Self {
+    pub fn for_relay() -> Self {
         Self::new(RELAY_GRACE_SECONDS)
     }
 
@@ -73,7 +73,7 @@
 
     /// Takes a report in. Periods that an earlier report of the same process has brought
     /// are left out.
-    pub fn take(
+    pub fn add_report(
         &mut self,
         now: u64,
         from: &NodeName,
--- a/crates/observe/src/samples/store.rs
+++ b/crates/observe/src/samples/store.rs
@@ -38,7 +38,7 @@
 
 impl Record {
     /// The records of a period.
-    pub fn of(period: PeriodSamples) -> impl Iterator<Item = Self> {
+    pub fn from_period(period: PeriodSamples) -> impl Iterator<Item = Self> {
         let PeriodSamples {
             start,
             entries,
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -67,7 +67,7 @@
 /// Closes at a control replica, and makes records of what was closed.
 fn close(collector: &mut Collector, now: u64) -> Vec<Record> {
     let periods = collector.close(now);
-    periods.into_iter().flat_map(Record::of).collect()
+    periods.into_iter().flat_map(Record::from_period).collect()
 }
 
 #[test]
@@ -125,10 +125,10 @@
 
 #[test]
 fn replica_adds_up_what_entries_report() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let now = T0 + MINUTE;
-    collector.take(now, &node("a"), Incarnation(1), report(&[(T0, 1)]));
-    collector.take(now, &node("b"), Incarnation(1), report(&[(T0 + 5, 2)]));
+    collector.add_report(now, &node("a"), Incarnation(1), report(&[(T0, 1)]));
+    collector.add_report(now, &node("b"), Incarnation(1), report(&[(T0 + 5, 2)]));
     assert_eq!(close(&mut collector, now), [], "the period still waits");
     let records = close(&mut collector, now + 2 * MINUTE);
     assert_eq!(records.len(), 1);
@@ -139,17 +139,17 @@
 
 #[test]
 fn relay_sends_the_sum_of_its_entries_and_control_counts_them() {
-    let mut relay = Collector::of_relay();
+    let mut relay = Collector::for_relay();
     for name in ["a", "b", "c"] {
         let report = report(&[(T0, 1)]);
-        relay.take(T0 + MINUTE, &node(name), Incarnation(1), report);
+        relay.add_report(T0 + MINUTE, &node(name), Incarnation(1), report);
     }
     let mut reporter = Reporter::default();
-    let mut control = Collector::of_control();
+    let mut control = Collector::for_control();
     let mut periods = relay.close(T0 + MINUTE + 10);
     assert_eq!(periods.len(), 1);
     let report = reporter.report(periods.remove(0));
-    control.take(T0 + MINUTE + 10, &node("a"), Incarnation(1), report);
+    control.add_report(T0 + MINUTE + 10, &node("a"), Incarnation(1), report);
     let records = close(&mut control, T0 + 5 * MINUTE);
     assert_eq!((records[0].start, records[0].entries), (T0, 3));
     assert_eq!(records[0].sample.counts.refused, 3);
@@ -160,13 +160,13 @@
 /// counted as new.
 #[test]
 fn repeated_period_counts_once_and_a_lost_one_comes_with_the_next() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let a = node("a");
     let all = [(T0, 1), (T0 + MINUTE, 2), (T0 + 2 * MINUTE, 4)];
-    collector.take(T0 + MINUTE, &a, Incarnation(1), report(&all[..1]));
+    collector.add_report(T0 + MINUTE, &a, Incarnation(1), report(&all[..1]));
     // The second report is lost; the third repeats its period.
-    collector.take(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
-    collector.take(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
+    collector.add_report(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
+    collector.add_report(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     let refused: Vec<_> = records.iter().map(|r| r.sample.counts.refused).collect();
     assert_eq!(refused, [1, 2, 4]);
@@ -174,10 +174,10 @@
 
 #[test]
 fn restarted_entry_may_report_the_same_period_again() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let a = node("a");
-    collector.take(T0 + 30, &a, Incarnation(1), report(&[(T0, 1)]));
-    collector.take(T0 + 60, &a, Incarnation(2), report(&[(T0, 2)]));
+    collector.add_report(T0 + 30, &a, Incarnation(1), report(&[(T0, 1)]));
+    collector.add_report(T0 + 60, &a, Incarnation(2), report(&[(T0, 2)]));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     assert_eq!(records[0].sample.counts.refused, 3);
     assert_eq!(records[0].entries, 1);
@@ -185,10 +185,10 @@
 
 #[test]
 fn clock_that_is_wrong_moves_samples_to_now() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let now = T0 + MINUTE;
-    collector.take(now, &node("a"), Incarnation(1), report(&[(17, 1)]));
-    collector.take(now, &node("b"), Incarnation(1), report(&[(u64::MAX, 1)]));
+    collector.add_report(now, &node("a"), Incarnation(1), report(&[(17, 1)]));
+    collector.add_report(now, &node("b"), Incarnation(1), report(&[(u64::MAX, 1)]));
     let records = close(&mut collector, now + 10 * MINUTE);
     assert_eq!(records.len(), 1);
     assert_eq!(records[0].start, now);
@@ -199,12 +199,12 @@
 /// older than the one of tomorrow.
 #[test]
 fn clock_that_is_set_right_makes_no_gap() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let a = node("a");
     let tomorrow = T0 + 24 * 60 * MINUTE;
-    collector.take(T0 + MINUTE, &a, Incarnation(1), report(&[(tomorrow, 1)]));
+    collector.add_report(T0 + MINUTE, &a, Incarnation(1), report(&[(tomorrow, 1)]));
     let back = [(tomorrow, 1), (T0 + MINUTE, 2)];
-    collector.take(T0 + 2 * MINUTE, &a, Incarnation(1), report(&back));
+    collector.add_report(T0 + 2 * MINUTE, &a, Incarnation(1), report(&back));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     let refused: u64 = records.iter().map(|r| r.sample.counts.refused).sum();
     assert_eq!(refused, 3);
