--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -126,7 +126,7 @@
                 .request(build, AdministrationError::OutcomeUnknown)
                 .await;
             let code = result.as_ref().map_or_else(|e| e.code(), Outcome::code);
-            self.metrics.changed(code, started.elapsed());
+            self.metrics.record_change(code, started.elapsed());
             result
         })
     }
--- a/crates/filberthead/src/control/disk.rs
+++ b/crates/filberthead/src/control/disk.rs
@@ -92,7 +92,7 @@
             DiskJob::Persist { persist, .. } => {
                 let started = Instant::now();
                 let result = disk.persist(&persist);
-                self.metrics.synced(started.elapsed());
+                self.metrics.record_sync(started.elapsed());
                 result.map(|()| Some(Input::Persisted { seq: persist.seq }))
             }
             DiskJob::WriteNote(note) => {
--- a/crates/filberthead/src/control/gauges.rs
+++ b/crates/filberthead/src/control/gauges.rs
@@ -24,11 +24,11 @@
         let metrics = &self.gauges.metrics;
         let replica = self.replica.status(now);
         let leads = replica.leader == Some(self.id);
-        metrics.leadership(leads, replica.holds_lease);
-        metrics.term(replica.term);
-        metrics.log_indices(replica.last_index, self.applied);
-        metrics.members(replica.members.voters.len(), replica.members.learners.len());
-        metrics.table_version(self.machine.table.version());
+        metrics.set_leadership(leads, replica.holds_lease);
+        metrics.set_term(replica.term);
+        metrics.set_log_indices(replica.last_index, self.applied);
+        metrics.set_members(replica.members.voters.len(), replica.members.learners.len());
+        metrics.set_table_version(self.machine.table.version());
         self.update_entry_metrics(now);
         metrics.peers().record(&totals(&self.gauges.peers));
         let peers = metrics.peers();
@@ -43,7 +43,7 @@
         let reported: Vec<_> = entries.iter().filter_map(|entry| entry.version).collect();
         let behind = reported.iter().filter(|reported| **reported < version);
         let metrics = &self.gauges.metrics;
-        metrics.nodes(reported.len(), behind.count());
+        metrics.set_nodes(reported.len(), behind.count());
     }
 }
 
--- a/crates/filberthead/src/entry/callers.rs
+++ b/crates/filberthead/src/entry/callers.rs
@@ -18,7 +18,7 @@
 
 impl LookupObserver for CountLookups {
     fn looked_up(&self, code: ResultCode, took: Duration) {
-        self.0.looked_up(code, took);
+        self.0.record_lookup(code, took);
     }
 }
 
--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -53,13 +53,13 @@
         self.requests
             .entry((service.clone(), region))
             .or_insert_with_key(|(service, region)| metrics.requests(service, region))
-            .finished(code, took);
+            .record(code, took);
     }
 
     /// Takes in what is in use. To be called at a steady pace.
     pub(crate) fn used(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let waiting = usage.iter().map(|service| service.waiting as usize).sum();
-        self.metrics.queued(waiting);
+        self.metrics.set_queued(waiting);
         for service in usage {
             self.set_slots(service);
             for endpoint in &service.endpoints {
@@ -125,7 +125,7 @@
     fn end(&mut self, now: Moment, metrics: &EntryMetrics, region: &Region) {
         if !self.done {
             self.done = true;
-            metrics.drained(&self.service, region, now.saturating_sub(self.since));
+            metrics.record_drain(&self.service, region, now.saturating_sub(self.since));
         }
     }
 }
--- a/crates/filberthead/src/entry/status.rs
+++ b/crates/filberthead/src/entry/status.rs
@@ -146,7 +146,7 @@
 
 fn metrics_page(status: &Status) -> String {
     let metrics = &status.metrics;
-    metrics.table_version(status.cluster.borrow().view.version);
+    metrics.set_table_version(status.cluster.borrow().view.version);
     let peers = metrics.peers();
     peers.record(&totals(&status.counters));
     peers.ring_refused("calls", status.calls.refused());
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -103,7 +103,7 @@
             Outcome::Broken => (Level::Info, "broken"),
             Outcome::Abandoned(_) => (Level::Info, "abandoned"),
         };
-        self.core.metrics.attempted(name);
+        self.core.metrics.record_attempt(name);
         log!(level, request = self.request, service:% = self.service, object = self.object,
             endpoint:% = self.target.id, route = self.route, known:? = self.target.affinity,
             expected_ms = self.target.expected.as_millis(),
--- a/crates/filberthead/src/gateway/context.rs
+++ b/crates/filberthead/src/gateway/context.rs
@@ -60,7 +60,7 @@
         let response = gateway_response(code, retry_after);
         let kind = self.route.map(|route| route.kind.as_str());
         let elapsed = self.started.elapsed();
-        self.core.metrics.finished(kind, code, elapsed);
+        self.core.metrics.record_request(kind, code, elapsed);
         if let Some(omitted) = self.core.may_log(code) {
             self.log_rejection(code, response.status().as_u16(), omitted);
         }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -329,7 +329,7 @@
                 version,
                 table,
             } => {
-                self.metrics.routes_version(version);
+                self.metrics.set_routes_version(version);
                 info!(version, revision, routes = table.routes.len(), from:%, since_heard_of,
                     questions; "routes in force");
                 placer.set_routes(&table);
@@ -353,7 +353,7 @@
             }
             Update::Endpoints(list) => {
                 self.list_changed_at.set(now);
-                self.metrics.endpoints(list.len());
+                self.metrics.set_endpoints(list.len());
                 info!(endpoints = list.len(), term = list_stamp.term, seq = list_stamp.seq, from:%,
                     since_heard_of, questions; "list of endpoints");
                 let replaced = placer.set_endpoints(now, list);
@@ -366,7 +366,7 @@
                     "list of endpoints changed");
                 let replaced = placer.change_endpoints(now, change);
                 self.close_connections(&replaced);
-                self.metrics.endpoints(placer.endpoint_count());
+                self.metrics.set_endpoints(placer.endpoint_count());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
             Update::Demand(demand) => placer.set_demand(now, &demand),
@@ -397,9 +397,9 @@
         }
         let ready = *self.phase.borrow() == Phase::Serving;
         member.set_ready(ready);
-        self.metrics.ready(ready);
-        self.metrics.routes_proven(member.is_proven(now));
-        self.metrics.running(self.running.get());
+        self.metrics.set_ready(ready);
+        self.metrics.set_routes_proven(member.is_proven(now));
+        self.metrics.set_running(self.running.get());
         let placer = &self.placer;
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -117,7 +117,7 @@
     };
     let response = forwarding.run(body).await;
     core.metrics
-        .finished(Some(kind), result_code(&response), started.elapsed());
+        .record_request(Some(kind), result_code(&response), started.elapsed());
     response
 }
 
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -136,7 +136,7 @@
         true => ResultCode::HeadTooLarge,
         false => ResultCode::BadRequest,
     };
-    core.metrics.finished(None, code, Duration::ZERO);
+    core.metrics.record_request(None, code, Duration::ZERO);
     if let Some(omitted) = core.may_log(code) {
         info!(caller:%, error:%, code:%, omitted; "a head that can't be read");
     }
--- a/crates/observe/examples/cost.rs
+++ b/crates/observe/examples/cost.rs
@@ -46,11 +46,11 @@
         for i in 0..REQUESTS {
             let factor = 1000.0_f64.powf(i as f64 / REQUESTS as f64);
             let took = Duration::from_millis(2).mul_f64(factor);
-            requests.finished(ResultCode::Answered, took);
+            requests.record(ResultCode::Answered, took);
         }
-        requests.finished(ResultCode::Overloaded, Duration::ZERO);
+        requests.record(ResultCode::Overloaded, Duration::ZERO);
         metrics.slots(&service(n), &region(0)).set(12, 7);
-        metrics.drained(&service(n), &region(0), Duration::from_secs(40));
+        metrics.record_drain(&service(n), &region(0), Duration::from_secs(40));
     }
     metrics.take_samples()
 }
@@ -79,13 +79,13 @@
     let requests = metrics.requests(&service(0), &region(0));
     let begun = Instant::now();
     for _ in 0..CALLS {
-        requests.finished(ResultCode::Answered, Duration::from_millis(20));
+        requests.record(ResultCode::Answered, Duration::from_millis(20));
     }
     let ns = begun.elapsed().as_nanos() / u128::from(CALLS);
     println!("observe_count_request: {ns} ns");
     let begun = Instant::now();
     for _ in 0..CALLS {
-        metrics.looked_up(ResultCode::LookedUp, Duration::from_micros(20));
+        metrics.record_lookup(ResultCode::LookedUp, Duration::from_micros(20));
     }
     let ns = begun.elapsed().as_nanos() / u128::from(CALLS);
     println!("observe_count_lookup: {ns} ns");
--- a/crates/observe/src/metrics/control.rs
+++ b/crates/observe/src/metrics/control.rs
@@ -97,46 +97,46 @@
     }
 
     /// Sets whether this replica leads and whether it holds the lease.
-    pub fn leadership(&self, leads: bool, lease: bool) {
+    pub fn set_leadership(&self, leads: bool, lease: bool) {
         self.leads.set(leads.into());
         self.lease.set(lease.into());
     }
 
     /// Sets the newest term seen.
-    pub fn term(&self, term: Epoch) {
+    pub fn set_term(&self, term: Epoch) {
         set(&self.term, term.0);
     }
 
     /// Takes the time of a sync of the log.
-    pub fn synced(&self, took: Duration) {
+    pub fn record_sync(&self, took: Duration) {
         observe(&self.sync, took);
     }
 
     /// Sets the log's last index and the last applied one.
-    pub fn log_indices(&self, last: u64, applied: u64) {
+    pub fn set_log_indices(&self, last: u64, applied: u64) {
         set(&self.last_index, last);
         set(&self.applied_index, applied);
     }
 
     /// Sets how many replicas vote and how many only learn.
-    pub fn members(&self, voters: usize, learners: usize) {
+    pub fn set_members(&self, voters: usize, learners: usize) {
         set(&self.voters, voters as u64);
         set(&self.learners, learners as u64);
     }
 
     /// Sets the version of the table in force.
-    pub fn table_version(&self, version: Version) {
+    pub fn set_table_version(&self, version: Version) {
         set(&self.table_version, version.0);
     }
 
     /// Sets how many processes act on the table, and how many of them on an older version.
-    pub fn nodes(&self, nodes: usize, behind: usize) {
+    pub fn set_nodes(&self, nodes: usize, behind: usize) {
         set(&self.nodes, nodes as u64);
         set(&self.nodes_behind, behind as u64);
     }
 
     /// Counts a change that ended; `took` since its arrival.
-    pub fn changed(&self, code: ResultCode, took: Duration) {
+    pub fn record_change(&self, code: ResultCode, took: Duration) {
         self.changes.get_or_create_owned(&code.into()).inc();
         observe(&self.change_duration, took);
     }
--- a/crates/observe/src/metrics/entry.rs
+++ b/crates/observe/src/metrics/entry.rs
@@ -102,7 +102,7 @@
     }
 
     /// Counts a look-up that was answered.
-    pub fn looked_up(&self, code: ResultCode, took: Duration) {
+    pub fn record_lookup(&self, code: ResultCode, took: Duration) {
         if code == ResultCode::LookedUp {
             self.answered_lookups.inc();
         } else {
@@ -112,13 +112,13 @@
     }
 
     /// Sets how many requests wait for a slot.
-    pub fn queued(&self, requests: usize) {
+    pub fn set_queued(&self, requests: usize) {
         set(&self.queued, requests as u64);
     }
 
     /// Takes the time of an endpoint's drain that ended: from its first word of leaving
     /// until nothing of this entry ran there.
-    pub fn drained(&self, service: &ServiceName, region: &Region, took: Duration) {
+    pub fn record_drain(&self, service: &ServiceName, region: &Region, took: Duration) {
         let labels = self.pairs.labels(service, region);
         observe(&self.drains.get_or_create_owned(&labels), took);
         self.windows.of(service, region).drained(took);
@@ -131,7 +131,7 @@
     }
 
     /// Sets the version of the table in force.
-    pub fn table_version(&self, version: Version) {
+    pub fn set_table_version(&self, version: Version) {
         set(&self.table_version, version.0);
     }
 
--- a/crates/observe/src/metrics/gateway.rs
+++ b/crates/observe/src/metrics/gateway.rs
@@ -95,7 +95,7 @@
 
     /// Counts a request that has its final answer, by its route's kind if it had a route;
     /// `took` since its arrival.
-    pub fn finished(&self, kind: Option<&'static str>, code: ResultCode, took: Duration) {
+    pub fn record_request(&self, kind: Option<&'static str>, code: ResultCode, took: Duration) {
         let kind = kind.unwrap_or(NO_KIND);
         let labels = EndLabels {
             kind,
@@ -108,33 +108,33 @@
     }
 
     /// Counts an attempt that ended so.
-    pub fn attempted(&self, outcome: &'static str) {
+    pub fn record_attempt(&self, outcome: &'static str) {
         let labels = ReasonLabels { reason: outcome };
         self.attempts.get_or_create_owned(&labels).inc();
     }
 
     /// Sets how many requests are running.
-    pub fn running(&self, running: usize) {
+    pub fn set_running(&self, running: usize) {
         set(&self.running, running as u64);
     }
 
     /// Sets the number of the routes in force.
-    pub fn routes_version(&self, version: u64) {
+    pub fn set_routes_version(&self, version: u64) {
         set(&self.routes_version, version);
     }
 
     /// Sets whether the routes in force are proved to be the newest.
-    pub fn routes_proven(&self, proven: bool) {
+    pub fn set_routes_proven(&self, proven: bool) {
         self.routes_proven.set(proven.into());
     }
 
     /// Sets how many endpoints are known.
-    pub fn endpoints(&self, endpoints: usize) {
+    pub fn set_endpoints(&self, endpoints: usize) {
         set(&self.endpoints, endpoints as u64);
     }
 
     /// Sets whether callers may be sent here.
-    pub fn ready(&self, ready: bool) {
+    pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready.into());
     }
 
--- a/crates/observe/src/metrics/requests.rs
+++ b/crates/observe/src/metrics/requests.rs
@@ -79,7 +79,7 @@
 
 impl RequestMetrics {
     /// Counts a request that ended; `took` since its arrival.
-    pub fn finished(&self, code: ResultCode, took: Duration) {
+    pub fn record(&self, code: ResultCode, took: Duration) {
         self.counter(code).inc();
         self.shared.window.finished(code, took);
         if code.meaning() == Meaning::Ran {
--- a/crates/observe/tests/metrics.rs
+++ b/crates/observe/tests/metrics.rs
@@ -25,12 +25,12 @@
 fn requests_are_counted_by_service_region_and_code() {
     let metrics = EntryMetrics::new();
     let catalogue = metrics.requests(&service("catalogue"), &region("zagreb"));
-    catalogue.finished(ResultCode::Answered, Duration::from_millis(20));
-    catalogue.finished(ResultCode::Answered, Duration::from_millis(30));
-    catalogue.finished(ResultCode::Overloaded, Duration::from_millis(1));
+    catalogue.record(ResultCode::Answered, Duration::from_millis(20));
+    catalogue.record(ResultCode::Answered, Duration::from_millis(30));
+    catalogue.record(ResultCode::Overloaded, Duration::from_millis(1));
     // A second handle counts into the same series.
     let again = metrics.requests(&service("catalogue"), &region("zagreb"));
-    again.finished(ResultCode::Overloaded, Duration::from_millis(1));
+    again.record(ResultCode::Overloaded, Duration::from_millis(1));
     let text = metrics.encode();
     let labels = "service=\"catalogue\",region=\"zagreb\"";
     let answered =
@@ -52,9 +52,9 @@
 fn a_gateways_answers_without_a_route_are_counted() {
     let metrics = GatewayMetrics::new();
     let took = Duration::from_millis(1);
-    metrics.finished(Some("safe"), ResultCode::Answered, took);
-    metrics.finished(None, ResultCode::UnknownService, took);
-    metrics.finished(None, ResultCode::UnknownService, took);
+    metrics.record_request(Some("safe"), ResultCode::Answered, took);
+    metrics.record_request(None, ResultCode::UnknownService, took);
+    metrics.record_request(None, ResultCode::UnknownService, took);
     let text = metrics.encode();
     let unknown = "kind=\"none\",code=\"1100\",result=\"unknown-service\"";
     let unknown = format!("filberthead_gateway_requests_total{{{unknown}}}");
@@ -68,7 +68,7 @@
     let metrics = EntryMetrics::new();
     let handle = metrics.requests(&service("orders"), &region("split"));
     for code in ResultCode::ALL {
-        handle.finished(*code, Duration::ZERO);
+        handle.record(*code, Duration::ZERO);
     }
     let text = metrics.encode();
     let series = text
@@ -86,7 +86,7 @@
     let metrics = EntryMetrics::new();
     for n in 0..3000 {
         let handle = metrics.requests(&service(&format!("s{n}")), &region("zagreb"));
-        handle.finished(ResultCode::Answered, Duration::ZERO);
+        handle.record(ResultCode::Answered, Duration::ZERO);
     }
     let text = metrics.encode();
     let series = text
@@ -101,10 +101,10 @@
 fn entry_shows_its_state() {
     let metrics = EntryMetrics::new();
     metrics.slots(&service("intake"), &region("sul")).set(12, 7);
-    metrics.queued(5);
-    metrics.table_version(Version(42));
-    metrics.looked_up(ResultCode::LookedUp, Duration::from_micros(70));
-    metrics.drained(&service("intake"), &region("sul"), Duration::from_secs(90));
+    metrics.set_queued(5);
+    metrics.set_table_version(Version(42));
+    metrics.record_lookup(ResultCode::LookedUp, Duration::from_micros(70));
+    metrics.record_drain(&service("intake"), &region("sul"), Duration::from_secs(90));
     let text = metrics.encode();
     let labels = "{service=\"intake\",region=\"sul\"}";
     assert_eq!(value(&text, &format!("filberthead_slots{labels}")), 12.0);
@@ -125,13 +125,13 @@
 #[test]
 fn control_shows_its_state() {
     let metrics = ControlMetrics::new();
-    metrics.leadership(true, false);
-    metrics.term(Epoch(9));
-    metrics.synced(Duration::from_millis(3));
-    metrics.log_indices(120, 118);
-    metrics.members(3, 1);
-    metrics.nodes(11, 2);
-    metrics.changed(ResultCode::ChangeConflict, Duration::from_millis(80));
+    metrics.set_leadership(true, false);
+    metrics.set_term(Epoch(9));
+    metrics.record_sync(Duration::from_millis(3));
+    metrics.set_log_indices(120, 118);
+    metrics.set_members(3, 1);
+    metrics.set_nodes(11, 2);
+    metrics.record_change(ResultCode::ChangeConflict, Duration::from_millis(80));
     let text = metrics.encode();
     assert_eq!(value(&text, "filberthead_leader"), 1.0);
     assert_eq!(value(&text, "filberthead_lease_held"), 0.0);
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -74,16 +74,16 @@
 fn entry_counts_by_the_way_requests_end() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
-    requests.finished(ResultCode::Answered, Duration::from_millis(20));
-    requests.finished(ResultCode::Answered, Duration::from_millis(400));
-    requests.finished(ResultCode::Overloaded, Duration::from_millis(1));
-    requests.finished(ResultCode::EndpointLost, Duration::from_millis(900));
+    requests.record(ResultCode::Answered, Duration::from_millis(20));
+    requests.record(ResultCode::Answered, Duration::from_millis(400));
+    requests.record(ResultCode::Overloaded, Duration::from_millis(1));
+    requests.record(ResultCode::EndpointLost, Duration::from_millis(900));
     // Wrong in themselves: no fault of the service.
-    requests.finished(ResultCode::BadRequest, Duration::ZERO);
-    requests.finished(ResultCode::Quarantined, Duration::ZERO);
+    requests.record(ResultCode::BadRequest, Duration::ZERO);
+    requests.record(ResultCode::Quarantined, Duration::ZERO);
     metrics.slots(&service(), &region()).set(12, 9);
     metrics.slots(&service(), &region()).set(12, 3);
-    metrics.drained(&service(), &region(), Duration::from_secs(90));
+    metrics.record_drain(&service(), &region(), Duration::from_secs(90));
 
     let samples = metrics.take_samples();
     assert_eq!(samples.len(), 1);
@@ -102,7 +102,7 @@
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
     for ms in 1..=1000 {
-        requests.finished(ResultCode::Answered, Duration::from_millis(ms));
+        requests.record(ResultCode::Answered, Duration::from_millis(ms));
     }
     let latency = &metrics.take_samples()[0].counts.latency_us;
     assert_eq!(latency.total(), 1000);
@@ -118,7 +118,7 @@
 fn longest_times_are_kept_as_the_longest() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
-    requests.finished(ResultCode::Answered, Duration::from_secs(1_000_000));
+    requests.record(ResultCode::Answered, Duration::from_secs(1_000_000));
     let counts = &metrics.take_samples()[0].counts;
     assert_eq!(counts.latency_us.above(3_000_000_000), 1);
 }
