--- a/crates/observe/src/metrics/entry.rs
+++ b/crates/observe/src/metrics/entry.rs
@@ -13,14 +13,14 @@
 use super::requests::RequestFamilies;
 use super::{PeerMetrics, RequestMetrics};
 use super::{drain_histogram, encoded, local_histogram, observe, registry, set};
-use crate::samples::{ServiceSample, Window, Windows};
+use crate::samples::{PeriodCounter, PeriodCounters, ServiceSample};
 
 /// Metrics of an entry. Shared by all duties; the handles it gives out are kept.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
     pairs: KnownPairs,
-    windows: Windows,
+    period_counters: PeriodCounters,
     requests: RequestFamilies,
     lookups: Family<CodeLabels, Counter>,
     /// Of those, the answered ones: far more frequent than all others.
@@ -48,7 +48,7 @@
         let mut metrics = Self {
             registry: Registry::default(),
             pairs: KnownPairs::default(),
-            windows: Windows::default(),
+            period_counters: PeriodCounters::default(),
             requests: RequestFamilies::default(),
             lookups,
             answered_lookups,
@@ -88,7 +88,7 @@
     pub fn requests(&self, service: &ServiceName, region: &Region) -> RequestMetrics {
         let labels = self.pairs.labels(service, region);
         self.requests
-            .handle(labels, self.windows.of(service, region))
+            .handle(labels, self.period_counters.for_pair(service, region))
     }
 
     /// The handle for the slots of a service in a region.
@@ -97,7 +97,7 @@
         SlotMetrics {
             slots: self.slots.get_or_create_owned(&labels),
             busy: self.busy_slots.get_or_create_owned(&labels),
-            window: self.windows.of(service, region),
+            period_counter: self.period_counters.for_pair(service, region),
         }
     }
 
@@ -121,13 +121,15 @@
     pub fn record_drain(&self, service: &ServiceName, region: &Region, took: Duration) {
         let labels = self.pairs.labels(service, region);
         observe(&self.drains.get_or_create_owned(&labels), took);
-        self.windows.of(service, region).drained(took);
+        self.period_counters
+            .for_pair(service, region)
+            .record_drain(took);
     }
 
     /// Ends a period of samples: takes what was counted since the last call. The duty
     /// that reports to control calls it, and nobody else.
     pub fn take_samples(&self) -> Vec<ServiceSample> {
-        self.windows.take()
+        self.period_counters.take()
     }
 
     /// Sets the version of the table in force.
@@ -151,14 +153,14 @@
 pub struct SlotMetrics {
     slots: Gauge,
     busy: Gauge,
-    window: Window,
+    period_counter: PeriodCounter,
 }
 
 impl SlotMetrics {
     /// Sets how many slots there are and how many are in use. To be called at a steady
     /// pace, such as each tick: headroom in samples is the mean over the calls.
     pub fn set(&self, slots: u32, busy: u32) {
-        self.window.slots(slots, busy);
+        self.period_counter.add_slots(slots, busy);
         self.slots.set(slots.into());
         self.busy.set(busy.into());
     }
--- a/crates/observe/src/metrics/requests.rs
+++ b/crates/observe/src/metrics/requests.rs
@@ -11,7 +11,7 @@
 
 use super::labels::{PairLabels, RequestLabels};
 use super::{observe, wait_histogram};
-use crate::samples::Window;
+use crate::samples::PeriodCounter;
 
 type Histograms = Family<PairLabels, Histogram, fn() -> Histogram>;
 
@@ -46,14 +46,18 @@
         );
     }
 
-    pub(super) fn handle(&self, labels: PairLabels, window: Window) -> RequestMetrics {
+    pub(super) fn handle(
+        &self,
+        labels: PairLabels,
+        period_counter: PeriodCounter,
+    ) -> RequestMetrics {
         RequestMetrics {
             shared: Arc::new(Shared {
                 results: self.results.clone(),
                 duration: self.durations.get_or_create_owned(&labels),
                 counters: ResultCode::ALL.iter().map(|_| OnceLock::new()).collect(),
                 labels,
-                window,
+                period_counter,
             }),
         }
     }
@@ -62,7 +66,7 @@
 #[derive(Debug)]
 struct Shared {
     labels: PairLabels,
-    window: Window,
+    period_counter: PeriodCounter,
     results: Family<RequestLabels, Counter>,
     duration: Histogram,
     /// One for each of [`ResultCode::ALL`], made when it is first seen, so that codes
@@ -81,7 +85,7 @@
     /// Counts a request that ended; `took` since its arrival.
     pub fn record(&self, code: ResultCode, took: Duration) {
         self.counter(code).inc();
-        self.shared.window.finished(code, took);
+        self.shared.period_counter.record_request(code, took);
         if code.meaning() == Meaning::Ran {
             observe(&self.shared.duration, took);
         }
--- a/crates/observe/src/samples/collector.rs
+++ b/crates/observe/src/samples/collector.rs
@@ -25,7 +25,7 @@
 pub struct Collector {
     grace: u64,
     open: BTreeMap<u64, Period>,
-    newest: BTreeMap<NodeName, Newest>,
+    last_periods: BTreeMap<NodeName, LastPeriod>,
 }
 
 #[derive(Debug, Default)]
@@ -37,13 +37,13 @@
 
 /// The newest period taken from an entry.
 #[derive(Clone, Copy, Debug)]
-struct Newest {
+struct LastPeriod {
     incarnation: Incarnation,
     start: u64,
-    heard: u64,
+    last_seen: u64,
 }
 
-impl Newest {
+impl LastPeriod {
     /// Whether a period is newer. One that is far older is newer too: the entry's clock
     /// was ahead and has been set right, and without this its samples would be left out
     /// until they had caught up.
@@ -67,7 +67,7 @@
         Self {
             grace,
             open: BTreeMap::new(),
-            newest: BTreeMap::new(),
+            last_periods: BTreeMap::new(),
         }
     }
 
@@ -82,29 +82,38 @@
     ) {
         for period in report.periods {
             if self.is_new(from, incarnation, period.start) {
-                self.remember(now, from, incarnation, period.start);
+                self.record_last_period(now, from, incarnation, period.start);
                 self.add(now, from, period);
             }
         }
     }
 
     fn is_new(&self, from: &NodeName, incarnation: Incarnation, start: u64) -> bool {
-        self.newest
+        self.last_periods
             .get(from)
-            .is_none_or(|newest| newest.incarnation != incarnation || newest.comes_before(start))
+            .is_none_or(|last| last.incarnation != incarnation || last.comes_before(start))
     }
 
-    fn remember(&mut self, now: u64, from: &NodeName, incarnation: Incarnation, start: u64) {
-        let newest = Newest {
+    fn record_last_period(
+        &mut self,
+        now: u64,
+        from: &NodeName,
+        incarnation: Incarnation,
+        start: u64,
+    ) {
+        let last = LastPeriod {
             incarnation,
             start,
-            heard: now,
+            last_seen: now,
         };
-        self.newest.insert(from.clone(), newest);
-        if self.newest.len() > MAX_ENTRIES {
-            let silent = self.newest.iter().min_by_key(|(_, newest)| newest.heard);
-            if let Some(name) = silent.map(|(name, _)| name.clone()) {
-                self.newest.remove(&name);
+        self.last_periods.insert(from.clone(), last);
+        if self.last_periods.len() > MAX_ENTRIES {
+            let oldest = self
+                .last_periods
+                .iter()
+                .min_by_key(|(_, last)| last.last_seen);
+            if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+                self.last_periods.remove(&name);
             }
         }
     }
@@ -116,8 +125,8 @@
             samples.start
         };
         let period = self.open.entry(start - start % PERIOD_SECONDS).or_default();
-        let known = period.entries.entry(from.clone()).or_default();
-        *known = samples.entries.max(*known);
+        let reported = period.entries.entry(from.clone()).or_default();
+        *reported = samples.entries.max(*reported);
         for sample in samples.samples {
             period.add(sample);
         }
--- a/crates/observe/src/samples/frame.rs
+++ b/crates/observe/src/samples/frame.rs
@@ -25,21 +25,24 @@
 pub(super) struct Contents {
     pub(super) records: Vec<Record>,
     /// Bytes up to the end of the last whole record.
-    pub(super) sound: usize,
+    pub(super) valid_len: usize,
 }
 
 pub(super) fn read(buf: &[u8]) -> Contents {
     let mut records = Vec::new();
     let Some(mut rest) = buf.strip_prefix(MAGIC) else {
-        return Contents { records, sound: 0 };
+        return Contents {
+            records,
+            valid_len: 0,
+        };
     };
-    while let Some((record, left)) = next(rest) {
+    while let Some((record, tail)) = next(rest) {
         records.push(record);
-        rest = left;
+        rest = tail;
     }
     Contents {
         records,
-        sound: buf.len() - rest.len(),
+        valid_len: buf.len() - rest.len(),
     }
 }
 
--- a/crates/observe/src/samples/message.rs
+++ b/crates/observe/src/samples/message.rs
@@ -5,17 +5,17 @@
 use filberthead_types::{Region, ServiceName};
 use serde::{Deserialize, Serialize};
 
-use super::Tally;
+use super::SparseHistogram;
 
 /// Periods in a report: the newest and the one before it.
-const REPEATED: usize = 2;
+const PERIODS_PER_REPORT: usize = 2;
 
 /// What was counted of a service in a region during some time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Counts {
     /// Time from arrival to the end of the answer, in microseconds, of requests that ran.
-    pub latency_us: Tally,
+    pub latency_us: SparseHistogram,
     /// Requests refused for want of room, of an endpoint or of a connection to what
     /// they need. Requests that are wrong in themselves don't count.
     pub refused: u64,
@@ -26,7 +26,7 @@
     /// Slots in use, summed over the same readings.
     pub busy: u64,
     /// Time of drains that ended, in milliseconds.
-    pub drain_ms: Tally,
+    pub drain_ms: SparseHistogram,
 }
 
 impl Counts {
@@ -97,7 +97,7 @@
     /// The report to send with a new period, which repeats the one before it.
     pub fn report(&mut self, period: PeriodSamples) -> SampleReport {
         self.periods.push_back(period);
-        while self.periods.len() > REPEATED {
+        while self.periods.len() > PERIODS_PER_REPORT {
             self.periods.pop_front();
         }
         SampleReport {
--- a/crates/observe/src/samples/mod.rs
+++ b/crates/observe/src/samples/mod.rs
@@ -25,8 +25,8 @@
 
 pub use collector::Collector;
 pub use message::{Counts, PeriodSamples, Reporter, SampleReport, ServiceSample};
-pub(crate) use period_counter::{Window, Windows};
-pub use sparse_histogram::Tally;
+pub(crate) use period_counter::{PeriodCounter, PeriodCounters};
+pub use sparse_histogram::SparseHistogram;
 pub use store::{Damage, History, Record, SampleStore, StoreError, read_history, visit_history};
 
 /// Seconds that a sample covers.
--- a/crates/observe/src/samples/sparse_histogram.rs
+++ b/crates/observe/src/samples/sparse_histogram.rs
@@ -10,13 +10,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Tally(Vec<(u32, u32)>);
+pub struct SparseHistogram(Vec<(u32, u32)>);
 
-impl Tally {
-    pub(super) fn of(histogram: &Histogram<u64>) -> Self {
+impl SparseHistogram {
+    pub(super) fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let buckets = histogram.iter_recorded().map(|bucket| {
             let value = bucket.value_iterated_to();
-            (narrow(value), narrow(bucket.count_at_value()))
+            (
+                saturating_u32(value),
+                saturating_u32(bucket.count_at_value()),
+            )
         });
         Self(buckets.collect())
     }
@@ -44,11 +47,11 @@
 
     /// The value that a share of all values doesn't exceed; `None` if nothing was seen.
     pub fn quantile(&self, share: f64) -> Option<u32> {
-        let wanted = (self.total() as f64 * share).ceil().max(1.0) as u64;
-        let mut seen = 0;
+        let rank = (self.total() as f64 * share).ceil().max(1.0) as u64;
+        let mut cumulative = 0;
         self.0.iter().find_map(|(value, count)| {
-            seen += u64::from(*count);
-            (seen >= wanted).then_some(*value)
+            cumulative += u64::from(*count);
+            (cumulative >= rank).then_some(*value)
         })
     }
 
@@ -64,23 +67,23 @@
         }
         let mut sum: BTreeMap<u32, u32> = self.iter().collect();
         for (value, count) in other.iter() {
-            let known = sum.entry(value).or_default();
-            *known = known.saturating_add(count);
+            let sum_count = sum.entry(value).or_default();
+            *sum_count = sum_count.saturating_add(count);
         }
         self.0 = sum.into_iter().collect();
     }
 }
 
-impl FromIterator<(u32, u32)> for Tally {
+impl FromIterator<(u32, u32)> for SparseHistogram {
     fn from_iter<I: IntoIterator<Item = (u32, u32)>>(pairs: I) -> Self {
-        let mut tally = Self::default();
+        let mut histogram = Self::default();
         for pair in pairs {
-            tally.add(&Self(vec![pair]));
+            histogram.add(&Self(vec![pair]));
         }
-        tally
+        histogram
     }
 }
 
-fn narrow(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/observe/src/samples/store.rs
+++ b/crates/observe/src/samples/store.rs
@@ -128,7 +128,7 @@
     if !dir.exists() {
         return Ok(damage);
     }
-    for number in numbers(dir)? {
+    for number in file_numbers(dir)? {
         let path = file_path(dir, number);
         let buf = match std::fs::read(&path) {
             Ok(buf) => buf,
@@ -139,11 +139,11 @@
         let contents = frame::read(&buf);
         let recent = contents.records.into_iter().filter(|r| r.start >= since);
         recent.for_each(&mut visit);
-        if contents.sound < buf.len() {
+        if contents.valid_len < buf.len() {
             damage.push(Damage {
                 path,
-                offset: contents.sound as u64,
-                lost: (buf.len() - contents.sound) as u64,
+                offset: contents.valid_len as u64,
+                lost: (buf.len() - contents.valid_len) as u64,
             });
         }
     }
@@ -171,7 +171,7 @@
     /// Fails if the folder or its newest file can't be used.
     pub fn open(dir: &Path, max_bytes: u64) -> Result<Self, StoreError> {
         std::fs::create_dir_all(dir).context(FolderSnafu { path: dir })?;
-        let number = numbers(dir)?.last().copied().unwrap_or(1);
+        let number = file_numbers(dir)?.last().copied().unwrap_or(1);
         let (file, len) = open_file(&file_path(dir, number))?;
         let file_bytes = (max_bytes / MIN_FILES).clamp(1, MAX_FILE_BYTES);
         Ok(Self {
@@ -218,9 +218,9 @@
     fn rotate(&mut self) -> Result<(), StoreError> {
         self.number += 1;
         (self.file, self.len) = open_file(&file_path(&self.dir, self.number))?;
-        let numbers = numbers(&self.dir)?;
-        let spare = numbers.len().saturating_sub(self.max_files as usize);
-        for number in &numbers[..spare] {
+        let numbers = file_numbers(&self.dir)?;
+        let excess = numbers.len().saturating_sub(self.max_files as usize);
+        for number in &numbers[..excess] {
             let path = file_path(&self.dir, *number);
             std::fs::remove_file(&path).context(IoSnafu { path })?;
         }
@@ -236,16 +236,16 @@
         .open(path)
         .context(IoSnafu { path })?;
     let buf = std::fs::read(path).context(IoSnafu { path })?;
-    let sound = frame::read(&buf).sound as u64;
-    if sound < buf.len() as u64 {
+    let valid_len = frame::read(&buf).valid_len as u64;
+    if valid_len < buf.len() as u64 {
         log::warn!(
-            path = path.display().to_string(), offset = sound, lost = buf.len() as u64 - sound;
+            path = path.display().to_string(), offset = valid_len, lost = buf.len() as u64 - valid_len;
             "cut off samples that are torn or damaged"
         );
-        file.set_len(sound).context(IoSnafu { path })?;
+        file.set_len(valid_len).context(IoSnafu { path })?;
     }
-    if sound > 0 {
-        return Ok((file, sound));
+    if valid_len > 0 {
+        return Ok((file, valid_len));
     }
     file.write_all(MAGIC).context(IoSnafu { path })?;
     Ok((file, MAGIC.len() as u64))
@@ -256,18 +256,18 @@
 }
 
 /// Numbers of the files in a folder, ascending.
-fn numbers(dir: &Path) -> Result<Vec<u64>, StoreError> {
+fn file_numbers(dir: &Path) -> Result<Vec<u64>, StoreError> {
     let entries = std::fs::read_dir(dir).context(FolderSnafu { path: dir })?;
     let mut numbers = Vec::new();
     for entry in entries {
         let name = entry.context(FolderSnafu { path: dir })?.file_name();
-        numbers.extend(name.to_str().and_then(number_of));
+        numbers.extend(name.to_str().and_then(parse_number));
     }
     numbers.sort_unstable();
     Ok(numbers)
 }
 
-fn number_of(name: &str) -> Option<u64> {
+fn parse_number(name: &str) -> Option<u64> {
     let number = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
     number.parse().ok()
 }
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from the logs of all processes.
+//! The trace of one request, from the logs of all processes.
 //!
 //! A request leaves lines in the log of each process that decided about it. [`RequestTrace`] puts
 //! those of one id in the order of time, and before them what each of these processes last
@@ -12,10 +12,10 @@
 use serde_json::{Map, Value};
 
 /// Field that holds a request's id.
-const REQUEST: &str = "request";
-/// Messages that tell what a process believes, for each a subject; a later one about the
-/// same subject takes the place of an earlier one.
-const BELIEFS: [(&str, &str); 8] = [
+const REQUEST_FIELD: &str = "request";
+/// Messages that tell what a process believes, for each a topic; a later one about the
+/// same topic takes the place of an earlier one.
+const STATE_MESSAGES: [(&str, &str); 8] = [
     ("routes in force", "routes"),
     ("list of endpoints", "endpoints"),
     ("list of endpoints changed", "endpoints"),
@@ -26,7 +26,7 @@
     ("leadership or membership", "leader"),
 ];
 /// Fields that stand in each line and are shown apart, or tell nothing here.
-const HEAD: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST];
+const HEADER_FIELDS: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST_FIELD];
 
 /// A line of a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,17 +44,19 @@
 impl Event {
     /// Reads a JSON line, wherever in the text it begins; `None` if there is none.
     pub fn parse(line: &str) -> Option<Self> {
-        Self::of(&object(line)?)
+        Self::from_object(&parse_object(line)?)
     }
 
-    fn of(map: &Map<String, Value>) -> Option<Self> {
-        let fields = map.iter().filter(|(key, _)| !HEAD.contains(&key.as_str()));
+    fn from_object(map: &Map<String, Value>) -> Option<Self> {
+        let fields = map
+            .iter()
+            .filter(|(key, _)| !HEADER_FIELDS.contains(&key.as_str()));
         Some(Self {
             at: text(map, "ts")?,
             process: text(map, "process")?,
             message: text(map, "msg")?,
             fields: fields
-                .map(|(key, value)| (key.clone(), plain(value)))
+                .map(|(key, value)| (key.clone(), value_text(value)))
                 .collect(),
         })
     }
@@ -69,7 +71,7 @@
     }
 }
 
-fn object(line: &str) -> Option<Map<String, Value>> {
+fn parse_object(line: &str) -> Option<Map<String, Value>> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
@@ -78,7 +80,7 @@
     Some(map.get(key)?.as_str()?.to_owned())
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
@@ -94,47 +96,50 @@
 }
 
 impl RequestTrace {
-    /// Collects the story of a request from lines of logs. Each log's lines come in their
+    /// Collects the trace of a request from lines of logs. Each log's lines come in their
     /// order, one log after the other.
     pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut beliefs: BTreeMap<(String, &str), Event> = BTreeMap::new();
-        let mut story = Self::default();
+        let mut states: BTreeMap<(String, &str), Event> = BTreeMap::new();
+        let mut trace = Self::default();
         for line in lines {
-            let Some(map) = object(line) else {
+            let Some(map) = parse_object(line) else {
                 continue;
             };
-            let Some(event) = Event::of(&map) else {
+            let Some(event) = Event::from_object(&map) else {
                 continue;
             };
             if is_about(&map, id) {
-                story.meet(&beliefs, &event.process);
-                story.events.push(event);
-            } else if let Some(subject) = subject(&event.message) {
-                beliefs.insert((event.process.clone(), subject), event);
+                trace.add_states_of(&states, &event.process);
+                trace.events.push(event);
+            } else if let Some(topic) = topic_of(&event.message) {
+                states.insert((event.process.clone(), topic), event);
             }
         }
         // Lines of one process at the same moment keep their order.
-        story.events.sort_by(|a, b| a.at.cmp(&b.at));
-        story.process_states.sort_by(|a, b| a.at.cmp(&b.at));
-        story
+        trace.events.sort_by(|a, b| a.at.cmp(&b.at));
+        trace.process_states.sort_by(|a, b| a.at.cmp(&b.at));
+        trace
     }
 
     /// Notes what a process believed when it first had the request.
-    fn meet(&mut self, beliefs: &BTreeMap<(String, &str), Event>, process: &str) {
+    fn add_states_of(&mut self, states: &BTreeMap<(String, &str), Event>, process: &str) {
         if self.events.iter().any(|event| event.process == process) {
             return;
         }
-        let own = beliefs.iter().filter(|((of, _), _)| of == process);
+        let own = states.iter().filter(|((owner, _), _)| owner == process);
         self.process_states
             .extend(own.map(|(_, event)| event.clone()));
     }
 }
 
-fn subject(message: &str) -> Option<&'static str> {
-    let found = BELIEFS.iter().find(|(said, _)| *said == message);
-    found.map(|(_, subject)| *subject)
+fn topic_of(message: &str) -> Option<&'static str> {
+    let entry = STATE_MESSAGES
+        .iter()
+        .find(|(state_message, _)| *state_message == message);
+    entry.map(|(_, topic)| *topic)
 }
 
 fn is_about(map: &Map<String, Value>, id: &str) -> bool {
-    map.get(REQUEST).is_some_and(|value| plain(value) == id)
+    map.get(REQUEST_FIELD)
+        .is_some_and(|value| value_text(value) == id)
 }
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -7,7 +7,7 @@
 use filberthead_observe::EntryMetrics;
 use filberthead_observe::samples::{
     Collector, Counts, PeriodSamples, Record, Reporter, SampleReport, SampleStore, ServiceSample,
-    Tally, read_history,
+    SparseHistogram, read_history,
 };
 use filberthead_types::{Incarnation, NodeName, Region, ResultCode, ServiceName};
 
@@ -111,7 +111,7 @@
     let slow = latency.above(250_000);
     assert!((750..=770).contains(&slow), "{slow}");
     assert_eq!(latency.quantile(1.0), latency.max());
-    assert_eq!(Tally::default().quantile(0.5), None);
+    assert_eq!(SparseHistogram::default().quantile(0.5), None);
 }
 
 #[test]
--- a/crates/observe/tests/trace.rs
+++ b/crates/observe/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The story of a request comes from all logs, in order, and from nothing else.
+//! The trace of a request comes from all logs, in order, and from nothing else.
 
 use bolero::check;
 use filberthead_observe::{Event, RequestTrace};
@@ -21,22 +21,22 @@
     let refused = format!("  17.25 {}", line("02.000", "gateway-1", "refused", code));
     let other = line("02.500", "gateway-1", "refused", r#","request":"a12""#);
     let lines = [&routes, &newer, &lost, &after, &refused, &other];
-    let story = RequestTrace::from_lines("a1", lines.into_iter().map(String::as_str));
-    let told: Vec<_> = story.events.iter().map(ToString::to_string).collect();
+    let trace = RequestTrace::from_lines("a1", lines.into_iter().map(String::as_str));
+    let events: Vec<_> = trace.events.iter().map(ToString::to_string).collect();
     assert_eq!(
-        told,
+        events,
         [
             "2026-10-14T09:21:02.000Z gateway-1: refused code=1200",
             "2026-10-14T09:21:03.000Z gateway-2: lost ran=1",
         ]
     );
-    let believed: Vec<_> = story
+    let states: Vec<_> = trace
         .process_states
         .iter()
         .map(ToString::to_string)
         .collect();
     assert_eq!(
-        believed,
+        states,
         ["2026-10-14T09:21:01.500Z gateway-2: routes in force version=8"]
     );
 }
