--- a/crates/observe/src/logging/line.rs
+++ b/crates/observe/src/logging/line.rs
@@ -15,7 +15,7 @@
 const PROCESS: &str = "process";
 const TARGET: &str = "target";
 const MSG: &str = "msg";
-const OWN_KEYS: [&str; 5] = [TS, LEVEL, PROCESS, TARGET, MSG];
+const RESERVED_KEYS: [&str; 5] = [TS, LEVEL, PROCESS, TARGET, MSG];
 
 /// Formats a record, without a line end.
 ///
@@ -38,15 +38,15 @@
 
 fn json(ts: &str, process: &str, message: &fmt::Arguments<'_>, record: &Record<'_>) -> String {
     let level = record.level().as_str().to_ascii_lowercase();
-    let own = [
+    let header = [
         (TS, ts.into()),
         (LEVEL, level.into()),
         (PROCESS, process.into()),
         (TARGET, record.target().into()),
         (MSG, message.to_string().into()),
     ];
-    let own = own.map(|(key, value)| (key.to_owned(), value));
-    let pairs = own.into_iter().chain(pairs(record));
+    let header = header.map(|(key, value)| (key.to_owned(), value));
+    let pairs = header.into_iter().chain(pairs(record));
     // A list of pairs, since a map would sort its keys and put `ts` last. Texts, numbers
     // and truth values can't fail to be written.
     let mut line = Serializer::new(Vec::new());
@@ -60,11 +60,11 @@
     let message = message.to_string();
     let mut line = format!(
         "{ts} {level:<5} {process} {target}: {}",
-        printable(&message)
+        escape_control(&message)
     );
     for (key, value) in pairs(record) {
         let text = match value {
-            Json::String(text) => quoted(&text).into_owned(),
+            Json::String(text) => quote_if_needed(&text).into_owned(),
             other => other.to_string(),
         };
         // Writing to a `String` can't fail.
@@ -73,7 +73,7 @@
     line
 }
 
-fn printable(text: &str) -> Cow<'_, str> {
+fn escape_control(text: &str) -> Cow<'_, str> {
     if !text.contains(char::is_control) {
         return text.into();
     }
@@ -85,7 +85,7 @@
 }
 
 /// A value that a reader can tell from the next key.
-fn quoted(text: &str) -> Cow<'_, str> {
+fn quote_if_needed(text: &str) -> Cow<'_, str> {
     let plain = |c: char| !c.is_control() && !c.is_whitespace() && c != '"' && c != '=';
     if !text.is_empty() && text.chars().all(plain) {
         return text.into();
@@ -94,21 +94,21 @@
 }
 
 fn pairs(record: &Record<'_>) -> Vec<(String, Json)> {
-    let mut pairs = Pairs(Vec::new());
+    let mut pairs = KeyValues(Vec::new());
     // The visitor never fails; a source that does loses only its own keys.
     let _ = record.key_values().visit(&mut pairs);
     pairs.0
 }
 
-struct Pairs(Vec<(String, Json)>);
+struct KeyValues(Vec<(String, Json)>);
 
-impl<'kvs> VisitSource<'kvs> for Pairs {
+impl<'kvs> VisitSource<'kvs> for KeyValues {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let mut key = key.as_str().to_owned();
-        if OWN_KEYS.contains(&key.as_str()) {
+        if RESERVED_KEYS.contains(&key.as_str()) {
             key.push('_');
         }
-        let mut json = ToJson(Json::Null);
+        let mut json = JsonValue(Json::Null);
         value.visit(&mut json)?;
         self.0.push((key, json.0));
         Ok(())
@@ -116,9 +116,9 @@
 }
 
 /// Keeps numbers and truth values as such; all else becomes text.
-struct ToJson(Json);
+struct JsonValue(Json);
 
-impl<'v> VisitValue<'v> for ToJson {
+impl<'v> VisitValue<'v> for JsonValue {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
         self.0 = value.to_string().into();
         Ok(())
--- a/crates/observe/src/logging/mod.rs
+++ b/crates/observe/src/logging/mod.rs
@@ -21,7 +21,7 @@
 pub use line::format_line;
 pub(crate) use queue::dropped_lines;
 pub use queue::{DroppedLines, LogGuard};
-use queue::{MissingLines, QueueWriter, write_out};
+use queue::{FormatMissing, QueueWriter, write_lines};
 pub use rate_limit::LogRateLimiter;
 
 /// Lines that wait to be written. At a kilobyte each that is a few megabytes, and a
@@ -79,12 +79,12 @@
     let dropped = DroppedLines::default();
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_out(&rx, out))
+        .spawn(move || write_lines(&rx, out))
         .context(ThreadSnafu)?;
     let writer = QueueWriter::new(
         tx.clone(),
         dropped.clone(),
-        missing_lines(settings, process),
+        format_missing(settings, process),
     );
     let (_, logger) = dispatch(settings, process, Box::new(writer)).into_log();
     Ok((logger, LogGuard::new(tx, dropped)))
@@ -107,7 +107,7 @@
 }
 
 /// Makes the line that tells how many are missing before it.
-fn missing_lines(settings: &LogSettings, process: &str) -> MissingLines {
+fn format_missing(settings: &LogSettings, process: &str) -> FormatMissing {
     let format = settings.format;
     let process = process.to_owned();
     Box::new(move |count| {
--- a/crates/observe/src/logging/queue.rs
+++ b/crates/observe/src/logging/queue.rs
@@ -12,7 +12,7 @@
 
 /// What goes to the thread that writes.
 #[derive(Debug)]
-pub(super) enum Item {
+pub(super) enum QueueItem {
     Line(Vec<u8>),
     /// Answered once all earlier lines are written.
     Flush(SyncSender<()>),
@@ -20,11 +20,11 @@
 
 /// Lines that found any queue of this process full. There is one logger in a process, and
 /// it is started before there are metrics to hand it to.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Log lines that this process has dropped.
 pub(crate) fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// Counts lines that found the queue full. Clones show the same count.
@@ -41,12 +41,12 @@
 /// Keeps logging; see [`init_logging`](crate::init_logging).
 #[derive(Debug)]
 pub struct LogGuard {
-    tx: SyncSender<Item>,
+    tx: SyncSender<QueueItem>,
     dropped: DroppedLines,
 }
 
 impl LogGuard {
-    pub(super) fn new(tx: SyncSender<Item>, dropped: DroppedLines) -> Self {
+    pub(super) fn new(tx: SyncSender<QueueItem>, dropped: DroppedLines) -> Self {
         Self { tx, dropped }
     }
 
@@ -58,22 +58,22 @@
     /// Waits until the lines logged so far are written, for a second at most.
     pub fn flush(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
-        let (done, written) = sync_channel(1);
-        let mut item = Item::Flush(done);
+        let (done_tx, done_rx) = sync_channel(1);
+        let mut item = QueueItem::Flush(done_tx);
         loop {
             match self.tx.try_send(item) {
                 Ok(()) => break,
                 Err(TrySendError::Disconnected(_)) => return,
-                Err(TrySendError::Full(back)) => item = back,
+                Err(TrySendError::Full(unsent)) => item = unsent,
             }
             if Instant::now() >= deadline {
                 return;
             }
             std::thread::sleep(FLUSH_RETRY);
         }
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         // A reader that takes nothing for a second doesn't get the last lines.
-        let _ = written.recv_timeout(left);
+        let _ = done_rx.recv_timeout(remaining);
     }
 }
 
@@ -84,40 +84,40 @@
 }
 
 /// Makes the line that stands for so many missing ones.
-pub(super) type MissingLines = Box<dyn Fn(u64) -> String + Send>;
+pub(super) type FormatMissing = Box<dyn Fn(u64) -> String + Send>;
 
 /// Takes whole lines from fern and never blocks.
 pub(super) struct QueueWriter {
-    tx: SyncSender<Item>,
+    tx: SyncSender<QueueItem>,
     dropped: DroppedLines,
     /// Lines dropped since the last one that got through.
     missing: u64,
-    missing_lines: MissingLines,
+    format_missing: FormatMissing,
     buf: Vec<u8>,
 }
 
 impl QueueWriter {
     pub(super) fn new(
-        tx: SyncSender<Item>,
+        tx: SyncSender<QueueItem>,
         dropped: DroppedLines,
-        missing_lines: MissingLines,
+        format_missing: FormatMissing,
     ) -> Self {
         Self {
             tx,
             dropped,
             missing: 0,
-            missing_lines,
+            format_missing,
             buf: Vec::new(),
         }
     }
 
     fn push(&mut self, line: Vec<u8>) {
-        if self.tx.try_send(Item::Line(line)).is_ok() {
+        if self.tx.try_send(QueueItem::Line(line)).is_ok() {
             self.missing = 0;
         } else {
             self.missing += 1;
             self.dropped.0.fetch_add(1, Ordering::Relaxed);
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -135,9 +135,9 @@
             return Ok(());
         }
         if self.missing > 0 {
-            let mut note = (self.missing_lines)(self.missing);
-            note.push('\n');
-            line.splice(0..0, note.into_bytes());
+            let mut missing_line = (self.format_missing)(self.missing);
+            missing_line.push('\n');
+            line.splice(0..0, missing_line.into_bytes());
         }
         self.push(line);
         Ok(())
@@ -146,13 +146,13 @@
 
 /// Writes lines until every sender is gone. An output that fails, such as a closed
 /// pipe, loses lines but stops nothing.
-pub(super) fn write_out(rx: &Receiver<Item>, mut out: impl Write) {
+pub(super) fn write_lines(rx: &Receiver<QueueItem>, mut out: impl Write) {
     while let Ok(item) = rx.recv() {
         match item {
-            Item::Line(line) => {
+            QueueItem::Line(line) => {
                 let _ = out.write_all(&line);
             }
-            Item::Flush(done) => {
+            QueueItem::Flush(done) => {
                 let _ = out.flush();
                 let _ = done.try_send(());
             }
--- a/crates/observe/src/logging/rate_limit.rs
+++ b/crates/observe/src/logging/rate_limit.rs
@@ -9,28 +9,28 @@
 
 use filberthead_types::Moment;
 
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Bounds lines by kind. Kinds come from an enumeration of the code: each is kept for good.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter<K> {
-    a_second: u32,
-    kinds: HashMap<K, Kind>,
+    lines_per_second: u32,
+    kinds: HashMap<K, KindState>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kind {
+struct KindState {
     /// When the second began that is counted now.
-    begun: Moment,
-    left: u32,
+    window_start: Moment,
+    remaining: u32,
     omitted: u64,
 }
 
 impl<K: Eq + Hash> LogRateLimiter<K> {
     /// Allows so many lines of each kind in a second.
-    pub fn new(a_second: u32) -> Self {
+    pub fn new(lines_per_second: u32) -> Self {
         Self {
-            a_second,
+            lines_per_second,
             kinds: HashMap::new(),
         }
     }
@@ -38,20 +38,20 @@
     /// Whether a line may be written now: `None` if not, else how many of its kind were
     /// left out since the last one that was written.
     pub fn allow(&mut self, now: Moment, kind: K) -> Option<u64> {
-        let left = self.a_second;
-        let kind = self.kinds.entry(kind).or_insert(Kind {
-            begun: now,
-            left,
+        let remaining = self.lines_per_second;
+        let kind = self.kinds.entry(kind).or_insert(KindState {
+            window_start: now,
+            remaining,
             omitted: 0,
         });
-        if now >= kind.begun + SPAN {
-            (kind.begun, kind.left) = (now, left);
+        if now >= kind.window_start + WINDOW {
+            (kind.window_start, kind.remaining) = (now, remaining);
         }
-        if kind.left == 0 {
+        if kind.remaining == 0 {
             kind.omitted += 1;
             return None;
         }
-        kind.left -= 1;
+        kind.remaining -= 1;
         Some(std::mem::take(&mut kind.omitted))
     }
 }
--- a/crates/observe/tests/rate_limit.rs
+++ b/crates/observe/tests/rate_limit.rs
@@ -5,7 +5,7 @@
 use filberthead_observe::LogRateLimiter;
 use filberthead_types::{Moment, ResultCode};
 
-const A_SECOND: u32 = 3;
+const LINES_PER_SECOND: u32 = 3;
 
 fn at(ms: u64) -> Moment {
     Duration::from_millis(ms)
@@ -13,46 +13,48 @@
 
 /// Tries so many lines of a kind; for each that is written, how many were left out before.
 fn written(
-    lines: &mut LogRateLimiter<ResultCode>,
+    limiter: &mut LogRateLimiter<ResultCode>,
     now: Moment,
     kind: ResultCode,
     tries: usize,
 ) -> Vec<u64> {
-    (0..tries).filter_map(|_| lines.allow(now, kind)).collect()
+    (0..tries)
+        .filter_map(|_| limiter.allow(now, kind))
+        .collect()
 }
 
 #[test]
 fn the_next_line_tells_what_was_left_out() {
-    let mut lines = LogRateLimiter::new(A_SECOND);
+    let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
     let kind = ResultCode::UnknownService;
-    assert_eq!(written(&mut lines, at(500), kind, 10), [0, 0, 0]);
-    assert!(written(&mut lines, at(1_499), kind, 5).is_empty());
-    assert_eq!(written(&mut lines, at(1_500), kind, 4), [12, 0, 0]);
-    assert_eq!(written(&mut lines, at(9_000), kind, 1), [1]);
+    assert_eq!(written(&mut limiter, at(500), kind, 10), [0, 0, 0]);
+    assert!(written(&mut limiter, at(1_499), kind, 5).is_empty());
+    assert_eq!(written(&mut limiter, at(1_500), kind, 4), [12, 0, 0]);
+    assert_eq!(written(&mut limiter, at(9_000), kind, 1), [1]);
 }
 
 /// Callers ask for a service that there isn't, thousands of times a second. The one order
 /// that is refused for another reason in that second must still have its line.
 #[test]
 fn a_flood_of_one_kind_leaves_the_others_their_lines() {
-    let mut lines = LogRateLimiter::new(A_SECOND);
-    written(&mut lines, at(0), ResultCode::UnknownService, 10_000);
-    assert_eq!(written(&mut lines, at(0), ResultCode::NotReady, 1), [0]);
+    let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
+    written(&mut limiter, at(0), ResultCode::UnknownService, 10_000);
+    assert_eq!(written(&mut limiter, at(0), ResultCode::NotReady, 1), [0]);
 }
 
 /// Whatever comes when, no second has more than its allowance, and lines written and left
 /// out add up to those that were tried.
 #[test]
 fn a_long_flood_stays_bounded() {
-    let mut lines = LogRateLimiter::new(A_SECOND);
+    let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
     let kind = ResultCode::BodyTooLarge;
-    let mut told = Vec::new();
+    let mut omitted_counts = Vec::new();
     for step in 0..1_000 {
-        told.extend(written(&mut lines, at(step * 10), kind, 7));
+        omitted_counts.extend(written(&mut limiter, at(step * 10), kind, 7));
     }
-    assert_eq!(told.len(), 10 * A_SECOND as usize);
-    let omitted: u64 = told.iter().sum();
+    assert_eq!(omitted_counts.len(), 10 * LINES_PER_SECOND as usize);
+    let omitted: u64 = omitted_counts.iter().sum();
     // Those after the last line are told by the next.
-    let rest = written(&mut lines, at(10_000), kind, 1);
-    assert_eq!(omitted + rest[0] + told.len() as u64, 7_000);
+    let rest = written(&mut limiter, at(10_000), kind, 1);
+    assert_eq!(omitted + rest[0] + omitted_counts.len() as u64, 7_000);
 }
