--- a/crates/observe/src/burn/html.rs
+++ b/crates/observe/src/burn/html.rs
@@ -30,7 +30,7 @@
   vertical-align: middle; }
 ";
 
-const BOUND: &str = "<span>dashed: the objective's bound</span>";
+const BOUND_LEGEND: &str = "<span>dashed: the objective's bound</span>";
 
 /// Burn from which a figure is marked: the budget goes faster than it may.
 const WARN_BURN: f64 = 1.0;
@@ -72,33 +72,33 @@
 }
 
 fn rows(page: &mut String, scope: &Scope) {
-    for (place, (measure, cells)) in scope.measures.iter().zip(text::rows(scope)).enumerate() {
-        page.push_str(if place == 0 {
+    for (index, (measure, cells)) in scope.measures.iter().zip(text::rows(scope)).enumerate() {
+        page.push_str(if index == 0 {
             "<tr class=\"first\">"
         } else {
             "<tr>"
         });
         for (column, cell) in cells.iter().enumerate() {
-            let mark = mark(measure, column);
-            let _ = write!(page, "<td{}>{}</td>", class(column, mark), escape(cell));
+            let severity = severity(measure, column);
+            let _ = write!(page, "<td{}>{}</td>", class(column, severity), escape(cell));
         }
         page.push_str("</tr>\n");
     }
 }
 
 /// Columns before the windows: service, region, measure, objective, budget left.
-const FIRST_WINDOW: usize = 5;
-const BUDGET: usize = 4;
+const FIRST_WINDOW_COLUMN: usize = 5;
+const BUDGET_COLUMN: usize = 4;
 
 /// How a figure is marked; the figure itself stands there, so nobody needs the colour.
-fn mark(measure: &Measure, column: usize) -> Option<&'static str> {
-    if column == BUDGET {
+fn severity(measure: &Measure, column: usize) -> Option<&'static str> {
+    if column == BUDGET_COLUMN {
         return measure
             .budget_left
             .filter(|left| *left < 0.0)
             .map(|_| "bad");
     }
-    let window = column.checked_sub(FIRST_WINDOW)?;
+    let window = column.checked_sub(FIRST_WINDOW_COLUMN)?;
     let burn = measure.windows.get(window)?.burn?;
     match burn {
         burn if burn >= BAD_BURN => Some("bad"),
@@ -107,9 +107,9 @@
     }
 }
 
-fn class(column: usize, mark: Option<&str>) -> String {
-    let number = (column >= BUDGET).then_some("num");
-    let classes: Vec<_> = number.into_iter().chain(mark).collect();
+fn class(column: usize, severity: Option<&str>) -> String {
+    let number = (column >= BUDGET_COLUMN).then_some("num");
+    let classes: Vec<_> = number.into_iter().chain(severity).collect();
     match classes.is_empty() {
         true => String::new(),
         false => format!(" class=\"{}\"", classes.join(" ")),
@@ -122,7 +122,7 @@
         let Some(first) = group.first() else { continue };
         let _ = writeln!(page, "<h2>{}</h2>", escape(first.service.as_str()));
         let legend = legend(report, group);
-        let _ = writeln!(page, "<p class=\"legend\">{legend}{BOUND}</p>");
+        let _ = writeln!(page, "<p class=\"legend\">{legend}{BOUND_LEGEND}</p>");
         page.push_str("<div class=\"plots\">\n");
         for plot in plots(report, group) {
             let caption = escape(&plot.caption);
--- a/crates/observe/src/burn/measure.rs
+++ b/crates/observe/src/burn/measure.rs
@@ -81,7 +81,7 @@
                 total: counts.answered(),
                 bad: counts
                     .latency_us
-                    .above(narrow(objective.latency_threshold.as_micros())),
+                    .above(saturating_u64(objective.latency_threshold.as_micros())),
             },
             Self::Headroom => match counts.headroom() {
                 None => Events::default(),
@@ -94,7 +94,7 @@
                 total: counts.drain_ms.total(),
                 bad: counts
                     .drain_ms
-                    .above(narrow(objective.drain_deadline.as_millis())),
+                    .above(saturating_u64(objective.drain_deadline.as_millis())),
             },
             Self::Refusals => {
                 let bad = counts.refused.saturating_add(counts.lost);
@@ -107,7 +107,7 @@
     }
 }
 
-fn narrow(value: u128) -> u64 {
+fn saturating_u64(value: u128) -> u64 {
     u64::try_from(value).unwrap_or(u64::MAX)
 }
 
@@ -182,7 +182,7 @@
 }
 
 /// Whether a minute that starts then has its end within the last `window` seconds.
-pub(super) fn lies_within(start: u64, window: u64, now: u64) -> bool {
+pub(super) fn is_within_window(start: u64, window: u64, now: u64) -> bool {
     let end = start + PERIOD_SECONDS;
     end + window > now && start <= now
 }
@@ -195,7 +195,7 @@
     /// Adds events of a minute to the windows that it lies in.
     pub(super) fn add(&mut self, events: Events, start: u64, now: u64) {
         for (window, seconds) in self.0.iter_mut().zip(WINDOWS) {
-            if lies_within(start, seconds, now) {
+            if is_within_window(start, seconds, now) {
                 window.add(events);
             }
         }
--- a/crates/observe/src/burn/plot.rs
+++ b/crates/observe/src/burn/plot.rs
@@ -30,7 +30,7 @@
 ];
 const SECONDS_PER_HOUR: f64 = 3600.0;
 /// Left end of the narrowest plot, in hours.
-const NARROWEST: f64 = -0.25;
+const NARROWEST_LEFT_END: f64 = -0.25;
 
 /// A finished plot.
 pub(super) struct Plot {
@@ -89,13 +89,13 @@
 struct Line {
     colour: RGBColor,
     /// Parts without a gap.
-    parts: Vec<Vec<(f64, f64)>>,
+    segments: Vec<Vec<(f64, f64)>>,
 }
 
 fn lines(report: &Report, scopes: &[Scope], kind: MeasureKind) -> Vec<Line> {
     let line = |scope: &Scope| Line {
         colour: colour(report, scope),
-        parts: parts(report, scope, kind),
+        segments: segments(report, scope, kind),
     };
     scopes.iter().map(line).collect()
 }
@@ -107,36 +107,36 @@
 
 /// Splits a line where samples are missing: a line drawn across a gap would show
 /// measurements that nobody made. Drains are rare, so each stands alone.
-fn parts(report: &Report, scope: &Scope, kind: MeasureKind) -> Vec<Vec<(f64, f64)>> {
-    let mut parts: Vec<Vec<(f64, f64)>> = Vec::new();
+fn segments(report: &Report, scope: &Scope, kind: MeasureKind) -> Vec<Vec<(f64, f64)>> {
+    let mut segments: Vec<Vec<(f64, f64)>> = Vec::new();
     let mut end = None;
     for point in &scope.points {
         let Some(y) = value(kind, point) else {
             continue;
         };
         let x = hours(report, point);
-        let joined = end == Some(point.start) && kind != MeasureKind::DrainTime;
-        match parts.last_mut() {
-            Some(part) if joined => part.push((x, y)),
-            _ => parts.push(vec![(x, y)]),
+        let contiguous = end == Some(point.start) && kind != MeasureKind::DrainTime;
+        match segments.last_mut() {
+            Some(segment) if contiguous => segment.push((x, y)),
+            _ => segments.push(vec![(x, y)]),
         }
         end = Some(point.start + report.step_seconds);
     }
-    parts
+    segments
 }
 
 fn svg(report: &Report, scopes: &[Scope], kind: MeasureKind) -> String {
     let points = report.scopes.iter().flat_map(|scope| &scope.points);
-    let first = points.map(|point| hours(report, point));
-    let picture = Picture {
-        first: first.fold(NARROWEST, f64::min),
+    let starts = points.map(|point| hours(report, point));
+    let data = PlotData {
+        left_end: starts.fold(NARROWEST_LEFT_END, f64::min),
         bound: bound(scopes, kind),
         lines: lines(report, scopes, kind),
         kind,
     };
     let mut svg = String::new();
     let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-    let drawn = picture.draw(&root).and_then(|()| root.present());
+    let drawn = data.draw(&root).and_then(|()| root.present());
     drop(root);
     match drawn {
         Ok(()) => svg.replace(INK_TEXT, "currentColor"),
@@ -156,20 +156,20 @@
 }
 
 /// What one plot shows.
-struct Picture {
+struct PlotData {
     kind: MeasureKind,
     /// Left end, in hours before the report; the same for all plots of a report.
-    first: f64,
+    left_end: f64,
     /// Where good ends and bad begins.
     bound: Option<f64>,
     lines: Vec<Line>,
 }
 
-impl Picture {
+impl PlotData {
     /// Upper end of the plot, with room for the bound.
     fn top(&self) -> f64 {
-        let parts = self.lines.iter().flat_map(|line| &line.parts);
-        let values = parts.flatten().map(|point| point.1).chain(self.bound);
+        let segments = self.lines.iter().flat_map(|line| &line.segments);
+        let values = segments.flatten().map(|point| point.1).chain(self.bound);
         let top = values.fold(0.0, f64::max);
         match self.kind {
             MeasureKind::Headroom => 100.0,
@@ -184,7 +184,7 @@
             .margin_right(16)
             .x_label_area_size(34)
             .y_label_area_size(54)
-            .build_cartesian_2d(self.first..0.0, 0.0..self.top())?;
+            .build_cartesian_2d(self.left_end..0.0, 0.0..self.top())?;
         let label = ("sans-serif", 14).into_font().color(&INK);
         chart
             .configure_mesh()
@@ -194,21 +194,21 @@
             .axis_style(INK.mix(0.6))
             .label_style(label)
             .x_desc("hours before now")
-            .x_label_formatter(&|x| tidy(x.abs()))
-            .y_label_formatter(&|y| tidy(*y))
+            .x_label_formatter(&|x| format_number(x.abs()))
+            .y_label_formatter(&|y| format_number(*y))
             .x_labels(7)
             .y_labels(6)
             .draw()?;
         if let Some(bound) = self.bound {
-            let line = [(self.first, bound), (0.0, bound)];
+            let line = [(self.left_end, bound), (0.0, bound)];
             chart.draw_series(DashedLineSeries::new(line, 6, 4, INK.mix(0.7).into()))?;
         }
         for line in &self.lines {
-            for part in &line.parts {
+            for segment in &line.segments {
                 let style = line.colour.stroke_width(2);
-                chart.draw_series(LineSeries::new(part.iter().copied(), style))?;
-                if let [alone] = part[..] {
-                    chart.draw_series([Circle::new(alone, 3, line.colour.filled())])?;
+                chart.draw_series(LineSeries::new(segment.iter().copied(), style))?;
+                if let [single] = segment[..] {
+                    chart.draw_series([Circle::new(single, 3, line.colour.filled())])?;
                 }
             }
         }
@@ -216,6 +216,6 @@
     }
 }
 
-fn tidy(number: f64) -> String {
+fn format_number(number: f64) -> String {
     format!("{}", (number * 100.0).round() / 100.0)
 }
--- a/crates/observe/src/burn/report.rs
+++ b/crates/observe/src/burn/report.rs
@@ -6,7 +6,7 @@
 use filberthead_types::{Region, ServiceName};
 use serde::{Deserialize, Serialize};
 
-use super::measure::{Measure, MeasureKind, WindowEvents, lies_within, measure};
+use super::measure::{Measure, MeasureKind, WindowEvents, is_within_window, measure};
 use super::series::{Point, Series, step_seconds};
 use super::{BUDGET_WINDOW, WINDOWS};
 use crate::samples::{Counts, Damage, History, PERIOD_SECONDS, Record, ServiceSample};
@@ -68,7 +68,7 @@
     objectives: BTreeMap<ServiceName, ObjectiveSettings>,
     scopes: BTreeMap<ScopeKey, ScopeBuilder>,
     without_objective: BTreeSet<ServiceName>,
-    heard: BTreeSet<u64>,
+    sampled_minutes: BTreeSet<u64>,
     entries: u32,
 }
 
@@ -97,7 +97,7 @@
             scopes: objectives.keys().map(all).collect(),
             objectives,
             without_objective: BTreeSet::new(),
-            heard: BTreeSet::new(),
+            sampled_minutes: BTreeSet::new(),
             entries: 0,
         }
     }
@@ -109,12 +109,12 @@
 
     /// Takes a record in. One of a minute that is known already adds to it.
     pub fn add(&mut self, record: &Record) {
-        if !lies_within(record.start, BUDGET_WINDOW, self.now) {
+        if !is_within_window(record.start, BUDGET_WINDOW, self.now) {
             return;
         }
-        self.heard.insert(record.start);
+        self.sampled_minutes.insert(record.start);
         self.entries = self.entries.max(record.entries);
-        self.lengthen_steps(record.start);
+        self.widen_steps(record.start);
         let ServiceSample {
             service,
             region,
@@ -131,12 +131,12 @@
         }
     }
 
-    fn lengthen_steps(&mut self, start: u64) {
+    fn widen_steps(&mut self, start: u64) {
         let step = step_seconds(start, self.now);
         if step > self.step {
             self.step = step;
             for scope in self.scopes.values_mut() {
-                scope.series.coarsen(step);
+                scope.series.merge_steps(step);
             }
         }
     }
@@ -170,12 +170,12 @@
     }
 
     fn source(&self, damage: &[Damage]) -> Source {
-        let heard = |seconds: &u64| {
-            let recent = |start: &&u64| lies_within(**start, *seconds, self.now);
-            self.heard.iter().filter(recent).count() as u64
+        let count_minutes = |seconds: &u64| {
+            let in_window = |start: &&u64| is_within_window(**start, *seconds, self.now);
+            self.sampled_minutes.iter().filter(in_window).count() as u64
         };
         Source {
-            minutes: WINDOWS.iter().map(heard).collect(),
+            minutes: WINDOWS.iter().map(count_minutes).collect(),
             entries: self.entries,
             damage: damage.iter().map(damage_text).collect(),
         }
--- a/crates/observe/src/burn/series.rs
+++ b/crates/observe/src/burn/series.rs
@@ -65,7 +65,7 @@
     }
 
     /// Puts steps together after their length has been doubled.
-    pub(super) fn coarsen(&mut self, step: u64) {
+    pub(super) fn merge_steps(&mut self, step: u64) {
         for (start, old) in std::mem::take(&mut self.0) {
             let new = self.step(start, step);
             new.counts.add(&old.counts);
--- a/crates/observe/src/burn/text.rs
+++ b/crates/observe/src/burn/text.rs
@@ -53,7 +53,9 @@
 fn coverage(report: &Report) -> String {
     let windows = WINDOWS.iter().zip(WINDOW_NAMES).zip(&report.source.minutes);
     let parts: Vec<_> = windows
-        .map(|((seconds, name), heard)| format!("{heard} of {} in {name}", minutes_of(*seconds)))
+        .map(|((seconds, name), sampled)| {
+            format!("{sampled} of {} in {name}", minutes_of(*seconds))
+        })
         .collect();
     format!(
         "Minutes with samples: {}; at most {} entries reported on one.",
--- a/crates/observe/src/metrics/control.rs
+++ b/crates/observe/src/metrics/control.rs
@@ -17,10 +17,10 @@
 #[derive(Debug)]
 pub struct ControlMetrics {
     registry: Registry,
-    leads: Gauge,
-    lease: Gauge,
+    leader: Gauge,
+    lease_held: Gauge,
     term: Gauge,
-    sync: Histogram,
+    sync_duration: Histogram,
     last_index: Gauge,
     applied_index: Gauge,
     voters: Gauge,
@@ -44,10 +44,10 @@
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::default(),
-            leads: Gauge::default(),
-            lease: Gauge::default(),
+            leader: Gauge::default(),
+            lease_held: Gauge::default(),
             term: Gauge::default(),
-            sync: local_histogram(),
+            sync_duration: local_histogram(),
             last_index: Gauge::default(),
             applied_index: Gauge::default(),
             voters: Gauge::default(),
@@ -81,12 +81,17 @@
 
     fn register_consensus(&self, registry: &mut Registry) {
         let leads = "1 while this replica leads";
-        registry.register("leader", leads, self.leads.clone());
+        registry.register("leader", leads, self.leader.clone());
         let lease = "1 while this replica holds a lease to answer for the table";
-        registry.register("lease_held", lease, self.lease.clone());
+        registry.register("lease_held", lease, self.lease_held.clone());
         registry.register("term", "Newest term seen", self.term.clone());
         let sync = "Time to sync the log";
-        registry.register_with_unit("log_sync_duration", sync, Unit::Seconds, self.sync.clone());
+        registry.register_with_unit(
+            "log_sync_duration",
+            sync,
+            Unit::Seconds,
+            self.sync_duration.clone(),
+        );
         let last = "Index of the log's last entry";
         registry.register("log_last_index", last, self.last_index.clone());
         let applied = "Index of the last entry applied to the table";
@@ -97,9 +102,9 @@
     }
 
     /// Sets whether this replica leads and whether it holds the lease.
-    pub fn set_leadership(&self, leads: bool, lease: bool) {
-        self.leads.set(leads.into());
-        self.lease.set(lease.into());
+    pub fn set_leadership(&self, is_leader: bool, holds_lease: bool) {
+        self.leader.set(is_leader.into());
+        self.lease_held.set(holds_lease.into());
     }
 
     /// Sets the newest term seen.
@@ -109,7 +114,7 @@
 
     /// Takes the time of a sync of the log.
     pub fn record_sync(&self, took: Duration) {
-        observe(&self.sync, took);
+        observe(&self.sync_duration, took);
     }
 
     /// Sets the log's last index and the last applied one.
--- a/crates/observe/src/metrics/entry.rs
+++ b/crates/observe/src/metrics/entry.rs
@@ -9,7 +9,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use super::labels::{CodeLabels, KnownPairs, PairLabels};
+use super::labels::{BoundedPairs, CodeLabels, PairLabels};
 use super::requests::RequestFamilies;
 use super::{PeerMetrics, RequestMetrics};
 use super::{drain_histogram, encoded, local_histogram, observe, registry, set};
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
-    pairs: KnownPairs,
+    pairs: BoundedPairs,
     period_counters: PeriodCounters,
     requests: RequestFamilies,
     lookups: Family<CodeLabels, Counter>,
@@ -47,7 +47,7 @@
         let answered_lookups = lookups.get_or_create_owned(&ResultCode::LookedUp.into());
         let mut metrics = Self {
             registry: Registry::default(),
-            pairs: KnownPairs::default(),
+            pairs: BoundedPairs::default(),
             period_counters: PeriodCounters::default(),
             requests: RequestFamilies::default(),
             lookups,
--- a/crates/observe/src/metrics/gateway.rs
+++ b/crates/observe/src/metrics/gateway.rs
@@ -19,7 +19,7 @@
 /// Label sets are enumerations of the code: kinds of routes and result codes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct EndLabels {
+struct OutcomeLabels {
     kind: &'static str,
     code: u16,
     result: &'static str,
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
-    requests: Family<EndLabels, Counter>,
+    requests: Family<OutcomeLabels, Counter>,
     durations: Family<KindLabels, Histogram, fn() -> Histogram>,
     attempts: Family<ReasonLabels, Counter>,
     running: Gauge,
@@ -97,7 +97,7 @@
     /// `took` since its arrival.
     pub fn record_request(&self, kind: Option<&'static str>, code: ResultCode, took: Duration) {
         let kind = kind.unwrap_or(NO_KIND);
-        let labels = EndLabels {
+        let labels = OutcomeLabels {
             kind,
             code: code.number(),
             result: code.slug(),
--- a/crates/observe/src/metrics/labels.rs
+++ b/crates/observe/src/metrics/labels.rs
@@ -72,9 +72,9 @@
 
 /// Pairs that have a series.
 #[derive(Debug, Default)]
-pub(super) struct KnownPairs(Mutex<BTreeSet<(String, String)>>);
+pub(super) struct BoundedPairs(Mutex<BTreeSet<(String, String)>>);
 
-impl KnownPairs {
+impl BoundedPairs {
     /// The labels of a pair: its own, or `other` when there are too many.
     pub(super) fn labels(&self, service: &ServiceName, region: &Region) -> PairLabels {
         let pair = (service.as_str().to_owned(), region.as_str().to_owned());
@@ -87,14 +87,14 @@
 
     fn admits(&self, pair: &(String, String)) -> bool {
         // A panic under the lock can't leave the set half changed.
-        let mut known = self.0.lock().unwrap_or_else(|err| err.into_inner());
-        if known.contains(pair) {
+        let mut admitted = self.0.lock().unwrap_or_else(|err| err.into_inner());
+        if admitted.contains(pair) {
             return true;
         }
-        let room = known.len() < MAX_PAIRS;
-        if room {
-            known.insert(pair.clone());
+        let has_room = admitted.len() < MAX_PAIRS;
+        if has_room {
+            admitted.insert(pair.clone());
         }
-        room
+        has_room
     }
 }
--- a/crates/observe/src/metrics/peer.rs
+++ b/crates/observe/src/metrics/peer.rs
@@ -71,21 +71,21 @@
 
     /// Passes on the totals of the transport.
     pub fn record(&self, totals: &PeerTotals) {
-        raise(&self.sent, totals.sent);
-        raise(&self.sent_bytes, totals.sent_bytes);
+        raise_to(&self.sent, totals.sent);
+        raise_to(&self.sent_bytes, totals.sent_bytes);
         for (protocol, total) in &totals.sent_bytes_by_protocol {
             let labels = ProtocolLabels { protocol };
-            raise(&self.sent_by_protocol.get_or_create_owned(&labels), *total);
+            raise_to(&self.sent_by_protocol.get_or_create_owned(&labels), *total);
         }
-        raise(&self.dropped, totals.dropped);
-        raise(&self.received, totals.received);
-        raise(&self.received_bytes, totals.received_bytes);
+        raise_to(&self.dropped, totals.dropped);
+        raise_to(&self.received, totals.received);
+        raise_to(&self.received_bytes, totals.received_bytes);
         for (kind, total) in &totals.received_bytes_by_kind {
             let labels = KindLabels { kind };
-            raise(&self.received_by_kind.get_or_create_owned(&labels), *total);
+            raise_to(&self.received_by_kind.get_or_create_owned(&labels), *total);
         }
         for (reason, total) in &totals.rejected {
-            raise(
+            raise_to(
                 &self.rejected.get_or_create_owned(&ReasonLabels { reason }),
                 *total,
             );
@@ -95,12 +95,12 @@
     /// Passes on how many items a ring has refused since its start. The name is one word
     /// for each ring in the code.
     pub fn ring_refused(&self, ring: &'static str, total: u64) {
-        raise(&self.rings.get_or_create_owned(&RingLabels { ring }), total);
+        raise_to(&self.rings.get_or_create_owned(&RingLabels { ring }), total);
     }
 }
 
 /// Takes a total that only goes up. An older one, from a duty that was slow to pass it
 /// on, must not make the counter go down: that would look like a restart.
-fn raise(counter: &Counter<u64, AtomicU64>, total: u64) {
+fn raise_to(counter: &Counter<u64, AtomicU64>, total: u64) {
     counter.inner().fetch_max(total, Ordering::Relaxed);
 }
--- a/crates/observe/src/metrics/requests.rs
+++ b/crates/observe/src/metrics/requests.rs
@@ -93,9 +93,9 @@
 
     fn counter(&self, code: ResultCode) -> Counter {
         let number = code.number();
-        let place = ResultCode::ALL.binary_search_by_key(&number, |code| code.number());
-        match place.ok().and_then(|place| self.shared.counters.get(place)) {
-            Some(slot) => slot.get_or_init(|| self.resolve(code)).clone(),
+        let index = ResultCode::ALL.binary_search_by_key(&number, |code| code.number());
+        match index.ok().and_then(|index| self.shared.counters.get(index)) {
+            Some(counter) => counter.get_or_init(|| self.resolve(code)).clone(),
             None => self.resolve(code),
         }
     }
--- a/crates/observe/tests/burn.rs
+++ b/crates/observe/tests/burn.rs
@@ -60,11 +60,11 @@
 }
 
 fn scope<'a>(report: &'a Report, region: Option<&str>) -> &'a Scope {
-    let named = |scope: &&Scope| scope.region.as_ref().map(|r| r.as_str()) == region;
+    let matches = |scope: &&Scope| scope.region.as_ref().map(|r| r.as_str()) == region;
     report
         .scopes
         .iter()
-        .find(named)
+        .find(matches)
         .expect("the scope is there")
 }
 
@@ -220,8 +220,8 @@
 fn json_comes_back_as_it_was() {
     let report = report(vec![record("split", 0, answers(98, 2))]);
     let json = serde_json::to_string(&report).expect("a report is JSON");
-    let back: Report = serde_json::from_str(&json).expect("the same report");
-    assert_eq!(back, report);
+    let decoded: Report = serde_json::from_str(&json).expect("the same report");
+    assert_eq!(decoded, report);
 }
 
 #[test]
