--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,10 +1,10 @@
 //! Logs, metrics and the service-level burn report.
 //!
-//! All three watch the system without being able to hold it up: a log line that can't be
-//! written is dropped and counted, a metric is an atomic number, a sample is a few
-//! numbers a minute. None of them grows with what callers send: label sets come from the
-//! table and from enumerations of the code, and whatever can't be bounded so is counted
-//! under one label.
+//! None of the three can block the code that it observes: a log line that can't be
+//! written is dropped and counted, a metric is an atomic number, and a sample is a few
+//! numbers per minute. Their memory doesn't grow with what callers send: label values come
+//! from the table and from enumerations in the code, and everything beyond a bound is
+//! counted under one common label.
 
 pub mod burn;
 mod logging;
--- a/crates/observe/src/logging/line.rs
+++ b/crates/observe/src/logging/line.rs
@@ -1,4 +1,4 @@
-//! One log line.
+//! Formatting of a log line.
 
 use std::borrow::Cow;
 use std::fmt::{self, Write as _};
@@ -19,9 +19,9 @@
 
 /// Formats a record, without a line end.
 ///
-/// What callers send may turn up in messages and values, so control characters are
-/// escaped: nobody can forge a second line. A key that a call added under one of the
-/// line's own names gets an underscore behind it.
+/// Messages and values may contain text from callers, so control characters are escaped:
+/// otherwise a caller could forge a second line. A key of the call that collides with one
+/// of the line's own keys gets an underscore appended.
 pub fn format_line(
     format: LogFormat,
     process: &str,
@@ -47,8 +47,8 @@
     ];
     let header = header.map(|(key, value)| (key.to_owned(), value));
     let pairs = header.into_iter().chain(pairs(record));
-    // A list of pairs, since a map would sort its keys and put `ts` last. Texts, numbers
-    // and truth values can't fail to be written.
+    // Pairs instead of a map, which would sort its keys and put `ts` last. Strings,
+    // numbers and booleans can always be serialized.
     let mut line = Serializer::new(Vec::new());
     let written = line.collect_map(pairs);
     debug_assert!(written.is_ok());
@@ -84,7 +84,7 @@
     text.chars().map(escape).collect::<String>().into()
 }
 
-/// A value that a reader can tell from the next key.
+/// Quotes a value that could be confused with the next key.
 fn quote_if_needed(text: &str) -> Cow<'_, str> {
     let plain = |c: char| !c.is_control() && !c.is_whitespace() && c != '"' && c != '=';
     if !text.is_empty() && text.chars().all(plain) {
@@ -95,7 +95,7 @@
 
 fn pairs(record: &Record<'_>) -> Vec<(String, Json)> {
     let mut pairs = KeyValues(Vec::new());
-    // The visitor never fails; a source that does loses only its own keys.
+    // The visitor never fails; if the source does, only its remaining keys are lost.
     let _ = record.key_values().visit(&mut pairs);
     pairs.0
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Keeps numbers and truth values as such; all else becomes text.
+/// Keeps numbers and booleans as they are; everything else becomes a string.
 struct JsonValue(Json);
 
 impl<'v> VisitValue<'v> for JsonValue {
--- a/crates/observe/src/logging/mod.rs
+++ b/crates/observe/src/logging/mod.rs
@@ -1,10 +1,10 @@
 //! Log lines with stable keys, on the standard error output or the standard output.
 //!
-//! A line has `ts`, `level`, `process`, `target` and `msg`, then the keys that the call
-//! added. Writing can block for as long as whoever reads the other end pleases, and a
-//! duty that blocks misses its heartbeats. So a call only puts its line into a bounded
-//! queue, and a thread of its own writes it out. When the queue is full the line is
-//! dropped and counted, and the next line that gets through tells how many are missing.
+//! A line has `ts`, `level`, `process`, `target` and `msg`, then the keys of the log call.
+//! Writing blocks while the reader of the output doesn't read, and a duty that blocks
+//! misses its heartbeats. So a log call only puts its line into a bounded queue, which a
+//! separate thread writes out. When the queue is full the line is dropped and counted, and
+//! the next line that is queued is preceded by one with the number of missing lines.
 
 mod line;
 mod queue;
@@ -24,32 +24,31 @@
 use queue::{FormatMissing, QueueWriter, write_lines};
 pub use rate_limit::LogRateLimiter;
 
-/// Lines that wait to be written. At a kilobyte each that is a few megabytes, and a
-/// burst of this size takes a terminal or a pipe well under a second to swallow.
+/// Capacity of the queue, in lines. At a kilobyte each that is a few megabytes, and a
+/// terminal or pipe reads a burst of this size in well under a second.
 const QUEUE_LINES: usize = 4096;
 
-/// Why logging can't start.
+/// Why logging could not be started.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum LoggingError {
-    /// The thread that writes can't be started.
-    #[snafu(display("can't start the thread that writes logs"))]
+    /// The writer thread could not be started.
+    #[snafu(display("can't start the log writer thread"))]
     Thread {
-        /// The system's word.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A logger is already there.
-    #[snafu(display("logging has been started before"))]
+    /// The process already has a logger.
+    #[snafu(display("logging has already been started"))]
     Started {
-        /// The log crate's word.
+        /// The `log` crate's error.
         source: log::SetLoggerError,
     },
 }
 
-/// Starts logging for this process, to the stream that its settings name.
+/// Starts logging for this process, to the stream given in its settings.
 ///
-/// Lines are written for as long as the guard is kept; dropping it writes out what is
-/// queued, for a second at most.
+/// Dropping the guard waits until the queued lines are written, for a second at most.
 ///
 /// # Errors
 ///
@@ -65,7 +64,7 @@
     Ok(guard)
 }
 
-/// Makes a logger that writes to `out`, without making it the logger of this process.
+/// Creates a logger that writes to `out`, without installing it as the process's logger.
 ///
 /// # Errors
 ///
@@ -106,7 +105,7 @@
         .chain(fern::Output::writer(writer, "\n"))
 }
 
-/// Makes the line that tells how many are missing before it.
+/// Returns a function that formats the line with the number of missing lines.
 fn format_missing(settings: &LogSettings, process: &str) -> FormatMissing {
     let format = settings.format;
     let process = process.to_owned();
--- a/crates/observe/src/logging/queue.rs
+++ b/crates/observe/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue between the duties and the thread that writes.
+//! The bounded queue between the threads that log and the writer thread.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -6,39 +6,40 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-/// How long the end of a process waits for its last lines.
+/// How long [`LogGuard::flush`] waits, and so the end of a process.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 const FLUSH_RETRY: Duration = Duration::from_millis(10);
 
-/// What goes to the thread that writes.
+/// A message to the writer thread.
 #[derive(Debug)]
 pub(super) enum QueueItem {
     Line(Vec<u8>),
-    /// Answered once all earlier lines are written.
+    /// A request to signal once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Lines that found any queue of this process full. There is one logger in a process, and
-/// it is started before there are metrics to hand it to.
+/// Lines dropped because a queue of this process was full. A static, because the logger
+/// is started before any metrics exist that could be passed to it.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Log lines that this process has dropped.
+/// Number of log lines that this process has dropped.
 pub(crate) fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Counts lines that found the queue full. Clones show the same count.
+/// Number of lines that one logger dropped because its queue was full. Clones share the
+/// count.
 #[derive(Clone, Debug, Default)]
 pub struct DroppedLines(Arc<AtomicU64>);
 
 impl DroppedLines {
-    /// Lines dropped since the start of the process.
+    /// Lines dropped since the logger was created.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Keeps logging; see [`init_logging`](crate::init_logging).
+/// Flushes the queue when dropped; see [`init_logging`](crate::init_logging).
 #[derive(Debug)]
 pub struct LogGuard {
     tx: SyncSender<QueueItem>,
@@ -50,7 +51,7 @@
         Self { tx, dropped }
     }
 
-    /// Counts the lines that found the queue full.
+    /// The count of dropped lines.
     pub fn dropped(&self) -> DroppedLines {
         self.dropped.clone()
     }
@@ -72,7 +73,7 @@
             std::thread::sleep(FLUSH_RETRY);
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
-        // A reader that takes nothing for a second doesn't get the last lines.
+        // If the output blocks for longer than that, the last lines may be lost.
         let _ = done_rx.recv_timeout(remaining);
     }
 }
@@ -83,14 +84,14 @@
     }
 }
 
-/// Makes the line that stands for so many missing ones.
+/// Formats the line that reports how many lines are missing before it.
 pub(super) type FormatMissing = Box<dyn Fn(u64) -> String + Send>;
 
-/// Takes whole lines from fern and never blocks.
+/// The writer that fern formats into. It queues whole lines and never blocks.
 pub(super) struct QueueWriter {
     tx: SyncSender<QueueItem>,
     dropped: DroppedLines,
-    /// Lines dropped since the last one that got through.
+    /// Lines dropped since the last one that was queued.
     missing: u64,
     format_missing: FormatMissing,
     buf: Vec<u8>,
@@ -144,8 +145,8 @@
     }
 }
 
-/// Writes lines until every sender is gone. An output that fails, such as a closed
-/// pipe, loses lines but stops nothing.
+/// Body of the writer thread: writes lines until all senders are dropped. If the output
+/// fails, as a closed pipe does, lines are lost but the process goes on.
 pub(super) fn write_lines(rx: &Receiver<QueueItem>, mut out: impl Write) {
     while let Ok(item) = rx.recv() {
         match item {
--- a/crates/observe/src/logging/rate_limit.rs
+++ b/crates/observe/src/logging/rate_limit.rs
@@ -1,7 +1,7 @@
-//! How many lines of each kind may be written in a second.
+//! Rate limit of log lines by kind.
 //!
-//! Callers can bring about as many refusals as they like. Each is worth a line, but a flood
-//! of one kind must neither fill the log nor push out the few lines of another kind.
+//! Callers can cause any number of refusals. Each is worth a line, but a flood of one kind
+//! must neither fill the log nor displace the few lines of another kind.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,7 +11,8 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds lines by kind. Kinds come from an enumeration of the code: each is kept for good.
+/// Limits the lines of each kind per second. Kinds must come from an enumeration in the
+/// code, because an entry is never removed.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter<K> {
     lines_per_second: u32,
@@ -20,14 +21,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct KindState {
-    /// When the second began that is counted now.
+    /// Start of the second that is being counted.
     window_start: Moment,
     remaining: u32,
     omitted: u64,
 }
 
 impl<K: Eq + Hash> LogRateLimiter<K> {
-    /// Allows so many lines of each kind in a second.
+    /// Allows `lines_per_second` lines of each kind.
     pub fn new(lines_per_second: u32) -> Self {
         Self {
             lines_per_second,
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Whether a line may be written now: `None` if not, else how many of its kind were
-    /// left out since the last one that was written.
+    /// Whether a line may be written now: `None` if not, else the number of lines of its
+    /// kind that were omitted since the last one that was allowed.
     pub fn allow(&mut self, now: Moment, kind: K) -> Option<u64> {
         let remaining = self.lines_per_second;
         let kind = self.kinds.entry(kind).or_insert(KindState {
--- a/crates/observe/src/metrics/control.rs
+++ b/crates/observe/src/metrics/control.rs
@@ -13,7 +13,7 @@
 use super::labels::CodeLabels;
 use super::{encoded, local_histogram, observe, registry, set, wait_histogram};
 
-/// Metrics of a control replica. Shared by all duties.
+/// Metrics of a control replica, shared by all its duties.
 #[derive(Debug)]
 pub struct ControlMetrics {
     registry: Registry,
@@ -40,7 +40,7 @@
 }
 
 impl ControlMetrics {
-    /// Metrics at zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::default(),
@@ -101,7 +101,7 @@
         registry.register("learners", learners, self.learners.clone());
     }
 
-    /// Sets whether this replica leads and whether it holds the lease.
+    /// Sets whether this replica is the leader and whether it holds the lease.
     pub fn set_leadership(&self, is_leader: bool, holds_lease: bool) {
         self.leader.set(is_leader.into());
         self.lease_held.set(holds_lease.into());
@@ -112,18 +112,18 @@
         set(&self.term, term.0);
     }
 
-    /// Takes the time of a sync of the log.
+    /// Records the duration of a sync of the log.
     pub fn record_sync(&self, took: Duration) {
         observe(&self.sync_duration, took);
     }
 
-    /// Sets the log's last index and the last applied one.
+    /// Sets the index of the log's last entry and of the last applied one.
     pub fn set_log_indices(&self, last: u64, applied: u64) {
         set(&self.last_index, last);
         set(&self.applied_index, applied);
     }
 
-    /// Sets how many replicas vote and how many only learn.
+    /// Sets the numbers of voters and of learners.
     pub fn set_members(&self, voters: usize, learners: usize) {
         set(&self.voters, voters as u64);
         set(&self.learners, learners as u64);
@@ -134,24 +134,24 @@
         set(&self.table_version, version.0);
     }
 
-    /// Sets how many processes act on the table, and how many of them on an older version.
+    /// Sets how many processes use the table, and how many of them an older version.
     pub fn set_nodes(&self, nodes: usize, behind: usize) {
         set(&self.nodes, nodes as u64);
         set(&self.nodes_behind, behind as u64);
     }
 
-    /// Counts a change that ended; `took` since its arrival.
+    /// Counts a change that ended `took` after its arrival.
     pub fn record_change(&self, code: ResultCode, took: Duration) {
         self.changes.get_or_create_owned(&code.into()).inc();
         observe(&self.change_duration, took);
     }
 
-    /// Counts of messages, rings and log lines.
+    /// Counters of peer messages and rings.
     pub fn peers(&self) -> &PeerMetrics {
         &self.peers
     }
 
-    /// The text that `/metrics` answers.
+    /// The response body of `/metrics`.
     pub fn encode(&self) -> String {
         encoded(&self.registry)
     }
--- a/crates/observe/src/metrics/entry.rs
+++ b/crates/observe/src/metrics/entry.rs
@@ -15,7 +15,7 @@
 use super::{drain_histogram, encoded, local_histogram, observe, registry, set};
 use crate::samples::{PeriodCounter, PeriodCounters, ServiceSample};
 
-/// Metrics of an entry. Shared by all duties; the handles it gives out are kept.
+/// Metrics of an entry, shared by all its duties. Callers keep the handles that it returns.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
@@ -23,7 +23,8 @@
     period_counters: PeriodCounters,
     requests: RequestFamilies,
     lookups: Family<CodeLabels, Counter>,
-    /// Of those, the answered ones: far more frequent than all others.
+    /// The member of `lookups` for answered ones, resolved in advance because they are far
+    /// more frequent than all others.
     answered_lookups: Counter,
     lookup_duration: Histogram,
     slots: Family<PairLabels, Gauge>,
@@ -41,7 +42,7 @@
 }
 
 impl EntryMetrics {
-    /// Metrics at zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let lookups = Family::<CodeLabels, Counter>::default();
         let answered_lookups = lookups.get_or_create_owned(&ResultCode::LookedUp.into());
@@ -83,8 +84,8 @@
         self.peers.register(registry);
     }
 
-    /// The handle for requests of a service that a region serves. The service must be one
-    /// of the table's, not just any that a caller named.
+    /// The handle for requests of a service that are served in a region. The service must
+    /// be in the table: names sent by callers are unbounded.
     pub fn requests(&self, service: &ServiceName, region: &Region) -> RequestMetrics {
         let labels = self.pairs.labels(service, region);
         self.requests
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Counts a look-up that was answered.
+    /// Counts a look-up that ended after `took`.
     pub fn record_lookup(&self, code: ResultCode, took: Duration) {
         if code == ResultCode::LookedUp {
             self.answered_lookups.inc();
@@ -116,8 +117,8 @@
         set(&self.queued, requests as u64);
     }
 
-    /// Takes the time of an endpoint's drain that ended: from its first word of leaving
-    /// until nothing of this entry ran there.
+    /// Records a finished drain of an endpoint: `took` is the time from the first notice
+    /// that it leaves until no request of this entry ran there.
     pub fn record_drain(&self, service: &ServiceName, region: &Region, took: Duration) {
         let labels = self.pairs.labels(service, region);
         observe(&self.drains.get_or_create_owned(&labels), took);
@@ -126,8 +127,8 @@
             .record_drain(took);
     }
 
-    /// Ends a period of samples: takes what was counted since the last call. The duty
-    /// that reports to control calls it, and nobody else.
+    /// Returns what was counted since the last call and resets it. Only the duty that
+    /// reports samples to control may call it.
     pub fn take_samples(&self) -> Vec<ServiceSample> {
         self.period_counters.take()
     }
@@ -137,18 +138,18 @@
         set(&self.table_version, version.0);
     }
 
-    /// Counts of messages, rings and log lines.
+    /// Counters of peer messages and rings.
     pub fn peers(&self) -> &PeerMetrics {
         &self.peers
     }
 
-    /// The text that `/metrics` answers.
+    /// The response body of `/metrics`.
     pub fn encode(&self) -> String {
         encoded(&self.registry)
     }
 }
 
-/// Slots of a service in a region, as far as this entry admits to them.
+/// Slots of a service in a region, of the endpoints that this entry admits requests to.
 #[derive(Clone, Debug)]
 pub struct SlotMetrics {
     slots: Gauge,
@@ -157,8 +158,8 @@
 }
 
 impl SlotMetrics {
-    /// Sets how many slots there are and how many are in use. To be called at a steady
-    /// pace, such as each tick: headroom in samples is the mean over the calls.
+    /// Sets how many slots there are and how many are in use. Must be called at a fixed
+    /// interval, such as each tick: headroom in samples is the mean over the calls.
     pub fn set(&self, slots: u32, busy: u32) {
         self.period_counter.add_slots(slots, busy);
         self.slots.set(slots.into());
--- a/crates/observe/src/metrics/gateway.rs
+++ b/crates/observe/src/metrics/gateway.rs
@@ -13,10 +13,10 @@
 use super::labels::{KindLabels, ReasonLabels};
 use super::{PeerMetrics, encoded, observe, registry, set, wait_histogram};
 
-/// Kind of requests that were answered before a route was found.
+/// `kind` label of requests that were answered before a route was found.
 const NO_KIND: &str = "none";
 
-/// Label sets are enumerations of the code: kinds of routes and result codes.
+/// Labels of finished requests. All values are from enumerations in the code.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 struct OutcomeLabels {
@@ -25,7 +25,7 @@
     result: &'static str,
 }
 
-/// Metrics of a gateway. Shared by its duties.
+/// Metrics of a gateway, shared by its duties.
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
@@ -47,7 +47,7 @@
 }
 
 impl GatewayMetrics {
-    /// Metrics at zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::default(),
@@ -93,8 +93,8 @@
         registry.register("gateway_ready", ready, self.ready.clone());
     }
 
-    /// Counts a request that has its final answer, by its route's kind if it had a route;
-    /// `took` since its arrival.
+    /// Counts a request that was answered `took` after its arrival. `kind` is the kind of
+    /// its route; `None` if no route was found.
     pub fn record_request(&self, kind: Option<&'static str>, code: ResultCode, took: Duration) {
         let kind = kind.unwrap_or(NO_KIND);
         let labels = OutcomeLabels {
@@ -107,43 +107,43 @@
         observe(&duration, took);
     }
 
-    /// Counts an attempt that ended so.
+    /// Counts an attempt at an endpoint, by its outcome.
     pub fn record_attempt(&self, outcome: &'static str) {
         let labels = ReasonLabels { reason: outcome };
         self.attempts.get_or_create_owned(&labels).inc();
     }
 
-    /// Sets how many requests are running.
+    /// Sets how many requests have no final answer yet.
     pub fn set_running(&self, running: usize) {
         set(&self.running, running as u64);
     }
 
-    /// Sets the number of the routes in force.
+    /// Sets the version of the routes in force.
     pub fn set_routes_version(&self, version: u64) {
         set(&self.routes_version, version);
     }
 
-    /// Sets whether the routes in force are proved to be the newest.
+    /// Sets whether control has recently proven the routes in force to be the newest.
     pub fn set_routes_proven(&self, proven: bool) {
         self.routes_proven.set(proven.into());
     }
 
-    /// Sets how many endpoints are known.
+    /// Sets how many endpoints this gateway has in its list.
     pub fn set_endpoints(&self, endpoints: usize) {
         set(&self.endpoints, endpoints as u64);
     }
 
-    /// Sets whether callers may be sent here.
+    /// Sets whether this gateway is ready for callers.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready.into());
     }
 
-    /// Messages between processes.
+    /// Counters of peer messages and rings.
     pub fn peers(&self) -> &PeerMetrics {
         &self.peers
     }
 
-    /// The text that `/metrics` answers.
+    /// The response body of `/metrics`.
     pub fn encode(&self) -> String {
         encoded(&self.registry)
     }
--- a/crates/observe/src/metrics/labels.rs
+++ b/crates/observe/src/metrics/labels.rs
@@ -7,7 +7,7 @@
 use prometheus_client::encoding::EncodeLabelSet;
 
 /// Pairs of service and region that get a series of their own. Far more than any table
-/// has; it keeps a process within its memory if somebody floods the table with names.
+/// has; it bounds memory if the table is flooded with names.
 const MAX_PAIRS: usize = 1024;
 const OTHER: &str = "other";
 
@@ -43,14 +43,14 @@
     }
 }
 
-/// A label whose values are words of the code.
+/// A label whose values are string constants in the code.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub(super) struct ReasonLabels {
     pub(super) reason: &'static str,
 }
 
-/// A label whose values are the names of protocols between the system's processes.
+/// A label whose values are the names of peer protocols.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub(super) struct ProtocolLabels {
@@ -70,12 +70,12 @@
     pub(super) ring: &'static str,
 }
 
-/// Pairs that have a series.
+/// Pairs of service and region that have a series, at most `MAX_PAIRS`.
 #[derive(Debug, Default)]
 pub(super) struct BoundedPairs(Mutex<BTreeSet<(String, String)>>);
 
 impl BoundedPairs {
-    /// The labels of a pair: its own, or `other` when there are too many.
+    /// The labels of a pair; `other` for both once the bound is reached.
     pub(super) fn labels(&self, service: &ServiceName, region: &Region) -> PairLabels {
         let pair = (service.as_str().to_owned(), region.as_str().to_owned());
         let (service, region) = match self.admits(&pair) {
@@ -86,7 +86,7 @@
     }
 
     fn admits(&self, pair: &(String, String)) -> bool {
-        // A panic under the lock can't leave the set half changed.
+        // A poisoned lock is fine: a panic can't leave the set half changed.
         let mut admitted = self.0.lock().unwrap_or_else(|err| err.into_inner());
         if admitted.contains(pair) {
             return true;
--- a/crates/observe/src/metrics/mod.rs
+++ b/crates/observe/src/metrics/mod.rs
@@ -1,9 +1,9 @@
-//! Metrics by `prometheus-client`, named by its conventions: base units, units and
-//! `_total` as suffixes, everything of the system under `filberthead_`.
+//! Metrics in the Prometheus text format, by `prometheus-client` and its conventions: base
+//! units, the unit and `_total` as suffixes, the prefix `filberthead_`.
 //!
-//! Handles are resolved once and kept: on the path of a request they cost an atomic
-//! addition and, for durations, a short lock. Label sets are bounded: services and
-//! regions come from the table, all else from enumerations of the code.
+//! Handles are resolved once and kept: for each request they then cost an atomic addition
+//! and, for durations, a short lock. Label sets are bounded: services and regions come from
+//! the table, all other values from enumerations in the code.
 
 mod control;
 mod entry;
@@ -28,17 +28,19 @@
 
 const PREFIX: &str = "filberthead";
 
-/// Buckets of durations that callers wait for: 0.5 ms to 16 s, each twice the last.
+/// A histogram of durations that callers wait for. Buckets from 0.5 ms to 16 s, each twice
+/// the last.
 fn wait_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0005, 2.0, 16))
 }
 
-/// Buckets of durations inside a VM, such as a sync: 50 µs to 1.6 s, each twice the last.
+/// A histogram of durations inside a VM, such as a sync. Buckets from 50 µs to 1.6 s, each
+/// twice the last.
 fn local_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_05, 2.0, 16))
 }
 
-/// Buckets of drains: 1 s to 9 h, each twice the last.
+/// A histogram of drain durations. Buckets from 1 s to 9 h, each twice the last.
 fn drain_histogram() -> Histogram {
     Histogram::new(exponential_buckets(1.0, 2.0, 16))
 }
@@ -47,12 +49,13 @@
     histogram.observe(duration.as_secs_f64());
 }
 
-/// Sets a gauge to a number that counts up and stays far below 2^63.
+/// Sets a gauge to a number far below 2^63, the most that a gauge can hold.
 fn set(gauge: &Gauge, value: u64) {
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
 }
 
-/// A registry that holds the process's own figures, and one below it with the prefix.
+/// Creates a registry with the process metrics, and lets `fill` register metrics that get
+/// the prefix.
 fn registry(fill: impl FnOnce(&mut Registry)) -> Registry {
     let mut registry = Registry::default();
     process::register(&mut registry);
--- a/crates/observe/src/metrics/peer.rs
+++ b/crates/observe/src/metrics/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's processes, and the rings inside of one.
+//! Metrics of messages between processes, and of the rings between a process's duties.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 
 use super::labels::{KindLabels, ProtocolLabels, ReasonLabels, RingLabels};
 
-/// What the peer transport has counted since the start of the process.
+/// Counts of the peer transport since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTotals {
     /// Messages sent.
@@ -30,7 +30,7 @@
     pub rejected: HashMap<&'static str, u64>,
 }
 
-/// Counts that other parts of the process keep and that a scrape passes on.
+/// Counters whose totals are kept by other parts of the process and copied in.
 #[derive(Debug, Default)]
 pub struct PeerMetrics {
     sent: Counter,
@@ -69,7 +69,7 @@
         registry.register("ring_refused_items", rings, self.rings.clone());
     }
 
-    /// Passes on the totals of the transport.
+    /// Copies the totals of the transport into the counters.
     pub fn record(&self, totals: &PeerTotals) {
         raise_to(&self.sent, totals.sent);
         raise_to(&self.sent_bytes, totals.sent_bytes);
@@ -92,15 +92,15 @@
         }
     }
 
-    /// Passes on how many items a ring has refused since its start. The name is one word
-    /// for each ring in the code.
+    /// Sets how many items a ring has refused since its start. `ring` must be a constant,
+    /// unique for each ring.
     pub fn ring_refused(&self, ring: &'static str, total: u64) {
         raise_to(&self.rings.get_or_create_owned(&RingLabels { ring }), total);
     }
 }
 
-/// Takes a total that only goes up. An older one, from a duty that was slow to pass it
-/// on, must not make the counter go down: that would look like a restart.
+/// Raises a counter to a total. An older total, from a duty that reported it late, must
+/// not lower the counter: that would look like a restart.
 fn raise_to(counter: &Counter<u64, AtomicU64>, total: u64) {
     counter.inner().fetch_max(total, Ordering::Relaxed);
 }
--- a/crates/observe/src/metrics/process.rs
+++ b/crates/observe/src/metrics/process.rs
@@ -1,8 +1,8 @@
-//! The process's own processor time and memory, read from `/proc/self` at each scrape,
-//! and the log lines that it has dropped.
+//! CPU time and memory of the process, read from `/proc/self` at each scrape, and the
+//! number of log lines that it has dropped.
 //!
-//! The names of the former are the ones that Prometheus clients use for these figures,
-//! so that usual dashboards find them.
+//! CPU time and memory have the names that Prometheus client libraries use, so that common
+//! dashboards find them.
 
 use std::fmt;
 
@@ -14,10 +14,10 @@
 
 use crate::logging::dropped_lines;
 
-/// Units of processor time in `/proc/PID/stat`: fixed at 100 a second for user space,
-/// whatever the kernel's own timer.
+/// Unit of CPU time in `/proc/PID/stat`: always 100 ticks per second in user space,
+/// independent of the kernel's timer frequency.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Places of user and system time, counted behind the closing bracket of the name.
+/// Indices of user and system time among the fields after the program name.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
@@ -56,7 +56,7 @@
 
 fn cpu_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
-    // The name of the program, in brackets, may itself hold blanks and brackets.
+    // The program name, in parentheses, may itself contain spaces and parentheses.
     let (_, rest) = stat.rsplit_once(')')?;
     let fields: Vec<_> = rest.split_ascii_whitespace().collect();
     let user: u64 = fields.get(USER_TIME)?.parse().ok()?;
--- a/crates/observe/src/metrics/requests.rs
+++ b/crates/observe/src/metrics/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of one service that one region serves.
+//! Metrics of the requests of one service that are served in one region.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 type Histograms = Family<PairLabels, Histogram, fn() -> Histogram>;
 
-/// The families that handles are resolved from.
+/// The metric families that [`RequestMetrics`] are resolved from.
 #[derive(Debug)]
 pub(super) struct RequestFamilies {
     results: Family<RequestLabels, Counter>,
@@ -69,20 +69,20 @@
     period_counter: PeriodCounter,
     results: Family<RequestLabels, Counter>,
     duration: Histogram,
-    /// One for each of [`ResultCode::ALL`], made when it is first seen, so that codes
-    /// that never occur make no series.
+    /// One for each of [`ResultCode::ALL`], resolved on first use, so that codes that never
+    /// occur have no series.
     counters: Vec<OnceLock<Counter>>,
 }
 
-/// Counts the requests of one service that one region serves. Cheap to clone and to
-/// call; get it once for each service and keep it.
+/// Counts the requests of one service that are served in one region. Cheap to clone and to
+/// call; resolve it once and keep it.
 #[derive(Clone, Debug)]
 pub struct RequestMetrics {
     shared: Arc<Shared>,
 }
 
 impl RequestMetrics {
-    /// Counts a request that ended; `took` since its arrival.
+    /// Counts a request that ended `took` after its arrival.
     pub fn record(&self, code: ResultCode, took: Duration) {
         self.counter(code).inc();
         self.shared.period_counter.record_request(code, took);
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -1,20 +1,20 @@
-//! The trace of one request, from the logs of all processes.
+//! The trace of one request, collected from the logs of all processes.
 //!
-//! A request leaves lines in the log of each process that decided about it. [`RequestTrace`] puts
-//! those of one id in the order of time, and before them what each of these processes last
-//! said about what it believed: which routes, which endpoints, whether it heard control.
-//! Clocks of VMs differ, so lines of different processes may stand in a wrong order by that
-//! much; those of one process keep their order.
+//! Each process that made a decision about a request logs lines with the request's id.
+//! [`RequestTrace`] sorts these lines by time. It also holds the state that each of these
+//! processes had logged before: its routes, its endpoints, whether it reached control.
+//! Clocks of VMs differ, so lines of different processes may be out of order by that
+//! difference; lines of one process keep their order.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// Field that holds a request's id.
+/// Log key of a request's id.
 const REQUEST_FIELD: &str = "request";
-/// Messages that tell what a process believes, for each a topic; a later one about the
-/// same topic takes the place of an earlier one.
+/// Messages that log a part of a process's state, each with its topic. A later message
+/// replaces an earlier one of the same topic.
 const STATE_MESSAGES: [(&str, &str); 8] = [
     ("routes in force", "routes"),
     ("list of endpoints", "endpoints"),
@@ -25,24 +25,25 @@
     ("planned stop begins", "stop"),
     ("leadership or membership", "leader"),
 ];
-/// Fields that stand in each line and are shown apart, or tell nothing here.
+/// Keys that are in every line. They aren't listed again in [`Event::fields`].
 const HEADER_FIELDS: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST_FIELD];
 
-/// A line of a log.
+/// One parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// When, as the process's clock had it.
+    /// Timestamp by the process's clock, in RFC 3339.
     pub at: String,
-    /// Which process.
+    /// Name of the process.
     pub process: String,
-    /// What happened.
+    /// The message text.
     pub message: String,
-    /// The inputs and outcome, in the order of their names.
+    /// The other keys with their values, sorted by key.
     pub fields: Vec<(String, String)>,
 }
 
 impl Event {
-    /// Reads a JSON line, wherever in the text it begins; `None` if there is none.
+    /// Parses a JSON log line. Text before the first `{` is skipped, since other programs
+    /// may prefix lines. `None` if it is no JSON object with the usual keys.
     pub fn parse(line: &str) -> Option<Self> {
         Self::from_object(&parse_object(line)?)
     }
@@ -86,18 +87,18 @@
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// What logs tell of a request.
+/// What the logs contain about one request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTrace {
-    /// What the processes that it met believed before.
+    /// State that the processes involved had logged before their first line about it.
     pub process_states: Vec<Event>,
-    /// What happened to it, in order.
+    /// The lines about the request, sorted by time.
     pub events: Vec<Event>,
 }
 
 impl RequestTrace {
-    /// Collects the trace of a request from lines of logs. Each log's lines come in their
-    /// order, one log after the other.
+    /// Collects the trace of the request `id`. The lines of each log must be in their
+    /// original order, one log after the other.
     pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut states: BTreeMap<(String, &str), Event> = BTreeMap::new();
         let mut trace = Self::default();
@@ -115,13 +116,13 @@
                 states.insert((event.process.clone(), topic), event);
             }
         }
-        // Lines of one process at the same moment keep their order.
+        // The sort is stable: lines of one process with equal timestamps keep their order.
         trace.events.sort_by(|a, b| a.at.cmp(&b.at));
         trace.process_states.sort_by(|a, b| a.at.cmp(&b.at));
         trace
     }
 
-    /// Notes what a process believed when it first had the request.
+    /// Adds the state that a process had logged before its first line about the request.
     fn add_states_of(&mut self, states: &BTreeMap<(String, &str), Event>, process: &str) {
         if self.events.iter().any(|event| event.process == process) {
             return;
--- a/crates/observe/tests/logging.rs
+++ b/crates/observe/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines keep their shape, and writing them holds up nobody.
+//! The format of log lines, and that writing them never blocks the caller.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -62,9 +62,8 @@
     assert_eq!(line, expected);
 }
 
-/// Story: an investigator finds a log line of an acceptance that never happened. Order:
-/// a caller sends a path with a line end and a forged line in it; the entry logs the
-/// path. Cause: control characters written as they came.
+/// A caller sends a path that contains a line break and a forged log line. If control
+/// characters were written unescaped, the log would show an event that never happened.
 #[test]
 fn callers_can_not_forge_a_line() {
     let forged = "x\n1970-01-01T00:00:00.000Z INFO  control-1 table: accepted";
@@ -103,7 +102,7 @@
     }
 }
 
-/// Takes nothing until it is told to.
+/// An output whose first write blocks until it is released.
 struct Stuck {
     release: Receiver<()>,
     entered: Sender<()>,
@@ -149,11 +148,10 @@
     assert_eq!(output.text(), "");
 }
 
-/// Story: requests time out on one entry while its processor is idle. Order: whoever
-/// reads the entry's log stops reading, the pipe fills, the next log call waits. Cause: a
-/// duty that writes its log itself.
+/// Guards against requests that time out while the processor is idle: the reader of the
+/// log stops reading, the pipe fills, and a duty that wrote its log itself would block.
 #[test]
-fn stuck_output_holds_up_nobody_and_lost_lines_are_counted() {
+fn stuck_output_blocks_no_caller_and_lost_lines_are_counted() {
     let output = Output::default();
     let (tx, release) = channel();
     let (entered, rx) = channel();
@@ -187,11 +185,11 @@
         .lines()
         .map(|line| serde_json::from_str(line).expect("each line is whole"))
         .collect();
-    // What was logged is there or missing, and the note stands where it is missing.
+    // Each line was either written or dropped; one extra line marks the gap.
     assert_eq!(lines.len(), sent - 10 + 2);
-    let [.., note, last] = &lines[..] else {
+    let [.., missing_line, last] = &lines[..] else {
         panic!("{text}");
     };
-    assert_eq!(note["missing"], 10);
+    assert_eq!(missing_line["missing"], 10);
     assert_eq!(last["msg"], "last");
 }
--- a/crates/observe/tests/metrics.rs
+++ b/crates/observe/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a scrape shows.
+//! The content of `/metrics`.
 
 use std::time::Duration;
 
@@ -46,10 +46,10 @@
     assert!((value(&text, &sum) - 0.05).abs() < 1e-9);
 }
 
-/// A gateway turned proper requests away as unknown, and no metric showed it: what was
-/// answered before a route was found wasn't counted.
+/// Guards against requests that are rejected before a route is found and appear in no
+/// metric.
 #[test]
-fn a_gateways_answers_without_a_route_are_counted() {
+fn gateway_responses_without_a_route_are_counted() {
     let metrics = GatewayMetrics::new();
     let took = Duration::from_millis(1);
     metrics.record_request(Some("safe"), ResultCode::Answered, took);
@@ -78,9 +78,8 @@
     assert!(series.clone().all(|line| line.ends_with(" 1")));
 }
 
-/// Story: an entry's memory grows until the system ends it. Order: somebody adds rows
-/// for thousands of made-up services; each gets its series. Cause: label sets without a
-/// bound.
+/// Thousands of made-up services in the table must not get a series each, or the entry's
+/// memory grows until the system kills it.
 #[test]
 fn series_are_bounded() {
     let metrics = EntryMetrics::new();
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn totals_passed_on_late_do_not_turn_counters_back() {
+fn late_totals_do_not_lower_counters() {
     let metrics = EntryMetrics::new();
     let mut totals = PeerTotals {
         sent: 10,
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn a_gateway_tells_bytes_from_control_by_kind_of_message() {
+fn gateway_counts_received_bytes_by_kind_of_message() {
     let metrics = GatewayMetrics::new();
     let mut totals = PeerTotals::default();
     totals.received_bytes_by_kind.insert("routes", 230_000);
--- a/crates/observe/tests/rate_limit.rs
+++ b/crates/observe/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Lines of each kind stay within their allowance, and none is left out unsaid.
+//! Lines of each kind stay within their limit, and omitted ones are counted.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
     Duration::from_millis(ms)
 }
 
-/// Tries so many lines of a kind; for each that is written, how many were left out before.
+/// Tries to write `tries` lines of a kind. Returns, for each allowed one, the number of
+/// lines omitted before it.
 fn written(
     limiter: &mut LogRateLimiter<ResultCode>,
     now: Moment,
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn the_next_line_tells_what_was_left_out() {
+fn the_next_line_counts_the_omitted_ones() {
     let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
     let kind = ResultCode::UnknownService;
     assert_eq!(written(&mut limiter, at(500), kind, 10), [0, 0, 0]);
@@ -33,8 +34,8 @@
     assert_eq!(written(&mut limiter, at(9_000), kind, 1), [1]);
 }
 
-/// Callers ask for a service that there isn't, thousands of times a second. The one order
-/// that is refused for another reason in that second must still have its line.
+/// Callers request an unknown service thousands of times a second. A single request
+/// refused for another reason in that second must still be logged.
 #[test]
 fn a_flood_of_one_kind_leaves_the_others_their_lines() {
     let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
@@ -42,8 +43,8 @@
     assert_eq!(written(&mut limiter, at(0), ResultCode::NotReady, 1), [0]);
 }
 
-/// Whatever comes when, no second has more than its allowance, and lines written and left
-/// out add up to those that were tried.
+/// No second has more lines than the limit, and allowed and omitted lines add up to those
+/// that were tried.
 #[test]
 fn a_long_flood_stays_bounded() {
     let mut limiter = LogRateLimiter::new(LINES_PER_SECOND);
@@ -54,7 +55,7 @@
     }
     assert_eq!(omitted_counts.len(), 10 * LINES_PER_SECOND as usize);
     let omitted: u64 = omitted_counts.iter().sum();
-    // Those after the last line are told by the next.
+    // Lines omitted after the last allowed one are reported by the next.
     let rest = written(&mut limiter, at(10_000), kind, 1);
     assert_eq!(omitted + rest[0] + omitted_counts.len() as u64, 7_000);
 }
--- a/crates/observe/tests/trace.rs
+++ b/crates/observe/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of a request comes from all logs, in order, and from nothing else.
+//! A request's trace holds the lines about it from all logs, in order, and no others.
 
 use bolero::check;
 use filberthead_observe::{Event, RequestTrace};
@@ -9,10 +9,10 @@
     )
 }
 
-/// A station owner's submission is refused by one gateway and then lost at another. On-call
-/// has both logs, one written with another program's times before each line.
+/// A request is refused by one gateway and then lost at another. In one of the two logs
+/// another program has put a timestamp before each line.
 #[test]
-fn lines_of_all_processes_stand_in_order() {
+fn lines_of_all_processes_are_in_order() {
     let routes = line("01.000", "gateway-2", "routes in force", r#","version":7"#);
     let newer = line("01.500", "gateway-2", "routes in force", r#","version":8"#);
     let lost = line("03.000", "gateway-2", "lost", r#","request":"a1","ran":1"#);
@@ -41,9 +41,9 @@
     );
 }
 
-/// Logs hold lines of other programs, and lines that were cut at the end of a disk.
+/// Logs may contain lines of other programs, and lines cut off when a disk was full.
 #[test]
-fn whatever_stands_in_a_log_is_borne() {
+fn arbitrary_log_content_does_not_panic() {
     check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
         let _ = Event::parse(&text);
