--- a/crates/observe/src/samples/collector.rs
+++ b/crates/observe/src/samples/collector.rs
@@ -1,5 +1,5 @@
-//! Adds up what is reported: on a relay that of its entries, on a control replica that of
-//! the relays.
+//! Adds up reported samples: on a relay those of its entries, on a control replica those
+//! of the relays.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,21 @@
 
 use super::{Counts, PERIOD_SECONDS, PeriodSamples, SampleReport, ServiceSample};
 
-/// How long after its end a period waits at a control replica: for relays to pass it on,
-/// and for those that come a second time because the first was lost.
+/// How long after its end a period stays open at a control replica: long enough for relays
+/// to forward it, and for the repeat of a report that was lost.
 const CONTROL_GRACE_SECONDS: u64 = PERIOD_SECONDS * 3 / 2;
-/// How long after its end a period waits at a relay: for entries whose clock is behind.
+/// How long after its end a period stays open at a relay, for entries whose clock is behind.
 const RELAY_GRACE_SECONDS: u64 = 10;
-/// A clock that is off by more is wrong; its samples count for the time they came.
+/// A clock that is off by more is treated as wrong: its samples are assigned to the time
+/// at which they arrived.
 const MAX_SKEW_SECONDS: u64 = 10 * PERIOD_SECONDS;
-/// Entries whose last report is remembered.
+/// Bound on the senders whose last period is stored.
 const MAX_ENTRIES: usize = 4096;
-/// Pairs of service and region in one period.
+/// Bound on the pairs of service and region in one period.
 const MAX_PAIRS: usize = 1024;
 
-/// Periods that still wait for reports. Free of I/O and clocks: `now` is the wall clock
-/// of the process, in seconds since the Unix epoch.
+/// Adds up reports by period until the period is closed. Does no I/O and reads no clock:
+/// `now` is the process's wall clock, in seconds since the Unix epoch.
 #[derive(Debug)]
 pub struct Collector {
     grace: u64,
@@ -30,12 +31,12 @@
 
 #[derive(Debug, Default)]
 struct Period {
-    /// How many entries each sender has reported for.
+    /// By sender, the number of entries that its report covers.
     entries: BTreeMap<NodeName, u32>,
     counts: BTreeMap<(ServiceName, Region), Counts>,
 }
 
-/// The newest period taken from an entry.
+/// The newest period that was added from a sender.
 #[derive(Clone, Copy, Debug)]
 struct LastPeriod {
     incarnation: Incarnation,
@@ -44,21 +45,21 @@
 }
 
 impl LastPeriod {
-    /// Whether a period is newer. One that is far older is newer too: the entry's clock
-    /// was ahead and has been set right, and without this its samples would be left out
-    /// until they had caught up.
+    /// Whether a period that starts at `start` counts as newer. One that is far older does
+    /// too: the sender's clock was ahead and has been corrected, and otherwise its samples
+    /// would be ignored until its clock reached the wrong time again.
     fn comes_before(self, start: u64) -> bool {
         self.start < start || self.start - start > MAX_SKEW_SECONDS
     }
 }
 
 impl Collector {
-    /// Of a control replica.
+    /// A collector for a control replica.
     pub fn for_control() -> Self {
         Self::new(CONTROL_GRACE_SECONDS)
     }
 
-    /// Of a relay.
+    /// A collector for a relay.
     pub fn for_relay() -> Self {
         Self::new(RELAY_GRACE_SECONDS)
     }
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Takes a report in. Periods that an earlier report of the same process has brought
-    /// are left out.
+    /// Adds a report. Periods that were already in an earlier report of the same process
+    /// are ignored.
     pub fn add_report(
         &mut self,
         now: u64,
@@ -132,10 +133,10 @@
         }
     }
 
-    /// Ends the periods that have waited long enough.
+    /// Closes and returns the periods whose grace time has passed.
     ///
-    /// A report that comes even later opens its period again, which ends a second time; a
-    /// reader adds both up.
+    /// A report that arrives even later opens its period again, so that it is returned a
+    /// second time; readers add up both records.
     pub fn close(&mut self, now: u64) -> Vec<PeriodSamples> {
         let end = now.saturating_sub(PERIOD_SECONDS + self.grace);
         let waiting = self.open.split_off(&(end + 1));
--- a/crates/observe/src/samples/frame.rs
+++ b/crates/observe/src/samples/frame.rs
@@ -1,12 +1,12 @@
-//! Records as bytes: length, checksum, `postcard`.
+//! Encoding of records: length, checksum, then the record in `postcard`.
 
 use super::Record;
 
-/// First bytes of a file of samples.
+/// First bytes of a sample file.
 pub(super) const MAGIC: &[u8; 8] = b"fhsampl1";
-/// Bytes before a record: its length and its checksum, both little-endian.
+/// Length of a record's header: length and checksum of the record, both little-endian.
 const HEADER_LEN: usize = 8;
-/// A record is a few hundred bytes; a length beyond this is damage.
+/// A record is a few hundred bytes; a greater length means damage.
 const MAX_RECORD_LEN: usize = 1024 * 1024;
 
 /// Appends a record.
@@ -21,10 +21,11 @@
     Ok(())
 }
 
-/// Records of a file, up to the first one that is damaged or cut.
+/// The records of a file up to the first damaged or truncated one.
 pub(super) struct Contents {
     pub(super) records: Vec<Record>,
-    /// Bytes up to the end of the last whole record.
+    /// Bytes up to the end of the last valid record; 0 if the file doesn't start with
+    /// [`MAGIC`].
     pub(super) valid_len: usize,
 }
 
--- a/crates/observe/src/samples/message.rs
+++ b/crates/observe/src/samples/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell control about service levels.
+//! Messages that carry samples from entries to control.
 
 use std::collections::VecDeque;
 
@@ -7,35 +7,35 @@
 
 use super::SparseHistogram;
 
-/// Periods in a report: the newest and the one before it.
+/// Periods in a relay's report: the newest and the one before it.
 const PERIODS_PER_REPORT: usize = 2;
 
-/// What was counted of a service in a region during some time.
+/// Counts for a service in a region over some time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Counts {
-    /// Time from arrival to the end of the answer, in microseconds, of requests that ran.
+    /// Time from arrival to the end of the response, in microseconds, of requests that ran.
     pub latency_us: SparseHistogram,
-    /// Requests refused for want of room, of an endpoint or of a connection to what
-    /// they need. Requests that are wrong in themselves don't count.
+    /// Requests refused because of missing capacity, of an endpoint, or of a connection
+    /// that they need. Invalid requests don't count.
     pub refused: u64,
-    /// Requests that an endpoint had and whose whole answer never came.
+    /// Requests that reached an endpoint and whose complete response never arrived.
     pub lost: u64,
-    /// Slots, summed over readings.
+    /// Number of slots, summed over all readings.
     pub slots: u64,
-    /// Slots in use, summed over the same readings.
+    /// Number of slots in use, summed over the same readings.
     pub busy: u64,
-    /// Time of drains that ended, in milliseconds.
+    /// Durations of finished drains, in milliseconds.
     pub drain_ms: SparseHistogram,
 }
 
 impl Counts {
-    /// Requests that ran and were answered.
+    /// Number of requests that ran and were answered.
     pub fn answered(&self) -> u64 {
         self.latency_us.total()
     }
 
-    /// Share of slots that were free, 0 to 1; `None` without a reading.
+    /// Mean share of free slots, 0 to 1; `None` without a reading.
     pub fn headroom(&self) -> Option<f64> {
         if self.slots == 0 {
             return None;
@@ -44,7 +44,7 @@
         Some(free as f64 / self.slots as f64)
     }
 
-    /// Adds what was counted elsewhere, or at another time.
+    /// Adds the counts of another source or time.
     pub fn add(&mut self, other: &Self) {
         self.latency_us.add(&other.latency_us);
         self.refused = self.refused.saturating_add(other.refused);
@@ -63,23 +63,24 @@
     pub service: ServiceName,
     /// The region that served it.
     pub region: Region,
-    /// What was counted.
+    /// The counts.
     pub counts: Counts,
 }
 
-/// What one or more entries counted in one period.
+/// Samples of one or more entries for one period.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeriodSamples {
     /// Start of the period, in seconds since the Unix epoch by the entries' clocks.
     pub start: u64,
-    /// Entries that were counted at.
+    /// Number of entries that the samples cover.
     pub entries: u32,
-    /// One for each service and region with anything to tell.
+    /// One for each service and region with any counts.
     pub samples: Vec<ServiceSample>,
 }
 
-/// What an entry sends to its relay, and a relay to each control replica, once a period.
+/// The message from an entry to its relay, and from a relay to each control replica, once
+/// per period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SampleReport {
@@ -87,14 +88,14 @@
     pub periods: Vec<PeriodSamples>,
 }
 
-/// Makes a relay's reports.
+/// Builds a relay's reports.
 #[derive(Debug, Default)]
 pub struct Reporter {
     periods: VecDeque<PeriodSamples>,
 }
 
 impl Reporter {
-    /// The report to send with a new period, which repeats the one before it.
+    /// Returns the report to send: the new period, preceded by the one before it.
     pub fn report(&mut self, period: PeriodSamples) -> SampleReport {
         self.periods.push_back(period);
         while self.periods.len() > PERIODS_PER_REPORT {
--- a/crates/observe/src/samples/period_counter.rs
+++ b/crates/observe/src/samples/period_counter.rs
@@ -1,4 +1,4 @@
-//! What an entry counts in the current period.
+//! The counters of an entry for the current sample period.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,14 +9,14 @@
 
 use super::{Counts, ServiceSample, SparseHistogram};
 
-/// Pairs of service and region that are counted; as many as have metrics of their own.
+/// Bound on the pairs of service and region; the same as for metrics.
 const MAX_PAIRS: usize = 1024;
-/// Longest time that is told apart from longer ones.
+/// Upper end of the histograms; longer times are recorded as this.
 const MAX_DURATION: Duration = Duration::from_secs(60 * 60);
-/// Buckets are at most a sixteenth of their value wide.
+/// Precision of the histograms: a bucket's width is at most a sixteenth of its value.
 const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// Counts of one service in one region; clones count into the same.
+/// Counts requests, slots and drains of one service in one region. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeriodCounter {
     totals: Arc<Mutex<Totals>>,
@@ -66,17 +66,17 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Totals> {
-        // Nothing under the lock can leave the counts in a state that would mislead.
+        // A poisoned lock is fine: a panic can't leave the counts inconsistent.
         self.totals.lock().unwrap_or_else(|err| err.into_inner())
     }
 }
 
-/// How a request ended, as far as service levels go.
+/// How a request counts for service levels.
 enum Outcome {
     Answered,
     Refused,
     Lost,
-    /// The request was wrong in itself, whatever the state of the system.
+    /// Not counted: the cause is the request itself, not the state of the system.
     CallerError,
 }
 
@@ -92,7 +92,7 @@
 
 fn record(histogram: &mut Option<Histogram<u64>>, value: u128) {
     if histogram.is_none() {
-        // In microseconds or milliseconds alike; an hour is the longest of either.
+        // The same bound for values in microseconds and in milliseconds.
         let max_value = MAX_DURATION.as_micros() as u64;
         *histogram = Histogram::new_with_bounds(1, max_value, SIGNIFICANT_DIGITS).ok();
     }
@@ -101,14 +101,14 @@
     }
 }
 
-/// The counters of an entry.
+/// All counters of an entry, by service and region.
 #[derive(Debug, Default)]
 pub(crate) struct PeriodCounters {
     by_pair: Mutex<BTreeMap<(ServiceName, Region), PeriodCounter>>,
 }
 
 impl PeriodCounters {
-    /// The counter of a pair. A pair beyond the bound gets one that nobody reads.
+    /// The counter of a pair. A pair beyond the bound gets one that is never read.
     pub(crate) fn for_pair(&self, service: &ServiceName, region: &Region) -> PeriodCounter {
         let mut counters = self.lock();
         let pair = (service.clone(), region.clone());
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Ends the period: takes all counts and starts anew.
+    /// Ends the period: returns all counts and resets them.
     pub(crate) fn take(&self) -> Vec<ServiceSample> {
         let sample = |((service, region), counter): (&(ServiceName, Region), &PeriodCounter)| {
             let counts = counter.take();
--- a/crates/observe/src/samples/sparse_histogram.rs
+++ b/crates/observe/src/samples/sparse_histogram.rs
@@ -1,12 +1,12 @@
-//! How often which value was seen.
+//! A serializable histogram that holds its non-empty buckets only.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Counts by value, values ascending. A value stands for a bucket of a histogram and is
-/// the bucket's upper end, so what is read from it errs on the bad side.
+/// Pairs of a value and its count, by ascending value. A value is the upper end of a
+/// histogram bucket, so times read from it may be too long but never too short.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -24,28 +24,29 @@
         Self(buckets.collect())
     }
 
-    /// Values and their counts.
+    /// Iterates over the values and their counts.
     pub fn iter(&self) -> impl Iterator<Item = (u32, u32)> {
         self.0.iter().copied()
     }
 
-    /// Whether nothing was seen.
+    /// Whether nothing was recorded.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many values were seen.
+    /// Number of recorded values.
     pub fn total(&self) -> u64 {
         self.0.iter().map(|(_, count)| u64::from(*count)).sum()
     }
 
-    /// How many of them were above a bound.
+    /// Number of recorded values above a bound.
     pub fn above(&self, bound: u64) -> u64 {
         let above = self.0.iter().filter(|(value, _)| u64::from(*value) > bound);
         above.map(|(_, count)| u64::from(*count)).sum()
     }
 
-    /// The value that a share of all values doesn't exceed; `None` if nothing was seen.
+    /// The smallest value that a share of all recorded ones, 0 to 1, doesn't exceed; `None`
+    /// if nothing was recorded.
     pub fn quantile(&self, share: f64) -> Option<u32> {
         let rank = (self.total() as f64 * share).ceil().max(1.0) as u64;
         let mut cumulative = 0;
@@ -55,12 +56,12 @@
         })
     }
 
-    /// The largest value seen.
+    /// The largest recorded value; `None` if nothing was recorded.
     pub fn max(&self) -> Option<u32> {
         self.0.last().map(|(value, _)| *value)
     }
 
-    /// Adds what another one has seen.
+    /// Adds the counts of another histogram.
     pub fn add(&mut self, other: &Self) {
         if other.is_empty() {
             return;
--- a/crates/observe/src/samples/store.rs
+++ b/crates/observe/src/samples/store.rs
@@ -1,9 +1,9 @@
-//! Samples on disk: numbered files below one folder, the oldest deleted first.
+//! Samples on disk: numbered files in one folder, of which the oldest is deleted first.
 //!
 //! A process that is killed while it writes leaves a torn record at the end of the
-//! newest file. It is cut off at the next start, so nothing is ever written behind it.
-//! Damage elsewhere ends the reading of that file and is shown in the report: samples
-//! only inform people, and some of them are better than none.
+//! newest file. The next start truncates it, so nothing is ever appended after it.
+//! Damage elsewhere ends the reading of that file and is shown in the burn report, but is no
+//! error: samples only inform people, and some of them are better than none.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -15,29 +15,29 @@
 use super::frame::{self, MAGIC};
 use super::{PeriodSamples, ServiceSample};
 
-/// Files that the space is split into, at least; deleting one frees no more than an
-/// eighth of it.
+/// Minimum number of files that the space is split into, so that deleting one file removes
+/// at most an eighth of the samples.
 const MIN_FILES: u64 = 8;
-/// Longest file. A reader has one file in memory at a time.
+/// Length at which a new file is started. A reader has one file in memory at a time.
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 const PREFIX: &str = "samples-";
 const SUFFIX: &str = ".log";
 
-/// What was counted of a service in a region during one period, over all entries that
-/// were heard.
+/// Counts for a service in a region during one period, over all entries that reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// Start of the period, in seconds since the Unix epoch.
     pub start: u64,
-    /// Entries that reported on the period, whatever they had to tell.
+    /// Number of entries that reported on the period, with or without counts for this
+    /// service.
     pub entries: u32,
     /// The counts.
     pub sample: ServiceSample,
 }
 
 impl Record {
-    /// The records of a period.
+    /// Splits a period into its records.
     pub fn from_period(period: PeriodSamples) -> impl Iterator<Item = Self> {
         let PeriodSamples {
             start,
@@ -52,16 +52,16 @@
     }
 }
 
-/// Why samples can't be kept or read.
+/// Why samples can't be stored or read.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum StoreError {
-    /// The folder can't be made or listed.
+    /// The folder can't be created or listed.
     #[snafu(display("can't use the folder of samples {}", path.display()))]
     Folder {
         /// The folder.
         path: PathBuf,
-        /// The system's word.
+        /// The system's error.
         source: std::io::Error,
     },
     /// A file can't be read, written, synced or deleted.
@@ -69,39 +69,39 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A record can't be encoded; no type in a record can cause that.
+    /// A record can't be encoded. The types in a record never cause this.
     #[snafu(display("can't encode a sample"))]
     Encode {
-        /// The codec's word.
+        /// The codec's error.
         source: postcard::Error,
     },
 }
 
-/// Bytes of a file that are no whole record.
+/// The unreadable end of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     /// The file.
     pub path: PathBuf,
-    /// Where the damage begins, in bytes from the start.
+    /// Offset of the first damaged byte.
     pub offset: u64,
-    /// Bytes from there to the end of the file, none of which are read.
+    /// Number of bytes from there to the end of the file; none of them are read.
     pub lost: u64,
 }
 
-/// Samples that were read.
+/// The samples that were read from a folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// The records, in the order in which they were written.
+    /// The records, in the order of writing.
     pub records: Vec<Record>,
     /// Damaged files.
     pub damage: Vec<Damage>,
 }
 
-/// Reads the samples of a folder whose period starts at `since` or later. A folder that
-/// isn't there has none.
+/// Reads the samples of a folder whose period starts at `since` or later. A missing folder
+/// has no samples.
 ///
 /// # Errors
 ///
@@ -113,8 +113,8 @@
     Ok(history)
 }
 
-/// Like [`read_history`], but hands records over one by one, so that no more than a file
-/// is in memory at once. Returns the damage.
+/// Like [`read_history`], but passes the records to `visit` one by one, so that no more than
+/// one file is in memory at a time. Returns the damage.
 ///
 /// # Errors
 ///
@@ -132,7 +132,7 @@
         let path = file_path(dir, number);
         let buf = match std::fs::read(&path) {
             Ok(buf) => buf,
-            // The daemon deletes its oldest file whenever it likes.
+            // The control process may delete its oldest file in the meantime.
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => continue,
             Err(err) => return Err(err).context(IoSnafu { path }),
         };
@@ -150,7 +150,7 @@
     Ok(damage)
 }
 
-/// Writes samples. There is one for a folder at a time: the replica's.
+/// Writes samples. A folder may have only one at a time, that of its control replica.
 #[derive(Debug)]
 pub struct SampleStore {
     dir: PathBuf,
@@ -162,9 +162,10 @@
 }
 
 impl SampleStore {
-    /// Opens a folder, makes it if needed, and cuts off a torn end.
+    /// Opens a folder, creates it if needed, and truncates the newest file after its last
+    /// valid record.
     ///
-    /// Files take up to `max_bytes` in all, and one period's records more.
+    /// Together the files take at most `max_bytes` plus the records of one period.
     ///
     /// # Errors
     ///
@@ -188,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if they can't be written and synced; none of them is kept then.
+    /// Fails if they can't be written and synced; then none of them is stored.
     pub fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         if records.is_empty() {
             return Ok(());
@@ -205,8 +206,8 @@
             .write_all(&buf)
             .and_then(|()| self.file.sync_data());
         if written.is_err() {
-            // What got onto a full disk in part would hide all that follows it. If even
-            // that fails, the next start cuts it off.
+            // A partly written record, as on a full disk, would make all later ones
+            // unreadable. If this fails too, the next start truncates the file.
             let _ = self.file.set_len(self.len);
         }
         let path = file_path(&self.dir, self.number);
@@ -228,7 +229,8 @@
     }
 }
 
-/// Opens a file at the end of its last whole record.
+/// Opens a file for appending and truncates it after its last valid record. Returns the
+/// file and its length.
 fn open_file(path: &Path) -> Result<(File, u64), StoreError> {
     let mut file = OpenOptions::new()
         .create(true)
@@ -240,7 +242,7 @@
     if valid_len < buf.len() as u64 {
         log::warn!(
             path = path.display().to_string(), offset = valid_len, lost = buf.len() as u64 - valid_len;
-            "cut off samples that are torn or damaged"
+            "truncated a sample file after its last valid record"
         );
         file.set_len(valid_len).context(IoSnafu { path })?;
     }
