--- a/crates/observe/examples/cost.rs
+++ b/crates/observe/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What observing costs: bytes of a report to control, bytes kept a day, time to count a
-//! request and to make a burn report of three days.
+//! Measures the cost of observation: bytes of a sample report, bytes stored per day, time to
+//! count a request, and time to build a burn report of three days.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 use filberthead_types::{Region, ResultCode, ServiceName};
 
 const SERVICES: u64 = 3;
-/// Requests of a service at one entry in a minute.
+/// Requests per minute of a service at one entry.
 const REQUESTS: u64 = 6000;
 const MINUTES_A_DAY: u64 = 24 * 60;
 const DAYS: u64 = 3;
-/// A whole minute.
+/// Time of the burn report: the start of a minute.
 const NOW: u64 = 1_800_000_000;
 const CALLS: u32 = 1_000_000;
 
@@ -38,8 +38,8 @@
     format!("region-{n}").parse().expect("a valid name")
 }
 
-/// A busy minute: latencies spread evenly over three decades from 2 ms, one refusal, one
-/// drain. The same in every run.
+/// Samples of a busy minute: latencies spread evenly over three decades from 2 ms, one
+/// refusal and one drain. The same in every run.
 fn minute(metrics: &EntryMetrics) -> Vec<ServiceSample> {
     for n in 0..SERVICES {
         let requests = metrics.requests(&service(n), &region(0));
@@ -63,7 +63,7 @@
     };
     let mut reporter = Reporter::default();
     println!("observe_services: {SERVICES} services");
-    // From an entry to its relay, and, with the repeat, from a relay to each replica.
+    // The report of an entry to its relay, then that of a relay, with the repeated period.
     let first = reporter.report(period(NOW));
     println!("observe_entry_report_a_minute: {} B", encoded_len(&first));
     let report = reporter.report(period(NOW + 60));
@@ -91,7 +91,7 @@
     println!("observe_count_lookup: {ns} ns");
 }
 
-/// Three days of minutes as busy as the one, in each region.
+/// Stores three days of such minutes in each region, then builds a burn report.
 fn history(samples: &[ServiceSample], regions: u64) {
     let dir = tempfile::tempdir().expect("a folder");
     let space = 4 * 1024 * 1024 * 1024;
@@ -109,7 +109,7 @@
         };
         (0..regions).flat_map(of_region)
     };
-    // A day's records at once: what syncs cost is the disk's business.
+    // Written in large chunks, because the cost of syncs isn't measured here.
     for day in 0..DAYS {
         let minutes = (day * MINUTES_A_DAY..(day + 1) * MINUTES_A_DAY).map(|m| NOW - (m + 1) * 60);
         let day: Vec<_> = minutes.flat_map(records).collect();
--- a/crates/observe/src/burn/html.rs
+++ b/crates/observe/src/burn/html.rs
@@ -1,5 +1,5 @@
-//! The report as one HTML page that needs nothing else: no script, no font, no picture
-//! from elsewhere. It follows the reader's choice of a light or dark display.
+//! The report as one self-contained HTML page: no scripts, and no fonts or images from
+//! other servers. It follows the reader's light or dark colour scheme.
 
 use std::fmt::Write as _;
 
@@ -32,9 +32,9 @@
 
 const BOUND_LEGEND: &str = "<span>dashed: the objective's bound</span>";
 
-/// Burn from which a figure is marked: the budget goes faster than it may.
+/// Burn rate above which a cell is marked as a warning: the budget is used too fast.
 const WARN_BURN: f64 = 1.0;
-/// Burn from which it is marked as bad: three days' budget is gone within a day.
+/// Burn rate from which a cell is marked as bad: it uses three days' budget within a day.
 const BAD_BURN: f64 = 3.0;
 
 /// The report as an HTML page.
@@ -86,11 +86,12 @@
     }
 }
 
-/// Columns before the windows: service, region, measure, objective, budget left.
+/// Index of the first window column, after service, region, measure, objective and budget.
 const FIRST_WINDOW_COLUMN: usize = 5;
 const BUDGET_COLUMN: usize = 4;
 
-/// How a figure is marked; the figure itself stands there, so nobody needs the colour.
+/// CSS class that colours a cell. The cell shows the number as well, so the colour carries
+/// no information of its own.
 fn severity(measure: &Measure, column: usize) -> Option<&'static str> {
     if column == BUDGET_COLUMN {
         return measure
@@ -136,7 +137,7 @@
     }
 }
 
-/// Makes text safe between tags. Names are plain words already; paths may be anything.
+/// Escapes text for HTML. Names contain no special characters, but paths may contain any character.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/observe/src/burn/measure.rs
+++ b/crates/observe/src/burn/measure.rs
@@ -1,4 +1,4 @@
-//! One measure held against its objective.
+//! One measure compared with its objective.
 
 use filberthead_settings::ObjectiveSettings;
 use serde::{Deserialize, Serialize};
@@ -6,18 +6,18 @@
 use super::{BUDGET_WINDOW, WINDOWS};
 use crate::samples::{Counts, PERIOD_SECONDS};
 
-/// What is measured.
+/// A kind of measure, with the events that it counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MeasureKind {
-    /// Answers, bad if slower than the threshold.
+    /// Responses; bad if slower than the threshold.
     Latency,
-    /// Minutes, bad if fewer slots were free than the objective asks for.
+    /// Minutes; bad if fewer slots were free than the objective demands.
     Headroom,
-    /// Drains, bad if they took longer than their deadline.
+    /// Drains; bad if they took longer than their deadline.
     DrainTime,
-    /// Requests, bad if they were refused or lost.
+    /// Requests; bad if they were refused or lost.
     Refusals,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The objective in words.
+    /// The objective as text for the report.
     fn objective(self, objective: &ObjectiveSettings) -> String {
         let share = percent(self.target(objective));
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Where good ends and bad begins, in the unit of the plots.
+    /// The limit between good and bad, in the unit of the plots; see [`Measure::bound`].
     fn bound(self, objective: &ObjectiveSettings) -> Option<f64> {
         match self {
             Self::Latency => Some(objective.latency_threshold.as_secs_f64() * 1000.0),
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Counts the events among some counts. Headroom is judged by the whole minute, so
-    /// its counts must be all of a minute's; the others may be added up in any parts.
+    /// Returns the events in some counts. For headroom they must be the counts of a whole
+    /// minute; for the other measures, counts may be split and added in any way.
     pub(super) fn events(self, objective: &ObjectiveSettings, counts: &Counts) -> Events {
         match self {
             Self::Latency => Events {
@@ -111,20 +111,20 @@
     u64::try_from(value).unwrap_or(u64::MAX)
 }
 
-/// Cuts off the digits that only show how computers divide, so that JSON carries what
-/// is meant and gives the same number back.
+/// Rounds to six decimals. This removes floating-point noise, so that a report that has been
+/// written to JSON and read back is equal.
 pub(super) fn rounded(figure: f64) -> f64 {
     const SCALE: f64 = 1e6;
     (figure * SCALE).round() / SCALE
 }
 
-/// A share of 1 as text, with as many digits as a target may have.
+/// Formats a share, 0 to 1, as a percentage with up to three decimals.
 pub(super) fn percent(share: f64) -> String {
     let text = format!("{:.3}", share * 100.0);
     format!("{}%", text.trim_end_matches('0').trim_end_matches('.'))
 }
 
-/// Events of a window.
+/// Number of events, and of bad ones among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Events {
     total: u64,
@@ -137,7 +137,8 @@
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    /// Share of bad events against the share that may be bad.
+    /// The burn rate: share of bad events divided by the share that may be bad; `None`
+    /// without events.
     fn burn(self, target: f64) -> Option<f64> {
         if self.total == 0 {
             return None;
@@ -147,41 +148,41 @@
     }
 }
 
-/// What one window shows of a measure.
+/// A measure's events and burn rate in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct WindowBurn {
     /// Length of the window in seconds.
     pub seconds: u64,
-    /// Events in it.
+    /// Number of events in it.
     pub events: u64,
-    /// Of those, bad ones.
+    /// Number of bad ones among them.
     pub bad: u64,
-    /// Share of the budget's pace that was used, 1 for all of it; none without events.
+    /// Burn rate: 1 uses up the window's budget exactly; `None` without events.
     pub burn: Option<f64>,
 }
 
-/// A measure of a service in one region, or in all.
+/// A measure of a service in one region, or in all regions together.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Measure {
-    /// What is measured.
+    /// The kind of measure.
     pub kind: MeasureKind,
-    /// The objective, for people.
+    /// The objective as text.
     pub objective: String,
     /// Share of events that are to be good, 0 to 1.
     pub target: f64,
-    /// Where good ends and bad begins: latency in milliseconds, headroom in percent,
-    /// drain time in seconds; none for refusals.
+    /// The limit between good and bad: latency in milliseconds, headroom in percent, drain
+    /// time in seconds; `None` for refusals.
     pub bound: Option<f64>,
-    /// Share of the longest window's budget that is left: 1 for all, below 0 when more
-    /// than the budget is used; none without events.
+    /// Remaining share of the longest window's budget: 1 if nothing is used, below 0 if it
+    /// is exceeded; `None` without events.
     pub budget_left: Option<f64>,
-    /// Each of [`WINDOWS`], in their order.
+    /// One for each of [`WINDOWS`], in the same order.
     pub windows: Vec<WindowBurn>,
 }
 
-/// Whether a minute that starts then has its end within the last `window` seconds.
+/// Whether the minute that starts at `start` ends within the last `window` seconds.
 pub(super) fn is_within_window(start: u64, window: u64, now: u64) -> bool {
     let end = start + PERIOD_SECONDS;
     end + window > now && start <= now
@@ -192,7 +193,7 @@
 pub(super) struct WindowEvents([Events; WINDOWS.len()]);
 
 impl WindowEvents {
-    /// Adds events of a minute to the windows that it lies in.
+    /// Adds the events of a minute to each window that contains it.
     pub(super) fn add(&mut self, events: Events, start: u64, now: u64) {
         for (window, seconds) in self.0.iter_mut().zip(WINDOWS) {
             if is_within_window(start, seconds, now) {
--- a/crates/observe/src/burn/mod.rs
+++ b/crates/observe/src/burn/mod.rs
@@ -1,13 +1,13 @@
 //! The service-level burn report.
 //!
-//! For each service and region, and for a service as a whole, four measures are held
-//! against the objective from control's settings: latency, headroom, drain time and
-//! refusals. Each is a count of events, of which a share may be bad: that share is the
-//! budget. A burn of 1 uses the budget up exactly over the window it is measured in, a
-//! burn of 14 over the last hour leaves little of a three-day budget by the evening.
+//! For each service and region, and for a service as a whole, four measures are compared
+//! with the objective from control's settings: latency, headroom, drain time and refusals.
+//! Each is a count of events, of which a share may be bad: that share is the error budget.
+//! A burn rate of 1 uses up the budget of its window exactly; at a burn rate of 14 a
+//! three-day budget lasts about five hours.
 //!
-//! What wasn't heard is no good news: burn is computed over the samples that are there,
-//! and the report tells how many minutes of each window have any.
+//! Missing samples don't count as good: the burn rate is computed over the samples that
+//! exist, and the report shows how many minutes of each window have any.
 
 mod html;
 mod measure;
@@ -22,11 +22,12 @@
 pub use series::Point;
 pub use text::text;
 
-/// Windows that burn is measured over, in seconds; the last is that of the budget.
+/// Windows over which the burn rate is measured, in seconds. The last is also the window of
+/// the error budget.
 pub const WINDOWS: [u64; 4] = [5 * 60, 60 * 60, 6 * 60 * 60, 3 * 24 * 60 * 60];
 
-/// How the windows are called.
+/// Names of [`WINDOWS`] in the report.
 pub const WINDOW_NAMES: [&str; 4] = ["5 m", "1 h", "6 h", "3 d"];
 
-/// The longest window: that of the budget, and of what is plotted.
+/// The longest window, in seconds: that of the error budget and of the plots.
 pub(crate) const BUDGET_WINDOW: u64 = WINDOWS[WINDOWS.len() - 1];
--- a/crates/observe/src/burn/plot.rs
+++ b/crates/observe/src/burn/plot.rs
@@ -1,8 +1,8 @@
-//! Plots by `plotters`, as SVG inside the page.
+//! Plots by `plotters`, as SVG embedded in the page.
 //!
-//! Axes and text are drawn in one odd colour that is then replaced by `currentColor`, so
-//! that they follow the page's ink in a light or dark display. The colours of lines are
-//! of middle lightness and read on both.
+//! Axes and text are drawn in a placeholder colour that is then replaced by `currentColor`,
+//! so that they have the page's text colour in a light or dark scheme. The colours of lines
+//! have a medium lightness and are readable in both.
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,8 @@
 const SIZE: (u32, u32) = (640, 260);
 const INK: RGBColor = RGBColor(1, 2, 3);
 const INK_TEXT: &str = "#010203";
-/// A colour for each region in turn; the first is for all regions together.
+/// Line colours by index of the region, reused from the start if there are more regions.
+/// The first is for all regions together.
 const COLOURS: [RGBColor; 8] = [
     RGBColor(128, 128, 128),
     RGBColor(47, 129, 247),
@@ -29,7 +30,7 @@
     RGBColor(190, 140, 20),
 ];
 const SECONDS_PER_HOUR: f64 = 3600.0;
-/// Left end of the narrowest plot, in hours.
+/// Left end of the x axis of the narrowest plot, in hours.
 const NARROWEST_LEFT_END: f64 = -0.25;
 
 /// A finished plot.
@@ -45,7 +46,7 @@
     COLOURS[place.unwrap_or(0) % COLOURS.len()]
 }
 
-/// Names of the regions with their colours.
+/// HTML of the legend: names of the regions with their colours.
 pub(super) fn legend(report: &Report, scopes: &[Scope]) -> String {
     let item = |scope: &Scope| {
         let RGBColor(r, g, b) = colour(report, scope);
@@ -55,7 +56,7 @@
     scopes.iter().map(item).collect()
 }
 
-/// A plot for each measure of a service.
+/// Draws one plot for each measure of a service.
 pub(super) fn plots(report: &Report, scopes: &[Scope]) -> Vec<Plot> {
     MeasureKind::ALL
         .iter()
@@ -85,10 +86,10 @@
     }
 }
 
-/// A line of a plot: x in hours before the report, y in the caption's unit.
+/// A line of a plot: x in hours relative to the report, y in the caption's unit.
 struct Line {
     colour: RGBColor,
-    /// Parts without a gap.
+    /// The points, split at gaps.
     segments: Vec<Vec<(f64, f64)>>,
 }
 
@@ -100,13 +101,13 @@
     scopes.iter().map(line).collect()
 }
 
-/// Hours from the report back to a point, below 0.
+/// Time of a point relative to the report, in hours; negative.
 fn hours(report: &Report, point: &Point) -> f64 {
     (point.start as f64 - report.now as f64) / SECONDS_PER_HOUR
 }
 
-/// Splits a line where samples are missing: a line drawn across a gap would show
-/// measurements that nobody made. Drains are rare, so each stands alone.
+/// Splits a line where samples are missing: a line across a gap would show values that
+/// were never measured. Drains are rare, so each is a point of its own.
 fn segments(report: &Report, scope: &Scope, kind: MeasureKind) -> Vec<Vec<(f64, f64)>> {
     let mut segments: Vec<Vec<(f64, f64)>> = Vec::new();
     let mut end = None;
@@ -140,7 +141,7 @@
     drop(root);
     match drawn {
         Ok(()) => svg.replace(INK_TEXT, "currentColor"),
-        // A string as the target of a drawing can't fail, and ranges are never empty.
+        // Drawing into a string can't fail, and ranges are never empty.
         Err(err) => escape(&err.to_string()),
     }
 }
@@ -155,18 +156,19 @@
         .find_map(|measure| measure.bound)
 }
 
-/// What one plot shows.
+/// The data of one plot.
 struct PlotData {
     kind: MeasureKind,
-    /// Left end, in hours before the report; the same for all plots of a report.
+    /// Left end of the x axis, in hours relative to the report; the same for all plots of a
+    /// report.
     left_end: f64,
-    /// Where good ends and bad begins.
+    /// The limit between good and bad, drawn as a dashed line.
     bound: Option<f64>,
     lines: Vec<Line>,
 }
 
 impl PlotData {
-    /// Upper end of the plot, with room for the bound.
+    /// Upper end of the y axis; the bound lies below it.
     fn top(&self) -> f64 {
         let segments = self.lines.iter().flat_map(|line| &line.segments);
         let values = segments.flatten().map(|point| point.1).chain(self.bound);
--- a/crates/observe/src/burn/report.rs
+++ b/crates/observe/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! The report as data; text and page are written from it.
+//! The report as data, from which the text and the HTML page are generated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,15 +11,15 @@
 use super::{BUDGET_WINDOW, WINDOWS};
 use crate::samples::{Counts, Damage, History, PERIOD_SECONDS, Record, ServiceSample};
 
-/// Where a report's samples came from, and what is missing of them.
+/// How complete a report's samples are.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Source {
-    /// Minutes of each window of [`WINDOWS`] that have a sample of any service.
+    /// For each of [`WINDOWS`], the number of minutes that have a sample of any service.
     pub minutes: Vec<u64>,
-    /// Most entries that reported on one minute of the longest window.
+    /// Largest number of entries that reported on one minute of the longest window.
     pub entries: u32,
-    /// Files that are damaged, and where.
+    /// A message for each damaged file.
     pub damage: Vec<String>,
 }
 
@@ -29,11 +29,11 @@
 pub struct Scope {
     /// The service.
     pub service: ServiceName,
-    /// The region; none for all together.
+    /// The region; `None` for all regions together.
     pub region: Option<Region>,
     /// Its measures, in the order of [`MeasureKind::ALL`].
     pub measures: Vec<Measure>,
-    /// What is plotted.
+    /// The points of the plots, by time.
     pub points: Vec<Point>,
 }
 
@@ -43,23 +43,23 @@
 pub struct Report {
     /// Name of the cluster.
     pub cluster: String,
-    /// When it was made, in seconds since the Unix epoch.
+    /// Time of the report, in seconds since the Unix epoch.
     pub now: u64,
     /// Length of a step of the plots, in seconds.
     pub step_seconds: u64,
-    /// Its samples.
+    /// How complete its samples are.
     pub source: Source,
-    /// By service, all regions together first.
+    /// Sorted by service; of each service, all regions together come first.
     pub scopes: Vec<Scope>,
-    /// Services that have samples and no objective.
+    /// Services that have samples but no objective.
     pub without_objective: Vec<ServiceName>,
 }
 
-/// Makes a report, record by record.
+/// Builds a report record by record.
 ///
-/// What it holds grows with services, regions and steps, and by two numbers a minute for
-/// headroom, but not with the samples themselves: a replica makes it beside its other
-/// work.
+/// Its memory grows with the number of services, regions and plot steps, and by two numbers
+/// per minute for headroom, but not with the number of samples: a replica builds reports
+/// beside its other work.
 #[derive(Debug)]
 pub struct ReportBuilder {
     cluster: String,
@@ -72,14 +72,14 @@
     entries: u32,
 }
 
-/// The service, and the region or none for all of them.
+/// Service and region; no region stands for all regions together.
 type ScopeKey = (ServiceName, Option<Region>);
 
 #[derive(Debug, Default)]
 struct ScopeBuilder {
     events: BTreeMap<MeasureKind, WindowEvents>,
     series: Series,
-    /// Slots and those in use, by minute.
+    /// Slots and slots in use, by start of the minute.
     slots: BTreeMap<u64, (u64, u64)>,
 }
 
@@ -93,7 +93,7 @@
             cluster: cluster.to_owned(),
             now,
             step: step_seconds(now, now),
-            // A service that nobody heard of shows as unknown.
+            // A service without samples is in the report, without values.
             scopes: objectives.keys().map(all).collect(),
             objectives,
             without_objective: BTreeSet::new(),
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Oldest start of a period that the report takes in.
+    /// Oldest start of a period that the report may include.
     pub fn since(&self) -> u64 {
         self.now.saturating_sub(BUDGET_WINDOW + PERIOD_SECONDS)
     }
 
-    /// Takes a record in. One of a minute that is known already adds to it.
+    /// Adds a record. Several records of one minute are added up.
     pub fn add(&mut self, record: &Record) {
         if !is_within_window(record.start, BUDGET_WINDOW, self.now) {
             return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The finished report; `damage` is what of the samples couldn't be read.
+    /// Returns the finished report; `damage` lists the samples that couldn't be read.
     pub fn finish(self, damage: &[Damage]) -> Report {
         let source = self.source(damage);
         let (now, step) = (self.now, self.step);
@@ -226,7 +226,7 @@
     }
 }
 
-/// Makes a report of a whole history; `now` in seconds since the Unix epoch.
+/// Builds a report of a history; `now` is in seconds since the Unix epoch.
 pub fn build(
     cluster: &str,
     objectives: &[ObjectiveSettings],
@@ -249,7 +249,7 @@
     )
 }
 
-/// Minutes that a window of so many seconds has.
+/// Number of minutes in a window.
 pub(super) fn minutes_of(seconds: u64) -> u64 {
     seconds / PERIOD_SECONDS
 }
--- a/crates/observe/src/burn/series.rs
+++ b/crates/observe/src/burn/series.rs
@@ -1,4 +1,4 @@
-//! What is plotted: the longest window in steps.
+//! The data of the plots: the longest window, divided into steps.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 use super::measure::rounded;
 use crate::samples::{Counts, PERIOD_SECONDS};
 
-/// Steps that a plot has, at most; enough to fill its width.
+/// Maximum number of steps of a plot; enough for its width.
 const MAX_STEPS: u64 = 144;
 
-/// One step of a plot. What wasn't sampled is none.
+/// One step of a plot. Values without samples are `None`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Point {
     /// Start of the step, in seconds since the Unix epoch.
     pub start: u64,
-    /// Time that 99% of answers didn't exceed, in milliseconds.
+    /// 99th percentile of response times, in milliseconds.
     pub latency_p99_ms: Option<f64>,
-    /// Least share of free slots in a minute of the step.
+    /// Smallest share of free slots in any minute of the step, 0 to 1.
     pub headroom: Option<f64>,
     /// Longest drain that ended in the step, in seconds.
     pub drain_seconds: Option<f64>,
-    /// Share of requests that were refused or lost.
+    /// Share of requests that were refused or lost, 0 to 1.
     pub refused: Option<f64>,
 }
 
-/// Length of a step, in seconds, when the oldest sample is so old: a minute, doubled
-/// until the steps are few enough. So steps that were begun with a shorter length can be
-/// put together.
+/// Length of a step, in seconds, if the oldest sample starts at `oldest`: a minute, doubled
+/// until there are at most `MAX_STEPS`. Because of the doubling, steps of a shorter length
+/// can be merged.
 pub(super) fn step_seconds(oldest: u64, now: u64) -> u64 {
     let span = now.saturating_sub(oldest).min(BUDGET_WINDOW);
     let mut step = PERIOD_SECONDS;
@@ -50,7 +50,7 @@
 }
 
 impl Series {
-    /// Adds counts of a minute, or of a part of it.
+    /// Adds the counts of a record.
     pub(super) fn add(&mut self, start: u64, step: u64, counts: &Counts) {
         self.step(start, step).counts.add(counts);
     }
@@ -64,7 +64,7 @@
         self.0.entry(start - start % step).or_default()
     }
 
-    /// Puts steps together after their length has been doubled.
+    /// Merges steps after their length has been doubled.
     pub(super) fn merge_steps(&mut self, step: u64) {
         for (start, old) in std::mem::take(&mut self.0) {
             let new = self.step(start, step);
--- a/crates/observe/src/burn/text.rs
+++ b/crates/observe/src/burn/text.rs
@@ -1,4 +1,4 @@
-//! The report as text.
+//! The report as plain text.
 
 use std::fmt::Write as _;
 use std::time::{Duration, UNIX_EPOCH};
@@ -7,10 +7,11 @@
 use super::report::minutes_of;
 use super::{Report, Scope, WINDOW_NAMES, WINDOWS};
 
-/// Region column for all regions together.
+/// Text of the region column for all regions together.
 const ALL_REGIONS: &str = "all";
 
-/// The report as lines of text, one for each measure of a service in a region.
+/// The report as plain text, with a table of one row for each measure of a service in a
+/// region.
 pub fn text(report: &Report) -> String {
     let mut page = String::new();
     // Writing to a `String` can't fail.
@@ -32,7 +33,7 @@
     format!("Service-level burn of {} at {now}", report.cluster)
 }
 
-/// What a reader must know before believing the figures.
+/// Lines above the table: how complete the samples are, and what is missing.
 pub(super) fn notes(report: &Report) -> Vec<String> {
     let mut notes = vec![coverage(report)];
     if report.scopes.is_empty() {
--- a/crates/observe/tests/burn.rs
+++ b/crates/observe/tests/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report says what the samples say, and no more.
+//! The burn report matches the samples, and shows where samples are missing.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use filberthead_observe::samples::{Counts, Damage, History, Record, ServiceSample};
 use filberthead_settings::ObjectiveSettings;
 
-/// Now, at the end of a minute.
+/// The time of the report: the end of a minute.
 const NOW: u64 = 1_800_000_000;
 const MINUTE: u64 = 60;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A record of a minute that ended so many minutes ago.
+/// A record of the minute that ended `minutes_ago` minutes before [`NOW`].
 fn record(region: &str, minutes_ago: u64, counts: Counts) -> Record {
     Record {
         start: NOW - (minutes_ago + 1) * MINUTE,
@@ -87,7 +87,7 @@
     let report = report(vec![
         // 2% slow where 1% may be: burn 2.
         record("split", 0, answers(98, 2)),
-        // Half an hour ago all was well, so an hour's burn is half of that.
+        // Half an hour ago: none of 100, so the burn over the hour is half of that.
         record("split", 30, answers(100, 0)),
         // Two hours ago: 4 of 100.
         record("split", 120, answers(96, 4)),
@@ -115,7 +115,7 @@
 
 #[test]
 fn headroom_is_judged_by_the_minute_and_over_all_regions_together() {
-    // Alone, split is full; together with zagreb there is room.
+    // Region split alone has too few free slots; together with zagreb there are enough.
     let report = report(vec![
         record("split", 0, slots(60, 57)),
         record("zagreb", 0, slots(60, 12)),
@@ -144,11 +144,10 @@
     assert_eq!(burns(drains)[0], Some(1.5));
 }
 
-/// Story: a region is down, and the report shows a clean sheet for it. Order: its
-/// entries are cut off and report nothing; the report divides nothing by nothing and
-/// calls it 0. Cause: no measurement taken for a good one.
+/// A region whose entries are cut off reports no samples. Its burn must be unknown, not 0,
+/// or the report would show a region that is down as healthy.
 #[test]
-fn what_was_not_heard_is_unknown_and_the_gap_is_told() {
+fn missing_samples_are_unknown_and_the_gap_is_shown() {
     let report = report(vec![record("split", 90, answers(100, 0))]);
     let latency = measure(scope(&report, None), MeasureKind::Latency);
     assert_eq!(burns(latency), [None, None, Some(0.0), Some(0.0)]);
@@ -217,7 +216,7 @@
 }
 
 #[test]
-fn json_comes_back_as_it_was() {
+fn json_round_trip_preserves_the_report() {
     let report = report(vec![record("split", 0, answers(98, 2))]);
     let json = serde_json::to_string(&report).expect("a report is JSON");
     let decoded: Report = serde_json::from_str(&json).expect("the same report");
@@ -225,7 +224,7 @@
 }
 
 #[test]
-fn page_needs_nothing_else() {
+fn page_is_self_contained() {
     let records = (0..60)
         .map(|m| record("split", m, answers(98, 2)))
         .collect();
@@ -233,7 +232,7 @@
     for outside in [
         "http://", "https://", "src=", "@import", "url(", "<script", "<link",
     ] {
-        // The name of the SVG language is an address, and nothing that is fetched.
+        // The SVG namespace is a URL, but it isn't fetched.
         let page = page.replace("http://www.w3.org/2000/svg", "");
         assert!(!page.contains(outside), "{outside}");
     }
--- a/crates/observe/tests/fuzz.rs
+++ b/crates/observe/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a file of samples holds, reading it ends in whole records or none.
+//! Reading a sample file with arbitrary content returns valid records only.
 
 use std::fs;
 
@@ -10,8 +10,8 @@
 
 const SEEDS: u64 = 1000;
 
-/// Values that bolero generates from fixed seeds. Its own loop draws new seeds in each
-/// run, and a test is to give the same verdict in every one.
+/// Checks values that bolero generates from fixed seeds. Its own loop draws new seeds in
+/// each run, but the test must have the same result in every run.
 fn for_seeds<T: TypeGenerator>(mut judge: impl FnMut(T)) {
     let options = Options::default();
     for seed in 0..SEEDS {
@@ -73,7 +73,7 @@
             written.starts_with(&history.records),
             "place {place} mask {mask}"
         );
-        // A start afterwards makes the file sound again.
+        // Opening the store repairs the file.
         let mut store = SampleStore::open(dir.path(), 1024 * 1024).expect("the store opens");
         store.append(&[record(99)]).expect("records are written");
         let again = read_history(dir.path(), 0).expect("the file is read");
--- a/crates/observe/tests/logging.rs
+++ b/crates/observe/tests/logging.rs
@@ -103,14 +103,14 @@
 }
 
 /// An output whose first write blocks until it is released.
-struct Stuck {
+struct BlockingOutput {
     release: Receiver<()>,
     entered: Sender<()>,
     released: bool,
     output: Output,
 }
 
-impl Write for Stuck {
+impl Write for BlockingOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if !self.released {
             self.entered.send(()).expect("the test waits");
@@ -151,20 +151,20 @@
 /// Guards against requests that time out while the processor is idle: the reader of the
 /// log stops reading, the pipe fills, and a duty that wrote its log itself would block.
 #[test]
-fn stuck_output_blocks_no_caller_and_lost_lines_are_counted() {
+fn blocked_output_blocks_no_caller_and_lost_lines_are_counted() {
     let output = Output::default();
     let (tx, release) = channel();
     let (entered, rx) = channel();
-    let stuck = Stuck {
+    let blocking = BlockingOutput {
         release,
         entered,
         released: false,
         output: output.clone(),
     };
     let (logger, guard) =
-        logger(&settings(LevelFilter::Info), "p", stuck).expect("a thread starts");
+        logger(&settings(LevelFilter::Info), "p", blocking).expect("a thread starts");
     log_info(&*logger, "first");
-    rx.recv().expect("the output is stuck now");
+    rx.recv().expect("the output blocks now");
     let mut sent = 1;
     while guard.dropped().total() < 10 {
         log_info(&*logger, "more");
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Samples from an entry's counts to a replica's disk.
+//! Samples: an entry's counts, their collection, and their storage on a replica's disk.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -64,21 +64,21 @@
     report
 }
 
-/// Closes at a control replica, and makes records of what was closed.
+/// Closes the periods that are due and returns their records.
 fn close(collector: &mut Collector, now: u64) -> Vec<Record> {
     let periods = collector.close(now);
     periods.into_iter().flat_map(Record::from_period).collect()
 }
 
 #[test]
-fn entry_counts_by_the_way_requests_end() {
+fn entry_counts_requests_by_result() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
     requests.record(ResultCode::Answered, Duration::from_millis(20));
     requests.record(ResultCode::Answered, Duration::from_millis(400));
     requests.record(ResultCode::Overloaded, Duration::from_millis(1));
     requests.record(ResultCode::EndpointLost, Duration::from_millis(900));
-    // Wrong in themselves: no fault of the service.
+    // Caused by the request itself, so they don't count against the service.
     requests.record(ResultCode::BadRequest, Duration::ZERO);
     requests.record(ResultCode::Quarantined, Duration::ZERO);
     metrics.slots(&service(), &region()).set(12, 9);
@@ -93,12 +93,12 @@
     assert_eq!((counts.refused, counts.lost), (1, 1));
     assert_eq!(counts.headroom(), Some(0.5));
     assert_eq!(counts.drain_ms.total(), 1);
-    // The next period starts at nothing.
+    // The next period starts empty.
     assert_eq!(metrics.take_samples(), []);
 }
 
 #[test]
-fn tally_errs_on_the_slow_side_and_by_little() {
+fn histogram_overestimates_times_and_only_slightly() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
     for ms in 1..=1000 {
@@ -155,9 +155,8 @@
     assert_eq!(records[0].sample.counts.refused, 3);
 }
 
-/// Story: the burn report shows twice the refusals that there were. Order: an entry
-/// repeats a period because control may have missed it; control had it. Cause: a repeat
-/// counted as new.
+/// A period is repeated in the next report in case the first one was lost. If control
+/// counted the repeat again, the burn report would show twice the refusals.
 #[test]
 fn repeated_period_counts_once_and_a_lost_one_comes_with_the_next() {
     let mut collector = Collector::for_control();
@@ -194,9 +193,8 @@
     assert_eq!(records[0].start, now);
 }
 
-/// Story: one entry is missing from the burn report for days. Order: its clock jumps a
-/// day ahead, it reports a period, its clock is set right. Cause: all later periods look
-/// older than the one of tomorrow.
+/// An entry reports a period while its clock is a day ahead, then the clock is corrected.
+/// All later periods look older than that one, but must not be ignored for a day.
 #[test]
 fn clock_that_is_set_right_makes_no_gap() {
     let mut collector = Collector::for_control();
@@ -211,7 +209,7 @@
 }
 
 #[test]
-fn records_come_back_after_a_restart() {
+fn records_are_read_after_a_restart() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut written = Vec::new();
     for n in 0..5 {
@@ -253,9 +251,8 @@
     assert!(refused.iter().copied().eq(first..total));
 }
 
-/// Story: after a power cut the burn report is empty for good. Order: the VM dies while
-/// a record is written; the next start writes behind the torn record; every later record
-/// is unreadable. Cause: appending behind a torn tail.
+/// A power cut leaves a torn record. If the next start appended after it, every later record
+/// would be unreadable.
 #[test]
 fn torn_tail_is_cut_at_the_next_start() {
     let dir = tempfile::tempdir().expect("a folder");
