--- a/crates/observe/src/samples/period_counter.rs
+++ b/crates/observe/src/samples/period_counter.rs
@@ -11,7 +11,7 @@
 
 /// Bound on the pairs of service and region; the same as for metrics.
 const MAX_PAIRS: usize = 1024;
-/// Upper end of the histograms; longer times are recorded as this.
+/// Longest request duration that is distinguished; longer ones are recorded as this.
 const MAX_DURATION: Duration = Duration::from_secs(60 * 60);
 /// Precision of the histograms: a bucket's width is at most a sixteenth of its value.
 const SIGNIFICANT_DIGITS: u8 = 1;
@@ -92,7 +92,7 @@
 
 fn record(histogram: &mut Option<Histogram<u64>>, value: u128) {
     if histogram.is_none() {
-        // The same bound for values in microseconds and in milliseconds.
+        // The same number also bounds drains, which are in milliseconds: 1000 hours.
         let max_value = MAX_DURATION.as_micros() as u64;
         *histogram = Histogram::new_with_bounds(1, max_value, SIGNIFICANT_DIGITS).ok();
     }
