--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -61,7 +61,7 @@
 
 /// Where the platform's list of endpoints is read, from `[platform]`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListSettings {
+pub struct PlatformListSettings {
     /// Its address.
     pub addr: SocketAddr,
     /// Calls a second that it bears from all processes together.
@@ -118,7 +118,7 @@
     /// How long callers may keep the answer to that.
     pub lookups_ttl: Duration,
     /// The platform's list of endpoints.
-    pub list: Option<ListSettings>,
+    pub platform_list: Option<PlatformListSettings>,
     /// Time between a leader's heartbeats.
     pub heartbeat: Duration,
     /// Shortest silence of a leader before an election.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,8 +22,8 @@
 mod value;
 
 pub use control::{
-    ControlSettings, GroupSettings, ListSettings, ObjectiveSettings, ReplicaSettings, ReviewPolicy,
-    SampleSettings,
+    ControlSettings, GroupSettings, ObjectiveSettings, PlatformListSettings, ReplicaSettings,
+    ReviewPolicy, SampleSettings,
 };
 pub use entry::{EndpointSettings, EntrySettings};
 pub use gateway::{BudgetSettings, GatewaySettings};
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -12,7 +12,7 @@
 use crate::value::{Role, Value};
 use crate::{BudgetSettings, ControlSettings, EntrySettings, GatewaySettings, GroupSettings};
 use crate::{EndpointSettings, Problem, ReplicaSettings, SampleSettings, SettingsError};
-use crate::{ListSettings, LogSettings, ObjectiveSettings};
+use crate::{LogSettings, ObjectiveSettings, PlatformListSettings};
 use crate::{cross, schema};
 
 /// Finds every problem of a file; none means that its program loads it.
@@ -165,7 +165,7 @@
         orders_listen: document.get(&keys::ORDERS_LISTEN).map(|addr| addr.0),
         lookups_listen: document.get(&keys::LOOKUPS_LISTEN).map(|addr| addr.0),
         lookups_ttl: document.get(&keys::LOOKUPS_TTL)?,
-        list: list(document)?,
+        platform_list: platform_list(document)?,
         heartbeat: document.get(&keys::HEARTBEAT)?,
         election_timeout: document.get(&keys::ELECTION_TIMEOUT)?,
         lease: document.get(&keys::LEASE)?,
@@ -237,11 +237,11 @@
     Some(seeds)
 }
 
-fn list(document: &Document<'_>) -> Option<Option<ListSettings>> {
+fn platform_list(document: &Document<'_>) -> Option<Option<PlatformListSettings>> {
     let Some(addr) = document.get(&keys::PLATFORM_LIST) else {
         return Some(None);
     };
-    Some(Some(ListSettings {
+    Some(Some(PlatformListSettings {
         addr: addr.0,
         rate: document.get(&keys::PLATFORM_RATE)?,
         domains: document
