--- a/crates/settings/src/cross.rs
+++ b/crates/settings/src/cross.rs
@@ -52,7 +52,7 @@
 fn check_entry(document: &Document<'_>, problems: &mut Vec<Problem>) {
     // A leaving entry is gone after the stop deadline. With a longer time to live a
     // caller would still have it in a cached answer and find nobody there.
-    shorter(
+    check_shorter(
         document,
         &keys::LOOKUP_TTL,
         &keys::STOP_DEADLINE,
@@ -60,7 +60,7 @@
         problems,
     );
     // A key forgotten while its request still runs would let a resend run it again.
-    shorter(
+    check_shorter(
         document,
         &keys::REQUEST_TIMEOUT,
         &keys::LEDGER_RETENTION,
@@ -72,16 +72,16 @@
 fn check_control(document: &Document<'_>, problems: &mut Vec<Problem>) {
     // With a lease that outlives the election timeout an old leader could still answer
     // for the table after a new one has accepted changes.
-    shorter(document, &keys::LEASE, &keys::ELECTION_TIMEOUT, 1, problems);
+    check_shorter(document, &keys::LEASE, &keys::ELECTION_TIMEOUT, 1, problems);
     let heartbeat = &keys::HEARTBEAT;
-    shorter(
+    check_shorter(
         document,
         heartbeat,
         &keys::ELECTION_TIMEOUT,
         HEARTBEATS_PER_TIMEOUT,
         problems,
     );
-    shorter(
+    check_shorter(
         document,
         heartbeat,
         &keys::LEASE,
@@ -92,7 +92,7 @@
 }
 
 /// Demands that `times` of one duration are shorter than another.
-fn shorter(
+fn check_shorter(
     document: &Document<'_>,
     key: &Key<Duration>,
     than: &Key<Duration>,
@@ -123,7 +123,7 @@
 }
 
 fn check_replica_count(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut others = document.labelled(keys::REPLICA_PEER.section);
+    let mut others = document.labelled_sections(keys::REPLICA_PEER.section);
     if let Some(section) = others.nth(MAX_REPLICAS - 1) {
         problems.push(Problem {
             line: section.line,
@@ -138,16 +138,16 @@
 /// Names are identities: of two processes or endpoints of one name, one would be taken
 /// for the other restarted.
 fn check_names(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut taken = BTreeMap::new();
+    let mut first_uses = BTreeMap::new();
     if let Some(own) = document.get(&keys::NAME) {
-        taken.insert(own.as_str().to_owned(), document.line(&keys::NAME));
+        first_uses.insert(own.as_str().to_owned(), document.line(&keys::NAME));
     }
     let named = [keys::REPLICA_PEER.section, keys::ENDPOINT_ADDRESS.section];
     for section in &document.sections {
         let (Some(label), true) = (section.label, named.contains(&section.name)) else {
             continue;
         };
-        let Some(first) = taken.insert(label.to_owned(), section.line) else {
+        let Some(first) = first_uses.insert(label.to_owned(), section.line) else {
             continue;
         };
         problems.push(Problem {
@@ -161,7 +161,7 @@
 }
 
 /// An address in the file, and where.
-struct Place {
+struct AddressUse {
     addr: SocketAddr,
     line: u32,
     section: String,
@@ -171,26 +171,29 @@
 /// An address stands for one socket of one process. A replica that is given its own
 /// address, say, would count its own vote twice.
 fn check_addresses(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut places = Vec::new();
-    own_places(document, &mut places);
-    labelled_places(document, &keys::REPLICA_PEER, &mut places);
-    labelled_places(document, &keys::ENDPOINT_ADDRESS, &mut places);
+    let mut uses = Vec::new();
+    own_uses(document, &mut uses);
+    labelled_uses(document, &keys::REPLICA_PEER, &mut uses);
+    labelled_uses(document, &keys::ENDPOINT_ADDRESS, &mut uses);
     let seeds = document
         .get(&keys::SEEDS)
         .map_or(Vec::new(), |seeds| seeds.0);
     for addr in seeds {
-        places.push(place(document, &keys::SEEDS, addr));
+        uses.push(address_use(document, &keys::SEEDS, addr));
     }
-    let mut taken: Vec<&Place> = Vec::new();
-    for place in &places {
-        match taken.iter().find(|other| clash(place, other)) {
-            Some(first) => problems.push(second_time(place, first)),
-            None => taken.push(place),
+    let mut first_uses: Vec<&AddressUse> = Vec::new();
+    for address_use in &uses {
+        match first_uses
+            .iter()
+            .find(|other| conflicts(address_use, other))
+        {
+            Some(first) => problems.push(duplicate_address(address_use, first)),
+            None => first_uses.push(address_use),
         }
     }
 }
 
-fn own_places(document: &Document<'_>, places: &mut Vec<Place>) {
+fn own_uses(document: &Document<'_>, uses: &mut Vec<AddressUse>) {
     let listen = [
         &keys::CALLERS_LISTEN,
         &keys::PEERS_LISTEN,
@@ -199,7 +202,7 @@
     ];
     for key in listen {
         if let Some(ListenAddr(addr)) = document.get(key) {
-            places.push(place(document, key, addr));
+            uses.push(address_use(document, key, addr));
         }
     }
     let advertise = [
@@ -209,15 +212,15 @@
     ];
     for key in advertise {
         if let Some(TargetAddr(addr)) = document.get(key) {
-            places.push(place(document, key, addr));
+            uses.push(address_use(document, key, addr));
         }
     }
 }
 
-fn labelled_places(document: &Document<'_>, key: &Key<TargetAddr>, places: &mut Vec<Place>) {
-    for section in document.labelled(key.section) {
+fn labelled_uses(document: &Document<'_>, key: &Key<TargetAddr>, uses: &mut Vec<AddressUse>) {
+    for section in document.labelled_sections(key.section) {
         if let Some(TargetAddr(addr)) = section.get(key) {
-            places.push(Place {
+            uses.push(AddressUse {
                 addr,
                 line: section.property(key.name).map_or(section.line, |p| p.line),
                 section: section.header.to_owned(),
@@ -227,8 +230,8 @@
     }
 }
 
-fn place<T: Value>(document: &Document<'_>, key: &Key<T>, addr: SocketAddr) -> Place {
-    Place {
+fn address_use<T: Value>(document: &Document<'_>, key: &Key<T>, addr: SocketAddr) -> AddressUse {
+    AddressUse {
         addr,
         line: document.line(key),
         section: key.section.to_owned(),
@@ -236,18 +239,18 @@
     }
 }
 
-fn clash(one: &Place, other: &Place) -> bool {
+fn conflicts(one: &AddressUse, other: &AddressUse) -> bool {
     // Port 0 is a different port each time, and a socket may be advertised as it listens.
     let same_socket = one.section == other.section && one.key != other.key;
     one.addr == other.addr && one.addr.port() != 0 && !same_socket
 }
 
-fn second_time(place: &Place, first: &Place) -> Problem {
+fn duplicate_address(address_use: &AddressUse, first: &AddressUse) -> Problem {
     Problem {
-        line: place.line,
-        section: place.section.clone(),
-        key: place.key.to_owned(),
-        found: format!("`{}` a second time", place.addr),
+        line: address_use.line,
+        section: address_use.section.clone(),
+        key: address_use.key.to_owned(),
+        found: format!("`{}` a second time", address_use.addr),
         allowed: format!(
             "an address of its own; the first is [{}] {} in line {}",
             first.section, first.key, first.line
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -65,43 +65,48 @@
             let Some(item) = parser.next() else {
                 return document;
             };
-            if let Err(found) = document.take(item, line) {
+            if let Err(found) = document.add_item(item, line) {
                 problems.push(malformed(found, line));
             }
         }
     }
 
     /// Takes an item in, or gives back the text of one that means nothing.
-    fn take(&mut self, item: Item<'a>, line: u32) -> Result<(), &'a str> {
+    fn add_item(&mut self, item: Item<'a>, line: u32) -> Result<(), &'a str> {
         match item {
             Item::SectionEnd | Item::Blank | Item::Comment(_) => Ok(()),
-            Item::Section(header) => self.open(header, line),
-            Item::Error(text) => self.open_untrimmed(text, line),
-            Item::Property(key, value) => self.property(key, value, line),
+            Item::Section(header) => self.add_section(header, line),
+            Item::Error(text) => self.add_untrimmed_section(text, line),
+            Item::Property(key, value) => self.add_property(key, value, line),
         }
     }
 
-    fn open(&mut self, header: &'a str, line: u32) -> Result<(), &'a str> {
+    fn add_section(&mut self, header: &'a str, line: u32) -> Result<(), &'a str> {
         self.sections.push(Section::new(header, line));
         Ok(())
     }
 
     /// A header with blanks around its brackets, which the parser passes on as it is.
-    fn open_untrimmed(&mut self, text: &'a str, line: u32) -> Result<(), &'a str> {
+    fn add_untrimmed_section(&mut self, text: &'a str, line: u32) -> Result<(), &'a str> {
         let inner = trim(text)
             .strip_prefix('[')
             .and_then(|rest| rest.strip_suffix(']'))
             .ok_or(text)?;
-        self.open(trim(inner), line)
+        self.add_section(trim(inner), line)
     }
 
-    fn property(&mut self, key: &'a str, value: Option<&'a str>, line: u32) -> Result<(), &'a str> {
+    fn add_property(
+        &mut self,
+        key: &'a str,
+        value: Option<&'a str>,
+        line: u32,
+    ) -> Result<(), &'a str> {
         // An indented comment or header comes out of the parser as a property.
         if key.starts_with(';') {
             return Ok(());
         }
         let Some(value) = value else {
-            return self.open_untrimmed(key, line);
+            return self.add_untrimmed_section(key, line);
         };
         if key.is_empty() || key.starts_with(['[', '#']) {
             return Err(key);
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -9,11 +9,11 @@
     Control,
     Gateway,
     /// Entry and control.
-    Both,
+    EntryAndControl,
     /// Entry and gateway: the programs that callers speak to.
-    Facing,
+    EntryAndGateway,
     /// Control and gateway: the programs of a group that finds itself by seeds.
-    Seeded,
+    ControlAndGateway,
     All,
 }
 
@@ -23,9 +23,9 @@
             Self::Entry => role == Role::Entry,
             Self::Control => role == Role::Control,
             Self::Gateway => role == Role::Gateway,
-            Self::Both => role != Role::Gateway,
-            Self::Facing => role != Role::Control,
-            Self::Seeded => role != Role::Entry,
+            Self::EntryAndControl => role != Role::Gateway,
+            Self::EntryAndGateway => role != Role::Control,
+            Self::ControlAndGateway => role != Role::Entry,
             Self::All => true,
         }
     }
@@ -35,9 +35,9 @@
             Self::Entry => "entry",
             Self::Control => "control",
             Self::Gateway => "gateway",
-            Self::Both => "entry and control",
-            Self::Facing => "entry and gateway",
-            Self::Seeded => "control and gateway",
+            Self::EntryAndControl => "entry and control",
+            Self::EntryAndGateway => "entry and gateway",
+            Self::ControlAndGateway => "control and gateway",
             Self::All => "entry, control and gateway",
         }
     }
@@ -89,7 +89,7 @@
 }
 
 /// A declaration, whatever the type of its values.
-pub(crate) trait Declared: Sync {
+pub(crate) trait AnyKey: Sync {
     fn name(&self) -> &'static str;
     fn absent(&self) -> Absent;
     fn range(&self) -> Option<Range>;
@@ -107,7 +107,7 @@
     }
 }
 
-impl<T: Value> Declared for Key<T> {
+impl<T: Value> AnyKey for Key<T> {
     fn name(&self) -> &'static str {
         self.name
     }
@@ -144,7 +144,7 @@
     pub(crate) label: Option<&'static str>,
     pub(crate) roles: Roles,
     pub(crate) doc: &'static [&'static str],
-    pub(crate) keys: &'static [&'static dyn Declared],
+    pub(crate) keys: &'static [&'static dyn AnyKey],
 }
 
 impl SectionSpec {
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -9,7 +9,7 @@
 use filberthead_types::{FailureDomain, NodeName, Region, ServiceName};
 use log::LevelFilter;
 
-use crate::key::{Absent, Declared, Key, Range, Roles, SectionSpec};
+use crate::key::{Absent, AnyKey, Key, Range, Roles, SectionSpec};
 use crate::value::{
     ByteSize, ClusterName, DomainList, HttpUrl, ListenAddr, Percent, Role, TargetAddr, TargetList,
     Value,
@@ -44,7 +44,7 @@
                 label: [$(Some($label),)? None][0],
                 roles: Roles::$roles,
                 doc: &[$($section_doc),*],
-                keys: &[$(&$id as &dyn Declared),*],
+                keys: &[$(&$id as &dyn AnyKey),*],
             },
         )*];
     };
@@ -73,7 +73,7 @@
         FAILURE_DOMAIN: FailureDomain = "failure_domain", REQUIRED;
     }
     /// Where callers are served, and how.
-    ["callers"] Facing {
+    ["callers"] EntryAndGateway {
         /// Address for look-ups and requests.
         CALLERS_LISTEN: ListenAddr = "listen", REQUIRED;
         /// Address that callers and other entries are told, if it differs from `listen`.
@@ -95,7 +95,7 @@
         SEEDS: TargetList = "seeds", Absent::Unset(Roles::Entry);
     }
     /// Where an entry or gateway shows its state.
-    ["status"] Facing {
+    ["status"] EntryAndGateway {
         /// Address of `/metrics` and `/status`.
         STATUS_LISTEN: ListenAddr = "listen", REQUIRED;
     }
@@ -114,7 +114,7 @@
         REVIEW: ReviewPolicy = "review", default("optional");
     }
     /// Files that survive a restart.
-    ["storage"] Both {
+    ["storage"] EntryAndControl {
         /// Folder that belongs to this process alone. A control replica's identity lies in
         /// it: with an empty folder it is a new replica. An entry without a folder keeps
         /// its idempotency records in memory and on a second entry only.
@@ -122,7 +122,7 @@
     }
     /// A control replica. An entry's file names all of them, a control replica's file
     /// names the others.
-    ["replica" "NAME"] Both {
+    ["replica" "NAME"] EntryAndControl {
         /// Where it takes messages of other processes.
         REPLICA_PEER: TargetAddr = "peer", REQUIRED;
     }
@@ -138,7 +138,7 @@
         ENDPOINT_CONNECTIONS: u32 = "connections", default("330"), "1"..="65535";
     }
     /// The platform that runs the VMs.
-    ["platform"] Both {
+    ["platform"] EntryAndControl {
         /// Where its list of live and leaving VMs is read. Without it the sections
         /// `[endpoint NAME]` are all that is known.
         PLATFORM_URL: HttpUrl = "url", Absent::Unset(Roles::Entry);
@@ -154,7 +154,7 @@
         PLATFORM_DRAIN: Duration = "drain", default("3s"), "0s"..="1d";
     }
     /// How the processes of a group find each other without being told of all others.
-    ["group"] Seeded {
+    ["group"] ControlAndGateway {
         /// Addresses of some control VMs. A control replica with seeds also keeps the
         /// group's membership by itself: it takes in replicas that make themselves known,
         /// and lets those go that another one has replaced.
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -30,7 +30,7 @@
 
 /// Like [`check`], for a text that goes by the name of `path`.
 pub fn check_text(path: &Path, text: &str) -> Vec<Problem> {
-    let (_, problems) = judge(path, text, None);
+    let (_, problems) = parse_and_check(path, text, None);
     problems
 }
 
@@ -77,26 +77,30 @@
     build: fn(&Document<'_>) -> Option<T>,
 ) -> Result<T, SettingsError> {
     let text = read(path)?;
-    let (document, problems) = judge(path, &text, Some(role));
+    let (document, problems) = parse_and_check(path, &text, Some(role));
     if !problems.is_empty() {
         return InvalidSnafu { problems }.fail();
     }
-    // `judge` has found every required key and read every value, so `build` finds them
+    // `parse_and_check` has found every required key and read every value, so `build` finds them
     // again; an empty list would mean that a declaration and `build` disagree.
     build(&document).context(InvalidSnafu { problems })
 }
 
 /// Parses a text and collects its problems in the order of lines.
-fn judge<'a>(path: &Path, text: &'a str, wanted: Option<Role>) -> (Document<'a>, Vec<Problem>) {
+fn parse_and_check<'a>(
+    path: &Path,
+    text: &'a str,
+    expected: Option<Role>,
+) -> (Document<'a>, Vec<Problem>) {
     let mut problems = Vec::new();
     let document = Document::parse(text, &mut problems);
     let role = document.role();
     schema::check(&document, role, &mut problems);
     cross::check(&document, role, &mut problems);
-    if let (Some(role), Some(wanted)) = (role, wanted)
-        && role != wanted
+    if let (Some(role), Some(expected)) = (role, expected)
+        && role != expected
     {
-        problems.push(wrong_role(&document, role, wanted));
+        problems.push(wrong_role(&document, role, expected));
     }
     for problem in &mut problems {
         path.clone_into(&mut problem.file);
@@ -105,13 +109,13 @@
     (document, problems)
 }
 
-fn wrong_role(document: &Document<'_>, role: Role, wanted: Role) -> Problem {
+fn wrong_role(document: &Document<'_>, role: Role, expected: Role) -> Problem {
     Problem {
         line: document.line(&keys::ROLE),
         section: keys::ROLE.section.to_owned(),
         key: keys::ROLE.name.to_owned(),
         found: format!("`{}`", role.as_str()),
-        allowed: format!("`{}` for this program", wanted.as_str()),
+        allowed: format!("`{}` for this program", expected.as_str()),
         ..Problem::default()
     }
 }
@@ -134,7 +138,7 @@
             .map_or(Vec::new(), |seeds| seeds.0),
         platform_url: document.get(&keys::PLATFORM_URL).map(|url| url.0),
         endpoints: document
-            .labelled(keys::ENDPOINT_ADDRESS.section)
+            .labelled_sections(keys::ENDPOINT_ADDRESS.section)
             .map(endpoint)
             .collect::<Option<_>>()?,
         lookup_ttl: document.get(&keys::LOOKUP_TTL)?,
@@ -170,7 +174,7 @@
         election_timeout: document.get(&keys::ELECTION_TIMEOUT)?,
         lease: document.get(&keys::LEASE)?,
         objectives: document
-            .labelled(keys::LATENCY_TARGET.section)
+            .labelled_sections(keys::LATENCY_TARGET.section)
             .map(objective)
             .collect::<Option<_>>()?,
         samples: SampleSettings {
@@ -195,7 +199,7 @@
         peer_advertise: document.get(&keys::PEERS_ADVERTISE).map(|addr| addr.0),
         seeds: seeds(document)?,
         regions: document
-            .labelled(keys::DOMAIN_REGION.section)
+            .labelled_sections(keys::DOMAIN_REGION.section)
             .map(domain)
             .collect::<Option<_>>()?,
         budgets: BudgetSettings {
@@ -253,7 +257,7 @@
 
 fn replicas(document: &Document<'_>) -> Option<Vec<ReplicaSettings>> {
     document
-        .labelled(keys::REPLICA_PEER.section)
+        .labelled_sections(keys::REPLICA_PEER.section)
         .map(replica)
         .collect()
 }
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use crate::key::{Absent, Declared, Range, Roles, SectionSpec};
+use crate::key::{Absent, AnyKey, Range, Roles, SectionSpec};
 use crate::keys::SECTIONS;
 
 const INTRODUCTION: &str = "\
@@ -48,7 +48,7 @@
     }
 }
 
-fn row(key: &dyn Declared) -> String {
+fn row(key: &dyn AnyKey) -> String {
     format!(
         "| `{}` | {} | {} | {} | {} |",
         key.name(),
@@ -59,7 +59,7 @@
     )
 }
 
-fn default(key: &dyn Declared) -> String {
+fn default(key: &dyn AnyKey) -> String {
     match key.absent() {
         Absent::Error(Roles::All) => "required".to_owned(),
         Absent::Error(roles) => format!("required for {}", roles.as_str()),
@@ -69,7 +69,7 @@
     }
 }
 
-fn bounds(key: &dyn Declared) -> String {
+fn bounds(key: &dyn AnyKey) -> String {
     match key.range() {
         Some(Range { min, max }) => format!("`{min}` to `{max}`"),
         None => String::new(),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -7,7 +7,7 @@
 
 use crate::Problem;
 use crate::document::{Document, Property, Section};
-use crate::key::{Absent, Declared, Key, SectionSpec};
+use crate::key::{Absent, AnyKey, Key, SectionSpec};
 use crate::keys::{ROLE, SECTIONS};
 use crate::value::{Role, Value};
 
@@ -18,9 +18,12 @@
     }
 
     /// Sections that may be there more than once.
-    pub(crate) fn labelled(&self, name: &'static str) -> impl Iterator<Item = &Section<'a>> {
-        let mine = move |section: &&Section<'a>| section.name == name && section.label.is_some();
-        self.sections.iter().filter(mine)
+    pub(crate) fn labelled_sections(
+        &self,
+        name: &'static str,
+    ) -> impl Iterator<Item = &Section<'a>> {
+        let matches = move |section: &&Section<'a>| section.name == name && section.label.is_some();
+        self.sections.iter().filter(matches)
     }
 
     /// A key's value in a section that is there once; its default if it is absent.
@@ -69,7 +72,7 @@
     let mut seen = BTreeMap::new();
     for section in &document.sections {
         let first = seen.insert((section.name, section.label), section.line);
-        problems.extend(first.map(|first| second_section(section, first)));
+        problems.extend(first.map(|first| duplicate_section(section, first)));
         check_section(section, role, problems);
         // A second section's missing keys stand in the first one, as a rule.
         if first.is_none() {
@@ -86,7 +89,7 @@
     }
 }
 
-fn second_section(section: &Section<'_>, first: u32) -> Problem {
+fn duplicate_section(section: &Section<'_>, first: u32) -> Problem {
     Problem {
         line: section.line,
         section: section.header.to_owned(),
@@ -97,7 +100,7 @@
 }
 
 fn check_section(section: &Section<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
-    let Some(spec) = find(section) else {
+    let Some(spec) = find_spec(section) else {
         problems.push(unknown_section(section));
         return;
     };
@@ -128,7 +131,7 @@
     check_keys(section, spec, role, problems);
 }
 
-fn find(section: &Section<'_>) -> Option<&'static SectionSpec> {
+fn find_spec(section: &Section<'_>) -> Option<&'static SectionSpec> {
     SECTIONS
         .iter()
         .find(|spec| spec.name == section.name && spec.label.is_some() == section.label.is_some())
@@ -145,7 +148,7 @@
         if let Some(first) = seen.insert(property.key, property.line) {
             let found = "the key a second time".to_owned();
             let allowed = format!("once; the first is in line {first}");
-            problems.push(at(section, property, found, allowed));
+            problems.push(problem_at(section, property, found, allowed));
             continue;
         }
         match spec.keys.iter().find(|key| key.name() == property.key) {
@@ -161,13 +164,13 @@
 fn check_value(
     section: &Section<'_>,
     property: &Property<'_>,
-    key: &dyn Declared,
+    key: &dyn AnyKey,
 ) -> Option<Problem> {
     if key.accepts(property.value) {
         return None;
     }
     let found = format!("`{}`", property.value);
-    let mut problem = at(section, property, found, key.allowed());
+    let mut problem = problem_at(section, property, found, key.allowed());
     problem.close = closest(property.value, key.choices().iter().copied());
     Some(problem)
 }
@@ -175,7 +178,7 @@
 fn check_key_role(
     section: &Section<'_>,
     property: &Property<'_>,
-    key: &dyn Declared,
+    key: &dyn AnyKey,
     role: Option<Role>,
 ) -> Option<Problem> {
     let (Absent::Unset(roles), Some(role)) = (key.absent(), role) else {
@@ -186,23 +189,23 @@
     }
     let found = format!("the key in a file of role `{}`", role.as_str());
     let allowed = format!("the key in files of role {}", roles.as_str());
-    Some(at(section, property, found, allowed))
+    Some(problem_at(section, property, found, allowed))
 }
 
 fn unknown_key(section: &Section<'_>, property: &Property<'_>, spec: &SectionSpec) -> Problem {
     let names: Vec<_> = spec.keys.iter().map(|key| key.name()).collect();
     let found = "an unknown key".to_owned();
     let mut allowed = names.join(", ");
-    if let Some(home) = home_of(property.key) {
-        allowed = format!("{allowed}; `{}` belongs to {home}", property.key);
+    if let Some(owner) = section_of_key(property.key) {
+        allowed = format!("{allowed}; `{}` belongs to {owner}", property.key);
     }
-    let mut problem = at(section, property, found, allowed);
+    let mut problem = problem_at(section, property, found, allowed);
     problem.close = closest(property.key, names.iter().copied());
     problem
 }
 
 /// Header of the section that a key of another section belongs to.
-fn home_of(key: &str) -> Option<String> {
+fn section_of_key(key: &str) -> Option<String> {
     let has = |spec: &&SectionSpec| spec.keys.iter().any(|known| known.name() == key);
     SECTIONS.iter().find(has).map(SectionSpec::header)
 }
@@ -222,7 +225,7 @@
 }
 
 fn check_missing_keys(section: &Section<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
-    let (Some(spec), Some(role)) = (find(section), role) else {
+    let (Some(spec), Some(role)) = (find_spec(section), role) else {
         return;
     };
     if !spec.roles.contain(role) {
@@ -230,7 +233,7 @@
     }
     for key in spec.keys {
         if is_required(*key, role) && section.property(key.name()).is_none() {
-            problems.push(missing(section.line, section.header, *key));
+            problems.push(missing_key(section.line, section.header, *key));
         }
     }
 }
@@ -246,7 +249,7 @@
     }
     for key in spec.keys {
         if is_required(*key, role) {
-            problems.push(missing(0, spec.name, *key));
+            problems.push(missing_key(0, spec.name, *key));
         }
     }
 }
@@ -256,18 +259,18 @@
     let present = section.is_some_and(|section| section.property(ROLE.name).is_some());
     if !present {
         let line = section.map_or(0, |section| section.line);
-        problems.push(missing(line, ROLE.section, &ROLE));
+        problems.push(missing_key(line, ROLE.section, &ROLE));
     }
 }
 
-fn is_required(key: &dyn Declared, role: Role) -> bool {
+fn is_required(key: &dyn AnyKey, role: Role) -> bool {
     match key.absent() {
         Absent::Error(roles) => roles.contain(role),
         Absent::Unset(_) | Absent::Default(_) => false,
     }
 }
 
-fn missing(line: u32, section: &str, key: &dyn Declared) -> Problem {
+fn missing_key(line: u32, section: &str, key: &dyn AnyKey) -> Problem {
     Problem {
         line,
         section: section.to_owned(),
@@ -278,7 +281,12 @@
     }
 }
 
-fn at(section: &Section<'_>, property: &Property<'_>, found: String, allowed: String) -> Problem {
+fn problem_at(
+    section: &Section<'_>,
+    property: &Property<'_>,
+    found: String,
+    allowed: String,
+) -> Problem {
     Problem {
         line: property.line,
         section: section.header.to_owned(),
@@ -292,11 +300,11 @@
 /// The known word nearest to `text`, if a few slips of the keyboard explain the
 /// difference.
 fn closest(text: &str, known: impl Iterator<Item = &'static str>) -> Option<String> {
-    let slips = (text.len() / 3).clamp(1, 3);
+    let max_distance = (text.len() / 3).clamp(1, 3);
     let distance = |word: &str| damerau_levenshtein(&text.to_ascii_lowercase(), word);
     known
         .map(|word| (distance(word), word))
-        .filter(|(distance, _)| *distance <= slips)
+        .filter(|(distance, _)| *distance <= max_distance)
         .min()
         .map(|(_, word)| word.to_owned())
 }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -211,8 +211,9 @@
             .split_once('/')
             .map_or(rest, |(authority, _)| authority);
         let printable = text.bytes().all(|b| b.is_ascii_graphic());
-        let known = authority.parse().is_ok_and(is_target) || authority.parse::<IpAddr>().is_ok();
-        (printable && known).then(|| Self(text.to_owned()))
+        let valid_host =
+            authority.parse().is_ok_and(is_target) || authority.parse::<IpAddr>().is_ok();
+        (printable && valid_host).then(|| Self(text.to_owned()))
     }
 }
 
