--- a/crates/settings/examples/reference.rs
+++ b/crates/settings/examples/reference.rs
@@ -1,4 +1,4 @@
-//! Prints the settings page of the book.
+//! Prints the settings page, `docs/settings.md`.
 
 fn main() {
     print!("{}", filberthead_settings::reference());
--- a/crates/settings/src/cross.rs
+++ b/crates/settings/src/cross.rs
@@ -1,4 +1,4 @@
-//! Checks that need more than one key.
+//! Checks that involve more than one key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 
 /// Most control replicas, this one included.
 const MAX_REPLICAS: usize = 7;
-/// Heartbeats that must fit into an election timeout, so that one late message or two
-/// lost ones start no election.
+/// Heartbeat intervals that must fit into an election timeout, so that one late message or
+/// two lost ones start no election.
 const HEARTBEATS_PER_TIMEOUT: u32 = 3;
-/// Heartbeats that must fit into a lease, so that one late answer doesn't end it.
+/// Heartbeat intervals that must fit into a lease, so that one late answer doesn't end it.
 const HEARTBEATS_PER_LEASE: u32 = 2;
 
-/// Adds a problem for each rule between keys that a document breaks.
+/// Adds a problem for each violated rule between keys.
 pub(crate) fn check(document: &Document<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
     match role {
         Some(Role::Entry) => check_entry(document, problems),
         Some(Role::Control) => check_control(document, problems),
-        // Its keys stand alone.
+        // A gateway's keys have no rules between them, apart from those below.
         Some(Role::Gateway) => {}
         None => return,
     }
@@ -50,8 +50,8 @@
 }
 
 fn check_entry(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    // A leaving entry is gone after the stop deadline. With a longer time to live a
-    // caller would still have it in a cached answer and find nobody there.
+    // A leaving entry exits after the stop deadline. With a longer TTL a caller could still
+    // have its address in a cached answer, and its connection would fail.
     check_shorter(
         document,
         &keys::LOOKUP_TTL,
@@ -59,7 +59,7 @@
         1,
         problems,
     );
-    // A key forgotten while its request still runs would let a resend run it again.
+    // If a key expired while its request still ran, a resend would run the request again.
     check_shorter(
         document,
         &keys::REQUEST_TIMEOUT,
@@ -70,8 +70,8 @@
 }
 
 fn check_control(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    // With a lease that outlives the election timeout an old leader could still answer
-    // for the table after a new one has accepted changes.
+    // If the lease were longer than the election timeout, an old leader could still answer
+    // reads of the table after a new leader has accepted changes.
     check_shorter(document, &keys::LEASE, &keys::ELECTION_TIMEOUT, 1, problems);
     let heartbeat = &keys::HEARTBEAT;
     check_shorter(
@@ -91,7 +91,7 @@
     check_replica_count(document, problems);
 }
 
-/// Demands that `times` of one duration are shorter than another.
+/// Requires that `times` times the duration of `key` is less than that of `than`.
 fn check_shorter(
     document: &Document<'_>,
     key: &Key<Duration>,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Names are identities: of two processes or endpoints of one name, one would be taken
-/// for the other restarted.
+/// Names are identities: a second process or endpoint of the same name would be mistaken for
+/// the first one after a restart.
 fn check_names(document: &Document<'_>, problems: &mut Vec<Problem>) {
     let mut first_uses = BTreeMap::new();
     if let Some(own) = document.get(&keys::NAME) {
@@ -160,7 +160,7 @@
     }
 }
 
-/// An address in the file, and where.
+/// An address and its position in the file.
 struct AddressUse {
     addr: SocketAddr,
     line: u32,
@@ -168,8 +168,8 @@
     key: &'static str,
 }
 
-/// An address stands for one socket of one process. A replica that is given its own
-/// address, say, would count its own vote twice.
+/// Each address must belong to one socket of one process. For example, a replica that has
+/// its own address as that of another replica would count its own vote twice.
 fn check_addresses(document: &Document<'_>, problems: &mut Vec<Problem>) {
     let mut uses = Vec::new();
     own_uses(document, &mut uses);
@@ -240,7 +240,8 @@
 }
 
 fn conflicts(one: &AddressUse, other: &AddressUse) -> bool {
-    // Port 0 is a different port each time, and a socket may be advertised as it listens.
+    // Port 0 is a different port each time, and an advertised address may equal the
+    // listening one.
     let same_socket = one.section == other.section && one.key != other.key;
     one.addr == other.addr && one.addr.port() != 0 && !same_socket
 }
@@ -259,8 +260,8 @@
     }
 }
 
-/// A process that listens on every address of its VM can't guess which of them others
-/// reach.
+/// A process that listens on all addresses of its VM can't determine which of them other
+/// processes can reach, so it needs an advertised address.
 fn check_advertised(
     document: &Document<'_>,
     listen: &Key<ListenAddr>,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! A file as sections and properties with their lines, before any meaning.
+//! Syntax of a file: its sections and properties with their line numbers.
 
 use ini_core::{Item, Parser, trim};
 
@@ -19,7 +19,7 @@
     pub(crate) header: &'a str,
     /// First word of the header.
     pub(crate) name: &'a str,
-    /// What follows the first word, as in `[replica NAME]`.
+    /// The rest of the header, as `NAME` in `[replica NAME]`.
     pub(crate) label: Option<&'a str>,
     pub(crate) line: u32,
     pub(crate) properties: Vec<Property<'a>>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The first property of that key.
+    /// The first property with that key.
     pub(crate) fn property(&self, key: &str) -> Option<Property<'a>> {
         self.properties.iter().find(|p| p.key == key).copied()
     }
@@ -53,14 +53,14 @@
 }
 
 impl<'a> Document<'a> {
-    /// Splits a text, and adds a problem for each line that is neither a header, a
-    /// property nor a comment.
+    /// Parses a text, and adds a problem for each line that is not a header, a property or a
+    /// comment.
     pub(crate) fn parse(text: &'a str, problems: &mut Vec<Problem>) -> Self {
         let mut document = Self::default();
         let mut parser = Parser::new(text).auto_trim(true);
         loop {
-            // `line()` counts the lines consumed, so before an item it is that of the
-            // item, from 0.
+            // `line()` is the number of lines consumed so far, so before `next()` it is the
+            // zero-based line of the next item.
             let line = parser.line() + 1;
             let Some(item) = parser.next() else {
                 return document;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes an item in, or gives back the text of one that means nothing.
+    /// Adds an item; fails with its text if it is malformed.
     fn add_item(&mut self, item: Item<'a>, line: u32) -> Result<(), &'a str> {
         match item {
             Item::SectionEnd | Item::Blank | Item::Comment(_) => Ok(()),
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// A header with blanks around its brackets, which the parser passes on as it is.
+    /// Adds a header with spaces around its brackets, which the parser doesn't recognize.
     fn add_untrimmed_section(&mut self, text: &'a str, line: u32) -> Result<(), &'a str> {
         let inner = trim(text)
             .strip_prefix('[')
@@ -101,7 +101,7 @@
         value: Option<&'a str>,
         line: u32,
     ) -> Result<(), &'a str> {
-        // An indented comment or header comes out of the parser as a property.
+        // The parser returns an indented comment or header as a property.
         if key.starts_with(';') {
             return Ok(());
         }
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -1,18 +1,17 @@
-//! What a declaration of a key consists of.
+//! Types of the declarations of sections and keys.
 
 use crate::value::{Role, Value};
 
-/// Programs that a section or key is for.
+/// The programs whose files may have a section or key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Roles {
     Entry,
     Control,
     Gateway,
-    /// Entry and control.
     EntryAndControl,
-    /// Entry and gateway: the programs that callers speak to.
+    /// The programs that callers connect to.
     EntryAndGateway,
-    /// Control and gateway: the programs of a group that finds itself by seeds.
+    /// The programs that discover their group by seed addresses.
     ControlAndGateway,
     All,
 }
@@ -46,37 +45,37 @@
 /// What an absent key means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Absent {
-    /// An error in files of these programs; nothing is set in those of others.
+    /// An error in files of these programs; in other files the value is unset.
     Error(Roles),
-    /// Nothing is set. Files of other programs than these can't have the key.
+    /// The value is unset. Only files of these programs may have the key.
     Unset(Roles),
-    /// The same as this text.
+    /// The value is this text, parsed.
     Default(&'static str),
 }
 
-/// Bounds of a value, both included, as they would stand in a file.
+/// Inclusive bounds of a value, written as in a file.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Range {
     pub(crate) min: &'static str,
     pub(crate) max: &'static str,
 }
 
-/// Declaration of one key, whose values are read into `T`.
+/// Declaration of one key with values of type `T`.
 #[derive(Debug)]
 pub(crate) struct Key<T> {
     pub(crate) section: &'static str,
     pub(crate) name: &'static str,
     pub(crate) absent: Absent,
-    /// At most one.
+    /// Empty for an unbounded value, else one range.
     pub(crate) range: &'static [Range],
     /// Lines of the doc comment.
     pub(crate) doc: &'static [&'static str],
-    /// Ties the key to the type of its values.
+    /// Parses the value's format, without the bounds.
     pub(crate) read: fn(&str) -> Option<T>,
 }
 
 impl<T: Value> Key<T> {
-    /// Reads a value that has the form and lies in the bounds.
+    /// Parses a value; `None` if its format is wrong or it is out of bounds.
     pub(crate) fn parse(&self, text: &str) -> Option<T> {
         let value = (self.read)(text)?;
         let inside = self.range.iter().all(|range| {
@@ -88,7 +87,7 @@
     }
 }
 
-/// A declaration, whatever the type of its values.
+/// A [`Key`] of any value type.
 pub(crate) trait AnyKey: Sync {
     fn name(&self) -> &'static str;
     fn absent(&self) -> Absent;
@@ -98,7 +97,7 @@
     fn accepts(&self, text: &str) -> bool;
     fn form(&self) -> &'static str;
 
-    /// Form and bounds, in words that follow "allowed:".
+    /// Format and bounds, as text that follows "allowed:".
     fn allowed(&self) -> String {
         match self.range() {
             Some(Range { min, max }) => format!("{}, from {min} to {max}", self.form()),
@@ -140,7 +139,8 @@
 /// Declaration of a section.
 pub(crate) struct SectionSpec {
     pub(crate) name: &'static str,
-    /// What stands after the name, for sections that may be there more than once.
+    /// Placeholder of the label, as `NAME` in `[replica NAME]`, for sections that may occur
+    /// more than once.
     pub(crate) label: Option<&'static str>,
     pub(crate) roles: Roles,
     pub(crate) doc: &'static [&'static str],
@@ -148,7 +148,7 @@
 }
 
 impl SectionSpec {
-    /// The header as it is written.
+    /// The header as written in a file.
     pub(crate) fn header(&self) -> String {
         match self.label {
             Some(label) => format!("[{} {label}]", self.name),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! INI settings, checked.
+//! Parsing and validation of the INI settings files.
 //!
-//! Every key is declared once, in `keys`: its section, form, default, bounds and
-//! meaning. The parser, [`check`] and the settings page of the book all read that one
-//! declaration, so none of them can drift from the others.
+//! Every key is declared once, in `keys`: its section, format, default, bounds and
+//! meaning. The parser, [`check`] and the settings page in `docs/` all use that one
+//! declaration, so they can't diverge.
 //!
-//! A file is judged as a whole: all problems are found in one pass, each with its line,
-//! because a file is usually edited on a VM that is down until it loads.
+//! All problems of a file are reported at once, each with its line, because a file is
+//! usually edited on a VM that is down until the file loads.
 
 mod control;
 mod cross;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! From a file to settings.
+//! Loads a file into settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,7 +15,7 @@
 use crate::{LogSettings, ObjectiveSettings, PlatformListSettings};
 use crate::{cross, schema};
 
-/// Finds every problem of a file; none means that its program loads it.
+/// Returns all problems of a file. Without any, the program accepts the file.
 pub fn check(path: &Path) -> Vec<Problem> {
     match read(path) {
         Ok(text) => check_text(path, &text),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Like [`check`], for a text that goes by the name of `path`.
+/// Like [`check`], for a text; `path` is only used in the problems.
 pub fn check_text(path: &Path, text: &str) -> Vec<Problem> {
     let (_, problems) = parse_and_check(path, text, None);
     problems
@@ -81,12 +81,13 @@
     if !problems.is_empty() {
         return InvalidSnafu { problems }.fail();
     }
-    // `parse_and_check` has found every required key and read every value, so `build` finds them
-    // again; an empty list would mean that a declaration and `build` disagree.
+    // Without problems every required key is present and valid, so `build` succeeds. An
+    // error with an empty list would mean that a declaration and `build` disagree.
     build(&document).context(InvalidSnafu { problems })
 }
 
-/// Parses a text and collects its problems in the order of lines.
+/// Parses a text and returns its problems sorted by line. `expected` is the role of the
+/// program that loads it, if any.
 fn parse_and_check<'a>(
     path: &Path,
     text: &'a str,
@@ -219,7 +220,7 @@
     Some((FailureDomain::read(section.label?)?, region))
 }
 
-/// The outer option is `None` only where a declaration and this function disagree.
+/// The outer option is `None` only if a declaration and this function disagree.
 fn group(document: &Document<'_>) -> Option<Option<GroupSettings>> {
     if document.get(&keys::SEEDS_OF_GROUP).is_none() {
         return Some(None);
@@ -231,7 +232,7 @@
     }))
 }
 
-/// Peer addresses of the seeds: their IP numbers with the group's port, if one is set.
+/// Peer addresses of the seeds. The group's `port`, if set, replaces their own.
 fn seeds(document: &Document<'_>) -> Option<Vec<SocketAddr>> {
     let mut seeds = document.get(&keys::SEEDS_OF_GROUP)?.0;
     if let Some(port) = document.get(&keys::SEED_PORT) {
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -1,11 +1,11 @@
-//! Settings of logs, the same for each process.
+//! Settings of logging, the same for all programs.
 
-/// How a log line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Plain text.
     #[default]
     Plain,
 }
@@ -20,12 +20,12 @@
     Stderr,
 }
 
-/// From the section `[log]`.
+/// Settings of the section `[log]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// How a line is written.
+    /// Format of lines.
     pub format: LogFormat,
     /// Where lines are written.
     pub stream: LogStream,
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a file of settings.
+//! Errors in settings files.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// One thing that is wrong in a file of settings.
+/// One error in a settings file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problem {
     /// The file.
     pub file: PathBuf,
-    /// Line, from 1; 0 when the problem lies in no single line.
+    /// Line, from 1; 0 if the problem has no line.
     pub line: u32,
-    /// Section as it stands in the file; empty outside of any.
+    /// Section header as written in the file; empty outside of any section.
     pub section: String,
-    /// Key; empty when the problem is the section itself.
+    /// Key; empty if the problem is the section itself.
     pub key: String,
-    /// What stands there.
+    /// What was found.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed instead.
     pub allowed: String,
-    /// A known word close to the one found.
+    /// Suggestion: a valid word similar to the one found.
     pub close: Option<String>,
 }
 
@@ -54,13 +54,13 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The file has problems; all of them are listed.
+    /// The file is invalid.
     #[snafu(display("{}", list(problems)))]
     Invalid {
-        /// Every problem, in the order of lines.
+        /// All problems, sorted by line.
         problems: Vec<Problem>,
     },
 }
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -1,4 +1,4 @@
-//! The settings page of the book, written from the declarations.
+//! Generates the settings page in `docs/` from the declarations.
 
 use std::fmt::Write as _;
 
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,4 @@
-//! Judges a document by the declarations, one section and one key at a time.
+//! Checks a document against the declarations, one section and one key at a time.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 use crate::value::{Role, Value};
 
 impl<'a> Document<'a> {
-    /// The first section of that name, which is the only one unless it has a label.
+    /// The first section of that name. Only sections with a label may occur repeatedly.
     pub(crate) fn section(&self, name: &str) -> Option<&Section<'a>> {
         self.sections.iter().find(|section| section.name == name)
     }
 
-    /// Sections that may be there more than once.
+    /// All sections of that name that have a label.
     pub(crate) fn labelled_sections(
         &self,
         name: &'static str,
@@ -26,7 +26,8 @@
         self.sections.iter().filter(matches)
     }
 
-    /// A key's value in a section that is there once; its default if it is absent.
+    /// The value of a key in a section without a label. An absent key has its default;
+    /// `None` if it has none, or if the value is invalid.
     pub(crate) fn get<T: Value>(&self, key: &Key<T>) -> Option<T> {
         match self.section(key.section) {
             Some(section) => section.get(key),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Line of a key, or of its section, or 0.
+    /// Line of a key; that of its section if the key is absent, 0 if both are.
     pub(crate) fn line<T>(&self, key: &Key<T>) -> u32 {
         let Some(section) = self.section(key.section) else {
             return 0;
@@ -44,14 +45,15 @@
             .map_or(section.line, |property| property.line)
     }
 
-    /// Which program the file is for.
+    /// The program that the file is for; `None` if it is missing or invalid.
     pub(crate) fn role(&self) -> Option<Role> {
         self.get(&ROLE)
     }
 }
 
 impl Section<'_> {
-    /// A key's value; its default if it is absent, `None` if it is no valid one.
+    /// The value of a key. An absent key has its default; `None` if it has none, or if the
+    /// value is invalid.
     pub(crate) fn get<T: Value>(&self, key: &Key<T>) -> Option<T> {
         match self.property(key.name) {
             Some(property) => key.parse(property.value),
@@ -67,20 +69,20 @@
     }
 }
 
-/// Adds a problem for each section and key that breaks its declaration.
+/// Adds a problem for each section and key that violates its declaration.
 pub(crate) fn check(document: &Document<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
     let mut seen = BTreeMap::new();
     for section in &document.sections {
         let first = seen.insert((section.name, section.label), section.line);
         problems.extend(first.map(|first| duplicate_section(section, first)));
         check_section(section, role, problems);
-        // A second section's missing keys stand in the first one, as a rule.
+        // The keys missing in a duplicate section are usually in the first one.
         if first.is_none() {
             check_missing_keys(section, role, problems);
         }
     }
     let Some(role) = role else {
-        // Which sections are missing depends on the program; the missing role is shown.
+        // Which sections are required depends on the role, so report only the missing role.
         check_missing_role(document, problems);
         return;
     };
@@ -204,7 +206,7 @@
     problem
 }
 
-/// Header of the section that a key of another section belongs to.
+/// Header of the section that declares a key.
 fn section_of_key(key: &str) -> Option<String> {
     let has = |spec: &&SectionSpec| spec.keys.iter().any(|known| known.name() == key);
     SECTIONS.iter().find(has).map(SectionSpec::header)
@@ -218,7 +220,7 @@
         section: section.header.to_owned(),
         found: "an unknown section".to_owned(),
         allowed: headers.join(", "),
-        // A name that is right but for its label is shown by the list of headers.
+        // If only the label is wrong, the list of headers already shows the right form.
         close: closest(section.name, names).filter(|close| *close != section.name),
         ..Problem::default()
     }
@@ -297,8 +299,7 @@
     }
 }
 
-/// The known word nearest to `text`, if a few slips of the keyboard explain the
-/// difference.
+/// The known word closest to `text`, if they differ by a few typing errors at most.
 fn closest(text: &str, known: impl Iterator<Item = &'static str>) -> Option<String> {
     let max_distance = (text.len() / 3).clamp(1, 3);
     let distance = |word: &str| damerau_levenshtein(&text.to_ascii_lowercase(), word);
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Forms of values: how each is read from text.
+//! Value types and their parsing.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -9,22 +9,22 @@
 
 use crate::{LogFormat, LogStream, ReviewPolicy};
 
-/// Longest duration that is read, in milliseconds: what a number keeps exactly.
+/// Bound of durations, in milliseconds: up to it an `f64` represents integers exactly.
 const MAX_DURATION_MS: f64 = (1_u64 << 53) as f64;
 
-/// A type that a value is read into.
+/// A type that values of keys are parsed into.
 pub(crate) trait Value: Sized + PartialOrd {
-    /// What is allowed, in words that follow "allowed:".
+    /// Description of the format, as text that follows "allowed:".
     const FORM: &'static str;
 
-    /// Words of which the value is one; empty if it is no choice.
+    /// The allowed words; empty if the value isn't one of a fixed set.
     const CHOICES: &'static [&'static str] = &[];
 
-    /// Reads a value, or `None` if the text hasn't its form.
+    /// Parses a value; `None` if the text has the wrong format.
     fn read(text: &str) -> Option<Self>;
 }
 
-/// Which program a file is for.
+/// The program that a file is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub(crate) enum Role {
     Entry,
@@ -137,7 +137,7 @@
     }
 }
 
-/// An address to listen on; port 0 lets the system choose one.
+/// An address to listen on; with port 0 the system chooses a port.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct ListenAddr(pub(crate) SocketAddr);
 
@@ -150,7 +150,7 @@
     }
 }
 
-/// An address that others connect to.
+/// An address that other processes connect to.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct TargetAddr(pub(crate) SocketAddr);
 
@@ -165,7 +165,7 @@
     }
 }
 
-/// A list of addresses that others connect to.
+/// A list of addresses that other processes connect to.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 pub(crate) struct TargetList(pub(crate) Vec<SocketAddr>);
 
@@ -197,7 +197,7 @@
     addr.port() != 0 && !addr.ip().is_unspecified()
 }
 
-/// An `http` URL by IP number.
+/// An `http` URL whose host is an IP address.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 pub(crate) struct HttpUrl(pub(crate) String);
 
@@ -289,7 +289,7 @@
     }
 }
 
-/// A share of a whole.
+/// A percentage, stored as a fraction of 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct Percent(pub(crate) f64);
 
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files for both users' deployments of today are good, and fit together.
+//! The example files for both users' deployments are valid and consistent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     deployment
 }
 
-/// Upstreams of each service.
+/// Number of distinct endpoints of each service.
 fn endpoints(deployment: &Deployment) -> BTreeMap<String, usize> {
     let mut names = BTreeSet::new();
     let mut counts = BTreeMap::new();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn upstreams_are_those_of_today() {
+fn endpoint_counts_match_the_deployments() {
     let kovceg = endpoints(&load("kovceg"));
     assert_eq!(
         kovceg,
--- a/crates/settings/tests/fuzz.rs
+++ b/crates/settings/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a file holds, judging it ends in problems that point into the file.
+//! Checking a file with arbitrary content returns problems with lines inside the file.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 
 const SEEDS: u64 = 20_000;
 const FILE: &str = "fuzz.ini";
-/// Fragments that random bytes would hardly hit.
+/// Fragments that random bytes would hardly ever form.
 const FRAGMENTS: &[&str] = &[
     "[node]\n",
     "[replica ",
@@ -35,7 +35,7 @@
 
 fn judge(text: &str) {
     let problems = check_text(Path::new(FILE), text);
-    // `\r` alone ends a line too.
+    // A single `\r` ends a line too.
     let lines = text.chars().filter(|c| matches!(c, '\n' | '\r')).count() + 1;
     for problem in &problems {
         assert!(problem.line as usize <= lines, "{problem}");
@@ -44,12 +44,12 @@
     }
     let in_order = problems.is_sorted_by_key(|problem| problem.line);
     assert!(in_order, "{problems:?}");
-    // No text this short names everything that a file must name.
+    // The generated texts are too short to have all required keys.
     assert!(!problems.is_empty());
 }
 
-/// Values that bolero generates from fixed seeds. Its own loop draws new seeds in each
-/// run, and a test is to give the same verdict in every one.
+/// Checks values that bolero generates from fixed seeds. Its own loop draws new seeds in
+/// each run, but the test must have the same result in every run.
 fn for_seeds(mut judge: impl FnMut(Vec<u8>)) {
     let options = Options::default();
     for seed in 0..SEEDS {
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn random_text_is_judged() {
+fn random_text_is_checked() {
     for_seeds(|bytes| judge(&String::from_utf8_lossy(&bytes)));
 }
 
 #[test]
-fn random_fragments_are_judged() {
+fn random_fragments_are_checked() {
     for_seeds(|picks| {
         let fragment = |pick: &u8| FRAGMENTS[usize::from(*pick) % FRAGMENTS.len()];
         judge(&picks.iter().map(fragment).collect::<String>());
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -1,4 +1,5 @@
-//! Good files load as written; bad ones list every problem with its line.
+//! Valid files load with the right values; for invalid ones every problem is reported with
+//! its line.
 
 use std::path::Path;
 use std::time::Duration;
@@ -63,7 +64,7 @@
     check_text(Path::new("test.ini"), text)
 }
 
-/// The only problem of a file that is good but for `from` replaced by `to`.
+/// Replaces `from` by `to` in a valid file and returns the only problem that results.
 fn only_problem(good: &str, from: &str, to: &str) -> Problem {
     assert!(good.contains(from), "`{from}` isn't in the file");
     let mut problems = problems(&good.replacen(from, to, 1));
@@ -142,7 +143,7 @@
         .replace("[status]", "[statsu]");
     let problems = problems(&text);
     let lines: Vec<_> = problems.iter().map(|p| (p.line, p.key.as_str())).collect();
-    // `[status] listen` is missing altogether, so it has no line.
+    // `[status] listen` is missing, so its problem has no line.
     let expected = [
         (0, "listen"),
         (2, "name"),
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn key_of_another_section_is_told_its_home() {
+fn misplaced_key_is_reported_with_its_section() {
     let problem = only_problem(ENTRY, "lookup_ttl = 2s", "stop_deadline = 2m");
     assert!(problem.allowed.contains("belongs to [limits]"), "{problem}");
 }
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn lines_that_mean_nothing_are_refused() {
+fn malformed_lines_are_refused() {
     for junk in ["junk", "# comment", "[node", "= 5", "[node] ; comment"] {
         let problem = only_problem(ENTRY, "[peers]", &format!("{junk}\n[peers]"));
         assert_eq!(problem.line, 12, "{problem}");
@@ -241,10 +242,9 @@
     }
 }
 
-/// Story: after a network partition two control replicas both answer for the table,
-/// and an operator reads rows that were replaced minutes ago. Order: the old leader is
-/// cut off, the others elect a new one that accepts a change, the old one's lease still
-/// runs. Cause: a lease longer than the election timeout.
+/// With a lease longer than the election timeout, a leader that is cut off by a network
+/// partition still answers reads under its lease after the others have elected a new
+/// leader, which has accepted changes. Operators would read rows that were replaced.
 #[test]
 fn lease_must_end_before_an_election() {
     let problem = only_problem(CONTROL, "lease = 600ms", "lease = 800ms");
@@ -263,11 +263,11 @@
     assert!(problem.allowed.contains("lease"), "{problem}");
 }
 
-/// Story: during a planned stop some callers get connection errors. Order: the entry
-/// leaves the look-ups, waits its stop deadline, exits; a caller still holds an older
-/// answer. Cause: a time to live longer than the stop deadline.
+/// A stopping entry is removed from look-ups, waits for its stop deadline and exits. With a
+/// TTL longer than that deadline a caller could still use a cached answer and get
+/// connection errors.
 #[test]
-fn cached_answers_must_lapse_before_a_stop_ends() {
+fn cached_answers_must_expire_before_a_stop_ends() {
     let problem = only_problem(
         ENTRY,
         "lookup_ttl = 2s",
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn address_stands_for_one_socket() {
+fn address_belongs_to_one_socket() {
     let problem = only_problem(CONTROL, "peer = 127.0.0.1:7601", "peer = 127.0.0.1:7501");
     assert!(
         problem
--- a/crates/settings/tests/reference.rs
+++ b/crates/settings/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The settings page says what the code does.
+//! The settings page matches the declarations.
 
 #[test]
 fn page_equals_the_declarations() {
