--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -13,79 +13,79 @@
 pub struct ReplicaSettings {
     /// Its name.
     pub name: NodeName,
-    /// Where it takes messages of other processes.
+    /// Its address for messages of other processes.
     pub peer_addr: SocketAddr,
 }
 
-/// What a service promises its callers, from a section `[objective SERVICE]`. Targets
+/// The service-level objective of a service, from a section `[objective SERVICE]`. Targets
 /// and shares are fractions of 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectiveSettings {
     /// The service.
     pub service: ServiceName,
-    /// An answer that takes longer counts as slow.
+    /// A response that takes longer counts as slow.
     pub latency_threshold: Duration,
-    /// Share of answers that are to be no slower.
+    /// Target share of responses that aren't slow.
     pub latency_target: f64,
-    /// Share of slots that are to be free.
+    /// Share of slots that must be free.
     pub headroom_min: f64,
-    /// Share of samples that are to have such headroom.
+    /// Target share of minutes with at least `headroom_min` free slots.
     pub headroom_target: f64,
     /// A drain that takes longer counts as late.
     pub drain_deadline: Duration,
-    /// Share of drains that are to be in time.
+    /// Target share of drains that aren't late.
     pub drain_target: f64,
-    /// Share of requests that are not to be refused.
+    /// Target share of requests that are neither refused nor lost.
     pub served_target: f64,
 }
 
-/// How samples for the burn report are kept.
+/// How samples for the burn report are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SampleSettings {
-    /// Time that a sample covers.
+    /// Time covered by one sample.
     pub period: Duration,
-    /// Bytes that samples may take on disk.
+    /// Maximum size of all samples on disk, in bytes.
     pub max_bytes: u64,
 }
 
-/// How a control replica finds its group and keeps its membership, from `[group]`.
+/// How a control replica discovers its group and manages membership, from `[group]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupSettings {
     /// Peer addresses of some control VMs.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// Replicas that may be lost at once.
+    /// Number of replicas that may fail at the same time.
     pub tolerate: usize,
 }
 
-/// Where the platform's list of endpoints is read, from `[platform]`.
+/// How the platform's list of endpoints is polled, from `[platform]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformListSettings {
-    /// Its address.
+    /// Address of the list.
     pub addr: SocketAddr,
-    /// Calls a second that it bears from all processes together.
+    /// Calls per second that it accepts from all processes together.
     pub rate: f64,
-    /// The failure domains; without them the list is read page after page.
+    /// The failure domains; if empty, the list is read one page after the other.
     pub domains: Vec<FailureDomain>,
-    /// Time after which an endpoint that the list calls draining must get nothing new.
+    /// Time after which an endpoint listed as draining must get no new requests.
     pub drain: Duration,
 }
 
 /// Whether the table may be changed without a colleague's review.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReviewPolicy {
-    /// Direct changes are taken, and a missing review may be waived by name.
+    /// Direct changes are accepted, and a missing review may be waived by a named operator.
     #[default]
     Optional,
-    /// Every change is a proposal that a colleague of its author has approved.
+    /// Every change must be a proposal that someone other than its author has approved.
     Required,
 }
 
-/// Everything that a control replica learns from its settings.
+/// All settings of a control replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Name of the cluster; messages of another one are rejected.
+    /// Name of the cluster; messages of other clusters are rejected.
     pub cluster: String,
     /// Name of this process.
     pub node: NodeName,
@@ -93,41 +93,41 @@
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where messages of other processes are taken.
+    /// Listening address for messages of other processes.
     pub peer_listen: SocketAddr,
-    /// Address that other processes are told; the listening one by default.
+    /// Address advertised to other processes; `None` for the listening one.
     pub peer_advertise: Option<SocketAddr>,
-    /// Where the administration API, `/metrics` and `/status` are served.
+    /// Listening address of the administration API, `/metrics` and `/status`.
     pub operator_listen: SocketAddr,
-    /// Address that operators are told; the listening one by default.
+    /// Address advertised to operators; `None` for the listening one.
     pub operator_advertise: Option<SocketAddr>,
-    /// Folder of the replica's identity, log and snapshots.
+    /// Folder for the replica's identity, log and snapshots.
     pub data: PathBuf,
-    /// File of hashed bearer tokens; none leaves the API open to the loopback only.
+    /// File of hashed bearer tokens; with `None` the API serves only the loopback.
     pub tokens: Option<PathBuf>,
     /// Whether a change may be made without a colleague's review.
     pub review: ReviewPolicy,
     /// The other replicas, from sections `[replica NAME]`.
     pub replicas: Vec<ReplicaSettings>,
-    /// How the replica finds its group by itself; none leaves membership to operators.
+    /// Automatic discovery of the group; with `None` operators manage membership.
     pub group: Option<GroupSettings>,
-    /// Where operators send routes and evacuations.
+    /// Listening address for operators' routes and evacuations.
     pub orders_listen: Option<SocketAddr>,
-    /// Where callers ask which gateways to use.
+    /// Listening address for callers' look-ups of gateways.
     pub lookups_listen: Option<SocketAddr>,
-    /// How long callers may keep the answer to that.
+    /// How long callers may cache the answer to a look-up.
     pub lookups_ttl: Duration,
     /// The platform's list of endpoints.
     pub platform_list: Option<PlatformListSettings>,
     /// Time between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// Shortest silence of a leader before an election.
+    /// Minimum time without a leader's heartbeat before an election starts.
     pub election_timeout: Duration,
-    /// How long a majority's answers let a leader answer for the table.
+    /// How long a leader may answer reads of the table after a majority has confirmed it.
     pub lease: Duration,
-    /// What services promise, from sections `[objective SERVICE]`.
+    /// Service-level objectives, from sections `[objective SERVICE]`.
     pub objectives: Vec<ObjectiveSettings>,
-    /// How samples for the burn report are kept.
+    /// How samples for the burn report are stored.
     pub samples: SampleSettings,
     /// Logging.
     pub log: LogSettings,
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -17,16 +17,16 @@
     pub service: ServiceName,
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Number of connections that it accepts.
     pub connections: u32,
 }
 
-/// Everything that an entry learns from its settings.
+/// All settings of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// Name of the cluster; messages of another one are rejected.
+    /// Name of the cluster; messages of other clusters are rejected.
     pub cluster: String,
     /// Name of this process.
     pub node: NodeName,
@@ -34,36 +34,36 @@
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where look-ups and requests are taken.
+    /// Listening address for look-ups and requests.
     pub caller_listen: SocketAddr,
-    /// Address that callers and other entries are told; the listening one by default.
+    /// Address advertised to callers and other entries; `None` for the listening one.
     pub caller_advertise: Option<SocketAddr>,
-    /// Where messages of other processes are taken.
+    /// Listening address for messages of other processes.
     pub peer_listen: SocketAddr,
-    /// Address that other processes are told; the listening one by default.
+    /// Address advertised to other processes; `None` for the listening one.
     pub peer_advertise: Option<SocketAddr>,
-    /// Where `/metrics` and `/status` are served.
+    /// Listening address of `/metrics` and `/status`.
     pub status_listen: SocketAddr,
-    /// Folder for records that must survive a restart; none keeps them in memory and
-    /// on a second entry only.
+    /// Folder for records that must survive a restart; with `None` they are only kept in
+    /// memory and on a second entry.
     pub data: Option<PathBuf>,
     /// The control replicas, from sections `[replica NAME]`.
     pub replicas: Vec<ReplicaSettings>,
-    /// Peer addresses of other entries to ask at start, one or more a failure domain.
+    /// Peer addresses of other entries to query at start, one or more per failure domain.
     pub seeds: Vec<SocketAddr>,
-    /// URL of the platform's list of VMs; none uses the endpoints below only.
+    /// URL of the platform's list of VMs; with `None` only `endpoints` are used.
     pub platform_url: Option<String>,
     /// Endpoints of this failure domain, from sections `[endpoint NAME]`.
     pub endpoints: Vec<EndpointSettings>,
     /// How long callers may cache a look-up's answer.
     pub lookup_ttl: Duration,
-    /// How long a planned stop waits for what is running.
+    /// How long a planned stop waits for running requests and downloads.
     pub stop_deadline: Duration,
-    /// Deadline of a request that names none.
+    /// Time limit of a request without one of its own.
     pub request_timeout: Duration,
-    /// Requests that wait for a slot, at most.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// Idempotency keys kept at most.
+    /// Maximum number of stored idempotency keys.
     pub ledger_keys: usize,
     /// How long an idempotency key is kept.
     pub ledger_retention: Duration,
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -8,24 +8,24 @@
 
 use crate::LogSettings;
 
-/// Bounds that all gateways keep together.
+/// Bounds that apply to all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Further attempts of requests, as a part of first ones.
+    /// Retries as a fraction of first attempts.
     pub retry_ratio: f64,
-    /// Further attempts that are allowed in each window besides, over all gateways.
+    /// Retries allowed in each window in addition, over all gateways.
     pub retry_floor: f64,
-    /// The window.
+    /// Length of that window.
     pub retry_window: Duration,
-    /// Part of a region's requests that may change the region where they run, from one
-    /// window of two seconds to the next.
+    /// Fraction of a region's requests that may move to another region from one window of
+    /// two seconds to the next.
     pub max_shift: f64,
 }
 
-/// Everything that a gateway learns from its settings.
+/// All settings of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of the cluster; messages of another one are rejected.
+    /// Name of the cluster; messages of other clusters are rejected.
     pub cluster: String,
     /// Name of this process.
     pub node: NodeName,
@@ -33,27 +33,27 @@
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where requests are taken.
+    /// Listening address for requests.
     pub caller_listen: SocketAddr,
-    /// Address that callers are told; the listening one by default.
+    /// Address advertised to callers; `None` for the listening one.
     pub caller_advertise: Option<SocketAddr>,
-    /// Where the platform asks whether callers may be sent here.
+    /// Listening address of the platform's readiness probe.
     pub readiness_listen: SocketAddr,
-    /// Where `/metrics` is served.
+    /// Listening address of `/metrics`.
     pub status_listen: SocketAddr,
-    /// Where messages of other processes are taken.
+    /// Listening address for messages of other processes.
     pub peer_listen: SocketAddr,
-    /// Address that other processes are told; the listening one by default.
+    /// Address advertised to other processes; `None` for the listening one.
     pub peer_advertise: Option<SocketAddr>,
     /// Peer addresses of some control VMs.
     pub seeds: Vec<SocketAddr>,
     /// Region of each failure domain.
     pub regions: BTreeMap<FailureDomain, Region>,
-    /// Bounds that all gateways keep together.
+    /// Bounds that apply to all gateways together.
     pub budgets: BudgetSettings,
-    /// Rate of the VM's link, in Mbit/s.
+    /// Rate of the VM's network link, in Mbit/s; `None` if it isn't limited.
     pub link_rate: Option<f64>,
-    /// Time from the signal of a planned stop until the process must have ended.
+    /// Time from the stop signal until the process must have exited.
     pub stop_grace: Duration,
     /// Logging.
     pub log: LogSettings,
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,7 +1,7 @@
 //! The declaration of every section and key.
 //!
-//! Doc comments here are the text of the settings page. A default or bound is text as
-//! it would stand in a file, so that the page shows it as an operator writes it.
+//! Doc comments here are the text of the settings page. Defaults and bounds are written as
+//! in a file, so that the page shows them as operators write them.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -101,12 +101,15 @@
 fn no_region_holds_a_majority_of_the_replicas() {
     for user in ["kovceg", "associacao"] {
         let deployment = load(user);
-        let mut held = BTreeMap::new();
+        let mut replicas_by_region = BTreeMap::new();
         for control in &deployment.controls {
-            *held.entry(&control.region).or_insert(0) += 1;
+            *replicas_by_region.entry(&control.region).or_insert(0) += 1;
         }
         let majority = deployment.controls.len() / 2 + 1;
-        assert!(held.values().all(|count| *count < majority), "{held:?}");
+        assert!(
+            replicas_by_region.values().all(|count| *count < majority),
+            "{replicas_by_region:?}"
+        );
     }
 }
 
