--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -75,7 +75,7 @@
 /// Whether the table may be changed without a colleague's review.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReviewPolicy {
-    /// Direct changes are accepted, and a missing review may be waived by a named operator.
+    /// Direct changes are accepted, and a missing review may be waived explicitly.
     #[default]
     Optional,
     /// Every change must be a proposal that someone other than its author has approved.
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -76,25 +76,25 @@
     ["callers"] EntryAndGateway {
         /// Address for look-ups and requests.
         CALLERS_LISTEN: ListenAddr = "listen", REQUIRED;
-        /// Address that callers and other entries are told, if it differs from `listen`.
+        /// Address advertised to callers and other entries, if it differs from `listen`.
         CALLERS_ADVERTISE: TargetAddr = "advertise", UNSET;
-        /// How long callers may cache the answer to a look-up. A leaving entry goes on
-        /// serving for as long.
+        /// How long callers may cache the answer to a look-up. A leaving entry continues to
+        /// serve for as long.
         LOOKUP_TTL: Duration = "lookup_ttl", default("10s"), "1s"..="5m";
-        /// Deadline of a request that names none.
+        /// Time limit of a request without one of its own.
         REQUEST_TIMEOUT: Duration = "request_timeout", default("10s"), "100ms"..="1h";
     }
-    /// Where the system's other processes are heard.
+    /// Messages of the system's other processes.
     ["peers"] All {
-        /// Address for messages of other processes.
+        /// Address on which they are received.
         PEERS_LISTEN: ListenAddr = "listen", REQUIRED;
-        /// Address that other processes are told, if it differs from `listen`.
+        /// Address advertised to other processes, if it differs from `listen`.
         PEERS_ADVERTISE: TargetAddr = "advertise", UNSET;
-        /// Peer addresses of other entries, one or more a failure domain, that are asked
+        /// Peer addresses of other entries, one or more per failure domain, that are queried
         /// at start for the newest version of the table.
         SEEDS: TargetList = "seeds", Absent::Unset(Roles::Entry);
     }
-    /// Where an entry or gateway shows its state.
+    /// Metrics and status of an entry or gateway.
     ["status"] EntryAndGateway {
         /// Address of `/metrics` and `/status`.
         STATUS_LISTEN: ListenAddr = "listen", REQUIRED;
@@ -103,27 +103,27 @@
     ["operators"] Control {
         /// Address of the administration API, `/metrics` and `/status`.
         OPERATORS_LISTEN: ListenAddr = "listen", REQUIRED;
-        /// Address that operators are told, if it differs from `listen`.
+        /// Address advertised to operators, if it differs from `listen`.
         OPERATORS_ADVERTISE: TargetAddr = "advertise", UNSET;
         /// File of hashed bearer tokens. Without it the administration API serves only
         /// the loopback.
         TOKENS: PathBuf = "tokens", UNSET;
         /// Whether every change of the table needs a colleague's review. With `optional`,
         /// operators of the role `accept` may change rows directly, or waive a missing
-        /// review by name.
+        /// review explicitly.
         REVIEW: ReviewPolicy = "review", default("optional");
     }
     /// Files that survive a restart.
     ["storage"] EntryAndControl {
-        /// Folder that belongs to this process alone. A control replica's identity lies in
-        /// it: with an empty folder it is a new replica. An entry without a folder keeps
+        /// Folder that no other process uses. It contains a control replica's identity:
+        /// with an empty folder it is a new replica. An entry without a folder keeps
         /// its idempotency records in memory and on a second entry only.
         DATA: PathBuf = "data", Absent::Error(Roles::Control);
     }
-    /// A control replica. An entry's file names all of them, a control replica's file
-    /// names the others.
+    /// A control replica. An entry's file lists all of them, a control replica's file
+    /// lists the others.
     ["replica" "NAME"] EntryAndControl {
-        /// Where it takes messages of other processes.
+        /// Its address for messages of other processes.
         REPLICA_PEER: TargetAddr = "peer", REQUIRED;
     }
     /// An endpoint of the entry's own failure domain.
@@ -139,50 +139,50 @@
     }
     /// The platform that runs the VMs.
     ["platform"] EntryAndControl {
-        /// Where its list of live and leaving VMs is read. Without it the sections
-        /// `[endpoint NAME]` are all that is known.
+        /// URL of its list of live and leaving VMs. Without it only the sections
+        /// `[endpoint NAME]` are used.
         PLATFORM_URL: HttpUrl = "url", Absent::Unset(Roles::Entry);
-        /// Where its list of endpoints is read, by the leading control replica.
+        /// Address of its list of endpoints, which the leading control replica polls.
         PLATFORM_LIST: TargetAddr = "list", Absent::Unset(Roles::Control);
-        /// Calls a second that the list bears from all processes together.
+        /// Calls per second that the list accepts from all processes together.
         PLATFORM_RATE: f64 = "rate", default("10"), "0.001"..="1000000000";
-        /// The failure domains. A list of several pages is read by failure domain, all at
-        /// once, since each page names only the next one.
+        /// The failure domains. A list of several pages is read by failure domain, all in
+        /// parallel, because each page only contains the token of the next one.
         PLATFORM_DOMAINS: DomainList = "domains", UNSET;
-        /// Time after which an endpoint that the list calls draining must get nothing new.
-        /// The list is read several times within it.
+        /// Time after which an endpoint listed as draining must get no new requests. The list
+        /// is polled several times within it.
         PLATFORM_DRAIN: Duration = "drain", default("3s"), "0s"..="1d";
     }
-    /// How the processes of a group find each other without being told of all others.
+    /// Discovery of the processes of a group from a few seed addresses.
     ["group"] ControlAndGateway {
-        /// Addresses of some control VMs. A control replica with seeds also keeps the
-        /// group's membership by itself: it takes in replicas that make themselves known,
-        /// and lets those go that another one has replaced.
+        /// Addresses of some control VMs. A control replica with seeds also manages the
+        /// group's membership automatically: it adds replicas that announce themselves and
+        /// removes replicas that have been replaced.
         SEEDS_OF_GROUP: TargetList = "seeds", Absent::Error(Roles::Gateway);
-        /// Port on which those VMs take messages of other processes, where it isn't the
-        /// seeds' own port.
+        /// Port on which those VMs receive messages of other processes, if it isn't the
+        /// port of the seeds.
         SEED_PORT: u32 = "port", UNSET, "1"..="65535";
-        /// Whether the whole system starts for the first time. Then the first seed begins
+        /// Whether this is the first start of the whole system. Then the first seed creates
         /// the group; a replica that later finds its disk empty must never do so.
         FIRST_START: bool = "first_start", default("false");
-        /// Replicas that may be lost at once. Orders are accepted only once the group has
-        /// so many voters that any of them may be lost, or seven voters, its most.
+        /// Number of replicas that may fail at the same time. Orders are accepted only once
+        /// the group has enough voters for that, or seven voters, the maximum.
         TOLERATE: u32 = "tolerate", default("1"), "0"..="1000";
     }
-    /// Where operators send routes and evacuations.
+    /// The interface for operators' routes and evacuations.
     ["orders"] Control {
         /// Address of the interface.
         ORDERS_LISTEN: ListenAddr = "listen", UNSET;
     }
-    /// Where callers ask which gateways to use.
+    /// The interface where callers look up which gateways to use.
     ["lookups"] Control {
         /// Address of the interface.
         LOOKUPS_LISTEN: ListenAddr = "listen", UNSET;
-        /// How long callers may keep an answer. Some keep it longer, so a gateway that
-        /// leaves goes on serving for a multiple of it.
+        /// How long callers may cache an answer. Some keep it longer, so a gateway that
+        /// leaves continues to serve for a multiple of it.
         LOOKUPS_TTL: Duration = "ttl", default("1s"), "100ms"..="1m";
     }
-    /// Where the platform asks whether a gateway may be sent callers.
+    /// The platform's readiness probe of a gateway.
     ["readiness"] Gateway {
         /// Address of the interface.
         READINESS_LISTEN: ListenAddr = "listen", REQUIRED;
@@ -192,85 +192,88 @@
         /// The region.
         DOMAIN_REGION: Region = "region", REQUIRED;
     }
-    /// Bounds that all gateways keep together.
+    /// Bounds that apply to all gateways together.
     ["budgets"] Gateway {
-        /// Further attempts of requests, as a part of first ones.
+        /// Retries as a fraction of first attempts.
         RETRY_RATIO: f64 = "retry_ratio", default("0.2"), "0"..="100";
-        /// Further attempts that are allowed in each window besides, over all gateways; a
-        /// fraction is reached over several windows.
+        /// Retries allowed in each window in addition, over all gateways; a fraction adds
+        /// up over several windows.
         RETRY_FLOOR: f64 = "retry_floor", default("10"), "0"..="1000000000";
-        /// The window.
+        /// Length of that window.
         RETRY_WINDOW: Duration = "retry_window", default("10s"), "100ms"..="1h";
-        /// Part of a region's requests that may change the region where they run, from
-        /// one window of two seconds to the next.
+        /// Fraction of a region's requests that may move to another region from one window
+        /// of two seconds to the next.
         MAX_SHIFT: f64 = "max_shift", default("0.15"), "0"..="1";
     }
-    /// The link of a gateway's VM.
+    /// The network link of a gateway's VM.
     ["link"] Gateway {
-        /// Its rate in Mbit/s. Large answers go out in pieces that leave it to short
-        /// messages first. Without it, or with 0, they go out as fast as they come.
+        /// Its rate in Mbit/s. Large responses are sent in chunks, so that short messages
+        /// can go first. Without it, or with 0, they are sent as fast as they arrive.
         LINK_RATE: f64 = "rate", UNSET, "0"..="1000000000";
     }
     /// The planned stop of a gateway.
     ["stop"] Gateway {
-        /// Time from the signal until the process must have ended.
+        /// Time from the signal until the process must have exited.
         STOP_GRACE: Duration = "grace", default("6s"), "0s"..="1d";
     }
-    /// Bounds on what an entry takes on.
+    /// Limits of an entry.
     ["limits"] Entry {
-        /// Requests that wait for a slot, over all services; further ones are refused.
+        /// Maximum number of requests that wait for a slot, over all services; further
+        /// ones are refused.
         QUEUE: usize = "queue", default("64"), "0"..="65536";
-        /// How long a planned stop waits for what is running, downloads included. Longer
-        /// than `lookup_ttl`, because the last cached answer must lapse first.
+        /// How long a planned stop waits for running requests, downloads included. Longer
+        /// than `lookup_ttl`, because the last cached answer must expire first.
         STOP_DEADLINE: Duration = "stop_deadline", default("10m"), "1s"..="12h";
     }
     /// Records that let a request with an idempotency key run at most once.
     ["ledger"] Entry {
-        /// Keys kept. When they are this many, requests with new keys are refused.
+        /// Maximum number of stored keys. Once it is reached, requests with new keys are
+        /// refused.
         LEDGER_KEYS: usize = "keys", default("100000"), "100"..="10000000";
-        /// How long a key is kept at least after it could last start. A resend after that
-        /// never runs and gets no answer but "may have run".
+        /// Minimum time that a key is kept after its request could last start. A resend
+        /// after that never runs, and its only answer is "may have run".
         LEDGER_RETENTION: Duration = "retention", default("24h"), "1m"..="30d";
     }
     /// Times of the replicated log. The same in each control replica's file.
     ["consensus"] Control {
         /// Time between a leader's heartbeats.
         HEARTBEAT: Duration = "heartbeat", default("200ms"), "10ms"..="10s";
-        /// Shortest silence of a leader before an election.
+        /// Minimum time without a leader's heartbeat before an election.
         ELECTION_TIMEOUT: Duration = "election_timeout", default("800ms"), "50ms"..="1m";
-        /// How long a majority's answers let a leader answer for the table. Shorter than
-        /// `election_timeout`, so that no other leader can be elected within it.
+        /// How long a leader may answer reads of the table after a majority has confirmed
+        /// it. Shorter than `election_timeout`, so that no other leader can be elected in
+        /// that time.
         LEASE: Duration = "lease", default("700ms"), "20ms"..="1m";
     }
-    /// What a service promises its callers; the burn report compares samples with it.
+    /// Service-level objective of a service; the burn report compares samples with it.
     ["objective" "SERVICE"] Control {
-        /// An answer that takes longer counts as slow.
+        /// A response that takes longer counts as slow.
         LATENCY_THRESHOLD: Duration = "latency_threshold", default("250ms"), "1ms"..="10m";
-        /// Share of answers that are to be no slower.
+        /// Target share of responses that aren't slow.
         LATENCY_TARGET: Percent = "latency_target", default("99%"), "50%"..="99.999%";
-        /// Share of slots that are to be free.
+        /// Share of slots that must be free.
         HEADROOM_MIN: Percent = "headroom_min", default("20%"), "0%"..="100%";
-        /// Share of samples that are to have such headroom.
+        /// Target share of minutes with at least so many free slots.
         HEADROOM_TARGET: Percent = "headroom_target", default("99%"), "50%"..="99.999%";
         /// A drain that takes longer counts as late.
         DRAIN_DEADLINE: Duration = "drain_deadline", default("10m"), "1s"..="12h";
-        /// Share of drains that are to be in time.
+        /// Target share of drains that aren't late.
         DRAIN_TARGET: Percent = "drain_target", default("95%"), "50%"..="99.999%";
-        /// Share of requests that are not to be refused.
+        /// Target share of requests that are neither refused nor lost.
         SERVED_TARGET: Percent = "served_target", default("99.9%"), "50%"..="99.999%";
     }
     /// Samples that the burn report is made from.
     ["samples"] Control {
-        /// Time that a sample covers.
+        /// Time covered by one sample.
         SAMPLE_PERIOD: Duration = "period", default("1m"), "1s"..="5m";
-        /// Disk space that samples may take; the oldest go first.
+        /// Maximum disk space of samples; the oldest are deleted first.
         SAMPLE_SIZE: ByteSize = "size", default("64MiB"), "64KiB"..="4GiB";
     }
     /// Log lines.
     ["log"] All {
-        /// Least severe level that is written.
+        /// Least severe level that is logged.
         LOG_LEVEL: LevelFilter = "level", default("info");
-        /// Text for people, or one JSON object a line.
+        /// Plain text, or one JSON object per line.
         LOG_FORMAT: LogFormat = "format", default("plain");
         /// Where lines are written.
         LOG_STREAM: LogStream = "stream", default("stderr");
