--- a/crates/observe/tests/fuzz.rs
+++ b/crates/observe/tests/fuzz.rs
@@ -12,12 +12,12 @@
 
 /// Checks values that bolero generates from fixed seeds. Its own loop draws new seeds in
 /// each run, but the test must have the same result in every run.
-fn for_seeds<T: TypeGenerator>(mut judge: impl FnMut(T)) {
+fn for_seeds<T: TypeGenerator>(mut check: impl FnMut(T)) {
     let options = Options::default();
     for seed in 0..SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
         let value = T::generate(&mut driver).expect("the driver has bytes left");
-        judge(value);
+        check(value);
     }
 }
 
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn clock_that_is_wrong_moves_samples_to_now() {
+fn samples_of_a_wrong_clock_count_as_now() {
     let mut collector = Collector::for_control();
     let now = T0 + MINUTE;
     collector.add_report(now, &node("a"), Incarnation(1), report(&[(17, 1)]));
@@ -196,7 +196,7 @@
 /// An entry reports a period while its clock is a day ahead, then the clock is corrected.
 /// All later periods look older than that one, but must not be ignored for a day.
 #[test]
-fn clock_that_is_set_right_makes_no_gap() {
+fn corrected_clock_makes_no_gap() {
     let mut collector = Collector::for_control();
     let a = node("a");
     let tomorrow = T0 + 24 * 60 * MINUTE;
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -179,9 +179,9 @@
         let deployment = load(user);
         let services: BTreeSet<_> = endpoints(&deployment).into_keys().collect();
         for control in &deployment.controls {
-            let judged = control.objectives.iter().map(|o| o.service.to_string());
+            let with_objective = control.objectives.iter().map(|o| o.service.to_string());
             assert_eq!(
-                judged.collect::<BTreeSet<_>>(),
+                with_objective.collect::<BTreeSet<_>>(),
                 services,
                 "{}",
                 control.node
--- a/crates/settings/tests/fuzz.rs
+++ b/crates/settings/tests/fuzz.rs
@@ -33,7 +33,7 @@
     "é",
 ];
 
-fn judge(text: &str) {
+fn check_problems(text: &str) {
     let problems = check_text(Path::new(FILE), text);
     // A single `\r` ends a line too.
     let lines = text.chars().filter(|c| matches!(c, '\n' | '\r')).count() + 1;
@@ -50,24 +50,24 @@
 
 /// Checks values that bolero generates from fixed seeds. Its own loop draws new seeds in
 /// each run, but the test must have the same result in every run.
-fn for_seeds(mut judge: impl FnMut(Vec<u8>)) {
+fn for_seeds(mut check: impl FnMut(Vec<u8>)) {
     let options = Options::default();
     for seed in 0..SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
         let value = Vec::generate(&mut driver).expect("the driver has bytes left");
-        judge(value);
+        check(value);
     }
 }
 
 #[test]
 fn random_text_is_checked() {
-    for_seeds(|bytes| judge(&String::from_utf8_lossy(&bytes)));
+    for_seeds(|bytes| check_problems(&String::from_utf8_lossy(&bytes)));
 }
 
 #[test]
 fn random_fragments_are_checked() {
     for_seeds(|picks| {
         let fragment = |pick: &u8| FRAGMENTS[usize::from(*pick) % FRAGMENTS.len()];
-        judge(&picks.iter().map(fragment).collect::<String>());
+        check_problems(&picks.iter().map(fragment).collect::<String>());
     });
 }
