--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -54,14 +54,14 @@
         self.requests
             .entry((service.clone(), region))
             .or_insert_with_key(|(service, region)| metrics.requests(service, region))
-            .finished(code, took);
+            .record(code, took);
     }
 
     /// Records the slots in use, the queue and the drains. Must be called at a regular
     /// interval.
     pub(crate) fn record_usage(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let waiting = usage.iter().map(|service| service.waiting as usize).sum();
-        self.metrics.queued(waiting);
+        self.metrics.set_queued(waiting);
         for service in usage {
             self.set_slots(service);
             for endpoint in &service.endpoints {
@@ -128,7 +128,7 @@
     fn end(&mut self, now: Moment, metrics: &EntryMetrics, region: &Region) {
         if !self.recorded {
             self.recorded = true;
-            metrics.drained(&self.service, region, now.saturating_sub(self.since));
+            metrics.record_drain(&self.service, region, now.saturating_sub(self.since));
         }
     }
 }
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -11,7 +11,7 @@
 
 use filberthead_endpoint::Client;
 use filberthead_fleet::{Load, Member, Outbound, Stamp, Update, UpdateDelay};
-use filberthead_observe::{GatewayMetrics, LineAllowance};
+use filberthead_observe::{GatewayMetrics, LogRateLimiter};
 use filberthead_peer::Body;
 use filberthead_place::{ConnectionBalancer, LargeResponseAdmission, Link, Placer};
 use filberthead_ring::Sender;
@@ -107,7 +107,7 @@
     /// When the endpoint list last changed.
     list_changed_at: Cell<Moment>,
     /// Rate limit of the log lines about rejected requests, by result code.
-    log_allowance: RefCell<LineAllowance<ResultCode>>,
+    log_allowance: RefCell<LogRateLimiter<ResultCode>>,
 }
 
 /// Counts a request as running until dropped.
@@ -149,7 +149,7 @@
             seeds: RefCell::new(parts.seeds),
             control_silent: Cell::new(true),
             list_changed_at: Cell::new(Moment::ZERO),
-            log_allowance: RefCell::new(LineAllowance::new(LOG_LINES_PER_SECOND)),
+            log_allowance: RefCell::new(LogRateLimiter::new(LOG_LINES_PER_SECOND)),
         })
     }
 
@@ -265,7 +265,7 @@
     /// Whether a line about a rejection with this code may be logged now: the number of lines
     /// suppressed before it, or `None` if this one is to be suppressed too.
     pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
-        self.log_allowance.borrow_mut().take(self.now(), code)
+        self.log_allowance.borrow_mut().allow(self.now(), code)
     }
 
     pub(crate) fn track_request(self: &Rc<Self>) -> RequestGuard {
@@ -329,7 +329,7 @@
                 version,
                 table,
             } => {
-                self.metrics.routes_version(version);
+                self.metrics.set_routes_version(version);
                 info!(version, revision, routes = table.routes.len(), from:%, since_heard_of,
                     questions; "routes in force");
                 placer.set_routes(&table);
@@ -353,7 +353,7 @@
             }
             Update::Endpoints(list) => {
                 self.list_changed_at.set(now);
-                self.metrics.endpoints(list.len());
+                self.metrics.set_endpoints(list.len());
                 info!(endpoints = list.len(), term = list_stamp.term, seq = list_stamp.seq, from:%,
                     since_heard_of, questions; "list of endpoints");
                 let replaced = placer.set_endpoints(now, list);
@@ -366,7 +366,7 @@
                     "list of endpoints changed");
                 let replaced = placer.change_endpoints(now, change);
                 self.close_connections(&replaced);
-                self.metrics.endpoints(placer.endpoint_count());
+                self.metrics.set_endpoints(placer.endpoint_count());
             }
             Update::Gateways(counts) => placer.set_gateways(&counts),
             Update::Demand(demand) => placer.set_demand(now, &demand),
@@ -397,9 +397,9 @@
         }
         let ready = *self.phase.borrow() == Phase::Serving;
         member.set_ready(ready);
-        self.metrics.ready(ready);
-        self.metrics.routes_proven(member.is_proven(now));
-        self.metrics.running(self.running.get());
+        self.metrics.set_ready(ready);
+        self.metrics.set_routes_proven(member.is_proven(now));
+        self.metrics.set_running(self.running.get());
         let placer = &self.placer;
         let out = member.tick(now, || {
             let mut placer = placer.borrow_mut();
--- a/crates/observe/src/burn/text.rs
+++ b/crates/observe/src/burn/text.rs
@@ -1,4 +1,4 @@
-//! The report as text.
+//! The report as plain text.
 
 use std::fmt::Write as _;
 use std::time::{Duration, UNIX_EPOCH};
@@ -7,10 +7,11 @@
 use super::report::minutes_of;
 use super::{Report, Scope, WINDOW_NAMES, WINDOWS};
 
-/// Region column for all regions together.
+/// Text of the region column for all regions together.
 const ALL_REGIONS: &str = "all";
 
-/// The report as lines of text, one for each measure of a service in a region.
+/// The report as plain text, with a table of one row for each measure of a service in a
+/// region.
 pub fn text(report: &Report) -> String {
     let mut page = String::new();
     // Writing to a `String` can't fail.
@@ -32,7 +33,7 @@
     format!("Service-level burn of {} at {now}", report.cluster)
 }
 
-/// What a reader must know before believing the figures.
+/// Lines above the table: how complete the samples are, and what is missing.
 pub(super) fn notes(report: &Report) -> Vec<String> {
     let mut notes = vec![coverage(report)];
     if report.scopes.is_empty() {
@@ -53,7 +54,9 @@
 fn coverage(report: &Report) -> String {
     let windows = WINDOWS.iter().zip(WINDOW_NAMES).zip(&report.source.minutes);
     let parts: Vec<_> = windows
-        .map(|((seconds, name), heard)| format!("{heard} of {} in {name}", minutes_of(*seconds)))
+        .map(|((seconds, name), sampled)| {
+            format!("{sampled} of {} in {name}", minutes_of(*seconds))
+        })
         .collect();
     format!(
         "Minutes with samples: {}; at most {} entries reported on one.",
--- a/crates/observe/src/logging/rate_limit.rs
+++ b/crates/observe/src/logging/rate_limit.rs
@@ -1,7 +1,7 @@
-//! How many lines of each kind may be written in a second.
+//! Rate limit of log lines by kind.
 //!
-//! Callers can bring about as many refusals as they like. Each is worth a line, but a flood
-//! of one kind must neither fill the log nor push out the few lines of another kind.
+//! Callers can cause any number of refusals. Each is worth a line, but a flood of one kind
+//! must neither fill the log nor displace the few lines of another kind.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,49 +9,50 @@
 
 use filberthead_types::Moment;
 
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds lines by kind. Kinds come from an enumeration of the code: each is kept for good.
+/// Limits the lines of each kind per second. Kinds must come from an enumeration in the
+/// code, because an entry is never removed.
 #[derive(Clone, Debug)]
-pub struct LineAllowance<K> {
-    a_second: u32,
-    kinds: HashMap<K, Kind>,
+pub struct LogRateLimiter<K> {
+    lines_per_second: u32,
+    kinds: HashMap<K, KindState>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kind {
-    /// When the second began that is counted now.
-    begun: Moment,
-    left: u32,
+struct KindState {
+    /// Start of the second that is being counted.
+    window_start: Moment,
+    remaining: u32,
     omitted: u64,
 }
 
-impl<K: Eq + Hash> LineAllowance<K> {
-    /// Allows so many lines of each kind in a second.
-    pub fn new(a_second: u32) -> Self {
+impl<K: Eq + Hash> LogRateLimiter<K> {
+    /// Allows `lines_per_second` lines of each kind.
+    pub fn new(lines_per_second: u32) -> Self {
         Self {
-            a_second,
+            lines_per_second,
             kinds: HashMap::new(),
         }
     }
 
-    /// Whether a line may be written now: `None` if not, else how many of its kind were
-    /// left out since the last one that was written.
-    pub fn take(&mut self, now: Moment, kind: K) -> Option<u64> {
-        let left = self.a_second;
-        let kind = self.kinds.entry(kind).or_insert(Kind {
-            begun: now,
-            left,
+    /// Whether a line may be written now: `None` if not, else the number of lines of its
+    /// kind that were omitted since the last one that was allowed.
+    pub fn allow(&mut self, now: Moment, kind: K) -> Option<u64> {
+        let remaining = self.lines_per_second;
+        let kind = self.kinds.entry(kind).or_insert(KindState {
+            window_start: now,
+            remaining,
             omitted: 0,
         });
-        if now >= kind.begun + SPAN {
-            (kind.begun, kind.left) = (now, left);
+        if now >= kind.window_start + WINDOW {
+            (kind.window_start, kind.remaining) = (now, remaining);
         }
-        if kind.left == 0 {
+        if kind.remaining == 0 {
             kind.omitted += 1;
             return None;
         }
-        kind.left -= 1;
+        kind.remaining -= 1;
         Some(std::mem::take(&mut kind.omitted))
     }
 }
--- a/crates/observe/src/metrics/control.rs
+++ b/crates/observe/src/metrics/control.rs
@@ -13,14 +13,14 @@
 use super::labels::CodeLabels;
 use super::{encoded, local_histogram, observe, registry, set, wait_histogram};
 
-/// Metrics of a control replica. Shared by all duties.
+/// Metrics of a control replica, shared by all its duties.
 #[derive(Debug)]
 pub struct ControlMetrics {
     registry: Registry,
-    leads: Gauge,
-    lease: Gauge,
+    leader: Gauge,
+    lease_held: Gauge,
     term: Gauge,
-    sync: Histogram,
+    sync_duration: Histogram,
     last_index: Gauge,
     applied_index: Gauge,
     voters: Gauge,
@@ -40,14 +40,14 @@
 }
 
 impl ControlMetrics {
-    /// Metrics at zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::default(),
-            leads: Gauge::default(),
-            lease: Gauge::default(),
+            leader: Gauge::default(),
+            lease_held: Gauge::default(),
             term: Gauge::default(),
-            sync: local_histogram(),
+            sync_duration: local_histogram(),
             last_index: Gauge::default(),
             applied_index: Gauge::default(),
             voters: Gauge::default(),
@@ -81,12 +81,17 @@
 
     fn register_consensus(&self, registry: &mut Registry) {
         let leads = "1 while this replica leads";
-        registry.register("leader", leads, self.leads.clone());
+        registry.register("leader", leads, self.leader.clone());
         let lease = "1 while this replica holds a lease to answer for the table";
-        registry.register("lease_held", lease, self.lease.clone());
+        registry.register("lease_held", lease, self.lease_held.clone());
         registry.register("term", "Newest term seen", self.term.clone());
         let sync = "Time to sync the log";
-        registry.register_with_unit("log_sync_duration", sync, Unit::Seconds, self.sync.clone());
+        registry.register_with_unit(
+            "log_sync_duration",
+            sync,
+            Unit::Seconds,
+            self.sync_duration.clone(),
+        );
         let last = "Index of the log's last entry";
         registry.register("log_last_index", last, self.last_index.clone());
         let applied = "Index of the last entry applied to the table";
@@ -96,57 +101,57 @@
         registry.register("learners", learners, self.learners.clone());
     }
 
-    /// Sets whether this replica leads and whether it holds the lease.
-    pub fn leadership(&self, leads: bool, lease: bool) {
-        self.leads.set(leads.into());
-        self.lease.set(lease.into());
+    /// Sets whether this replica is the leader and whether it holds the lease.
+    pub fn set_leadership(&self, is_leader: bool, holds_lease: bool) {
+        self.leader.set(is_leader.into());
+        self.lease_held.set(holds_lease.into());
     }
 
     /// Sets the newest term seen.
-    pub fn term(&self, term: Epoch) {
+    pub fn set_term(&self, term: Epoch) {
         set(&self.term, term.0);
     }
 
-    /// Takes the time of a sync of the log.
-    pub fn synced(&self, took: Duration) {
-        observe(&self.sync, took);
+    /// Records the duration of a sync of the log.
+    pub fn record_sync(&self, took: Duration) {
+        observe(&self.sync_duration, took);
     }
 
-    /// Sets the log's last index and the last applied one.
-    pub fn log_indices(&self, last: u64, applied: u64) {
+    /// Sets the index of the log's last entry and of the last applied one.
+    pub fn set_log_indices(&self, last: u64, applied: u64) {
         set(&self.last_index, last);
         set(&self.applied_index, applied);
     }
 
-    /// Sets how many replicas vote and how many only learn.
-    pub fn members(&self, voters: usize, learners: usize) {
+    /// Sets the numbers of voters and of learners.
+    pub fn set_members(&self, voters: usize, learners: usize) {
         set(&self.voters, voters as u64);
         set(&self.learners, learners as u64);
     }
 
     /// Sets the version of the table in force.
-    pub fn table_version(&self, version: Version) {
+    pub fn set_table_version(&self, version: Version) {
         set(&self.table_version, version.0);
     }
 
-    /// Sets how many processes act on the table, and how many of them on an older version.
-    pub fn nodes(&self, nodes: usize, behind: usize) {
+    /// Sets how many processes use the table, and how many of them an older version.
+    pub fn set_nodes(&self, nodes: usize, behind: usize) {
         set(&self.nodes, nodes as u64);
         set(&self.nodes_behind, behind as u64);
     }
 
-    /// Counts a change that ended; `took` since its arrival.
-    pub fn changed(&self, code: ResultCode, took: Duration) {
+    /// Counts a change that ended `took` after its arrival.
+    pub fn record_change(&self, code: ResultCode, took: Duration) {
         self.changes.get_or_create_owned(&code.into()).inc();
         observe(&self.change_duration, took);
     }
 
-    /// Counts of messages, rings and log lines.
+    /// Counters of peer messages and rings.
     pub fn peers(&self) -> &PeerMetrics {
         &self.peers
     }
 
-    /// The text that `/metrics` answers.
+    /// The response body of `/metrics`.
     pub fn encode(&self) -> String {
         encoded(&self.registry)
     }
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -1,21 +1,21 @@
-//! The story of one request, from the logs of all processes.
+//! The trace of one request, collected from the logs of all processes.
 //!
-//! A request leaves lines in the log of each process that decided about it. [`Story`] puts
-//! those of one id in the order of time, and before them what each of these processes last
-//! said about what it believed: which routes, which endpoints, whether it heard control.
-//! Clocks of VMs differ, so lines of different processes may stand in a wrong order by that
-//! much; those of one process keep their order.
+//! Each process that made a decision about a request logs lines with the request's id.
+//! [`RequestTrace`] sorts these lines by time. It also holds the state that each of these
+//! processes had logged before: its routes, its endpoints, whether it reached control.
+//! Clocks of VMs differ, so lines of different processes may be out of order by that
+//! difference; lines of one process keep their order.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// Field that holds a request's id.
-const REQUEST: &str = "request";
-/// Messages that tell what a process believes, for each a subject; a later one about the
-/// same subject takes the place of an earlier one.
-const BELIEFS: [(&str, &str); 8] = [
+/// Log key of a request's id.
+const REQUEST_FIELD: &str = "request";
+/// Messages that log a part of a process's state, each with its topic. A later message
+/// replaces an earlier one of the same topic.
+const STATE_MESSAGES: [(&str, &str); 8] = [
     ("routes in force", "routes"),
     ("list of endpoints", "endpoints"),
     ("list of endpoints changed", "endpoints"),
@@ -25,36 +25,39 @@
     ("planned stop begins", "stop"),
     ("leadership or membership", "leader"),
 ];
-/// Fields that stand in each line and are shown apart, or tell nothing here.
-const HEAD: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST];
+/// Keys that are in every line. They aren't listed again in [`Event::fields`].
+const HEADER_FIELDS: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST_FIELD];
 
-/// A line of a log.
+/// One parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// When, as the process's clock had it.
+    /// Timestamp by the process's clock, in RFC 3339.
     pub at: String,
-    /// Which process.
+    /// Name of the process.
     pub process: String,
-    /// What happened.
+    /// The message text.
     pub message: String,
-    /// The inputs and outcome, in the order of their names.
+    /// The other keys with their values, sorted by key.
     pub fields: Vec<(String, String)>,
 }
 
 impl Event {
-    /// Reads a JSON line, wherever in the text it begins; `None` if there is none.
+    /// Parses a JSON log line. Text before the first `{` is skipped, since other programs
+    /// may prefix lines. `None` if it is no JSON object with the usual keys.
     pub fn parse(line: &str) -> Option<Self> {
-        Self::of(&object(line)?)
+        Self::from_object(&parse_object(line)?)
     }
 
-    fn of(map: &Map<String, Value>) -> Option<Self> {
-        let fields = map.iter().filter(|(key, _)| !HEAD.contains(&key.as_str()));
+    fn from_object(map: &Map<String, Value>) -> Option<Self> {
+        let fields = map
+            .iter()
+            .filter(|(key, _)| !HEADER_FIELDS.contains(&key.as_str()));
         Some(Self {
             at: text(map, "ts")?,
             process: text(map, "process")?,
             message: text(map, "msg")?,
             fields: fields
-                .map(|(key, value)| (key.clone(), plain(value)))
+                .map(|(key, value)| (key.clone(), value_text(value)))
                 .collect(),
         })
     }
@@ -69,7 +72,7 @@
     }
 }
 
-fn object(line: &str) -> Option<Map<String, Value>> {
+fn parse_object(line: &str) -> Option<Map<String, Value>> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
@@ -78,62 +81,66 @@
     Some(map.get(key)?.as_str()?.to_owned())
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// What logs tell of a request.
+/// What the logs contain about one request.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
-    /// What the processes that it met believed before.
-    pub beliefs: Vec<Event>,
-    /// What happened to it, in order.
+pub struct RequestTrace {
+    /// State that the processes involved had logged before their first line about it.
+    pub process_states: Vec<Event>,
+    /// The lines about the request, sorted by time.
     pub events: Vec<Event>,
 }
 
-impl Story {
-    /// Collects the story of a request from lines of logs. Each log's lines come in their
-    /// order, one log after the other.
-    pub fn of<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut beliefs: BTreeMap<(String, &str), Event> = BTreeMap::new();
-        let mut story = Self::default();
+impl RequestTrace {
+    /// Collects the trace of the request `id`. The lines of each log must be in their
+    /// original order, one log after the other.
+    pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
+        let mut states: BTreeMap<(String, &str), Event> = BTreeMap::new();
+        let mut trace = Self::default();
         for line in lines {
-            let Some(map) = object(line) else {
+            let Some(map) = parse_object(line) else {
                 continue;
             };
-            let Some(event) = Event::of(&map) else {
+            let Some(event) = Event::from_object(&map) else {
                 continue;
             };
             if is_about(&map, id) {
-                story.meet(&beliefs, &event.process);
-                story.events.push(event);
-            } else if let Some(subject) = subject(&event.message) {
-                beliefs.insert((event.process.clone(), subject), event);
+                trace.add_states_of(&states, &event.process);
+                trace.events.push(event);
+            } else if let Some(topic) = topic_of(&event.message) {
+                states.insert((event.process.clone(), topic), event);
             }
         }
-        // Lines of one process at the same moment keep their order.
-        story.events.sort_by(|a, b| a.at.cmp(&b.at));
-        story.beliefs.sort_by(|a, b| a.at.cmp(&b.at));
-        story
+        // The sort is stable: lines of one process with equal timestamps keep their order.
+        trace.events.sort_by(|a, b| a.at.cmp(&b.at));
+        trace.process_states.sort_by(|a, b| a.at.cmp(&b.at));
+        trace
     }
 
-    /// Notes what a process believed when it first had the request.
-    fn meet(&mut self, beliefs: &BTreeMap<(String, &str), Event>, process: &str) {
+    /// Adds the state that a process had logged before its first line about the request.
+    fn add_states_of(&mut self, states: &BTreeMap<(String, &str), Event>, process: &str) {
         if self.events.iter().any(|event| event.process == process) {
             return;
         }
-        let own = beliefs.iter().filter(|((of, _), _)| of == process);
-        self.beliefs.extend(own.map(|(_, event)| event.clone()));
+        let own = states.iter().filter(|((owner, _), _)| owner == process);
+        self.process_states
+            .extend(own.map(|(_, event)| event.clone()));
     }
 }
 
-fn subject(message: &str) -> Option<&'static str> {
-    let found = BELIEFS.iter().find(|(said, _)| *said == message);
-    found.map(|(_, subject)| *subject)
+fn topic_of(message: &str) -> Option<&'static str> {
+    let entry = STATE_MESSAGES
+        .iter()
+        .find(|(state_message, _)| *state_message == message);
+    entry.map(|(_, topic)| *topic)
 }
 
 fn is_about(map: &Map<String, Value>, id: &str) -> bool {
-    map.get(REQUEST).is_some_and(|value| plain(value) == id)
+    map.get(REQUEST_FIELD)
+        .is_some_and(|value| value_text(value) == id)
 }
--- a/crates/observe/tests/metrics.rs
+++ b/crates/observe/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a scrape shows.
+//! The content of `/metrics`.
 
 use std::time::Duration;
 
@@ -25,12 +25,12 @@
 fn requests_are_counted_by_service_region_and_code() {
     let metrics = EntryMetrics::new();
     let catalogue = metrics.requests(&service("catalogue"), &region("zagreb"));
-    catalogue.finished(ResultCode::Answered, Duration::from_millis(20));
-    catalogue.finished(ResultCode::Answered, Duration::from_millis(30));
-    catalogue.finished(ResultCode::Overloaded, Duration::from_millis(1));
+    catalogue.record(ResultCode::Answered, Duration::from_millis(20));
+    catalogue.record(ResultCode::Answered, Duration::from_millis(30));
+    catalogue.record(ResultCode::Overloaded, Duration::from_millis(1));
     // A second handle counts into the same series.
     let again = metrics.requests(&service("catalogue"), &region("zagreb"));
-    again.finished(ResultCode::Overloaded, Duration::from_millis(1));
+    again.record(ResultCode::Overloaded, Duration::from_millis(1));
     let text = metrics.encode();
     let labels = "service=\"catalogue\",region=\"zagreb\"";
     let answered =
@@ -46,15 +46,15 @@
     assert!((value(&text, &sum) - 0.05).abs() < 1e-9);
 }
 
-/// A gateway turned proper requests away as unknown, and no metric showed it: what was
-/// answered before a route was found wasn't counted.
+/// Guards against requests that are rejected before a route is found and appear in no
+/// metric.
 #[test]
-fn a_gateways_answers_without_a_route_are_counted() {
+fn gateway_responses_without_a_route_are_counted() {
     let metrics = GatewayMetrics::new();
     let took = Duration::from_millis(1);
-    metrics.finished(Some("safe"), ResultCode::Answered, took);
-    metrics.finished(None, ResultCode::UnknownService, took);
-    metrics.finished(None, ResultCode::UnknownService, took);
+    metrics.record_request(Some("safe"), ResultCode::Answered, took);
+    metrics.record_request(None, ResultCode::UnknownService, took);
+    metrics.record_request(None, ResultCode::UnknownService, took);
     let text = metrics.encode();
     let unknown = "kind=\"none\",code=\"1100\",result=\"unknown-service\"";
     let unknown = format!("filberthead_gateway_requests_total{{{unknown}}}");
@@ -68,7 +68,7 @@
     let metrics = EntryMetrics::new();
     let handle = metrics.requests(&service("orders"), &region("split"));
     for code in ResultCode::ALL {
-        handle.finished(*code, Duration::ZERO);
+        handle.record(*code, Duration::ZERO);
     }
     let text = metrics.encode();
     let series = text
@@ -78,15 +78,14 @@
     assert!(series.clone().all(|line| line.ends_with(" 1")));
 }
 
-/// Story: an entry's memory grows until the system ends it. Order: somebody adds rows
-/// for thousands of made-up services; each gets its series. Cause: label sets without a
-/// bound.
+/// Thousands of made-up services in the table must not get a series each, or the entry's
+/// memory grows until the system kills it.
 #[test]
 fn series_are_bounded() {
     let metrics = EntryMetrics::new();
     for n in 0..3000 {
         let handle = metrics.requests(&service(&format!("s{n}")), &region("zagreb"));
-        handle.finished(ResultCode::Answered, Duration::ZERO);
+        handle.record(ResultCode::Answered, Duration::ZERO);
     }
     let text = metrics.encode();
     let series = text
@@ -101,10 +100,10 @@
 fn entry_shows_its_state() {
     let metrics = EntryMetrics::new();
     metrics.slots(&service("intake"), &region("sul")).set(12, 7);
-    metrics.queued(5);
-    metrics.table_version(Version(42));
-    metrics.looked_up(ResultCode::LookedUp, Duration::from_micros(70));
-    metrics.drained(&service("intake"), &region("sul"), Duration::from_secs(90));
+    metrics.set_queued(5);
+    metrics.set_table_version(Version(42));
+    metrics.record_lookup(ResultCode::LookedUp, Duration::from_micros(70));
+    metrics.record_drain(&service("intake"), &region("sul"), Duration::from_secs(90));
     let text = metrics.encode();
     let labels = "{service=\"intake\",region=\"sul\"}";
     assert_eq!(value(&text, &format!("filberthead_slots{labels}")), 12.0);
@@ -125,13 +124,13 @@
 #[test]
 fn control_shows_its_state() {
     let metrics = ControlMetrics::new();
-    metrics.leadership(true, false);
-    metrics.term(Epoch(9));
-    metrics.synced(Duration::from_millis(3));
-    metrics.log_indices(120, 118);
-    metrics.members(3, 1);
-    metrics.nodes(11, 2);
-    metrics.changed(ResultCode::ChangeConflict, Duration::from_millis(80));
+    metrics.set_leadership(true, false);
+    metrics.set_term(Epoch(9));
+    metrics.record_sync(Duration::from_millis(3));
+    metrics.set_log_indices(120, 118);
+    metrics.set_members(3, 1);
+    metrics.set_nodes(11, 2);
+    metrics.record_change(ResultCode::ChangeConflict, Duration::from_millis(80));
     let text = metrics.encode();
     assert_eq!(value(&text, "filberthead_leader"), 1.0);
     assert_eq!(value(&text, "filberthead_lease_held"), 0.0);
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn totals_passed_on_late_do_not_turn_counters_back() {
+fn late_totals_do_not_lower_counters() {
     let metrics = EntryMetrics::new();
     let mut totals = PeerTotals {
         sent: 10,
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn a_gateway_tells_bytes_from_control_by_kind_of_message() {
+fn gateway_counts_received_bytes_by_kind_of_message() {
     let metrics = GatewayMetrics::new();
     let mut totals = PeerTotals::default();
     totals.received_bytes_by_kind.insert("routes", 230_000);
--- a/crates/observe/tests/samples.rs
+++ b/crates/observe/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Samples from an entry's counts to a replica's disk.
+//! Samples: an entry's counts, their collection, and their storage on a replica's disk.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use filberthead_observe::EntryMetrics;
 use filberthead_observe::samples::{
     Collector, Counts, PeriodSamples, Record, Reporter, SampleReport, SampleStore, ServiceSample,
-    Tally, read_history,
+    SparseHistogram, read_history,
 };
 use filberthead_types::{Incarnation, NodeName, Region, ResultCode, ServiceName};
 
@@ -64,26 +64,26 @@
     report
 }
 
-/// Closes at a control replica, and makes records of what was closed.
+/// Closes the periods that are due and returns their records.
 fn close(collector: &mut Collector, now: u64) -> Vec<Record> {
     let periods = collector.close(now);
-    periods.into_iter().flat_map(Record::of).collect()
+    periods.into_iter().flat_map(Record::from_period).collect()
 }
 
 #[test]
-fn entry_counts_by_the_way_requests_end() {
+fn entry_counts_requests_by_result() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
-    requests.finished(ResultCode::Answered, Duration::from_millis(20));
-    requests.finished(ResultCode::Answered, Duration::from_millis(400));
-    requests.finished(ResultCode::Overloaded, Duration::from_millis(1));
-    requests.finished(ResultCode::EndpointLost, Duration::from_millis(900));
-    // Wrong in themselves: no fault of the service.
-    requests.finished(ResultCode::BadRequest, Duration::ZERO);
-    requests.finished(ResultCode::Quarantined, Duration::ZERO);
+    requests.record(ResultCode::Answered, Duration::from_millis(20));
+    requests.record(ResultCode::Answered, Duration::from_millis(400));
+    requests.record(ResultCode::Overloaded, Duration::from_millis(1));
+    requests.record(ResultCode::EndpointLost, Duration::from_millis(900));
+    // Caused by the request itself, so they don't count against the service.
+    requests.record(ResultCode::BadRequest, Duration::ZERO);
+    requests.record(ResultCode::Quarantined, Duration::ZERO);
     metrics.slots(&service(), &region()).set(12, 9);
     metrics.slots(&service(), &region()).set(12, 3);
-    metrics.drained(&service(), &region(), Duration::from_secs(90));
+    metrics.record_drain(&service(), &region(), Duration::from_secs(90));
 
     let samples = metrics.take_samples();
     assert_eq!(samples.len(), 1);
@@ -93,16 +93,16 @@
     assert_eq!((counts.refused, counts.lost), (1, 1));
     assert_eq!(counts.headroom(), Some(0.5));
     assert_eq!(counts.drain_ms.total(), 1);
-    // The next period starts at nothing.
+    // The next period starts empty.
     assert_eq!(metrics.take_samples(), []);
 }
 
 #[test]
-fn tally_errs_on_the_slow_side_and_by_little() {
+fn histogram_overestimates_times_and_only_slightly() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
     for ms in 1..=1000 {
-        requests.finished(ResultCode::Answered, Duration::from_millis(ms));
+        requests.record(ResultCode::Answered, Duration::from_millis(ms));
     }
     let latency = &metrics.take_samples()[0].counts.latency_us;
     assert_eq!(latency.total(), 1000);
@@ -111,24 +111,24 @@
     let slow = latency.above(250_000);
     assert!((750..=770).contains(&slow), "{slow}");
     assert_eq!(latency.quantile(1.0), latency.max());
-    assert_eq!(Tally::default().quantile(0.5), None);
+    assert_eq!(SparseHistogram::default().quantile(0.5), None);
 }
 
 #[test]
 fn longest_times_are_kept_as_the_longest() {
     let metrics = EntryMetrics::new();
     let requests = metrics.requests(&service(), &region());
-    requests.finished(ResultCode::Answered, Duration::from_secs(1_000_000));
+    requests.record(ResultCode::Answered, Duration::from_secs(1_000_000));
     let counts = &metrics.take_samples()[0].counts;
     assert_eq!(counts.latency_us.above(3_000_000_000), 1);
 }
 
 #[test]
 fn replica_adds_up_what_entries_report() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let now = T0 + MINUTE;
-    collector.take(now, &node("a"), Incarnation(1), report(&[(T0, 1)]));
-    collector.take(now, &node("b"), Incarnation(1), report(&[(T0 + 5, 2)]));
+    collector.add_report(now, &node("a"), Incarnation(1), report(&[(T0, 1)]));
+    collector.add_report(now, &node("b"), Incarnation(1), report(&[(T0 + 5, 2)]));
     assert_eq!(close(&mut collector, now), [], "the period still waits");
     let records = close(&mut collector, now + 2 * MINUTE);
     assert_eq!(records.len(), 1);
@@ -139,34 +139,33 @@
 
 #[test]
 fn relay_sends_the_sum_of_its_entries_and_control_counts_them() {
-    let mut relay = Collector::of_relay();
+    let mut relay = Collector::for_relay();
     for name in ["a", "b", "c"] {
         let report = report(&[(T0, 1)]);
-        relay.take(T0 + MINUTE, &node(name), Incarnation(1), report);
+        relay.add_report(T0 + MINUTE, &node(name), Incarnation(1), report);
     }
     let mut reporter = Reporter::default();
-    let mut control = Collector::of_control();
+    let mut control = Collector::for_control();
     let mut periods = relay.close(T0 + MINUTE + 10);
     assert_eq!(periods.len(), 1);
     let report = reporter.report(periods.remove(0));
-    control.take(T0 + MINUTE + 10, &node("a"), Incarnation(1), report);
+    control.add_report(T0 + MINUTE + 10, &node("a"), Incarnation(1), report);
     let records = close(&mut control, T0 + 5 * MINUTE);
     assert_eq!((records[0].start, records[0].entries), (T0, 3));
     assert_eq!(records[0].sample.counts.refused, 3);
 }
 
-/// Story: the burn report shows twice the refusals that there were. Order: an entry
-/// repeats a period because control may have missed it; control had it. Cause: a repeat
-/// counted as new.
+/// A period is repeated in the next report in case the first one was lost. If control
+/// counted the repeat again, the burn report would show twice the refusals.
 #[test]
 fn repeated_period_counts_once_and_a_lost_one_comes_with_the_next() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let a = node("a");
     let all = [(T0, 1), (T0 + MINUTE, 2), (T0 + 2 * MINUTE, 4)];
-    collector.take(T0 + MINUTE, &a, Incarnation(1), report(&all[..1]));
+    collector.add_report(T0 + MINUTE, &a, Incarnation(1), report(&all[..1]));
     // The second report is lost; the third repeats its period.
-    collector.take(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
-    collector.take(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
+    collector.add_report(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
+    collector.add_report(T0 + 3 * MINUTE, &a, Incarnation(1), report(&all));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     let refused: Vec<_> = records.iter().map(|r| r.sample.counts.refused).collect();
     assert_eq!(refused, [1, 2, 4]);
@@ -174,44 +173,43 @@
 
 #[test]
 fn restarted_entry_may_report_the_same_period_again() {
-    let mut collector = Collector::of_control();
+    let mut collector = Collector::for_control();
     let a = node("a");
-    collector.take(T0 + 30, &a, Incarnation(1), report(&[(T0, 1)]));
-    collector.take(T0 + 60, &a, Incarnation(2), report(&[(T0, 2)]));
+    collector.add_report(T0 + 30, &a, Incarnation(1), report(&[(T0, 1)]));
+    collector.add_report(T0 + 60, &a, Incarnation(2), report(&[(T0, 2)]));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     assert_eq!(records[0].sample.counts.refused, 3);
     assert_eq!(records[0].entries, 1);
 }
 
 #[test]
-fn clock_that_is_wrong_moves_samples_to_now() {
-    let mut collector = Collector::of_control();
+fn samples_of_a_wrong_clock_count_as_now() {
+    let mut collector = Collector::for_control();
     let now = T0 + MINUTE;
-    collector.take(now, &node("a"), Incarnation(1), report(&[(17, 1)]));
-    collector.take(now, &node("b"), Incarnation(1), report(&[(u64::MAX, 1)]));
+    collector.add_report(now, &node("a"), Incarnation(1), report(&[(17, 1)]));
+    collector.add_report(now, &node("b"), Incarnation(1), report(&[(u64::MAX, 1)]));
     let records = close(&mut collector, now + 10 * MINUTE);
     assert_eq!(records.len(), 1);
     assert_eq!(records[0].start, now);
 }
 
-/// Story: one entry is missing from the burn report for days. Order: its clock jumps a
-/// day ahead, it reports a period, its clock is set right. Cause: all later periods look
-/// older than the one of tomorrow.
+/// An entry reports a period while its clock is a day ahead, then the clock is corrected.
+/// All later periods look older than that one, but must not be ignored for a day.
 #[test]
-fn clock_that_is_set_right_makes_no_gap() {
-    let mut collector = Collector::of_control();
+fn corrected_clock_makes_no_gap() {
+    let mut collector = Collector::for_control();
     let a = node("a");
     let tomorrow = T0 + 24 * 60 * MINUTE;
-    collector.take(T0 + MINUTE, &a, Incarnation(1), report(&[(tomorrow, 1)]));
+    collector.add_report(T0 + MINUTE, &a, Incarnation(1), report(&[(tomorrow, 1)]));
     let back = [(tomorrow, 1), (T0 + MINUTE, 2)];
-    collector.take(T0 + 2 * MINUTE, &a, Incarnation(1), report(&back));
+    collector.add_report(T0 + 2 * MINUTE, &a, Incarnation(1), report(&back));
     let records = close(&mut collector, T0 + 10 * MINUTE);
     let refused: u64 = records.iter().map(|r| r.sample.counts.refused).sum();
     assert_eq!(refused, 3);
 }
 
 #[test]
-fn records_come_back_after_a_restart() {
+fn records_are_read_after_a_restart() {
     let dir = tempfile::tempdir().expect("a folder");
     let mut written = Vec::new();
     for n in 0..5 {
@@ -253,9 +251,8 @@
     assert!(refused.iter().copied().eq(first..total));
 }
 
-/// Story: after a power cut the burn report is empty for good. Order: the VM dies while
-/// a record is written; the next start writes behind the torn record; every later record
-/// is unreadable. Cause: appending behind a torn tail.
+/// A power cut leaves a torn record. If the next start appended after it, every later record
+/// would be unreadable.
 #[test]
 fn torn_tail_is_cut_at_the_next_start() {
     let dir = tempfile::tempdir().expect("a folder");
--- a/crates/settings/src/cross.rs
+++ b/crates/settings/src/cross.rs
@@ -1,4 +1,4 @@
-//! Checks that need more than one key.
+//! Checks that involve more than one key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 
 /// Most control replicas, this one included.
 const MAX_REPLICAS: usize = 7;
-/// Heartbeats that must fit into an election timeout, so that one late message or two
-/// lost ones start no election.
+/// Heartbeat intervals that must fit into an election timeout, so that one late message or
+/// two lost ones start no election.
 const HEARTBEATS_PER_TIMEOUT: u32 = 3;
-/// Heartbeats that must fit into a lease, so that one late answer doesn't end it.
+/// Heartbeat intervals that must fit into a lease, so that one late answer doesn't end it.
 const HEARTBEATS_PER_LEASE: u32 = 2;
 
-/// Adds a problem for each rule between keys that a document breaks.
+/// Adds a problem for each violated rule between keys.
 pub(crate) fn check(document: &Document<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
     match role {
         Some(Role::Entry) => check_entry(document, problems),
         Some(Role::Control) => check_control(document, problems),
-        // Its keys stand alone.
+        // A gateway's keys have no rules between them, apart from those below.
         Some(Role::Gateway) => {}
         None => return,
     }
@@ -50,17 +50,17 @@
 }
 
 fn check_entry(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    // A leaving entry is gone after the stop deadline. With a longer time to live a
-    // caller would still have it in a cached answer and find nobody there.
-    shorter(
+    // A leaving entry exits after the stop deadline. With a longer TTL a caller could still
+    // have its address in a cached answer, and its connection would fail.
+    check_shorter(
         document,
         &keys::LOOKUP_TTL,
         &keys::STOP_DEADLINE,
         1,
         problems,
     );
-    // A key forgotten while its request still runs would let a resend run it again.
-    shorter(
+    // If a key expired while its request still ran, a resend would run the request again.
+    check_shorter(
         document,
         &keys::REQUEST_TIMEOUT,
         &keys::LEDGER_RETENTION,
@@ -70,18 +70,18 @@
 }
 
 fn check_control(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    // With a lease that outlives the election timeout an old leader could still answer
-    // for the table after a new one has accepted changes.
-    shorter(document, &keys::LEASE, &keys::ELECTION_TIMEOUT, 1, problems);
+    // If the lease were longer than the election timeout, an old leader could still answer
+    // reads of the table after a new leader has accepted changes.
+    check_shorter(document, &keys::LEASE, &keys::ELECTION_TIMEOUT, 1, problems);
     let heartbeat = &keys::HEARTBEAT;
-    shorter(
+    check_shorter(
         document,
         heartbeat,
         &keys::ELECTION_TIMEOUT,
         HEARTBEATS_PER_TIMEOUT,
         problems,
     );
-    shorter(
+    check_shorter(
         document,
         heartbeat,
         &keys::LEASE,
@@ -91,8 +91,8 @@
     check_replica_count(document, problems);
 }
 
-/// Demands that `times` of one duration are shorter than another.
-fn shorter(
+/// Requires that `times` times the duration of `key` is less than that of `than`.
+fn check_shorter(
     document: &Document<'_>,
     key: &Key<Duration>,
     than: &Key<Duration>,
@@ -123,7 +123,7 @@
 }
 
 fn check_replica_count(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut others = document.labelled(keys::REPLICA_PEER.section);
+    let mut others = document.labelled_sections(keys::REPLICA_PEER.section);
     if let Some(section) = others.nth(MAX_REPLICAS - 1) {
         problems.push(Problem {
             line: section.line,
@@ -135,19 +135,19 @@
     }
 }
 
-/// Names are identities: of two processes or endpoints of one name, one would be taken
-/// for the other restarted.
+/// Names are identities: a second process or endpoint of the same name would be mistaken for
+/// the first one after a restart.
 fn check_names(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut taken = BTreeMap::new();
+    let mut first_uses = BTreeMap::new();
     if let Some(own) = document.get(&keys::NAME) {
-        taken.insert(own.as_str().to_owned(), document.line(&keys::NAME));
+        first_uses.insert(own.as_str().to_owned(), document.line(&keys::NAME));
     }
     let named = [keys::REPLICA_PEER.section, keys::ENDPOINT_ADDRESS.section];
     for section in &document.sections {
         let (Some(label), true) = (section.label, named.contains(&section.name)) else {
             continue;
         };
-        let Some(first) = taken.insert(label.to_owned(), section.line) else {
+        let Some(first) = first_uses.insert(label.to_owned(), section.line) else {
             continue;
         };
         problems.push(Problem {
@@ -160,37 +160,40 @@
     }
 }
 
-/// An address in the file, and where.
-struct Place {
+/// An address and its position in the file.
+struct AddressUse {
     addr: SocketAddr,
     line: u32,
     section: String,
     key: &'static str,
 }
 
-/// An address stands for one socket of one process. A replica that is given its own
-/// address, say, would count its own vote twice.
+/// Each address must belong to one socket of one process. For example, a replica that has
+/// its own address as that of another replica would count its own vote twice.
 fn check_addresses(document: &Document<'_>, problems: &mut Vec<Problem>) {
-    let mut places = Vec::new();
-    own_places(document, &mut places);
-    labelled_places(document, &keys::REPLICA_PEER, &mut places);
-    labelled_places(document, &keys::ENDPOINT_ADDRESS, &mut places);
+    let mut uses = Vec::new();
+    own_uses(document, &mut uses);
+    labelled_uses(document, &keys::REPLICA_PEER, &mut uses);
+    labelled_uses(document, &keys::ENDPOINT_ADDRESS, &mut uses);
     let seeds = document
         .get(&keys::SEEDS)
         .map_or(Vec::new(), |seeds| seeds.0);
     for addr in seeds {
-        places.push(place(document, &keys::SEEDS, addr));
+        uses.push(address_use(document, &keys::SEEDS, addr));
     }
-    let mut taken: Vec<&Place> = Vec::new();
-    for place in &places {
-        match taken.iter().find(|other| clash(place, other)) {
-            Some(first) => problems.push(second_time(place, first)),
-            None => taken.push(place),
+    let mut first_uses: Vec<&AddressUse> = Vec::new();
+    for address_use in &uses {
+        match first_uses
+            .iter()
+            .find(|other| conflicts(address_use, other))
+        {
+            Some(first) => problems.push(duplicate_address(address_use, first)),
+            None => first_uses.push(address_use),
         }
     }
 }
 
-fn own_places(document: &Document<'_>, places: &mut Vec<Place>) {
+fn own_uses(document: &Document<'_>, uses: &mut Vec<AddressUse>) {
     let listen = [
         &keys::CALLERS_LISTEN,
         &keys::PEERS_LISTEN,
@@ -199,7 +202,7 @@
     ];
     for key in listen {
         if let Some(ListenAddr(addr)) = document.get(key) {
-            places.push(place(document, key, addr));
+            uses.push(address_use(document, key, addr));
         }
     }
     let advertise = [
@@ -209,15 +212,15 @@
     ];
     for key in advertise {
         if let Some(TargetAddr(addr)) = document.get(key) {
-            places.push(place(document, key, addr));
+            uses.push(address_use(document, key, addr));
         }
     }
 }
 
-fn labelled_places(document: &Document<'_>, key: &Key<TargetAddr>, places: &mut Vec<Place>) {
-    for section in document.labelled(key.section) {
+fn labelled_uses(document: &Document<'_>, key: &Key<TargetAddr>, uses: &mut Vec<AddressUse>) {
+    for section in document.labelled_sections(key.section) {
         if let Some(TargetAddr(addr)) = section.get(key) {
-            places.push(Place {
+            uses.push(AddressUse {
                 addr,
                 line: section.property(key.name).map_or(section.line, |p| p.line),
                 section: section.header.to_owned(),
@@ -227,8 +230,8 @@
     }
 }
 
-fn place<T: Value>(document: &Document<'_>, key: &Key<T>, addr: SocketAddr) -> Place {
-    Place {
+fn address_use<T: Value>(document: &Document<'_>, key: &Key<T>, addr: SocketAddr) -> AddressUse {
+    AddressUse {
         addr,
         line: document.line(key),
         section: key.section.to_owned(),
@@ -236,18 +239,19 @@
     }
 }
 
-fn clash(one: &Place, other: &Place) -> bool {
-    // Port 0 is a different port each time, and a socket may be advertised as it listens.
+fn conflicts(one: &AddressUse, other: &AddressUse) -> bool {
+    // Port 0 is a different port each time, and an advertised address may equal the
+    // listening one.
     let same_socket = one.section == other.section && one.key != other.key;
     one.addr == other.addr && one.addr.port() != 0 && !same_socket
 }
 
-fn second_time(place: &Place, first: &Place) -> Problem {
+fn duplicate_address(address_use: &AddressUse, first: &AddressUse) -> Problem {
     Problem {
-        line: place.line,
-        section: place.section.clone(),
-        key: place.key.to_owned(),
-        found: format!("`{}` a second time", place.addr),
+        line: address_use.line,
+        section: address_use.section.clone(),
+        key: address_use.key.to_owned(),
+        found: format!("`{}` a second time", address_use.addr),
         allowed: format!(
             "an address of its own; the first is [{}] {} in line {}",
             first.section, first.key, first.line
@@ -256,8 +260,8 @@
     }
 }
 
-/// A process that listens on every address of its VM can't guess which of them others
-/// reach.
+/// A process that listens on all addresses of its VM can't determine which of them other
+/// processes can reach, so it needs an advertised address.
 fn check_advertised(
     document: &Document<'_>,
     listen: &Key<ListenAddr>,
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,4 @@
-//! Judges a document by the declarations, one section and one key at a time.
+//! Checks a document against the declarations, one section and one key at a time.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,27 @@
 
 use crate::Problem;
 use crate::document::{Document, Property, Section};
-use crate::key::{Absent, Declared, Key, SectionSpec};
+use crate::key::{Absent, AnyKey, Key, SectionSpec};
 use crate::keys::{ROLE, SECTIONS};
 use crate::value::{Role, Value};
 
 impl<'a> Document<'a> {
-    /// The first section of that name, which is the only one unless it has a label.
+    /// The first section of that name. Only sections with a label may occur repeatedly.
     pub(crate) fn section(&self, name: &str) -> Option<&Section<'a>> {
         self.sections.iter().find(|section| section.name == name)
     }
 
-    /// Sections that may be there more than once.
-    pub(crate) fn labelled(&self, name: &'static str) -> impl Iterator<Item = &Section<'a>> {
-        let mine = move |section: &&Section<'a>| section.name == name && section.label.is_some();
-        self.sections.iter().filter(mine)
+    /// All sections of that name that have a label.
+    pub(crate) fn labelled_sections(
+        &self,
+        name: &'static str,
+    ) -> impl Iterator<Item = &Section<'a>> {
+        let matches = move |section: &&Section<'a>| section.name == name && section.label.is_some();
+        self.sections.iter().filter(matches)
     }
 
-    /// A key's value in a section that is there once; its default if it is absent.
+    /// The value of a key in a section without a label. An absent key has its default;
+    /// `None` if it has none, or if the value is invalid.
     pub(crate) fn get<T: Value>(&self, key: &Key<T>) -> Option<T> {
         match self.section(key.section) {
             Some(section) => section.get(key),
@@ -31,7 +35,7 @@
         }
     }
 
-    /// Line of a key, or of its section, or 0.
+    /// Line of a key; that of its section if the key is absent, 0 if both are.
     pub(crate) fn line<T>(&self, key: &Key<T>) -> u32 {
         let Some(section) = self.section(key.section) else {
             return 0;
@@ -41,14 +45,15 @@
             .map_or(section.line, |property| property.line)
     }
 
-    /// Which program the file is for.
+    /// The program that the file is for; `None` if it is missing or invalid.
     pub(crate) fn role(&self) -> Option<Role> {
         self.get(&ROLE)
     }
 }
 
 impl Section<'_> {
-    /// A key's value; its default if it is absent, `None` if it is no valid one.
+    /// The value of a key. An absent key has its default; `None` if it has none, or if the
+    /// value is invalid.
     pub(crate) fn get<T: Value>(&self, key: &Key<T>) -> Option<T> {
         match self.property(key.name) {
             Some(property) => key.parse(property.value),
@@ -64,20 +69,20 @@
     }
 }
 
-/// Adds a problem for each section and key that breaks its declaration.
+/// Adds a problem for each section and key that violates its declaration.
 pub(crate) fn check(document: &Document<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
     let mut seen = BTreeMap::new();
     for section in &document.sections {
         let first = seen.insert((section.name, section.label), section.line);
-        problems.extend(first.map(|first| second_section(section, first)));
+        problems.extend(first.map(|first| duplicate_section(section, first)));
         check_section(section, role, problems);
-        // A second section's missing keys stand in the first one, as a rule.
+        // The keys missing in a duplicate section are usually in the first one.
         if first.is_none() {
             check_missing_keys(section, role, problems);
         }
     }
     let Some(role) = role else {
-        // Which sections are missing depends on the program; the missing role is shown.
+        // Which sections are required depends on the role, so report only the missing role.
         check_missing_role(document, problems);
         return;
     };
@@ -86,7 +91,7 @@
     }
 }
 
-fn second_section(section: &Section<'_>, first: u32) -> Problem {
+fn duplicate_section(section: &Section<'_>, first: u32) -> Problem {
     Problem {
         line: section.line,
         section: section.header.to_owned(),
@@ -97,7 +102,7 @@
 }
 
 fn check_section(section: &Section<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
-    let Some(spec) = find(section) else {
+    let Some(spec) = find_spec(section) else {
         problems.push(unknown_section(section));
         return;
     };
@@ -128,7 +133,7 @@
     check_keys(section, spec, role, problems);
 }
 
-fn find(section: &Section<'_>) -> Option<&'static SectionSpec> {
+fn find_spec(section: &Section<'_>) -> Option<&'static SectionSpec> {
     SECTIONS
         .iter()
         .find(|spec| spec.name == section.name && spec.label.is_some() == section.label.is_some())
@@ -145,7 +150,7 @@
         if let Some(first) = seen.insert(property.key, property.line) {
             let found = "the key a second time".to_owned();
             let allowed = format!("once; the first is in line {first}");
-            problems.push(at(section, property, found, allowed));
+            problems.push(problem_at(section, property, found, allowed));
             continue;
         }
         match spec.keys.iter().find(|key| key.name() == property.key) {
@@ -161,13 +166,13 @@
 fn check_value(
     section: &Section<'_>,
     property: &Property<'_>,
-    key: &dyn Declared,
+    key: &dyn AnyKey,
 ) -> Option<Problem> {
     if key.accepts(property.value) {
         return None;
     }
     let found = format!("`{}`", property.value);
-    let mut problem = at(section, property, found, key.allowed());
+    let mut problem = problem_at(section, property, found, key.allowed());
     problem.close = closest(property.value, key.choices().iter().copied());
     Some(problem)
 }
@@ -175,7 +180,7 @@
 fn check_key_role(
     section: &Section<'_>,
     property: &Property<'_>,
-    key: &dyn Declared,
+    key: &dyn AnyKey,
     role: Option<Role>,
 ) -> Option<Problem> {
     let (Absent::Unset(roles), Some(role)) = (key.absent(), role) else {
@@ -186,23 +191,23 @@
     }
     let found = format!("the key in a file of role `{}`", role.as_str());
     let allowed = format!("the key in files of role {}", roles.as_str());
-    Some(at(section, property, found, allowed))
+    Some(problem_at(section, property, found, allowed))
 }
 
 fn unknown_key(section: &Section<'_>, property: &Property<'_>, spec: &SectionSpec) -> Problem {
     let names: Vec<_> = spec.keys.iter().map(|key| key.name()).collect();
     let found = "an unknown key".to_owned();
     let mut allowed = names.join(", ");
-    if let Some(home) = home_of(property.key) {
-        allowed = format!("{allowed}; `{}` belongs to {home}", property.key);
+    if let Some(owner) = section_of_key(property.key) {
+        allowed = format!("{allowed}; `{}` belongs to {owner}", property.key);
     }
-    let mut problem = at(section, property, found, allowed);
+    let mut problem = problem_at(section, property, found, allowed);
     problem.close = closest(property.key, names.iter().copied());
     problem
 }
 
-/// Header of the section that a key of another section belongs to.
-fn home_of(key: &str) -> Option<String> {
+/// Header of the section that declares a key.
+fn section_of_key(key: &str) -> Option<String> {
     let has = |spec: &&SectionSpec| spec.keys.iter().any(|known| known.name() == key);
     SECTIONS.iter().find(has).map(SectionSpec::header)
 }
@@ -215,14 +220,14 @@
         section: section.header.to_owned(),
         found: "an unknown section".to_owned(),
         allowed: headers.join(", "),
-        // A name that is right but for its label is shown by the list of headers.
+        // If only the label is wrong, the list of headers already shows the right form.
         close: closest(section.name, names).filter(|close| *close != section.name),
         ..Problem::default()
     }
 }
 
 fn check_missing_keys(section: &Section<'_>, role: Option<Role>, problems: &mut Vec<Problem>) {
-    let (Some(spec), Some(role)) = (find(section), role) else {
+    let (Some(spec), Some(role)) = (find_spec(section), role) else {
         return;
     };
     if !spec.roles.contain(role) {
@@ -230,7 +235,7 @@
     }
     for key in spec.keys {
         if is_required(*key, role) && section.property(key.name()).is_none() {
-            problems.push(missing(section.line, section.header, *key));
+            problems.push(missing_key(section.line, section.header, *key));
         }
     }
 }
@@ -246,7 +251,7 @@
     }
     for key in spec.keys {
         if is_required(*key, role) {
-            problems.push(missing(0, spec.name, *key));
+            problems.push(missing_key(0, spec.name, *key));
         }
     }
 }
@@ -256,18 +261,18 @@
     let present = section.is_some_and(|section| section.property(ROLE.name).is_some());
     if !present {
         let line = section.map_or(0, |section| section.line);
-        problems.push(missing(line, ROLE.section, &ROLE));
+        problems.push(missing_key(line, ROLE.section, &ROLE));
     }
 }
 
-fn is_required(key: &dyn Declared, role: Role) -> bool {
+fn is_required(key: &dyn AnyKey, role: Role) -> bool {
     match key.absent() {
         Absent::Error(roles) => roles.contain(role),
         Absent::Unset(_) | Absent::Default(_) => false,
     }
 }
 
-fn missing(line: u32, section: &str, key: &dyn Declared) -> Problem {
+fn missing_key(line: u32, section: &str, key: &dyn AnyKey) -> Problem {
     Problem {
         line,
         section: section.to_owned(),
@@ -278,7 +283,12 @@
     }
 }
 
-fn at(section: &Section<'_>, property: &Property<'_>, found: String, allowed: String) -> Problem {
+fn problem_at(
+    section: &Section<'_>,
+    property: &Property<'_>,
+    found: String,
+    allowed: String,
+) -> Problem {
     Problem {
         line: property.line,
         section: section.header.to_owned(),
@@ -289,14 +299,13 @@
     }
 }
 
-/// The known word nearest to `text`, if a few slips of the keyboard explain the
-/// difference.
+/// The known word closest to `text`, if they differ by a few typing errors at most.
 fn closest(text: &str, known: impl Iterator<Item = &'static str>) -> Option<String> {
-    let slips = (text.len() / 3).clamp(1, 3);
+    let max_distance = (text.len() / 3).clamp(1, 3);
     let distance = |word: &str| damerau_levenshtein(&text.to_ascii_lowercase(), word);
     known
         .map(|word| (distance(word), word))
-        .filter(|(distance, _)| *distance <= slips)
+        .filter(|(distance, _)| *distance <= max_distance)
         .min()
         .map(|(_, word)| word.to_owned())
 }
