--- a/src/bin/gateway.rs
+++ b/src/bin/gateway.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use filberthead::gateway;
-use filberthead_adapter::dialect::dialect;
+use filberthead_adapter::protocol::dialect;
 use filberthead_cli::daemon::{self, Failure};
 use filberthead_settings::GatewaySettings;
 
