--- a/src/bin/gateway.rs
+++ b/src/bin/gateway.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use filberthead::gateway;
-use filberthead_adapter::protocol::dialect;
+use filberthead_adapter::protocol::protocol_names;
 use filberthead_cli::daemon::{self, Failure};
 use filberthead_settings::GatewaySettings;
 
@@ -27,5 +27,5 @@
             Vec::new()
         }
     };
-    gateway::run(&cfg, dialect(), seeds).map_err(|e| Failure::Fault(e.into()))
+    gateway::run(&cfg, protocol_names(), seeds).map_err(|e| Failure::Fault(e.into()))
 }
