--- a/src/cli/table/mod.rs
+++ b/src/cli/table/mod.rs
@@ -1,10 +1,10 @@
 //! `filberthead table ...`.
 
+mod csv;
 mod handover;
 mod history;
 mod proposal;
 mod set;
-mod sheet;
 mod show;
 
 use std::collections::BTreeSet;
@@ -24,8 +24,8 @@
     let command = args.word("a command; see `filberthead help table`")?;
     match command.as_str() {
         "show" => show::run(session, args).await,
-        "export" => sheet::export(session, args).await,
-        "diff" => sheet::diff(session, args).await,
+        "export" => csv::export(session, args).await,
+        "diff" => csv::diff(session, args).await,
         "propose" => proposal::propose(session, args).await,
         "review" => proposal::review(session, args).await,
         "accept" => proposal::accept(session, args).await,
--- a/src/cli/table/proposal.rs
+++ b/src/cli/table/proposal.rs
@@ -7,7 +7,7 @@
 use filberthead_table::{ProposalNumber, RowKey, Verdict};
 
 use super::set::RowEdit;
-use super::{allow, needed_note, number, sheet};
+use super::{allow, csv, needed_note, number};
 use crate::cli::args::Args;
 use crate::cli::error::{self, CliError, Exit, Result};
 use crate::cli::session::{Session, Then};
@@ -42,7 +42,7 @@
     let make = async |id| {
         let table: TableBody = session.look("/v1/table").await?;
         let (edits, supersedes) = match source {
-            Source::Sheet(path) => (sheet::edits(&path, &table)?, supersedes),
+            Source::Sheet(path) => (csv::edits(&path, &table)?, supersedes),
             Source::Row(edit) => (vec![edit.resolve(&table)?], supersedes),
             Source::Rebase(number) => {
                 let edits = rebase(session, number, &table).await?;
