--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -15,7 +15,7 @@
 ];
 
 /// Options with a value.
-const VALUES: &[&str] = &[
+const VALUE_OPTIONS: &[&str] = &[
     "allow",
     "as",
     "before",
@@ -36,15 +36,15 @@
     "weight",
 ];
 
-/// A misspelt word is answered with a known one from this likeness on.
-const LIKENESS: f64 = 0.7;
+/// A misspelt word is answered with a known one from this similarity on.
+const MIN_SIMILARITY: f64 = 0.7;
 
 /// What is left of a command line. Each command takes what is its own; what remains at
 /// [`Args::finish`] doesn't belong there and is an error, so that no option is ever
 /// passed over in silence.
 #[derive(Debug, Default)]
 pub(super) struct Args {
-    words: VecDeque<String>,
+    positionals: VecDeque<String>,
     options: Vec<(&'static str, String)>,
 }
 
@@ -54,7 +54,7 @@
         let mut parser = lexopt::Parser::from_args(words);
         while let Some(arg) = parser.next().map_err(usage)? {
             match arg {
-                Arg::Value(word) => args.words.push_back(word.string().map_err(usage)?),
+                Arg::Value(word) => args.positionals.push_back(word.string().map_err(usage)?),
                 Arg::Short('h') => args.options.push(("help", String::new())),
                 Arg::Short('V') => args.options.push(("version", String::new())),
                 Arg::Short(c) => return Err(CliError::usage(format!("there is no option -{c}"))),
@@ -62,12 +62,14 @@
                     let name = name.to_owned();
                     if let Some(flag) = FLAGS.iter().find(|flag| **flag == name) {
                         args.options.push((flag, String::new()));
-                    } else if let Some(option) = VALUES.iter().find(|option| **option == name) {
+                    } else if let Some(option) =
+                        VALUE_OPTIONS.iter().find(|option| **option == name)
+                    {
                         let value = parser.value().and_then(|value| value.string());
                         args.options.push((option, value.map_err(usage)?));
                     } else {
-                        let known = [FLAGS, VALUES].concat();
-                        return Err(unknown("option", &format!("--{name}"), &known));
+                        let known = [FLAGS, VALUE_OPTIONS].concat();
+                        return Err(unknown_name("option", &format!("--{name}"), &known));
                     }
                 }
             }
@@ -76,36 +78,36 @@
     }
 
     /// The next word, which is needed.
-    pub(super) fn word(&mut self, what: &str) -> Result<String> {
-        let word = self.words.pop_front();
+    pub(super) fn positional(&mut self, what: &str) -> Result<String> {
+        let word = self.positionals.pop_front();
         word.ok_or_else(|| CliError::usage(format!("here goes {what}")))
     }
 
     /// The next word, if there is one.
-    pub(super) fn maybe_word(&mut self) -> Option<String> {
-        self.words.pop_front()
+    pub(super) fn optional_positional(&mut self) -> Option<String> {
+        self.positionals.pop_front()
     }
 
     /// The next word, read as what it has to be.
-    pub(super) fn parsed_word<T: FromStr<Err: Display>>(&mut self, what: &str) -> Result<T> {
-        let word = self.word(what)?;
+    pub(super) fn parse_positional<T: FromStr<Err: Display>>(&mut self, what: &str) -> Result<T> {
+        let word = self.positional(what)?;
         word.parse()
             .map_err(|e| CliError::usage(format!("{what}: `{word}`: {e}")))
     }
 
     pub(super) fn flag(&mut self, name: &str) -> bool {
-        !self.many(name).is_empty()
+        !self.option_values(name).is_empty()
     }
 
     /// Every value of an option, in the order of the command line.
-    pub(super) fn many(&mut self, name: &str) -> Vec<String> {
-        let taken = self.options.extract_if(.., |(option, _)| *option == name);
-        taken.map(|(_, value)| value).collect()
+    pub(super) fn option_values(&mut self, name: &str) -> Vec<String> {
+        let matching = self.options.extract_if(.., |(option, _)| *option == name);
+        matching.map(|(_, value)| value).collect()
     }
 
     /// The value of an option that may be given once.
-    pub(super) fn one(&mut self, name: &str) -> Result<Option<String>> {
-        let mut values = self.many(name);
+    pub(super) fn option(&mut self, name: &str) -> Result<Option<String>> {
+        let mut values = self.option_values(name);
         if values.len() > 1 {
             return Err(CliError::usage(format!("--{name} is given twice")));
         }
@@ -113,8 +115,11 @@
     }
 
     /// The value of an option that may be given once, read as what it has to be.
-    pub(super) fn parsed<T: FromStr<Err: Display>>(&mut self, name: &str) -> Result<Option<T>> {
-        let Some(value) = self.one(name)? else {
+    pub(super) fn parse_option<T: FromStr<Err: Display>>(
+        &mut self,
+        name: &str,
+    ) -> Result<Option<T>> {
+        let Some(value) = self.option(name)? else {
             return Ok(None);
         };
         let parsed = value
@@ -129,7 +134,7 @@
             let message = format!("--{option} doesn't go with this command");
             return Err(CliError::usage(message));
         }
-        match self.words.front() {
+        match self.positionals.front() {
             None => Ok(()),
             Some(word) => Err(CliError::usage(format!("`{word}` is one word too many"))),
         }
@@ -141,16 +146,16 @@
 }
 
 /// The error for a word that is none of the known ones, with the likeliest of them.
-pub(super) fn unknown(what: &str, word: &str, known: &[&str]) -> CliError {
+pub(super) fn unknown_name(what: &str, word: &str, known: &[&str]) -> CliError {
     let bare = word.trim_start_matches('-');
     let dashes = &word[..word.len() - bare.len()];
-    let likeness = |name: &&&str| strsim::jaro_winkler(name, bare);
-    let close = known
+    let similarity = |name: &&&str| strsim::jaro_winkler(name, bare);
+    let closest = known
         .iter()
-        .max_by(|a, b| likeness(a).total_cmp(&likeness(b)))
-        .filter(|name| likeness(name) >= LIKENESS);
-    let hint = close.map_or_else(String::new, |close| {
-        format!("; did you mean `{dashes}{close}`?")
+        .max_by(|a, b| similarity(a).total_cmp(&similarity(b)))
+        .filter(|name| similarity(name) >= MIN_SIMILARITY);
+    let hint = closest.map_or_else(String::new, |closest| {
+        format!("; did you mean `{dashes}{closest}`?")
     });
     CliError::usage(format!("there is no {what} `{word}`{hint}"))
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -9,7 +9,7 @@
 use super::text;
 
 pub(super) fn run(mut args: Args, json: bool) -> Result<Exit> {
-    let file = args.word("the settings file")?;
+    let file = args.positional("the settings file")?;
     args.finish()?;
     let problems = filberthead_settings::check(Path::new(&file));
     if json {
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -12,7 +12,7 @@
 const COMMANDS: &[&str] = &["add", "init", "promote", "remove", "replace"];
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
-    let command = args.word("a command; see `filberthead help control`")?;
+    let command = args.positional("a command; see `filberthead help control`")?;
     match command.as_str() {
         "init" => {
             args.finish()?;
@@ -22,44 +22,44 @@
             let addr = new_addr(&mut args)?;
             args.finish()?;
             let answer = add(session, addr).await?;
-            done(session, &answer)
+            show_answer(session, &answer)
         }
         "promote" => {
-            let name = args.word("the replica's name or id")?;
+            let name = args.positional("the replica's name or id")?;
             args.finish()?;
-            let id = resolve(session, &name, None).await?;
+            let id = find_replica(session, &name, None).await?;
             let answer = post(session, "/v1/control/promote", id).await?;
-            done(session, &answer)
+            show_answer(session, &answer)
         }
         "remove" => {
-            let name = args.word("the replica's name or id")?;
+            let name = args.positional("the replica's name or id")?;
             args.finish()?;
-            let id = resolve(session, &name, None).await?;
+            let id = find_replica(session, &name, None).await?;
             let answer = post(session, "/v1/control/remove", id).await?;
-            done(session, &answer)
+            show_answer(session, &answer)
         }
         "replace" => {
-            let name = args.word("the old replica's name or id")?;
+            let name = args.positional("the old replica's name or id")?;
             let addr = new_addr(&mut args)?;
             args.finish()?;
             replace(session, &name, addr).await
         }
-        other => Err(args::unknown("command", other, COMMANDS)),
+        other => Err(args::unknown_name("command", other, COMMANDS)),
     }
 }
 
 fn new_addr(args: &mut Args) -> Result<SocketAddr> {
-    args.parsed_word("the new replica's operators' address, IP:PORT")
+    args.parse_positional("the new replica's operators' address, IP:PORT")
 }
 
-fn done(session: &Session, answer: &Answer) -> Result<Exit> {
+fn show_answer(session: &Session, answer: &Answer) -> Result<Exit> {
     session.show(answer, || format!("{}\n", answer.message));
     Ok(Exit::Done)
 }
 
-fn draw_id(session: &Session) -> ChangeId {
+fn change_id_or_random(session: &Session) -> ChangeId {
     session
-        .given_id()
+        .change_id()
         .unwrap_or_else(|| ChangeId(rand::random()))
 }
 
@@ -68,20 +68,20 @@
         let message = "name the first replica, and no other, by --control";
         return Err(CliError::usage(message));
     };
-    let status: Status = session.look_at(*addr, "/v1/status").await?;
+    let status: Status = session.get_from(*addr, "/v1/status").await?;
     let answer = post(session, "/v1/control/initialise", status.replica).await?;
-    done(session, &answer)
+    show_answer(session, &answer)
 }
 
 async fn post(session: &Session, path: &str, replica: ReplicaId) -> Result<Answer> {
-    let id = draw_id(session);
+    let id = change_id_or_random(session);
     session.send(path, id, &ReplicaBody { id, replica }).await
 }
 
 /// Adds the replica at an address, under the identity that it names itself.
 async fn add(session: &Session, addr: SocketAddr) -> Result<Answer> {
-    let status: Status = session.look_at(addr, "/v1/status").await?;
-    let id = draw_id(session);
+    let status: Status = session.get_from(addr, "/v1/status").await?;
+    let id = change_id_or_random(session);
     let body = AddReplicaBody {
         id,
         replica: status.replica,
@@ -94,8 +94,12 @@
 
 /// Finds a replica of the group by name or id. `not` is the one that takes its place,
 /// which has the same name if a VM came back with an empty disk.
-async fn resolve(session: &Session, word: &str, not: Option<ReplicaId>) -> Result<ReplicaId> {
-    let status: Status = session.look("/v1/status?leader").await?;
+async fn find_replica(
+    session: &Session,
+    word: &str,
+    excluded: Option<ReplicaId>,
+) -> Result<ReplicaId> {
+    let status: Status = session.get_from_leader("/v1/status?leader").await?;
     let named = |replica: &&ReplicaStatus| {
         let name = replica.name.as_ref().map(ToString::to_string);
         name.as_deref() == Some(word) || replica.id.to_string() == word
@@ -103,7 +107,7 @@
     let members = status.replicas.iter().filter(named);
     let found: Vec<_> = members
         .map(|replica| replica.id)
-        .filter(|id| Some(*id) != not)
+        .filter(|id| Some(*id) != excluded)
         .collect();
     match *found.as_slice() {
         [id] => Ok(id),
@@ -119,28 +123,28 @@
 
 /// Each step counts as done if it is, so that the whole may be run again.
 async fn replace(session: &Session, old: &str, addr: SocketAddr) -> Result<Exit> {
-    let status: Status = session.look_at(addr, "/v1/status").await?;
+    let status: Status = session.get_from(addr, "/v1/status").await?;
     let new = status.replica;
-    let old = resolve(session, old, Some(new)).await?;
+    let old = find_replica(session, old, Some(new)).await?;
     add(session, addr).await?;
     progress(session, &format!("{new} receives the log"));
     // The client asks again for as long as the replica is behind and time is left.
     post(session, "/v1/control/promote", new)
         .await
-        .map_err(still_behind)?;
+        .map_err(explain_learner_behind)?;
     progress(session, &format!("{new} votes"));
     let answer = post(session, "/v1/control/remove", old).await?;
     progress(session, &format!("{old} is removed"));
-    done(session, &answer)
+    show_answer(session, &answer)
 }
 
 fn progress(session: &Session, text: &str) {
     if !session.json() {
-        session.tell(text);
+        session.print_progress(text);
     }
 }
 
-fn still_behind(e: CliError) -> CliError {
+fn explain_learner_behind(e: CliError) -> CliError {
     match e {
         CliError::Client {
             error: filberthead_operator::ClientError::Unreachable { last },
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -40,7 +40,7 @@
     /// The command line can't be used.
     Usage(String),
     /// A sheet has bad lines.
-    Sheet { file: String, error: SheetError },
+    Csv { file: String, error: SheetError },
     /// The API refuses.
     Refused(Box<Answer>),
     /// There is no answer.
@@ -61,13 +61,13 @@
         Self::Fault(message.into())
     }
 
-    pub(super) fn looking(error: ClientError) -> Self {
+    pub(super) fn from_read(error: ClientError) -> Self {
         Self::Client { id: None, error }
     }
 
     fn exit(&self) -> Exit {
         match self {
-            Self::Usage(_) | Self::Sheet { .. } | Self::Fault(_) => Exit::Usage,
+            Self::Usage(_) | Self::Csv { .. } | Self::Fault(_) => Exit::Usage,
             Self::Refused(_) => Exit::Refused,
             Self::Client { error, .. } => match error {
                 ClientError::OutcomeUnknown { .. } => Exit::Unknown,
@@ -84,14 +84,14 @@
     fn message(&self) -> String {
         match self {
             Self::Usage(message) | Self::Fault(message) => message.clone(),
-            Self::Sheet { file, error } => {
+            Self::Csv { file, error } => {
                 let faults = error.faults.iter();
                 let lines: Vec<_> = faults
                     .map(|(line, fault)| format!("{file}:{line}: {fault}"))
                     .collect();
                 lines.join("\n")
             }
-            Self::Refused(answer) => explain(answer),
+            Self::Refused(answer) => describe_refusal(answer),
             Self::Client { id, error } => match (id, error) {
                 (Some(id), ClientError::OutcomeUnknown { last }) => format!(
                     "the outcome is not known ({last})\n\
@@ -111,9 +111,9 @@
 }
 
 /// A refusal in words, with both sides of each conflict and the way on.
-fn explain(answer: &Answer) -> String {
+fn describe_refusal(answer: &Answer) -> String {
     let mut lines = vec![format!("{} ({})", answer.message, answer.code)];
-    lines.extend(answer.conflicts.iter().map(explain_conflict));
+    lines.extend(answer.conflicts.iter().map(describe_conflict));
     for finding in &answer.findings {
         let allow = format!("  to do it all the same: --allow {}", finding.danger);
         lines.push(allow);
@@ -143,7 +143,7 @@
 }
 
 /// Both sides of a conflict.
-pub(super) fn explain_conflict(conflict: &ConflictBody) -> String {
+pub(super) fn describe_conflict(conflict: &ConflictBody) -> String {
     let ConflictBody {
         service,
         region,
@@ -165,7 +165,7 @@
 }
 
 /// Prints why a command was not done, and gives the exit code that goes with it.
-pub(super) fn report(error: &CliError, json: bool) -> Exit {
+pub(super) fn report_error(error: &CliError, json: bool) -> Exit {
     let exit = error.exit();
     if !json {
         eprintln!("filberthead: {}", error.message());
@@ -176,7 +176,7 @@
         CliError::Client { id, .. } => {
             json!({ "exit": exit as u8, "message": error.message(), "id": id })
         }
-        CliError::Sheet { error, .. } => {
+        CliError::Csv { error, .. } => {
             let fault = |(line, fault): &(u64, String)| json!({ "line": line, "fault": fault });
             let faults: Vec<_> = error.faults.iter().map(fault).collect();
             json!({ "exit": exit as u8, "message": error.to_string(), "faults": faults })
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -9,33 +9,36 @@
 use super::error::{CliError, Exit, Result};
 use super::text;
 
-pub(super) fn run(mut args: Args, as_json: bool) -> Result<Exit> {
-    let id = args.word("the request's id")?;
+pub(super) fn run(mut args: Args, json_output: bool) -> Result<Exit> {
+    let id = args.positional("the request's id")?;
     let mut files = Vec::new();
-    while let Some(file) = args.maybe_word() {
+    while let Some(file) = args.optional_positional() {
         files.push(file);
     }
     args.finish()?;
     let logs = if files.is_empty() {
         vec![standard_input()?]
     } else {
-        files.iter().map(|file| read(file)).collect::<Result<_>>()?
+        files
+            .iter()
+            .map(|file| read_file(file))
+            .collect::<Result<_>>()?
     };
-    let story = Story::of(&id, logs.iter().flat_map(|log| log.lines()));
-    let found = !story.events.is_empty();
-    if as_json {
-        let (beliefs, events) = (list(&story.beliefs), list(&story.events));
+    let trace = Story::of(&id, logs.iter().flat_map(|log| log.lines()));
+    let found = !trace.events.is_empty();
+    if json_output {
+        let (states, events) = (events_json(&trace.beliefs), events_json(&trace.events));
         text::print(&format!(
             "{:#}\n",
-            json!({ "beliefs": beliefs, "events": events })
+            json!({ "beliefs": states, "events": events })
         ));
     } else {
-        text::print(&page(&id, &story));
+        text::print(&render(&id, &trace));
     }
     Ok(if found { Exit::Done } else { Exit::Refused })
 }
 
-fn read(file: &str) -> Result<String> {
+fn read_file(file: &str) -> Result<String> {
     let bytes = std::fs::read(file).map_err(|e| CliError::usage(format!("{file}: {e}")))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
@@ -47,7 +50,7 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn list(events: &[Event]) -> Vec<serde_json::Value> {
+fn events_json(events: &[Event]) -> Vec<serde_json::Value> {
     let object = |event: &Event| {
         let fields = event.fields.iter();
         let fields = fields.map(|(key, value)| (key.clone(), value.clone().into()));
@@ -61,21 +64,21 @@
     events.iter().map(object).collect()
 }
 
-fn page(id: &str, story: &Story) -> String {
-    if story.events.is_empty() {
+fn render(id: &str, trace: &Story) -> String {
+    if trace.events.is_empty() {
         return format!(
             "no line names {id}: it was served at once, or never reached a process whose log \
              this is\n"
         );
     }
     let mut page = format!("request {id}\n");
-    for event in &story.events {
+    for event in &trace.events {
         page.push_str(&format!("  {event}\n"));
     }
-    if !story.beliefs.is_empty() {
+    if !trace.beliefs.is_empty() {
         page.push_str("what the processes that it met believed before\n");
     }
-    for event in &story.beliefs {
+    for event in &trace.beliefs {
         page.push_str(&format!("  {event}\n"));
     }
     page
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -83,11 +83,11 @@
 ";
 
 pub(super) fn run(args: &mut Args) -> Result<Exit> {
-    let page = match args.maybe_word().as_deref() {
+    let page = match args.optional_positional().as_deref() {
         None | Some("help" | "status" | "report" | "check" | "explain" | "token") => GENERAL,
         Some("table") => TABLE,
         Some("control") => CONTROL,
-        Some(other) => return Err(args::unknown("command", other, COMMANDS)),
+        Some(other) => return Err(args::unknown_name("command", other, COMMANDS)),
     };
     text::print(page);
     Ok(Exit::Done)
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -30,12 +30,12 @@
 pub fn run(words: impl IntoIterator<Item = OsString> + 'static) -> ExitCode {
     let mut args = match Args::parse(words) {
         Ok(args) => args,
-        Err(e) => return error::report(&e, false).into(),
+        Err(e) => return error::report_error(&e, false).into(),
     };
     let json = args.flag("json");
     match dispatch(args, json) {
         Ok(exit) => exit.into(),
-        Err(e) => error::report(&e, json).into(),
+        Err(e) => error::report_error(&e, json).into(),
     }
 }
 
@@ -47,28 +47,31 @@
     if args.flag("help") {
         return help::run(&mut args);
     }
-    match args.word("a command; see `filberthead help`")?.as_str() {
+    match args
+        .positional("a command; see `filberthead help`")?
+        .as_str()
+    {
         "help" => help::run(&mut args),
         "check" => check::run(args, json),
         "explain" => explain::run(args, json),
         "token" => token::run(args, json),
         "report" => report(args, json),
         command @ ("table" | "status" | "control") => remote(command, args, json),
-        other => Err(args::unknown("command", other, help::COMMANDS)),
+        other => Err(args::unknown_name("command", other, help::COMMANDS)),
     }
 }
 
 /// The report is made here if a settings file is named, else by control replicas.
 fn report(mut args: Args, json: bool) -> Result<Exit> {
-    match args.maybe_word() {
-        Some(file) => report::of_file(args, json, &file),
+    match args.optional_positional() {
+        Some(file) => report::from_settings_file(args, json, &file),
         None => remote("report", args, json),
     }
 }
 
 /// Commands that talk to control replicas.
 fn remote(command: &str, mut args: Args, json: bool) -> Result<Exit> {
-    let session = Session::open(&mut args, json)?;
+    let session = Session::from_args(&mut args, json)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -77,7 +80,7 @@
         match command {
             "table" => table::run(&session, args).await,
             "status" => status::run(&session, args).await,
-            "report" => report::of_replicas(&session, args).await,
+            "report" => report::from_replicas(&session, args).await,
             _ => control::run(&session, args).await,
         }
     })
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -15,23 +15,23 @@
 const PATH: &str = "/v1/report";
 
 /// How the report is shown.
-struct Shape {
+struct Output {
     html: bool,
     json: bool,
     out: Option<String>,
 }
 
-impl Shape {
-    fn take(args: &mut Args, json: bool) -> Result<Self> {
-        let shape = Self {
+impl Output {
+    fn from_args(args: &mut Args, json: bool) -> Result<Self> {
+        let output = Self {
             html: args.flag("html"),
             json,
-            out: args.one("out")?,
+            out: args.option("out")?,
         };
-        if shape.html && shape.json {
+        if output.html && output.json {
             return Err(CliError::usage("--html or --json, not both"));
         }
-        Ok(shape)
+        Ok(output)
     }
 
     fn show(&self, report: &Report) -> Result<Exit> {
@@ -55,23 +55,27 @@
 }
 
 /// The report of the samples in a data folder of this machine, which needs no process.
-pub(super) fn of_file(mut args: Args, json: bool, file: &str) -> Result<Exit> {
-    let shape = Shape::take(&mut args, json)?;
+pub(super) fn from_settings_file(mut args: Args, json: bool, file: &str) -> Result<Exit> {
+    let output = Output::from_args(&mut args, json)?;
     args.finish()?;
     let cfg = ControlSettings::load(Path::new(file)).map_err(|e| CliError::usage(e.to_string()))?;
     let report = burn_report(&cfg).map_err(|e| CliError::usage(with_cause(&e)))?;
-    shape.show(&report)
+    output.show(&report)
 }
 
 /// The report of the control replica that has most samples.
-pub(super) async fn of_replicas(session: &Session, mut args: Args) -> Result<Exit> {
-    let shape = Shape::take(&mut args, session.json())?;
+pub(super) async fn from_replicas(session: &Session, mut args: Args) -> Result<Exit> {
+    let output = Output::from_args(&mut args, session.json())?;
     args.finish()?;
     let mut best: Option<Report> = None;
     let mut last = None;
     for addr in session.client().controls() {
-        match session.look_at::<Report>(addr.to_owned(), PATH).await {
-            Ok(report) if best.as_ref().is_none_or(|best| knows_more(&report, best)) => {
+        match session.get_from::<Report>(addr.to_owned(), PATH).await {
+            Ok(report)
+                if best
+                    .as_ref()
+                    .is_none_or(|best| is_more_complete(&report, best)) =>
+            {
                 best = Some(report);
             }
             Ok(_) => {}
@@ -79,19 +83,19 @@
         }
     }
     match (best, last) {
-        (Some(report), _) => shape.show(&report),
+        (Some(report), _) => output.show(&report),
         (None, Some(e)) => Err(e),
         (None, None) => Err(CliError::usage("no control replica is named")),
     }
 }
 
 /// A replica that was cut off or down has gaps that another one hasn't.
-fn knows_more(report: &Report, than: &Report) -> bool {
-    let known = |report: &Report| {
+fn is_more_complete(report: &Report, than: &Report) -> bool {
+    let coverage = |report: &Report| {
         let minutes = report.source.minutes.iter().max().copied();
         (minutes, report.source.entries)
     };
-    known(report) > known(than)
+    coverage(report) > coverage(than)
 }
 
 fn with_cause(error: &dyn std::error::Error) -> String {
--- a/src/cli/session.rs
+++ b/src/cli/session.rs
@@ -15,16 +15,16 @@
 use super::text;
 
 /// Names the control addresses if no option does, separated by commas.
-const CONTROL_VARIABLE: &str = "FILBERTHEAD_CONTROL";
+const CONTROL_ENV: &str = "FILBERTHEAD_CONTROL";
 
 /// Names the file of the bearer token if no option does.
-const TOKEN_VARIABLE: &str = "FILBERTHEAD_TOKEN_FILE";
+const TOKEN_FILE_ENV: &str = "FILBERTHEAD_TOKEN_FILE";
 
 /// Who acts, where control replicas ask for no token.
-const USER_VARIABLE: &str = "USER";
+const USER_ENV: &str = "USER";
 
 /// How often the versions in force are asked for.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 const DEFAULT_TIMEOUT_SECS: u64 = 20;
 
@@ -35,12 +35,12 @@
 pub(super) struct Session {
     client: Client,
     json: bool,
-    id: Option<ChangeId>,
-    wait: Duration,
+    change_id: Option<ChangeId>,
+    timeout: Duration,
 }
 
 /// Whether an act is to be sent.
-enum Start {
+enum Submission {
     /// Yes, under this id.
     Send(ChangeId),
     /// No: the id that the operator gave is on record, so this is how it ended.
@@ -49,13 +49,13 @@
 
 /// What to do once a change is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Then {
+pub(super) enum AfterAccept {
     Return,
     WaitInForce,
 }
 
-impl Then {
-    pub(super) fn take(args: &mut Args) -> Self {
+impl AfterAccept {
+    pub(super) fn from_args(args: &mut Args) -> Self {
         if args.flag("wait") {
             Self::WaitInForce
         } else {
@@ -65,28 +65,30 @@
 }
 
 impl Session {
-    pub(super) fn open(args: &mut Args, json: bool) -> Result<Self> {
-        let controls = controls(args)?;
-        let token = token(args)?;
-        let name = args.one("as")?;
-        let name = name.or_else(|| std::env::var(USER_VARIABLE).ok());
-        let id = args.parsed("change-id")?;
-        let secs = args.parsed("timeout")?.unwrap_or(DEFAULT_TIMEOUT_SECS);
+    pub(super) fn from_args(args: &mut Args, json: bool) -> Result<Self> {
+        let controls = control_addrs(args)?;
+        let token = read_token(args)?;
+        let name = args.option("as")?;
+        let name = name.or_else(|| std::env::var(USER_ENV).ok());
+        let change_id = args.parse_option("change-id")?;
+        let secs = args
+            .parse_option("timeout")?
+            .unwrap_or(DEFAULT_TIMEOUT_SECS);
         if !(1..=MAX_TIMEOUT_SECS).contains(&secs) {
             let message = format!("--timeout goes from 1 to {MAX_TIMEOUT_SECS} seconds");
             return Err(CliError::usage(message));
         }
-        let wait = Duration::from_secs(secs);
+        let timeout = Duration::from_secs(secs);
         let client = Client::builder(controls)
             .operator(name.filter(|name| token.is_none() && !name.is_empty()))
             .token(token)
-            .deadline(wait)
+            .deadline(timeout)
             .build();
         Ok(Self {
             client,
             json,
-            id,
-            wait,
+            change_id,
+            timeout,
         })
     }
 
@@ -98,62 +100,64 @@
         self.json
     }
 
-    pub(super) fn given_id(&self) -> Option<ChangeId> {
-        self.id
+    pub(super) fn change_id(&self) -> Option<ChangeId> {
+        self.change_id
     }
 
     /// Looks at a document that only the leader can show.
-    pub(super) async fn look<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
-        let reply = self.client.get(path).await.map_err(CliError::looking)?;
-        document(&reply)
+    pub(super) async fn get_from_leader<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
+        let reply = self.client.get(path).await.map_err(CliError::from_read)?;
+        decode_reply(&reply)
     }
 
     /// Looks at a document of one replica, once: others may have the answer.
-    pub(super) async fn glance_at<T: DeserializeOwned>(
+    pub(super) async fn get_once_from<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
     ) -> Result<T> {
         let reply = self.client.get_from(addr, path).await;
-        document(&reply.map_err(CliError::looking)?)
+        decode_reply(&reply.map_err(CliError::from_read)?)
     }
 
     /// Looks at a document that only this replica has, until it answers.
-    pub(super) async fn look_at<T: DeserializeOwned>(
+    pub(super) async fn get_from<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
     ) -> Result<T> {
         let reply = self.client.only(addr).get(path).await;
-        document(&reply.map_err(CliError::looking)?)
+        decode_reply(&reply.map_err(CliError::from_read)?)
     }
 
     /// Draws an id, or looks up the one that the operator gave. A resend may have to be
     /// made on another table than the first attempt; what is on record goes first.
-    async fn start(&self) -> Result<Start> {
-        let Some(id) = self.id else {
-            return Ok(Start::Send(ChangeId(rand::random())));
+    async fn prepare(&self) -> Result<Submission> {
+        let Some(id) = self.change_id else {
+            return Ok(Submission::Send(ChangeId(rand::random())));
         };
-        let history: HistoryBody = self.look(&format!("/v1/history?id={id}")).await?;
+        let history: HistoryBody = self
+            .get_from_leader(&format!("/v1/history?id={id}"))
+            .await?;
         match history.records.into_iter().next() {
-            Some(record) => Ok(Start::Recorded(Box::new(record))),
-            None => Ok(Start::Send(id)),
+            Some(record) => Ok(Submission::Recorded(Box::new(record))),
+            None => Ok(Submission::Send(id)),
         }
     }
 
-    /// Sends the act that `make` makes of its id until the outcome is known, shows it,
+    /// Sends the act that `make_body` makes of its id until the outcome is known, shows it,
     /// and does what is asked for besides.
-    pub(super) async fn act<B: Serialize>(
+    pub(super) async fn submit<B: Serialize>(
         &self,
         path: &str,
-        then: Then,
-        make: impl AsyncFnOnce(ChangeId) -> Result<B>,
+        after_accept: AfterAccept,
+        make_body: impl AsyncFnOnce(ChangeId) -> Result<B>,
     ) -> Result<Exit> {
-        let id = match self.start().await? {
-            Start::Send(id) => id,
-            Start::Recorded(record) => return Ok(self.show_recorded(&record)),
+        let id = match self.prepare().await? {
+            Submission::Send(id) => id,
+            Submission::Recorded(record) => return Ok(self.show_recorded(&record)),
         };
-        let body = make(id).await?;
+        let body = make_body(id).await?;
         let answer = self.send(path, id, &body).await?;
         self.show(&answer, || {
             let mut lines = format!("{}\n", answer.message);
@@ -165,41 +169,41 @@
             }
             lines
         });
-        match (then, answer.version) {
-            (Then::WaitInForce, Some(version)) => self.wait_in_force(version).await,
+        match (after_accept, answer.version) {
+            (AfterAccept::WaitInForce, Some(version)) => self.wait_in_force(version).await,
             _ => Ok(Exit::Done),
         }
     }
 
     /// Waits until every entry that control hears of reports a version as in force.
     pub(super) async fn wait_in_force(&self, version: Version) -> Result<Exit> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let status: Status = self.look("/v1/status?leader").await?;
+            let status: Status = self.get_from_leader("/v1/status?leader").await?;
             let entries = status.entries.iter();
             let behind: Vec<_> = entries
                 .filter(|entry| entry.version < Some(version))
                 .collect();
-            let waited = begun.elapsed();
+            let waited = started_at.elapsed();
             if behind.is_empty() {
-                self.tell(&format!(
+                self.print_progress(&format!(
                     "in force at {} entries within {} ms",
                     status.entries.len(),
                     waited.as_millis()
                 ));
                 return Ok(Exit::Done);
             }
-            if waited >= self.wait {
+            if waited >= self.timeout {
                 let names: Vec<_> = behind.iter().map(|entry| entry.name.as_str()).collect();
-                self.tell(&format!("not yet in force at {}", names.join(", ")));
+                self.print_progress(&format!("not yet in force at {}", names.join(", ")));
                 return Ok(Exit::NotInForce);
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Says how a command goes on, beside its result.
-    pub(super) fn tell(&self, line: &str) {
+    pub(super) fn print_progress(&self, line: &str) {
         eprintln!("{line}");
     }
 
@@ -253,25 +257,25 @@
     )
 }
 
-fn document<T: DeserializeOwned>(reply: &Reply) -> Result<T> {
+fn decode_reply<T: DeserializeOwned>(reply: &Reply) -> Result<T> {
     if reply.code == ResultCode::ApiAnswered {
-        return reply.json().map_err(CliError::looking);
+        return reply.json().map_err(CliError::from_read);
     }
     let answer: std::result::Result<Answer, ClientError> = reply.json();
     Err(CliError::Refused(Box::new(
-        answer.map_err(CliError::looking)?,
+        answer.map_err(CliError::from_read)?,
     )))
 }
 
-fn controls(args: &mut Args) -> Result<Vec<SocketAddr>> {
-    let mut given = args.many("control");
+fn control_addrs(args: &mut Args) -> Result<Vec<SocketAddr>> {
+    let mut given = args.option_values("control");
     if given.is_empty() {
-        given.extend(std::env::var(CONTROL_VARIABLE).ok());
+        given.extend(std::env::var(CONTROL_ENV).ok());
     }
     let words = given.iter().flat_map(|list| list.split(','));
     let words: Vec<_> = words.map(str::trim).filter(|w| !w.is_empty()).collect();
     if words.is_empty() {
-        let message = format!("name control replicas by --control IP:PORT or {CONTROL_VARIABLE}");
+        let message = format!("name control replicas by --control IP:PORT or {CONTROL_ENV}");
         return Err(CliError::usage(message));
     }
     let parse = |word: &str| {
@@ -282,9 +286,9 @@
 }
 
 // From a file and not from the command line, where every user of the machine sees it.
-fn token(args: &mut Args) -> Result<Option<String>> {
-    let path = args.one("token-file")?;
-    let Some(path) = path.or_else(|| std::env::var(TOKEN_VARIABLE).ok()) else {
+fn read_token(args: &mut Args) -> Result<Option<String>> {
+    let path = args.option("token-file")?;
+    let Some(path) = path.or_else(|| std::env::var(TOKEN_FILE_ENV).ok()) else {
         return Ok(None);
     };
     let text = std::fs::read_to_string(Path::new(&path))
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -11,7 +11,7 @@
 use super::session::Session;
 use super::text;
 
-/// What one control replica says, or why it doesn't.
+/// What one control replica state, or why it doesn't.
 #[derive(Serialize)]
 struct Control {
     addr: SocketAddr,
@@ -34,13 +34,13 @@
 
 pub(super) async fn run(session: &Session, args: Args) -> Result<Exit> {
     args.finish()?;
-    let controls = ask_all(session).await;
-    let best = best(&controls);
+    let controls = query_all(session).await;
+    let best = most_current(&controls);
     let Some(best) = best else {
         let last = controls.into_iter().find_map(|control| control.error);
         let message = last.unwrap_or_default();
         let error = filberthead_operator::ClientError::Unreachable { last: message };
-        return Err(CliError::looking(error));
+        return Err(CliError::from_read(error));
     };
     let statuses = controls
         .iter()
@@ -54,7 +54,7 @@
         behind: lagging.map(|entry| entry.name.to_string()).collect(),
         controls: Vec::new(),
     };
-    let page = page(&overview, best, &controls);
+    let text = render(&overview, best, &controls);
     let exit = if overview.leader_holds_lease {
         Exit::Done
     } else {
@@ -64,27 +64,27 @@
         controls,
         ..overview
     };
-    session.show(&overview, || page);
+    session.show(&overview, || text);
     Ok(exit)
 }
 
 /// Asks the addresses given, and the leader that they name if it is none of them.
-async fn ask_all(session: &Session) -> Vec<Control> {
+async fn query_all(session: &Session) -> Vec<Control> {
     let mut controls = Vec::new();
     for addr in session.client().controls() {
-        controls.push(ask(session, *addr).await);
+        controls.push(query(session, *addr).await);
     }
-    let leader = best(&controls).filter(|status| !status.holds_lease);
+    let leader = most_current(&controls).filter(|status| !status.holds_lease);
     if let Some(addr) = leader.and_then(leader_addr)
         && controls.iter().all(|control| control.addr != addr)
     {
-        controls.push(ask(session, addr).await);
+        controls.push(query(session, addr).await);
     }
     controls
 }
 
-async fn ask(session: &Session, addr: SocketAddr) -> Control {
-    match session.glance_at(addr, "/v1/status").await {
+async fn query(session: &Session, addr: SocketAddr) -> Control {
+    match session.get_once_from(addr, "/v1/status").await {
         Ok(status) => Control {
             addr,
             status: Some(status),
@@ -108,14 +108,14 @@
 }
 
 /// The one that leads, or else the one that knows most.
-fn best(controls: &[Control]) -> Option<&Status> {
+fn most_current(controls: &[Control]) -> Option<&Status> {
     let statuses = controls
         .iter()
         .filter_map(|control| control.status.as_ref());
     statuses.max_by_key(|status| (status.holds_lease, status.commit))
 }
 
-fn page(overview: &Overview, best: &Status, controls: &[Control]) -> String {
+fn render(overview: &Overview, best: &Status, controls: &[Control]) -> String {
     let mut out = format!(
         "cluster {}, table version {}\n",
         best.cluster, overview.version
@@ -156,7 +156,7 @@
         "SAYS",
     ])];
     for replica in &best.replicas {
-        let says = controls
+        let state = controls
             .iter()
             .filter_map(|control| control.status.as_ref())
             .find(|status| status.replica == replica.id);
@@ -166,7 +166,7 @@
             or_dash(replica.operator_addr),
             if replica.voter { "yes" } else { "no" }.to_owned(),
             or_dash(replica.match_index),
-            says.map_or_else(|| "not asked".to_owned(), says_of),
+            state.map_or_else(|| "not asked".to_owned(), describe_state),
         ]);
     }
     let mut out = if lines.len() > 1 {
@@ -181,9 +181,9 @@
                 .iter()
                 .all(|replica| replica.id != status.replica)
         {
-            let says = says_of(status);
+            let state = describe_state(status);
             out.push_str(&format!(
-                "{}: {} {} is in no group: {says}\n",
+                "{}: {} {} is in no group: {state}\n",
                 control.addr, status.node, status.replica
             ));
         }
@@ -194,7 +194,7 @@
     out
 }
 
-fn says_of(status: &Status) -> String {
+fn describe_state(status: &Status) -> String {
     let role = match status.role {
         ReplicaRole::Uninitialised => "uninitialised",
         ReplicaRole::Learner => "learner",
@@ -218,9 +218,9 @@
     ];
     let mut lines = vec![heading(&names)];
     for entry in &best.entries {
-        let mut heard = or_dash(entry.heard_ms.map(|ms| format!("{ms} ms ago")));
+        let mut last_seen = or_dash(entry.heard_ms.map(|ms| format!("{ms} ms ago")));
         if entry.leaving {
-            heard.push_str(", leaving");
+            last_seen.push_str(", leaving");
         }
         lines.push(vec![
             entry.name.to_string(),
@@ -229,7 +229,7 @@
             entry.caller_addr.to_string(),
             or_dash(entry.version),
             or_dash(entry.version.map(|v| newest.0.saturating_sub(v.0))),
-            heard,
+            last_seen,
         ]);
     }
     text::columns(&lines)
--- a/src/cli/table/csv.rs
+++ b/src/cli/table/csv.rs
@@ -13,34 +13,34 @@
 use filberthead_types::Revision;
 use serde::Serialize;
 
-use super::{number, proposal};
+use super::{parse_number, proposal};
 use crate::cli::args::Args;
 use crate::cli::error::{CliError, Exit, Result};
 use crate::cli::session::Session;
 use crate::cli::text;
 
 pub(super) async fn export(session: &Session, mut args: Args) -> Result<Exit> {
-    let out = args.one("out")?;
+    let out = args.option("out")?;
     args.finish()?;
-    let table: TableBody = session.look("/v1/table").await?;
+    let table: TableBody = session.get_from_leader("/v1/table").await?;
     if session.json() {
         session.show(&table, String::new);
         return Ok(Exit::Done);
     }
     match out {
-        None => write(&table, io::stdout().lock())?,
+        None => write_table(&table, io::stdout().lock())?,
         Some(path) => {
             let file = File::create_new(&path)
                 .map_err(|e| CliError::fault(format!("can't write {path}: {e}")))?;
-            write(&table, file)?;
+            write_table(&table, file)?;
             eprintln!("version {} written to {path}", table.version);
         }
     }
     Ok(Exit::Done)
 }
 
-fn write(table: &TableBody, target: impl Write) -> Result<()> {
-    let rows: Vec<_> = table.rows.iter().map(keyed).collect();
+fn write_table(table: &TableBody, target: impl Write) -> Result<()> {
+    let rows: Vec<_> = table.rows.iter().map(keyed_row).collect();
     let rows = rows.iter().map(|(key, row)| (key, *row));
     write_sheet(rows, target).map_err(|e| {
         let cause = std::error::Error::source(&e).map(ToString::to_string);
@@ -48,7 +48,7 @@
     })
 }
 
-fn keyed(row: &RowBody) -> (RowKey, Row) {
+fn keyed_row(row: &RowBody) -> (RowKey, Row) {
     let stored = Row {
         values: row.values(),
         revision: row.revision,
@@ -57,12 +57,12 @@
 }
 
 /// Reads a sheet and says which of its lines are edits.
-pub(super) fn edits(path: &str, table: &TableBody) -> Result<Vec<EditBody>> {
-    let rows = read(path)?;
-    Ok(rows.iter().filter_map(|row| edit(row, table)).collect())
+pub(super) fn read_edits(path: &str, table: &TableBody) -> Result<Vec<EditBody>> {
+    let rows = read_rows(path)?;
+    Ok(rows.iter().filter_map(|row| to_edit(row, table)).collect())
 }
 
-fn read(path: &str) -> Result<Vec<SheetRow>> {
+fn read_rows(path: &str) -> Result<Vec<SheetRow>> {
     let unreadable = |e: io::Error| CliError::usage(format!("can't read the sheet {path}: {e}"));
     let size = Path::new(path).metadata().map_err(unreadable)?.len();
     if size > MAX_SHEET_BYTES as u64 {
@@ -70,22 +70,22 @@
         return Err(CliError::usage(message));
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    read_sheet(&text).map_err(|error| CliError::Sheet {
+    read_sheet(&text).map_err(|error| CliError::Csv {
         file: path.to_owned(),
         error,
     })
 }
 
-fn edit(row: &SheetRow, table: &TableBody) -> Option<EditBody> {
+fn to_edit(row: &SheetRow, table: &TableBody) -> Option<EditBody> {
     let set = match row.action {
         SheetAction::Remove => None,
-        SheetAction::Set(values) if is_untouched(row, values, table) => return None,
+        SheetAction::Set(values) if is_unedited(row, values, table) => return None,
         SheetAction::Set(values) => Some(values),
     };
     Some(EditBody {
         service: row.key.service.clone(),
         region: row.key.region.clone(),
-        revision: seen(row, table),
+        revision: expected_revision(row, table),
         set,
         remove: set.is_none(),
     })
@@ -94,7 +94,7 @@
 /// Whether the operator left this line as it was exported. Without the column `was`,
 /// a line that differs from the table counts as edited: it may then end as a conflict,
 /// but no edit is lost.
-fn is_untouched(row: &SheetRow, values: RowValues, table: &TableBody) -> bool {
+fn is_unedited(row: &SheetRow, values: RowValues, table: &TableBody) -> bool {
     match row.was {
         Some(was) => was == values,
         None => table
@@ -105,7 +105,7 @@
 
 /// The revision that the operator saw. A line that they added saw no row; if there is
 /// one by now, revision 0 makes that a conflict.
-fn seen(row: &SheetRow, table: &TableBody) -> Revision {
+fn expected_revision(row: &SheetRow, table: &TableBody) -> Revision {
     match row.revision {
         Some(revision) if revision != Revision::default() => revision,
         _ if table.row(&row.key).is_some() => Revision::default(),
@@ -115,24 +115,26 @@
 
 /// What a sheet would do to the rows in force.
 #[derive(Serialize)]
-struct SheetDifference {
+struct CsvDifference {
     version: filberthead_types::Version,
     differences: Vec<DifferenceBody>,
     conflicts: Vec<ConflictBody>,
 }
 
 pub(super) async fn diff(session: &Session, mut args: Args) -> Result<Exit> {
-    let word = args.word("a sheet's file or a proposal's number")?;
+    let target = args.positional("a sheet's file or a proposal's number")?;
     args.finish()?;
-    if word.bytes().all(|b| b.is_ascii_digit()) && !Path::new(&word).exists() {
-        let number = number(&word)?;
-        let body: ProposalBody = session.look(&format!("/v1/proposals/{number}")).await?;
-        session.show(&body, || proposal::page(&body));
+    if target.bytes().all(|b| b.is_ascii_digit()) && !Path::new(&target).exists() {
+        let number = parse_number(&target)?;
+        let body: ProposalBody = session
+            .get_from_leader(&format!("/v1/proposals/{number}"))
+            .await?;
+        session.show(&body, || proposal::render(&body));
         return Ok(Exit::Done);
     }
-    let table: TableBody = session.look("/v1/table").await?;
-    let edits = edits(&word, &table)?;
-    let document = SheetDifference {
+    let table: TableBody = session.get_from_leader("/v1/table").await?;
+    let edits = read_edits(&target, &table)?;
+    let document = CsvDifference {
         version: table.version,
         differences: edits.iter().map(|edit| difference(edit, &table)).collect(),
         conflicts: edits
@@ -145,7 +147,7 @@
     } else {
         Exit::Refused
     };
-    session.show(&document, || page(&document));
+    session.show(&document, || render(&document));
     Ok(exit)
 }
 
@@ -172,8 +174,9 @@
         return None;
     }
     let row = table.row(&key);
-    let gone = |gone: &&RemovedBody| gone.service == key.service && gone.region == key.region;
-    let gone = table.removed.iter().find(gone);
+    let removed =
+        |removed: &&RemovedBody| removed.service == key.service && removed.region == key.region;
+    let removed = table.removed.iter().find(removed);
     let by = row.and_then(|row| row.changed_by.clone());
     let at = row.and_then(|row| row.changed_at_ms);
     Some(ConflictBody {
@@ -183,12 +186,12 @@
         wanted: edit.set,
         current: row.map(RowBody::values),
         revision,
-        changed_by: by.or_else(|| gone.map(|gone| gone.changed_by.clone())),
-        changed_at_ms: at.or_else(|| gone.map(|gone| gone.changed_at_ms)),
+        changed_by: by.or_else(|| removed.map(|removed| removed.changed_by.clone())),
+        changed_at_ms: at.or_else(|| removed.map(|removed| removed.changed_at_ms)),
     })
 }
 
-fn page(document: &SheetDifference) -> String {
+fn render(document: &CsvDifference) -> String {
     let mut lines = vec![format!("against table version {}", document.version)];
     lines.extend(document.differences.iter().map(text::difference));
     if document.differences.is_empty() {
--- a/src/cli/table/handover.rs
+++ b/src/cli/table/handover.rs
@@ -5,31 +5,33 @@
 use super::proposal;
 use crate::cli::args::Args;
 use crate::cli::error::{Exit, Result};
-use crate::cli::session::{Session, Then};
+use crate::cli::session::{AfterAccept, Session};
 use crate::cli::text;
 
 /// Earlier hand-overs shown besides the last: with it, a day of three shifts.
-const EARLIER: usize = 2;
+const EARLIER_HANDOVERS: usize = 2;
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
-    let Some(note) = args.one("note")? else {
+    let Some(note) = args.option("note")? else {
         args.finish()?;
-        let body: HandOverBody = session.look("/v1/handover").await?;
-        session.show(&body, || page(&body));
+        let body: HandOverBody = session.get_from_leader("/v1/handover").await?;
+        session.show(&body, || render(&body));
         return Ok(Exit::Done);
     };
     args.finish()?;
-    let make = async |id| Ok(NoteBody { id, note });
-    session.act("/v1/handover", Then::Return, make).await
+    let make_body = async |id| Ok(NoteBody { id, note });
+    session
+        .submit("/v1/handover", AfterAccept::Return, make_body)
+        .await
 }
 
-fn page(body: &HandOverBody) -> String {
+fn render(body: &HandOverBody) -> String {
     let mut out = format!("table version {}\n\n", body.version);
     if body.handovers.is_empty() {
         out.push_str("no shift has handed over yet\n");
     }
-    for handover in body.handovers.iter().take(1 + EARLIER) {
-        out.push_str(&handover_page(handover));
+    for handover in body.handovers.iter().take(1 + EARLIER_HANDOVERS) {
+        out.push_str(&render_handover(handover));
     }
     out.push_str(&format!(
         "\nsince the last hand-over: {} acts\n",
@@ -40,12 +42,12 @@
     }
     out.push_str(&format!("\nopen proposals: {}\n", body.open.len()));
     for open in &body.open {
-        out.push_str(&proposal::page(open));
+        out.push_str(&proposal::render(open));
     }
     out
 }
 
-fn handover_page(handover: &HandOverNote) -> String {
+fn render_handover(handover: &HandOverNote) -> String {
     let open: Vec<_> = handover.open.iter().map(ToString::to_string).collect();
     let open = if open.is_empty() {
         "no proposal open".to_owned()
--- a/src/cli/table/mod.rs
+++ b/src/cli/table/mod.rs
@@ -21,7 +21,7 @@
 ];
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
-    let command = args.word("a command; see `filberthead help table`")?;
+    let command = args.positional("a command; see `filberthead help table`")?;
     match command.as_str() {
         "show" => show::run(session, args).await,
         "export" => csv::export(session, args).await,
@@ -33,29 +33,29 @@
         "set" => set::run(session, args).await,
         "history" => history::run(session, args).await,
         "handover" => handover::run(session, args).await,
-        other => Err(args::unknown("command", other, COMMANDS)),
+        other => Err(args::unknown_name("command", other, COMMANDS)),
     }
 }
 
 /// Dangers taken by `--allow`, which may be given several times or with commas.
-fn allow(args: &mut Args) -> Result<BTreeSet<Danger>> {
-    let lists = args.many("allow");
+fn allowed_dangers(args: &mut Args) -> Result<BTreeSet<Danger>> {
+    let lists = args.option_values("allow");
     let words = lists.iter().flat_map(|list| list.split(','));
     let parse = |word: &str| {
         let known: Vec<_> = Danger::ALL.iter().map(|danger| danger.as_str()).collect();
         word.parse()
-            .map_err(|_| args::unknown("danger", word, &known))
+            .map_err(|_| args::unknown_name("danger", word, &known))
     };
     words.map(parse).collect()
 }
 
-fn number(word: &str) -> Result<ProposalNumber> {
+fn parse_number(word: &str) -> Result<ProposalNumber> {
     let number = word.parse().map(ProposalNumber);
     number.map_err(|_| CliError::usage(format!("`{word}` is no number of a proposal")))
 }
 
 /// The note that a change needs: colleagues of two other shifts have only that.
-fn needed_note(args: &mut Args) -> Result<String> {
-    let note = args.one("note")?.filter(|note| !note.trim().is_empty());
+fn required_note(args: &mut Args) -> Result<String> {
+    let note = args.option("note")?.filter(|note| !note.trim().is_empty());
     note.ok_or_else(|| CliError::usage("say why, for colleagues: --note TEXT"))
 }
--- a/src/cli/table/proposal.rs
+++ b/src/cli/table/proposal.rs
@@ -7,42 +7,42 @@
 use filberthead_table::{ProposalNumber, RowKey, Verdict};
 
 use super::set::RowEdit;
-use super::{allow, csv, needed_note, number};
+use super::{allowed_dangers, csv, parse_number, required_note};
 use crate::cli::args::Args;
 use crate::cli::error::{self, CliError, Exit, Result};
-use crate::cli::session::{Session, Then};
+use crate::cli::session::{AfterAccept, Session};
 use crate::cli::text;
 
 /// Where the edits of a proposal come from.
 enum Source {
-    Sheet(String),
+    Csv(String),
     Row(RowEdit),
     Rebase(ProposalNumber),
 }
 
 impl Source {
-    fn take(args: &mut Args) -> Result<Self> {
-        if let Some(word) = args.one("rebase")? {
-            return Ok(Self::Rebase(number(&word)?));
+    fn from_args(args: &mut Args) -> Result<Self> {
+        if let Some(word) = args.option("rebase")? {
+            return Ok(Self::Rebase(parse_number(&word)?));
         }
-        let first = args.word("a sheet's file, or a service and a region")?;
-        match args.maybe_word() {
-            None => Ok(Self::Sheet(first)),
-            Some(region) => Ok(Self::Row(RowEdit::take(args, &first, &region)?)),
+        let first = args.positional("a sheet's file, or a service and a region")?;
+        match args.optional_positional() {
+            None => Ok(Self::Csv(first)),
+            Some(region) => Ok(Self::Row(RowEdit::from_args(args, &first, &region)?)),
         }
     }
 }
 
 pub(super) async fn propose(session: &Session, mut args: Args) -> Result<Exit> {
-    let source = Source::take(&mut args)?;
-    let supersedes = args.parsed("supersedes")?.map(ProposalNumber);
-    let allow = allow(&mut args)?;
-    let note = needed_note(&mut args)?;
+    let source = Source::from_args(&mut args)?;
+    let supersedes = args.parse_option("supersedes")?.map(ProposalNumber);
+    let allow = allowed_dangers(&mut args)?;
+    let note = required_note(&mut args)?;
     args.finish()?;
-    let make = async |id| {
-        let table: TableBody = session.look("/v1/table").await?;
+    let make_body = async |id| {
+        let table: TableBody = session.get_from_leader("/v1/table").await?;
         let (edits, supersedes) = match source {
-            Source::Sheet(path) => (csv::edits(&path, &table)?, supersedes),
+            Source::Csv(path) => (csv::read_edits(&path, &table)?, supersedes),
             Source::Row(edit) => (vec![edit.resolve(&table)?], supersedes),
             Source::Rebase(number) => {
                 let edits = rebase(session, number, &table).await?;
@@ -60,7 +60,9 @@
             supersedes,
         })
     };
-    session.act("/v1/proposals", Then::Return, make).await
+    session
+        .submit("/v1/proposals", AfterAccept::Return, make_body)
+        .await
 }
 
 /// The edits of an open proposal on the revisions in force. Whoever reviews the new
@@ -70,7 +72,9 @@
     number: ProposalNumber,
     table: &TableBody,
 ) -> Result<Vec<EditBody>> {
-    let old: ProposalBody = session.look(&format!("/v1/proposals/{number}")).await?;
+    let old: ProposalBody = session
+        .get_from_leader(&format!("/v1/proposals/{number}"))
+        .await?;
     if old.edits.is_empty() {
         let message = format!("proposal {number} is no longer open: {}", old.state);
         return Err(CliError::usage(message));
@@ -94,18 +98,20 @@
 }
 
 pub(super) async fn review(session: &Session, mut args: Args) -> Result<Exit> {
-    let Some(word) = args.maybe_word() else {
+    let Some(word) = args.optional_positional() else {
         args.finish()?;
-        let body: ProposalsBody = session.look("/v1/proposals").await?;
-        session.show(&body, || list(&body));
+        let body: ProposalsBody = session.get_from_leader("/v1/proposals").await?;
+        session.show(&body, || render_list(&body));
         return Ok(Exit::Done);
     };
-    let number = number(&word)?;
+    let number = parse_number(&word)?;
     let verdict = match (args.flag("approve"), args.flag("reject")) {
         (false, false) => {
             args.finish()?;
-            let body: ProposalBody = session.look(&format!("/v1/proposals/{number}")).await?;
-            session.show(&body, || page(&body));
+            let body: ProposalBody = session
+                .get_from_leader(&format!("/v1/proposals/{number}"))
+                .await?;
+            session.show(&body, || render(&body));
             return Ok(Exit::Done);
         }
         (true, false) => Verdict::Approve,
@@ -113,45 +119,45 @@
         (true, true) => return Err(CliError::usage("either --approve or --reject")),
     };
     let note = match verdict {
-        Verdict::Approve => args.one("note")?.unwrap_or_default(),
-        Verdict::Reject => needed_note(&mut args)?,
+        Verdict::Approve => args.option("note")?.unwrap_or_default(),
+        Verdict::Reject => required_note(&mut args)?,
     };
     args.finish()?;
-    let make = async |id| Ok(ReviewBody { id, verdict, note });
+    let make_body = async |id| Ok(ReviewBody { id, verdict, note });
     let path = format!("/v1/proposals/{number}/review");
-    session.act(&path, Then::Return, make).await
+    session.submit(&path, AfterAccept::Return, make_body).await
 }
 
 pub(super) async fn accept(session: &Session, mut args: Args) -> Result<Exit> {
-    let number = number(&args.word("the proposal's number")?)?;
-    let allow = allow(&mut args)?;
-    let note = args.one("note")?.unwrap_or_default();
-    let then = Then::take(&mut args);
+    let number = parse_number(&args.positional("the proposal's number")?)?;
+    let allow = allowed_dangers(&mut args)?;
+    let note = args.option("note")?.unwrap_or_default();
+    let after_accept = AfterAccept::from_args(&mut args);
     args.finish()?;
-    let make = async |id| Ok(AcceptBody { id, note, allow });
+    let make_body = async |id| Ok(AcceptBody { id, note, allow });
     let path = format!("/v1/proposals/{number}/accept");
-    session.act(&path, then, make).await
+    session.submit(&path, after_accept, make_body).await
 }
 
 pub(super) async fn withdraw(session: &Session, mut args: Args) -> Result<Exit> {
-    let number = number(&args.word("the proposal's number")?)?;
-    let note = args.one("note")?.unwrap_or_default();
+    let number = parse_number(&args.positional("the proposal's number")?)?;
+    let note = args.option("note")?.unwrap_or_default();
     args.finish()?;
     let path = format!("/v1/proposals/{number}/withdraw");
-    let make = async |id| Ok(NoteBody { id, note });
-    session.act(&path, Then::Return, make).await
+    let make_body = async |id| Ok(NoteBody { id, note });
+    session.submit(&path, AfterAccept::Return, make_body).await
 }
 
-fn list(body: &ProposalsBody) -> String {
+fn render_list(body: &ProposalsBody) -> String {
     if body.open.is_empty() {
         return "no proposal is open\n".to_owned();
     }
-    let pages: Vec<_> = body.open.iter().map(page).collect();
+    let pages: Vec<_> = body.open.iter().map(render).collect();
     pages.join("\n")
 }
 
 /// A proposal as its reviewers see it.
-pub(super) fn page(body: &ProposalBody) -> String {
+pub(super) fn render(body: &ProposalBody) -> String {
     let mut lines = vec![format!(
         "proposal {} by {} {}: {}",
         body.number,
@@ -164,20 +170,20 @@
     }
     lines.extend(body.differences.iter().map(text::difference));
     for finding in &body.findings {
-        let taken = if body.allow.contains(&finding.danger) {
+        let accepted = if body.allow.contains(&finding.danger) {
             "taken by its author"
         } else {
             "not taken"
         };
         lines.push(format!(
-            "danger {} ({taken}): {}",
+            "danger {} ({accepted}): {}",
             finding.danger, finding.reason
         ));
     }
     lines.extend(conflict_lines(&body.conflicts));
     if !body.conflicts.is_empty() {
-        let way = "it can't be accepted so; to put it up again: `table propose --rebase";
-        lines.push(format!("{way} {}`", body.number));
+        let hint = "it can't be accepted so; to put it up again: `table propose --rebase";
+        lines.push(format!("{hint} {}`", body.number));
     }
     for review in &body.reviews {
         let verdict = match review.verdict {
@@ -196,6 +202,6 @@
     if !conflicts.is_empty() {
         lines.push("in conflict: rows have moved on".to_owned());
     }
-    lines.extend(conflicts.iter().map(error::explain_conflict));
+    lines.extend(conflicts.iter().map(error::describe_conflict));
     lines
 }
--- a/src/cli/table/set.rs
+++ b/src/cli/table/set.rs
@@ -4,10 +4,10 @@
 use filberthead_table::{Objective, RowKey, RowValues};
 use filberthead_types::Revision;
 
-use super::{allow, needed_note};
+use super::{allowed_dangers, required_note};
 use crate::cli::args::Args;
 use crate::cli::error::{CliError, Exit, Result};
-use crate::cli::session::{Session, Then};
+use crate::cli::session::{AfterAccept, Session};
 
 /// What a command line says of one row.
 pub(super) struct RowEdit {
@@ -22,7 +22,7 @@
 
 impl RowEdit {
     /// Takes the values from the command line; the row's name was taken before.
-    pub(super) fn take(args: &mut Args, service: &str, region: &str) -> Result<Self> {
+    pub(super) fn from_args(args: &mut Args, service: &str, region: &str) -> Result<Self> {
         let usage = |e: filberthead_types::NameError| CliError::usage(e.to_string());
         let key = RowKey {
             service: service.parse().map_err(usage)?,
@@ -30,12 +30,12 @@
         };
         let edit = Self {
             key,
-            weight: args.parsed("weight")?,
-            limit: args.parsed("limit")?,
-            shift_cap: args.parsed("shift-cap")?,
-            objective: args.parsed("objective")?,
+            weight: args.parse_option("weight")?,
+            limit: args.parse_option("limit")?,
+            shift_cap: args.parse_option("shift-cap")?,
+            objective: args.parse_option("objective")?,
             remove: args.flag("remove"),
-            revision: args.parsed("revision")?.map(Revision),
+            revision: args.parse_option("revision")?.map(Revision),
         };
         if edit.remove == edit.has_values() {
             let message = "say what is to change: --weight, --limit, --shift-cap, --objective, \
@@ -55,7 +55,7 @@
         let revision = self.revision.unwrap_or_else(|| table.revision(&self.key));
         let set = match (self.remove, table.row(&self.key)) {
             (true, _) => None,
-            (false, Some(row)) => Some(self.over(row.values())),
+            (false, Some(row)) => Some(self.apply_to(row.values())),
             (false, None) => Some(self.new_row()?),
         };
         Ok(EditBody {
@@ -67,7 +67,7 @@
         })
     }
 
-    fn over(&self, values: RowValues) -> RowValues {
+    fn apply_to(&self, values: RowValues) -> RowValues {
         RowValues {
             weight: self.weight.unwrap_or(values.weight),
             limit: self.limit.unwrap_or(values.limit),
@@ -93,15 +93,15 @@
 }
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
-    let service = args.word("the service")?;
-    let region = args.word("the region")?;
-    let edit = RowEdit::take(&mut args, &service, &region)?;
-    let allow = allow(&mut args)?;
-    let note = needed_note(&mut args)?;
-    let then = Then::take(&mut args);
+    let service = args.positional("the service")?;
+    let region = args.positional("the region")?;
+    let edit = RowEdit::from_args(&mut args, &service, &region)?;
+    let allow = allowed_dangers(&mut args)?;
+    let note = required_note(&mut args)?;
+    let after_accept = AfterAccept::from_args(&mut args);
     args.finish()?;
-    let make = async |id| {
-        let table: TableBody = session.look("/v1/table").await?;
+    let make_body = async |id| {
+        let table: TableBody = session.get_from_leader("/v1/table").await?;
         Ok(ChangeBody {
             id,
             note,
@@ -110,5 +110,5 @@
             supersedes: None,
         })
     };
-    session.act("/v1/changes", then, make).await
+    session.submit("/v1/changes", after_accept, make_body).await
 }
--- a/src/cli/table/show.rs
+++ b/src/cli/table/show.rs
@@ -9,7 +9,7 @@
 use crate::cli::text;
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
-    let service: Option<ServiceName> = match args.maybe_word() {
+    let service: Option<ServiceName> = match args.optional_positional() {
         None => None,
         Some(word) => Some(
             word.parse()
@@ -17,16 +17,16 @@
         ),
     };
     args.finish()?;
-    let mut table: TableBody = session.look("/v1/table").await?;
+    let mut table: TableBody = session.get_from_leader("/v1/table").await?;
     if let Some(service) = service {
         table.rows.retain(|row| row.service == service);
         table.removed.retain(|row| row.service == service);
     }
-    session.show(&table, || page(&table));
+    session.show(&table, || render(&table));
     Ok(Exit::Done)
 }
 
-fn page(table: &TableBody) -> String {
+fn render(table: &TableBody) -> String {
     let names = [
         "SERVICE",
         "REGION",
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -10,12 +10,12 @@
 use super::text;
 
 pub(super) fn run(mut args: Args, json: bool) -> Result<Exit> {
-    let word = args.word("`new`")?;
+    let word = args.positional("`new`")?;
     if word != "new" {
-        return Err(args::unknown("command", &word, &["new"]));
+        return Err(args::unknown_name("command", &word, &["new"]));
     }
-    let name = args.word("the operator's name")?;
-    let role: Role = args.parsed_word("the role: read, propose or accept")?;
+    let name = args.positional("the operator's name")?;
+    let role: Role = args.parse_positional("the role: read, propose or accept")?;
     let services = services(&mut args)?;
     args.finish()?;
     let token = NewToken::draw(&name, role, &services).map_err(|e| {
@@ -36,7 +36,7 @@
 }
 
 fn services(args: &mut Args) -> Result<Vec<ServiceName>> {
-    let lists = args.many("services");
+    let lists = args.option_values("services");
     let names = lists.iter().flat_map(|list| list.split(','));
     names
         .map(|name| {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -42,8 +42,8 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Usage(e)) => report(name, e.as_ref(), EXIT_USAGE),
-        Err(Failure::Fault(e)) => report(name, e.as_ref(), EXIT_FAULT),
+        Err(Failure::Usage(e)) => report_error(name, e.as_ref(), EXIT_USAGE),
+        Err(Failure::Fault(e)) => report_error(name, e.as_ref(), EXIT_FAULT),
     }
 }
 
@@ -68,7 +68,7 @@
     path.map(Invocation::Run).ok_or_else(|| usage.into())
 }
 
-fn report(name: &str, error: &dyn Error, code: u8) -> ExitCode {
+fn report_error(name: &str, error: &dyn Error, code: u8) -> ExitCode {
     eprintln!("{name}: {error}");
     let mut cause = error.source();
     while let Some(error) = cause {
