--- a/src/bin/entry.rs
+++ b/src/bin/entry.rs
@@ -1,4 +1,4 @@
-//! `filberthead-entry FILE`: answers look-ups and carries requests.
+//! `filberthead-entry FILE`: answers look-ups and forwards requests.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 
 fn serve(path: &Path) -> Result<(), Failure> {
     let cfg = EntrySettings::load(path).map_err(|e| Failure::Usage(e.into()))?;
-    // The guard writes out what is queued when it goes.
+    // Dropping the guard flushes queued log lines.
     let _log = filberthead_observe::init_logging(&cfg.log, cfg.node.as_str())
         .map_err(|e| Failure::Fault(e.into()))?;
     entry::run(cfg).map_err(|e| Failure::Fault(e.into()))
--- a/src/bin/gateway.rs
+++ b/src/bin/gateway.rs
@@ -1,4 +1,4 @@
-//! `filberthead-gateway FILE`: carries callers' requests along routes.
+//! `filberthead-gateway FILE`: forwards callers' requests along routes.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,14 +16,14 @@
 
 fn serve(path: &Path) -> Result<(), Failure> {
     let cfg = GatewaySettings::load(path).map_err(|e| Failure::Usage(e.into()))?;
-    // The guard writes out what is queued when it goes.
+    // Dropping the guard flushes queued log lines.
     let _log = filberthead_observe::init_logging(&cfg.log, cfg.node.as_str())
         .map_err(|e| Failure::Fault(e.into()))?;
     let path = path.to_owned();
     let seeds = move || match GatewaySettings::load(&path) {
         Ok(cfg) => cfg.seeds,
         Err(e) => {
-            log::warn!(error:% = e; "changed settings can't be read");
+            log::warn!(error:% = e; "failed to reload the settings file");
             Vec::new()
         }
     };
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! Words and options of a command line.
+//! Positional arguments and options of a command line.
 
 use std::collections::VecDeque;
 use std::ffi::OsString;
@@ -36,12 +36,11 @@
     "weight",
 ];
 
-/// A misspelt word is answered with a known one from this similarity on.
+/// Least Jaro-Winkler similarity at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// What is left of a command line. Each command takes what is its own; what remains at
-/// [`Args::finish`] doesn't belong there and is an error, so that no option is ever
-/// passed over in silence.
+/// The arguments that are not consumed yet. Each command removes those that it uses;
+/// [`Args::finish`] fails if any remain, so that no option is silently ignored.
 #[derive(Debug, Default)]
 pub(super) struct Args {
     positionals: VecDeque<String>,
@@ -57,7 +56,7 @@
                 Arg::Value(word) => args.positionals.push_back(word.string().map_err(usage)?),
                 Arg::Short('h') => args.options.push(("help", String::new())),
                 Arg::Short('V') => args.options.push(("version", String::new())),
-                Arg::Short(c) => return Err(CliError::usage(format!("there is no option -{c}"))),
+                Arg::Short(c) => return Err(CliError::usage(format!("unknown option -{c}"))),
                 Arg::Long(name) => {
                     let name = name.to_owned();
                     if let Some(flag) = FLAGS.iter().find(|flag| **flag == name) {
@@ -77,35 +76,36 @@
         Ok(args)
     }
 
-    /// The next word, which is needed.
+    /// Removes the next positional argument, which is required. `what` describes it in errors.
     pub(super) fn positional(&mut self, what: &str) -> Result<String> {
         let word = self.positionals.pop_front();
-        word.ok_or_else(|| CliError::usage(format!("here goes {what}")))
+        word.ok_or_else(|| CliError::usage(format!("missing argument: {what}")))
     }
 
-    /// The next word, if there is one.
+    /// Removes the next positional argument, if there is one.
     pub(super) fn optional_positional(&mut self) -> Option<String> {
         self.positionals.pop_front()
     }
 
-    /// The next word, read as what it has to be.
+    /// Removes and parses the next positional argument, which is required.
     pub(super) fn parse_positional<T: FromStr<Err: Display>>(&mut self, what: &str) -> Result<T> {
         let word = self.positional(what)?;
         word.parse()
             .map_err(|e| CliError::usage(format!("{what}: `{word}`: {e}")))
     }
 
+    /// Removes a flag; whether it was given.
     pub(super) fn flag(&mut self, name: &str) -> bool {
         !self.option_values(name).is_empty()
     }
 
-    /// Every value of an option, in the order of the command line.
+    /// Removes an option and returns all its values, in the order of the command line.
     pub(super) fn option_values(&mut self, name: &str) -> Vec<String> {
         let matching = self.options.extract_if(.., |(option, _)| *option == name);
         matching.map(|(_, value)| value).collect()
     }
 
-    /// The value of an option that may be given once.
+    /// Removes an option that may be given once and returns its value.
     pub(super) fn option(&mut self, name: &str) -> Result<Option<String>> {
         let mut values = self.option_values(name);
         if values.len() > 1 {
@@ -114,7 +114,7 @@
         Ok(values.pop())
     }
 
-    /// The value of an option that may be given once, read as what it has to be.
+    /// Removes an option that may be given once and parses its value.
     pub(super) fn parse_option<T: FromStr<Err: Display>>(
         &mut self,
         name: &str,
@@ -128,7 +128,7 @@
         Ok(Some(parsed))
     }
 
-    /// Whether all of it was taken.
+    /// Fails if an argument remains that the command didn't use.
     pub(super) fn finish(self) -> Result<()> {
         if let Some((option, _)) = self.options.first() {
             let message = format!("--{option} doesn't go with this command");
@@ -136,7 +136,7 @@
         }
         match self.positionals.front() {
             None => Ok(()),
-            Some(word) => Err(CliError::usage(format!("`{word}` is one word too many"))),
+            Some(word) => Err(CliError::usage(format!("unexpected argument `{word}`"))),
         }
     }
 }
@@ -145,7 +145,8 @@
     CliError::usage(e.to_string())
 }
 
-/// The error for a word that is none of the known ones, with the likeliest of them.
+/// The error for a name that is not among `known`, with the most similar of these. `what` is the
+/// kind of name: command, option or danger.
 pub(super) fn unknown_name(what: &str, word: &str, known: &[&str]) -> CliError {
     let bare = word.trim_start_matches('-');
     let dashes = &word[..word.len() - bare.len()];
@@ -157,5 +158,5 @@
     let hint = closest.map_or_else(String::new, |closest| {
         format!("; did you mean `{dashes}{closest}`?")
     });
-    CliError::usage(format!("there is no {what} `{word}`{hint}"))
+    CliError::usage(format!("unknown {what} `{word}`{hint}"))
 }
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -78,7 +78,7 @@
     session.send(path, id, &ReplicaBody { id, replica }).await
 }
 
-/// Adds the replica at an address, under the identity that it names itself.
+/// Adds the replica at an address, under the id and name that it reports.
 async fn add(session: &Session, addr: SocketAddr) -> Result<Answer> {
     let status: Status = session.get_from(addr, "/v1/status").await?;
     let id = change_id_or_random(session);
@@ -92,8 +92,8 @@
     session.send("/v1/control/add", id, &body).await
 }
 
-/// Finds a replica of the group by name or id. `not` is the one that takes its place,
-/// which has the same name if a VM came back with an empty disk.
+/// Finds a replica of the group by name or id. `excluded` is the one that replaces it, which
+/// has the same name if a VM restarted with an empty disk.
 async fn find_replica(
     session: &Session,
     word: &str,
@@ -121,14 +121,15 @@
     }
 }
 
-/// Each step counts as done if it is, so that the whole may be run again.
+/// Adds the new replica, promotes it and removes the old one. Steps that are done already
+/// succeed again, so the command can be repeated.
 async fn replace(session: &Session, old: &str, addr: SocketAddr) -> Result<Exit> {
     let status: Status = session.get_from(addr, "/v1/status").await?;
     let new = status.replica;
     let old = find_replica(session, old, Some(new)).await?;
     add(session, addr).await?;
     progress(session, &format!("{new} receives the log"));
-    // The client asks again for as long as the replica is behind and time is left.
+    // The client retries while the replica is behind, until the deadline.
     post(session, "/v1/control/promote", new)
         .await
         .map_err(explain_learner_behind)?;
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! How a command ends.
+//! Errors and exit codes of the command line.
 
 use std::process::ExitCode;
 
@@ -12,17 +12,17 @@
 /// Exit code of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done, or shown.
+    /// The command succeeded.
     Done = 0,
-    /// Refused, or in conflict: nothing changed.
+    /// Refused or in conflict; nothing changed.
     Refused = 1,
-    /// The command line, or a file that it names, can't be used: nothing was sent.
+    /// The command line or a file that it names can't be used; nothing was sent.
     Usage = 2,
-    /// It was sent, and whether it took effect is not known.
+    /// An act was sent, and whether it took effect is not known.
     Unknown = 3,
-    /// No control replica answers for the table: nothing changed.
+    /// No control replica answers for the table; nothing changed.
     Unreachable = 4,
-    /// Accepted for good, but some entries had not reported it as in force in time.
+    /// The change is accepted, but some entries didn't report it as in force within `--timeout`.
     NotInForce = 5,
 }
 
@@ -34,21 +34,21 @@
 
 pub(super) type Result<T> = std::result::Result<T, CliError>;
 
-/// Why a command was not done.
+/// Why a command failed.
 #[derive(Debug)]
 pub(super) enum CliError {
     /// The command line can't be used.
     Usage(String),
-    /// A sheet has bad lines.
+    /// A CSV file has invalid lines.
     Csv { file: String, error: SheetError },
-    /// The API refuses.
+    /// The API refused the request.
     Refused(Box<Answer>),
-    /// There is no answer.
+    /// The client got no usable answer. `id` is the change id of an act, `None` for a read.
     Client {
         id: Option<ChangeId>,
         error: ClientError,
     },
-    /// Something of this machine failed.
+    /// A local operation failed, such as writing a file.
     Fault(String),
 }
 
@@ -72,7 +72,7 @@
             Self::Client { error, .. } => match error {
                 ClientError::OutcomeUnknown { .. } => Exit::Unknown,
                 ClientError::Unreachable { .. } => Exit::Unreachable,
-                // An answer that can't be read leaves open what became of an act.
+                // With an unreadable answer it is unknown whether an act took effect.
                 ClientError::Malformed { .. } => Exit::Unknown,
                 ClientError::NoAddress | ClientError::Body { .. } | ClientError::Header => {
                     Exit::Usage
@@ -110,7 +110,7 @@
     }
 }
 
-/// A refusal in words, with both sides of each conflict and the way on.
+/// Describes a refusal, with both sides of each conflict and what to do next.
 fn describe_refusal(answer: &Answer) -> String {
     let mut lines = vec![format!("{} ({})", answer.message, answer.code)];
     lines.extend(answer.conflicts.iter().map(describe_conflict));
@@ -142,7 +142,7 @@
     lines.join("\n")
 }
 
-/// Both sides of a conflict.
+/// Describes both sides of a conflict.
 pub(super) fn describe_conflict(conflict: &ConflictBody) -> String {
     let ConflictBody {
         service,
@@ -164,7 +164,7 @@
     )
 }
 
-/// Prints why a command was not done, and gives the exit code that goes with it.
+/// Prints an error and returns its exit code.
 pub(super) fn report_error(error: &CliError, json: bool) -> Exit {
     let exit = error.exit();
     if !json {
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `filberthead explain ID [FILE...]`: what logs tell of a request.
+//! `filberthead explain ID [FILE...]`: prints what logs contain about a request.
 
 use std::io::Read;
 
@@ -68,7 +68,7 @@
     if trace.events.is_empty() {
         return format!(
             "no line names {id}: it was served at once, or never reached a process whose log \
-             this is\n"
+             was read\n"
         );
     }
     let mut page = format!("request {id}\n");
@@ -76,7 +76,7 @@
         page.push_str(&format!("  {event}\n"));
     }
     if !trace.beliefs.is_empty() {
-        page.push_str("what the processes that it met believed before\n");
+        page.push_str("state of these processes, as logged before\n");
     }
     for event in &trace.beliefs {
         page.push_str(&format!("  {event}\n"));
--- a/src/cli/help.rs
+++ b/src/cli/help.rs
@@ -4,7 +4,7 @@
 use super::error::{Exit, Result};
 use super::text;
 
-/// The commands, for close spellings.
+/// All commands; the closest one is suggested for an unknown command.
 pub(super) const COMMANDS: &[&str] = &[
     "check", "control", "explain", "help", "report", "status", "table", "token",
 ];
@@ -22,7 +22,7 @@
                      what logs of any processes tell of a request, from files or standard
                      input, in the order of time
   token new NAME ROLE [--services A,B]
-                     draw a bearer token: role read, propose or accept
+                     generate a bearer token: role read, propose or accept
 
 options of every command that talks to control replicas:
   --control IP:PORT  a control replica; several by commas or again
@@ -64,7 +64,7 @@
 
 VALUES are --weight N, --limit N, --shift-cap N, --objective latency|headroom, or
 --remove. Values not named stay. A new row needs the first three.
---allow DANGER takes a danger that was named as the reason of a refusal:
+--allow DANGER accepts a danger that was named as the reason of a refusal:
 all-weights-zero, last-row, cap-below-running, limit-above-slots, own-review.
 --wait, with set and accept, waits until every entry reports the change as in force.
 --supersedes NUMBER lets a proposal take the place of an open one.
@@ -76,7 +76,7 @@
   init                 make the one replica named by --control the first of a group
   add IP:PORT          let the replica at this operators' address receive the log
   promote NAME|ID      let it vote, once it has caught up
-  remove NAME|ID       drop a replica from the group
+  remove NAME|ID       remove a replica from the group
   replace NAME|ID IP:PORT
                        add, wait until caught up, promote, remove the old one;
                        may be run again if it breaks off
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,9 +1,8 @@
 //! The operators' command line.
 //!
-//! Every command goes through the administration API; nothing here decides whether an
-//! act takes effect. What this side adds is that an operator never has to know which
-//! replica leads, nor whether an answer was lost: see
-//! [`filberthead_operator::Client`].
+//! All changes go through the administration API, which decides whether an act takes effect.
+//! [`filberthead_operator::Client`] finds the leading replica and resends an act whose answer
+//! was lost.
 
 mod args;
 mod check;
@@ -26,7 +25,7 @@
 use error::{CliError, Result};
 use session::Session;
 
-/// Runs the command line and says how it ended; see [`Exit`].
+/// Runs the command line and returns its exit code; see [`Exit`].
 pub fn run(words: impl IntoIterator<Item = OsString> + 'static) -> ExitCode {
     let mut args = match Args::parse(words) {
         Ok(args) => args,
@@ -61,7 +60,8 @@
     }
 }
 
-/// The report is made here if a settings file is named, else by control replicas.
+/// Builds the report locally if a settings file is named, else fetches it from control
+/// replicas.
 fn report(mut args: Args, json: bool) -> Result<Exit> {
     match args.optional_positional() {
         Some(file) => report::from_settings_file(args, json, &file),
@@ -69,7 +69,7 @@
     }
 }
 
-/// Commands that talk to control replicas.
+/// Runs a command that calls control replicas.
 fn remote(command: &str, mut args: Args, json: bool) -> Result<Exit> {
     let session = Session::from_args(&mut args, json)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -1,4 +1,4 @@
-//! `filberthead report`: how much of each service's objective is used up.
+//! `filberthead report`: how much of each service's error budget is used up.
 
 use std::path::Path;
 
@@ -11,10 +11,10 @@
 use super::session::Session;
 use super::text;
 
-/// Where the report of control replicas is served.
+/// Path at which control replicas serve the report.
 const PATH: &str = "/v1/report";
 
-/// How the report is shown.
+/// Format and destination of the report.
 struct Output {
     html: bool,
     json: bool,
@@ -37,7 +37,7 @@
     fn show(&self, report: &Report) -> Result<Exit> {
         let page = match (self.html, self.json) {
             (true, _) => burn::html(report),
-            // A report has no map whose keys are no texts, the one cause of a failure.
+            // Can't fail: a report has no map with keys other than strings.
             (_, true) => format!(
                 "{}\n",
                 serde_json::to_string_pretty(report).unwrap_or_default()
@@ -54,7 +54,8 @@
     }
 }
 
-/// The report of the samples in a data folder of this machine, which needs no process.
+/// Builds the report from the samples in a replica's data folder on this VM, without calling
+/// any process.
 pub(super) fn from_settings_file(mut args: Args, json: bool, file: &str) -> Result<Exit> {
     let output = Output::from_args(&mut args, json)?;
     args.finish()?;
@@ -63,7 +64,7 @@
     output.show(&report)
 }
 
-/// The report of the control replica that has most samples.
+/// Gets the report of the control replica that has the most samples.
 pub(super) async fn from_replicas(session: &Session, mut args: Args) -> Result<Exit> {
     let output = Output::from_args(&mut args, session.json())?;
     args.finish()?;
@@ -89,7 +90,7 @@
     }
 }
 
-/// A replica that was cut off or down has gaps that another one hasn't.
+/// Whether a report has more samples than another: a replica that was cut off or down has gaps.
 fn is_more_complete(report: &Report, than: &Report) -> bool {
     let coverage = |report: &Report| {
         let minutes = report.source.minutes.iter().max().copied();
--- a/src/cli/session.rs
+++ b/src/cli/session.rs
@@ -1,4 +1,4 @@
-//! What every command that talks to control replicas shares.
+//! State and requests shared by the commands that call control replicas.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,36 +14,41 @@
 use super::error::{CliError, Exit, Result};
 use super::text;
 
-/// Names the control addresses if no option does, separated by commas.
+/// Environment variable with the control replicas' addresses, separated by commas; used without
+/// `--control`.
 const CONTROL_ENV: &str = "FILBERTHEAD_CONTROL";
 
-/// Names the file of the bearer token if no option does.
+/// Environment variable with the path of the bearer token's file; used without
+/// `--token-file`.
 const TOKEN_FILE_ENV: &str = "FILBERTHEAD_TOKEN_FILE";
 
-/// Who acts, where control replicas ask for no token.
+/// Environment variable with the operator's name; used without `--as` and without a token.
 const USER_ENV: &str = "USER";
 
-/// How often the versions in force are asked for.
+/// Interval at which the status is polled while waiting for a version to be in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// `--timeout` if not given, in seconds.
 const DEFAULT_TIMEOUT_SECS: u64 = 20;
 
 /// Longest `--timeout`, in seconds.
 const MAX_TIMEOUT_SECS: u64 = 3600;
 
-/// Where the acts go and how results are shown.
+/// The client of the control replicas and the options that these commands share.
 pub(super) struct Session {
     client: Client,
     json: bool,
+    /// The id from `--change-id`, to resend an act.
     change_id: Option<ChangeId>,
+    /// From `--timeout`: bounds all attempts of a request, and the wait for a version.
     timeout: Duration,
 }
 
-/// Whether an act is to be sent.
+/// Whether an act has to be sent.
 enum Submission {
-    /// Yes, under this id.
+    /// Send it under this id.
     Send(ChangeId),
-    /// No: the id that the operator gave is on record, so this is how it ended.
+    /// The id that the operator gave is in the history already, with this outcome.
     Recorded(Box<RecordBody>),
 }
 
@@ -51,6 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAccept {
     Return,
+    /// Wait until every entry reports the change as in force (`--wait`).
     WaitInForce,
 }
 
@@ -75,7 +81,7 @@
             .parse_option("timeout")?
             .unwrap_or(DEFAULT_TIMEOUT_SECS);
         if !(1..=MAX_TIMEOUT_SECS).contains(&secs) {
-            let message = format!("--timeout goes from 1 to {MAX_TIMEOUT_SECS} seconds");
+            let message = format!("--timeout must be from 1 to {MAX_TIMEOUT_SECS} seconds");
             return Err(CliError::usage(message));
         }
         let timeout = Duration::from_secs(secs);
@@ -104,13 +110,13 @@
         self.change_id
     }
 
-    /// Looks at a document that only the leader can show.
+    /// Gets a document that only the leader serves.
     pub(super) async fn get_from_leader<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let reply = self.client.get(path).await.map_err(CliError::from_read)?;
         decode_reply(&reply)
     }
 
-    /// Looks at a document of one replica, once: others may have the answer.
+    /// Gets a document from one replica in a single attempt, as other replicas may serve it too.
     pub(super) async fn get_once_from<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -120,7 +126,7 @@
         decode_reply(&reply.map_err(CliError::from_read)?)
     }
 
-    /// Looks at a document that only this replica has, until it answers.
+    /// Gets a document that only this replica has, with retries until the deadline.
     pub(super) async fn get_from<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -130,8 +136,9 @@
         decode_reply(&reply.map_err(CliError::from_read)?)
     }
 
-    /// Draws an id, or looks up the one that the operator gave. A resend may have to be
-    /// made on another table than the first attempt; what is on record goes first.
+    /// Generates a change id, or looks up the one that the operator gave. A recorded outcome takes
+    /// precedence over a resend, whose body may be built on a newer table than the first
+    /// attempt's.
     async fn prepare(&self) -> Result<Submission> {
         let Some(id) = self.change_id else {
             return Ok(Submission::Send(ChangeId(rand::random())));
@@ -145,8 +152,9 @@
         }
     }
 
-    /// Sends the act that `make_body` makes of its id until the outcome is known, shows it,
-    /// and does what is asked for besides.
+    /// Builds an act with `make_body`, sends it until the outcome is known, prints the outcome, and
+    /// waits for the change to be in force if `after_accept` asks for it. An act whose id is
+    /// recorded already isn't sent; its recorded outcome is printed.
     pub(super) async fn submit<B: Serialize>(
         &self,
         path: &str,
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Waits until every entry that control hears of reports a version as in force.
+    /// Waits until every entry in the leader's status reports at least `version` as in force.
     pub(super) async fn wait_in_force(&self, version: Version) -> Result<Exit> {
         let started_at = Instant::now();
         loop {
@@ -202,7 +210,7 @@
         }
     }
 
-    /// Says how a command goes on, beside its result.
+    /// Prints a line of progress to standard error.
     pub(super) fn print_progress(&self, line: &str) {
         eprintln!("{line}");
     }
@@ -226,7 +234,7 @@
         }
     }
 
-    /// Shows how an act ended that is on record.
+    /// Prints the recorded outcome of an act.
     fn show_recorded(&self, record: &RecordBody) -> Exit {
         self.show(record, || {
             format!("on record already:\n{}\n", text::record(record))
@@ -238,13 +246,13 @@
         }
     }
 
-    /// Prints a document, as JSON or as the text that is made of it.
+    /// Prints a document as JSON (`--json`), else the result of `text`.
     pub(super) fn show(&self, document: &impl Serialize, text: impl FnOnce() -> String) {
         if !self.json {
             text::print(&text());
             return;
         }
-        // No document has a map whose keys are no texts, the one cause of a failure.
+        // Can't fail: no document has a map with keys other than strings.
         let json = serde_json::to_string_pretty(document).unwrap_or_default();
         text::print(&format!("{json}\n"));
     }
@@ -285,7 +293,7 @@
     words.into_iter().map(parse).collect()
 }
 
-// From a file and not from the command line, where every user of the machine sees it.
+/// Reads the bearer token from a file: on the command line every user of the VM could see it.
 fn read_token(args: &mut Args) -> Result<Option<String>> {
     let path = args.option("token-file")?;
     let Some(path) = path.or_else(|| std::env::var(TOKEN_FILE_ENV).ok()) else {
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -11,7 +11,7 @@
 use super::session::Session;
 use super::text;
 
-/// What one control replica state, or why it doesn't.
+/// The status of one control replica, or the error of the request for it.
 #[derive(Serialize)]
 struct Control {
     addr: SocketAddr,
@@ -23,9 +23,9 @@
 
 #[derive(Serialize)]
 struct Overview {
-    /// Whether a replica holds the lease: else no change is accepted.
+    /// Whether a replica holds the lease; without it no change is accepted.
     leader_holds_lease: bool,
-    /// Newest version that any replica asked has applied.
+    /// Newest version that any queried replica has applied.
     version: Version,
     /// Entries whose version in force is older than that.
     behind: Vec<String>,
@@ -68,7 +68,7 @@
     Ok(exit)
 }
 
-/// Asks the addresses given, and the leader that they name if it is none of them.
+/// Queries the given addresses, and the leader that they report if it is none of them.
 async fn query_all(session: &Session) -> Vec<Control> {
     let mut controls = Vec::new();
     for addr in session.client().controls() {
@@ -107,7 +107,7 @@
     replica.operator_addr
 }
 
-/// The one that leads, or else the one that knows most.
+/// The status of the leader with a lease, else that with the highest commit index.
 fn most_current(controls: &[Control]) -> Option<&Status> {
     let statuses = controls
         .iter()
--- a/src/cli/table/csv.rs
+++ b/src/cli/table/csv.rs
@@ -1,4 +1,4 @@
-//! `filberthead table export` and `diff`, and the edits of a sheet.
+//! `filberthead table export` and `diff`, and the edits in an exported CSV file, the sheet.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -56,7 +56,7 @@
     (row.key(), stored)
 }
 
-/// Reads a sheet and says which of its lines are edits.
+/// Reads a CSV file and returns the edits in it, without the lines that weren't edited.
 pub(super) fn read_edits(path: &str, table: &TableBody) -> Result<Vec<EditBody>> {
     let rows = read_rows(path)?;
     Ok(rows.iter().filter_map(|row| to_edit(row, table)).collect())
@@ -91,9 +91,8 @@
     })
 }
 
-/// Whether the operator left this line as it was exported. Without the column `was`,
-/// a line that differs from the table counts as edited: it may then end as a conflict,
-/// but no edit is lost.
+/// Whether a line is still as it was exported. Without the column `was`, a line that differs
+/// from the table counts as edited: that may cause a conflict, but loses no edit.
 fn is_unedited(row: &SheetRow, values: RowValues, table: &TableBody) -> bool {
     match row.was {
         Some(was) => was == values,
@@ -103,8 +102,8 @@
     }
 }
 
-/// The revision that the operator saw. A line that they added saw no row; if there is
-/// one by now, revision 0 makes that a conflict.
+/// The row's revision on which the edit is based. A line that the operator added is based on
+/// no row; if one exists by now, revision 0 makes the edit a conflict.
 fn expected_revision(row: &SheetRow, table: &TableBody) -> Revision {
     match row.revision {
         Some(revision) if revision != Revision::default() => revision,
@@ -113,7 +112,7 @@
     }
 }
 
-/// What a sheet would do to the rows in force.
+/// The changes that a CSV file would make to the rows in force.
 #[derive(Serialize)]
 struct CsvDifference {
     version: filberthead_types::Version,
--- a/src/cli/table/handover.rs
+++ b/src/cli/table/handover.rs
@@ -8,7 +8,7 @@
 use crate::cli::session::{AfterAccept, Session};
 use crate::cli::text;
 
-/// Earlier hand-overs shown besides the last: with it, a day of three shifts.
+/// Earlier hand-overs shown besides the latest; together they cover a day of three shifts.
 const EARLIER_HANDOVERS: usize = 2;
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
--- a/src/cli/table/history.rs
+++ b/src/cli/table/history.rs
@@ -7,7 +7,7 @@
 use crate::cli::session::Session;
 use crate::cli::text;
 
-/// Records shown if no number is given.
+/// Records shown without `--last`.
 const DEFAULT_LAST: usize = 20;
 
 pub(super) async fn run(session: &Session, mut args: Args) -> Result<Exit> {
--- a/src/cli/table/mod.rs
+++ b/src/cli/table/mod.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// Dangers taken by `--allow`, which may be given several times or with commas.
+/// Dangers that the operator accepts by `--allow`, which may be repeated or hold several,
+/// separated by commas.
 fn allowed_dangers(args: &mut Args) -> Result<BTreeSet<Danger>> {
     let lists = args.option_values("allow");
     let words = lists.iter().flat_map(|list| list.split(','));
@@ -49,12 +50,13 @@
     words.map(parse).collect()
 }
 
+/// Parses a proposal's number.
 fn parse_number(word: &str) -> Result<ProposalNumber> {
     let number = word.parse().map(ProposalNumber);
-    number.map_err(|_| CliError::usage(format!("`{word}` is no number of a proposal")))
+    number.map_err(|_| CliError::usage(format!("`{word}` is not a proposal's number")))
 }
 
-/// The note that a change needs: colleagues of two other shifts have only that.
+/// The required note of a change: operators of the other shifts have no other explanation.
 fn required_note(args: &mut Args) -> Result<String> {
     let note = args.option("note")?.filter(|note| !note.trim().is_empty());
     note.ok_or_else(|| CliError::usage("say why, for colleagues: --note TEXT"))
--- a/src/cli/table/proposal.rs
+++ b/src/cli/table/proposal.rs
@@ -13,7 +13,7 @@
 use crate::cli::session::{AfterAccept, Session};
 use crate::cli::text;
 
-/// Where the edits of a proposal come from.
+/// Source of a proposal's edits.
 enum Source {
     Csv(String),
     Row(RowEdit),
@@ -65,8 +65,8 @@
         .await
 }
 
-/// The edits of an open proposal on the revisions in force. Whoever reviews the new
-/// proposal sees its difference against the rows as they stand by then.
+/// The edits of an open proposal, based on the revisions in force. Reviewers of the new proposal
+/// see its difference from the rows as they are at the time of the review.
 async fn rebase(
     session: &Session,
     number: ProposalNumber,
@@ -156,7 +156,7 @@
     pages.join("\n")
 }
 
-/// A proposal as its reviewers see it.
+/// Formats a proposal for its reviewers.
 pub(super) fn render(body: &ProposalBody) -> String {
     let mut lines = vec![format!(
         "proposal {} by {} {}: {}",
@@ -171,9 +171,9 @@
     lines.extend(body.differences.iter().map(text::difference));
     for finding in &body.findings {
         let accepted = if body.allow.contains(&finding.danger) {
-            "taken by its author"
+            "accepted by its author"
         } else {
-            "not taken"
+            "not accepted"
         };
         lines.push(format!(
             "danger {} ({accepted}): {}",
@@ -182,7 +182,7 @@
     }
     lines.extend(conflict_lines(&body.conflicts));
     if !body.conflicts.is_empty() {
-        let hint = "it can't be accepted so; to put it up again: `table propose --rebase";
+        let hint = "it can't be accepted like this; to propose it again: `table propose --rebase";
         lines.push(format!("{hint} {}`", body.number));
     }
     for review in &body.reviews {
@@ -196,11 +196,11 @@
     lines.join("\n") + "\n"
 }
 
-/// Both sides of each conflict.
+/// Describes both sides of each conflict, under a heading.
 pub(super) fn conflict_lines(conflicts: &[ConflictBody]) -> Vec<String> {
     let mut lines = Vec::new();
     if !conflicts.is_empty() {
-        lines.push("in conflict: rows have moved on".to_owned());
+        lines.push("in conflict: rows have changed since".to_owned());
     }
     lines.extend(conflicts.iter().map(error::describe_conflict));
     lines
--- a/src/cli/table/set.rs
+++ b/src/cli/table/set.rs
@@ -9,7 +9,7 @@
 use crate::cli::error::{CliError, Exit, Result};
 use crate::cli::session::{AfterAccept, Session};
 
-/// What a command line says of one row.
+/// The edit of one row that a command line describes. Options that weren't given are `None`.
 pub(super) struct RowEdit {
     key: RowKey,
     weight: Option<u32>,
@@ -21,7 +21,7 @@
 }
 
 impl RowEdit {
-    /// Takes the values from the command line; the row's name was taken before.
+    /// Reads the values from the options; the row's service and region are consumed already.
     pub(super) fn from_args(args: &mut Args, service: &str, region: &str) -> Result<Self> {
         let usage = |e: filberthead_types::NameError| CliError::usage(e.to_string());
         let key = RowKey {
@@ -50,7 +50,7 @@
         number.is_some() || self.objective.is_some()
     }
 
-    /// The edit against the table; values that aren't named stay.
+    /// The edit to send, based on the table: values that weren't given keep the row's.
     pub(super) fn resolve(&self, table: &TableBody) -> Result<EditBody> {
         let revision = self.revision.unwrap_or_else(|| table.revision(&self.key));
         let set = match (self.remove, table.row(&self.key)) {
--- a/src/cli/text.rs
+++ b/src/cli/text.rs
@@ -1,4 +1,4 @@
-//! Text for people.
+//! Formats output for operators.
 
 use std::io::{self, Write};
 use std::time::{Duration, UNIX_EPOCH};
@@ -6,21 +6,22 @@
 use filberthead_operator::{DifferenceBody, RecordBody};
 use filberthead_table::{RowValues, Timestamp};
 
-/// Writes to standard output. A reader that has gone away, as in `| head`, is no fault.
+/// Writes to standard output. Errors are ignored, as the reader may have closed the pipe
+/// (`| head`).
 pub(super) fn print(text: &str) {
     let _ = io::stdout().lock().write_all(text.as_bytes());
 }
 
-/// A time on the wall clock, in UTC.
+/// Formats a time in UTC.
 pub(super) fn time(at: Timestamp) -> String {
     let time = UNIX_EPOCH.checked_add(Duration::from_millis(at.0));
     time.map_or_else(
-        || "an impossible time".to_owned(),
+        || "an invalid time".to_owned(),
         |time| humantime::format_rfc3339_seconds(time).to_string(),
     )
 }
 
-/// Values of a row in one line.
+/// Formats the values of a row in one line.
 pub(super) fn values(values: &RowValues) -> String {
     let RowValues {
         weight,
@@ -31,12 +32,12 @@
     format!("weight {weight}, limit {limit}, shift cap {shift_cap}, {objective}")
 }
 
-/// Values of a row, or a word for none.
+/// Formats the values of a row; `none` stands for a missing row.
 pub(super) fn values_or(row: Option<&RowValues>, none: &str) -> String {
     row.map_or_else(|| none.to_owned(), values)
 }
 
-/// What becomes of a row, naming only the values that differ.
+/// Formats the change of a row, with only the values that differ.
 pub(super) fn difference(difference: &DifferenceBody) -> String {
     let key = format!("{}/{}", difference.service, difference.region);
     match (&difference.before, &difference.after) {
@@ -64,7 +65,7 @@
     parts.join(", ")
 }
 
-/// A record of the history in a few lines.
+/// Formats a record of the history in a few lines.
 pub(super) fn record(record: &RecordBody) -> String {
     let about = record
         .proposal
@@ -92,13 +93,13 @@
     lines.join("\n")
 }
 
-/// Sets every line of a text in.
+/// Indents every line of a text by four spaces.
 pub(super) fn indent(text: &str) -> String {
     let lines: Vec<_> = text.lines().map(|line| format!("    {line}")).collect();
     lines.join("\n")
 }
 
-/// Columns, each as wide as its widest cell; the first line is the heading.
+/// Formats lines of cells as columns, each as wide as its widest cell.
 pub(super) fn columns(lines: &[Vec<String>]) -> String {
     let count = lines.iter().map(Vec::len).max().unwrap_or_default();
     let width = |column: usize| {
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -1,4 +1,4 @@
-//! `filberthead token new NAME ROLE`: draws a bearer token.
+//! `filberthead token new NAME ROLE`: generates a bearer token.
 
 use filberthead_operator::NewToken;
 use filberthead_table::Role;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemons: one settings file.
+//! The daemons' command line, which takes one settings file.
 
 use std::error::Error;
 use std::ffi::OsString;
@@ -10,15 +10,15 @@
 
 /// Exit code for a command line or settings file that can't be used.
 const EXIT_USAGE: u8 = 2;
-/// Exit code for a process that ended by a fault.
+/// Exit code for a process that failed to start or failed while running.
 const EXIT_FAULT: u8 = 1;
 
-/// A failure, and whether the one who started the process can mend it.
+/// Why a daemon ended; decides its exit code.
 #[derive(Debug)]
 pub enum Failure {
-    /// Settings or command line are wrong.
+    /// The command line or the settings file can't be used.
     Usage(Box<dyn Error>),
-    /// The process can't run, or broke off.
+    /// The process failed to start or failed while running.
     Fault(Box<dyn Error>),
 }
 
@@ -27,10 +27,11 @@
     Print(String),
 }
 
-/// Reads the command line of daemon `name` and hands its settings file to `main`.
+/// Parses the command line of daemon `name` and calls `main` with the path of its settings
+/// file.
 ///
-/// Exits with 0 after a planned stop, 1 after a fault, 2 if settings or command line
-/// can't be used; the reason stands on standard error.
+/// The exit code is 0 after a planned stop, 1 after a fault, 2 if the settings or the command
+/// line can't be used. The reason is printed to standard error.
 pub fn run(name: &str, main: impl FnOnce(&Path) -> Result<(), Failure>) -> ExitCode {
     let result = match parse(name, std::env::args_os().skip(1)) {
         Ok(Invocation::Run(path)) => main(&path),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs of this package share.
+//! Code shared by this package's programs: the operators' command line and the daemons' start.
 
 pub mod cli;
 pub mod daemon;
--- a/tests/all/operators/input.rs
+++ b/tests/all/operators/input.rs
@@ -55,9 +55,15 @@
             ],
             "--limit",
         ),
-        (&["table", "show", "orders", "split"], "one word too many"),
+        (
+            &["table", "show", "orders", "split"],
+            "unexpected argument `split`",
+        ),
         (&["table", "show", "--weight", "1"], "doesn't go with"),
-        (&["table", "review", "one"], "no number"),
+        (
+            &["table", "review", "one"],
+            "`one` is not a proposal's number",
+        ),
         (&["table", "review", "1", "--approve", "--reject"], "either"),
         (
             &["table", "accept", "1", "--allow", "own-revue"],
