--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -94,7 +94,7 @@
             .map_err(|e| CliError::usage(format!("{what}: `{word}`: {e}")))
     }
 
-    /// Removes a flag; whether it was given.
+    /// Removes a flag and returns whether it was given.
     pub(super) fn flag(&mut self, name: &str) -> bool {
         !self.option_values(name).is_empty()
     }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Whether a report has more samples than another: a replica that was cut off or down has gaps.
+/// Whether a report is based on more samples: a replica that was cut off or down has gaps.
 fn is_more_complete(report: &Report, than: &Report) -> bool {
     let coverage = |report: &Report| {
         let minutes = report.source.minutes.iter().max().copied();
