--- a/crates/filberthead/src/entry/forward/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -188,7 +188,8 @@
         .send(
             addr,
             AnswerCheck::Id(ctx.id),
-            Reuse::Allowed, ctx.deadline,
+            Reuse::Allowed,
+            ctx.deadline,
             req,
         )
         .await;
--- a/crates/filberthead/src/entry/forward/takeover.rs
+++ b/crates/filberthead/src/entry/forward/takeover.rs
@@ -49,7 +49,8 @@
 
     /// Whether a takeover may still serve a request with this deadline.
     pub(super) fn is_possible(&self, deadline: Instant, cluster: &Cluster) -> bool {
-        let taken_over_by = self.lost_at + LEASE_DURATION + LEASE_MARGIN + RENEW_INTERVAL * TAKEOVER_RENEWALS;
+        let taken_over_by =
+            self.lost_at + LEASE_DURATION + LEASE_MARGIN + RENEW_INTERVAL * TAKEOVER_RENEWALS;
         let in_time = Instant::now() + RETRY_PAUSE < taken_over_by.min(deadline);
         let mut entries = cluster.entries.iter();
         in_time
--- a/crates/filberthead/src/entry/ledger/handle.rs
+++ b/crates/filberthead/src/entry/ledger/handle.rs
@@ -116,7 +116,8 @@
 impl Grant {
     pub(super) fn new(token: Token, admission: OwnedSemaphorePermit, tx: Sender<Command>) -> Self {
         Self {
-            right: Some(RunRight { token,
+            right: Some(RunRight {
+                token,
                 admission,
                 tx,
             }),
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -27,7 +27,10 @@
     let trace = RequestTrace::from_lines(&id, logs.iter().flat_map(|log| log.lines()));
     let found = !trace.events.is_empty();
     if json_output {
-        let (states, events) = (events_json(&trace.process_states), events_json(&trace.events));
+        let (states, events) = (
+            events_json(&trace.process_states),
+            events_json(&trace.events),
+        );
         text::print(&format!(
             "{:#}\n",
             json!({ "beliefs": states, "events": events })
