--- a/crates/filberthead/src/control/admin.rs
+++ b/crates/filberthead/src/control/admin.rs
@@ -7,7 +7,7 @@
 use filberthead_consensus::Proposal;
 use filberthead_observe::ControlMetrics;
 use filberthead_operator::{
-    Administration, AdministrationError, BoxFuture, MembershipAct, RowReading, Server, Status,
+    Administration, AdministrationError, BoxFuture, MembershipChange, RowReading, Server, Status,
     TokenSource,
 };
 use filberthead_ring::Sender;
@@ -154,15 +154,15 @@
         })
     }
 
-    fn membership(&self, act: MembershipAct) -> BoxFuture<'_, Result<(), AdministrationError>> {
+    fn membership(&self, act: MembershipChange) -> BoxFuture<'_, Result<(), AdministrationError>> {
         let lost = AdministrationError::OutcomeUnknown;
         let proposal = match act {
-            MembershipAct::Initialise => {
+            MembershipChange::Initialise => {
                 return Box::pin(self.request(|reply| AdminRequest::Initialise { reply }, lost));
             }
-            MembershipAct::AddLearner(id) => Proposal::AddLearner(id),
-            MembershipAct::Promote(id) => Proposal::Promote(id),
-            MembershipAct::Remove(id) => Proposal::Remove(id),
+            MembershipChange::AddLearner(id) => Proposal::AddLearner(id),
+            MembershipChange::Promote(id) => Proposal::Promote(id),
+            MembershipChange::Remove(id) => Proposal::Remove(id),
         };
         let build = |reply| AdminRequest::Members { proposal, reply };
         Box::pin(self.request(build, lost))
--- a/crates/operator/src/administration.rs
+++ b/crates/operator/src/administration.rs
@@ -61,7 +61,7 @@
 
 /// A change of the group of control replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MembershipAct {
+pub enum MembershipChange {
     /// Makes the replica asked the only voter of a new group. Succeeds once in the life
     /// of a group; on a replica that has a membership it is refused.
     Initialise,
@@ -109,7 +109,10 @@
     /// # Errors
     ///
     /// As [`Administration::submit`], or the rule that stands against it.
-    fn membership(&self, act: MembershipAct) -> BoxFuture<'_, Result<(), AdministrationError>>;
+    fn membership(
+        &self,
+        change: MembershipChange,
+    ) -> BoxFuture<'_, Result<(), AdministrationError>>;
 }
 
 /// Part that a control replica plays.
--- a/crates/operator/src/answer/history.rs
+++ b/crates/operator/src/answer/history.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use filberthead_table::{
-    Act, Danger, Difference, HandOver, Outcome, ProposalNumber, Record, Role, RowValues, Timestamp,
+    Danger, Difference, HandOver, Operation, Outcome, ProposalNumber, Record, Role, RowValues,
+    Timestamp,
 };
 use filberthead_types::{ChangeId, Region, ResultCode, ServiceName, Version};
 use serde::{Deserialize, Serialize};
@@ -87,7 +88,7 @@
 impl From<&Record> for RecordBody {
     fn from(record: &Record) -> Self {
         let command = &record.command;
-        let (act, note, allow, about) = summary(&command.act);
+        let (act, note, allow, about) = summary(&command.operation);
         let (version, made) = match record.outcome {
             Outcome::Accepted { version } => (Some(version), None),
             Outcome::Proposed { proposal } => (None, Some(proposal)),
@@ -122,21 +123,21 @@
     Option<ProposalNumber>,
 );
 
-fn summary(act: &Act) -> Summary<'_> {
+fn summary(operation: &Operation) -> Summary<'_> {
     let none = BTreeSet::new();
-    match act {
-        Act::Change(change) => ("change", &change.note, change.allow.clone(), None),
-        Act::Propose { change, .. } => ("propose", &change.note, change.allow.clone(), None),
-        Act::Review { proposal, note, .. } => ("review", note, none, Some(*proposal)),
-        Act::Accept {
+    match operation {
+        Operation::Change(change) => ("change", &change.note, change.allow.clone(), None),
+        Operation::Propose { change, .. } => ("propose", &change.note, change.allow.clone(), None),
+        Operation::Review { proposal, note, .. } => ("review", note, none, Some(*proposal)),
+        Operation::Accept {
             proposal,
             note,
             allow,
         } => ("accept", note, allow.clone(), Some(*proposal)),
-        Act::Withdraw { proposal, note } => ("withdraw", note, none, Some(*proposal)),
-        Act::HandOver { note } => ("hand-over", note, none, None),
-        Act::RegisterReplica(_) => ("register-replica", "", none, None),
-        Act::ForgetReplica(_) => ("forget-replica", "", none, None),
+        Operation::Withdraw { proposal, note } => ("withdraw", note, none, Some(*proposal)),
+        Operation::HandOver { note } => ("hand-over", note, none, None),
+        Operation::RegisterReplica(_) => ("register-replica", "", none, None),
+        Operation::ForgetReplica(_) => ("forget-replica", "", none, None),
     }
 }
 
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -19,7 +19,7 @@
 mod tokens;
 
 pub use administration::{
-    Administration, AdministrationError, BoxFuture, EntryStatus, MembershipAct, ReplicaRole,
+    Administration, AdministrationError, BoxFuture, EntryStatus, MembershipChange, ReplicaRole,
     ReplicaStatus, RowReading, Status,
 };
 pub use answer::{
--- a/crates/operator/src/server/act.rs
+++ b/crates/operator/src/server/act.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use filberthead_table::{
-    Act, Change, Command, Danger, Edit, ProposalNumber, ReplicaInfo, Timestamp,
+    Change, Command, Danger, Edit, Operation, ProposalNumber, ReplicaInfo, Timestamp,
 };
 use filberthead_types::{ChangeId, ResultCode};
 use log::info;
@@ -17,8 +17,8 @@
 use super::{Shared, view};
 use crate::live::{self, LiveCheck};
 use crate::{
-    AcceptBody, AddReplicaBody, AdministrationError, Answer, ChangeBody, MembershipAct, NoteBody,
-    ReplicaBody, ReviewBody,
+    AcceptBody, AddReplicaBody, AdministrationError, Answer, ChangeBody, MembershipChange,
+    NoteBody, ReplicaBody, ReviewBody,
 };
 
 pub(super) async fn perform(
@@ -33,11 +33,11 @@
             change_membership(shared, operator, route, body).await
         }
         _ => {
-            let (id, act) = parse_act(shared, route, body)?;
-            let edits = edits_of(shared, &act).await?;
+            let (id, operation) = parse_operation(shared, route, body)?;
+            let edits = edits_of(shared, &operation).await?;
             operator.require_services(&edits)?;
-            let check = check_live(shared, &act, &edits).await;
-            submit(shared, operator, id, act, check).await
+            let check = check_live(shared, &operation, &edits).await;
+            submit(shared, operator, id, operation, check).await
         }
     }
 }
@@ -46,7 +46,11 @@
     serde_json::from_slice(body).map_err(|e| refuse(ResultCode::ApiBodyMalformed, e.to_string()))
 }
 
-fn parse_act(shared: &Shared, route: Route, body: &Bytes) -> Result<(ChangeId, Act), Refusal> {
+fn parse_operation(
+    shared: &Shared,
+    route: Route,
+    body: &Bytes,
+) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Change => {
             let body: ChangeBody = parse(body)?;
@@ -55,49 +59,49 @@
                 let message = "`supersedes` goes with a proposal";
                 return Err(refuse(ResultCode::ApiBodyMalformed, message));
             }
-            Ok((body.id, Act::Change(change_of(body)?)))
+            Ok((body.id, Operation::Change(change_of(body)?)))
         }
         Route::Propose => {
             let body: ChangeBody = parse(body)?;
             let (id, supersedes) = (body.id, body.supersedes);
             let change = change_of(body)?;
-            Ok((id, Act::Propose { change, supersedes }))
+            Ok((id, Operation::Propose { change, supersedes }))
         }
         Route::Accept(proposal) => {
             let AcceptBody { id, note, allow } = parse(body)?;
             if allow.contains(&Danger::OwnReview) {
                 refuse_unreviewed(shared)?;
             }
-            let act = Act::Accept {
+            let operation = Operation::Accept {
                 proposal,
                 note,
                 allow,
             };
-            Ok((id, act))
+            Ok((id, operation))
         }
         _ => parse_word(route, body),
     }
 }
 
 /// Acts that come with a note and without a change.
-fn parse_word(route: Route, body: &Bytes) -> Result<(ChangeId, Act), Refusal> {
+fn parse_word(route: Route, body: &Bytes) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Review(proposal) => {
             let ReviewBody { id, verdict, note } = parse(body)?;
-            let act = Act::Review {
+            let operation = Operation::Review {
                 proposal,
                 verdict,
                 note,
             };
-            Ok((id, act))
+            Ok((id, operation))
         }
         Route::Withdraw(proposal) => {
             let NoteBody { id, note } = parse(body)?;
-            Ok((id, Act::Withdraw { proposal, note }))
+            Ok((id, Operation::Withdraw { proposal, note }))
         }
         Route::HandOver => {
             let NoteBody { id, note } = parse(body)?;
-            Ok((id, Act::HandOver { note }))
+            Ok((id, Operation::HandOver { note }))
         }
         _ => Err(refuse(ResultCode::NoSuchRoute, "nothing to do")),
     }
@@ -118,13 +122,15 @@
 
 /// The edits that an act is about. Those of a proposal never change, so what is read
 /// here is what would be accepted.
-async fn edits_of(shared: &Shared, act: &Act) -> Result<Vec<Edit>, Refusal> {
-    match act {
-        Act::Change(change) | Act::Propose { change, .. } => Ok(change.edits.clone()),
-        Act::Review { proposal, .. }
-        | Act::Accept { proposal, .. }
-        | Act::Withdraw { proposal, .. } => edits_of_proposal(shared, *proposal).await,
-        Act::HandOver { .. } | Act::RegisterReplica(_) | Act::ForgetReplica(_) => Ok(Vec::new()),
+async fn edits_of(shared: &Shared, operation: &Operation) -> Result<Vec<Edit>, Refusal> {
+    match operation {
+        Operation::Change(change) | Operation::Propose { change, .. } => Ok(change.edits.clone()),
+        Operation::Review { proposal, .. }
+        | Operation::Accept { proposal, .. }
+        | Operation::Withdraw { proposal, .. } => edits_of_proposal(shared, *proposal).await,
+        Operation::HandOver { .. }
+        | Operation::RegisterReplica(_)
+        | Operation::ForgetReplica(_) => Ok(Vec::new()),
     }
 }
 
@@ -134,10 +140,10 @@
     Ok(proposal.map_or_else(Vec::new, |proposal| proposal.change.edits.clone()))
 }
 
-async fn check_live(shared: &Shared, act: &Act, edits: &[Edit]) -> LiveCheck {
+async fn check_live(shared: &Shared, operation: &Operation, edits: &[Edit]) -> LiveCheck {
     if !matches!(
-        act,
-        Act::Change(_) | Act::Propose { .. } | Act::Accept { .. }
+        operation,
+        Operation::Change(_) | Operation::Propose { .. } | Operation::Accept { .. }
     ) {
         return LiveCheck::default();
     }
@@ -149,7 +155,7 @@
     shared: &Shared,
     operator: &Operator,
     id: ChangeId,
-    act: Act,
+    operation: Operation,
     check: LiveCheck,
 ) -> Result<Answer, Refusal> {
     let command = Command {
@@ -157,7 +163,7 @@
         actor: operator.actor.clone(),
         at: now(),
         findings: check.findings,
-        act,
+        operation,
     };
     command.check().map_err(|rule| {
         refuse(
@@ -198,14 +204,14 @@
         Route::Initialise => initialise(shared, operator, &parse(body)?).await,
         Route::Promote => {
             let ReplicaBody { id, replica } = parse(body)?;
-            apply_membership(shared, operator, id, MembershipAct::Promote(replica)).await
+            apply_membership(shared, operator, id, MembershipChange::Promote(replica)).await
         }
         _ => {
             let ReplicaBody { id, replica } = parse(body)?;
             let done =
-                apply_membership(shared, operator, id, MembershipAct::Remove(replica)).await?;
+                apply_membership(shared, operator, id, MembershipChange::Remove(replica)).await?;
             // After the removal, so that nobody loses the address of a replica that votes.
-            let forget = Act::ForgetReplica(replica);
+            let forget = Operation::ForgetReplica(replica);
             let answer = submit(shared, operator, id, forget, LiveCheck::default()).await?;
             Ok(if answer.code == ResultCode::ActRecorded {
                 done
@@ -227,7 +233,7 @@
         return Err(refuse(ResultCode::MembershipRefused, message));
     }
     let done = match status.replicas.as_slice() {
-        [] => apply_membership(shared, operator, body.id, MembershipAct::Initialise).await?,
+        [] => apply_membership(shared, operator, body.id, MembershipChange::Initialise).await?,
         // A first attempt may have come this far and no further.
         [only] if only.id == status.replica => group_changed(body.id),
         group => {
@@ -241,7 +247,7 @@
         peer_addr: status.peer_addr,
         operator_addr: status.operator_addr,
     };
-    let register = Act::RegisterReplica(info);
+    let register = Operation::RegisterReplica(info);
     let answer = submit(shared, operator, body.id, register, LiveCheck::default()).await?;
     Ok(if answer.code == ResultCode::ActRecorded {
         done
@@ -262,27 +268,27 @@
         operator_addr: body.operator_addr,
     };
     // Its addresses first: the leader needs them to send it the log.
-    let register = Act::RegisterReplica(info);
+    let register = Operation::RegisterReplica(info);
     let answer = submit(shared, operator, body.id, register, LiveCheck::default()).await?;
     if answer.code != ResultCode::ActRecorded {
         return Ok(answer);
     }
-    let act = MembershipAct::AddLearner(body.replica);
-    apply_membership(shared, operator, body.id, act).await
+    let change = MembershipChange::AddLearner(body.replica);
+    apply_membership(shared, operator, body.id, change).await
 }
 
 async fn apply_membership(
     shared: &Shared,
     operator: &Operator,
     id: ChangeId,
-    act: MembershipAct,
+    change: MembershipChange,
 ) -> Result<Answer, Refusal> {
-    let waiting = shared.administration.membership(act);
+    let waiting = shared.administration.membership(change);
     let result = time::timeout(shared.answer_timeout, waiting).await;
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role;
-        "operator's act: membership {act:?}: {result:?}"
+        "operator's act: membership {change:?}: {result:?}"
     );
     match result {
         Ok(()) => Ok(group_changed(id)),
--- a/crates/operator/tests/common/mod.rs
+++ b/crates/operator/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filberthead_operator::{
-    Administration, AdministrationError, BoxFuture, MembershipAct, ReplicaRole, ReplicaStatus,
+    Administration, AdministrationError, BoxFuture, MembershipChange, ReplicaRole, ReplicaStatus,
     RowReading, Server, ServerBuilder, Status,
 };
 use filberthead_table::{Command, Outcome, Table};
@@ -38,7 +38,7 @@
     pub faults: Mutex<VecDeque<Fault>>,
     pub readings: Mutex<Vec<RowReading>>,
     pub submitted: Mutex<Vec<Command>>,
-    pub membership: Mutex<Vec<MembershipAct>>,
+    pub membership: Mutex<Vec<MembershipChange>>,
     pub status: Mutex<Status>,
 }
 
@@ -137,9 +137,12 @@
         Box::pin(async move { self.readings.lock().unwrap().clone() })
     }
 
-    fn membership(&self, act: MembershipAct) -> BoxFuture<'_, Result<(), AdministrationError>> {
+    fn membership(
+        &self,
+        change: MembershipChange,
+    ) -> BoxFuture<'_, Result<(), AdministrationError>> {
         Box::pin(async move {
-            self.membership.lock().unwrap().push(act);
+            self.membership.lock().unwrap().push(change);
             Ok(())
         })
     }
--- a/crates/table/src/command.rs
+++ b/crates/table/src/command.rs
@@ -120,7 +120,7 @@
 /// What an operator does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Act {
+pub enum Operation {
     /// Changes the table at once.
     Change(Change),
     /// Puts a change up for review.
@@ -182,13 +182,15 @@
     /// differ.
     pub findings: Vec<Finding>,
     /// The act.
-    pub act: Act,
+    pub operation: Operation,
 }
 
 impl Command {
     /// Whether `other` is this command sent again.
     pub(crate) fn is_resend(&self, other: &Self) -> bool {
-        self.id == other.id && self.actor.name == other.actor.name && self.act == other.act
+        self.id == other.id
+            && self.actor.name == other.actor.name
+            && self.operation == other.operation
     }
 }
 
--- a/crates/table/src/history.rs
+++ b/crates/table/src/history.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Act, Command, Difference, Outcome};
+use crate::{Command, Difference, Operation, Outcome};
 
 /// Most records of past commands that are kept. At 1,300 changes a day this is more
 /// than three days.
@@ -33,7 +33,7 @@
     /// Upper estimate of the encoded size in bytes.
     fn cost(&self) -> usize {
         const HEADER: usize = 80;
-        let text = self.command.actor.name.len() + act_text(&self.command.act);
+        let text = self.command.actor.name.len() + operation_cost(&self.command.operation);
         let findings: usize = self.command.findings.iter().map(finding_cost).sum();
         let differences: usize = self.differences.iter().map(|d| row_cost(&d.key)).sum();
         HEADER + text + findings + differences + outcome_cost(&self.outcome)
@@ -49,18 +49,20 @@
     size_of::<crate::Finding>() + finding.subject.len() + finding.reason.len()
 }
 
-fn act_text(act: &Act) -> usize {
-    match act {
-        Act::Change(change) | Act::Propose { change, .. } => {
+fn operation_cost(operation: &Operation) -> usize {
+    match operation {
+        Operation::Change(change) | Operation::Propose { change, .. } => {
             let edits: usize = change.edits.iter().map(|edit| row_cost(&edit.key)).sum();
             change.note.len() + edits
         }
-        Act::Review { note, .. }
-        | Act::Accept { note, .. }
-        | Act::Withdraw { note, .. }
-        | Act::HandOver { note } => note.len(),
-        Act::RegisterReplica(info) => info.name.as_str().len() + size_of::<crate::ReplicaInfo>(),
-        Act::ForgetReplica(_) => 0,
+        Operation::Review { note, .. }
+        | Operation::Accept { note, .. }
+        | Operation::Withdraw { note, .. }
+        | Operation::HandOver { note } => note.len(),
+        Operation::RegisterReplica(info) => {
+            info.name.as_str().len() + size_of::<crate::ReplicaInfo>()
+        }
+        Operation::ForgetReplica(_) => 0,
     }
 }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -29,7 +29,8 @@
 mod view;
 
 pub use command::{
-    Act, Actor, Command, Outcome, ProposalNumber, ReplicaInfo, Role, RoleError, Timestamp, Verdict,
+    Actor, Command, Operation, Outcome, ProposalNumber, ReplicaInfo, Role, RoleError, Timestamp,
+    Verdict,
 };
 pub use danger::{Danger, DangerError, Finding};
 pub use edit::{Change, Conflict, Difference, Edit, Origin};
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -4,7 +4,7 @@
 
 use snafu::{Snafu, ensure};
 
-use crate::{Act, Change, Command, RowKey};
+use crate::{Change, Command, Operation, RowKey};
 
 /// Most edited rows in one change.
 pub const MAX_EDITS: usize = 1024;
@@ -73,16 +73,16 @@
     pub fn check(&self) -> Result<(), RuleError> {
         check_actor(&self.actor.name)?;
         ensure!(self.findings.len() <= MAX_FINDINGS, FindingsSnafu);
-        match &self.act {
-            Act::Change(change) | Act::Propose { change, .. } => check_change(change),
-            Act::Review { note, .. } | Act::Accept { note, .. } | Act::Withdraw { note, .. } => {
-                check_note(note)
-            }
-            Act::HandOver { note } => {
+        match &self.operation {
+            Operation::Change(change) | Operation::Propose { change, .. } => check_change(change),
+            Operation::Review { note, .. }
+            | Operation::Accept { note, .. }
+            | Operation::Withdraw { note, .. } => check_note(note),
+            Operation::HandOver { note } => {
                 ensure!(!note.trim().is_empty(), NoteMissingSnafu);
                 check_note(note)
             }
-            Act::RegisterReplica(_) | Act::ForgetReplica(_) => Ok(()),
+            Operation::RegisterReplica(_) | Operation::ForgetReplica(_) => Ok(()),
         }
     }
 }
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -10,9 +10,9 @@
 use crate::proposal::{MAX_REVIEWS, Proposals};
 use crate::rules::{MAX_REMOVED, MAX_REPLICAS, MAX_ROWS};
 use crate::{
-    Act, Change, Command, Conflict, Danger, Difference, Edit, Finding, HandOver, Origin, Outcome,
-    Proposal, ProposalNumber, ProposalState, Record, ReplicaInfo, Review, Row, RowKey, Verdict,
-    View, danger,
+    Change, Command, Conflict, Danger, Difference, Edit, Finding, HandOver, Operation, Origin,
+    Outcome, Proposal, ProposalNumber, ProposalState, Record, ReplicaInfo, Review, Row, RowKey,
+    Verdict, View, danger,
 };
 
 /// The table at one version, with all that operators have on record around it.
@@ -143,7 +143,7 @@
         }
         let mut differences = Vec::new();
         let outcome = match command.check() {
-            Ok(()) => self.act(command, &mut differences),
+            Ok(()) => self.execute(command, &mut differences),
             Err(rule) => Outcome::Invalid {
                 reason: rule.to_string(),
             },
@@ -152,22 +152,22 @@
         outcome
     }
 
-    fn act(&mut self, command: &Command, differences: &mut Vec<Difference>) -> Outcome {
-        match &command.act {
-            Act::Change(change) => self.change(command, change, &change.allow, differences),
-            Act::Propose { change, supersedes } => self.propose(command, change, *supersedes),
-            Act::Review {
+    fn execute(&mut self, command: &Command, differences: &mut Vec<Difference>) -> Outcome {
+        match &command.operation {
+            Operation::Change(change) => self.change(command, change, &change.allow, differences),
+            Operation::Propose { change, supersedes } => self.propose(command, change, *supersedes),
+            Operation::Review {
                 proposal,
                 verdict,
                 note,
             } => self.review(command, *proposal, *verdict, note),
-            Act::Accept {
+            Operation::Accept {
                 proposal, allow, ..
             } => self.accept(command, *proposal, allow, differences),
-            Act::Withdraw { proposal, .. } => self.withdraw(command, *proposal),
-            Act::HandOver { note } => self.hand_over(command, note),
-            Act::RegisterReplica(info) => self.register(info),
-            Act::ForgetReplica(id) => {
+            Operation::Withdraw { proposal, .. } => self.withdraw(command, *proposal),
+            Operation::HandOver { note } => self.hand_over(command, note),
+            Operation::RegisterReplica(info) => self.register(info),
+            Operation::ForgetReplica(id) => {
                 self.replicas.remove(id);
                 Outcome::Recorded
             }
--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use filberthead_table::{
-    Act, Change, Command, Edit, HISTORY_BYTES, KEPT_CLOSED, MAX_EDITS, MAX_NAME_BYTES,
-    MAX_NOTE_BYTES, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Outcome,
-    ProposalNumber, RowKey, RowValues, Table, Verdict,
+    Change, Command, Edit, HISTORY_BYTES, KEPT_CLOSED, MAX_EDITS, MAX_NAME_BYTES, MAX_NOTE_BYTES,
+    MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Operation, Outcome, ProposalNumber,
+    RowKey, RowValues, Table, Verdict,
 };
 
 /// Longest message that control replicas exchange, a snapshot among them.
@@ -18,9 +18,9 @@
 }
 
 impl Filler {
-    fn apply(&mut self, name: &str, act: Act) -> Outcome {
+    fn apply(&mut self, name: &str, operation: Operation) -> Outcome {
         self.id += 1;
-        self.table.apply(&command(self.id, name, act))
+        self.table.apply(&command(self.id, name, operation))
     }
 
     fn encoded_len(&self) -> usize {
@@ -81,22 +81,22 @@
     // Removed rows first, then as many rows as may be.
     for start in [0, MAX_EDITS] {
         let made = edits(&filler.table, start..start + MAX_EDITS, Some(highest()));
-        let outcome = filler.apply(&author, Act::Change(full(made)));
+        let outcome = filler.apply(&author, Operation::Change(full(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
     let keep = 10;
     let gone = edits(&filler.table, keep..MAX_EDITS, None);
-    filler.apply(&author, Act::Change(full(gone)));
+    filler.apply(&author, Operation::Change(full(gone)));
     let mut next = 10_000;
     while filler.table.rows().len() < MAX_ROWS {
         let count = MAX_EDITS.min(MAX_ROWS - filler.table.rows().len());
         let made = edits(&filler.table, next..next + count, Some(highest()));
         next += count;
-        let outcome = filler.apply(&author, Act::Change(full(made)));
+        let outcome = filler.apply(&author, Operation::Change(full(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
     let one_more = edits(&filler.table, next..next + 1, Some(highest()));
-    let refused = filler.apply(&author, Act::Change(full(one_more)));
+    let refused = filler.apply(&author, Operation::Change(full(one_more)));
     assert!(matches!(refused, Outcome::Invalid { .. }));
 
     let per_proposal = MAX_OPEN_EDITS / MAX_OPEN_PROPOSALS;
@@ -110,21 +110,21 @@
             Some(highest()),
         );
         let change = full(made);
-        let outcome = filler.apply(&author, Act::Propose { change, supersedes });
+        let outcome = filler.apply(&author, Operation::Propose { change, supersedes });
         let Outcome::Proposed { proposal } = outcome else {
             panic!("{outcome:?}");
         };
         for name in &names[1..] {
-            let act = Act::Review {
+            let operation = Operation::Review {
                 proposal,
                 verdict: Verdict::Approve,
                 note: note(),
             };
-            assert_eq!(filler.apply(name, act), Outcome::Recorded);
+            assert_eq!(filler.apply(name, operation), Outcome::Recorded);
         }
     }
     for _ in 0..100 {
-        filler.apply(&author, Act::HandOver { note: note() });
+        filler.apply(&author, Operation::HandOver { note: note() });
     }
     let len = filler.encoded_len();
     assert!(len < MAX_MESSAGE_BYTES, "{len} bytes");
@@ -140,7 +140,7 @@
     let mut seen = 1;
     for n in 0..5000 {
         let mut command: Command = direct(n + 1, "ana.horvat", [set("orders", "split", seen, 50)]);
-        if let Act::Change(change) = &mut command.act {
+        if let Operation::Change(change) = &mut command.operation {
             change.note = "split takes less until its cache is warm".to_owned();
         }
         table.apply(&command);
--- a/crates/table/tests/common/mod.rs
+++ b/crates/table/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use filberthead_table::{
-    Act, Actor, Change, Command, Danger, Edit, Outcome, ProposalNumber, Role, RowKey, RowValues,
-    Table, Timestamp, Verdict,
+    Actor, Change, Command, Danger, Edit, Operation, Outcome, ProposalNumber, Role, RowKey,
+    RowValues, Table, Timestamp, Verdict,
 };
 use filberthead_types::{ChangeId, Revision, Version};
 
@@ -55,7 +55,7 @@
     change
 }
 
-pub fn command(id: u128, name: &str, act: Act) -> Command {
+pub fn command(id: u128, name: &str, operation: Operation) -> Command {
     Command {
         id: ChangeId(id),
         actor: Actor {
@@ -64,36 +64,36 @@
         },
         at: Timestamp(1_000 + u64::try_from(id).unwrap()),
         findings: Vec::new(),
-        act,
+        operation,
     }
 }
 
 pub fn direct(id: u128, name: &str, edits: impl IntoIterator<Item = Edit>) -> Command {
-    command(id, name, Act::Change(change(edits)))
+    command(id, name, Operation::Change(change(edits)))
 }
 
 pub fn propose(id: u128, name: &str, edits: impl IntoIterator<Item = Edit>) -> Command {
     let change = change(edits);
     let supersedes = None;
-    command(id, name, Act::Propose { change, supersedes })
+    command(id, name, Operation::Propose { change, supersedes })
 }
 
 pub fn review(id: u128, name: &str, number: u64, verdict: Verdict) -> Command {
-    let act = Act::Review {
+    let operation = Operation::Review {
         proposal: ProposalNumber(number),
         verdict,
         note: String::new(),
     };
-    command(id, name, act)
+    command(id, name, operation)
 }
 
 pub fn accept(id: u128, name: &str, number: u64, allow: &[Danger]) -> Command {
-    let act = Act::Accept {
+    let operation = Operation::Accept {
         proposal: ProposalNumber(number),
         note: String::new(),
         allow: allow.iter().copied().collect(),
     };
-    command(id, name, act)
+    command(id, name, operation)
 }
 
 pub fn accepted(version: u64) -> Outcome {
--- a/crates/table/tests/proposals.rs
+++ b/crates/table/tests/proposals.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use filberthead_table::{
-    Act, Danger, KEPT_CLOSED, KEPT_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Outcome,
+    Danger, KEPT_CLOSED, KEPT_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Operation, Outcome,
     ProposalNumber, ProposalState, Table, Verdict,
 };
 use filberthead_types::Version;
@@ -91,17 +91,20 @@
     assert_eq!(weight(&table, "orders", "split"), Some(33));
     assert_eq!(table.open_proposals().count(), 1);
 
-    let act = Act::Propose {
+    let operation = Operation::Propose {
         change: change([set("orders", "split", 2, 20)]),
         supersedes: Some(ProposalNumber(1)),
     };
-    assert_eq!(table.apply(&command(5, "ana", act.clone())), proposed(2));
+    assert_eq!(
+        table.apply(&command(5, "ana", operation.clone())),
+        proposed(2)
+    );
     let old = table.proposal(ProposalNumber(1)).unwrap();
     assert_eq!(old.state.describe(), "superseded by proposal 2");
     // The approval was for the old one.
     let unreviewed = table.apply(&accept(6, "bruno", 2, &[]));
     assert!(matches!(unreviewed, Outcome::ReviewMissing { .. }));
-    let closed = table.apply(&command(7, "ana", act));
+    let closed = table.apply(&command(7, "ana", operation));
     assert!(matches!(closed, Outcome::ProposalUnknown { .. }));
 }
 
@@ -114,11 +117,11 @@
     let off = [set("orders", "zagreb", 1, 0), set("orders", "split", 1, 0)];
     let dangerous = table.apply(&propose(2, "ana", off.clone()));
     assert!(matches!(dangerous, Outcome::Dangerous { .. }));
-    let act = Act::Propose {
+    let operation = Operation::Propose {
         change: allowing(&[Danger::AllWeightsZero], change(off)),
         supersedes: None,
     };
-    assert_eq!(table.apply(&command(3, "ana", act)), proposed(1));
+    assert_eq!(table.apply(&command(3, "ana", operation)), proposed(1));
     table.apply(&review(4, "bruno", 1, Verdict::Approve));
     // What its author takes, and a colleague approved, needn't be said again.
     assert_eq!(table.apply(&accept(5, "bruno", 1, &[])), accepted(2));
@@ -149,8 +152,11 @@
 fn a_hand_over_carries_note_version_and_open_proposals() {
     let mut table = with_proposal();
     let note = "osijek is warm again".to_owned();
-    let act = Act::HandOver { note: note.clone() };
-    assert_eq!(table.apply(&command(2, "ana", act)), Outcome::Recorded);
+    let operation = Operation::HandOver { note: note.clone() };
+    assert_eq!(
+        table.apply(&command(2, "ana", operation)),
+        Outcome::Recorded
+    );
     let handover = table.handovers().next_back().unwrap();
     assert_eq!((&handover.by, &handover.note), (&"ana".to_owned(), &note));
     assert_eq!(handover.open, [ProposalNumber(1)]);
@@ -161,11 +167,14 @@
 #[test]
 fn a_withdrawn_proposal_is_closed() {
     let mut table = with_proposal();
-    let act = Act::Withdraw {
+    let operation = Operation::Withdraw {
         proposal: ProposalNumber(1),
         note: String::new(),
     };
-    assert_eq!(table.apply(&command(2, "bruno", act)), Outcome::Recorded);
+    assert_eq!(
+        table.apply(&command(2, "bruno", operation)),
+        Outcome::Recorded
+    );
     let late = table.apply(&review(3, "bruno", 1, Verdict::Approve));
     assert!(matches!(late, Outcome::ProposalUnknown { .. }));
     let never = table.apply(&accept(4, "bruno", 77, &[]));
@@ -182,11 +191,11 @@
     let full = table.apply(&propose(500, "ana", [set("orders", "split", 1, 20)]));
     assert_eq!(full, Outcome::TooManyProposals);
     // One that takes the place of another needs no room.
-    let act = Act::Propose {
+    let operation = Operation::Propose {
         change: change([set("orders", "split", 1, 21)]),
         supersedes: Some(ProposalNumber(1)),
     };
-    let in_place = table.apply(&command(501, "ana", act));
+    let in_place = table.apply(&command(501, "ana", operation));
     assert!(matches!(in_place, Outcome::Proposed { .. }));
 
     for n in 0..MAX_REVIEWS as u128 {
@@ -200,16 +209,16 @@
 
     for n in 0..100_u128 {
         let note = format!("note {n}");
-        table.apply(&command(1000 + n, "ana", Act::HandOver { note }));
+        table.apply(&command(1000 + n, "ana", Operation::HandOver { note }));
     }
     assert_eq!(table.handovers().count(), KEPT_HAND_OVERS);
     for n in 0..KEPT_CLOSED as u128 + 10 {
         let number = table.open_proposals().next().unwrap().number;
-        let act = Act::Propose {
+        let operation = Operation::Propose {
             change: change([set("orders", "split", 1, 21)]),
             supersedes: Some(number),
         };
-        table.apply(&command(2000 + n, "ana", act));
+        table.apply(&command(2000 + n, "ana", operation));
     }
     assert_eq!(table.closed_proposals().count(), KEPT_CLOSED);
     let edits: BTreeSet<_> = table
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -8,7 +8,8 @@
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use common::*;
 use filberthead_table::{
-    Act, Change, Command, Danger, Edit, Outcome, ProposalNumber, RowKey, RowValues, Table, Verdict,
+    Change, Command, Danger, Edit, Operation, Outcome, ProposalNumber, RowKey, RowValues, Table,
+    Verdict,
 };
 use filberthead_types::{ChangeId, Revision};
 use rand::SeedableRng;
@@ -81,16 +82,16 @@
         if !matches!(outcome, Outcome::Accepted { .. }) {
             return None;
         }
-        match &command.act {
-            Act::Change(change) => Some(change.clone()),
-            Act::Accept { proposal, .. } => Some(self.proposals[proposal].clone()),
+        match &command.operation {
+            Operation::Change(change) => Some(change.clone()),
+            Operation::Accept { proposal, .. } => Some(self.proposals[proposal].clone()),
             other => panic!("{other:?} can't be accepted"),
         }
     }
 
     fn take_in(&mut self, command: &Command, outcome: &Outcome) {
-        if let (Act::Propose { change, .. }, Outcome::Proposed { proposal }) =
-            (&command.act, outcome)
+        if let (Operation::Propose { change, .. }, Outcome::Proposed { proposal }) =
+            (&command.operation, outcome)
         {
             self.proposals.insert(*proposal, change.clone());
         }
@@ -108,12 +109,12 @@
     let plain = change([step.edits[0].edit(table)]);
     let supersedes = Some(ProposalNumber(number)).filter(|_| step.proposal > 200);
     match step.kind % 8 {
-        0 => command(id, name, Act::Change(made)),
-        1 | 2 => command(id, name, Act::Change(plain)),
+        0 => command(id, name, Operation::Change(made)),
+        1 | 2 => command(id, name, Operation::Change(plain)),
         3 => command(
             id,
             name,
-            Act::Propose {
+            Operation::Propose {
                 change: plain,
                 supersedes,
             },
--- a/crates/table/tests/stories.rs
+++ b/crates/table/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use filberthead_table::{Act, Danger, Finding, KEPT_OUTCOMES, MAX_REMOVED, Outcome, Table};
+use filberthead_table::{Danger, Finding, KEPT_OUTCOMES, MAX_REMOVED, Operation, Outcome, Table};
 use filberthead_types::{Revision, Version};
 
 /// Two shifts race to set the same row to equal numbers. The first in the log wins; the
@@ -165,7 +165,7 @@
     );
     let meant = allowing(&[Danger::AllWeightsZero], change(off));
     assert_eq!(
-        table.apply(&command(2, "ana", Act::Change(meant))),
+        table.apply(&command(2, "ana", Operation::Change(meant))),
         accepted(2)
     );
 
@@ -178,11 +178,11 @@
     assert!(matches!(&refused, Outcome::Dangerous { findings }
         if findings[0].danger == Danger::LastRow));
     let wrong = allowing(&[Danger::AllWeightsZero], change(gone.clone()));
-    let refused = table.apply(&command(5, "ana", Act::Change(wrong)));
+    let refused = table.apply(&command(5, "ana", Operation::Change(wrong)));
     assert!(matches!(refused, Outcome::Dangerous { .. }));
     let meant = allowing(&[Danger::LastRow], change(gone));
     assert_eq!(
-        table.apply(&command(6, "ana", Act::Change(meant))),
+        table.apply(&command(6, "ana", Operation::Change(meant))),
         accepted(4)
     );
 }
@@ -203,17 +203,17 @@
     let mut escape = change([set("orders", "split", 1, 1)]);
     escape.note = "\u{1b}[2J".to_owned();
     let acts = [
-        Act::Change(change([])),
-        Act::Change(change(twice)),
-        Act::Change(escape),
-        Act::HandOver { note: long },
-        Act::HandOver {
+        Operation::Change(change([])),
+        Operation::Change(change(twice)),
+        Operation::Change(escape),
+        Operation::HandOver { note: long },
+        Operation::HandOver {
             note: " ".to_owned(),
         },
     ];
-    for (id, act) in (1..).zip(acts) {
-        let outcome = table.apply(&command(id, "ana", act.clone()));
-        assert!(matches!(outcome, Outcome::Invalid { .. }), "{act:?}");
+    for (id, operation) in (1..).zip(acts) {
+        let outcome = table.apply(&command(id, "ana", operation.clone()));
+        assert!(matches!(outcome, Outcome::Invalid { .. }), "{operation:?}");
     }
     let nameless = direct(100, "", [set("orders", "split", 1, 1)]);
     assert!(matches!(table.apply(&nameless), Outcome::Invalid { .. }));
