--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -12,9 +12,9 @@
 
 mod administration;
 mod answer;
-mod body;
 mod client;
 mod live;
+mod request;
 mod server;
 mod tokens;
 
@@ -26,11 +26,11 @@
     Answer, ConflictBody, DifferenceBody, HandOverBody, HandOverNote, HistoryBody, ProposalBody,
     ProposalsBody, RecordBody, RemovedBody, ReviewView, RowBody, TableBody,
 };
-pub use body::{
+pub use client::{Client, ClientBuilder, ClientError, Reply};
+pub use request::{
     AcceptBody, AddReplicaBody, ChangeBody, EditBody, EditShapeError, NoteBody, ReplicaBody,
     ReviewBody,
 };
-pub use client::{Client, ClientBuilder, ClientError, Reply};
 pub use server::{MAX_BODY_BYTES, Page, Server, ServerBuilder};
 pub use tokens::{NewToken, TokenSource, TokenSourceError, Tokens, TokensError};
 
--- a/crates/operator/src/server/mod.rs
+++ b/crates/operator/src/server/mod.rs
@@ -1,11 +1,11 @@
 //! The HTTP server.
 
 mod access;
-mod act;
 mod connection;
+mod operations;
+mod queries;
 mod reply;
 mod route;
-mod view;
 
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/crates/operator/src/server/act.rs
+++ b/crates/operator/src/server/operations.rs
@@ -14,7 +14,7 @@
 use super::access::Operator;
 use super::reply::{Refusal, refuse};
 use super::route::Route;
-use super::{Shared, view};
+use super::{Shared, queries};
 use crate::live::{self, LiveCheck};
 use crate::{
     AcceptBody, AddReplicaBody, AdministrationError, Answer, ChangeBody, MembershipChange,
@@ -135,7 +135,7 @@
 }
 
 async fn edits_of_proposal(shared: &Shared, number: ProposalNumber) -> Result<Vec<Edit>, Refusal> {
-    let table = view::read(shared).await?;
+    let table = queries::read(shared).await?;
     let proposal = table.proposal(number);
     Ok(proposal.map_or_else(Vec::new, |proposal| proposal.change.edits.clone()))
 }
@@ -227,7 +227,7 @@
     operator: &Operator,
     body: &ReplicaBody,
 ) -> Result<Answer, Refusal> {
-    let status = view::status(shared).await?;
+    let status = queries::status(shared).await?;
     if status.replica != body.replica {
         let message = format!("this is replica {}, not {}", status.replica, body.replica);
         return Err(refuse(ResultCode::MembershipRefused, message));
--- a/crates/operator/src/server/route.rs
+++ b/crates/operator/src/server/route.rs
@@ -13,7 +13,7 @@
 
 use super::access::{self, Operator};
 use super::reply::{self, HttpResponse, Refusal, refuse};
-use super::{MAX_BODY_BYTES, Shared, act, view};
+use super::{MAX_BODY_BYTES, Shared, operations, queries};
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -135,7 +135,7 @@
     })?;
     operator.require(route.role())?;
     if parts.method == Method::GET {
-        return view::answer(shared, route, query).await;
+        return queries::answer(shared, route, query).await;
     }
     let is_json = parts
         .headers
@@ -155,7 +155,7 @@
     route: Route,
     body: &Bytes,
 ) -> Result<HttpResponse, Refusal> {
-    let answer = act::perform(shared, operator, route, body).await?;
+    let answer = operations::perform(shared, operator, route, body).await?;
     Ok(reply::answer(&answer))
 }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -17,6 +17,7 @@
 //! state stays below the longest message between control replicas.
 
 mod command;
+mod csv_file;
 mod danger;
 mod edit;
 mod handover;
@@ -24,7 +25,6 @@
 mod proposal;
 mod row;
 mod rules;
-mod sheet;
 mod state;
 mod view;
 
@@ -32,6 +32,9 @@
     Actor, Command, Operation, Outcome, ProposalNumber, ReplicaInfo, Role, RoleError, Timestamp,
     Verdict,
 };
+pub use csv_file::{
+    MAX_SHEET_BYTES, SheetAction, SheetError, SheetRow, SheetWriteError, read_sheet, write_sheet,
+};
 pub use danger::{Danger, DangerError, Finding};
 pub use edit::{Change, Conflict, Difference, Edit, Origin};
 pub use handover::{HandOver, KEPT_HAND_OVERS};
@@ -43,8 +46,5 @@
 pub use rules::{
     MAX_EDITS, MAX_NAME_BYTES, MAX_NOTE_BYTES, MAX_REMOVED, MAX_REPLICAS, MAX_ROWS, RuleError,
 };
-pub use sheet::{
-    MAX_SHEET_BYTES, SheetAction, SheetError, SheetRow, SheetWriteError, read_sheet, write_sheet,
-};
 pub use state::Table;
 pub use view::{View, ViewDelta};
