--- a/crates/table/src/csv_file.rs
+++ b/crates/table/src/csv_file.rs
@@ -35,11 +35,11 @@
 const REMOVE: &str = "remove";
 
 /// Largest sheet that is read, in bytes.
-pub const MAX_SHEET_BYTES: usize = 8 << 20;
+pub const MAX_CSV_BYTES: usize = 8 << 20;
 
 /// What a line of a sheet asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SheetAction {
+pub enum CsvAction {
     /// The row is to have these values.
     Set(RowValues),
     /// The row is to go.
@@ -48,13 +48,13 @@
 
 /// A line of a sheet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SheetRow {
+pub struct CsvRow {
     /// Its line number in the file, from 1.
     pub line: u64,
     /// The row.
     pub key: RowKey,
     /// What it asks for.
-    pub action: SheetAction,
+    pub action: CsvAction,
     /// Revision at the export; `None` for a line that the operator added.
     pub revision: Option<Revision>,
     /// Values at the export, if the column is still there.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("{} lines of the sheet can't be read", faults.len()))]
-pub struct SheetError {
+pub struct CsvError {
     /// Line number, from 1, and what is wrong with the line.
     pub faults: Vec<(u64, String)>,
 }
@@ -73,7 +73,7 @@
 /// A sheet that can't be written.
 #[derive(Debug)]
 #[derive(Snafu)]
-pub enum SheetWriteError {
+pub enum CsvWriteError {
     /// A line can't be written.
     #[snafu(display("can't write the sheet"))]
     Line {
@@ -93,10 +93,10 @@
 /// # Errors
 ///
 /// Fails if the target does.
-pub fn write_sheet<'a>(
+pub fn write_csv<'a>(
     rows: impl IntoIterator<Item = (&'a RowKey, Row)>,
     target: impl io::Write,
-) -> Result<(), SheetWriteError> {
+) -> Result<(), CsvWriteError> {
     let mut writer = Writer::from_writer(target);
     writer.write_record(COLUMNS).context(LineSnafu)?;
     for (key, row) in rows {
@@ -148,7 +148,7 @@
 /// # Errors
 ///
 /// Names every bad line, not only the first, so that one pass mends them all.
-pub fn read_sheet(text: &str) -> Result<Vec<SheetRow>, SheetError> {
+pub fn read_csv(text: &str) -> Result<Vec<CsvRow>, CsvError> {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let first = text.lines().next().unwrap_or_default();
     let mut reader = ReaderBuilder::new()
@@ -157,7 +157,7 @@
         .trim(csv::Trim::All)
         .from_reader(text.as_bytes());
     let header = reader.headers().cloned().unwrap_or_default();
-    let columns = Columns::find(&header).map_err(|faults| SheetError { faults })?;
+    let columns = Columns::find(&header).map_err(|faults| CsvError { faults })?;
     let mut rows = Vec::new();
     let mut faults = Vec::new();
     let mut seen = BTreeMap::new();
@@ -183,7 +183,7 @@
     if faults.is_empty() {
         Ok(rows)
     } else {
-        Err(SheetError { faults })
+        Err(CsvError { faults })
     }
 }
 
@@ -232,7 +232,7 @@
     }
 
     /// `None` for an empty line.
-    fn parse(&self, record: &StringRecord) -> Result<Option<SheetRow>, Vec<(u64, String)>> {
+    fn parse(&self, record: &StringRecord) -> Result<Option<CsvRow>, Vec<(u64, String)>> {
         if record.iter().all(str::is_empty) {
             return Ok(None);
         }
@@ -261,7 +261,7 @@
 
 impl Cells<'_> {
     // Every cell is read before any is used, so that all faults of a line show at once.
-    fn row(&mut self) -> Option<SheetRow> {
+    fn row(&mut self) -> Option<CsvRow> {
         let service = self.read::<ServiceName>(0);
         let region = self.read::<Region>(1);
         let weight = self.read::<u32>(2);
@@ -281,13 +281,13 @@
             shift_cap: shift_cap?,
             objective: objective?,
         };
-        Some(SheetRow {
+        Some(CsvRow {
             line: self.line,
             key,
             action: if remove {
-                SheetAction::Remove
+                CsvAction::Remove
             } else {
-                SheetAction::Set(values)
+                CsvAction::Set(values)
             },
             revision,
             was,
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -33,7 +33,7 @@
     Verdict,
 };
 pub use csv_file::{
-    MAX_SHEET_BYTES, SheetAction, SheetError, SheetRow, SheetWriteError, read_sheet, write_sheet,
+    CsvAction, CsvError, CsvRow, CsvWriteError, MAX_CSV_BYTES, read_csv, write_csv,
 };
 pub use danger::{Danger, DangerError, Finding};
 pub use edit::{Change, Conflict, Difference, Edit, Origin};
--- a/crates/table/tests/csv_file.rs
+++ b/crates/table/tests/csv_file.rs
@@ -5,7 +5,7 @@
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use common::*;
-use filberthead_table::{Row, SheetAction, SheetError, read_sheet, write_sheet};
+use filberthead_table::{CsvAction, CsvError, Row, read_csv, write_csv};
 use filberthead_types::Revision;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -14,21 +14,21 @@
     let table = small_table();
     let rows = table.rows().iter().map(|(key, row)| (key, *row));
     let mut buf = Vec::new();
-    write_sheet(rows, &mut buf).expect("memory takes it");
+    write_csv(rows, &mut buf).expect("memory takes it");
     String::from_utf8(buf).expect("CSV is text")
 }
 
 fn faults(text: &str) -> Vec<(u64, String)> {
-    let SheetError { faults } = read_sheet(text).expect_err("the sheet is bad");
+    let CsvError { faults } = read_csv(text).expect_err("the sheet is bad");
     faults
 }
 
 #[test]
 fn an_export_reads_back_as_it_was() {
-    let rows = read_sheet(&export()).unwrap();
+    let rows = read_csv(&export()).unwrap();
     assert_eq!(rows.len(), 4);
     for row in &rows {
-        let SheetAction::Set(values) = row.action else {
+        let CsvAction::Set(values) = row.action else {
             panic!("{row:?}");
         };
         assert_eq!(row.was, Some(values));
@@ -46,18 +46,18 @@
                 split;orders;48;10;12;headroom;50 48 12 latency;1;;\r\n\
                 osijek;orders;30;5;6;latency;;;;\r\n\
                 ;;;;;;;;;\r\n";
-    let rows = read_sheet(text).unwrap();
+    let rows = read_csv(text).unwrap();
     assert_eq!(rows.len(), 2);
     assert_eq!(rows[0].was, Some(values(50)));
     assert_eq!(rows[1].revision, None);
-    assert_eq!(read_sheet(&text.replace(';', "\t")).unwrap().len(), 2);
+    assert_eq!(read_csv(&text.replace(';', "\t")).unwrap().len(), 2);
 }
 
 #[test]
 fn a_row_is_removed_only_where_it_is_said() {
     let text = export().replace("50 48 12 latency,\n", "50 48 12 latency,remove\n");
-    let rows = read_sheet(&text).unwrap();
-    let removed = rows.iter().filter(|row| row.action == SheetAction::Remove);
+    let rows = read_csv(&text).unwrap();
+    let removed = rows.iter().filter(|row| row.action == CsvAction::Remove);
     assert_eq!(removed.count(), 2);
 }
 
@@ -99,8 +99,8 @@
     let row = Row::default();
     let key = key("a-b.c_d", "r");
     let mut buf = Vec::new();
-    write_sheet([(&key, row)], &mut buf).unwrap();
-    let rows = read_sheet(&String::from_utf8(buf).unwrap()).unwrap();
+    write_csv([(&key, row)], &mut buf).unwrap();
+    let rows = read_csv(&String::from_utf8(buf).unwrap()).unwrap();
     assert_eq!(rows[0].key, key);
 }
 
@@ -139,12 +139,12 @@
             (String::new(), usize::MAX)
         };
         text.extend(picks.iter().take(noise).map(piece));
-        match read_sheet(&text) {
+        match read_csv(&text) {
             Ok(rows) => {
                 with_rows += usize::from(!rows.is_empty());
-                assert_eq!(read_sheet(&text), Ok(rows));
+                assert_eq!(read_csv(&text), Ok(rows));
             }
-            Err(SheetError { faults }) => {
+            Err(CsvError { faults }) => {
                 let lines = text.lines().count() as u64 + 1;
                 assert!(!faults.is_empty());
                 assert!(faults.iter().all(|(line, _)| *line <= lines), "{faults:?}");
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use filberthead_operator::{Answer, ClientError, ConflictBody};
-use filberthead_table::SheetError;
+use filberthead_table::CsvError;
 use filberthead_types::{ChangeId, ResultCode};
 use serde_json::json;
 
@@ -40,7 +40,7 @@
     /// The command line can't be used.
     Usage(String),
     /// A sheet has bad lines.
-    Sheet { file: String, error: SheetError },
+    Sheet { file: String, error: CsvError },
     /// The API refuses.
     Refused(Box<Answer>),
     /// There is no answer.
--- a/src/cli/table/sheet.rs
+++ b/src/cli/table/sheet.rs
@@ -8,7 +8,7 @@
     ConflictBody, DifferenceBody, EditBody, ProposalBody, RemovedBody, RowBody, TableBody,
 };
 use filberthead_table::{
-    MAX_SHEET_BYTES, Row, RowKey, RowValues, SheetAction, SheetRow, read_sheet, write_sheet,
+    CsvAction, CsvRow, MAX_CSV_BYTES, Row, RowKey, RowValues, read_csv, write_csv,
 };
 use filberthead_types::Revision;
 use serde::Serialize;
@@ -42,7 +42,7 @@
 fn write(table: &TableBody, target: impl Write) -> Result<()> {
     let rows: Vec<_> = table.rows.iter().map(keyed).collect();
     let rows = rows.iter().map(|(key, row)| (key, *row));
-    write_sheet(rows, target).map_err(|e| {
+    write_csv(rows, target).map_err(|e| {
         let cause = std::error::Error::source(&e).map(ToString::to_string);
         CliError::fault(format!("{e}: {}", cause.unwrap_or_default()))
     })
@@ -62,25 +62,25 @@
     Ok(rows.iter().filter_map(|row| edit(row, table)).collect())
 }
 
-fn read(path: &str) -> Result<Vec<SheetRow>> {
+fn read(path: &str) -> Result<Vec<CsvRow>> {
     let unreadable = |e: io::Error| CliError::usage(format!("can't read the sheet {path}: {e}"));
     let size = Path::new(path).metadata().map_err(unreadable)?.len();
-    if size > MAX_SHEET_BYTES as u64 {
-        let message = format!("the sheet {path} is over {MAX_SHEET_BYTES} bytes");
+    if size > MAX_CSV_BYTES as u64 {
+        let message = format!("the sheet {path} is over {MAX_CSV_BYTES} bytes");
         return Err(CliError::usage(message));
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    read_sheet(&text).map_err(|error| CliError::Sheet {
+    read_csv(&text).map_err(|error| CliError::Sheet {
         file: path.to_owned(),
         error,
     })
 }
 
-fn edit(row: &SheetRow, table: &TableBody) -> Option<EditBody> {
+fn edit(row: &CsvRow, table: &TableBody) -> Option<EditBody> {
     let set = match row.action {
-        SheetAction::Remove => None,
-        SheetAction::Set(values) if is_untouched(row, values, table) => return None,
-        SheetAction::Set(values) => Some(values),
+        CsvAction::Remove => None,
+        CsvAction::Set(values) if is_untouched(row, values, table) => return None,
+        CsvAction::Set(values) => Some(values),
     };
     Some(EditBody {
         service: row.key.service.clone(),
@@ -94,7 +94,7 @@
 /// Whether the operator left this line as it was exported. Without the column `was`,
 /// a line that differs from the table counts as edited: it may then end as a conflict,
 /// but no edit is lost.
-fn is_untouched(row: &SheetRow, values: RowValues, table: &TableBody) -> bool {
+fn is_untouched(row: &CsvRow, values: RowValues, table: &TableBody) -> bool {
     match row.was {
         Some(was) => was == values,
         None => table
@@ -105,7 +105,7 @@
 
 /// The revision that the operator saw. A line that they added saw no row; if there is
 /// one by now, revision 0 makes that a conflict.
-fn seen(row: &SheetRow, table: &TableBody) -> Revision {
+fn seen(row: &CsvRow, table: &TableBody) -> Revision {
     match row.revision {
         Some(revision) if revision != Revision::default() => revision,
         _ if table.row(&row.key).is_some() => Revision::default(),
