--- a/crates/operator/src/answer/mod.rs
+++ b/crates/operator/src/answer/mod.rs
@@ -171,7 +171,7 @@
         Self {
             service: conflict.key.service.clone(),
             region: conflict.key.region.clone(),
-            seen: conflict.seen,
+            seen: conflict.expected_revision,
             wanted: conflict.wanted,
             current: conflict.current.map(|row| row.values),
             revision: conflict.revision,
--- a/crates/operator/src/request.rs
+++ b/crates/operator/src/request.rs
@@ -41,7 +41,7 @@
         Self {
             service: edit.key.service.clone(),
             region: edit.key.region.clone(),
-            revision: edit.seen,
+            revision: edit.expected_revision,
             set: edit.set,
             remove: edit.set.is_none(),
         }
@@ -59,7 +59,7 @@
         };
         Ok(Self {
             key,
-            seen: body.revision,
+            expected_revision: body.revision,
             set: body.set,
         })
     }
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -15,7 +15,7 @@
     pub key: RowKey,
     /// Revision that the author saw, as [`Table::revision`](crate::Table::revision)
     /// gives it; 0 for a row that never was.
-    pub seen: Revision,
+    pub expected_revision: Revision,
     /// New values, or `None` to remove the row.
     pub set: Option<RowValues>,
 }
@@ -39,7 +39,7 @@
     /// The row.
     pub key: RowKey,
     /// Revision that the edit saw.
-    pub seen: Revision,
+    pub expected_revision: Revision,
     /// What the edit would have set; `None` to remove the row.
     pub wanted: Option<RowValues>,
     /// The row as it stands, or `None` if there is none.
--- a/crates/table/src/handover.rs
+++ b/crates/table/src/handover.rs
@@ -8,7 +8,7 @@
 use crate::{ProposalNumber, Timestamp};
 
 /// How many hand-overs are kept: three shifts a day make this more than three weeks.
-pub const KEPT_HAND_OVERS: usize = 64;
+pub const MAX_HAND_OVERS: usize = 64;
 
 /// The end of a shift.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 impl HandOvers {
     pub(crate) fn push(&mut self, handover: HandOver) {
         self.0.push_back(handover);
-        if self.0.len() > KEPT_HAND_OVERS {
+        if self.0.len() > MAX_HAND_OVERS {
             self.0.pop_front();
         }
     }
--- a/crates/table/src/history.rs
+++ b/crates/table/src/history.rs
@@ -9,11 +9,11 @@
 
 /// Most records of past commands that are kept. At 1,300 changes a day this is more
 /// than three days.
-pub const KEPT_OUTCOMES: usize = 4096;
+pub const MAX_HISTORY_RECORDS: usize = 4096;
 
 /// Most bytes that the kept records may come to by their own estimate, which lies
 /// above the encoded size. Large changes push old records out sooner.
-pub const HISTORY_BYTES: usize = 5 << 18;
+pub const MAX_HISTORY_BYTES: usize = 5 << 18;
 
 /// A command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -128,7 +128,7 @@
     // The newest record stays whatever its size: its sender may be about to resend it.
     fn is_over_bound(&self) -> bool {
         let len = self.records.len();
-        len > 1 && (len > KEPT_OUTCOMES || self.bytes > HISTORY_BYTES)
+        len > 1 && (len > MAX_HISTORY_RECORDS || self.bytes > MAX_HISTORY_BYTES)
     }
 
     pub(crate) fn serial(&self) -> u64 {
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -37,14 +37,15 @@
 };
 pub use danger::{Danger, DangerError, Finding};
 pub use edit::{Change, Conflict, Difference, Edit, Origin};
-pub use handover::{HandOver, KEPT_HAND_OVERS};
-pub use history::{HISTORY_BYTES, KEPT_OUTCOMES, Record};
+pub use handover::{HandOver, MAX_HAND_OVERS};
+pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_RECORDS, Record};
 pub use proposal::{
-    KEPT_CLOSED, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Proposal, ProposalState, Review,
+    MAX_CLOSED_PROPOSALS, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Proposal, ProposalState,
+    Review,
 };
 pub use row::{Objective, ObjectiveError, Row, RowKey, RowValues};
 pub use rules::{
-    MAX_EDITS, MAX_NAME_BYTES, MAX_NOTE_BYTES, MAX_REMOVED, MAX_REPLICAS, MAX_ROWS, RuleError,
+    MAX_EDITS, MAX_NAME_BYTES, MAX_NOTE_BYTES, MAX_REMOVED_ROWS, MAX_REPLICAS, MAX_ROWS, RuleError,
 };
 pub use state::Table;
 pub use view::{View, ViewDelta};
--- a/crates/table/src/proposal.rs
+++ b/crates/table/src/proposal.rs
@@ -17,7 +17,7 @@
 pub const MAX_REVIEWS: usize = 8;
 
 /// Closed proposals whose fate is kept, without their edits and review notes.
-pub const KEPT_CLOSED: usize = 256;
+pub const MAX_CLOSED_PROPOSALS: usize = 256;
 
 /// A colleague's word on a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -206,7 +206,7 @@
             review.note.clear();
         }
         self.closed.push_back(proposal);
-        if self.closed.len() > KEPT_CLOSED {
+        if self.closed.len() > MAX_CLOSED_PROPOSALS {
             self.closed.pop_front();
         }
     }
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -14,7 +14,7 @@
 
 /// Removed rows whose last revision is kept one by one; see
 /// [`Table::revision`](crate::Table::revision).
-pub const MAX_REMOVED: usize = 1024;
+pub const MAX_REMOVED_ROWS: usize = 1024;
 
 /// Most control replicas with known addresses, those being replaced included.
 pub const MAX_REPLICAS: usize = 16;
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -8,7 +8,7 @@
 use crate::handover::HandOvers;
 use crate::history::History;
 use crate::proposal::{MAX_REVIEWS, Proposals};
-use crate::rules::{MAX_REMOVED, MAX_REPLICAS, MAX_ROWS};
+use crate::rules::{MAX_REMOVED_ROWS, MAX_REPLICAS, MAX_ROWS};
 use crate::{
     Change, Command, Conflict, Danger, Difference, Edit, Finding, HandOver, Operation, Origin,
     Outcome, Proposal, ProposalNumber, ProposalState, Record, ReplicaInfo, Review, Row, RowKey,
@@ -337,9 +337,9 @@
         let revision = self.revision(&edit.key);
         // Nobody can have seen a removal of a row that was never there.
         let nothing_to_remove = edit.set.is_none() && !self.rows.contains_key(&edit.key);
-        (revision != edit.seen || nothing_to_remove).then(|| Conflict {
+        (revision != edit.expected_revision || nothing_to_remove).then(|| Conflict {
             key: edit.key.clone(),
-            seen: edit.seen,
+            expected_revision: edit.expected_revision,
             wanted: edit.set,
             current: self.rows.get(&edit.key).copied(),
             revision,
@@ -387,7 +387,7 @@
             .removed()
             .map(|(key, origin)| (origin.revision, key.clone()))
             .collect();
-        let Some(excess) = removed.len().checked_sub(MAX_REMOVED) else {
+        let Some(excess) = removed.len().checked_sub(MAX_REMOVED_ROWS) else {
             return;
         };
         removed.sort();
--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use filberthead_table::{
-    Change, Command, Edit, HISTORY_BYTES, KEPT_CLOSED, MAX_EDITS, MAX_NAME_BYTES, MAX_NOTE_BYTES,
-    MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Operation, Outcome, ProposalNumber,
-    RowKey, RowValues, Table, Verdict,
+    Change, Command, Edit, MAX_CLOSED_PROPOSALS, MAX_EDITS, MAX_HISTORY_BYTES, MAX_NAME_BYTES,
+    MAX_NOTE_BYTES, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Operation, Outcome,
+    ProposalNumber, RowKey, RowValues, Table, Verdict,
 };
 
 /// Longest message that control replicas exchange, a snapshot among them.
@@ -54,8 +54,12 @@
 fn edits(table: &Table, range: std::ops::Range<usize>, set: Option<RowValues>) -> Vec<Edit> {
     let edit = |n| {
         let key = longest_key(n);
-        let seen = table.revision(&key);
-        Edit { key, seen, set }
+        let expected_revision = table.revision(&key);
+        Edit {
+            key,
+            expected_revision,
+            set,
+        }
     };
     range.map(edit).collect()
 }
@@ -100,7 +104,7 @@
     assert!(matches!(refused, Outcome::Invalid { .. }));
 
     let per_proposal = MAX_OPEN_EDITS / MAX_OPEN_PROPOSALS;
-    for n in 0..KEPT_CLOSED + MAX_OPEN_PROPOSALS {
+    for n in 0..MAX_CLOSED_PROPOSALS + MAX_OPEN_PROPOSALS {
         let supersedes = n
             .checked_sub(MAX_OPEN_PROPOSALS)
             .map(|n| ProposalNumber(n as u64 + 1));
@@ -137,16 +141,23 @@
 #[test]
 fn ordinary_changes_fill_the_history_by_number_and_not_by_size() {
     let mut table = small_table();
-    let mut seen = 1;
+    let mut expected_revision = 1;
     for n in 0..5000 {
-        let mut command: Command = direct(n + 1, "ana.horvat", [set("orders", "split", seen, 50)]);
+        let mut command: Command = direct(
+            n + 1,
+            "ana.horvat",
+            [set("orders", "split", expected_revision, 50)],
+        );
         if let Operation::Change(change) = &mut command.operation {
             change.note = "split takes less until its cache is warm".to_owned();
         }
         table.apply(&command);
-        seen = table.version().0;
+        expected_revision = table.version().0;
     }
-    assert_eq!(table.history().len(), filberthead_table::KEPT_OUTCOMES);
+    assert_eq!(
+        table.history().len(),
+        filberthead_table::MAX_HISTORY_RECORDS
+    );
     let len = postcard::to_stdvec(&table).unwrap().len();
-    assert!(len < HISTORY_BYTES, "{len} bytes");
+    assert!(len < MAX_HISTORY_BYTES, "{len} bytes");
 }
--- a/crates/table/tests/changes.rs
+++ b/crates/table/tests/changes.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::*;
-use filberthead_table::{Danger, Finding, KEPT_OUTCOMES, MAX_REMOVED, Operation, Outcome, Table};
+use filberthead_table::{
+    Danger, Finding, MAX_HISTORY_RECORDS, MAX_REMOVED_ROWS, Operation, Outcome, Table,
+};
 use filberthead_types::{Revision, Version};
 
 /// Two shifts race to set the same row to equal numbers. The first in the log wins; the
@@ -18,7 +20,7 @@
     };
     let conflict = &conflicts[0];
     assert_eq!(conflict.wanted, conflict.current.map(|row| row.values));
-    assert_eq!(conflict.seen, Revision(1));
+    assert_eq!(conflict.expected_revision, Revision(1));
     assert_eq!(conflict.revision, Revision(2));
     assert_eq!(conflict.origin.as_ref().unwrap().by, "ana");
     assert_eq!(table.version(), Version(2));
@@ -79,10 +81,10 @@
     let mut table = small_table();
     let old = direct(1, "ana", [set("orders", "split", 1, 20)]);
     assert_eq!(table.apply(&old), accepted(2));
-    for n in 0..KEPT_OUTCOMES as u64 {
+    for n in 0..MAX_HISTORY_RECORDS as u64 {
         let id = 10_000 + u128::from(n);
-        let seen = if n == 0 { 1 } else { n + 2 };
-        let edit = set("catalogue", "split", seen, 40);
+        let expected_revision = if n == 0 { 1 } else { n + 2 };
+        let edit = set("catalogue", "split", expected_revision, 40);
         assert_eq!(table.apply(&direct(id, "bruno", [edit])), accepted(n + 3));
     }
     let before = table.view();
@@ -100,18 +102,18 @@
     assert_eq!(table.apply(&creation), accepted(2));
     let removal = direct(2, "bruno", [remove("orders", "osijek", 2)]);
     assert_eq!(table.apply(&removal), accepted(3));
-    let mut seen = 1;
-    for n in 0..KEPT_OUTCOMES as u128 {
+    let mut expected_revision = 1;
+    for n in 0..MAX_HISTORY_RECORDS as u128 {
         table.apply(&direct(
             10_000 + n,
             "bruno",
-            [set("orders", "split", seen, 50)],
+            [set("orders", "split", expected_revision, 50)],
         ));
-        seen = table.version().0;
+        expected_revision = table.version().0;
     }
     assert!(matches!(table.apply(&creation), Outcome::Conflict { .. }));
 
-    for n in 0..=MAX_REMOVED as u128 {
+    for n in 0..=MAX_REMOVED_ROWS as u128 {
         let region = format!("r{n}");
         let absent = table.revision(&key("orders", &region)).0;
         let made = table.apply(&direct(
--- a/crates/table/tests/common/mod.rs
+++ b/crates/table/tests/common/mod.rs
@@ -26,18 +26,18 @@
     }
 }
 
-pub fn set(service: &str, region: &str, seen: u64, weight: u32) -> Edit {
+pub fn set(service: &str, region: &str, expected_revision: u64, weight: u32) -> Edit {
     Edit {
         key: key(service, region),
-        seen: Revision(seen),
+        expected_revision: Revision(expected_revision),
         set: Some(values(weight)),
     }
 }
 
-pub fn remove(service: &str, region: &str, seen: u64) -> Edit {
+pub fn remove(service: &str, region: &str, expected_revision: u64) -> Edit {
     Edit {
         key: key(service, region),
-        seen: Revision(seen),
+        expected_revision: Revision(expected_revision),
         set: None,
     }
 }
--- a/crates/table/tests/proposals.rs
+++ b/crates/table/tests/proposals.rs
@@ -6,8 +6,8 @@
 
 use common::*;
 use filberthead_table::{
-    Danger, KEPT_CLOSED, KEPT_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Operation, Outcome,
-    ProposalNumber, ProposalState, Table, Verdict,
+    Danger, MAX_CLOSED_PROPOSALS, MAX_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Operation,
+    Outcome, ProposalNumber, ProposalState, Table, Verdict,
 };
 use filberthead_types::Version;
 
@@ -211,8 +211,8 @@
         let note = format!("note {n}");
         table.apply(&command(1000 + n, "ana", Operation::HandOver { note }));
     }
-    assert_eq!(table.handovers().count(), KEPT_HAND_OVERS);
-    for n in 0..KEPT_CLOSED as u128 + 10 {
+    assert_eq!(table.handovers().count(), MAX_HAND_OVERS);
+    for n in 0..MAX_CLOSED_PROPOSALS as u128 + 10 {
         let number = table.open_proposals().next().unwrap().number;
         let operation = Operation::Propose {
             change: change([set("orders", "split", 1, 21)]),
@@ -220,7 +220,7 @@
         };
         table.apply(&command(2000 + n, "ana", operation));
     }
-    assert_eq!(table.closed_proposals().count(), KEPT_CLOSED);
+    assert_eq!(table.closed_proposals().count(), MAX_CLOSED_PROPOSALS);
     let edits: BTreeSet<_> = table
         .closed_proposals()
         .map(|p| p.change.edits.len())
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -52,8 +52,13 @@
     fn edit(&self, table: &Table) -> Edit {
         let (service, region) = ROWS[usize::from(self.row) % ROWS.len()];
         let lag = u64::from(self.lag).saturating_sub(200);
-        let seen = table.revision(&key(service, region)).0.saturating_sub(lag);
-        let edit = set(service, region, seen, u32::from(self.weight % 3));
+        let expected_revision = table.revision(&key(service, region)).0.saturating_sub(lag);
+        let edit = set(
+            service,
+            region,
+            expected_revision,
+            u32::from(self.weight % 3),
+        );
         let set = edit.set.filter(|_| !self.remove);
         Edit { set, ..edit }
     }
@@ -150,7 +155,7 @@
     }
     let effect = model.effect(command, &outcome);
     if let Some(change) = &effect {
-        let is_current = |edit: &Edit| before.revision(&edit.key) == edit.seen;
+        let is_current = |edit: &Edit| before.revision(&edit.key) == edit.expected_revision;
         assert!(
             change.edits.iter().all(is_current),
             "a blind edit is accepted"
