--- a/crates/operator/src/client/mod.rs
+++ b/crates/operator/src/client/mod.rs
@@ -151,7 +151,7 @@
 
     /// The same client for one replica only.
     #[must_use]
-    pub fn only(&self, addr: SocketAddr) -> Self {
+    pub fn pinned_to(&self, addr: SocketAddr) -> Self {
         let mut cfg = self.cfg.clone();
         cfg.controls = vec![addr];
         Self { cfg }
--- a/crates/operator/src/tokens.rs
+++ b/crates/operator/src/tokens.rs
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// Fails with the fault that the line would have in a file.
-    pub fn draw(name: &str, role: Role, services: &[ServiceName]) -> Result<Self, TokensError> {
+    pub fn generate(name: &str, role: Role, services: &[ServiceName]) -> Result<Self, TokensError> {
         let secret_bytes: [u8; SECRET_BYTES] = rand::random();
         let salt: [u8; SALT_BYTES] = rand::random();
         let secret = format!("{PREFIX}{}", hex::encode(secret_bytes));
--- a/crates/operator/tests/api.rs
+++ b/crates/operator/tests/api.rs
@@ -97,18 +97,18 @@
 
 impl Guarded {
     async fn new() -> Self {
-        let draw = |name: &str, role, services: &[&str]| {
+        let generate = |name: &str, role, services: &[&str]| {
             let services: Vec<ServiceName> = services
                 .iter()
                 .map(|name| name.parse().expect("a name"))
                 .collect();
-            NewToken::draw(name, role, &services).expect("a token")
+            NewToken::generate(name, role, &services).expect("a token")
         };
         let tokens = [
-            draw("rita", Role::Read, &[]),
-            draw("petra", Role::Propose, &[]),
-            draw("ana", Role::Accept, &[]),
-            draw("orders-team", Role::Accept, &["orders"]),
+            generate("rita", Role::Read, &[]),
+            generate("petra", Role::Propose, &[]),
+            generate("ana", Role::Accept, &[]),
+            generate("orders-team", Role::Accept, &["orders"]),
         ];
         let dir = TempDir::new().expect("a folder");
         let lines: Vec<_> = tokens.iter().map(|token| token.line.as_str()).collect();
--- a/crates/operator/tests/tokens.rs
+++ b/crates/operator/tests/tokens.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn all_bad_lines_are_named_at_once() {
-    let good = NewToken::draw("ana", Role::Accept, &[]).unwrap().line;
+    let good = NewToken::generate("ana", Role::Accept, &[]).unwrap().line;
     let hash = good.split(' ').nth(2).unwrap();
     let text = format!(
         "# operators\n\n{good}\nana read {hash}\nbruno boss {hash}\ncarla read\n\
@@ -24,8 +24,8 @@
 #[test]
 fn a_secret_is_in_no_line_and_never_drawn_twice() {
     let services = ["orders".parse().unwrap(), "catalogue".parse().unwrap()];
-    let first = NewToken::draw("ana", Role::Propose, &services).unwrap();
-    let second = NewToken::draw("ana", Role::Propose, &services).unwrap();
+    let first = NewToken::generate("ana", Role::Propose, &services).unwrap();
+    let second = NewToken::generate("ana", Role::Propose, &services).unwrap();
     assert_ne!(first.secret, second.secret);
     assert_ne!(first.line, second.line);
     let random = first.secret.trim_start_matches("fht_");
@@ -39,7 +39,10 @@
 #[test]
 fn a_name_that_breaks_the_line_draws_no_token() {
     for name in ["", "ana maria", "#ana", "ana\nboss accept x:y"] {
-        assert!(NewToken::draw(name, Role::Read, &[]).is_err(), "{name:?}");
+        assert!(
+            NewToken::generate(name, Role::Read, &[]).is_err(),
+            "{name:?}"
+        );
     }
 }
 
--- a/src/cli/session.rs
+++ b/src/cli/session.rs
@@ -124,7 +124,7 @@
         addr: SocketAddr,
         path: &str,
     ) -> Result<T> {
-        let reply = self.client.only(addr).get(path).await;
+        let reply = self.client.pinned_to(addr).get(path).await;
         document(&reply.map_err(CliError::looking)?)
     }
 
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -18,7 +18,7 @@
     let role: Role = args.parsed_word("the role: read, propose or accept")?;
     let services = services(&mut args)?;
     args.finish()?;
-    let token = NewToken::draw(&name, role, &services).map_err(|e| {
+    let token = NewToken::generate(&name, role, &services).map_err(|e| {
         let faults: Vec<_> = e.faults.into_iter().map(|(_, fault)| fault).collect();
         CliError::usage(faults.join("; "))
     })?;
