--- a/crates/table/src/csv_file.rs
+++ b/crates/table/src/csv_file.rs
@@ -30,9 +30,9 @@
 ];
 
 /// Columns that a sheet can't do without.
-const NEEDED: usize = 6;
+const REQUIRED_COLUMNS: usize = 6;
 
-const REMOVE: &str = "remove";
+const REMOVE_ACTION: &str = "remove";
 
 /// Largest sheet that is read, in bytes.
 pub const MAX_CSV_BYTES: usize = 8 << 20;
@@ -101,7 +101,7 @@
     writer.write_record(COLUMNS).context(LineSnafu)?;
     for (key, row) in rows {
         let values = row.values;
-        let cells = [
+        let fields = [
             key.service.to_string(),
             key.region.to_string(),
             values.weight.to_string(),
@@ -112,7 +112,7 @@
             format_was(&values),
             String::new(),
         ];
-        writer.write_record(cells).context(LineSnafu)?;
+        writer.write_record(fields).context(LineSnafu)?;
     }
     writer.flush().context(EndSnafu)
 }
@@ -160,19 +160,19 @@
     let columns = Columns::find(&header).map_err(|faults| CsvError { faults })?;
     let mut rows = Vec::new();
     let mut faults = Vec::new();
-    let mut seen = BTreeMap::new();
+    let mut line_of_row = BTreeMap::new();
     for record in reader.records() {
         match record {
             Ok(record) => match columns.parse(&record) {
                 Ok(None) => {}
                 Ok(Some(row)) => {
-                    if let Some(first) = seen.insert(row.key.clone(), row.line) {
+                    if let Some(first) = line_of_row.insert(row.key.clone(), row.line) {
                         let fault = format!("{} is on line {first} already", row.key);
                         faults.push((row.line, fault));
                     }
                     rows.push(row);
                 }
-                Err(found) => faults.extend(found),
+                Err(row_faults) => faults.extend(row_faults),
             },
             Err(e) => {
                 let line = e.position().map_or(0, csv::Position::line);
@@ -200,26 +200,26 @@
 
 impl Columns {
     fn find(header: &StringRecord) -> Result<Self, Vec<(u64, String)>> {
-        let mut places = [None; COLUMNS.len()];
+        let mut positions = [None; COLUMNS.len()];
         let mut faults = Vec::new();
-        for (place, name) in header.iter().enumerate() {
+        for (position, name) in header.iter().enumerate() {
             match COLUMNS.iter().position(|column| *column == name) {
-                Some(column) if places[column].is_some() => {
+                Some(column) if positions[column].is_some() => {
                     faults.push((1, format!("the column `{name}` is there twice")));
                 }
-                Some(column) => places[column] = Some(place),
+                Some(column) => positions[column] = Some(position),
                 // A spreadsheet may leave empty columns at the end.
                 None if name.is_empty() => {}
                 None => faults.push((1, format!("there is no column `{name}`"))),
             }
         }
-        for (column, place) in COLUMNS.iter().zip(&places).take(NEEDED) {
-            if place.is_none() {
+        for (column, position) in COLUMNS.iter().zip(&positions).take(REQUIRED_COLUMNS) {
+            if position.is_none() {
                 faults.push((1, format!("the column `{column}` is missing")));
             }
         }
         if faults.is_empty() {
-            Ok(Self(places))
+            Ok(Self(positions))
         } else {
             Err(faults)
         }
@@ -227,7 +227,7 @@
 
     fn cell<'a>(&self, record: &'a StringRecord, column: usize) -> &'a str {
         self.0[column]
-            .and_then(|place| record.get(place))
+            .and_then(|position| record.get(position))
             .unwrap_or_default()
     }
 
@@ -237,29 +237,29 @@
             return Ok(None);
         }
         let line = record.position().map_or(0, csv::Position::line);
-        let mut cells = Cells {
+        let mut reader = FieldReader {
             columns: self,
             record,
             line,
             faults: Vec::new(),
         };
-        let row = cells.row();
+        let row = reader.row();
         match row {
-            Some(row) if cells.faults.is_empty() => Ok(Some(row)),
-            _ => Err(cells.faults),
+            Some(row) if reader.faults.is_empty() => Ok(Some(row)),
+            _ => Err(reader.faults),
         }
     }
 }
 
 /// One line while it is being read.
-struct Cells<'a> {
+struct FieldReader<'a> {
     columns: &'a Columns,
     record: &'a StringRecord,
     line: u64,
     faults: Vec<(u64, String)>,
 }
 
-impl Cells<'_> {
+impl FieldReader<'_> {
     // Every cell is read before any is used, so that all faults of a line show at once.
     fn row(&mut self) -> Option<CsvRow> {
         let service = self.read::<ServiceName>(0);
@@ -337,14 +337,14 @@
     fn is_removal(&mut self) -> bool {
         match self.text(8) {
             "" => false,
-            REMOVE => {
+            REMOVE_ACTION => {
                 if self.text(6).is_empty() {
                     self.fault("a row without a revision can't be removed".to_owned());
                 }
                 true
             }
             text => {
-                let fault = format!("`action` is `{text}`: it may be `{REMOVE}` or empty");
+                let fault = format!("`action` is `{text}`: it may be `{REMOVE_ACTION}` or empty");
                 self.fault(fault);
                 false
             }
--- a/crates/table/src/danger.rs
+++ b/crates/table/src/danger.rs
@@ -97,11 +97,11 @@
     let services: BTreeSet<_> = edits.iter().map(|edit| &edit.key.service).collect();
     services
         .into_iter()
-        .filter_map(|service| find_in_service(rows, edits, service))
+        .filter_map(|service| find_for_service(rows, edits, service))
         .collect()
 }
 
-fn find_in_service(
+fn find_for_service(
     rows: &BTreeMap<RowKey, Row>,
     edits: &[Edit],
     service: &ServiceName,
@@ -118,7 +118,7 @@
             None => after.remove(&edit.key),
         };
     }
-    let carries = |weights: &BTreeMap<_, u32>| weights.values().any(|weight| *weight > 0);
+    let has_weight = |weights: &BTreeMap<_, u32>| weights.values().any(|weight| *weight > 0);
     if after.is_empty() {
         return (!before.is_empty()).then(|| Finding {
             danger: Danger::LastRow,
@@ -126,8 +126,8 @@
             reason: format!("no row of {service} would be left; its requests would be refused"),
         });
     }
-    let newly_off = !carries(&after) && (before.is_empty() || carries(&before));
-    newly_off.then(|| Finding {
+    let becomes_zero = !has_weight(&after) && (before.is_empty() || has_weight(&before));
+    becomes_zero.then(|| Finding {
         danger: Danger::AllWeightsZero,
         subject: service.to_string(),
         reason: format!(
--- a/crates/table/src/history.rs
+++ b/crates/table/src/history.rs
@@ -31,28 +31,28 @@
 
 impl Record {
     /// Upper estimate of the encoded size in bytes.
-    fn cost(&self) -> usize {
+    fn estimated_bytes(&self) -> usize {
         const HEADER: usize = 80;
-        let text = self.command.actor.name.len() + operation_cost(&self.command.operation);
-        let findings: usize = self.command.findings.iter().map(finding_cost).sum();
-        let differences: usize = self.differences.iter().map(|d| row_cost(&d.key)).sum();
-        HEADER + text + findings + differences + outcome_cost(&self.outcome)
+        let text = self.command.actor.name.len() + operation_bytes(&self.command.operation);
+        let findings: usize = self.command.findings.iter().map(finding_bytes).sum();
+        let differences: usize = self.differences.iter().map(|d| row_bytes(&d.key)).sum();
+        HEADER + text + findings + differences + outcome_bytes(&self.outcome)
     }
 }
 
-fn row_cost(key: &crate::RowKey) -> usize {
+fn row_bytes(key: &crate::RowKey) -> usize {
     const VALUES: usize = 48;
     key.service.as_str().len() + key.region.as_str().len() + VALUES
 }
 
-fn finding_cost(finding: &crate::Finding) -> usize {
+fn finding_bytes(finding: &crate::Finding) -> usize {
     size_of::<crate::Finding>() + finding.subject.len() + finding.reason.len()
 }
 
-fn operation_cost(operation: &Operation) -> usize {
+fn operation_bytes(operation: &Operation) -> usize {
     match operation {
         Operation::Change(change) | Operation::Propose { change, .. } => {
-            let edits: usize = change.edits.iter().map(|edit| row_cost(&edit.key)).sum();
+            let edits: usize = change.edits.iter().map(|edit| row_bytes(&edit.key)).sum();
             change.note.len() + edits
         }
         Operation::Review { note, .. }
@@ -66,14 +66,14 @@
     }
 }
 
-fn outcome_cost(outcome: &Outcome) -> usize {
+fn outcome_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Conflict { conflicts } => conflicts
             .iter()
-            .map(|c| 2 * row_cost(&c.key) + c.origin.as_ref().map_or(0, |o| o.by.len()))
+            .map(|c| 2 * row_bytes(&c.key) + c.origin.as_ref().map_or(0, |o| o.by.len()))
             .sum(),
         Outcome::Invalid { reason } | Outcome::ProposalUnknown { reason, .. } => reason.len(),
-        Outcome::Dangerous { findings } => findings.iter().map(finding_cost).sum(),
+        Outcome::Dangerous { findings } => findings.iter().map(finding_bytes).sum(),
         Outcome::ReviewMissing { rejected_by } => {
             rejected_by.iter().map(|name| name.len() + 8).sum()
         }
@@ -115,18 +115,18 @@
             outcome: outcome.clone(),
             differences,
         };
-        self.bytes += record.cost();
+        self.bytes += record.estimated_bytes();
         self.records.push_back(record);
-        while self.is_over_bound() {
+        while self.exceeds_bound() {
             let Some(oldest) = self.records.pop_front() else {
                 break;
             };
-            self.bytes -= oldest.cost();
+            self.bytes -= oldest.estimated_bytes();
         }
     }
 
     // The newest record stays whatever its size: its sender may be about to resend it.
-    fn is_over_bound(&self) -> bool {
+    fn exceeds_bound(&self) -> bool {
         let len = self.records.len();
         len > 1 && (len > MAX_HISTORY_RECORDS || self.bytes > MAX_HISTORY_BYTES)
     }
--- a/crates/table/src/proposal.rs
+++ b/crates/table/src/proposal.rs
@@ -94,12 +94,12 @@
 impl Proposal {
     /// Colleagues who have approved it.
     pub fn approved_by(&self) -> impl Iterator<Item = &str> {
-        self.verdicts(Verdict::Approve)
+        self.reviewers_with(Verdict::Approve)
     }
 
     /// Colleagues who have rejected it.
     pub fn rejected_by(&self) -> impl Iterator<Item = &str> {
-        self.verdicts(Verdict::Reject)
+        self.reviewers_with(Verdict::Reject)
     }
 
     /// Whether a colleague has approved it and none has rejected it.
@@ -107,7 +107,7 @@
         self.approved_by().next().is_some() && self.rejected_by().next().is_none()
     }
 
-    fn verdicts(&self, verdict: Verdict) -> impl Iterator<Item = &str> {
+    fn reviewers_with(&self, verdict: Verdict) -> impl Iterator<Item = &str> {
         let matching = move |review: &&Review| review.verdict == verdict;
         self.reviews
             .iter()
@@ -159,9 +159,9 @@
     }
 
     pub(crate) fn has_room(&self, edits: usize, superseded: Option<ProposalNumber>) -> bool {
-        let stays = |proposal: &&Proposal| Some(proposal.number) != superseded;
-        let staying = self.open.values().filter(stays);
-        let (count, open_edits) = staying.fold((0, 0), |(count, sum), proposal| {
+        let is_kept = |proposal: &&Proposal| Some(proposal.number) != superseded;
+        let kept = self.open.values().filter(is_kept);
+        let (count, open_edits) = kept.fold((0, 0), |(count, sum), proposal| {
             (count + 1, sum + proposal.change.edits.len())
         });
         count < MAX_OPEN_PROPOSALS && open_edits + edits <= MAX_OPEN_EDITS
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -34,28 +34,28 @@
 pub enum RuleError {
     /// Nobody, or a name that can't be shown.
     #[snafu(display("the operator's name needs 1 to {MAX_NAME_BYTES} bytes of text"))]
-    Name,
+    InvalidName,
     /// More findings than say anything new.
     #[snafu(display("more than {MAX_FINDINGS} findings"))]
-    Findings,
+    TooManyFindings,
     /// The note is too long.
     #[snafu(display("the note is longer than {MAX_NOTE_BYTES} bytes"))]
-    NoteLength,
+    NoteTooLong,
     /// The note could rewrite a terminal or a log.
     #[snafu(display("the note holds control characters"))]
-    NoteText,
+    NoteHasControlChars,
     /// A hand-over says nothing.
     #[snafu(display("a hand-over needs a note"))]
-    NoteMissing,
+    MissingNote,
     /// The change has no edit.
     #[snafu(display("the change edits no row"))]
-    NoEdit,
+    NoEdits,
     /// The change has too many edits.
     #[snafu(display("the change edits more than {MAX_EDITS} rows"))]
     TooManyEdits,
     /// A row is edited twice.
     #[snafu(display("the change edits {key} twice"))]
-    EditedTwice {
+    DuplicateRow {
         /// The row.
         key: RowKey,
     },
@@ -72,14 +72,14 @@
     /// Names the first rule that it breaks.
     pub fn check(&self) -> Result<(), RuleError> {
         check_actor(&self.actor.name)?;
-        ensure!(self.findings.len() <= MAX_FINDINGS, FindingsSnafu);
+        ensure!(self.findings.len() <= MAX_FINDINGS, TooManyFindingsSnafu);
         match &self.operation {
             Operation::Change(change) | Operation::Propose { change, .. } => check_change(change),
             Operation::Review { note, .. }
             | Operation::Accept { note, .. }
             | Operation::Withdraw { note, .. } => check_note(note),
             Operation::HandOver { note } => {
-                ensure!(!note.trim().is_empty(), NoteMissingSnafu);
+                ensure!(!note.trim().is_empty(), MissingNoteSnafu);
                 check_note(note)
             }
             Operation::RegisterReplica(_) | Operation::ForgetReplica(_) => Ok(()),
@@ -89,25 +89,28 @@
 
 fn check_actor(name: &str) -> Result<(), RuleError> {
     let is_short = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    ensure!(is_short && !name.chars().any(char::is_control), NameSnafu);
+    ensure!(
+        is_short && !name.chars().any(char::is_control),
+        InvalidNameSnafu
+    );
     Ok(())
 }
 
 fn check_note(note: &str) -> Result<(), RuleError> {
-    ensure!(note.len() <= MAX_NOTE_BYTES, NoteLengthSnafu);
+    ensure!(note.len() <= MAX_NOTE_BYTES, NoteTooLongSnafu);
     let is_plain = |c: char| !c.is_control() || c == '\n';
-    ensure!(note.chars().all(is_plain), NoteTextSnafu);
+    ensure!(note.chars().all(is_plain), NoteHasControlCharsSnafu);
     Ok(())
 }
 
 fn check_change(change: &Change) -> Result<(), RuleError> {
     check_note(&change.note)?;
-    ensure!(!change.edits.is_empty(), NoEditSnafu);
+    ensure!(!change.edits.is_empty(), NoEditsSnafu);
     ensure!(change.edits.len() <= MAX_EDITS, TooManyEditsSnafu);
     let mut keys = BTreeSet::new();
     for edit in &change.edits {
         let key = &edit.key;
-        ensure!(keys.insert(key), EditedTwiceSnafu { key: key.clone() });
+        ensure!(keys.insert(key), DuplicateRowSnafu { key: key.clone() });
     }
     Ok(())
 }
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -24,7 +24,7 @@
     /// Last touch of each row, also of those removed since.
     origins: BTreeMap<RowKey, Origin>,
     /// Highest revision of a removed row that `origins` has let go.
-    floor: Revision,
+    absent_revision: Revision,
     history: History,
     proposals: Proposals,
     handovers: HandOvers,
@@ -65,7 +65,7 @@
     pub fn revision(&self, key: &RowKey) -> Revision {
         match self.origins.get(key) {
             Some(origin) => origin.revision,
-            None => self.floor,
+            None => self.absent_revision,
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// Revision of a row that is neither in the table nor in [`Table::removed`].
     pub fn absent_revision(&self) -> Revision {
-        self.floor
+        self.absent_revision
     }
 
     /// Past commands, the oldest first.
@@ -315,7 +315,7 @@
         if !conflicts.is_empty() {
             return Decision::Refuse(Outcome::Conflict { conflicts });
         }
-        if self.rows_after(&change.edits) > MAX_ROWS {
+        if self.row_count_after(&change.edits) > MAX_ROWS {
             let reason = format!("the table would have more than {MAX_ROWS} rows");
             return Decision::Refuse(Outcome::Invalid { reason });
         }
@@ -328,7 +328,7 @@
         Decision::Install
     }
 
-    fn rows_after(&self, edits: &[Edit]) -> usize {
+    fn row_count_after(&self, edits: &[Edit]) -> usize {
         let is_new = |edit: &&Edit| edit.set.is_some() && !self.rows.contains_key(&edit.key);
         self.rows.len() + edits.iter().filter(is_new).count()
     }
@@ -393,7 +393,7 @@
         removed.sort();
         for (revision, key) in removed.drain(..excess) {
             self.origins.remove(&key);
-            self.floor = self.floor.max(revision);
+            self.absent_revision = self.absent_revision.max(revision);
         }
     }
 }
--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -42,7 +42,7 @@
     "n".repeat(MAX_NOTE_BYTES)
 }
 
-fn highest() -> RowValues {
+fn max_values() -> RowValues {
     RowValues {
         weight: u32::MAX,
         limit: u32::MAX,
@@ -64,7 +64,7 @@
     range.map(edit).collect()
 }
 
-fn full(edits: Vec<Edit>) -> Change {
+fn full_change(edits: Vec<Edit>) -> Change {
     Change {
         note: note(),
         edits,
@@ -75,7 +75,7 @@
 /// Everything that operators can fill is filled to its bound, with the longest names and
 /// notes: the snapshot of it still fits into one message.
 #[test]
-fn the_fullest_table_fits_into_a_message() {
+fn a_full_table_fits_into_one_message() {
     let mut filler = Filler {
         table: Table::default(),
         id: 0,
@@ -84,23 +84,23 @@
     let author = names[0].clone();
     // Removed rows first, then as many rows as may be.
     for start in [0, MAX_EDITS] {
-        let made = edits(&filler.table, start..start + MAX_EDITS, Some(highest()));
-        let outcome = filler.apply(&author, Operation::Change(full(made)));
+        let made = edits(&filler.table, start..start + MAX_EDITS, Some(max_values()));
+        let outcome = filler.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
     let keep = 10;
-    let gone = edits(&filler.table, keep..MAX_EDITS, None);
-    filler.apply(&author, Operation::Change(full(gone)));
+    let removals = edits(&filler.table, keep..MAX_EDITS, None);
+    filler.apply(&author, Operation::Change(full_change(removals)));
     let mut next = 10_000;
     while filler.table.rows().len() < MAX_ROWS {
         let count = MAX_EDITS.min(MAX_ROWS - filler.table.rows().len());
-        let made = edits(&filler.table, next..next + count, Some(highest()));
+        let made = edits(&filler.table, next..next + count, Some(max_values()));
         next += count;
-        let outcome = filler.apply(&author, Operation::Change(full(made)));
+        let outcome = filler.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
-    let one_more = edits(&filler.table, next..next + 1, Some(highest()));
-    let refused = filler.apply(&author, Operation::Change(full(one_more)));
+    let one_more = edits(&filler.table, next..next + 1, Some(max_values()));
+    let refused = filler.apply(&author, Operation::Change(full_change(one_more)));
     assert!(matches!(refused, Outcome::Invalid { .. }));
 
     let per_proposal = MAX_OPEN_EDITS / MAX_OPEN_PROPOSALS;
@@ -111,9 +111,9 @@
         let made = edits(
             &filler.table,
             10_000..10_000 + per_proposal,
-            Some(highest()),
+            Some(max_values()),
         );
-        let change = full(made);
+        let change = full_change(made);
         let outcome = filler.apply(&author, Operation::Propose { change, supersedes });
         let Outcome::Proposed { proposal } = outcome else {
             panic!("{outcome:?}");
@@ -139,7 +139,7 @@
 /// The records of ordinary changes, a row each with a short note, are all kept: a resend
 /// of the last three days finds its outcome.
 #[test]
-fn ordinary_changes_fill_the_history_by_number_and_not_by_size() {
+fn ordinary_changes_reach_the_record_limit_before_the_byte_limit() {
     let mut table = small_table();
     let mut expected_revision = 1;
     for n in 0..5000 {
--- a/crates/table/tests/changes.rs
+++ b/crates/table/tests/changes.rs
@@ -11,7 +11,7 @@
 /// Two shifts race to set the same row to equal numbers. The first in the log wins; the
 /// other is told who, and that both sides are equal: it doesn't pass as accepted twice.
 #[test]
-fn of_two_equal_edits_the_first_wins_and_the_second_sees_both_sides() {
+fn of_two_equal_edits_the_first_wins_and_the_second_conflicts() {
     let mut table = small_table();
     let edit = set("orders", "split", 1, 20);
     assert_eq!(table.apply(&direct(1, "ana", [edit.clone()])), accepted(2));
@@ -61,7 +61,7 @@
 /// The first attempt was accepted although something was in progress; by the time of the
 /// resend the readings speak against it. The operator still hears what happened.
 #[test]
-fn a_resend_is_not_judged_again_by_newer_readings() {
+fn a_resend_is_not_checked_against_newer_readings() {
     let mut table = small_table();
     let first = direct(1, "ana", [set("orders", "split", 1, 20)]);
     table.apply(&first);
@@ -96,7 +96,7 @@
 /// in after its outcome was let go: the row must not come back. Then more rows are
 /// removed than are kept one by one, and it still must not.
 #[test]
-fn an_old_creation_does_not_bring_a_removed_row_back() {
+fn a_late_resend_of_a_creation_does_not_recreate_a_removed_row() {
     let mut table = small_table();
     let creation = direct(1, "ana", [set("orders", "osijek", 0, 20)]);
     assert_eq!(table.apply(&creation), accepted(2));
@@ -143,7 +143,7 @@
 /// An id is used for two different changes, or by two people. The second is told so; it
 /// is not answered with the outcome of a change that it didn't make.
 #[test]
-fn an_id_stands_for_one_act_of_one_operator() {
+fn an_id_identifies_one_operation_of_one_operator() {
     let mut table = small_table();
     let edit = set("orders", "split", 1, 20);
     table.apply(&direct(1, "ana", [edit.clone()]));
@@ -156,7 +156,7 @@
 /// An operator zeroes the last region of a service by a slip, or removes its last row.
 /// Both are refused with the reason, and done once the operator says that they mean it.
 #[test]
-fn switching_a_service_off_has_to_be_said() {
+fn switching_a_service_off_must_be_allowed_explicitly() {
     let mut table = small_table();
     let off = [set("orders", "zagreb", 1, 0), set("orders", "split", 1, 0)];
     let refused = table.apply(&direct(1, "ana", off.clone()));
@@ -191,14 +191,14 @@
 
 /// A drain of one region leaves the other with all the weight: no danger.
 #[test]
-fn draining_one_of_two_regions_is_plain_work() {
+fn draining_one_of_two_regions_is_no_danger() {
     let mut table = small_table();
     let drain = direct(1, "ana", [set("orders", "split", 1, 0)]);
     assert_eq!(table.apply(&drain), accepted(2));
 }
 
 #[test]
-fn acts_that_break_a_rule_are_refused() {
+fn operations_that_break_a_rule_are_rejected() {
     let mut table = small_table();
     let twice = [set("orders", "split", 1, 1), set("orders", "split", 1, 2)];
     let long = "x".repeat(1001);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn history_tells_who_did_what_and_how_it_ended() {
+fn history_records_actors_differences_and_outcomes() {
     let mut table = small_table();
     table.apply(&direct(1, "ana", [set("orders", "split", 1, 20)]));
     table.apply(&direct(2, "bruno", [set("orders", "split", 1, 30)]));
--- a/crates/table/tests/csv_file.rs
+++ b/crates/table/tests/csv_file.rs
@@ -41,7 +41,7 @@
 /// Spreadsheets in Zagreb and in Porto save with semicolons and a byte order mark, in
 /// another order of columns, and with empty columns and lines at the end.
 #[test]
-fn a_sheet_saved_by_a_spreadsheet_is_read() {
+fn a_file_saved_by_a_spreadsheet_is_read() {
     let text = "\u{feff}region;service;limit;weight;shift_cap;objective;was;revision;;\r\n\
                 split;orders;48;10;12;headroom;50 48 12 latency;1;;\r\n\
                 osijek;orders;30;5;6;latency;;;;\r\n\
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_row_is_removed_only_where_it_is_said() {
+fn only_rows_marked_remove_are_removed() {
     let text = export().replace("50 48 12 latency,\n", "50 48 12 latency,remove\n");
     let rows = read_csv(&text).unwrap();
     let removed = rows.iter().filter(|row| row.action == CsvAction::Remove);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_sheet_without_its_columns_is_refused() {
+fn a_file_without_its_columns_is_rejected() {
     assert_eq!(faults("").len(), 6);
     let twice = "service,region,weight,limit,shift_cap,objective,weight\n";
     assert_eq!(faults(twice).len(), 1);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn names_can_not_break_out_of_their_cells() {
+fn names_stay_within_their_fields() {
     let row = Row::default();
     let key = key("a-b.c_d", "r");
     let mut buf = Vec::new();
@@ -107,7 +107,7 @@
 /// Whatever a file holds, reading it ends in rows or in faults with a line each; and what
 /// is read as rows says the same when it is read again.
 #[test]
-fn random_sheets_end_in_rows_or_in_faults() {
+fn random_files_yield_rows_or_faults() {
     const PIECES: [&str; 16] = [
         ",",
         ";",
--- a/crates/table/tests/proposals.rs
+++ b/crates/table/tests/proposals.rs
@@ -79,7 +79,7 @@
 /// can't be accepted any more; put up again on the new revision it can, and the old one
 /// is closed by that.
 #[test]
-fn a_proposal_overtaken_by_a_change_conflicts_and_is_put_up_again() {
+fn a_proposal_with_a_stale_revision_conflicts_and_can_be_superseded() {
     let mut table = with_proposal();
     table.apply(&review(2, "bruno", 1, Verdict::Approve));
     table.apply(&direct(3, "carla", [set("orders", "split", 1, 33)]));
@@ -130,7 +130,7 @@
 /// Two proposals were harmless when made: each drains another region of a service. The
 /// second would switch the service off, and is refused at acceptance.
 #[test]
-fn dangers_are_looked_for_again_at_acceptance() {
+fn dangers_are_checked_again_at_acceptance() {
     let mut table = small_table();
     table.apply(&propose(1, "ana", [set("orders", "zagreb", 1, 0)]));
     table.apply(&propose(2, "ana", [set("orders", "split", 1, 0)]));
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -69,11 +69,11 @@
 struct Model {
     rows: BTreeMap<RowKey, RowValues>,
     proposals: BTreeMap<ProposalNumber, Change>,
-    first: BTreeMap<ChangeId, (Command, Outcome)>,
+    first_outcomes: BTreeMap<ChangeId, (Command, Outcome)>,
 }
 
 impl Model {
-    fn install(&mut self, edits: &[Edit]) {
+    fn apply_edits(&mut self, edits: &[Edit]) {
         for edit in edits {
             match edit.set {
                 Some(values) => self.rows.insert(edit.key.clone(), values),
@@ -94,19 +94,19 @@
         }
     }
 
-    fn take_in(&mut self, command: &Command, outcome: &Outcome) {
+    fn record(&mut self, command: &Command, outcome: &Outcome) {
         if let (Operation::Propose { change, .. }, Outcome::Proposed { proposal }) =
             (&command.operation, outcome)
         {
             self.proposals.insert(*proposal, change.clone());
         }
         if let Some(change) = self.effect(command, outcome) {
-            self.install(&change.edits);
+            self.apply_edits(&change.edits);
         }
     }
 }
 
-fn make(step: &Step, id: u128, table: &Table) -> Command {
+fn random_command(step: &Step, id: u128, table: &Table) -> Command {
     let name = ["ana", "bruno", "carla"][usize::from(step.actor) % 3];
     let number = u64::from(step.proposal % 12) + 1;
     let edits = step.edits.iter().map(|pick| pick.edit(table));
@@ -136,7 +136,7 @@
     ROWS.iter().map(revision).collect()
 }
 
-fn values_of(table: &Table) -> BTreeMap<RowKey, RowValues> {
+fn row_values(table: &Table) -> BTreeMap<RowKey, RowValues> {
     let rows = table.rows().iter();
     rows.map(|(key, row)| (key.clone(), row.values)).collect()
 }
@@ -146,7 +146,7 @@
     let before = table.clone();
     let outcome = table.apply(command);
     assert_eq!(other.apply(command), outcome, "replicas disagree");
-    if let Some((first, earlier)) = model.first.get(&command.id) {
+    if let Some((first, earlier)) = model.first_outcomes.get(&command.id) {
         if first == command {
             assert_eq!(outcome, *earlier, "a resend ends otherwise");
         }
@@ -167,13 +167,15 @@
     for (now, then) in revisions(table).iter().zip(revisions(&before)) {
         assert!(*now >= then, "a revision goes down");
     }
-    model.take_in(command, &outcome);
+    model.record(command, &outcome);
     assert_eq!(
-        values_of(table),
+        row_values(table),
         model.rows,
         "an accepted change is lost or doubled"
     );
-    model.first.insert(command.id, (command.clone(), outcome));
+    model
+        .first_outcomes
+        .insert(command.id, (command.clone(), outcome));
     effect.is_some()
 }
 
@@ -181,7 +183,7 @@
 /// lost or takes effect twice, a resend gets its first outcome, revisions only go up,
 /// and a replica that started from a snapshot agrees with one that saw the whole log.
 #[test]
-fn random_orders_keep_what_operators_were_told() {
+fn random_commands_match_the_model() {
     let options = Options::default();
     let (mut accepted, mut resent) = (0, 0);
     for seed in 0..SEEDS {
@@ -196,7 +198,7 @@
                 resent += 1;
                 log[usize::from(step.resend / 4) % log.len()].clone()
             } else {
-                make(&step, n as u128 + 1, &table)
+                random_command(&step, n as u128 + 1, &table)
             };
             if check(&mut model, &mut table, &mut other, &command) {
                 accepted += 1;
