--- a/crates/operator/src/answer/history.rs
+++ b/crates/operator/src/answer/history.rs
@@ -88,8 +88,8 @@
 impl From<&Record> for RecordBody {
     fn from(record: &Record) -> Self {
         let command = &record.command;
-        let (act, note, allow, about) = summary(&command.operation);
-        let (version, made) = match record.outcome {
+        let (act, note, allow, subject) = summarise(&command.operation);
+        let (version, created) = match record.outcome {
             Outcome::Accepted { version } => (Some(version), None),
             Outcome::Proposed { proposal } => (None, Some(proposal)),
             _ => (None, None),
@@ -101,7 +101,7 @@
             role: command.actor.role,
             at_ms: command.at,
             act: act.to_owned(),
-            proposal: about.or(made),
+            proposal: subject.or(created),
             note: note.to_owned(),
             allow,
             code: record.outcome.code(),
@@ -116,14 +116,14 @@
     }
 }
 
-type Summary<'a> = (
+type OperationSummary<'a> = (
     &'static str,
     &'a str,
     BTreeSet<Danger>,
     Option<ProposalNumber>,
 );
 
-fn summary(operation: &Operation) -> Summary<'_> {
+fn summarise(operation: &Operation) -> OperationSummary<'_> {
     let none = BTreeSet::new();
     match operation {
         Operation::Change(change) => ("change", &change.note, change.allow.clone(), None),
--- a/crates/operator/src/client/http1.rs
+++ b/crates/operator/src/client/http1.rs
@@ -52,8 +52,8 @@
     mut req: Request<Full<Bytes>>,
     timeout: Duration,
 ) -> Attempt {
-    let end = Instant::now() + timeout;
-    let stream = match time::timeout_at(end, TcpStream::connect(addr)).await {
+    let deadline = Instant::now() + timeout;
+    let stream = match time::timeout_at(deadline, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return Attempt::NotSent(format!("{addr}: {e}")),
         Err(_) => return Attempt::NotSent(format!("{addr} takes no connection in time")),
@@ -81,9 +81,9 @@
             },
         }
     };
-    match time::timeout_at(end, driven).await {
+    match time::timeout_at(deadline, driven).await {
         Ok(Ok(reply)) => Attempt::Answered(reply),
-        Ok(Err(why)) => Attempt::Lost(format!("{addr}: {why}")),
+        Ok(Err(reason)) => Attempt::Lost(format!("{addr}: {reason}")),
         Err(_) => Attempt::Lost(format!("{addr} gives no answer in time")),
     }
 }
--- a/crates/operator/src/client/mod.rs
+++ b/crates/operator/src/client/mod.rs
@@ -24,9 +24,9 @@
 use plan::{Attempt, Plan, Step};
 
 /// Attempts that a deadline leaves time for, if each of them is met by silence.
-const ATTEMPTS: u32 = 6;
-const SHORTEST_ATTEMPT: Duration = Duration::from_millis(500);
-const LONGEST_ATTEMPT: Duration = Duration::from_secs(10);
+const ATTEMPTS_PER_DEADLINE: u32 = 6;
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why an act or a look has no answer.
 #[derive(Debug)]
@@ -108,8 +108,8 @@
     /// A share of the deadline, so that one silent replica leaves time for others, and
     /// an operator who grants more time also grants it to a replica that is slow.
     fn attempt_timeout(&self) -> Duration {
-        let share = self.deadline / ATTEMPTS;
-        let share = share.clamp(SHORTEST_ATTEMPT, LONGEST_ATTEMPT);
+        let share = self.deadline / ATTEMPTS_PER_DEADLINE;
+        let share = share.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
         self.attempt_timeout.unwrap_or(share)
     }
 }
@@ -194,21 +194,21 @@
 
     async fn run(&self, method: Method, path: &str, body: Bytes) -> Result<Reply, ClientError> {
         ensure!(!self.cfg.controls.is_empty(), NoAddressSnafu);
-        let end = Instant::now() + self.cfg.deadline;
-        let changes = method != Method::GET;
-        let mut plan = Plan::new(&self.cfg.controls, changes);
+        let deadline = Instant::now() + self.cfg.deadline;
+        let is_write = method != Method::GET;
+        let mut plan = Plan::new(&self.cfg.controls, is_write);
         let mut addr = plan.first();
         loop {
             let req = http1::request(&self.cfg, &method, path, body.clone())?;
-            let timeout = self.cfg.attempt_timeout().min(end - Instant::now());
+            let timeout = self.cfg.attempt_timeout().min(deadline - Instant::now());
             let attempt = http1::attempt(addr, req, timeout).await;
             match plan.next(attempt) {
                 Step::Done(reply) => return Ok(reply),
-                Step::Try { next, pause } => {
-                    if Instant::now() + pause >= end {
-                        return Err(plan.give_up());
+                Step::Try { next, backoff } => {
+                    if Instant::now() + backoff >= deadline {
+                        return Err(plan.into_error());
                     }
-                    time::sleep(pause).await;
+                    time::sleep(backoff).await;
                     addr = next;
                 }
             }
--- a/crates/operator/src/client/plan.rs
+++ b/crates/operator/src/client/plan.rs
@@ -9,12 +9,12 @@
 use crate::Answer;
 
 /// Pause once every address was tried without success; doubles up to the longest one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Named leaders that are followed at once. Two replicas that each name the other, as
 /// may happen around an election, must not make this a busy loop.
-const MAX_HINTS_IN_A_ROW: u32 = 2;
+const MAX_CONSECUTIVE_HINTS: u32 = 2;
 
 /// What came of an attempt.
 pub(super) enum Attempt {
@@ -31,100 +31,102 @@
     /// This is the answer.
     Done(Reply),
     /// Send it there, after a pause.
-    Try { next: SocketAddr, pause: Duration },
+    Try { next: SocketAddr, backoff: Duration },
 }
 
 /// Where to turn, and what is known so far.
 pub(super) struct Plan {
     addrs: Vec<SocketAddr>,
-    place: usize,
-    tried: usize,
-    hints: u32,
-    pause: Duration,
-    changes: bool,
+    current: usize,
+    attempts: usize,
+    consecutive_hints: u32,
+    backoff: Duration,
+    is_write: bool,
     may_have_run: bool,
-    last: String,
+    last_failure: String,
 }
 
 impl Plan {
     /// `changes` says whether the request is an act. There must be an address.
-    pub(super) fn new(addrs: &[SocketAddr], changes: bool) -> Self {
+    pub(super) fn new(addrs: &[SocketAddr], is_write: bool) -> Self {
         Self {
             addrs: addrs.to_vec(),
-            place: 0,
-            tried: 0,
-            hints: 0,
-            pause: FIRST_PAUSE,
-            changes,
+            current: 0,
+            attempts: 0,
+            consecutive_hints: 0,
+            backoff: MIN_BACKOFF,
+            is_write,
             may_have_run: false,
-            last: String::new(),
+            last_failure: String::new(),
         }
     }
 
     pub(super) fn first(&self) -> SocketAddr {
-        self.addrs[self.place]
+        self.addrs[self.current]
     }
 
     pub(super) fn next(&mut self, attempt: Attempt) -> Step {
         match attempt {
-            Attempt::NotSent(why) => self.turn(why),
-            Attempt::Lost(why) => {
-                self.may_have_run = self.changes;
-                self.turn(why)
+            Attempt::NotSent(reason) => self.try_next(reason),
+            Attempt::Lost(reason) => {
+                self.may_have_run = self.is_write;
+                self.try_next(reason)
             }
-            Attempt::Answered(reply) => self.judge(reply),
+            Attempt::Answered(reply) => self.handle_reply(reply),
         }
     }
 
-    fn judge(&mut self, reply: Reply) -> Step {
+    fn handle_reply(&mut self, reply: Reply) -> Step {
         let describe = || format!("{} answers {}", reply.addr, reply.code);
         match reply.code {
-            ResultCode::NotLeader => self.follow(&reply),
-            ResultCode::ApiUnavailable | ResultCode::LearnerBehind => self.turn(describe()),
+            ResultCode::NotLeader => self.follow_leader(&reply),
+            ResultCode::ApiUnavailable | ResultCode::LearnerBehind => self.try_next(describe()),
             ResultCode::ChangeUnknown => {
-                self.may_have_run = self.changes;
-                self.turn(describe())
+                self.may_have_run = self.is_write;
+                self.try_next(describe())
             }
             // A refusal at the door (token, body, role) says nothing of an attempt that
             // came in elsewhere before, so it doesn't end the search for the outcome.
-            code if self.may_have_run && !decided_by_table(code) => self.turn(describe()),
+            code if self.may_have_run && !decided_by_table(code) => self.try_next(describe()),
             _ => Step::Done(reply),
         }
     }
 
-    fn follow(&mut self, reply: &Reply) -> Step {
+    fn follow_leader(&mut self, reply: &Reply) -> Step {
         let hint = reply.json::<Answer>().ok().and_then(|answer| answer.leader);
         match hint {
-            Some(leader) if leader != reply.addr && self.hints < MAX_HINTS_IN_A_ROW => {
-                self.hints += 1;
-                self.last = format!("{} names {leader} as the leader", reply.addr);
+            Some(leader)
+                if leader != reply.addr && self.consecutive_hints < MAX_CONSECUTIVE_HINTS =>
+            {
+                self.consecutive_hints += 1;
+                self.last_failure = format!("{} names {leader} as the leader", reply.addr);
                 Step::Try {
                     next: leader,
-                    pause: Duration::ZERO,
+                    backoff: Duration::ZERO,
                 }
             }
-            _ => self.turn(format!("{} does not lead", reply.addr)),
+            _ => self.try_next(format!("{} does not lead", reply.addr)),
         }
     }
 
     /// On to the next address; after each round with a longer pause.
-    fn turn(&mut self, why: String) -> Step {
-        self.last = why;
-        self.hints = 0;
-        self.tried += 1;
-        self.place = (self.place + 1) % self.addrs.len();
-        let next = self.addrs[self.place];
-        if !self.tried.is_multiple_of(self.addrs.len()) {
-            let pause = Duration::ZERO;
-            return Step::Try { next, pause };
+    fn try_next(&mut self, reason: String) -> Step {
+        self.last_failure = reason;
+        self.consecutive_hints = 0;
+        self.attempts += 1;
+        self.current = (self.current + 1) % self.addrs.len();
+        let next = self.addrs[self.current];
+        if !self.attempts.is_multiple_of(self.addrs.len()) {
+            let backoff = Duration::ZERO;
+            return Step::Try { next, backoff };
         }
-        let pause = self.pause;
-        self.pause = (pause * 2).min(LONGEST_PAUSE);
-        Step::Try { next, pause }
+        let backoff = self.backoff;
+        self.backoff = (backoff * 2).min(MAX_BACKOFF);
+        Step::Try { next, backoff }
     }
 
-    pub(super) fn give_up(self) -> ClientError {
-        let last = self.last;
+    pub(super) fn into_error(self) -> ClientError {
+        let last = self.last_failure;
         if self.may_have_run {
             ClientError::OutcomeUnknown { last }
         } else {
--- a/crates/operator/src/live.rs
+++ b/crates/operator/src/live.rs
@@ -9,7 +9,7 @@
 use crate::RowReading;
 
 /// A reading older than this says nothing about now.
-const MAX_AGE_MS: u64 = 10_000;
+const MAX_READING_AGE_MS: u64 = 10_000;
 
 /// Most findings that travel with a command.
 const MAX_FINDINGS: usize = 64;
@@ -26,11 +26,11 @@
     let mut check = LiveCheck::default();
     for edit in edits {
         let Some(values) = edit.set else { continue };
-        let reading = fresh(readings, &edit.key);
+        let reading = fresh_reading(readings, &edit.key);
         if let Some(reading) = reading {
-            find(&edit.key, &values, reading, &mut check.findings);
+            find_dangers(&edit.key, &values, reading, &mut check.findings);
         }
-        if !reading.is_some_and(is_whole) {
+        if !reading.is_some_and(is_complete) {
             check.unchecked.push(edit.key.to_string());
         }
     }
@@ -38,18 +38,23 @@
     check
 }
 
-fn fresh<'a>(readings: &'a [RowReading], key: &RowKey) -> Option<&'a RowReading> {
+fn fresh_reading<'a>(readings: &'a [RowReading], key: &RowKey) -> Option<&'a RowReading> {
     readings
         .iter()
         .find(|reading| reading.service == key.service && reading.region == key.region)
-        .filter(|reading| reading.age_ms <= MAX_AGE_MS)
+        .filter(|reading| reading.age_ms <= MAX_READING_AGE_MS)
 }
 
-fn is_whole(reading: &RowReading) -> bool {
+fn is_complete(reading: &RowReading) -> bool {
     reading.running.is_some() && reading.shifted.is_some() && reading.slots.is_some()
 }
 
-fn find(key: &RowKey, values: &RowValues, reading: &RowReading, findings: &mut Vec<Finding>) {
+fn find_dangers(
+    key: &RowKey,
+    values: &RowValues,
+    reading: &RowReading,
+    findings: &mut Vec<Finding>,
+) {
     let mut add = |danger, reason| {
         findings.push(Finding {
             danger,
--- a/crates/operator/src/server/access.rs
+++ b/crates/operator/src/server/access.rs
@@ -17,7 +17,7 @@
 use crate::OPERATOR_HEADER;
 
 /// Shortest time between two lines about strangers.
-const DOOR_LOG_PERIOD: Duration = Duration::from_secs(1);
+const REJECTION_LOG_PERIOD: Duration = Duration::from_secs(1);
 
 /// Name of a loopback client that gives none.
 const ANONYMOUS: &str = "local";
@@ -44,8 +44,8 @@
         let Some(services) = &self.services else {
             return Ok(());
         };
-        let mut foreign = edits.iter().map(|edit| &edit.key.service);
-        match foreign.find(|service| !services.contains(*service)) {
+        let mut services_edited = edits.iter().map(|edit| &edit.key.service);
+        match services_edited.find(|service| !services.contains(*service)) {
             None => Ok(()),
             Some(service) => {
                 let message = format!("{} may not change {service}", self.actor.name);
@@ -67,26 +67,26 @@
 /// Keeps the log's record of strangers from growing with their number: one line a
 /// period, with the count of those since the last.
 #[derive(Debug, Default)]
-pub(super) struct DoorLog(Mutex<DoorCount>);
+pub(super) struct RejectionLog(Mutex<RejectionCount>);
 
 #[derive(Debug, Default)]
-struct DoorCount {
-    written: Option<Instant>,
-    since: u64,
+struct RejectionCount {
+    last_logged: Option<Instant>,
+    unlogged: u64,
 }
 
-impl DoorLog {
-    fn refused(&self, peer: SocketAddr, refusal: &Refusal) {
+impl RejectionLog {
+    fn record(&self, peer: SocketAddr, refusal: &Refusal) {
         let mut count = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        count.since += 1;
+        count.unlogged += 1;
         let now = Instant::now();
-        let is_due = |written: Instant| now - written >= DOOR_LOG_PERIOD;
-        if count.written.is_none_or(is_due) {
-            let (refused, code) = (count.since, refusal.code.number());
+        let is_due = |last_logged: Instant| now - last_logged >= REJECTION_LOG_PERIOD;
+        if count.last_logged.is_none_or(is_due) {
+            let (refused, code) = (count.unlogged, refusal.code.number());
             warn!(peer:% = peer, refused, result = code; "not let in: {}", refusal.message);
-            *count = DoorCount {
-                written: Some(now),
-                since: 0,
+            *count = RejectionCount {
+                last_logged: Some(now),
+                unlogged: 0,
             };
         }
     }
@@ -99,7 +99,7 @@
 ) -> Result<Operator, Refusal> {
     let result = identify(shared, peer, headers);
     if let Err(refusal) = &result {
-        shared.door_log.refused(peer, refusal);
+        shared.rejection_log.record(peer, refusal);
     }
     result
 }
@@ -113,7 +113,7 @@
     }
     match &shared.tokens {
         Some(source) => {
-            let secret = bearer(headers)?;
+            let secret = bearer_token(headers)?;
             let grant = source
                 .current()
                 .find(secret)
@@ -126,11 +126,11 @@
                 services: grant.services.clone(),
             })
         }
-        None => loopback(peer, headers),
+        None => authenticate_loopback(peer, headers),
     }
 }
 
-fn bearer(headers: &HeaderMap) -> Result<&str, Refusal> {
+fn bearer_token(headers: &HeaderMap) -> Result<&str, Refusal> {
     let missing = || refuse(ResultCode::TokenMissing, "a bearer token is needed");
     let value = headers.get(AUTHORIZATION).ok_or_else(missing)?;
     let (scheme, secret) = value
@@ -144,7 +144,7 @@
     Ok(secret.trim())
 }
 
-fn loopback(peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
+fn authenticate_loopback(peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
     if !peer.ip().to_canonical().is_loopback() {
         let message = "no tokens file is set, so only clients on the loopback are served";
         return Err(refuse(ResultCode::LoopbackOnly, message));
--- a/crates/operator/src/server/mod.rs
+++ b/crates/operator/src/server/mod.rs
@@ -47,7 +47,7 @@
     pub(crate) tokens: Option<TokenSource>,
     pub(crate) pages: BTreeMap<String, Arc<dyn Page>>,
     pub(crate) require_review: bool,
-    door_log: access::DoorLog,
+    rejection_log: access::RejectionLog,
     pub(crate) head_timeout: Duration,
     pub(crate) body_timeout: Duration,
     pub(crate) answer_timeout: Duration,
@@ -73,7 +73,7 @@
                 tokens: None,
                 pages: BTreeMap::new(),
                 require_review: false,
-                door_log: access::DoorLog::default(),
+                rejection_log: access::RejectionLog::default(),
                 head_timeout: Duration::from_secs(10),
                 body_timeout: Duration::from_secs(10),
                 answer_timeout: Duration::from_secs(10),
@@ -84,14 +84,14 @@
 
     /// Serves until `stop` ends, then lets what is in progress finish, for a while.
     pub async fn serve(self, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         let (stop_tx, stop_rx) = watch::channel(false);
         let mut connections = JoinSet::new();
         tokio::pin!(stop);
         loop {
             let next = async {
                 // Fails only for a closed semaphore, and nobody closes this one.
-                let permit = Arc::clone(&room).acquire_owned().await.ok();
+                let permit = Arc::clone(&permits).acquire_owned().await.ok();
                 (permit, accept(&listener).await)
             };
             let (permit, (stream, peer)) = tokio::select! {
--- a/crates/operator/src/server/operations.rs
+++ b/crates/operator/src/server/operations.rs
@@ -54,23 +54,23 @@
     match route {
         Route::Change => {
             let body: ChangeBody = parse(body)?;
-            refuse_unreviewed(shared)?;
+            refuse_if_review_required(shared)?;
             if body.supersedes.is_some() {
                 let message = "`supersedes` goes with a proposal";
                 return Err(refuse(ResultCode::ApiBodyMalformed, message));
             }
-            Ok((body.id, Operation::Change(change_of(body)?)))
+            Ok((body.id, Operation::Change(convert_change(body)?)))
         }
         Route::Propose => {
             let body: ChangeBody = parse(body)?;
             let (id, supersedes) = (body.id, body.supersedes);
-            let change = change_of(body)?;
+            let change = convert_change(body)?;
             Ok((id, Operation::Propose { change, supersedes }))
         }
         Route::Accept(proposal) => {
             let AcceptBody { id, note, allow } = parse(body)?;
             if allow.contains(&Danger::OwnReview) {
-                refuse_unreviewed(shared)?;
+                refuse_if_review_required(shared)?;
             }
             let operation = Operation::Accept {
                 proposal,
@@ -79,12 +79,12 @@
             };
             Ok((id, operation))
         }
-        _ => parse_word(route, body),
+        _ => parse_note_operation(route, body),
     }
 }
 
 /// Acts that come with a note and without a change.
-fn parse_word(route: Route, body: &Bytes) -> Result<(ChangeId, Operation), Refusal> {
+fn parse_note_operation(route: Route, body: &Bytes) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Review(proposal) => {
             let ReviewBody { id, verdict, note } = parse(body)?;
@@ -107,12 +107,12 @@
     }
 }
 
-fn change_of(body: ChangeBody) -> Result<Change, Refusal> {
+fn convert_change(body: ChangeBody) -> Result<Change, Refusal> {
     body.into_change()
         .map_err(|e| refuse(ResultCode::ApiBodyMalformed, e.to_string()))
 }
 
-fn refuse_unreviewed(shared: &Shared) -> Result<(), Refusal> {
+fn refuse_if_review_required(shared: &Shared) -> Result<(), Refusal> {
     if !shared.require_review {
         return Ok(());
     }
@@ -171,8 +171,8 @@
             format!("nothing changed: {rule}"),
         )
     })?;
-    let waiting = shared.administration.submit(command);
-    let result = time::timeout(shared.answer_timeout, waiting).await;
+    let pending = shared.administration.submit(command);
+    let result = time::timeout(shared.answer_timeout, pending).await;
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     let mut answer = match result {
         Ok(outcome) => Answer::from_outcome(id, &outcome),
@@ -283,8 +283,8 @@
     id: ChangeId,
     change: MembershipChange,
 ) -> Result<Answer, Refusal> {
-    let waiting = shared.administration.membership(change);
-    let result = time::timeout(shared.answer_timeout, waiting).await;
+    let pending = shared.administration.membership(change);
+    let result = time::timeout(shared.answer_timeout, pending).await;
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role;
--- a/crates/operator/src/server/queries.rs
+++ b/crates/operator/src/server/queries.rs
@@ -63,15 +63,15 @@
 
 /// The table, proved current.
 pub(super) async fn read(shared: &Shared) -> Result<Arc<Table>, Refusal> {
-    bounded(shared, shared.administration.read()).await
+    with_timeout(shared, shared.administration.read()).await
 }
 
 /// What this replica knows.
 pub(super) async fn status(shared: &Shared) -> Result<Status, Refusal> {
-    bounded(shared, shared.administration.status()).await
+    with_timeout(shared, shared.administration.status()).await
 }
 
-async fn bounded<T>(
+async fn with_timeout<T>(
     shared: &Shared,
     answer: impl Future<Output = Result<T, AdministrationError>>,
 ) -> Result<T, Refusal> {
--- a/crates/operator/src/tokens.rs
+++ b/crates/operator/src/tokens.rs
@@ -27,18 +27,18 @@
 /// Largest tokens file, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 /// Lets a secret that leaked into a log or a repository be found by its prefix.
-const PREFIX: &str = "fht_";
+const SECRET_PREFIX: &str = "fht_";
 
 /// All that is wrong with a tokens file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
-#[snafu(display("{}", list(faults)))]
+#[snafu(display("{}", join_faults(faults)))]
 pub struct TokensError {
     /// Line number, from 1, and what is wrong with the line.
     pub faults: Vec<(usize, String)>,
 }
 
-fn list(faults: &[(usize, String)]) -> String {
+fn join_faults(faults: &[(usize, String)]) -> String {
     let lines: Vec<_> = faults
         .iter()
         .map(|(line, fault)| format!("line {line}: {fault}"))
@@ -86,7 +86,7 @@
     pub fn parse(text: &str) -> Result<Self, TokensError> {
         let mut entries = Vec::new();
         let mut faults = Vec::new();
-        let mut seen = BTreeMap::new();
+        let mut line_of_name = BTreeMap::new();
         for (number, line) in (1..).zip(text.lines()) {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
@@ -94,7 +94,7 @@
             }
             match parse_line(line) {
                 Ok(entry) => {
-                    if let Some(first) = seen.insert(entry.grant.name.clone(), number) {
+                    if let Some(first) = line_of_name.insert(entry.grant.name.clone(), number) {
                         let name = &entry.grant.name;
                         faults.push((number, format!("{name} is on line {first} already")));
                     }
@@ -117,7 +117,7 @@
     pub(crate) fn find(&self, secret: &str) -> Option<Arc<Grant>> {
         let mut found = None;
         for entry in &self.entries {
-            let hash = digest(&entry.salt, secret);
+            let hash = hash_secret(&entry.salt, secret);
             if bool::from(hash.ct_eq(&entry.hash)) {
                 found = Some(Arc::clone(&entry.grant));
             }
@@ -157,7 +157,7 @@
     names.collect::<Result<_, _>>().map_err(|e| format!("{e}"))
 }
 
-fn digest(salt: &[u8], secret: &str) -> [u8; HASH_BYTES] {
+fn hash_secret(salt: &[u8], secret: &str) -> [u8; HASH_BYTES] {
     let hasher = Sha256::new().chain_update(salt);
     hasher.chain_update(secret.as_bytes()).finalize().into()
 }
@@ -179,8 +179,8 @@
     pub fn generate(name: &str, role: Role, services: &[ServiceName]) -> Result<Self, TokensError> {
         let secret_bytes: [u8; SECRET_BYTES] = rand::random();
         let salt: [u8; SALT_BYTES] = rand::random();
-        let secret = format!("{PREFIX}{}", hex::encode(secret_bytes));
-        let hash = hex::encode(digest(&salt, &secret));
+        let secret = format!("{SECRET_PREFIX}{}", hex::encode(secret_bytes));
+        let hash = hex::encode(hash_secret(&salt, &secret));
         let mut line = format!("{name} {role} {}:{hash}", hex::encode(salt));
         if !services.is_empty() {
             let names: Vec<_> = services.iter().map(ServiceName::as_str).collect();
@@ -224,14 +224,14 @@
     },
 }
 
-type Stamp = (SystemTime, u64);
+type FileStamp = (SystemTime, u64);
 
 /// A tokens file that is read again when it has changed, so that a token is given or
 /// withdrawn without a restart.
 #[derive(Debug)]
 pub struct TokenSource {
     path: PathBuf,
-    current: Mutex<(Option<Stamp>, Tokens)>,
+    current: Mutex<(Option<FileStamp>, Tokens)>,
 }
 
 impl TokenSource {
@@ -242,7 +242,7 @@
     /// Fails if it can't be read or has a bad line.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, TokenSourceError> {
         let path = path.into();
-        let stamp = stamp(&path);
+        let stamp = file_stamp(&path);
         let tokens = read(&path)?;
         Ok(Self {
             path,
@@ -257,7 +257,7 @@
     /// of it but a line in the log.
     pub(crate) fn current(&self) -> Tokens {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
-        let stamp = stamp(&self.path);
+        let stamp = file_stamp(&self.path);
         if stamp.is_some() && current.0 == stamp {
             return current.1.clone();
         }
@@ -270,7 +270,7 @@
     }
 }
 
-fn stamp(path: &Path) -> Option<Stamp> {
+fn file_stamp(path: &Path) -> Option<FileStamp> {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
--- a/crates/operator/tests/api.rs
+++ b/crates/operator/tests/api.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{FakeControl, Served, SharedTable, serve, serve_with};
+use common::{FakeControl, SharedTable, TestServer, serve, serve_with};
 use filberthead_operator::{
     Answer, BoxFuture, HandOverBody, HistoryBody, MAX_BODY_BYTES, NewToken, Page, ProposalsBody,
     RowReading, TokenSource,
@@ -86,7 +86,7 @@
 
 /// A server that asks for tokens, and the secrets of its operators.
 struct Guarded {
-    served: Served,
+    served: TestServer,
     control: Arc<FakeControl>,
     dir: TempDir,
     reader: String,
@@ -146,7 +146,7 @@
 /// A stranger finds the port. Whatever they send, they get a result code, nothing
 /// changes, and they don't learn which paths exist.
 #[tokio::test]
-async fn without_a_known_token_nothing_is_shown_or_changed() {
+async fn requests_without_a_valid_token_are_rejected() {
     let guarded = Guarded::new().await;
     let addr = guarded.served.addr;
     let body = change(1, "orders", 0, 50);
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn each_role_does_its_acts_and_no_higher_ones() {
+async fn each_role_allows_its_operations_and_no_higher_ones() {
     let guarded = Guarded::new().await;
     let body = change(1, "orders", 0, 50);
     let (reader, proposer) = (&guarded.reader, &guarded.proposer);
@@ -232,14 +232,17 @@
 async fn a_team_changes_its_own_services_only() {
     let guarded = Guarded::new().await;
     let (team, all) = (&guarded.orders_team, &guarded.accepter);
-    let foreign = change(1, "catalogue", 0, 50);
-    assert_eq!(guarded.post("/v1/changes", team, &foreign).await.code, 3106);
+    let not_allowed = change(1, "catalogue", 0, 50);
     assert_eq!(
-        guarded.post("/v1/proposals", team, &foreign).await.code,
+        guarded.post("/v1/changes", team, &not_allowed).await.code,
         3106
     );
     assert_eq!(
-        guarded.post("/v1/proposals", all, &foreign).await.code,
+        guarded.post("/v1/proposals", team, &not_allowed).await.code,
+        3106
+    );
+    assert_eq!(
+        guarded.post("/v1/proposals", all, &not_allowed).await.code,
         2001
     );
     for (path, body) in [
@@ -262,7 +265,7 @@
 /// An operator leaves, and their line is taken out of the file: their token ends without
 /// a restart. A slip in the file ends all of them, rather than keep one alive unseen.
 #[tokio::test]
-async fn a_token_ends_when_its_line_does() {
+async fn a_token_is_invalid_once_its_line_is_removed() {
     let guarded = Guarded::new().await;
     let path = guarded.dir.path().join("tokens");
     let text = std::fs::read_to_string(&path).expect("the file");
@@ -332,7 +335,7 @@
 
 /// What breaks a rule by itself takes no room in the log and the history.
 #[tokio::test]
-async fn acts_that_break_a_rule_stop_at_the_door() {
+async fn operations_that_break_a_rule_are_not_submitted() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let long = format!(r#"{{"id":"1","note":"{}"}}"#, "x".repeat(100_000));
@@ -349,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn oversized_bodies_are_refused_unread() {
+async fn oversized_requests_are_rejected() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -373,7 +376,7 @@
 /// A client sends half a body and stalls, another half a head. Both end, and the server
 /// goes on serving others meanwhile.
 #[tokio::test]
-async fn a_stalled_request_ends_and_holds_nobody_up() {
+async fn a_stalled_request_times_out_without_blocking_others() {
     let control = FakeControl::new(&SharedTable::default());
     let short = Duration::from_secs(2);
     let served = serve_with(&control, |builder| {
@@ -420,7 +423,7 @@
 /// slots for. It is refused with the figures, and done once they say so. A reading that
 /// is missing or old refuses nothing, and the answer says that it was not compared.
 #[tokio::test]
-async fn limits_are_compared_with_what_runs() {
+async fn limits_are_compared_with_live_readings() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -457,7 +460,7 @@
 
 /// Where every change needs a review, neither a direct change nor a waiver goes through.
 #[tokio::test]
-async fn a_required_review_can_not_be_gone_round() {
+async fn a_required_review_can_not_be_bypassed() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve_with(&control, |builder| builder.require_review(true)).await;
     let addr = served.addr;
@@ -486,7 +489,7 @@
 /// The next shift sees what the last one left: its note, what happened since, and what
 /// is open, with the conflicts that have come up.
 #[tokio::test]
-async fn a_hand_over_shows_what_the_next_shift_needs() {
+async fn a_hand_over_shows_note_later_records_and_open_proposals() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -538,7 +541,7 @@
 /// A scanner, or a broken tool, throws anything at the port. The server goes on, and
 /// nothing that it was sent counts as an act.
 #[tokio::test]
-async fn random_bytes_change_nothing_and_stop_nothing() {
+async fn random_bytes_change_nothing_and_the_server_goes_on() {
     let control = FakeControl::new(&SharedTable::default());
     let short = Duration::from_secs(2);
     let served = serve_with(&control, |builder| {
--- a/crates/operator/tests/client.rs
+++ b/crates/operator/tests/client.rs
@@ -55,7 +55,7 @@
 /// "unknown", once in silence. The client sends it again by itself. The operator sees
 /// one acceptance, and the table has one version.
 #[tokio::test]
-async fn a_lost_answer_is_found_again_under_the_same_id() {
+async fn a_lost_answer_is_recovered_by_a_resend_with_the_same_id() {
     for fault in [Fault::AppliedUnknown, Fault::AppliedSilent] {
         let table = SharedTable::default();
         let control = FakeControl::new(&table);
@@ -74,7 +74,7 @@
 /// The first control address is of a VM that is gone, the second of one that doesn't
 /// lead and names the leader, which isn't on the operator's list. The change goes there.
 #[tokio::test]
-async fn the_leader_is_found_past_dead_and_following_replicas() {
+async fn the_leader_is_found_behind_dead_addresses_and_followers() {
     let table = SharedTable::default();
     let leader = FakeControl::new(&table);
     let leading = serve(&leader).await;
@@ -92,7 +92,7 @@
 /// Around an election two replicas each take the other for the leader. The client
 /// doesn't spin between them; when one of them leads at last, the change is accepted.
 #[tokio::test]
-async fn replicas_that_name_each_other_end_in_acceptance_once_one_leads() {
+async fn replicas_that_redirect_to_each_other_do_not_stop_the_client() {
     let table = SharedTable::default();
     let (a, b) = (FakeControl::new(&table), FakeControl::new(&table));
     let (served_a, served_b) = (serve(&a).await, serve(&b).await);
@@ -105,7 +105,7 @@
 /// A replica takes the change, applies it and goes silent for good; all others are gone.
 /// The operator is told that the outcome is not known, never "nothing changed".
 #[tokio::test]
-async fn silence_for_good_is_an_unknown_outcome() {
+async fn a_replica_that_stops_answering_gives_an_unknown_outcome() {
     let table = SharedTable::default();
     let control = FakeControl::new(&table);
     control.fail([Fault::AppliedSilent]);
@@ -125,7 +125,7 @@
 /// No replica leads, and none has taken the change: that is "nothing changed", so the
 /// operator needn't look for it.
 #[tokio::test]
-async fn no_leader_anywhere_changes_nothing() {
+async fn without_a_leader_the_client_reports_unreachable() {
     let table = SharedTable::default();
     let control = FakeControl::new(&table);
     control.fail([Fault::NotLeader(None); 1000]);
@@ -144,7 +144,7 @@
 /// Two operators race with equal numbers on the same row. The first in the log wins; the
 /// other is shown both sides, equal as they are, and who was first.
 #[tokio::test]
-async fn of_two_equal_edits_the_second_gets_both_sides() {
+async fn of_two_equal_edits_the_second_conflicts_with_both_versions() {
     let table = SharedTable::default();
     let served = serve(&FakeControl::new(&table)).await;
     let first = post(&client([served.addr]), &change(1, 60)).await.unwrap();
@@ -167,7 +167,7 @@
 /// then the first one sends again. They get their first outcome, and the later change
 /// stays.
 #[tokio::test]
-async fn a_resend_after_a_later_change_leaves_that_change_alone() {
+async fn a_resend_does_not_undo_a_later_change() {
     let table = SharedTable::default();
     let control = FakeControl::new(&table);
     let served = serve(&control).await;
--- a/crates/operator/tests/common/mod.rs
+++ b/crates/operator/tests/common/mod.rs
@@ -149,20 +149,20 @@
 }
 
 /// A server on a port of its own, which ends with it.
-pub struct Served {
+pub struct TestServer {
     pub addr: SocketAddr,
     _stop: oneshot::Sender<()>,
 }
 
 /// Serves a stand-in with the defaults.
-pub async fn serve(control: &Arc<FakeControl>) -> Served {
+pub async fn serve(control: &Arc<FakeControl>) -> TestServer {
     serve_with(control, |builder| builder).await
 }
 
 pub async fn serve_with(
     control: &Arc<FakeControl>,
     configure: impl FnOnce(ServerBuilder) -> ServerBuilder,
-) -> Served {
+) -> TestServer {
     let administration: Arc<dyn Administration> = Arc::<FakeControl>::clone(control);
     let builder = Server::builder(administration).answer_timeout(Duration::from_secs(10));
     let server = configure(builder).build();
@@ -172,5 +172,5 @@
     tokio::spawn(server.serve(listener, async {
         let _ = stopped.await;
     }));
-    Served { addr, _stop: stop }
+    TestServer { addr, _stop: stop }
 }
--- a/crates/operator/tests/tokens.rs
+++ b/crates/operator/tests/tokens.rs
@@ -4,7 +4,7 @@
 use filberthead_table::Role;
 
 #[test]
-fn all_bad_lines_are_named_at_once() {
+fn all_bad_lines_are_reported_at_once() {
     let good = NewToken::generate("ana", Role::Accept, &[]).unwrap().line;
     let hash = good.split(' ').nth(2).unwrap();
     let text = format!(
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_secret_is_in_no_line_and_never_drawn_twice() {
+fn a_secret_is_not_in_its_line_and_is_unique() {
     let services = ["orders".parse().unwrap(), "catalogue".parse().unwrap()];
     let first = NewToken::generate("ana", Role::Propose, &services).unwrap();
     let second = NewToken::generate("ana", Role::Propose, &services).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_name_that_breaks_the_line_draws_no_token() {
+fn a_name_that_breaks_the_line_yields_no_token() {
     for name in ["", "ana maria", "#ana", "ana\nboss accept x:y"] {
         assert!(
             NewToken::generate(name, Role::Read, &[]).is_err(),
--- a/crates/table/tests/csv_file.rs
+++ b/crates/table/tests/csv_file.rs
@@ -64,7 +64,7 @@
 /// An operator has slipped in several lines. All slips are named in one pass, with the
 /// line of each.
 #[test]
-fn all_bad_lines_are_named_at_once() {
+fn all_bad_lines_are_reported_at_once() {
     let text = "service,region,weight,limit,shift_cap,objective,revision,was,action\n\
                 orders,split,1.200,48,12,latency,1,,\n\
                 orders,zagreb,50,-3,12,speed,1,,\n\
