--- a/crates/table/src/command.rs
+++ b/crates/table/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the state machine, and how they end.
+//! Commands of the state machine, and their outcomes.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,8 +11,8 @@
 
 use crate::{Change, Conflict, Danger, Finding};
 
-/// Milliseconds since 1970 on the wall clock of the control replica that took a
-/// command in. For people only: nothing is decided by it, because the clocks of two
+/// Milliseconds since 1970 on the wall clock of the control replica that received a
+/// command. For display only: no decision depends on it, because the clocks of two
 /// replicas may differ by any amount.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Look at everything.
+    /// Read everything.
     Read,
     /// Propose, review, withdraw and hand over.
     Propose,
@@ -44,7 +44,7 @@
     Accept,
 }
 
-/// A text that names no role.
+/// The text is not the name of a role.
 #[derive(Clone, Debug)]
 #[derive(Snafu)]
 #[snafu(display("`{text}` is no role: `read`, `propose` or `accept`"))]
@@ -82,17 +82,17 @@
     }
 }
 
-/// Who acts, as the administration API authenticated them.
+/// The operator who sent a command, as authenticated by the administration API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Actor {
-    /// Name of the token, or what a client on the loopback calls itself.
+    /// Name of the token, or the name that a client on the loopback gave.
     pub name: String,
-    /// Role of the token.
+    /// Role of the token; `Accept` for clients on the loopback.
     pub role: Role,
 }
 
-/// A control replica as the others and operators reach it.
+/// Addresses of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaInfo {
@@ -100,70 +100,70 @@
     pub id: ReplicaId,
     /// Its name from its settings.
     pub name: NodeName,
-    /// Where it takes messages of other processes.
+    /// Address for messages of other processes.
     pub peer_addr: SocketAddr,
-    /// Where it serves the administration API.
+    /// Address of its administration API.
     pub operator_addr: SocketAddr,
 }
 
-/// A reviewer's word on a proposal.
+/// Result of a review.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// May be accepted.
+    /// The proposal may be accepted.
     Approve,
-    /// May not be accepted until the same reviewer approves.
+    /// The proposal can't be accepted until the same reviewer approves.
     Reject,
 }
 
-/// What an operator does.
+/// An operation that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Operation {
-    /// Changes the table at once.
+    /// Applies a change to the table without a review.
     Change(Change),
-    /// Puts a change up for review.
+    /// Opens a proposal for a change.
     Propose {
         /// The change.
         change: Change,
-        /// An open proposal that this one takes the place of.
+        /// An open proposal that this one replaces.
         supersedes: Option<ProposalNumber>,
     },
-    /// Gives a verdict on an open proposal.
+    /// Reviews an open proposal.
     Review {
         /// The proposal.
         proposal: ProposalNumber,
-        /// The verdict; a reviewer's later one takes the place of the earlier.
+        /// The verdict; it replaces an earlier one of the same reviewer.
         verdict: Verdict,
-        /// Why, for colleagues.
+        /// Reason, for other operators.
         note: String,
     },
-    /// Puts an open proposal into the table.
+    /// Applies the change of an open proposal to the table.
     Accept {
         /// The proposal.
         proposal: ProposalNumber,
-        /// Why, for colleagues.
+        /// Reason, for other operators.
         note: String,
-        /// Dangers taken, besides those that the proposal's author takes.
+        /// Dangers allowed, in addition to those that the proposal's author allowed.
         allow: BTreeSet<Danger>,
     },
-    /// Closes an open proposal.
+    /// Closes an open proposal without applying it.
     Withdraw {
         /// The proposal.
         proposal: ProposalNumber,
-        /// Why, for colleagues.
+        /// Reason, for other operators.
         note: String,
     },
-    /// Ends a shift with a note to the next one.
+    /// Ends a shift with a note for the next one.
     HandOver {
-        /// The note.
+        /// The note, which can't be empty.
         note: String,
     },
-    /// Tells the addresses of a control replica; a later one for the same identity
-    /// takes the place of the earlier.
+    /// Sets the addresses of a control replica, replacing earlier ones of the same
+    /// identity.
     RegisterReplica(ReplicaInfo),
-    /// Drops the addresses of a control replica.
+    /// Removes the addresses of a control replica.
     ForgetReplica(ReplicaId),
 }
 
@@ -171,22 +171,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Command {
-    /// Identity, drawn by the client; a resend carries the same.
+    /// Idempotency key, generated by the client; a resend has the same.
     pub id: ChangeId,
-    /// Who acts.
+    /// The operator who sent it.
     pub actor: Actor,
-    /// When the control replica took it in. A resend may differ.
+    /// When the control replica received it. May differ in a resend.
     pub at: Timestamp,
-    /// Dangers that the control replica found against its live readings. They travel
-    /// with the command, so that each replica judges by the same ones. A resend may
-    /// differ.
+    /// Dangers that the receiving control replica found in its live readings. They are
+    /// part of the command so that every replica decides by the same ones. May differ in
+    /// a resend.
     pub findings: Vec<Finding>,
-    /// The act.
+    /// The requested operation.
     pub operation: Operation,
 }
 
 impl Command {
-    /// Whether `other` is this command sent again.
+    /// Whether `other` is a resend of this command.
     pub(crate) fn is_resend(&self, other: &Self) -> bool {
         self.id == other.id
             && self.actor.name == other.actor.name
@@ -194,33 +194,34 @@
     }
 }
 
-/// How a command ended. Every replica comes to the same outcome.
+/// Result of applying a command, which is the same on every replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Outcome {
-    /// In the table from this version on.
+    /// The change was applied.
     Accepted {
-        /// Version that the change made.
+        /// Table version that the change made.
         version: Version,
     },
-    /// On record as an open proposal.
+    /// The proposal was opened.
     Proposed {
         /// Its number.
         proposal: ProposalNumber,
     },
-    /// A review, withdrawal, hand-over or registration is on record.
+    /// A review, withdrawal, hand-over, or the addition or removal of a replica's
+    /// addresses was recorded.
     Recorded,
-    /// Nothing changed; these rows had moved on.
+    /// Nothing changed; rows have another revision than expected.
     Conflict {
-        /// The rows, with both sides.
+        /// The rows, with both versions.
         conflicts: Vec<Conflict>,
     },
-    /// Nothing changed; the act breaks a rule.
+    /// Nothing changed; the command breaks a rule or exceeds a bound.
     Invalid {
         /// The rule, for people.
         reason: String,
     },
-    /// Nothing changed; these dangers are not allowed for.
+    /// Nothing changed; the change has dangers that were not allowed.
     Dangerous {
         /// The dangers.
         findings: Vec<Finding>,
@@ -229,17 +230,19 @@
     ProposalUnknown {
         /// The number.
         proposal: ProposalNumber,
-        /// How it was closed, for people; empty if it never was or is long gone.
+        /// How it was closed, for people; empty if it never existed or is no longer kept.
         reason: String,
     },
-    /// Nothing changed; authors don't review their own proposals.
+    /// Nothing changed; authors can't review their own proposals.
     OwnReview,
-    /// Nothing changed; no colleague has approved, or one has rejected.
+    /// Nothing changed; no other operator has approved the proposal, or one has
+    /// rejected it.
     ReviewMissing {
-        /// Who has rejected, if anybody.
+        /// Names of the operators who have rejected it.
         rejected_by: Vec<String>,
     },
-    /// Nothing changed; the table keeps no more open proposals.
+    /// Nothing changed; the maximum number of open proposals, or of their edits, is
+    /// reached.
     TooManyProposals,
     /// Nothing changed; the id belongs to a different command.
     IdReused,
--- a/crates/table/src/danger.rs
+++ b/crates/table/src/danger.rs
@@ -1,4 +1,4 @@
-//! Changes that are allowed, but only by an operator who says that they mean it.
+//! Dangers: changes that are rejected unless the operator allows them explicitly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,19 +15,19 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Danger {
-    /// Every weight of a service would be zero: its requests would go nowhere.
+    /// Every weight of a service would be zero: its requests would be refused.
     AllWeightsZero,
-    /// The last row of a service would go: the service would be unknown.
+    /// The last row of a service would be removed: the service would be unknown.
     LastRow,
-    /// A limit or cap would lie below what is in progress now.
+    /// A limit or shift cap would be below the number of requests in progress.
     CapBelowRunning,
-    /// A limit would lie above what the endpoints of the region have slots for.
+    /// A limit would be above the number of slots of the region's endpoints.
     LimitAboveSlots,
     /// A proposal would be accepted without a colleague's review.
     OwnReview,
 }
 
-/// A text that names no danger.
+/// The text is not the name of a danger.
 #[derive(Clone, Debug)]
 #[derive(Snafu)]
 #[snafu(display("`{text}` is no danger that can be allowed"))]
@@ -45,7 +45,7 @@
         Self::OwnReview,
     ];
 
-    /// The name that allows it, as on the command line and in JSON.
+    /// The name on the command line and in JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::AllWeightsZero => "all-weights-zero",
@@ -85,14 +85,14 @@
     pub danger: Danger,
     /// The service, or the row as `service/region`.
     pub subject: String,
-    /// The figures behind it, for people.
+    /// Explanation with the figures compared, for people.
     pub reason: String,
 }
 
-/// Finds the dangers that show in the rows alone, whatever runs at the moment.
+/// Finds the dangers that follow from the rows alone, without live readings.
 ///
-/// A danger counts only where the change brings it about, so that a service that is
-/// already off can be edited further without being asked again.
+/// A danger is reported only if the change causes it, so that a service whose weights
+/// are already all zero can be edited without allowing the danger again.
 pub(crate) fn find(rows: &BTreeMap<RowKey, Row>, edits: &[Edit]) -> Vec<Finding> {
     let services: BTreeSet<_> = edits.iter().map(|edit| &edit.key.service).collect();
     services
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of rows, as operators send them.
+//! Edits of rows, and the conflicts that they can cause.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +13,9 @@
 pub struct Edit {
     /// The row.
     pub key: RowKey,
-    /// Revision that the author saw, as [`Table::revision`](crate::Table::revision)
-    /// gives it; 0 for a row that never was.
+    /// Revision that the author read, as returned by
+    /// [`Table::revision`](crate::Table::revision). The edit conflicts if the row has
+    /// another one.
     pub expected_revision: Revision,
     /// New values, or `None` to remove the row.
     pub set: Option<RowValues>,
@@ -24,52 +25,52 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Change {
-    /// Why, for colleagues.
+    /// Reason of the change, for other operators.
     pub note: String,
     /// The edited rows, each at most once.
     pub edits: Vec<Edit>,
-    /// Dangers that the author has weighed and takes.
+    /// Dangers that the author allows explicitly.
     pub allow: BTreeSet<Danger>,
 }
 
-/// An edit that met another revision than it had seen: both sides of it.
+/// An edit whose expected revision isn't the row's current one, with both versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Conflict {
     /// The row.
     pub key: RowKey,
-    /// Revision that the edit saw.
+    /// Revision that the edit expected.
     pub expected_revision: Revision,
     /// What the edit would have set; `None` to remove the row.
     pub wanted: Option<RowValues>,
-    /// The row as it stands, or `None` if there is none.
+    /// The row in the table, or `None` if there is none.
     pub current: Option<Row>,
-    /// Revision to name in a new edit, after a look at the other side.
+    /// Revision that a new edit has to expect.
     pub revision: Revision,
-    /// Whose change stands, and when it was accepted; `None` for a row never touched.
+    /// Last change of the row; `None` if none is kept.
     pub origin: Option<Origin>,
 }
 
-/// Who last touched a row.
+/// The last change of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Origin {
-    /// Version of that change.
+    /// Table version that it made.
     pub revision: Revision,
-    /// Its author; for an accepted proposal, who accepted it.
+    /// Its author; for an accepted proposal, the operator who accepted it.
     pub by: String,
-    /// When its sender's control replica took it in.
+    /// When the control replica received the command.
     pub at: Timestamp,
 }
 
-/// What an accepted change did to a row.
+/// A row before and after an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Difference {
     /// The row.
     pub key: RowKey,
-    /// Before; `None` if there was none.
+    /// The row before; `None` if there was none.
     pub before: Option<Row>,
-    /// After; `None` if it was removed.
+    /// The values after; `None` if the row was removed.
     pub after: Option<RowValues>,
 }
--- a/crates/table/src/handover.rs
+++ b/crates/table/src/handover.rs
@@ -1,4 +1,4 @@
-//! Notes from one shift to the next.
+//! Hand-over notes from one operator shift to the next.
 
 use std::collections::VecDeque;
 
@@ -7,28 +7,28 @@
 
 use crate::{ProposalNumber, Timestamp};
 
-/// How many hand-overs are kept: three shifts a day make this more than three weeks.
+/// Maximum number of kept hand-overs: at three shifts a day, more than three weeks.
 pub const MAX_HAND_OVERS: usize = 64;
 
-/// The end of a shift.
+/// A hand-over at the end of a shift.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOver {
-    /// Who hands over.
+    /// The operator who hands over.
     pub by: String,
-    /// When.
+    /// When the control replica received it.
     pub at: Timestamp,
-    /// What the next shift has to know.
+    /// Note for the next shift.
     pub note: String,
-    /// Version of the table at that point.
+    /// Version of the table at that time.
     pub version: Version,
-    /// Serial number of the last history record before it; what follows is new since.
+    /// Serial number of the last history record before the hand-over's own one.
     pub serial: u64,
-    /// Proposals that were open at that point.
+    /// Proposals that were open at that time.
     pub open: Vec<ProposalNumber>,
 }
 
-/// The kept hand-overs, the oldest first.
+/// The kept hand-overs, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct HandOvers(VecDeque<HandOver>);
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,20 +1,21 @@
 //! The replicated table of weights and limits, a row for each service and region,
-//! with the proposals, reviews and hand-overs that operators make around it.
+//! with the proposals, reviews and shift hand-overs of the operators.
 //!
 //! The table is a deterministic state machine: [`Table::apply`] gives every replica
 //! the same state and the same [`Outcome`] for the same log. It reads no clock and no
-//! settings; whatever a replica knows beyond the log (time, live readings) travels
-//! inside the [`Command`]. Three invariants carry the operators' promises:
+//! settings; input from outside the log (time, live readings) is part of the
+//! [`Command`]. Three invariants make concurrent edits and resends safe:
 //!
-//! - an edit names the revision of the row that its author saw, so of two racing
-//!   edits the first in the log wins and the other gets a conflict;
-//! - each command has an id, and recent ids are kept with their outcomes, so that a
-//!   resend gets its first outcome back and never takes effect twice;
-//! - the revision of a row never goes down, not even when the row is removed and made
-//!   again, so that a resend older than the kept outcomes fails on its revision.
+//! - an edit names the revision of the row that its author read, so of two concurrent
+//!   edits the first in the log is applied and the other gets a conflict;
+//! - each command has an id, which serves as its idempotency key: recent ids are kept
+//!   with their outcomes, so that a resend gets the first outcome and is never applied
+//!   twice;
+//! - the revision of a row never decreases, not even when the row is removed and
+//!   created again, so that a resend whose outcome is no longer kept gets a conflict.
 //!
-//! All that operators can fill has a bound, stated beside it, such that the whole
-//! state stays below the longest message between control replicas.
+//! Everything that operators can add to is bounded, so that the encoded state stays
+//! below the longest message between control replicas.
 
 mod command;
 mod csv_file;
--- a/crates/table/src/proposal.rs
+++ b/crates/table/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Changes put up for review.
+//! Proposals: changes that wait for review before they are applied.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,53 +7,53 @@
 
 use crate::{Change, ProposalNumber, Timestamp, Verdict};
 
-/// Most proposals that are open at the same time.
+/// Maximum number of open proposals.
 pub const MAX_OPEN_PROPOSALS: usize = 64;
 
-/// Most edited rows in all open proposals together.
+/// Maximum number of edited rows in all open proposals together.
 pub const MAX_OPEN_EDITS: usize = 4096;
 
-/// Most reviewers of one proposal.
+/// Maximum number of reviewers of one proposal.
 pub const MAX_REVIEWS: usize = 8;
 
-/// Closed proposals whose fate is kept, without their edits and review notes.
+/// Maximum number of kept closed proposals; their edits and review notes are dropped.
 pub const MAX_CLOSED_PROPOSALS: usize = 256;
 
-/// A colleague's word on a proposal.
+/// A review of a proposal by an operator other than its author.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Review {
-    /// Who reviewed.
+    /// The reviewer.
     pub by: String,
-    /// When.
+    /// When the control replica received it.
     pub at: Timestamp,
     /// The verdict.
     pub verdict: Verdict,
-    /// Why.
+    /// Reason; empty once the proposal is closed.
     pub note: String,
 }
 
-/// What has become of a proposal.
+/// State of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ProposalState {
     /// Waits for reviews and acceptance.
     Open,
-    /// In the table from this version on.
+    /// The change was applied.
     Accepted {
-        /// The version.
+        /// Table version that the change made.
         version: Version,
-        /// Who accepted it.
+        /// The operator who accepted it.
         by: String,
     },
-    /// Closed without effect.
+    /// Closed without being applied.
     Withdrawn {
-        /// Who closed it.
+        /// The operator who closed it.
         by: String,
     },
-    /// Another proposal took its place.
+    /// Replaced by another proposal.
     Superseded {
-        /// The other one.
+        /// The other proposal.
         by: ProposalNumber,
     },
 }
@@ -70,39 +70,39 @@
     }
 }
 
-/// A change put up for review. Its edits never change, so that a review is always a
-/// review of what is accepted; an amended change is a new proposal.
+/// A change proposed for review. Its edits are immutable while it is open, so that what
+/// is accepted is what was reviewed; an amended change is a new proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Proposal {
     /// Its number.
     pub number: ProposalNumber,
-    /// Id of the command that made it.
+    /// Id of the command that opened it.
     pub id: ChangeId,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub author: String,
-    /// When.
+    /// When the control replica received it.
     pub at: Timestamp,
     /// The change; without edits once the proposal is closed.
     pub change: Change,
-    /// One review a reviewer, the latest.
+    /// The latest review of each reviewer.
     pub reviews: Vec<Review>,
-    /// What has become of it.
+    /// Its state.
     pub state: ProposalState,
 }
 
 impl Proposal {
-    /// Colleagues who have approved it.
+    /// Names of the operators who have approved it.
     pub fn approved_by(&self) -> impl Iterator<Item = &str> {
         self.reviewers_with(Verdict::Approve)
     }
 
-    /// Colleagues who have rejected it.
+    /// Names of the operators who have rejected it.
     pub fn rejected_by(&self) -> impl Iterator<Item = &str> {
         self.reviewers_with(Verdict::Reject)
     }
 
-    /// Whether a colleague has approved it and none has rejected it.
+    /// Whether at least one operator has approved it and none has rejected it.
     pub fn is_approved(&self) -> bool {
         self.approved_by().next().is_some() && self.rejected_by().next().is_none()
     }
@@ -115,7 +115,7 @@
             .map(|review| review.by.as_str())
     }
 
-    /// Whether one more reviewer finds room.
+    /// Whether a review of this reviewer stays within [`MAX_REVIEWS`].
     pub(crate) fn has_room_for(&self, reviewer: &str) -> bool {
         let others = self.reviews.iter().filter(|review| review.by != reviewer);
         others.count() < MAX_REVIEWS
@@ -127,7 +127,7 @@
     }
 }
 
-/// Open proposals by number, and the last closed ones, the oldest first.
+/// Open proposals by number, and the last closed ones, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Proposals {
@@ -167,7 +167,7 @@
         count < MAX_OPEN_PROPOSALS && open_edits + edits <= MAX_OPEN_EDITS
     }
 
-    /// Puts a change up under the next number.
+    /// Opens a proposal under the next number.
     pub(crate) fn add(
         &mut self,
         id: ChangeId,
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! Rows: what operators set for a service in a region.
+//! Rows of the table: the values that operators set for a service in a region.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,19 +7,20 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Which outcome of a service steering favours when not all can be had.
+/// What steering optimises for a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Objective {
-    /// Short answers: requests go where the answer comes soonest.
+    /// Response time: requests go where the response is expected soonest.
     #[default]
     Latency,
-    /// Free slots: load is spread so that the fullest place keeps most room.
+    /// Free slots: load is spread so that the most utilised region keeps as many free
+    /// slots as possible.
     Headroom,
 }
 
-/// A text that names no objective.
+/// The text is not the name of an objective.
 #[derive(Clone, Debug)]
 #[derive(Snafu)]
 #[snafu(display("`{text}` is no objective: `latency` or `headroom`"))]
@@ -55,7 +56,7 @@
     }
 }
 
-/// Names a row.
+/// Identifies a row; written as `service/region`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RowKey {
@@ -71,28 +72,28 @@
     }
 }
 
-/// What an operator sets in a row.
+/// The values that an operator sets in a row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RowValues {
-    /// Share of the service's traffic that the region is to get, against the sum of
+    /// Share of the service's traffic that the region gets, relative to the sum of the
     /// weights of the service's rows. 0 drains the region.
     pub weight: u32,
-    /// Most requests of the service in progress in the region at any moment.
+    /// Maximum number of requests of the service in progress in the region.
     pub limit: u32,
-    /// Most requests in progress that a shift (a change of weights, a drain or a
-    /// failure elsewhere) may add to the region at any moment.
+    /// Maximum number of requests in progress that a shift (a change of weights, a
+    /// drain or a failure elsewhere) may add to the region.
     pub shift_cap: u32,
-    /// What steering favours for the service here.
+    /// What steering optimises for the service here.
     pub objective: Objective,
 }
 
-/// A row with the version of its last change.
+/// A row with the revision of its last change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
     /// The values in force.
     pub values: RowValues,
-    /// Version at which they were accepted.
+    /// Table version of the change that set them.
     pub revision: Revision,
 }
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that an act has to keep before anything else is looked at.
+//! Validation of commands that doesn't depend on the table's content.
 
 use std::collections::BTreeSet;
 
@@ -6,45 +6,46 @@
 
 use crate::{Change, Command, Operation, RowKey};
 
-/// Most edited rows in one change.
+/// Maximum number of edited rows in one change.
 pub const MAX_EDITS: usize = 1024;
 
-/// Most rows in the table.
+/// Maximum number of rows in the table.
 pub const MAX_ROWS: usize = 2048;
 
-/// Removed rows whose last revision is kept one by one; see
+/// Maximum number of removed rows whose last revision is kept individually; see
 /// [`Table::revision`](crate::Table::revision).
 pub const MAX_REMOVED_ROWS: usize = 1024;
 
-/// Most control replicas with known addresses, those being replaced included.
+/// Maximum number of control replicas with registered addresses, including those being
+/// replaced.
 pub const MAX_REPLICAS: usize = 16;
 
-/// Longest note, in bytes.
+/// Maximum length of a note, in bytes.
 pub const MAX_NOTE_BYTES: usize = 1000;
 
-/// Longest name of an actor, in bytes.
+/// Maximum length of an actor's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Most findings that a command carries; more would say nothing new.
+/// Maximum number of findings in a command.
 pub(crate) const MAX_FINDINGS: usize = 64;
 
-/// A rule that a command breaks by itself, whatever the table holds.
+/// A rule that a command breaks regardless of the table's content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum RuleError {
-    /// Nobody, or a name that can't be shown.
+    /// The actor's name is empty, too long or has control characters.
     #[snafu(display("the operator's name needs 1 to {MAX_NAME_BYTES} bytes of text"))]
     InvalidName,
-    /// More findings than say anything new.
+    /// The command has too many findings.
     #[snafu(display("more than {MAX_FINDINGS} findings"))]
     TooManyFindings,
     /// The note is too long.
     #[snafu(display("the note is longer than {MAX_NOTE_BYTES} bytes"))]
     NoteTooLong,
-    /// The note could rewrite a terminal or a log.
+    /// The note has control characters, which could rewrite a terminal or a log.
     #[snafu(display("the note holds control characters"))]
     NoteHasControlChars,
-    /// A hand-over says nothing.
+    /// A hand-over has an empty note.
     #[snafu(display("a hand-over needs a note"))]
     MissingNote,
     /// The change has no edit.
@@ -53,7 +54,7 @@
     /// The change has too many edits.
     #[snafu(display("the change edits more than {MAX_EDITS} rows"))]
     TooManyEdits,
-    /// A row is edited twice.
+    /// A row is edited more than once.
     #[snafu(display("the change edits {key} twice"))]
     DuplicateRow {
         /// The row.
@@ -62,14 +63,15 @@
 }
 
 impl Command {
-    /// Checks the rules that a command has to keep whatever the table holds.
+    /// Checks the rules that don't depend on the table's content.
     ///
-    /// The table checks them again. Whoever takes commands in checks them first, so that
-    /// what can't be accepted takes no room in the log and the history.
+    /// The administration API calls this before it submits a command, so that invalid
+    /// commands take no space in the log and the history. The table checks again when it
+    /// applies the command.
     ///
     /// # Errors
     ///
-    /// Names the first rule that it breaks.
+    /// Returns the first rule that the command breaks.
     pub fn check(&self) -> Result<(), RuleError> {
         check_actor(&self.actor.name)?;
         ensure!(self.findings.len() <= MAX_FINDINGS, TooManyFindingsSnafu);
--- a/crates/table/src/view.rs
+++ b/crates/table/src/view.rs
@@ -1,10 +1,10 @@
-//! What is spread to the nodes that act on the table.
+//! The part of the table that is sent to the nodes that steer by it, and deltas of it.
 //!
-//! A [`ViewDelta`] names every row that differs between two versions, with its state at
-//! the later one; a removed row stays in it as `None`, so that a node that missed the
-//! removal can't keep the row. It applies to the earlier of the two versions only: a row
-//! that came and went between them isn't named, and a node at a version in between
-//! would keep it.
+//! A [`ViewDelta`] contains every row that differs between two versions, with its state
+//! at the later one; a removed row is contained as `None`, so that a node that missed
+//! the removal drops the row. A delta applies to the earlier version only: it doesn't
+//! contain a row that was both added and removed in between, so a node at an
+//! intermediate version would keep that row.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 
 use crate::{Row, RowKey};
 
-/// The rows in force at one version, without the records kept for resends.
+/// The rows of the table at one version, without history, proposals and hand-overs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct View {
-    /// Number of accepted changes behind these rows.
+    /// Version of the table.
     pub version: Version,
     /// The rows.
     pub rows: BTreeMap<RowKey, Row>,
 }
 
 impl View {
-    /// What turns this view into a newer one.
+    /// The delta from this view to a newer one.
     pub fn delta_to(&self, newer: &Self) -> ViewDelta {
         let set = newer
             .rows
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The view after a delta, or `None` if the delta begins at another version.
+    /// The view with the delta applied, or `None` if the delta starts at another version.
     pub fn patched(&self, delta: &ViewDelta) -> Option<Self> {
         if delta.from != self.version {
             return None;
@@ -68,12 +68,12 @@
     pub from: Version,
     /// The later version.
     pub to: Version,
-    /// The rows as they stand at `to`; `None` for one that is gone.
+    /// The rows at version `to`; `None` for a removed one.
     pub rows: BTreeMap<RowKey, Option<Row>>,
 }
 
 impl ViewDelta {
-    /// Takes in the delta that follows this one.
+    /// Merges the delta that starts where this one ends.
     pub fn extend(&mut self, next: &Self) {
         self.to = next.to;
         let rows = next.rows.iter().map(|(key, row)| (key.clone(), *row));
