--- a/crates/table/src/csv_file.rs
+++ b/crates/table/src/csv_file.rs
@@ -1,11 +1,11 @@
-//! The table as a CSV file, to be edited in any spreadsheet.
+//! The table as a CSV file that can be edited in any spreadsheet.
 //!
-//! An export carries two columns that are not for editing: `revision`, so that the
-//! check for conflicts works after hours of editing, and `was`, the values at the time
-//! of the export, so that only rows that the operator edited become edits, however many
-//! others have changed meanwhile. A row that is missing from the file is left alone: a
-//! filtered or truncated sheet must not remove rows. To remove one, `action` says
-//! `remove`.
+//! An export has two columns that are not for editing: `revision`, which detects
+//! conflicts even after hours of editing, and `was`, the values at the time of the
+//! export, so that only rows that the operator edited become edits, even if other rows
+//! have changed in the meantime. A row that is missing from the file stays unchanged,
+//! because a filtered or truncated file must not remove rows. To remove a row, set
+//! `action` to `remove`.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 
 use crate::{Objective, Row, RowKey, RowValues};
 
-/// The columns, in the order of an export. A sheet that is read may have them in any.
+/// The columns in the order of an export. A file that is read may have them in any order.
 const COLUMNS: [&str; 9] = [
     "service",
     "region",
@@ -29,70 +29,70 @@
     "action",
 ];
 
-/// Columns that a sheet can't do without.
+/// Number of leading entries of [`COLUMNS`] that a file must have.
 const REQUIRED_COLUMNS: usize = 6;
 
 const REMOVE_ACTION: &str = "remove";
 
-/// Largest sheet that is read, in bytes.
+/// Maximum size of a file that is read, in bytes.
 pub const MAX_CSV_BYTES: usize = 8 << 20;
 
-/// What a line of a sheet asks for.
+/// The requested state of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CsvAction {
-    /// The row is to have these values.
+    /// Set the row to these values.
     Set(RowValues),
-    /// The row is to go.
+    /// Remove the row.
     Remove,
 }
 
-/// A line of a sheet.
+/// A parsed line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CsvRow {
-    /// Its line number in the file, from 1.
+    /// Line number in the file, from 1.
     pub line: u64,
     /// The row.
     pub key: RowKey,
-    /// What it asks for.
+    /// The requested state of the row.
     pub action: CsvAction,
     /// Revision at the export; `None` for a line that the operator added.
     pub revision: Option<Revision>,
-    /// Values at the export, if the column is still there.
+    /// Values at the export; `None` if the column is missing or the cell is empty.
     pub was: Option<RowValues>,
 }
 
-/// All that is wrong with a sheet.
+/// All faults of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("{} lines of the sheet can't be read", faults.len()))]
 pub struct CsvError {
-    /// Line number, from 1, and what is wrong with the line.
+    /// Line number, from 1, and the fault of the line.
     pub faults: Vec<(u64, String)>,
 }
 
-/// A sheet that can't be written.
+/// Writing a CSV file failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum CsvWriteError {
     /// A line can't be written.
     #[snafu(display("can't write the sheet"))]
     Line {
-        /// The writer's word.
+        /// Error of the CSV writer.
         source: csv::Error,
     },
     /// The last lines can't be written.
     #[snafu(display("can't write the end of the sheet"))]
     End {
-        /// The system's word.
+        /// Error of the target.
         source: io::Error,
     },
 }
 
-/// Writes rows as a sheet.
+/// Writes rows as CSV.
 ///
 /// # Errors
 ///
-/// Fails if the target does.
+/// Fails if writing to the target fails.
 pub fn write_csv<'a>(
     rows: impl IntoIterator<Item = (&'a RowKey, Row)>,
     target: impl io::Write,
@@ -117,8 +117,8 @@
     writer.flush().context(EndSnafu)
 }
 
-// Words with blanks between: a spreadsheet takes them for text, where it would take
-// `40/3` for a date.
+// Separated by spaces, so that a spreadsheet treats the value as text; it would read
+// `40/3` as a date.
 fn format_was(values: &RowValues) -> String {
     let RowValues {
         weight,
@@ -142,12 +142,12 @@
     })
 }
 
-/// Reads a sheet, separated by commas, semicolons or tabs, as its first line shows:
-/// spreadsheets write what the user's country writes.
+/// Parses a CSV file. The separator (comma, semicolon or tab) is detected from the first
+/// line, because spreadsheets choose it by the user's locale.
 ///
 /// # Errors
 ///
-/// Names every bad line, not only the first, so that one pass mends them all.
+/// Returns the faults of all lines, so that they can be corrected at once.
 pub fn read_csv(text: &str) -> Result<Vec<CsvRow>, CsvError> {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let first = text.lines().next().unwrap_or_default();
@@ -195,7 +195,7 @@
         .map_or(b',', |delimiter| delimiter as u8)
 }
 
-/// Where each column stands.
+/// Position in the file of each of [`COLUMNS`]; `None` for a missing one.
 struct Columns([Option<usize>; COLUMNS.len()]);
 
 impl Columns {
@@ -251,7 +251,7 @@
     }
 }
 
-/// One line while it is being read.
+/// Parses the fields of one line and collects their faults.
 struct FieldReader<'a> {
     columns: &'a Columns,
     record: &'a StringRecord,
@@ -260,7 +260,7 @@
 }
 
 impl FieldReader<'_> {
-    // Every cell is read before any is used, so that all faults of a line show at once.
+    // Every field is read before any is used, so that all faults of a line are reported.
     fn row(&mut self) -> Option<CsvRow> {
         let service = self.read::<ServiceName>(0);
         let region = self.read::<Region>(1);
--- a/crates/table/src/history.rs
+++ b/crates/table/src/history.rs
@@ -1,4 +1,4 @@
-//! What was done, by whom and how it ended: for resends and for people.
+//! History of applied commands: answers resends, and is shown to operators.
 
 use std::collections::VecDeque;
 use std::mem::size_of;
@@ -7,30 +7,29 @@
 
 use crate::{Command, Difference, Operation, Outcome};
 
-/// Most records of past commands that are kept. At 1,300 changes a day this is more
-/// than three days.
+/// Maximum number of kept records. At 1,300 changes a day this is more than three days.
 pub const MAX_HISTORY_RECORDS: usize = 4096;
 
-/// Most bytes that the kept records may come to by their own estimate, which lies
-/// above the encoded size. Large changes push old records out sooner.
+/// Maximum total size of the kept records in bytes, by an estimate that is above the
+/// encoded size. With large changes, old records are dropped sooner.
 pub const MAX_HISTORY_BYTES: usize = 5 << 18;
 
-/// A command that was applied.
+/// A processed command with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Place in the history, counted from 1 without gaps.
+    /// Serial number, from 1 without gaps.
     pub serial: u64,
     /// The command.
     pub command: Command,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// What it did to the rows; empty unless it was accepted.
+    /// Changed rows; empty unless the outcome is `Accepted`.
     pub differences: Vec<Difference>,
 }
 
 impl Record {
-    /// Upper estimate of the encoded size in bytes.
+    /// Upper bound of the encoded size in bytes.
     fn estimated_bytes(&self) -> usize {
         const HEADER: usize = 80;
         let text = self.command.actor.name.len() + operation_bytes(&self.command.operation);
@@ -86,7 +85,7 @@
     }
 }
 
-/// The kept records, the oldest first.
+/// The kept records, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct History {
@@ -125,7 +124,8 @@
         }
     }
 
-    // The newest record stays whatever its size: its sender may be about to resend it.
+    // The newest record is kept regardless of its size, because its sender may be about
+    // to resend the command.
     fn exceeds_bound(&self) -> bool {
         let len = self.records.len();
         len > 1 && (len > MAX_HISTORY_RECORDS || self.bytes > MAX_HISTORY_BYTES)
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine itself.
+//! The replicated state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,15 +15,16 @@
     Verdict, View, danger,
 };
 
-/// The table at one version, with all that operators have on record around it.
+/// The table at one version, with its history, proposals, hand-overs and the addresses
+/// of the control replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
     version: Version,
     rows: BTreeMap<RowKey, Row>,
-    /// Last touch of each row, also of those removed since.
+    /// Last change of each row, including the most recently removed rows.
     origins: BTreeMap<RowKey, Origin>,
-    /// Highest revision of a removed row that `origins` has let go.
+    /// Highest revision of the removed rows that are no longer in `origins`.
     absent_revision: Revision,
     history: History,
     proposals: Proposals,
@@ -31,14 +32,14 @@
     replicas: BTreeMap<ReplicaId, ReplicaInfo>,
 }
 
-/// What a change may do, all checks done.
+/// Result of the checks of a change.
 enum Decision {
     Install,
     Refuse(Outcome),
 }
 
 impl Table {
-    /// Number of accepted changes that made this state.
+    /// Number of accepted changes so far.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -48,7 +49,7 @@
         &self.rows
     }
 
-    /// The rows in force, to be spread.
+    /// The rows, as sent to the nodes that steer by them.
     pub fn view(&self) -> View {
         View {
             version: self.version,
@@ -56,12 +57,13 @@
         }
     }
 
-    /// Revision that an edit of this row has to name.
+    /// Revision that an edit of this row has to expect.
     ///
-    /// A row that was removed keeps its revision, and one that was never there has the
-    /// highest revision of the removed rows that are no longer kept one by one. So it
-    /// never goes down, and an old "make this row" that comes in again after the row
-    /// was removed conflicts instead of making the row a second time.
+    /// A removed row keeps its revision as long as it is among the last
+    /// [`MAX_REMOVED_ROWS`] removed; any other absent row has the highest revision of
+    /// the removed rows that are no longer kept. So the revision never decreases, and a
+    /// late resend of a row's creation after its removal conflicts instead of creating
+    /// the row again.
     pub fn revision(&self, key: &RowKey) -> Revision {
         match self.origins.get(key) {
             Some(origin) => origin.revision,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Who last touched a row, removed or not, if that is on record.
+    /// Last change of a row, which may have been removed; `None` if it isn't kept.
     pub fn origin(&self, key: &RowKey) -> Option<&Origin> {
         self.origins.get(key)
     }
 
-    /// Removed rows whose last touch is still on record.
+    /// Removed rows whose last change is still kept.
     pub fn removed(&self) -> impl Iterator<Item = (&RowKey, &Origin)> {
         self.origins
             .iter()
@@ -86,7 +88,7 @@
         self.absent_revision
     }
 
-    /// Past commands, the oldest first.
+    /// Kept records of processed commands, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Record> + ExactSizeIterator {
         self.history.iter()
     }
@@ -96,17 +98,17 @@
         self.proposals.open()
     }
 
-    /// The last closed proposals, the oldest first.
+    /// The last closed proposals, oldest first.
     pub fn closed_proposals(&self) -> impl DoubleEndedIterator<Item = &Proposal> {
         self.proposals.closed()
     }
 
-    /// A proposal, open or lately closed.
+    /// A proposal that is open or among the last closed ones.
     pub fn proposal(&self, number: ProposalNumber) -> Option<&Proposal> {
         self.proposals.get(number)
     }
 
-    /// The last hand-overs, the oldest first.
+    /// The last hand-overs, oldest first.
     pub fn handovers(&self) -> impl DoubleEndedIterator<Item = &HandOver> {
         self.handovers.iter()
     }
@@ -116,7 +118,7 @@
         &self.replicas
     }
 
-    /// The rows of these edits that have moved on since their author saw them.
+    /// Conflicts of those edits whose expected revision isn't the current one.
     pub fn conflicts(&self, edits: &[Edit]) -> Vec<Conflict> {
         edits
             .iter()
@@ -124,15 +126,15 @@
             .collect()
     }
 
-    /// Dangers of these edits that show in the rows alone.
+    /// Dangers of these edits that follow from the rows alone.
     pub fn dangers(&self, edits: &[Edit]) -> Vec<Finding> {
         danger::find(&self.rows, edits)
     }
 
     /// Applies a command from the log.
     ///
-    /// A command whose id is on record isn't applied again: it gets the outcome of its
-    /// first time, so that an operator who lost the answer may resend it at will.
+    /// A command whose id is in the history isn't applied again but returns its first
+    /// outcome, so that an operator who got no answer can safely resend it.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         if let Some(earlier) = self.history.find(command) {
             return if earlier.command.is_resend(command) {
@@ -205,7 +207,7 @@
         if !self.proposals.has_room(change.edits.len(), supersedes) {
             return Outcome::TooManyProposals;
         }
-        // Refused now rather than at acceptance: the author is still at their desk.
+        // Checked now and not only at acceptance, while the author can still correct it.
         if let Decision::Refuse(outcome) = self.decide(command, change, &change.allow) {
             return outcome;
         }
@@ -255,7 +257,7 @@
         let Some(proposal) = self.proposals.get_open(number) else {
             return self.proposal_unknown(number);
         };
-        // Going without a review can be allowed for; going against one can't.
+        // A missing review can be waived, a rejection can't.
         let rejected_by: Vec<_> = proposal.rejected_by().map(str::to_owned).collect();
         let waived = rejected_by.is_empty() && allow.contains(&Danger::OwnReview);
         if !proposal.is_approved() && !waived {
@@ -335,7 +337,7 @@
 
     fn conflict(&self, edit: &Edit) -> Option<Conflict> {
         let revision = self.revision(&edit.key);
-        // Nobody can have seen a removal of a row that was never there.
+        // Removing a row that doesn't exist conflicts even with a matching revision.
         let nothing_to_remove = edit.set.is_none() && !self.rows.contains_key(&edit.key);
         (revision != edit.expected_revision || nothing_to_remove).then(|| Conflict {
             key: edit.key.clone(),
@@ -381,7 +383,8 @@
         self.version
     }
 
-    /// Lets the oldest removed rows go, and raises the floor to their revisions.
+    /// Drops the origins of the oldest removed rows above [`MAX_REMOVED_ROWS`], and raises
+    /// `absent_revision` to their revisions.
     fn forget_removed(&mut self) {
         let mut removed: Vec<_> = self
             .removed()
