--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! The whole state stays below the longest message between control replicas.
+//! The encoded state stays below the maximum message size between control replicas.
 
 mod common;
 
@@ -9,7 +9,7 @@
     ProposalNumber, RowKey, RowValues, Table, Verdict,
 };
 
-/// Longest message that control replicas exchange, a snapshot among them.
+/// Maximum size of a message between control replicas, such as a snapshot.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 struct Filler {
@@ -72,8 +72,8 @@
     }
 }
 
-/// Everything that operators can fill is filled to its bound, with the longest names and
-/// notes: the snapshot of it still fits into one message.
+/// Everything that is bounded is filled to its bound, with the longest names and notes:
+/// the snapshot still fits into one message.
 #[test]
 fn a_full_table_fits_into_one_message() {
     let mut filler = Filler {
@@ -82,7 +82,7 @@
     };
     let names: Vec<_> = (0..MAX_REVIEWS + 1).map(longest_name).collect();
     let author = names[0].clone();
-    // Removed rows first, then as many rows as may be.
+    // First the removed rows, then the maximum number of rows.
     for start in [0, MAX_EDITS] {
         let made = edits(&filler.table, start..start + MAX_EDITS, Some(max_values()));
         let outcome = filler.apply(&author, Operation::Change(full_change(made)));
@@ -132,12 +132,12 @@
     }
     let len = filler.encoded_len();
     assert!(len < MAX_MESSAGE_BYTES, "{len} bytes");
-    // If this were far below, some part was not filled.
+    // A far smaller size means that some part wasn't filled.
     assert!(len > MAX_MESSAGE_BYTES / 2, "{len} bytes");
 }
 
-/// The records of ordinary changes, a row each with a short note, are all kept: a resend
-/// of the last three days finds its outcome.
+/// Records of ordinary changes, one row each with a short note, are limited by their
+/// number and not by their size, so that a resend within three days gets its outcome.
 #[test]
 fn ordinary_changes_reach_the_record_limit_before_the_byte_limit() {
     let mut table = small_table();
--- a/crates/table/tests/changes.rs
+++ b/crates/table/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What operators meet: races, resends and dangers.
+//! Direct changes: concurrent edits, resends, dangers, rules and the history.
 
 mod common;
 
@@ -8,8 +8,9 @@
 };
 use filberthead_types::{Revision, Version};
 
-/// Two shifts race to set the same row to equal numbers. The first in the log wins; the
-/// other is told who, and that both sides are equal: it doesn't pass as accepted twice.
+/// Two operators concurrently set the same row to equal values. The first in the log is
+/// accepted; the second gets a conflict with both versions and the first's author, and
+/// isn't reported as accepted although the values are equal.
 #[test]
 fn of_two_equal_edits_the_first_wins_and_the_second_conflicts() {
     let mut table = small_table();
@@ -26,7 +27,7 @@
     assert_eq!(table.version(), Version(2));
 }
 
-/// An edit of three rows meets one that has moved on. None of the three takes effect.
+/// One of three edited rows has a newer revision. None of the three edits is applied.
 #[test]
 fn a_change_takes_effect_as_a_whole_or_not_at_all() {
     let mut table = small_table();
@@ -42,9 +43,9 @@
     assert_eq!(table.view(), before);
 }
 
-/// An operator loses the answer, a colleague changes the same row, then the operator
-/// sends again, at a later time by the clock of another replica. They get the first
-/// outcome; the colleague's change stays.
+/// An operator gets no answer, another one changes the same row, then the first one
+/// resends through another replica, with a later timestamp. The resend gets the first
+/// outcome, and the other operator's change stays.
 #[test]
 fn a_resend_after_a_later_change_gets_the_first_outcome() {
     let mut table = small_table();
@@ -58,8 +59,8 @@
     assert_eq!(table.version(), Version(3));
 }
 
-/// The first attempt was accepted although something was in progress; by the time of the
-/// resend the readings speak against it. The operator still hears what happened.
+/// The first attempt was accepted; at the time of the resend the live readings would
+/// reject it. The resend still gets the first outcome.
 #[test]
 fn a_resend_is_not_checked_against_newer_readings() {
     let mut table = small_table();
@@ -74,8 +75,8 @@
     assert_eq!(table.apply(&again), accepted(2));
 }
 
-/// A resend comes in so late that its outcome is no longer kept. It fails on the
-/// revision that it saw, as any old edit does.
+/// A resend arrives so late that its outcome is no longer kept. It conflicts by its
+/// expected revision, as any stale edit does.
 #[test]
 fn a_resend_older_than_the_kept_outcomes_fails_on_its_revision() {
     let mut table = small_table();
@@ -92,9 +93,10 @@
     assert_eq!(table.view(), before);
 }
 
-/// A row is made, the answer is lost, a colleague removes the row, and the resend comes
-/// in after its outcome was let go: the row must not come back. Then more rows are
-/// removed than are kept one by one, and it still must not.
+/// A row is created, the answer is lost, another operator removes the row, and the
+/// resend arrives after its outcome was dropped from the history: it must not create the
+/// row again. Nor may it once so many other rows were removed that the row's own last
+/// revision was dropped.
 #[test]
 fn a_late_resend_of_a_creation_does_not_recreate_a_removed_row() {
     let mut table = small_table();
@@ -140,8 +142,8 @@
     assert!(matches!(table.apply(&anew), Outcome::Accepted { .. }));
 }
 
-/// An id is used for two different changes, or by two people. The second is told so; it
-/// is not answered with the outcome of a change that it didn't make.
+/// An id is used for two different changes, or by two operators. The second command gets
+/// `IdReused`, not the outcome of the first.
 #[test]
 fn an_id_identifies_one_operation_of_one_operator() {
     let mut table = small_table();
@@ -153,8 +155,8 @@
     assert_eq!(table.version(), Version(2));
 }
 
-/// An operator zeroes the last region of a service by a slip, or removes its last row.
-/// Both are refused with the reason, and done once the operator says that they mean it.
+/// Setting all weights of a service to zero, or removing its last row, is rejected with
+/// the reason, and accepted once the operator allows that danger.
 #[test]
 fn switching_a_service_off_must_be_allowed_explicitly() {
     let mut table = small_table();
@@ -171,7 +173,7 @@
         accepted(2)
     );
 
-    // It is off already, so this edit doesn't bring the danger about.
+    // All weights are zero already, so this edit doesn't cause the danger.
     let more = direct(3, "ana", [set("orders", "zagreb", 2, 0)]);
     assert_eq!(table.apply(&more), accepted(3));
 
@@ -189,7 +191,7 @@
     );
 }
 
-/// A drain of one region leaves the other with all the weight: no danger.
+/// Draining one region leaves the other with a weight, which is no danger.
 #[test]
 fn draining_one_of_two_regions_is_no_danger() {
     let mut table = small_table();
--- a/crates/table/tests/common/mod.rs
+++ b/crates/table/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to make commands.
+//! Helpers that build commands and outcomes.
 
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used)]
 
@@ -113,7 +113,7 @@
     Some(row.values.weight)
 }
 
-/// A table of two services in two regions each, at version 1, made by `ana`.
+/// A table at version 1 with two services in two regions each, created by `ana`.
 pub fn small_table() -> Table {
     let mut table = Table::default();
     let rows = [
--- a/crates/table/tests/csv_file.rs
+++ b/crates/table/tests/csv_file.rs
@@ -1,4 +1,4 @@
-//! The CSV sheet, as spreadsheets send it back.
+//! CSV files as spreadsheets save them.
 
 mod common;
 
@@ -14,7 +14,7 @@
     let table = small_table();
     let rows = table.rows().iter().map(|(key, row)| (key, *row));
     let mut buf = Vec::new();
-    write_csv(rows, &mut buf).expect("memory takes it");
+    write_csv(rows, &mut buf).expect("writing to memory succeeds");
     String::from_utf8(buf).expect("CSV is text")
 }
 
@@ -38,8 +38,8 @@
     assert_eq!(rows[0].key, key("catalogue", "split"));
 }
 
-/// Spreadsheets in Zagreb and in Porto save with semicolons and a byte order mark, in
-/// another order of columns, and with empty columns and lines at the end.
+/// Spreadsheets in some locales save with semicolons and a byte order mark, and may
+/// reorder columns and add empty columns and lines at the end.
 #[test]
 fn a_file_saved_by_a_spreadsheet_is_read() {
     let text = "\u{feff}region;service;limit;weight;shift_cap;objective;was;revision;;\r\n\
@@ -61,8 +61,7 @@
     assert_eq!(removed.count(), 2);
 }
 
-/// An operator has slipped in several lines. All slips are named in one pass, with the
-/// line of each.
+/// Several lines have faults: all are reported at once, each with its line number.
 #[test]
 fn all_bad_lines_are_reported_at_once() {
     let text = "service,region,weight,limit,shift_cap,objective,revision,was,action\n\
@@ -104,8 +103,8 @@
     assert_eq!(rows[0].key, key);
 }
 
-/// Whatever a file holds, reading it ends in rows or in faults with a line each; and what
-/// is read as rows says the same when it is read again.
+/// Random content yields either rows or faults with a line number each, and parsing the
+/// same text again yields the same rows.
 #[test]
 fn random_files_yield_rows_or_faults() {
     const PIECES: [&str; 16] = [
@@ -132,7 +131,7 @@
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
         let picks = Vec::<u8>::generate(&mut driver).expect("the driver has bytes left");
         let piece = |pick: &u8| PIECES[usize::from(*pick) % PIECES.len()];
-        // Half of them are nothing but noise, half an export with a little of it.
+        // Half of the texts are random only, half an export with a few random pieces added.
         let (mut text, noise) = if seed % 2 == 0 {
             (export(), 3)
         } else {
--- a/crates/table/tests/proposals.rs
+++ b/crates/table/tests/proposals.rs
@@ -11,7 +11,7 @@
 };
 use filberthead_types::Version;
 
-/// One proposal by `ana`, number 1, that takes `orders/split` from 50 to 20.
+/// A table with proposal 1 by `ana`, which changes `orders/split` from 50 to 20.
 fn with_proposal() -> Table {
     let mut table = small_table();
     let outcome = table.apply(&propose(1, "ana", [set("orders", "split", 1, 20)]));
@@ -19,7 +19,7 @@
     table
 }
 
-/// A proposal changes nothing until a colleague has approved it and somebody accepts it.
+/// A proposal changes nothing until another operator has approved it and it is accepted.
 #[test]
 fn a_proposal_takes_effect_after_review_and_acceptance() {
     let mut table = with_proposal();
@@ -40,8 +40,8 @@
     assert_eq!(*state, ProposalState::Accepted { version, by });
 }
 
-/// Two colleagues accept the same proposal at once. It takes effect once, and the second
-/// is told that the first was there.
+/// Two operators accept the same proposal concurrently. It is applied once, and the second
+/// outcome names the operator who accepted it.
 #[test]
 fn a_proposal_is_accepted_once() {
     let mut table = with_proposal();
@@ -57,8 +57,8 @@
     assert_eq!(table.version(), Version(2));
 }
 
-/// The night shift has one operator. They accept their own proposal by saying so, which
-/// stays on record; against a colleague's rejection that doesn't help.
+/// An operator alone on a shift can accept their own proposal by allowing `own-review`,
+/// but not against the rejection of another operator.
 #[test]
 fn a_missing_review_can_be_waived_and_a_rejection_cannot() {
     let mut table = with_proposal();
@@ -75,9 +75,8 @@
     assert_eq!(waived, accepted(3));
 }
 
-/// While a proposal waits for its review, another shift changes one of its rows. It
-/// can't be accepted any more; put up again on the new revision it can, and the old one
-/// is closed by that.
+/// While a proposal is open, one of its rows is changed directly. It can't be accepted
+/// any more; a new proposal with the new revision can supersede and close it.
 #[test]
 fn a_proposal_with_a_stale_revision_conflicts_and_can_be_superseded() {
     let mut table = with_proposal();
@@ -101,14 +100,14 @@
     );
     let old = table.proposal(ProposalNumber(1)).unwrap();
     assert_eq!(old.state.describe(), "superseded by proposal 2");
-    // The approval was for the old one.
+    // The approval of the old proposal doesn't carry over.
     let unreviewed = table.apply(&accept(6, "bruno", 2, &[]));
     assert!(matches!(unreviewed, Outcome::ReviewMissing { .. }));
     let closed = table.apply(&command(7, "ana", operation));
     assert!(matches!(closed, Outcome::ProposalUnknown { .. }));
 }
 
-/// A stale edit is refused when it is proposed, while its author is still at their desk.
+/// A stale or dangerous edit is rejected when it is proposed, not only at acceptance.
 #[test]
 fn a_stale_or_dangerous_proposal_is_refused_at_once() {
     let mut table = small_table();
@@ -123,12 +122,12 @@
     };
     assert_eq!(table.apply(&command(3, "ana", operation)), proposed(1));
     table.apply(&review(4, "bruno", 1, Verdict::Approve));
-    // What its author takes, and a colleague approved, needn't be said again.
+    // Dangers that the author allowed need not be allowed again at acceptance.
     assert_eq!(table.apply(&accept(5, "bruno", 1, &[])), accepted(2));
 }
 
-/// Two proposals were harmless when made: each drains another region of a service. The
-/// second would switch the service off, and is refused at acceptance.
+/// Two proposals have no danger when proposed: each drains another region of a service.
+/// Accepting both would leave no weight, so the second is rejected at acceptance.
 #[test]
 fn dangers_are_checked_again_at_acceptance() {
     let mut table = small_table();
@@ -146,8 +145,8 @@
     assert_eq!(meant, accepted(3));
 }
 
-/// A shift hands over. The next one sees the note, the version and what was open then,
-/// and what happened after it.
+/// A hand-over stores the note, the version, the open proposals and the position in the
+/// history.
 #[test]
 fn a_hand_over_carries_note_version_and_open_proposals() {
     let mut table = with_proposal();
@@ -190,7 +189,7 @@
     }
     let full = table.apply(&propose(500, "ana", [set("orders", "split", 1, 20)]));
     assert_eq!(full, Outcome::TooManyProposals);
-    // One that takes the place of another needs no room.
+    // A proposal that supersedes another doesn't raise the number of open ones.
     let operation = Operation::Propose {
         change: change([set("orders", "split", 1, 21)]),
         supersedes: Some(ProposalNumber(1)),
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random orders of commands against a model that knows nothing but the log.
+//! Random sequences of commands, checked against a simple model.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const SEEDS: u64 = 600;
 const STEPS: usize = 120;
 
-/// Raw material of one step; each field is taken modulo what there is to choose from.
+/// Random input of one step; each field is reduced modulo the number of choices.
 #[derive(Clone, Debug)]
 #[derive(TypeGenerator)]
 struct Step {
@@ -34,7 +34,8 @@
 struct EditPick {
     row: u8,
     weight: u8,
-    /// Most edits name the revision in force; the rest lag.
+    /// Above 200, the number by which the edit's revision is behind, less 200; else the
+    /// edit has the current revision.
     lag: u8,
     remove: bool,
 }
@@ -64,7 +65,7 @@
     }
 }
 
-/// What the log alone says, kept in the plainest way.
+/// The expected rows, derived from the commands and their outcomes only.
 #[derive(Default)]
 struct Model {
     rows: BTreeMap<RowKey, RowValues>,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The change that a command put into the table, if its outcome says so.
+    /// The change that the command applied to the table; `None` if it wasn't accepted.
     fn effect(&self, command: &Command, outcome: &Outcome) -> Option<Change> {
         if !matches!(outcome, Outcome::Accepted { .. }) {
             return None;
@@ -141,16 +142,17 @@
     rows.map(|(key, row)| (key.clone(), row.values)).collect()
 }
 
-/// One command on both replicas: all that has to hold, whatever it was.
+/// Applies a command to both replicas and checks the invariants. Returns whether it was
+/// accepted for the first time.
 fn check(model: &mut Model, table: &mut Table, other: &mut Table, command: &Command) -> bool {
     let before = table.clone();
     let outcome = table.apply(command);
     assert_eq!(other.apply(command), outcome, "replicas disagree");
     if let Some((first, earlier)) = model.first_outcomes.get(&command.id) {
         if first == command {
-            assert_eq!(outcome, *earlier, "a resend ends otherwise");
+            assert_eq!(outcome, *earlier, "a resend got another outcome");
         }
-        assert_eq!(*table, before, "a resend has an effect");
+        assert_eq!(*table, before, "a resend changed the table");
         return false;
     }
     let effect = model.effect(command, &outcome);
@@ -158,11 +160,15 @@
         let is_current = |edit: &Edit| before.revision(&edit.key) == edit.expected_revision;
         assert!(
             change.edits.iter().all(is_current),
-            "a blind edit is accepted"
+            "an edit with a stale revision was accepted"
         );
         assert_eq!(table.version(), before.version().next());
     } else {
-        assert_eq!(table.view(), before.view(), "a refused act has an effect");
+        assert_eq!(
+            table.view(),
+            before.view(),
+            "a command that was not accepted changed the view"
+        );
     }
     for (now, then) in revisions(table).iter().zip(revisions(&before)) {
         assert!(*now >= then, "a revision goes down");
@@ -171,7 +177,7 @@
     assert_eq!(
         row_values(table),
         model.rows,
-        "an accepted change is lost or doubled"
+        "an accepted change was lost or applied twice"
     );
     model
         .first_outcomes
@@ -179,9 +185,9 @@
     effect.is_some()
 }
 
-/// Whatever operators send, in whatever order and however often: no accepted change is
-/// lost or takes effect twice, a resend gets its first outcome, revisions only go up,
-/// and a replica that started from a snapshot agrees with one that saw the whole log.
+/// For any sequence of commands and resends: no accepted change is lost or applied twice,
+/// a resend gets its first outcome, revisions never decrease, and a replica restored from
+/// a snapshot equals one that applied the whole log.
 #[test]
 fn random_commands_match_the_model() {
     let options = Options::default();
@@ -211,7 +217,7 @@
         }
         assert_eq!(table, other);
     }
-    // The commands have to get somewhere, or the checks above say nothing.
+    // Without enough accepted and resent commands the checks above would be vacuous.
     assert!(accepted > SEEDS * 10, "{accepted} accepted");
     assert!(resent > SEEDS * 10, "{resent} resent");
 }
--- a/crates/table/tests/view.rs
+++ b/crates/table/tests/view.rs
@@ -36,8 +36,8 @@
         });
 }
 
-/// A row came after the delta's first version and went before its last, so the delta
-/// doesn't name it. A view that has it must not take the delta.
+/// A row is added after the delta's first version and removed before its last, so the
+/// delta doesn't contain it. The delta must not apply to a view that has the row.
 #[test]
 fn a_delta_applies_to_its_first_version_only() {
     let older = view(3, &BTreeMap::new());
