--- a/crates/operator/src/administration.rs
+++ b/crates/operator/src/administration.rs
@@ -1,4 +1,4 @@
-//! The border between the API and the control daemon.
+//! The interface between the API and the control daemon.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,33 +12,33 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A future behind a pointer, so that a trait with async methods stays object-safe.
+/// A boxed future, which keeps a trait with async methods object-safe.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Why the control daemon gives no outcome or no answer.
+/// Why the control daemon returns no outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub))]
 pub enum AdministrationError {
-    /// This replica can't prove that it leads; nothing entered the log.
+    /// This replica can't prove that it leads; nothing was added to the log.
     #[snafu(display("this control replica doesn't lead"))]
     NotLeader {
-        /// Where the leader serves this API, as far as known.
+        /// The leader's address of this API, if known.
         leader: Option<SocketAddr>,
     },
-    /// The command entered the log, and may be committed yet.
+    /// The command was added to the log and may still be committed.
     #[snafu(display("the outcome is not known; send it again with the same id"))]
     OutcomeUnknown,
-    /// A membership change is under way, or this one breaks a rule.
-    #[snafu(display("the membership can't be changed so: {reason}"))]
+    /// Another membership change is in progress, or this one breaks a rule.
+    #[snafu(display("the membership change is refused: {reason}"))]
     MembershipRefused {
         /// The rule, for people.
         reason: String,
     },
-    /// The learner is too far behind to vote.
+    /// The learner's log is too far behind for it to become a voter.
     #[snafu(display("the replica has not caught up yet"))]
     LearnerBehind,
-    /// The daemon is stopping, or a duty of it doesn't answer; nothing was started.
+    /// The daemon is stopping, or a part of it doesn't respond; nothing was started.
     #[snafu(display("not available: {reason}"))]
     Unavailable {
         /// The cause, for people.
@@ -62,107 +62,107 @@
 /// A change of the group of control replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Makes the replica asked the only voter of a new group. Succeeds once in the life
-    /// of a group; on a replica that has a membership it is refused.
+    /// Makes this replica the only voter of a new group. Refused on a replica that already
+    /// has a membership.
     Initialise,
-    /// Lets a replica receive the log. Done already counts as done.
+    /// Adds a replica that receives the log without a vote. Idempotent.
     AddLearner(ReplicaId),
-    /// Lets a learner that has caught up vote. Done already counts as done.
+    /// Makes a learner that has caught up a voter. Idempotent.
     Promote(ReplicaId),
-    /// Drops a replica from the group. Done already counts as done.
+    /// Removes a replica from the group. Idempotent.
     Remove(ReplicaId),
 }
 
-/// What the control daemon does for the API.
+/// The control daemon, as used by the API.
 ///
-/// A future that is dropped stops the waiting, not what was begun.
+/// Dropping a returned future stops the waiting, not the operation.
 pub trait Administration: Send + Sync {
-    /// Puts a command into the replicated log and waits until it is applied here.
+    /// Adds a command to the replicated log and waits until this replica has applied it.
     ///
     /// # Errors
     ///
-    /// Any error but [`AdministrationError::OutcomeUnknown`] promises that this attempt
-    /// never takes effect.
+    /// Any error but [`AdministrationError::OutcomeUnknown`] guarantees that this attempt
+    /// is never applied.
     fn submit(&self, command: Command) -> BoxFuture<'_, Result<Outcome, AdministrationError>>;
 
-    /// The table as of a moment within this call: with every command whose outcome
-    /// anybody was told before the call.
+    /// Linearizable read of the table: it includes every command whose outcome was
+    /// returned before the call.
     ///
     /// # Errors
     ///
-    /// Fails unless this replica proves, by lease or by quorum, that it leads.
+    /// Fails unless this replica proves by lease or by quorum that it leads.
     fn read(&self) -> BoxFuture<'_, Result<Arc<Table>, AdministrationError>>;
 
-    /// What this replica knows of itself, the group and the entries. Needs no lease:
-    /// it is what an operator looks at when there is no leader.
+    /// State of this replica, the group and the entries as known to this replica. Needs no
+    /// lease, so that operators can read it when there is no leader.
     ///
     /// # Errors
     ///
     /// Fails if the daemon is stopping.
     fn status(&self) -> BoxFuture<'_, Result<Status, AdministrationError>>;
 
-    /// The live readings of all rows that this replica has any reading of.
+    /// The live readings of the rows; rows of which this replica has none are left out.
     fn readings(&self) -> BoxFuture<'_, Vec<RowReading>>;
 
     /// Changes the group of control replicas, and waits for it to be committed.
     ///
     /// # Errors
     ///
-    /// As [`Administration::submit`], or the rule that stands against it.
+    /// As [`Administration::submit`], or the rule that refuses the change.
     fn membership(
         &self,
         change: MembershipChange,
     ) -> BoxFuture<'_, Result<(), AdministrationError>>;
 }
 
-/// Part that a control replica plays.
+/// Role of a control replica in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaRole {
     /// Has an empty data folder and waits to be initialised or added.
     Uninitialised,
-    /// Receives the log; no vote.
+    /// Receives the log but has no vote.
     Learner,
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads, for as long as its lease is valid.
+    /// Leads while its lease is valid.
     Leader,
 }
 
-/// What a control replica knows, at the moment of asking.
+/// Answer of `GET /v1/status`: state as known to the replica that answers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
     /// Name of the cluster.
     pub cluster: String,
-    /// Name of the replica asked.
+    /// Name of the replica that answers.
     pub node: NodeName,
     /// Its identity.
     pub replica: ReplicaId,
-    /// Where it takes messages of other processes.
+    /// Its address for messages of other processes.
     pub peer_addr: SocketAddr,
-    /// Where it serves this API.
+    /// Its address of this API.
     pub operator_addr: SocketAddr,
     /// Its role.
     pub role: ReplicaRole,
     /// Its term.
     pub term: Epoch,
-    /// The leader as far as known.
+    /// The leader, if known.
     pub leader: Option<ReplicaId>,
-    /// Whether it leads with a valid lease. If no replica says so, changes are refused.
+    /// Whether it leads with a valid lease. While no replica does, changes are refused.
     pub holds_lease: bool,
-    /// Last entry of its log.
+    /// Index of the last entry of its log.
     pub last_index: u64,
-    /// Last entry known to be committed.
+    /// Index of the last log entry known to be committed.
     pub commit: u64,
     /// Version of the table that it has applied.
     pub version: Version,
     /// The group of control replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// Entries that it has heard of.
+    /// Entry nodes known to it (not entries of the log).
     pub entries: Vec<EntryStatus>,
     /// Live readings of the rows.
     pub rows: Vec<RowReading>,
@@ -176,17 +176,18 @@
     pub id: ReplicaId,
     /// Its name, if registered.
     pub name: Option<NodeName>,
-    /// Where it takes messages, if registered.
+    /// Its address for messages of other processes, if registered.
     pub peer_addr: Option<SocketAddr>,
-    /// Where it serves this API, if registered.
+    /// Its address of this API, if registered.
     pub operator_addr: Option<SocketAddr>,
-    /// Whether it counts towards a majority.
+    /// Whether it is a voter; otherwise it is a learner.
     pub voter: bool,
-    /// Last entry of its log that is known to match the leader's; from the leader only.
+    /// Highest log index known to match the leader's log; `None` unless the answering
+    /// replica leads.
     pub match_index: Option<u64>,
 }
 
-/// An entry as control hears of it.
+/// An entry node as known to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EntryStatus {
@@ -196,19 +197,19 @@
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where it takes look-ups and requests.
+    /// Its address for look-ups and requests.
     pub caller_addr: SocketAddr,
-    /// Version of the table in force there, by its last report; `None` if this replica
-    /// has had none, as one that doesn't lead.
+    /// Version of the table that it uses, from its last report; `None` if this replica
+    /// has received no report, as is the case if it doesn't lead.
     pub version: Option<Version>,
-    /// Whether it is on a planned stop.
+    /// Whether a planned stop of it is in progress.
     pub leaving: bool,
-    /// Age of that report, in milliseconds.
+    /// Age of its last report in milliseconds; `None` if this replica has received none.
     pub heard_ms: Option<u64>,
 }
 
-/// What is known of a row's traffic. A figure that is missing or too old is `None`:
-/// unknown, which is neither zero nor full.
+/// Live figures of a row's traffic. A figure that is missing or too old is `None`, which
+/// means unknown, not zero.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RowReading {
@@ -218,11 +219,11 @@
     pub region: Region,
     /// Requests in progress.
     pub running: Option<u64>,
-    /// Those of them that a shift has brought.
+    /// The part of them that a shift has added.
     pub shifted: Option<u64>,
-    /// Slots of the region's endpoints that are not leaving; `None` unless all entries
-    /// of the region have reported what they own.
+    /// Slots of the region's endpoints that are not leaving; `None` unless every entry
+    /// of the region has reported its endpoints.
     pub slots: Option<u64>,
-    /// Age of the oldest report behind the figures, in milliseconds.
+    /// Age in milliseconds of the oldest report that the figures are from.
     pub age_ms: u64,
 }
--- a/crates/operator/src/live.rs
+++ b/crates/operator/src/live.rs
@@ -1,24 +1,24 @@
-//! Dangers that show only against what runs at the moment.
+//! Dangers that are found by comparing edits with live readings.
 //!
-//! They are found here, by the replica that takes a command in, and travel inside it;
-//! see [`Command::findings`](filberthead_table::Command). A reading that is missing or
-//! old means unknown: it raises no finding, and the answer names the row as unchecked.
+//! The replica that receives a command finds them and adds them to the command; see
+//! [`Command::findings`](filberthead_table::Command). A missing or outdated reading
+//! causes no finding; the answer lists its row as unchecked.
 
 use filberthead_table::{Danger, Edit, Finding, RowKey, RowValues};
 
 use crate::RowReading;
 
-/// A reading older than this says nothing about now.
+/// Readings older than this are ignored.
 const MAX_READING_AGE_MS: u64 = 10_000;
 
-/// Most findings that travel with a command.
+/// Maximum number of findings added to a command.
 const MAX_FINDINGS: usize = 64;
 
-/// What the live readings say about some edits.
+/// Result of comparing edits with the live readings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LiveCheck {
     pub(crate) findings: Vec<Finding>,
-    /// Rows without a fresh reading of all that they are compared with.
+    /// Rows, as `service/region`, without a fresh reading of every compared figure.
     pub(crate) unchecked: Vec<String>,
 }
 
--- a/crates/operator/src/tokens.rs
+++ b/crates/operator/src/tokens.rs
@@ -1,10 +1,9 @@
-//! Bearer tokens, as salted hashes in a file.
+//! Bearer tokens, stored as salted hashes in a file.
 //!
-//! A token is 256 random bits, so a plain SHA-256 with a salt is enough: what makes
-//! slow password hashes needed is that passwords can be guessed, and these can't. The
-//! salt keeps equal lines from showing that two files share a token. Every line is
-//! compared, in constant time, so that the time of an answer tells nothing about how
-//! close a guess came.
+//! A token is 256 random bits, so salted SHA-256 is enough; slow password hashes are
+//! needed only for secrets that can be guessed. The salt prevents two files from showing
+//! that they share a token. Every line is compared in constant time, so that response
+//! times don't reveal how close a guess was.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -22,19 +21,19 @@
 const SALT_BYTES: usize = 16;
 const SECRET_BYTES: usize = 32;
 const HASH_BYTES: usize = 32;
-/// Most lines of a tokens file: each request is compared with all of them.
+/// Maximum number of tokens in a file; bounded because each request is compared with all.
 const MAX_TOKENS: usize = 256;
-/// Largest tokens file, in bytes.
+/// Maximum size of a tokens file, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Lets a secret that leaked into a log or a repository be found by its prefix.
+/// Prefix of every secret, by which secret scanners find one in a log or a repository.
 const SECRET_PREFIX: &str = "fht_";
 
-/// All that is wrong with a tokens file.
+/// All faults of a tokens file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("{}", join_faults(faults)))]
 pub struct TokensError {
-    /// Line number, from 1, and what is wrong with the line.
+    /// Line number, from 1, and the fault of the line; 0 for a fault of the whole file.
     pub faults: Vec<(usize, String)>,
 }
 
@@ -46,12 +45,12 @@
     lines.join("; ")
 }
 
-/// Who a token stands for.
+/// The operator and the permissions of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Grant {
     pub(crate) name: String,
     pub(crate) role: Role,
-    /// Services that it may change; `None` for all, and for the group of replicas.
+    /// Services that it may change; `None` for all services and the replica group.
     pub(crate) services: Option<BTreeSet<ServiceName>>,
 }
 
@@ -76,13 +75,13 @@
 }
 
 impl Tokens {
-    /// Reads lines of `NAME ROLE SALT:HASH [SERVICE,SERVICE...]`; empty lines and those
-    /// that begin with `#` are passed over.
+    /// Parses lines of `NAME ROLE SALT:HASH [SERVICE,SERVICE...]`; skips empty lines and
+    /// lines that start with `#`.
     ///
     /// # Errors
     ///
-    /// Names every bad line. A file with any bad line counts for nothing: a line that
-    /// was meant to limit a token must not be lost by a slip.
+    /// Returns the faults of all lines. A file with any bad line is rejected as a whole,
+    /// so that a typo can't drop a line that limits a token.
     pub fn parse(text: &str) -> Result<Self, TokensError> {
         let mut entries = Vec::new();
         let mut faults = Vec::new();
@@ -96,7 +95,7 @@
                 Ok(entry) => {
                     if let Some(first) = line_of_name.insert(entry.grant.name.clone(), number) {
                         let name = &entry.grant.name;
-                        faults.push((number, format!("{name} is on line {first} already")));
+                        faults.push((number, format!("{name} is already on line {first}")));
                     }
                     entries.push(entry);
                 }
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Whom the secret belongs to.
+    /// The grant of a secret; `None` if no line matches.
     pub(crate) fn find(&self, secret: &str) -> Option<Arc<Grant>> {
         let mut found = None;
         for entry in &self.entries {
@@ -131,13 +130,14 @@
     let (name, role, hashed, services) = match *words.as_slice() {
         [name, role, hashed] => (name, role, hashed, None),
         [name, role, hashed, services] => (name, role, hashed, Some(services)),
-        _ => return Err("a line is NAME ROLE SALT:HASH [SERVICE,...]".to_owned()),
+        _ => return Err("a line must be NAME ROLE SALT:HASH [SERVICE,...]".to_owned()),
     };
     if name.len() > MAX_NAME_BYTES {
         return Err(format!("the name is longer than {MAX_NAME_BYTES} bytes"));
     }
     let role: Role = role.parse().map_err(|e| format!("{e}"))?;
-    let malformed = || format!("SALT:HASH is {SALT_BYTES} and {HASH_BYTES} bytes in hexadecimal");
+    let malformed =
+        || format!("SALT:HASH must be {SALT_BYTES} and {HASH_BYTES} bytes in hexadecimal");
     let (salt_text, hash_text) = hashed.split_once(':').ok_or_else(malformed)?;
     let mut salt = [0; SALT_BYTES];
     let mut hash = [0; HASH_BYTES];
@@ -162,20 +162,20 @@
     hasher.chain_update(secret.as_bytes()).finalize().into()
 }
 
-/// A token just drawn.
+/// A newly generated token.
 pub struct NewToken {
-    /// The secret, to be shown once.
+    /// The secret, which is not stored and so can be shown only once.
     pub secret: String,
-    /// The line for the tokens file.
+    /// The line to add to the tokens file.
     pub line: String,
 }
 
 impl NewToken {
-    /// Draws a token.
+    /// Generates a token.
     ///
     /// # Errors
     ///
-    /// Fails with the fault that the line would have in a file.
+    /// Fails if the line would be rejected in a tokens file.
     pub fn generate(name: &str, role: Role, services: &[ServiceName]) -> Result<Self, TokensError> {
         let secret_bytes: [u8; SECRET_BYTES] = rand::random();
         let salt: [u8; SALT_BYTES] = rand::random();
@@ -187,7 +187,7 @@
             line.push(' ');
             line.push_str(&names.join(","));
         }
-        // A name with a line break or a `#` would make two lines of it, or none.
+        // A name with a line break would give two lines, one that starts with `#` none.
         if Tokens::parse(&line)?.entries.len() != 1 {
             let faults = vec![(1, format!("`{name}` is no name for an operator"))];
             return Err(TokensError { faults });
@@ -196,38 +196,39 @@
     }
 }
 
-/// Why a tokens file can't be used.
+/// A tokens file can't be used.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum TokenSourceError {
-    /// It can't be read.
+    /// The file can't be read.
     #[snafu(display("can't read the tokens file {}", path.display()))]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It is too large to be one.
+    /// The file is too large.
     #[snafu(display("the tokens file {} is over {MAX_FILE_BYTES} bytes", path.display()))]
     Oversize {
         /// The file.
         path: PathBuf,
     },
-    /// It has bad lines.
+    /// The file has bad lines.
     #[snafu(display("the tokens file {} is not used: {source}", path.display()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The lines.
+        /// Faults of the lines.
         source: TokensError,
     },
 }
 
+/// Modification time and size of a file, by which a change is detected.
 type FileStamp = (SystemTime, u64);
 
-/// A tokens file that is read again when it has changed, so that a token is given or
-/// withdrawn without a restart.
+/// A tokens file that is reloaded when it changes, so that tokens can be added and
+/// revoked without a restart.
 #[derive(Debug)]
 pub struct TokenSource {
     path: PathBuf,
@@ -235,11 +236,11 @@
 }
 
 impl TokenSource {
-    /// Reads the file.
+    /// Loads the file.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be read or has a bad line.
+    /// Fails if the file can't be read or has a bad line.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, TokenSourceError> {
         let path = path.into();
         let stamp = file_stamp(&path);
@@ -250,11 +251,10 @@
         })
     }
 
-    /// The tokens as the file has them now.
+    /// The tokens of the current file.
     ///
-    /// A file that has become unreadable or bad leaves no token valid. To go on with the
-    /// earlier ones would keep a token alive that somebody just took out, with no sign
-    /// of it but a line in the log.
+    /// If the file has become unreadable or has a bad line, no token is valid. Keeping the
+    /// earlier tokens would keep a just revoked one valid, visible only in the log.
     pub(crate) fn current(&self) -> Tokens {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         let stamp = file_stamp(&self.path);
@@ -262,7 +262,7 @@
             return current.1.clone();
         }
         let tokens = read(&self.path).unwrap_or_else(|e| {
-            error!("no token is valid until the file is mended: {e}");
+            error!("no token is valid until the tokens file is fixed: {e}");
             Tokens::default()
         });
         *current = (stamp, tokens);
--- a/crates/table/src/csv_file.rs
+++ b/crates/table/src/csv_file.rs
@@ -167,7 +167,7 @@
                 Ok(None) => {}
                 Ok(Some(row)) => {
                     if let Some(first) = line_of_row.insert(row.key.clone(), row.line) {
-                        let fault = format!("{} is on line {first} already", row.key);
+                        let fault = format!("{} is already on line {first}", row.key);
                         faults.push((row.line, fault));
                     }
                     rows.push(row);
@@ -176,7 +176,7 @@
             },
             Err(e) => {
                 let line = e.position().map_or(0, csv::Position::line);
-                faults.push((line, "is no text in UTF-8".to_owned()));
+                faults.push((line, "is not valid UTF-8".to_owned()));
             }
         }
     }
@@ -205,12 +205,12 @@
         for (position, name) in header.iter().enumerate() {
             match COLUMNS.iter().position(|column| *column == name) {
                 Some(column) if positions[column].is_some() => {
-                    faults.push((1, format!("the column `{name}` is there twice")));
+                    faults.push((1, format!("the column `{name}` appears twice")));
                 }
                 Some(column) => positions[column] = Some(position),
                 // A spreadsheet may leave empty columns at the end.
                 None if name.is_empty() => {}
-                None => faults.push((1, format!("there is no column `{name}`"))),
+                None => faults.push((1, format!("unknown column `{name}`"))),
             }
         }
         for (column, position) in COLUMNS.iter().zip(&positions).take(REQUIRED_COLUMNS) {
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -34,8 +34,8 @@
 struct EditPick {
     row: u8,
     weight: u8,
-    /// Above 200, the number by which the edit's revision is behind, less 200; else the
-    /// edit has the current revision.
+    /// The edit's revision is behind by the excess over 200, so most edits have the
+    /// current one.
     lag: u8,
     remove: bool,
 }
