--- a/crates/operator/src/answer/history.rs
+++ b/crates/operator/src/answer/history.rs
@@ -1,4 +1,4 @@
-//! What was done, and what the next shift has to see.
+//! The history, and the hand-over to the next shift.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 use super::ProposalBody;
 
-/// What an accepted change did to a row.
+/// Values of a row before and after a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DifferenceBody {
@@ -19,9 +19,9 @@
     pub service: ServiceName,
     /// The region.
     pub region: Region,
-    /// Before; `null` if there was none.
+    /// Values before; `null` if there was no row.
     pub before: Option<RowValues>,
-    /// After; `null` if it was removed.
+    /// Values after; `null` if the row is removed.
     pub after: Option<RowValues>,
 }
 
@@ -36,51 +36,51 @@
     }
 }
 
-/// Answer of `GET /v1/history`, the newest record first.
+/// Answer of `GET /v1/history`, newest record first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HistoryBody {
-    /// The records asked for.
+    /// The requested records.
     pub records: Vec<RecordBody>,
-    /// Serial number of the oldest record that is still kept; what came before it is in
-    /// the logs of the control replicas only.
+    /// Serial number of the oldest record that is still kept; earlier ones are only in
+    /// the log files of the control replicas.
     pub oldest_kept: u64,
 }
 
-/// An act on record.
+/// A record of the history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordBody {
-    /// Place in the history.
+    /// Serial number, from 1 without gaps.
     pub serial: u64,
-    /// Id of the act.
+    /// Id of the operation.
     pub id: ChangeId,
-    /// Who.
+    /// The operator who requested it.
     pub by: String,
-    /// With which role.
+    /// The operator's role at that time.
     pub role: Role,
-    /// When, in milliseconds since 1970.
+    /// When the control replica received it, in milliseconds since 1970.
     pub at_ms: Timestamp,
-    /// What: `change`, `propose`, `review`, `accept`, `withdraw`, `hand-over`,
-    /// `register-replica` or `forget-replica`.
+    /// Kind of the operation: `change`, `propose`, `review`, `accept`, `withdraw`,
+    /// `hand-over`, `register-replica` or `forget-replica`.
     pub act: String,
-    /// The proposal that it was about, or made.
+    /// The proposal that the operation refers to or has opened.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub proposal: Option<ProposalNumber>,
     /// The note.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub note: String,
-    /// Dangers that were taken.
+    /// Dangers that were allowed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub allow: BTreeSet<Danger>,
     /// Number of the result code.
     pub code: ResultCode,
-    /// Its short name.
+    /// Short name of the result code.
     pub outcome: String,
-    /// Version that it made.
+    /// Table version that it made.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
-    /// What it did to the rows.
+    /// Changed rows.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub differences: Vec<DifferenceBody>,
 }
@@ -116,6 +116,7 @@
     }
 }
 
+/// Kind, note, allowed dangers and proposal of an operation.
 type OperationSummary<'a> = (
     &'static str,
     &'a str,
@@ -141,33 +142,33 @@
     }
 }
 
-/// Answer of `GET /v1/handover`: what the next shift has to see.
+/// Answer of `GET /v1/handover`: what the next shift needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOverBody {
     /// Version of the table now.
     pub version: Version,
-    /// The kept hand-overs, the newest first.
+    /// The kept hand-overs, newest first.
     pub handovers: Vec<HandOverNote>,
-    /// Acts since the newest hand-over, the newest first.
+    /// History records since the newest hand-over, newest first.
     pub since: Vec<RecordBody>,
     /// Open proposals, by number.
     pub open: Vec<ProposalBody>,
 }
 
-/// The end of a shift.
+/// A hand-over at the end of a shift.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOverNote {
-    /// Who handed over.
+    /// The operator who handed over.
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// When the control replica received it, in milliseconds since 1970.
     pub at_ms: Timestamp,
-    /// What they left word of.
+    /// Note for the next shift.
     pub note: String,
-    /// Version of the table then.
+    /// Version of the table at that time.
     pub version: Version,
-    /// Proposals that were open then.
+    /// Proposals that were open at that time.
     pub open: Vec<ProposalNumber>,
 }
 
--- a/crates/operator/src/answer/mod.rs
+++ b/crates/operator/src/answer/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies of answers, as JSON. Their keys are stable: a later version of the API may
-//! add keys, and neither drops nor changes one under `/v1`.
+//! JSON bodies of answers. Their keys are stable: under `/v1` keys may be added, but are
+//! neither removed nor changed.
 
 mod history;
 mod proposal;
@@ -17,47 +17,47 @@
 
 use crate::AdministrationError;
 
-/// Answer to every act, and to everything that fails.
+/// Answer to every operation and to every failed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
     /// Number of the result code; also in the header `Filberthead-Result`.
     pub code: ResultCode,
-    /// Its short name.
+    /// Short name of the result code.
     pub slug: String,
     /// `not-run`, `may-have-run` or `ran`.
     pub meaning: String,
-    /// For people.
+    /// Description of the result for people.
     pub message: String,
-    /// Id of the act.
+    /// Id of the operation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<ChangeId>,
-    /// Version that an accepted change made.
+    /// Table version that an accepted change made.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
-    /// Number of the proposal that was made, or is not open.
+    /// Number of the proposal that was opened, or that is not open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub proposal: Option<ProposalNumber>,
-    /// Rows that had moved on, both sides.
+    /// Edited rows with another revision than expected.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub conflicts: Vec<ConflictBody>,
-    /// Dangers that are not allowed for.
+    /// Dangers that were not allowed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
-    /// Who has rejected the proposal.
+    /// Names of the operators who have rejected the proposal.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rejected_by: Vec<String>,
-    /// Rows whose danger could not be judged in full, for want of fresh readings of all
-    /// entries.
+    /// Rows, as `service/region`, that were not fully compared with live readings because
+    /// some were missing or too old.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub unchecked: Vec<String>,
-    /// Where the leader serves this API.
+    /// The leader's address of this API, if this replica doesn't lead and knows it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<SocketAddr>,
 }
 
 impl Answer {
-    /// An answer with a text and nothing else.
+    /// An answer with only a result code and a message.
     pub fn new(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The answer to a command that was applied.
+    /// The answer to a command with an outcome.
     pub fn from_outcome(id: ChangeId, outcome: &Outcome) -> Self {
         let mut answer = Self::new(outcome.code(), describe(outcome));
         answer.id = Some(id);
@@ -98,7 +98,7 @@
         answer
     }
 
-    /// The answer to an act that found no outcome.
+    /// The answer to a request that failed without an outcome.
     pub fn from_error(id: Option<ChangeId>, error: &AdministrationError) -> Self {
         let mut answer = Self::new(error.code(), error.to_string());
         answer.id = id;
@@ -134,16 +134,16 @@
             "no colleague of the author has approved the proposal".to_owned()
         }
         Outcome::ReviewMissing { rejected_by } => {
-            format!("the proposal stands rejected by {}", rejected_by.join(", "))
+            format!("the proposal is rejected by {}", rejected_by.join(", "))
         }
         Outcome::TooManyProposals => {
-            "no room for another open proposal; accept or withdraw some".to_owned()
+            "too many open proposals or edits in them; accept or withdraw some".to_owned()
         }
-        Outcome::IdReused => "the id belongs to an earlier, different act".to_owned(),
+        Outcome::IdReused => "the id was already used for a different operation".to_owned(),
     }
 }
 
-/// A row that had moved on.
+/// An edited row whose revision isn't the expected one, with both versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConflictBody {
@@ -151,17 +151,17 @@
     pub service: ServiceName,
     /// The region.
     pub region: Region,
-    /// Revision that the edit saw.
+    /// Revision that the edit expected.
     pub seen: Revision,
     /// What the edit would have set; `null` to remove the row.
     pub wanted: Option<RowValues>,
-    /// What stands; `null` if there is no row.
+    /// Values in the table; `null` if there is no row.
     pub current: Option<RowValues>,
-    /// Revision of what stands, to be named in a new edit.
+    /// Revision that a new edit has to expect.
     pub revision: Revision,
-    /// Whose change stands.
+    /// Operator who made the row's last change; `null` if that is not kept.
     pub changed_by: Option<String>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of that change, in milliseconds since 1970.
     pub changed_at_ms: Option<Timestamp>,
 }
 
--- a/crates/operator/src/answer/proposal.rs
+++ b/crates/operator/src/answer/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals against the table as it stands.
+//! Proposals, compared with the current table.
 
 use std::collections::BTreeSet;
 
@@ -17,33 +17,33 @@
 pub struct ProposalsBody {
     /// Open proposals, by number.
     pub open: Vec<ProposalBody>,
-    /// The last closed ones, the newest first.
+    /// The last closed ones, newest first.
     pub closed: Vec<ProposalBody>,
 }
 
-/// A proposal.
+/// A proposal, compared with the current table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProposalBody {
     /// Its number.
     pub number: ProposalNumber,
-    /// Id of the act that made it.
+    /// Id of the operation that opened it.
     pub id: ChangeId,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub author: String,
-    /// When, in milliseconds since 1970.
+    /// When the control replica received it, in milliseconds since 1970.
     pub at_ms: Timestamp,
-    /// Why.
+    /// The author's reason.
     pub note: String,
     /// The edits; none once it is closed.
     pub edits: Vec<EditBody>,
-    /// Against the table as it stands, edit by edit.
+    /// Values in the current table and after acceptance, one for each edit.
     pub differences: Vec<DifferenceBody>,
-    /// Dangers that its author takes.
+    /// Dangers that its author allowed.
     pub allow: BTreeSet<Danger>,
-    /// Dangers that show in the rows alone.
+    /// Dangers that follow from the rows alone, without live readings.
     pub findings: Vec<Finding>,
-    /// Rows that have moved on: it can't be accepted as it is.
+    /// Rows that have changed since; while there are any it can't be accepted.
     pub conflicts: Vec<ConflictBody>,
     /// The reviews.
     pub reviews: Vec<ReviewView>,
@@ -51,7 +51,7 @@
     pub approved: bool,
     /// `open`, or how it was closed.
     pub state: String,
-    /// Version that its acceptance made.
+    /// Table version that its acceptance made.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
 }
@@ -60,18 +60,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReviewView {
-    /// Who.
+    /// The reviewer.
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// When the control replica received it, in milliseconds since 1970.
     pub at_ms: Timestamp,
     /// `approve` or `reject`.
     pub verdict: Verdict,
-    /// Why.
+    /// The reviewer's reason; empty once the proposal is closed.
     pub note: String,
 }
 
 impl ProposalBody {
-    /// The proposal against the table as it stands.
+    /// Compares the proposal with the table.
     pub fn new(table: &Table, proposal: &Proposal) -> Self {
         let edits = &proposal.change.edits;
         let difference = |edit: &filberthead_table::Edit| DifferenceBody {
--- a/crates/operator/src/answer/table.rs
+++ b/crates/operator/src/answer/table.rs
@@ -1,4 +1,4 @@
-//! The table as operators see it.
+//! The table.
 
 use filberthead_table::{Objective, RowKey, RowValues, Table, Timestamp};
 use filberthead_types::{Region, Revision, ServiceName, Version};
@@ -12,13 +12,13 @@
     pub version: Version,
     /// The rows, by service and region.
     pub rows: Vec<RowBody>,
-    /// Removed rows.
+    /// Removed rows whose revision is still kept.
     pub removed: Vec<RemovedBody>,
-    /// Revision to name for a row that is in neither list.
+    /// Revision that an edit of a row in neither list has to expect.
     pub absent_revision: Revision,
 }
 
-/// A row in force.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RowBody {
@@ -26,24 +26,24 @@
     pub service: ServiceName,
     /// The region.
     pub region: Region,
-    /// Share of the service's traffic, against the sum of its weights.
+    /// Share of the service's traffic, relative to the sum of the service's weights.
     pub weight: u32,
-    /// Most requests in progress.
+    /// Maximum number of requests in progress.
     pub limit: u32,
-    /// Most requests in progress that a shift may add.
+    /// Maximum number of requests in progress that a shift may add.
     pub shift_cap: u32,
     /// `latency` or `headroom`.
     pub objective: Objective,
-    /// Revision to name in an edit.
+    /// Revision that an edit has to expect.
     pub revision: Revision,
-    /// Who changed it last.
+    /// The operator who changed it last.
     pub changed_by: Option<String>,
-    /// When, in milliseconds since 1970.
+    /// Time of that change, in milliseconds since 1970.
     pub changed_at_ms: Option<Timestamp>,
 }
 
 impl RowBody {
-    /// The row's name.
+    /// Service and region of the row.
     pub fn key(&self) -> RowKey {
         RowKey {
             service: self.service.clone(),
@@ -70,16 +70,16 @@
     pub service: ServiceName,
     /// The region.
     pub region: Region,
-    /// Revision to name in order to make it anew.
+    /// Revision that an edit has to expect to create it again.
     pub revision: Revision,
-    /// Who removed it.
+    /// The operator who removed it.
     pub changed_by: String,
-    /// When, in milliseconds since 1970.
+    /// Time of the removal, in milliseconds since 1970.
     pub changed_at_ms: Timestamp,
 }
 
 impl TableBody {
-    /// The table as operators see it.
+    /// The body for a table.
     pub fn new(table: &Table) -> Self {
         let row = |(key, row): (&RowKey, &filberthead_table::Row)| {
             let origin = table.origin(key);
@@ -110,13 +110,13 @@
         }
     }
 
-    /// The row of this name.
+    /// The row with this key, if there is one.
     pub fn row(&self, key: &RowKey) -> Option<&RowBody> {
         let named = |row: &&RowBody| row.service == key.service && row.region == key.region;
         self.rows.iter().find(named)
     }
 
-    /// Revision that an edit of this row has to name.
+    /// Revision that an edit of this row has to expect.
     pub fn revision(&self, key: &RowKey) -> Revision {
         let named = |row: &&RemovedBody| row.service == key.service && row.region == key.region;
         let removed = || self.removed.iter().find(named).map(|row| row.revision);
--- a/crates/operator/src/client/http1.rs
+++ b/crates/operator/src/client/http1.rs
@@ -1,4 +1,4 @@
-//! One attempt over a connection of its own.
+//! A single HTTP/1.1 request over a new connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use super::{ClientError, Config, Reply};
 use crate::{OPERATOR_HEADER, RESULT_HEADER};
 
-/// Largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 
 pub(super) fn request(
@@ -46,7 +46,8 @@
         .map_err(|_| ClientError::Header)
 }
 
-/// Sends a request. A timeout counts as lost once the request may have left.
+/// Sends a request. A failure is [`Attempt::NotSent`] before the connection is set up and
+/// [`Attempt::Lost`] afterwards, when the request may have arrived.
 pub(super) async fn attempt(
     addr: SocketAddr,
     mut req: Request<Full<Bytes>>,
@@ -56,7 +57,7 @@
     let stream = match time::timeout_at(deadline, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return Attempt::NotSent(format!("{addr}: {e}")),
-        Err(_) => return Attempt::NotSent(format!("{addr} takes no connection in time")),
+        Err(_) => return Attempt::NotSent(format!("{addr}: connecting timed out")),
     };
     let (mut sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
         Ok(pair) => pair,
@@ -69,8 +70,8 @@
         let response = sender.send_request(req).await.map_err(|e| e.to_string())?;
         read(addr, response).await
     };
-    // The connection is driven here and not by a task of its own: with the attempt it
-    // ends, and a late answer goes nowhere.
+    // The connection is polled here and not in a task of its own, so that it is closed
+    // when the attempt ends and a late answer is dropped.
     let driven = async {
         tokio::pin!(exchange, connection);
         tokio::select! {
@@ -84,7 +85,7 @@
     match time::timeout_at(deadline, driven).await {
         Ok(Ok(reply)) => Attempt::Answered(reply),
         Ok(Err(reason)) => Attempt::Lost(format!("{addr}: {reason}")),
-        Err(_) => Attempt::Lost(format!("{addr} gives no answer in time")),
+        Err(_) => Attempt::Lost(format!("{addr}: no answer before the timeout")),
     }
 }
 
--- a/crates/operator/src/client/mod.rs
+++ b/crates/operator/src/client/mod.rs
@@ -1,10 +1,10 @@
 //! The HTTP client of the command line.
 //!
-//! It is given some control addresses, of which any may be down, cut off or no leader,
-//! and hides that: it goes round them, follows the leader that they name, and sends the
-//! same act again under the same id when an answer is lost. What it can't hide it says
-//! truly: [`ClientError::Unreachable`] if no attempt can have taken effect, and
-//! [`ClientError::OutcomeUnknown`] if one may have.
+//! Any of its control addresses may be down, unreachable or not the leader. The client
+//! tries them in turn, follows redirects to the leader, and resends an operation under
+//! the same id when an answer is lost. If there is no outcome at the deadline it returns
+//! [`ClientError::Unreachable`] if no attempt can have been applied, and
+//! [`ClientError::OutcomeUnknown`] if one may have been.
 
 mod http1;
 mod plan;
@@ -23,66 +23,68 @@
 use crate::Answer;
 use plan::{Attempt, Plan, Step};
 
-/// Attempts that a deadline leaves time for, if each of them is met by silence.
+/// Number of attempts that fit into the deadline if each of them times out.
 const ATTEMPTS_PER_DEADLINE: u32 = 6;
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why an act or a look has no answer.
+/// Why a request has no usable answer.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ClientError {
     /// No control address is given.
     #[snafu(display("no control address is given"))]
     NoAddress,
-    /// No control replica could take it before the deadline; nothing was changed.
+    /// No control replica accepted the request before the deadline; nothing was changed.
     #[snafu(display("no control replica answers for the table: {last}"))]
     Unreachable {
-        /// What came of the last attempt.
+        /// Failure of the last attempt.
         last: String,
     },
-    /// It was sent, and whether it took effect is not known.
+    /// The request was sent, and it is not known whether it was applied.
     #[snafu(display("the outcome is not known: {last}"))]
     OutcomeUnknown {
-        /// What came of the last attempt.
+        /// Failure of the last attempt.
         last: String,
     },
-    /// The answer is none of this API.
+    /// The body of the answer is not the expected JSON.
     #[snafu(display("the answer of {addr} can't be read"))]
     Malformed {
-        /// Who gave it.
+        /// Address of the replica that answered.
         addr: SocketAddr,
-        /// The parser's word.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// The body can't be written.
+    /// The request body can't be serialized.
     #[snafu(display("the request can't be written"))]
     Body {
-        /// The writer's word.
+        /// Error of the serializer.
         source: serde_json::Error,
     },
-    /// The token or the operator's name can't stand in a header.
-    #[snafu(display("the token or the operator's name holds characters that no header takes"))]
+    /// The token or the operator's name isn't valid in a header.
+    #[snafu(display(
+        "the token or the operator's name has characters that a header can't contain"
+    ))]
     Header,
 }
 
-/// An answer, whatever its result.
+/// An answer with any result code.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The result code.
     pub code: ResultCode,
-    /// The body as it came.
+    /// The body as received.
     pub body: Bytes,
-    /// Who gave it.
+    /// Address of the replica that answered.
     pub addr: SocketAddr,
 }
 
 impl Reply {
-    /// Reads the body.
+    /// Parses the body.
     ///
     /// # Errors
     ///
-    /// Fails if it has another shape.
+    /// Fails if the body is not JSON of this type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ClientError> {
         let addr = self.addr;
         serde_json::from_slice(&self.body).context(MalformedSnafu { addr })
@@ -105,8 +107,8 @@
 }
 
 impl Config {
-    /// A share of the deadline, so that one silent replica leaves time for others, and
-    /// an operator who grants more time also grants it to a replica that is slow.
+    /// A share of the deadline, so that an unresponsive replica leaves time for others and
+    /// a longer deadline also gives slow replicas more time.
     fn attempt_timeout(&self) -> Duration {
         let share = self.deadline / ATTEMPTS_PER_DEADLINE;
         let share = share.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
@@ -131,7 +133,7 @@
 }
 
 impl Client {
-    /// Starts from the defaults that each method names.
+    /// Creates a builder with the defaults documented on its methods.
     pub fn builder(controls: impl IntoIterator<Item = SocketAddr>) -> ClientBuilder {
         ClientBuilder {
             cfg: Config {
@@ -149,7 +151,7 @@
         &self.cfg.controls
     }
 
-    /// The same client for one replica only.
+    /// A copy of this client that uses only the replica at `addr`.
     #[must_use]
     pub fn pinned_to(&self, addr: SocketAddr) -> Self {
         let mut cfg = self.cfg.clone();
@@ -157,21 +159,22 @@
         Self { cfg }
     }
 
-    /// Looks at something that only the leader can show.
+    /// Sends a `GET` and retries until a replica answers, following redirects to the
+    /// leader.
     ///
     /// # Errors
     ///
-    /// Fails if no replica shows it before the deadline.
+    /// Fails if there is no answer before the deadline.
     pub async fn get(&self, path: &str) -> Result<Reply, ClientError> {
         self.run(Method::GET, path, Bytes::new()).await
     }
 
-    /// Sends an act, again and again until its outcome is known. The body has to hold
-    /// the act's id.
+    /// Sends an operation and resends it until its outcome is known. The body must contain
+    /// the operation's id, which makes the resends idempotent.
     ///
     /// # Errors
     ///
-    /// Fails if no outcome is known at the deadline. An outcome that is a refusal is no
+    /// Fails if the outcome is not known at the deadline. A refusal is an outcome and no
     /// error here.
     pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<Answer, ClientError> {
         let body = serde_json::to_vec(body).context(BodySnafu)?;
@@ -179,11 +182,11 @@
         reply.json()
     }
 
-    /// Looks at one replica only, once.
+    /// Sends one `GET` to the replica at `addr`, without retries.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't answer.
+    /// Fails if the replica doesn't answer.
     pub async fn get_from(&self, addr: SocketAddr, path: &str) -> Result<Reply, ClientError> {
         let req = http1::request(&self.cfg, &Method::GET, path, Bytes::new())?;
         match http1::attempt(addr, req, self.cfg.attempt_timeout()).await {
@@ -224,29 +227,29 @@
         self
     }
 
-    /// Who acts, for control replicas on the loopback that ask for no token. Default
-    /// none: the records say `local`.
+    /// Name of the operator, for control replicas on the loopback without a tokens file.
+    /// Default none: the operator is recorded as `local`.
     #[must_use]
     pub fn operator(mut self, name: Option<String>) -> Self {
         self.cfg.operator = name;
         self
     }
 
-    /// Longest time for all attempts together. Default 20 s.
+    /// Maximum time for all attempts together. Default 20 s.
     #[must_use]
     pub fn deadline(mut self, deadline: Duration) -> Self {
         self.cfg.deadline = deadline;
         self
     }
 
-    /// Longest time for one attempt. Default a sixth of the deadline, from 0.5 s to 10 s.
+    /// Maximum time for one attempt. Default a sixth of the deadline, from 0.5 s to 10 s.
     #[must_use]
     pub fn attempt_timeout(mut self, timeout: Duration) -> Self {
         self.cfg.attempt_timeout = Some(timeout);
         self
     }
 
-    /// The finished client.
+    /// Builds the client.
     pub fn build(self) -> Client {
         Client { cfg: self.cfg }
     }
--- a/crates/operator/src/client/plan.rs
+++ b/crates/operator/src/client/plan.rs
@@ -1,4 +1,4 @@
-//! What to do after an attempt, free of I/O.
+//! Retry logic of the client, without I/O.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,33 +8,35 @@
 use super::{ClientError, Reply};
 use crate::Answer;
 
-/// Pause once every address was tried without success; doubles up to the longest one.
+/// Backoff after every address was tried once; doubles with each round up to
+/// [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Named leaders that are followed at once. Two replicas that each name the other, as
-/// may happen around an election, must not make this a busy loop.
+/// Maximum number of consecutive redirects to a leader followed without backoff. Two
+/// replicas may each name the other as the leader around an election, which must not
+/// cause a busy loop.
 const MAX_CONSECUTIVE_HINTS: u32 = 2;
 
-/// What came of an attempt.
+/// Result of an attempt. The texts describe the failure.
 pub(super) enum Attempt {
-    /// An answer, whatever it says.
+    /// An answer with any result code.
     Answered(Reply),
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The request may have come in, its answer did not.
+    /// The request may have arrived, but no answer was received.
     Lost(String),
 }
 
-/// What to do next.
+/// The next step.
 pub(super) enum Step {
-    /// This is the answer.
+    /// Return this answer.
     Done(Reply),
-    /// Send it there, after a pause.
+    /// Send the request to `next` after `backoff`.
     Try { next: SocketAddr, backoff: Duration },
 }
 
-/// Where to turn, and what is known so far.
+/// Chooses the address of each attempt and tracks whether an attempt may have been applied.
 pub(super) struct Plan {
     addrs: Vec<SocketAddr>,
     current: usize,
@@ -47,7 +49,7 @@
 }
 
 impl Plan {
-    /// `changes` says whether the request is an act. There must be an address.
+    /// `is_write` is whether the request changes anything. `addrs` must not be empty.
     pub(super) fn new(addrs: &[SocketAddr], is_write: bool) -> Self {
         Self {
             addrs: addrs.to_vec(),
@@ -85,8 +87,8 @@
                 self.may_have_run = self.is_write;
                 self.try_next(describe())
             }
-            // A refusal at the door (token, body, role) says nothing of an attempt that
-            // came in elsewhere before, so it doesn't end the search for the outcome.
+            // A refusal before the log (token, body, role) is not the outcome of an earlier
+            // attempt that another replica may have accepted, so the search goes on.
             code if self.may_have_run && !decided_by_table(code) => self.try_next(describe()),
             _ => Step::Done(reply),
         }
@@ -109,7 +111,7 @@
         }
     }
 
-    /// On to the next address; after each round with a longer pause.
+    /// Continues with the next address, with an increasing backoff after each round.
     fn try_next(&mut self, reason: String) -> Step {
         self.last_failure = reason;
         self.consecutive_hints = 0;
@@ -135,7 +137,8 @@
     }
 }
 
-/// Whether the replicated table gave this result, which then holds for all attempts.
+/// Whether the result code is an outcome of the replicated table, which is the same for
+/// every attempt.
 fn decided_by_table(code: ResultCode) -> bool {
     (2000..2200).contains(&code.number())
 }
