--- a/crates/operator/src/client/mod.rs
+++ b/crates/operator/src/client/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP client of the command line.
 //!
 //! Any of its control addresses may be down, unreachable or not the leader. The client
-//! tries them in turn, follows redirects to the leader, and resends an operation under
-//! the same id when an answer is lost. If there is no outcome at the deadline it returns
+//! tries them in turn, goes to the leader that a follower names, and resends an operation
+//! under the same id when an answer is lost. Without an outcome at the deadline it returns
 //! [`ClientError::Unreachable`] if no attempt can have been applied, and
 //! [`ClientError::OutcomeUnknown`] if one may have been.
 
@@ -159,8 +159,7 @@
         Self { cfg }
     }
 
-    /// Sends a `GET` and retries until a replica answers, following redirects to the
-    /// leader.
+    /// Sends a `GET` and retries until a replica answers as the leader.
     ///
     /// # Errors
     ///
--- a/crates/operator/src/client/plan.rs
+++ b/crates/operator/src/client/plan.rs
@@ -13,9 +13,8 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Maximum number of consecutive redirects to a leader followed without backoff. Two
-/// replicas may each name the other as the leader around an election, which must not
-/// cause a busy loop.
+/// Maximum number of consecutive leader hints followed without backoff. Two replicas may
+/// each name the other as the leader around an election, which must not cause a busy loop.
 const MAX_CONSECUTIVE_HINTS: u32 = 2;
 
 /// Result of an attempt. The texts describe the failure.
--- a/crates/operator/src/server/access.rs
+++ b/crates/operator/src/server/access.rs
@@ -1,4 +1,4 @@
-//! Who asks, and whether they may.
+//! Authentication and authorisation of operators.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 use super::reply::{Refusal, refuse};
 use crate::OPERATOR_HEADER;
 
-/// Shortest time between two lines about strangers.
+/// Minimum time between two log lines about rejected clients.
 const REJECTION_LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// Name of a loopback client that gives none.
+/// Name of a client on the loopback that gives none.
 const ANONYMOUS: &str = "local";
 
 /// An authenticated operator.
@@ -39,7 +39,7 @@
         Err(refuse(ResultCode::RoleTooLow, message))
     }
 
-    /// Whether all of the edits are of services of the operator's team.
+    /// Fails if an edit is of a service that the operator's token doesn't allow.
     pub(super) fn require_services(&self, edits: &[Edit]) -> Result<(), Refusal> {
         let Some(services) = &self.services else {
             return Ok(());
@@ -54,18 +54,18 @@
         }
     }
 
-    /// Whether the operator is limited to no service.
+    /// Fails if the operator's token is limited to some services.
     pub(super) fn require_all_services(&self) -> Result<(), Refusal> {
         if self.services.is_none() {
             return Ok(());
         }
-        let message = "control replicas are changed by operators of all services only";
+        let message = "only operators of all services may change the group of control replicas";
         Err(refuse(ResultCode::ServiceNotAllowed, message))
     }
 }
 
-/// Keeps the log's record of strangers from growing with their number: one line a
-/// period, with the count of those since the last.
+/// Limits the rate of log lines about rejected clients: one line per period, with the
+/// number of rejections since the last line.
 #[derive(Debug, Default)]
 pub(super) struct RejectionLog(Mutex<RejectionCount>);
 
@@ -83,7 +83,7 @@
         let is_due = |last_logged: Instant| now - last_logged >= REJECTION_LOG_PERIOD;
         if count.last_logged.is_none_or(is_due) {
             let (refused, code) = (count.unlogged, refusal.code.number());
-            warn!(peer:% = peer, refused, result = code; "not let in: {}", refusal.message);
+            warn!(peer:% = peer, refused, result = code; "request rejected: {}", refusal.message);
             *count = RejectionCount {
                 last_logged: Some(now),
                 unlogged: 0,
@@ -105,8 +105,8 @@
 }
 
 fn identify(shared: &Shared, peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
-    // A page in a browser on an operator's machine can reach the loopback, but can't
-    // hide where it comes from.
+    // A web page in a browser on an operator's machine can reach the loopback, but the
+    // browser adds the `Origin` header, which the page can't remove.
     if headers.contains_key(ORIGIN) {
         let message = "requests of web pages are not served";
         return Err(refuse(ResultCode::LoopbackOnly, message));
--- a/crates/operator/src/server/connection.rs
+++ b/crates/operator/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection.
+//! Serves one connection.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -13,7 +13,7 @@
 
 use super::{Shared, route};
 
-/// Largest head of a request, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 pub(super) async fn serve(
@@ -27,8 +27,8 @@
         let shared = Arc::clone(&shared);
         async move { Ok::<_, Infallible>(route::answer(&shared, peer, req).await) }
     });
-    // The timeout covers an idle connection, too: it ends the ones that a client holds
-    // without a request, which would otherwise use up the connections for good.
+    // The timeout also closes idle connections, which could otherwise use up the
+    // maximum number of connections for good.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(head_timeout)
--- a/crates/operator/src/server/mod.rs
+++ b/crates/operator/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server of the API.
 
 mod access;
 mod connection;
@@ -22,23 +22,23 @@
 
 use crate::{Administration, BoxFuture, TokenSource};
 
-/// Largest body of a request, in bytes: a change of as many rows as one may edit, each
-/// with the longest names, fits.
+/// Maximum size of a request body, in bytes: large enough for a change with the maximum
+/// number of edits and the longest names.
 pub const MAX_BODY_BYTES: usize = 512 * 1024;
 
-/// Connections served at the same time. Further ones wait in the listener's backlog.
+/// Maximum number of concurrent connections. Further ones wait in the listener's backlog.
 const MAX_CONNECTIONS: usize = 64;
 
-/// Pause after the system refused to accept, as it does when descriptors run out.
+/// Pause after `accept` failed, as it does when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// A page of the daemon that is served beside the API, such as `/metrics`. Needs the
-/// role `read`, as everything does.
+/// A page of the daemon that is served besides the API, such as `/metrics`. Requires the
+/// role `read`.
 pub trait Page: Send + Sync {
     /// Its content type.
     fn content_type(&self) -> &'static str;
 
-    /// Its present content, given the query of the request (empty if none).
+    /// Renders the content for the query of the request (empty if there is none).
     fn render<'a>(&'a self, query: &'a str) -> BoxFuture<'a, Bytes>;
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Server {
-    /// Starts from the defaults that each method names.
+    /// Creates a builder with the defaults documented on its methods.
     pub fn builder(administration: Arc<dyn Administration>) -> ServerBuilder {
         ServerBuilder {
             shared: Shared {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Serves until `stop` ends, then lets what is in progress finish, for a while.
+    /// Serves until `stop` completes, then waits up to the stop timeout for requests in
+    /// progress.
     pub async fn serve(self, listener: TcpListener, stop: impl Future<Output = ()>) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         let (stop_tx, stop_rx) = watch::channel(false);
@@ -90,7 +91,7 @@
         tokio::pin!(stop);
         loop {
             let next = async {
-                // Fails only for a closed semaphore, and nobody closes this one.
+                // Fails only if the semaphore is closed, which never happens.
                 let permit = Arc::clone(&permits).acquire_owned().await.ok();
                 (permit, accept(&listener).await)
             };
@@ -103,7 +104,7 @@
             let mut stop = stop_rx.clone();
             connections.spawn(async move {
                 let stopping = async move {
-                    // An error means that the sender is gone, which is a stop, too.
+                    // An error means that the sender was dropped, which is a stop too.
                     let _ = stop.wait_for(|stop| *stop).await;
                 };
                 connection::serve(shared, stream, peer, stopping).await;
@@ -117,7 +118,7 @@
             .await
             .is_err()
         {
-            warn!("administration connections were cut at the stop");
+            warn!("stop timeout reached: closing administration connections in progress");
         }
     }
 }
@@ -135,59 +136,59 @@
 }
 
 impl ServerBuilder {
-    /// Tokens that are asked for. Default none: then only clients on the loopback are
-    /// served, with every right.
+    /// Tokens that clients authenticate with. Default none: then only clients on the
+    /// loopback are served, with the role `accept` and for all services.
     #[must_use]
     pub fn tokens(mut self, tokens: Option<TokenSource>) -> Self {
         self.shared.tokens = tokens;
         self
     }
 
-    /// Serves a page at a path, such as `/metrics`, by `GET`. Default none.
+    /// Adds a page that is served by `GET` at a path, such as `/metrics`. Default none.
     #[must_use]
     pub fn page(mut self, path: &str, page: Arc<dyn Page>) -> Self {
         self.shared.pages.insert(path.to_owned(), page);
         self
     }
 
-    /// Whether every change needs a colleague's review: direct changes and the waiver
-    /// `own-review` are refused. Default no.
+    /// Whether every change requires a review by another operator: direct changes and
+    /// allowing `own-review` are then refused. Default no.
     #[must_use]
     pub fn require_review(mut self, require: bool) -> Self {
         self.shared.require_review = require;
         self
     }
 
-    /// Longest wait for a request's head. Default 10 s.
+    /// Maximum wait for the head of a request. Default 10 s.
     #[must_use]
     pub fn head_timeout(mut self, timeout: Duration) -> Self {
         self.shared.head_timeout = timeout;
         self
     }
 
-    /// Longest wait for a request's whole body. Default 10 s.
+    /// Maximum wait for the complete body of a request. Default 10 s.
     #[must_use]
     pub fn body_timeout(mut self, timeout: Duration) -> Self {
         self.shared.body_timeout = timeout;
         self
     }
 
-    /// Longest wait for the daemon's outcome; after it the answer says that the outcome
-    /// is not known. Default 10 s.
+    /// Maximum wait for the daemon; after it, the answer to an operation is that the
+    /// outcome is not known. Default 10 s.
     #[must_use]
     pub fn answer_timeout(mut self, timeout: Duration) -> Self {
         self.shared.answer_timeout = timeout;
         self
     }
 
-    /// How long a stop waits for requests in progress. Default 5 s.
+    /// Maximum wait for requests in progress at a stop. Default 5 s.
     #[must_use]
     pub fn stop_timeout(mut self, timeout: Duration) -> Self {
         self.shared.stop_timeout = timeout;
         self
     }
 
-    /// The finished server.
+    /// Builds the server.
     pub fn build(self) -> Server {
         Server {
             shared: Arc::new(self.shared),
--- a/crates/operator/src/server/operations.rs
+++ b/crates/operator/src/server/operations.rs
@@ -1,4 +1,4 @@
-//! What changes something.
+//! Requests that change something.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -56,7 +56,7 @@
             let body: ChangeBody = parse(body)?;
             refuse_if_review_required(shared)?;
             if body.supersedes.is_some() {
-                let message = "`supersedes` goes with a proposal";
+                let message = "`supersedes` is allowed in a proposal only";
                 return Err(refuse(ResultCode::ApiBodyMalformed, message));
             }
             Ok((body.id, Operation::Change(convert_change(body)?)))
@@ -83,7 +83,7 @@
     }
 }
 
-/// Acts that come with a note and without a change.
+/// Parses the operations that have a note and no change.
 fn parse_note_operation(route: Route, body: &Bytes) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Review(proposal) => {
@@ -103,7 +103,10 @@
             let NoteBody { id, note } = parse(body)?;
             Ok((id, Operation::HandOver { note }))
         }
-        _ => Err(refuse(ResultCode::NoSuchRoute, "nothing to do")),
+        _ => Err(refuse(
+            ResultCode::NoSuchRoute,
+            "this route has no operation",
+        )),
     }
 }
 
@@ -116,12 +119,12 @@
     if !shared.require_review {
         return Ok(());
     }
-    let message = "this cluster takes no change without a colleague's review; propose it";
+    let message = "this cluster requires another operator's review of every change; propose it";
     Err(refuse(ResultCode::ReviewMissing, message))
 }
 
-/// The edits that an act is about. Those of a proposal never change, so what is read
-/// here is what would be accepted.
+/// The edits that an operation refers to. The edits of an open proposal are immutable, so
+/// those read here are the ones that would be accepted.
 async fn edits_of(shared: &Shared, operation: &Operation) -> Result<Vec<Edit>, Refusal> {
     match operation {
         Operation::Change(change) | Operation::Propose { change, .. } => Ok(change.edits.clone()),
@@ -182,7 +185,7 @@
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role,
         result = answer.code.number();
-        "operator's act: {}", answer.message
+        "operation: {}", answer.message
     );
     Ok(answer)
 }
@@ -210,7 +213,7 @@
             let ReplicaBody { id, replica } = parse(body)?;
             let done =
                 apply_membership(shared, operator, id, MembershipChange::Remove(replica)).await?;
-            // After the removal, so that nobody loses the address of a replica that votes.
+            // Only after the removal, because the others need the addresses of a voter.
             let forget = Operation::ForgetReplica(replica);
             let answer = submit(shared, operator, id, forget, LiveCheck::default()).await?;
             Ok(if answer.code == ResultCode::ActRecorded {
@@ -234,7 +237,7 @@
     }
     let done = match status.replicas.as_slice() {
         [] => apply_membership(shared, operator, body.id, MembershipChange::Initialise).await?,
-        // A first attempt may have come this far and no further.
+        // An earlier attempt may have stopped after this step.
         [only] if only.id == status.replica => group_changed(body.id),
         group => {
             let message = format!("this replica is in a group of {} already", group.len());
@@ -267,7 +270,7 @@
         peer_addr: body.peer_addr,
         operator_addr: body.operator_addr,
     };
-    // Its addresses first: the leader needs them to send it the log.
+    // The addresses are registered first, because the leader needs them to send the log.
     let register = Operation::RegisterReplica(info);
     let answer = submit(shared, operator, body.id, register, LiveCheck::default()).await?;
     if answer.code != ResultCode::ActRecorded {
@@ -288,7 +291,7 @@
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role;
-        "operator's act: membership {change:?}: {result:?}"
+        "membership change: {change:?}: {result:?}"
     );
     match result {
         Ok(()) => Ok(group_changed(id)),
--- a/crates/operator/src/server/queries.rs
+++ b/crates/operator/src/server/queries.rs
@@ -1,4 +1,4 @@
-//! What is only looked at.
+//! Requests that only read.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
     ProposalsBody, RecordBody, ReplicaStatus, Status, TableBody,
 };
 
-/// Records that `GET /v1/history` gives if it names no number.
+/// Number of records in an answer of `GET /v1/history` without `limit`.
 const DEFAULT_RECORDS: usize = 100;
 
-/// Records that one answer holds at most; `before` leads to older ones.
+/// Maximum number of records in one answer; older ones are requested with `before`.
 const MAX_RECORDS: usize = 1000;
 
 pub(super) async fn answer(
@@ -49,7 +49,7 @@
             }
         },
         Route::HandOvers => Ok(reply::document(ok, &hand_overs(&table))),
-        _ => Err(refuse(ResultCode::NoSuchRoute, "nothing to look at")),
+        _ => Err(refuse(ResultCode::NoSuchRoute, "this route can't be read")),
     }
 }
 
@@ -61,12 +61,12 @@
     Box::new(Answer::from_error(None, &error))
 }
 
-/// The table, proved current.
+/// A linearizable read of the table.
 pub(super) async fn read(shared: &Shared) -> Result<Arc<Table>, Refusal> {
     with_timeout(shared, shared.administration.read()).await
 }
 
-/// What this replica knows.
+/// The status of this replica.
 pub(super) async fn status(shared: &Shared) -> Result<Status, Refusal> {
     with_timeout(shared, shared.administration.status()).await
 }
@@ -78,13 +78,14 @@
     match time::timeout(shared.answer_timeout, answer).await {
         Ok(result) => result.map_err(|e| Box::new(Answer::from_error(None, &e))),
         Err(_) => {
-            let message = "the daemon doesn't answer in time";
+            let message = "the daemon did not answer before the timeout";
             Err(refuse(ResultCode::ApiUnavailable, message))
         }
     }
 }
 
-/// Which records are asked for.
+/// Query of `GET /v1/history`: up to `limit` records with serial numbers below `before`,
+/// and only of the operation `id` if given.
 struct HistoryRange {
     limit: usize,
     before: u64,
@@ -143,7 +144,7 @@
 fn hand_overs(table: &Table) -> HandOverBody {
     let last = table.handovers().next_back();
     let since = last.map_or(0, |handover| handover.serial);
-    // The hand-over itself is the first record after it.
+    // The first record after `since` is the hand-over itself.
     let is_later =
         |record: &&filberthead_table::Record| record.serial > since + u64::from(last.is_some());
     let records = table.history().rev().take_while(is_later);
--- a/crates/operator/src/server/reply.rs
+++ b/crates/operator/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! Making of HTTP answers.
+//! Construction of HTTP responses.
 
 use bytes::Bytes;
 use filberthead_types::ResultCode;
@@ -13,29 +13,29 @@
 
 const JSON: &str = "application/json";
 
-/// An answer to an act, or a refusal.
+/// Response with an [`Answer`] as its body.
 pub(super) fn answer(answer: &Answer) -> HttpResponse {
     document(answer.code, answer)
 }
 
-/// An answer that ends the handling of a request early.
+/// An answer that ends the processing of a request early, as an error.
 pub(super) type Refusal = Box<Answer>;
 
-/// A refusal that needs no more than a text.
+/// A refusal with only a result code and a message.
 pub(super) fn refuse(code: ResultCode, message: impl Into<String>) -> Refusal {
     Box::new(Answer::new(code, message))
 }
 
-/// A document as JSON.
+/// Response with a JSON body.
 pub(super) fn document(code: ResultCode, body: &impl Serialize) -> HttpResponse {
     match serde_json::to_vec_pretty(body) {
         Ok(bytes) => raw(code, JSON, bytes.into()),
-        // No type that is answered has a key that is no text, the one cause of this.
+        // Happens only for a map with keys that aren't strings, which no body has.
         Err(_) => raw(ResultCode::ApiUnavailable, JSON, Bytes::new()),
     }
 }
 
-/// Bytes of any type.
+/// Response with a body of any content type.
 pub(super) fn raw(code: ResultCode, content_type: &'static str, body: Bytes) -> HttpResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() =
--- a/crates/operator/src/server/route.rs
+++ b/crates/operator/src/server/route.rs
@@ -1,4 +1,4 @@
-//! From a request to what it asks for.
+//! Routing of requests.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use super::reply::{self, HttpResponse, Refusal, refuse};
 use super::{MAX_BODY_BYTES, Shared, operations, queries};
 
-/// What is asked for.
+/// The endpoint of the API that a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
     Table,
@@ -37,7 +37,7 @@
 }
 
 impl Route {
-    /// The role that it needs.
+    /// The minimum role for the route.
     fn role(self) -> Role {
         match self {
             Self::Table
@@ -114,7 +114,8 @@
     peer: SocketAddr,
     req: Request<Incoming>,
 ) -> Result<HttpResponse, Refusal> {
-    // Who asks comes first: a stranger learns nothing, not even which paths exist.
+    // Authentication comes first, so that unauthenticated clients can't find out which
+    // paths exist.
     let operator = access::authenticate(shared, peer, req.headers())?;
     let (parts, body) = req.into_parts();
     let query = parts.uri.query().unwrap_or_default();
@@ -172,7 +173,7 @@
             Err(refuse(ResultCode::ApiBodyTooLarge, message))
         }
         Err(e) => {
-            let message = format!("the body was cut: {e}");
+            let message = format!("the body could not be read: {e}");
             Err(refuse(ResultCode::ApiBodyMalformed, message))
         }
     }
--- a/crates/operator/tests/client.rs
+++ b/crates/operator/tests/client.rs
@@ -92,7 +92,7 @@
 /// Around an election two replicas each take the other for the leader. The client
 /// doesn't spin between them; when one of them leads at last, the change is accepted.
 #[tokio::test]
-async fn replicas_that_redirect_to_each_other_do_not_stop_the_client() {
+async fn replicas_that_name_each_other_as_leader_do_not_stop_the_client() {
     let table = SharedTable::default();
     let (a, b) = (FakeControl::new(&table), FakeControl::new(&table));
     let (served_a, served_b) = (serve(&a).await, serve(&b).await);
