--- a/crates/operator/src/server/operations.rs
+++ b/crates/operator/src/server/operations.rs
@@ -185,7 +185,7 @@
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role,
         result = answer.code.number();
-        "operation: {}", answer.message
+        "operator command: {}", answer.message
     );
     Ok(answer)
 }
--- a/crates/operator/src/server/route.rs
+++ b/crates/operator/src/server/route.rs
@@ -15,7 +15,7 @@
 use super::reply::{self, HttpResponse, Refusal, refuse};
 use super::{MAX_BODY_BYTES, Shared, operations, queries};
 
-/// The endpoint of the API that a request is for.
+/// What a request asks for, from its method and path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
     Table,
--- a/crates/operator/tests/api.rs
+++ b/crates/operator/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API as a stranger, a team and a careless tool meet it.
+//! The API over raw HTTP: authentication, roles, malformed requests, limits and reviews.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer as it came over the wire.
+/// An HTTP response as received.
 struct Raw {
     status: u16,
     code: u16,
@@ -33,10 +33,10 @@
     }
 }
 
-/// Writes bytes as they are, and reads to the end.
+/// Sends bytes unchanged and reads until the connection is closed.
 async fn raw(addr: SocketAddr, request: &[u8]) -> Raw {
     let mut stream = TcpStream::connect(addr).await.expect("the server listens");
-    // A server that refuses early may have closed its side already.
+    // The write fails if the server has answered early and closed the connection.
     let _ = stream.write_all(request).await;
     let _ = stream.flush().await;
     let mut buf = Vec::new();
@@ -84,7 +84,7 @@
     format!(r#"{{"id":"{id:x}","note":"n","edits":[{edit}]}}"#)
 }
 
-/// A server that asks for tokens, and the secrets of its operators.
+/// A server with a tokens file, and the secrets of its operators.
 struct Guarded {
     served: TestServer,
     control: Arc<FakeControl>,
@@ -143,8 +143,8 @@
     }
 }
 
-/// A stranger finds the port. Whatever they send, they get a result code, nothing
-/// changes, and they don't learn which paths exist.
+/// A client without a valid token gets a result code, changes nothing, and can't find out
+/// which paths exist.
 #[tokio::test]
 async fn requests_without_a_valid_token_are_rejected() {
     let guarded = Guarded::new().await;
@@ -215,7 +215,7 @@
     let accepted = guarded.post(path, &guarded.accepter, accept).await;
     assert_eq!((accepted.status, accepted.code), (200, 2000));
     assert_eq!(guarded.version(), Version(1));
-    // The names on record are those of the tokens.
+    // The history has the names of the tokens.
     let history = guarded.get("/v1/history", reader).await;
     let history: HistoryBody = serde_json::from_str(&history.body).expect("a history");
     let names: Vec<_> = history
@@ -226,8 +226,8 @@
     assert_eq!(names, ["ana", "ana", "petra", "ana", "petra"]);
 }
 
-/// Two teams share the table. The one for orders changes nothing of the catalogue, by
-/// whatever way: a direct change, a proposal, or the acceptance or withdrawal of others'.
+/// A token for the service orders can't change the catalogue: neither by a direct change or
+/// a proposal, nor by accepting, reviewing or withdrawing another operator's proposal.
 #[tokio::test]
 async fn a_team_changes_its_own_services_only() {
     let guarded = Guarded::new().await;
@@ -262,8 +262,8 @@
     assert_eq!(guarded.post("/v1/changes", team, &own).await.code, 2000);
 }
 
-/// An operator leaves, and their line is taken out of the file: their token ends without
-/// a restart. A slip in the file ends all of them, rather than keep one alive unseen.
+/// A token becomes invalid without a restart when its line is removed from the file. A
+/// malformed line makes all tokens invalid, so that a revoked one can't stay valid.
 #[tokio::test]
 async fn a_token_is_invalid_once_its_line_is_removed() {
     let guarded = Guarded::new().await;
@@ -281,8 +281,8 @@
     assert_eq!(guarded.get("/v1/table", &guarded.accepter).await.code, 3101);
 }
 
-/// A tool sends what is no proper body. Each gets a result code that says that nothing
-/// ran; in particular a lost `set` is no removal.
+/// Each malformed body gets a result code that means that nothing was changed; in
+/// particular, an edit without `set` is no removal.
 #[tokio::test]
 async fn malformed_bodies_change_nothing() {
     let table = SharedTable::default();
@@ -333,7 +333,8 @@
     assert!(control.submitted().is_empty());
 }
 
-/// What breaks a rule by itself takes no room in the log and the history.
+/// An operation that is invalid regardless of the table is rejected before it takes space
+/// in the log and the history.
 #[tokio::test]
 async fn operations_that_break_a_rule_are_not_submitted() {
     let control = FakeControl::new(&SharedTable::default());
@@ -373,8 +374,8 @@
     assert!(control.submitted().is_empty());
 }
 
-/// A client sends half a body and stalls, another half a head. Both end, and the server
-/// goes on serving others meanwhile.
+/// One client stalls in the middle of a body, another in the middle of a head. Both time
+/// out, and other requests are served in the meantime.
 #[tokio::test]
 async fn a_stalled_request_times_out_without_blocking_others() {
     let control = FakeControl::new(&SharedTable::default());
@@ -395,7 +396,7 @@
     assert!(control.submitted().is_empty());
 }
 
-/// A page that an operator has open in a browser posts to the loopback behind their back.
+/// A web page in an operator's browser sends a request to the loopback.
 #[tokio::test]
 async fn web_pages_are_not_served() {
     let control = FakeControl::new(&SharedTable::default());
@@ -419,9 +420,9 @@
     }
 }
 
-/// An operator sets a limit below what is in progress, or above what the region has
-/// slots for. It is refused with the figures, and done once they say so. A reading that
-/// is missing or old refuses nothing, and the answer says that it was not compared.
+/// A limit below the requests in progress, or above the region's slots, is rejected with
+/// the figures, and accepted once the danger is allowed. A missing or outdated reading
+/// rejects nothing, and the answer lists the row as unchecked.
 #[tokio::test]
 async fn limits_are_compared_with_live_readings() {
     let control = FakeControl::new(&SharedTable::default());
@@ -458,7 +459,7 @@
     assert_eq!(in_part.answer().unchecked, ["orders/zagreb"]);
 }
 
-/// Where every change needs a review, neither a direct change nor a waiver goes through.
+/// If every change requires a review, direct changes and `own-review` are rejected.
 #[tokio::test]
 async fn a_required_review_can_not_be_bypassed() {
     let control = FakeControl::new(&SharedTable::default());
@@ -486,8 +487,8 @@
     );
 }
 
-/// The next shift sees what the last one left: its note, what happened since, and what
-/// is open, with the conflicts that have come up.
+/// The answer has the hand-over's note, the records since, and the open proposals with the
+/// conflicts that they have by now.
 #[tokio::test]
 async fn a_hand_over_shows_note_later_records_and_open_proposals() {
     let control = FakeControl::new(&SharedTable::default());
@@ -538,8 +539,8 @@
     assert_eq!(post.code, ResultCode::NoSuchRoute.number());
 }
 
-/// A scanner, or a broken tool, throws anything at the port. The server goes on, and
-/// nothing that it was sent counts as an act.
+/// Random bytes, as from a port scanner or a broken tool, submit no command and don't stop
+/// the server.
 #[tokio::test]
 async fn random_bytes_change_nothing_and_the_server_goes_on() {
     let control = FakeControl::new(&SharedTable::default());
@@ -555,7 +556,7 @@
         let mut noise = vec![0; len];
         rng.fill(&mut noise[..]);
         raw(served.addr, &noise).await;
-        // A proper head with a body in which some bytes are damaged.
+        // A valid head with a body in which some bytes are damaged.
         let mut body = good.clone().into_bytes();
         for _ in 0..3 {
             let at = rng.random_range(0..body.len());
--- a/crates/operator/tests/client.rs
+++ b/crates/operator/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against replicas that lose answers, stall, or don't lead.
+//! The client with replicas that lose answers, stall or don't lead.
 
 mod common;
 
@@ -45,15 +45,15 @@
     client.post("/v1/changes", body).await
 }
 
-/// An address at which nobody listens.
+/// An address without a listener.
 async fn dead_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     listener.local_addr().expect("a listener")
 }
 
-/// An operator sends a change; the replica applies it, and the answer is lost: once as
-/// "unknown", once in silence. The client sends it again by itself. The operator sees
-/// one acceptance, and the table has one version.
+/// A replica applies a change but its answer is lost: it answers that the outcome is
+/// unknown, or doesn't answer. The client resends the change and returns that it was
+/// accepted, and the table has one new version only.
 #[tokio::test]
 async fn a_lost_answer_is_recovered_by_a_resend_with_the_same_id() {
     for fault in [Fault::AppliedUnknown, Fault::AppliedSilent] {
@@ -71,8 +71,8 @@
     }
 }
 
-/// The first control address is of a VM that is gone, the second of one that doesn't
-/// lead and names the leader, which isn't on the operator's list. The change goes there.
+/// Nothing listens at the first control address; the second one's replica names the
+/// leader, which isn't among the client's addresses. The change is sent to the leader.
 #[tokio::test]
 async fn the_leader_is_found_behind_dead_addresses_and_followers() {
     let table = SharedTable::default();
@@ -89,8 +89,8 @@
     assert_eq!(table.lock().unwrap().version(), Version(1));
 }
 
-/// Around an election two replicas each take the other for the leader. The client
-/// doesn't spin between them; when one of them leads at last, the change is accepted.
+/// Around an election, two replicas each name the other as the leader. The client doesn't
+/// end up in a busy loop, and the change is accepted once one of them leads.
 #[tokio::test]
 async fn replicas_that_name_each_other_as_leader_do_not_stop_the_client() {
     let table = SharedTable::default();
@@ -102,8 +102,8 @@
     assert_eq!(answer.unwrap().code, ResultCode::ChangeAccepted);
 }
 
-/// A replica takes the change, applies it and goes silent for good; all others are gone.
-/// The operator is told that the outcome is not known, never "nothing changed".
+/// The only replica applies a change and then stops answering. The client must return that
+/// the outcome is unknown, not that nothing was changed.
 #[tokio::test]
 async fn a_replica_that_stops_answering_gives_an_unknown_outcome() {
     let table = SharedTable::default();
@@ -122,8 +122,8 @@
     );
 }
 
-/// No replica leads, and none has taken the change: that is "nothing changed", so the
-/// operator needn't look for it.
+/// No replica leads, so none has accepted the change. The client returns that nothing was
+/// changed, so that the operator needn't check.
 #[tokio::test]
 async fn without_a_leader_the_client_reports_unreachable() {
     let table = SharedTable::default();
@@ -141,8 +141,8 @@
     assert_eq!(table.lock().unwrap().version(), Version(0));
 }
 
-/// Two operators race with equal numbers on the same row. The first in the log wins; the
-/// other is shown both sides, equal as they are, and who was first.
+/// Two operators concurrently set the same row to equal values. The first in the log is
+/// accepted; the other gets a conflict with both versions and the first operator's name.
 #[tokio::test]
 async fn of_two_equal_edits_the_second_conflicts_with_both_versions() {
     let table = SharedTable::default();
@@ -163,9 +163,8 @@
     );
 }
 
-/// The answer to the first attempt is lost, then another operator changes the same row,
-/// then the first one sends again. They get their first outcome, and the later change
-/// stays.
+/// An operator resends a change after a later change of the same row. The resend gets the
+/// first outcome, and the later change stays.
 #[tokio::test]
 async fn a_resend_does_not_undo_a_later_change() {
     let table = SharedTable::default();
--- a/crates/operator/tests/common/mod.rs
+++ b/crates/operator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the control daemon: one table in memory, and faults by order.
+//! A fake control daemon with a table in memory and a queue of faults.
 
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used)]
 
@@ -17,20 +17,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// What goes wrong with one command.
+/// A fault of one `submit`.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Applied, but the daemon can't say so.
+    /// The command is applied, and the result is `OutcomeUnknown`.
     AppliedUnknown,
-    /// Applied, and no answer ever comes.
+    /// The command is applied, and `submit` never returns.
     AppliedSilent,
-    /// Not applied, and no answer ever comes.
+    /// The command is not applied, and `submit` never returns.
     Silent,
-    /// Refused by a replica that names a leader, or none.
+    /// The command is not applied; the result is `NotLeader` with this leader's address.
     NotLeader(Option<SocketAddr>),
 }
 
-/// The table of a group of replicas, shared by the stand-ins that play the group.
+/// The table, shared by the fake daemons of one group.
 pub type SharedTable = Arc<Mutex<Table>>;
 
 pub struct FakeControl {
@@ -148,13 +148,13 @@
     }
 }
 
-/// A server on a port of its own, which ends with it.
+/// A running server, which is stopped on drop.
 pub struct TestServer {
     pub addr: SocketAddr,
     _stop: oneshot::Sender<()>,
 }
 
-/// Serves a stand-in with the defaults.
+/// Starts a server with the default options.
 pub async fn serve(control: &Arc<FakeControl>) -> TestServer {
     serve_with(control, |builder| builder).await
 }
