--- a/crates/operator/src/answer/mod.rs
+++ b/crates/operator/src/answer/mod.rs
@@ -131,7 +131,7 @@
         }
         Outcome::OwnReview => "authors don't review their own proposals".to_owned(),
         Outcome::ReviewMissing { rejected_by } if rejected_by.is_empty() => {
-            "no colleague of the author has approved the proposal".to_owned()
+            "no operator other than the author has approved the proposal".to_owned()
         }
         Outcome::ReviewMissing { rejected_by } => {
             format!("the proposal is rejected by {}", rejected_by.join(", "))
--- a/crates/table/src/csv_file.rs
+++ b/crates/table/src/csv_file.rs
@@ -298,7 +298,7 @@
         self.columns.cell(self.record, column)
     }
 
-    fn fault(&mut self, fault: String) {
+    fn add_fault(&mut self, fault: String) {
         self.faults.push((self.line, fault));
     }
 
@@ -308,7 +308,7 @@
             Err(e) => {
                 let text = self.text(column);
                 let fault = format!("`{}` is `{text}`: {e}", COLUMNS[column]);
-                self.fault(fault);
+                self.add_fault(fault);
                 None
             }
         }
@@ -329,7 +329,7 @@
         let was = parse_was(text);
         if was.is_none() {
             let fault = format!("`was` is `{text}`: it is not for editing");
-            self.fault(fault);
+            self.add_fault(fault);
         }
         was
     }
@@ -339,13 +339,13 @@
             "" => false,
             REMOVE_ACTION => {
                 if self.text(6).is_empty() {
-                    self.fault("a row without a revision can't be removed".to_owned());
+                    self.add_fault("a row without a revision can't be removed".to_owned());
                 }
                 true
             }
             text => {
                 let fault = format!("`action` is `{text}`: it may be `{REMOVE_ACTION}` or empty");
-                self.fault(fault);
+                self.add_fault(fault);
                 false
             }
         }
--- a/crates/table/src/danger.rs
+++ b/crates/table/src/danger.rs
@@ -23,7 +23,7 @@
     CapBelowRunning,
     /// A limit would be above the number of slots of the region's endpoints.
     LimitAboveSlots,
-    /// A proposal would be accepted without a colleague's review.
+    /// A proposal would be accepted without a review by another operator.
     OwnReview,
 }
 
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
-    /// The values in force.
+    /// The current values.
     pub values: RowValues,
     /// Table version of the change that set them.
     pub revision: Revision,
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -34,8 +34,8 @@
 
 /// Result of the checks of a change.
 enum Decision {
-    Install,
-    Refuse(Outcome),
+    Apply,
+    Reject(Outcome),
 }
 
 impl Table {
@@ -184,10 +184,10 @@
         differences: &mut Vec<Difference>,
     ) -> Outcome {
         match self.decide(command, change, allow) {
-            Decision::Refuse(outcome) => outcome,
-            Decision::Install => {
+            Decision::Reject(outcome) => outcome,
+            Decision::Apply => {
                 *differences = self.differences(&change.edits);
-                let version = self.install(command, &change.edits);
+                let version = self.apply_edits(command, &change.edits);
                 Outcome::Accepted { version }
             }
         }
@@ -208,7 +208,7 @@
             return Outcome::TooManyProposals;
         }
         // Checked now and not only at acceptance, while the author can still correct it.
-        if let Decision::Refuse(outcome) = self.decide(command, change, &change.allow) {
+        if let Decision::Reject(outcome) = self.decide(command, change, &change.allow) {
             return outcome;
         }
         let author = &command.actor.name;
@@ -315,19 +315,19 @@
     fn decide(&self, command: &Command, change: &Change, allow: &BTreeSet<Danger>) -> Decision {
         let conflicts = self.conflicts(&change.edits);
         if !conflicts.is_empty() {
-            return Decision::Refuse(Outcome::Conflict { conflicts });
+            return Decision::Reject(Outcome::Conflict { conflicts });
         }
         if self.row_count_after(&change.edits) > MAX_ROWS {
             let reason = format!("the table would have more than {MAX_ROWS} rows");
-            return Decision::Refuse(Outcome::Invalid { reason });
+            return Decision::Reject(Outcome::Invalid { reason });
         }
         let mut findings = self.dangers(&change.edits);
         findings.extend(command.findings.iter().cloned());
         findings.retain(|finding| !allow.contains(&finding.danger));
         if !findings.is_empty() {
-            return Decision::Refuse(Outcome::Dangerous { findings });
+            return Decision::Reject(Outcome::Dangerous { findings });
         }
-        Decision::Install
+        Decision::Apply
     }
 
     fn row_count_after(&self, edits: &[Edit]) -> usize {
@@ -360,7 +360,7 @@
             .collect()
     }
 
-    fn install(&mut self, command: &Command, edits: &[Edit]) -> Version {
+    fn apply_edits(&mut self, command: &Command, edits: &[Edit]) -> Version {
         self.version = self.version.next();
         let revision = Revision(self.version.0);
         for edit in edits {
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -171,7 +171,7 @@
         );
     }
     for (now, then) in revisions(table).iter().zip(revisions(&before)) {
-        assert!(*now >= then, "a revision goes down");
+        assert!(*now >= then, "a revision decreased");
     }
     model.record(command, &outcome);
     assert_eq!(
--- a/tests/all/operators/unknown.rs
+++ b/tests/all/operators/unknown.rs
@@ -7,10 +7,10 @@
 use filberthead_operator::RowReading;
 use filberthead_types::Version;
 
-use super::fake::{FakeControl, Fault, Served, SharedTable, serve};
+use super::fake::{FakeControl, Fault, SharedTable, TestServer, serve};
 use crate::support::programs;
 
-fn start(control: &std::sync::Arc<FakeControl>) -> Served {
+fn start(control: &std::sync::Arc<FakeControl>) -> TestServer {
     let control = std::sync::Arc::clone(control);
     filberthead_testing::runtime::wait(async move { serve(&control).await })
 }
