--- a/crates/operator/src/client/plan.rs
+++ b/crates/operator/src/client/plan.rs
@@ -38,8 +38,8 @@
 /// Chooses the address of each attempt and tracks whether an attempt may have been applied.
 pub(super) struct Plan {
     addrs: Vec<SocketAddr>,
-    current: usize,
-    attempts: usize,
+    current_index: usize,
+    addresses_tried: usize,
     consecutive_hints: u32,
     backoff: Duration,
     is_write: bool,
@@ -52,8 +52,8 @@
     pub(super) fn new(addrs: &[SocketAddr], is_write: bool) -> Self {
         Self {
             addrs: addrs.to_vec(),
-            current: 0,
-            attempts: 0,
+            current_index: 0,
+            addresses_tried: 0,
             consecutive_hints: 0,
             backoff: MIN_BACKOFF,
             is_write,
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn first(&self) -> SocketAddr {
-        self.addrs[self.current]
+        self.addrs[self.current_index]
     }
 
     pub(super) fn next(&mut self, attempt: Attempt) -> Step {
@@ -114,10 +114,10 @@
     fn try_next(&mut self, reason: String) -> Step {
         self.last_failure = reason;
         self.consecutive_hints = 0;
-        self.attempts += 1;
-        self.current = (self.current + 1) % self.addrs.len();
-        let next = self.addrs[self.current];
-        if !self.attempts.is_multiple_of(self.addrs.len()) {
+        self.addresses_tried += 1;
+        self.current_index = (self.current_index + 1) % self.addrs.len();
+        let next = self.addrs[self.current_index];
+        if !self.addresses_tried.is_multiple_of(self.addrs.len()) {
             let backoff = Duration::ZERO;
             return Step::Try { next, backoff };
         }
--- a/crates/operator/src/server/queries.rs
+++ b/crates/operator/src/server/queries.rs
@@ -102,7 +102,7 @@
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let malformed = || {
                 let message = format!(
-                    "`{pair}`: `limit` and `before` take a number each, `id` the id of an act"
+                    "`{pair}`: `limit` and `before` take a number each, `id` the id of an operation"
                 );
                 refuse(ResultCode::ApiBodyMalformed, message)
             };
--- a/crates/operator/tests/api.rs
+++ b/crates/operator/tests/api.rs
@@ -21,20 +21,20 @@
 use tokio::net::TcpStream;
 
 /// An HTTP response as received.
-struct Raw {
+struct RawResponse {
     status: u16,
     code: u16,
     body: String,
 }
 
-impl Raw {
+impl RawResponse {
     fn answer(&self) -> Answer {
         serde_json::from_str(&self.body).expect("the body is an answer")
     }
 }
 
 /// Sends bytes unchanged and reads until the connection is closed.
-async fn raw(addr: SocketAddr, request: &[u8]) -> Raw {
+async fn raw(addr: SocketAddr, request: &[u8]) -> RawResponse {
     let mut stream = TcpStream::connect(addr).await.expect("the server listens");
     // The write fails if the server has answered early and closed the connection.
     let _ = stream.write_all(request).await;
@@ -47,14 +47,14 @@
     let code = head
         .lines()
         .find_map(|line| line.strip_prefix("filberthead-result: "));
-    Raw {
+    RawResponse {
         status: status.unwrap_or(0),
         code: code.and_then(|text| text.parse().ok()).unwrap_or(0),
         body: body.to_owned(),
     }
 }
 
-async fn request(addr: SocketAddr, line: &str, headers: &str, body: &str) -> Raw {
+async fn request(addr: SocketAddr, line: &str, headers: &str, body: &str) -> RawResponse {
     let len = body.len();
     let text = format!(
         "{line} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {len}\r\n\
@@ -65,7 +65,7 @@
 
 const JSON: &str = "content-type: application/json\r\n";
 
-async fn post(addr: SocketAddr, path: &str, token: &str, body: &str) -> Raw {
+async fn post(addr: SocketAddr, path: &str, token: &str, body: &str) -> RawResponse {
     let headers = format!("{JSON}authorization: Bearer {token}\r\n");
     request(addr, &format!("POST {path}"), &headers, body).await
 }
@@ -85,7 +85,7 @@
 }
 
 /// A server with a tokens file, and the secrets of its operators.
-struct Guarded {
+struct TokenServer {
     served: TestServer,
     control: Arc<FakeControl>,
     dir: TempDir,
@@ -95,7 +95,7 @@
     orders_team: String,
 }
 
-impl Guarded {
+impl TokenServer {
     async fn new() -> Self {
         let generate = |name: &str, role, services: &[&str]| {
             let services: Vec<ServiceName> = services
@@ -129,11 +129,11 @@
         }
     }
 
-    async fn post(&self, path: &str, token: &str, body: &str) -> Raw {
+    async fn post(&self, path: &str, token: &str, body: &str) -> RawResponse {
         post(self.served.addr, path, token, body).await
     }
 
-    async fn get(&self, path: &str, token: &str) -> Raw {
+    async fn get(&self, path: &str, token: &str) -> RawResponse {
         let headers = format!("authorization: Bearer {token}\r\n");
         request(self.served.addr, &format!("GET {path}"), &headers, "").await
     }
@@ -147,8 +147,8 @@
 /// which paths exist.
 #[tokio::test]
 async fn requests_without_a_valid_token_are_rejected() {
-    let guarded = Guarded::new().await;
-    let addr = guarded.served.addr;
+    let server = TokenServer::new().await;
+    let addr = server.served.addr;
     let body = change(1, "orders", 0, 50);
     let none = request(addr, "POST /v1/changes", JSON, &body).await;
     assert_eq!((none.status, none.code), (401, 3100));
@@ -157,66 +157,54 @@
     for token in [
         "wrong",
         "",
-        &guarded.accepter[1..],
-        &format!("{}0", guarded.accepter),
+        &server.accepter[1..],
+        &format!("{}0", server.accepter),
     ] {
-        let wrong = guarded.post("/v1/changes", token, &body).await;
+        let wrong = server.post("/v1/changes", token, &body).await;
         assert!(matches!(wrong.code, 3100 | 3101), "{}", wrong.code);
         assert_eq!(wrong.status, 401);
     }
-    assert_eq!(guarded.get("/v1/nothing", "wrong").await.code, 3101);
-    assert_eq!(guarded.get("/v1/nothing", &guarded.reader).await.code, 3103);
-    assert_eq!(guarded.version(), Version(0));
-    assert!(guarded.control.submitted().is_empty());
+    assert_eq!(server.get("/v1/nothing", "wrong").await.code, 3101);
+    assert_eq!(server.get("/v1/nothing", &server.reader).await.code, 3103);
+    assert_eq!(server.version(), Version(0));
+    assert!(server.control.submitted().is_empty());
 }
 
 #[tokio::test]
 async fn each_role_allows_its_operations_and_no_higher_ones() {
-    let guarded = Guarded::new().await;
+    let server = TokenServer::new().await;
     let body = change(1, "orders", 0, 50);
-    let (reader, proposer) = (&guarded.reader, &guarded.proposer);
-    assert_eq!(guarded.get("/v1/table", reader).await.code, 3000);
+    let (reader, proposer) = (&server.reader, &server.proposer);
+    assert_eq!(server.get("/v1/table", reader).await.code, 3000);
+    assert_eq!(server.post("/v1/proposals", reader, &body).await.code, 3102);
+    assert_eq!(server.post("/v1/changes", proposer, &body).await.code, 3102);
     assert_eq!(
-        guarded.post("/v1/proposals", reader, &body).await.code,
-        3102
-    );
-    assert_eq!(
-        guarded.post("/v1/changes", proposer, &body).await.code,
-        3102
-    );
-    assert_eq!(
-        guarded
+        server
             .post("/v1/control/promote", proposer, "{}")
             .await
             .code,
         3102
     );
     assert_eq!(
-        guarded.post("/v1/proposals", proposer, &body).await.code,
+        server.post("/v1/proposals", proposer, &body).await.code,
         2001
     );
     let accept = r#"{"id":"2"}"#;
     let path = "/v1/proposals/1/accept";
-    assert_eq!(guarded.post(path, proposer, accept).await.code, 3102);
-    assert_eq!(
-        guarded.post(path, &guarded.accepter, accept).await.code,
-        2106
-    );
+    assert_eq!(server.post(path, proposer, accept).await.code, 3102);
+    assert_eq!(server.post(path, &server.accepter, accept).await.code, 2106);
     let review = r#"{"id":"3","verdict":"approve"}"#;
     let path = "/v1/proposals/1/review";
-    assert_eq!(guarded.post(path, proposer, review).await.code, 2105);
+    assert_eq!(server.post(path, proposer, review).await.code, 2105);
     let review = r#"{"id":"5","verdict":"approve"}"#;
-    assert_eq!(
-        guarded.post(path, &guarded.accepter, review).await.code,
-        2002
-    );
+    assert_eq!(server.post(path, &server.accepter, review).await.code, 2002);
     let accept = r#"{"id":"4"}"#;
     let path = "/v1/proposals/1/accept";
-    let accepted = guarded.post(path, &guarded.accepter, accept).await;
+    let accepted = server.post(path, &server.accepter, accept).await;
     assert_eq!((accepted.status, accepted.code), (200, 2000));
-    assert_eq!(guarded.version(), Version(1));
+    assert_eq!(server.version(), Version(1));
     // The history has the names of the tokens.
-    let history = guarded.get("/v1/history", reader).await;
+    let history = server.get("/v1/history", reader).await;
     let history: HistoryBody = serde_json::from_str(&history.body).expect("a history");
     let names: Vec<_> = history
         .records
@@ -230,19 +218,19 @@
 /// a proposal, nor by accepting, reviewing or withdrawing another operator's proposal.
 #[tokio::test]
 async fn a_team_changes_its_own_services_only() {
-    let guarded = Guarded::new().await;
-    let (team, all) = (&guarded.orders_team, &guarded.accepter);
+    let server = TokenServer::new().await;
+    let (team, all) = (&server.orders_team, &server.accepter);
     let not_allowed = change(1, "catalogue", 0, 50);
     assert_eq!(
-        guarded.post("/v1/changes", team, &not_allowed).await.code,
+        server.post("/v1/changes", team, &not_allowed).await.code,
         3106
     );
     assert_eq!(
-        guarded.post("/v1/proposals", team, &not_allowed).await.code,
+        server.post("/v1/proposals", team, &not_allowed).await.code,
         3106
     );
     assert_eq!(
-        guarded.post("/v1/proposals", all, &not_allowed).await.code,
+        server.post("/v1/proposals", all, &not_allowed).await.code,
         2001
     );
     for (path, body) in [
@@ -251,34 +239,34 @@
         ("withdraw", r#"{"id":"7"}"#),
     ] {
         let path = format!("/v1/proposals/1/{path}");
-        assert_eq!(guarded.post(&path, team, body).await.code, 3106, "{path}");
+        assert_eq!(server.post(&path, team, body).await.code, 3106, "{path}");
     }
     let replica = r#"{"id":"8","replica":"1"}"#;
     assert_eq!(
-        guarded.post("/v1/control/remove", team, replica).await.code,
+        server.post("/v1/control/remove", team, replica).await.code,
         3106
     );
     let own = change(9, "orders", 0, 50);
-    assert_eq!(guarded.post("/v1/changes", team, &own).await.code, 2000);
+    assert_eq!(server.post("/v1/changes", team, &own).await.code, 2000);
 }
 
 /// A token becomes invalid without a restart when its line is removed from the file. A
 /// malformed line makes all tokens invalid, so that a revoked one can't stay valid.
 #[tokio::test]
 async fn a_token_is_invalid_once_its_line_is_removed() {
-    let guarded = Guarded::new().await;
-    let path = guarded.dir.path().join("tokens");
+    let server = TokenServer::new().await;
+    let path = server.dir.path().join("tokens");
     let text = std::fs::read_to_string(&path).expect("the file");
     let without: Vec<_> = text
         .lines()
         .filter(|line| !line.starts_with("rita"))
         .collect();
-    assert_eq!(guarded.get("/v1/table", &guarded.reader).await.code, 3000);
+    assert_eq!(server.get("/v1/table", &server.reader).await.code, 3000);
     std::fs::write(&path, without.join("\n")).expect("written");
-    assert_eq!(guarded.get("/v1/table", &guarded.reader).await.code, 3101);
-    assert_eq!(guarded.get("/v1/table", &guarded.accepter).await.code, 3000);
+    assert_eq!(server.get("/v1/table", &server.reader).await.code, 3101);
+    assert_eq!(server.get("/v1/table", &server.accepter).await.code, 3000);
     std::fs::write(&path, format!("{text}\nnonsense")).expect("written");
-    assert_eq!(guarded.get("/v1/table", &guarded.accepter).await.code, 3101);
+    assert_eq!(server.get("/v1/table", &server.accepter).await.code, 3101);
 }
 
 /// Each malformed body gets a result code that means that nothing was changed; in
--- a/crates/operator/tests/client.rs
+++ b/crates/operator/tests/client.rs
@@ -102,7 +102,7 @@
     assert_eq!(answer.unwrap().code, ResultCode::ChangeAccepted);
 }
 
-/// The only replica applies a change and then stops answering. The client must return that
+/// The only running replica applies a change, then stops answering. The client must return that
 /// the outcome is unknown, not that nothing was changed.
 #[tokio::test]
 async fn a_replica_that_stops_answering_gives_an_unknown_outcome() {
--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -12,12 +12,12 @@
 /// Maximum size of a message between control replicas, such as a snapshot.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
-struct Filler {
+struct TableBuilder {
     table: Table,
     id: u128,
 }
 
-impl Filler {
+impl TableBuilder {
     fn apply(&mut self, name: &str, operation: Operation) -> Outcome {
         self.id += 1;
         self.table.apply(&command(self.id, name, operation))
@@ -76,7 +76,7 @@
 /// the snapshot still fits into one message.
 #[test]
 fn a_full_table_fits_into_one_message() {
-    let mut filler = Filler {
+    let mut builder = TableBuilder {
         table: Table::default(),
         id: 0,
     };
@@ -84,23 +84,23 @@
     let author = names[0].clone();
     // First the removed rows, then the maximum number of rows.
     for start in [0, MAX_EDITS] {
-        let made = edits(&filler.table, start..start + MAX_EDITS, Some(max_values()));
-        let outcome = filler.apply(&author, Operation::Change(full_change(made)));
+        let made = edits(&builder.table, start..start + MAX_EDITS, Some(max_values()));
+        let outcome = builder.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
     let keep = 10;
-    let removals = edits(&filler.table, keep..MAX_EDITS, None);
-    filler.apply(&author, Operation::Change(full_change(removals)));
+    let removals = edits(&builder.table, keep..MAX_EDITS, None);
+    builder.apply(&author, Operation::Change(full_change(removals)));
     let mut next = 10_000;
-    while filler.table.rows().len() < MAX_ROWS {
-        let count = MAX_EDITS.min(MAX_ROWS - filler.table.rows().len());
-        let made = edits(&filler.table, next..next + count, Some(max_values()));
+    while builder.table.rows().len() < MAX_ROWS {
+        let count = MAX_EDITS.min(MAX_ROWS - builder.table.rows().len());
+        let made = edits(&builder.table, next..next + count, Some(max_values()));
         next += count;
-        let outcome = filler.apply(&author, Operation::Change(full_change(made)));
+        let outcome = builder.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
-    let one_more = edits(&filler.table, next..next + 1, Some(max_values()));
-    let refused = filler.apply(&author, Operation::Change(full_change(one_more)));
+    let one_more = edits(&builder.table, next..next + 1, Some(max_values()));
+    let refused = builder.apply(&author, Operation::Change(full_change(one_more)));
     assert!(matches!(refused, Outcome::Invalid { .. }));
 
     let per_proposal = MAX_OPEN_EDITS / MAX_OPEN_PROPOSALS;
@@ -109,12 +109,12 @@
             .checked_sub(MAX_OPEN_PROPOSALS)
             .map(|n| ProposalNumber(n as u64 + 1));
         let made = edits(
-            &filler.table,
+            &builder.table,
             10_000..10_000 + per_proposal,
             Some(max_values()),
         );
         let change = full_change(made);
-        let outcome = filler.apply(&author, Operation::Propose { change, supersedes });
+        let outcome = builder.apply(&author, Operation::Propose { change, supersedes });
         let Outcome::Proposed { proposal } = outcome else {
             panic!("{outcome:?}");
         };
@@ -124,13 +124,13 @@
                 verdict: Verdict::Approve,
                 note: note(),
             };
-            assert_eq!(filler.apply(name, operation), Outcome::Recorded);
+            assert_eq!(builder.apply(name, operation), Outcome::Recorded);
         }
     }
     for _ in 0..100 {
-        filler.apply(&author, Operation::HandOver { note: note() });
+        builder.apply(&author, Operation::HandOver { note: note() });
     }
-    let len = filler.encoded_len();
+    let len = builder.encoded_len();
     assert!(len < MAX_MESSAGE_BYTES, "{len} bytes");
     // A far smaller size means that some part wasn't filled.
     assert!(len > MAX_MESSAGE_BYTES / 2, "{len} bytes");
