--- a/crates/operator/src/live.rs
+++ b/crates/operator/src/live.rs
@@ -1,24 +1,24 @@
-//! Dangers that show only against what runs at the moment.
+//! Dangers that are found by comparing edits with live readings.
 //!
-//! They are found here, by the replica that takes a command in, and travel inside it;
-//! see [`Command::findings`](filberthead_table::Command). A reading that is missing or
-//! old means unknown: it raises no finding, and the answer names the row as unchecked.
+//! The replica that receives a command finds them and adds them to the command; see
+//! [`Command::findings`](filberthead_table::Command). A missing or outdated reading
+//! causes no finding; the answer lists its row as unchecked.
 
 use filberthead_table::{Danger, Edit, Finding, RowKey, RowValues};
 
 use crate::RowReading;
 
-/// A reading older than this says nothing about now.
-const MAX_AGE_MS: u64 = 10_000;
+/// Readings older than this are ignored.
+const MAX_READING_AGE_MS: u64 = 10_000;
 
-/// Most findings that travel with a command.
+/// Maximum number of findings added to a command.
 const MAX_FINDINGS: usize = 64;
 
-/// What the live readings say about some edits.
+/// Result of comparing edits with the live readings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LiveCheck {
     pub(crate) findings: Vec<Finding>,
-    /// Rows without a fresh reading of all that they are compared with.
+    /// Rows, as `service/region`, without a fresh reading of every compared figure.
     pub(crate) unchecked: Vec<String>,
 }
 
@@ -26,11 +26,11 @@
     let mut check = LiveCheck::default();
     for edit in edits {
         let Some(values) = edit.set else { continue };
-        let reading = fresh(readings, &edit.key);
+        let reading = fresh_reading(readings, &edit.key);
         if let Some(reading) = reading {
-            find(&edit.key, &values, reading, &mut check.findings);
+            find_dangers(&edit.key, &values, reading, &mut check.findings);
         }
-        if !reading.is_some_and(is_whole) {
+        if !reading.is_some_and(is_complete) {
             check.unchecked.push(edit.key.to_string());
         }
     }
@@ -38,18 +38,23 @@
     check
 }
 
-fn fresh<'a>(readings: &'a [RowReading], key: &RowKey) -> Option<&'a RowReading> {
+fn fresh_reading<'a>(readings: &'a [RowReading], key: &RowKey) -> Option<&'a RowReading> {
     readings
         .iter()
         .find(|reading| reading.service == key.service && reading.region == key.region)
-        .filter(|reading| reading.age_ms <= MAX_AGE_MS)
+        .filter(|reading| reading.age_ms <= MAX_READING_AGE_MS)
 }
 
-fn is_whole(reading: &RowReading) -> bool {
+fn is_complete(reading: &RowReading) -> bool {
     reading.running.is_some() && reading.shifted.is_some() && reading.slots.is_some()
 }
 
-fn find(key: &RowKey, values: &RowValues, reading: &RowReading, findings: &mut Vec<Finding>) {
+fn find_dangers(
+    key: &RowKey,
+    values: &RowValues,
+    reading: &RowReading,
+    findings: &mut Vec<Finding>,
+) {
     let mut add = |danger, reason| {
         findings.push(Finding {
             danger,
--- a/crates/operator/src/server/access.rs
+++ b/crates/operator/src/server/access.rs
@@ -1,4 +1,4 @@
-//! Who asks, and whether they may.
+//! Authentication and authorisation of operators.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 use super::reply::{Refusal, refuse};
 use crate::OPERATOR_HEADER;
 
-/// Shortest time between two lines about strangers.
-const DOOR_LOG_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines about rejected clients.
+const REJECTION_LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// Name of a loopback client that gives none.
+/// Name of a client on the loopback that gives none.
 const ANONYMOUS: &str = "local";
 
 /// An authenticated operator.
@@ -39,13 +39,13 @@
         Err(refuse(ResultCode::RoleTooLow, message))
     }
 
-    /// Whether all of the edits are of services of the operator's team.
+    /// Fails if an edit is of a service that the operator's token doesn't allow.
     pub(super) fn require_services(&self, edits: &[Edit]) -> Result<(), Refusal> {
         let Some(services) = &self.services else {
             return Ok(());
         };
-        let mut foreign = edits.iter().map(|edit| &edit.key.service);
-        match foreign.find(|service| !services.contains(*service)) {
+        let mut services_edited = edits.iter().map(|edit| &edit.key.service);
+        match services_edited.find(|service| !services.contains(*service)) {
             None => Ok(()),
             Some(service) => {
                 let message = format!("{} may not change {service}", self.actor.name);
@@ -54,39 +54,39 @@
         }
     }
 
-    /// Whether the operator is limited to no service.
+    /// Fails if the operator's token is limited to some services.
     pub(super) fn require_all_services(&self) -> Result<(), Refusal> {
         if self.services.is_none() {
             return Ok(());
         }
-        let message = "control replicas are changed by operators of all services only";
+        let message = "only operators of all services may change the group of control replicas";
         Err(refuse(ResultCode::ServiceNotAllowed, message))
     }
 }
 
-/// Keeps the log's record of strangers from growing with their number: one line a
-/// period, with the count of those since the last.
+/// Limits the rate of log lines about rejected clients: one line per period, with the
+/// number of rejections since the last line.
 #[derive(Debug, Default)]
-pub(super) struct DoorLog(Mutex<DoorCount>);
+pub(super) struct RejectionLog(Mutex<RejectionCount>);
 
 #[derive(Debug, Default)]
-struct DoorCount {
-    written: Option<Instant>,
-    since: u64,
+struct RejectionCount {
+    last_logged: Option<Instant>,
+    unlogged: u64,
 }
 
-impl DoorLog {
-    fn refused(&self, peer: SocketAddr, refusal: &Refusal) {
+impl RejectionLog {
+    fn record(&self, peer: SocketAddr, refusal: &Refusal) {
         let mut count = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        count.since += 1;
+        count.unlogged += 1;
         let now = Instant::now();
-        let is_due = |written: Instant| now - written >= DOOR_LOG_PERIOD;
-        if count.written.is_none_or(is_due) {
-            let (refused, code) = (count.since, refusal.code.number());
-            warn!(peer:% = peer, refused, result = code; "not let in: {}", refusal.message);
-            *count = DoorCount {
-                written: Some(now),
-                since: 0,
+        let is_due = |last_logged: Instant| now - last_logged >= REJECTION_LOG_PERIOD;
+        if count.last_logged.is_none_or(is_due) {
+            let (refused, code) = (count.unlogged, refusal.code.number());
+            warn!(peer:% = peer, refused, result = code; "request rejected: {}", refusal.message);
+            *count = RejectionCount {
+                last_logged: Some(now),
+                unlogged: 0,
             };
         }
     }
@@ -99,21 +99,21 @@
 ) -> Result<Operator, Refusal> {
     let result = identify(shared, peer, headers);
     if let Err(refusal) = &result {
-        shared.door_log.refused(peer, refusal);
+        shared.rejection_log.record(peer, refusal);
     }
     result
 }
 
 fn identify(shared: &Shared, peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
-    // A page in a browser on an operator's machine can reach the loopback, but can't
-    // hide where it comes from.
+    // A web page in a browser on an operator's machine can reach the loopback, but the
+    // browser adds the `Origin` header, which the page can't remove.
     if headers.contains_key(ORIGIN) {
         let message = "requests of web pages are not served";
         return Err(refuse(ResultCode::LoopbackOnly, message));
     }
     match &shared.tokens {
         Some(source) => {
-            let secret = bearer(headers)?;
+            let secret = bearer_token(headers)?;
             let grant = source
                 .current()
                 .find(secret)
@@ -126,11 +126,11 @@
                 services: grant.services.clone(),
             })
         }
-        None => loopback(peer, headers),
+        None => authenticate_loopback(peer, headers),
     }
 }
 
-fn bearer(headers: &HeaderMap) -> Result<&str, Refusal> {
+fn bearer_token(headers: &HeaderMap) -> Result<&str, Refusal> {
     let missing = || refuse(ResultCode::TokenMissing, "a bearer token is needed");
     let value = headers.get(AUTHORIZATION).ok_or_else(missing)?;
     let (scheme, secret) = value
@@ -144,7 +144,7 @@
     Ok(secret.trim())
 }
 
-fn loopback(peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
+fn authenticate_loopback(peer: SocketAddr, headers: &HeaderMap) -> Result<Operator, Refusal> {
     if !peer.ip().to_canonical().is_loopback() {
         let message = "no tokens file is set, so only clients on the loopback are served";
         return Err(refuse(ResultCode::LoopbackOnly, message));
--- a/crates/table/src/sheet.rs
+++ b/crates/table/src/csv_file.rs
@@ -1,11 +1,11 @@
-//! The table as a CSV file, to be edited in any spreadsheet.
+//! The table as a CSV file that can be edited in any spreadsheet.
 //!
-//! An export carries two columns that are not for editing: `revision`, so that the
-//! check for conflicts works after hours of editing, and `was`, the values at the time
-//! of the export, so that only rows that the operator edited become edits, however many
-//! others have changed meanwhile. A row that is missing from the file is left alone: a
-//! filtered or truncated sheet must not remove rows. To remove one, `action` says
-//! `remove`.
+//! An export has two columns that are not for editing: `revision`, which detects
+//! conflicts even after hours of editing, and `was`, the values at the time of the
+//! export, so that only rows that the operator edited become edits, even if other rows
+//! have changed in the meantime. A row that is missing from the file stays unchanged,
+//! because a filtered or truncated file must not remove rows. To remove a row, set
+//! `action` to `remove`.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 
 use crate::{Objective, Row, RowKey, RowValues};
 
-/// The columns, in the order of an export. A sheet that is read may have them in any.
+/// The columns in the order of an export. A file that is read may have them in any order.
 const COLUMNS: [&str; 9] = [
     "service",
     "region",
@@ -29,79 +29,79 @@
     "action",
 ];
 
-/// Columns that a sheet can't do without.
-const NEEDED: usize = 6;
+/// Number of leading entries of [`COLUMNS`] that a file must have.
+const REQUIRED_COLUMNS: usize = 6;
 
-const REMOVE: &str = "remove";
+const REMOVE_ACTION: &str = "remove";
 
-/// Largest sheet that is read, in bytes.
-pub const MAX_SHEET_BYTES: usize = 8 << 20;
+/// Maximum size of a file that is read, in bytes.
+pub const MAX_CSV_BYTES: usize = 8 << 20;
 
-/// What a line of a sheet asks for.
+/// The requested state of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SheetAction {
-    /// The row is to have these values.
+pub enum CsvAction {
+    /// Set the row to these values.
     Set(RowValues),
-    /// The row is to go.
+    /// Remove the row.
     Remove,
 }
 
-/// A line of a sheet.
+/// A parsed line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SheetRow {
-    /// Its line number in the file, from 1.
+pub struct CsvRow {
+    /// Line number in the file, from 1.
     pub line: u64,
     /// The row.
     pub key: RowKey,
-    /// What it asks for.
-    pub action: SheetAction,
+    /// The requested state of the row.
+    pub action: CsvAction,
     /// Revision at the export; `None` for a line that the operator added.
     pub revision: Option<Revision>,
-    /// Values at the export, if the column is still there.
+    /// Values at the export; `None` if the column is missing or the cell is empty.
     pub was: Option<RowValues>,
 }
 
-/// All that is wrong with a sheet.
+/// All faults of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("{} lines of the sheet can't be read", faults.len()))]
-pub struct SheetError {
-    /// Line number, from 1, and what is wrong with the line.
+pub struct CsvError {
+    /// Line number, from 1, and the fault of the line.
     pub faults: Vec<(u64, String)>,
 }
 
-/// A sheet that can't be written.
+/// Writing a CSV file failed.
 #[derive(Debug)]
 #[derive(Snafu)]
-pub enum SheetWriteError {
+pub enum CsvWriteError {
     /// A line can't be written.
     #[snafu(display("can't write the sheet"))]
     Line {
-        /// The writer's word.
+        /// Error of the CSV writer.
         source: csv::Error,
     },
     /// The last lines can't be written.
     #[snafu(display("can't write the end of the sheet"))]
     End {
-        /// The system's word.
+        /// Error of the target.
         source: io::Error,
     },
 }
 
-/// Writes rows as a sheet.
+/// Writes rows as CSV.
 ///
 /// # Errors
 ///
-/// Fails if the target does.
-pub fn write_sheet<'a>(
+/// Fails if writing to the target fails.
+pub fn write_csv<'a>(
     rows: impl IntoIterator<Item = (&'a RowKey, Row)>,
     target: impl io::Write,
-) -> Result<(), SheetWriteError> {
+) -> Result<(), CsvWriteError> {
     let mut writer = Writer::from_writer(target);
     writer.write_record(COLUMNS).context(LineSnafu)?;
     for (key, row) in rows {
         let values = row.values;
-        let cells = [
+        let fields = [
             key.service.to_string(),
             key.region.to_string(),
             values.weight.to_string(),
@@ -112,13 +112,13 @@
             format_was(&values),
             String::new(),
         ];
-        writer.write_record(cells).context(LineSnafu)?;
+        writer.write_record(fields).context(LineSnafu)?;
     }
     writer.flush().context(EndSnafu)
 }
 
-// Words with blanks between: a spreadsheet takes them for text, where it would take
-// `40/3` for a date.
+// Separated by spaces, so that a spreadsheet treats the value as text; it would read
+// `40/3` as a date.
 fn format_was(values: &RowValues) -> String {
     let RowValues {
         weight,
@@ -142,13 +142,13 @@
     })
 }
 
-/// Reads a sheet, separated by commas, semicolons or tabs, as its first line shows:
-/// spreadsheets write what the user's country writes.
+/// Parses a CSV file. The separator (comma, semicolon or tab) is detected from the first
+/// line, because spreadsheets choose it by the user's locale.
 ///
 /// # Errors
 ///
-/// Names every bad line, not only the first, so that one pass mends them all.
-pub fn read_sheet(text: &str) -> Result<Vec<SheetRow>, SheetError> {
+/// Returns the faults of all lines, so that they can be corrected at once.
+pub fn read_csv(text: &str) -> Result<Vec<CsvRow>, CsvError> {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let first = text.lines().next().unwrap_or_default();
     let mut reader = ReaderBuilder::new()
@@ -157,33 +157,33 @@
         .trim(csv::Trim::All)
         .from_reader(text.as_bytes());
     let header = reader.headers().cloned().unwrap_or_default();
-    let columns = Columns::find(&header).map_err(|faults| SheetError { faults })?;
+    let columns = Columns::find(&header).map_err(|faults| CsvError { faults })?;
     let mut rows = Vec::new();
     let mut faults = Vec::new();
-    let mut seen = BTreeMap::new();
+    let mut line_of_row = BTreeMap::new();
     for record in reader.records() {
         match record {
             Ok(record) => match columns.parse(&record) {
                 Ok(None) => {}
                 Ok(Some(row)) => {
-                    if let Some(first) = seen.insert(row.key.clone(), row.line) {
-                        let fault = format!("{} is on line {first} already", row.key);
+                    if let Some(first) = line_of_row.insert(row.key.clone(), row.line) {
+                        let fault = format!("{} is already on line {first}", row.key);
                         faults.push((row.line, fault));
                     }
                     rows.push(row);
                 }
-                Err(found) => faults.extend(found),
+                Err(row_faults) => faults.extend(row_faults),
             },
             Err(e) => {
                 let line = e.position().map_or(0, csv::Position::line);
-                faults.push((line, "is no text in UTF-8".to_owned()));
+                faults.push((line, "is not valid UTF-8".to_owned()));
             }
         }
     }
     if faults.is_empty() {
         Ok(rows)
     } else {
-        Err(SheetError { faults })
+        Err(CsvError { faults })
     }
 }
 
@@ -195,31 +195,31 @@
         .map_or(b',', |delimiter| delimiter as u8)
 }
 
-/// Where each column stands.
+/// Position in the file of each of [`COLUMNS`]; `None` for a missing one.
 struct Columns([Option<usize>; COLUMNS.len()]);
 
 impl Columns {
     fn find(header: &StringRecord) -> Result<Self, Vec<(u64, String)>> {
-        let mut places = [None; COLUMNS.len()];
+        let mut positions = [None; COLUMNS.len()];
         let mut faults = Vec::new();
-        for (place, name) in header.iter().enumerate() {
+        for (position, name) in header.iter().enumerate() {
             match COLUMNS.iter().position(|column| *column == name) {
-                Some(column) if places[column].is_some() => {
-                    faults.push((1, format!("the column `{name}` is there twice")));
+                Some(column) if positions[column].is_some() => {
+                    faults.push((1, format!("the column `{name}` appears twice")));
                 }
-                Some(column) => places[column] = Some(place),
+                Some(column) => positions[column] = Some(position),
                 // A spreadsheet may leave empty columns at the end.
                 None if name.is_empty() => {}
-                None => faults.push((1, format!("there is no column `{name}`"))),
+                None => faults.push((1, format!("unknown column `{name}`"))),
             }
         }
-        for (column, place) in COLUMNS.iter().zip(&places).take(NEEDED) {
-            if place.is_none() {
+        for (column, position) in COLUMNS.iter().zip(&positions).take(REQUIRED_COLUMNS) {
+            if position.is_none() {
                 faults.push((1, format!("the column `{column}` is missing")));
             }
         }
         if faults.is_empty() {
-            Ok(Self(places))
+            Ok(Self(positions))
         } else {
             Err(faults)
         }
@@ -227,41 +227,41 @@
 
     fn cell<'a>(&self, record: &'a StringRecord, column: usize) -> &'a str {
         self.0[column]
-            .and_then(|place| record.get(place))
+            .and_then(|position| record.get(position))
             .unwrap_or_default()
     }
 
     /// `None` for an empty line.
-    fn parse(&self, record: &StringRecord) -> Result<Option<SheetRow>, Vec<(u64, String)>> {
+    fn parse(&self, record: &StringRecord) -> Result<Option<CsvRow>, Vec<(u64, String)>> {
         if record.iter().all(str::is_empty) {
             return Ok(None);
         }
         let line = record.position().map_or(0, csv::Position::line);
-        let mut cells = Cells {
+        let mut reader = FieldReader {
             columns: self,
             record,
             line,
             faults: Vec::new(),
         };
-        let row = cells.row();
+        let row = reader.row();
         match row {
-            Some(row) if cells.faults.is_empty() => Ok(Some(row)),
-            _ => Err(cells.faults),
+            Some(row) if reader.faults.is_empty() => Ok(Some(row)),
+            _ => Err(reader.faults),
         }
     }
 }
 
-/// One line while it is being read.
-struct Cells<'a> {
+/// Parses the fields of one line and collects their faults.
+struct FieldReader<'a> {
     columns: &'a Columns,
     record: &'a StringRecord,
     line: u64,
     faults: Vec<(u64, String)>,
 }
 
-impl Cells<'_> {
-    // Every cell is read before any is used, so that all faults of a line show at once.
-    fn row(&mut self) -> Option<SheetRow> {
+impl FieldReader<'_> {
+    // Every field is read before any is used, so that all faults of a line are reported.
+    fn row(&mut self) -> Option<CsvRow> {
         let service = self.read::<ServiceName>(0);
         let region = self.read::<Region>(1);
         let weight = self.read::<u32>(2);
@@ -281,13 +281,13 @@
             shift_cap: shift_cap?,
             objective: objective?,
         };
-        Some(SheetRow {
+        Some(CsvRow {
             line: self.line,
             key,
             action: if remove {
-                SheetAction::Remove
+                CsvAction::Remove
             } else {
-                SheetAction::Set(values)
+                CsvAction::Set(values)
             },
             revision,
             was,
@@ -298,7 +298,7 @@
         self.columns.cell(self.record, column)
     }
 
-    fn fault(&mut self, fault: String) {
+    fn add_fault(&mut self, fault: String) {
         self.faults.push((self.line, fault));
     }
 
@@ -308,7 +308,7 @@
             Err(e) => {
                 let text = self.text(column);
                 let fault = format!("`{}` is `{text}`: {e}", COLUMNS[column]);
-                self.fault(fault);
+                self.add_fault(fault);
                 None
             }
         }
@@ -329,7 +329,7 @@
         let was = parse_was(text);
         if was.is_none() {
             let fault = format!("`was` is `{text}`: it is not for editing");
-            self.fault(fault);
+            self.add_fault(fault);
         }
         was
     }
@@ -337,15 +337,15 @@
     fn is_removal(&mut self) -> bool {
         match self.text(8) {
             "" => false,
-            REMOVE => {
+            REMOVE_ACTION => {
                 if self.text(6).is_empty() {
-                    self.fault("a row without a revision can't be removed".to_owned());
+                    self.add_fault("a row without a revision can't be removed".to_owned());
                 }
                 true
             }
             text => {
-                let fault = format!("`action` is `{text}`: it may be `{REMOVE}` or empty");
-                self.fault(fault);
+                let fault = format!("`action` is `{text}`: it may be `{REMOVE_ACTION}` or empty");
+                self.add_fault(fault);
                 false
             }
         }
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -1,113 +1,118 @@
-//! Rules that an act has to keep before anything else is looked at.
+//! Validation of commands that doesn't depend on the table's content.
 
 use std::collections::BTreeSet;
 
 use snafu::{Snafu, ensure};
 
-use crate::{Act, Change, Command, RowKey};
+use crate::{Change, Command, Operation, RowKey};
 
-/// Most edited rows in one change.
+/// Maximum number of edited rows in one change.
 pub const MAX_EDITS: usize = 1024;
 
-/// Most rows in the table.
+/// Maximum number of rows in the table.
 pub const MAX_ROWS: usize = 2048;
 
-/// Removed rows whose last revision is kept one by one; see
+/// Maximum number of removed rows whose last revision is kept individually; see
 /// [`Table::revision`](crate::Table::revision).
-pub const MAX_REMOVED: usize = 1024;
+pub const MAX_REMOVED_ROWS: usize = 1024;
 
-/// Most control replicas with known addresses, those being replaced included.
+/// Maximum number of control replicas with registered addresses, including those being
+/// replaced.
 pub const MAX_REPLICAS: usize = 16;
 
-/// Longest note, in bytes.
+/// Maximum length of a note, in bytes.
 pub const MAX_NOTE_BYTES: usize = 1000;
 
-/// Longest name of an actor, in bytes.
+/// Maximum length of an actor's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Most findings that a command carries; more would say nothing new.
+/// Maximum number of findings in a command.
 pub(crate) const MAX_FINDINGS: usize = 64;
 
-/// A rule that a command breaks by itself, whatever the table holds.
+/// A rule that a command breaks regardless of the table's content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum RuleError {
-    /// Nobody, or a name that can't be shown.
+    /// The actor's name is empty, too long or has control characters.
     #[snafu(display("the operator's name needs 1 to {MAX_NAME_BYTES} bytes of text"))]
-    Name,
-    /// More findings than say anything new.
+    InvalidName,
+    /// The command has too many findings.
     #[snafu(display("more than {MAX_FINDINGS} findings"))]
-    Findings,
+    TooManyFindings,
     /// The note is too long.
     #[snafu(display("the note is longer than {MAX_NOTE_BYTES} bytes"))]
-    NoteLength,
-    /// The note could rewrite a terminal or a log.
+    NoteTooLong,
+    /// The note has control characters, which could rewrite a terminal or a log.
     #[snafu(display("the note holds control characters"))]
-    NoteText,
-    /// A hand-over says nothing.
+    NoteHasControlChars,
+    /// A hand-over has an empty note.
     #[snafu(display("a hand-over needs a note"))]
-    NoteMissing,
+    MissingNote,
     /// The change has no edit.
     #[snafu(display("the change edits no row"))]
-    NoEdit,
+    NoEdits,
     /// The change has too many edits.
     #[snafu(display("the change edits more than {MAX_EDITS} rows"))]
     TooManyEdits,
-    /// A row is edited twice.
+    /// A row is edited more than once.
     #[snafu(display("the change edits {key} twice"))]
-    EditedTwice {
+    DuplicateRow {
         /// The row.
         key: RowKey,
     },
 }
 
 impl Command {
-    /// Checks the rules that a command has to keep whatever the table holds.
+    /// Checks the rules that don't depend on the table's content.
     ///
-    /// The table checks them again. Whoever takes commands in checks them first, so that
-    /// what can't be accepted takes no room in the log and the history.
+    /// The administration API calls this before it submits a command, so that invalid
+    /// commands take no space in the log and the history. The table checks again when it
+    /// applies the command.
     ///
     /// # Errors
     ///
-    /// Names the first rule that it breaks.
+    /// Returns the first rule that the command breaks.
     pub fn check(&self) -> Result<(), RuleError> {
         check_actor(&self.actor.name)?;
-        ensure!(self.findings.len() <= MAX_FINDINGS, FindingsSnafu);
-        match &self.act {
-            Act::Change(change) | Act::Propose { change, .. } => check_change(change),
-            Act::Review { note, .. } | Act::Accept { note, .. } | Act::Withdraw { note, .. } => {
+        ensure!(self.findings.len() <= MAX_FINDINGS, TooManyFindingsSnafu);
+        match &self.operation {
+            Operation::Change(change) | Operation::Propose { change, .. } => check_change(change),
+            Operation::Review { note, .. }
+            | Operation::Accept { note, .. }
+            | Operation::Withdraw { note, .. } => check_note(note),
+            Operation::HandOver { note } => {
+                ensure!(!note.trim().is_empty(), MissingNoteSnafu);
                 check_note(note)
             }
-            Act::HandOver { note } => {
-                ensure!(!note.trim().is_empty(), NoteMissingSnafu);
-                check_note(note)
-            }
-            Act::RegisterReplica(_) | Act::ForgetReplica(_) => Ok(()),
+            Operation::RegisterReplica(_) | Operation::ForgetReplica(_) => Ok(()),
         }
     }
 }
 
 fn check_actor(name: &str) -> Result<(), RuleError> {
     let is_short = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    ensure!(is_short && !name.chars().any(char::is_control), NameSnafu);
+    ensure!(
+        is_short && !name.chars().any(char::is_control),
+        InvalidNameSnafu
+    );
     Ok(())
 }
 
 fn check_note(note: &str) -> Result<(), RuleError> {
-    ensure!(note.len() <= MAX_NOTE_BYTES, NoteLengthSnafu);
+    ensure!(note.len() <= MAX_NOTE_BYTES, NoteTooLongSnafu);
     let is_plain = |c: char| !c.is_control() || c == '\n';
-    ensure!(note.chars().all(is_plain), NoteTextSnafu);
+    ensure!(note.chars().all(is_plain), NoteHasControlCharsSnafu);
     Ok(())
 }
 
 fn check_change(change: &Change) -> Result<(), RuleError> {
     check_note(&change.note)?;
-    ensure!(!change.edits.is_empty(), NoEditSnafu);
+    ensure!(!change.edits.is_empty(), NoEditsSnafu);
     ensure!(change.edits.len() <= MAX_EDITS, TooManyEditsSnafu);
     let mut keys = BTreeSet::new();
     for edit in &change.edits {
         let key = &edit.key;
-        ensure!(keys.insert(key), EditedTwiceSnafu { key: key.clone() });
+        ensure!(keys.insert(key), DuplicateRowSnafu { key: key.clone() });
     }
     Ok(())
 }
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine itself.
+//! The replicated state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,37 +8,38 @@
 use crate::handover::HandOvers;
 use crate::history::History;
 use crate::proposal::{MAX_REVIEWS, Proposals};
-use crate::rules::{MAX_REMOVED, MAX_REPLICAS, MAX_ROWS};
+use crate::rules::{MAX_REMOVED_ROWS, MAX_REPLICAS, MAX_ROWS};
 use crate::{
-    Act, Change, Command, Conflict, Danger, Difference, Edit, Finding, HandOver, Origin, Outcome,
-    Proposal, ProposalNumber, ProposalState, Record, ReplicaInfo, Review, Row, RowKey, Verdict,
-    View, danger,
+    Change, Command, Conflict, Danger, Difference, Edit, Finding, HandOver, Operation, Origin,
+    Outcome, Proposal, ProposalNumber, ProposalState, Record, ReplicaInfo, Review, Row, RowKey,
+    Verdict, View, danger,
 };
 
-/// The table at one version, with all that operators have on record around it.
+/// The table at one version, with its history, proposals, hand-overs and the addresses
+/// of the control replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
     version: Version,
     rows: BTreeMap<RowKey, Row>,
-    /// Last touch of each row, also of those removed since.
+    /// Last change of each row, including the most recently removed rows.
     origins: BTreeMap<RowKey, Origin>,
-    /// Highest revision of a removed row that `origins` has let go.
-    floor: Revision,
+    /// Highest revision of the removed rows that are no longer in `origins`.
+    absent_revision: Revision,
     history: History,
     proposals: Proposals,
     handovers: HandOvers,
     replicas: BTreeMap<ReplicaId, ReplicaInfo>,
 }
 
-/// What a change may do, all checks done.
+/// Result of the checks of a change.
 enum Decision {
-    Install,
-    Refuse(Outcome),
+    Apply,
+    Reject(Outcome),
 }
 
 impl Table {
-    /// Number of accepted changes that made this state.
+    /// Number of accepted changes so far.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -48,7 +49,7 @@
         &self.rows
     }
 
-    /// The rows in force, to be spread.
+    /// The rows, as sent to the nodes that steer by them.
     pub fn view(&self) -> View {
         View {
             version: self.version,
@@ -56,25 +57,26 @@
         }
     }
 
-    /// Revision that an edit of this row has to name.
+    /// Revision that an edit of this row has to expect.
     ///
-    /// A row that was removed keeps its revision, and one that was never there has the
-    /// highest revision of the removed rows that are no longer kept one by one. So it
-    /// never goes down, and an old "make this row" that comes in again after the row
-    /// was removed conflicts instead of making the row a second time.
+    /// A removed row keeps its revision as long as it is among the last
+    /// [`MAX_REMOVED_ROWS`] removed; any other absent row has the highest revision of
+    /// the removed rows that are no longer kept. So the revision never decreases, and a
+    /// late resend of a row's creation after its removal conflicts instead of creating
+    /// the row again.
     pub fn revision(&self, key: &RowKey) -> Revision {
         match self.origins.get(key) {
             Some(origin) => origin.revision,
-            None => self.floor,
+            None => self.absent_revision,
         }
     }
 
-    /// Who last touched a row, removed or not, if that is on record.
+    /// Last change of a row, which may have been removed; `None` if it isn't kept.
     pub fn origin(&self, key: &RowKey) -> Option<&Origin> {
         self.origins.get(key)
     }
 
-    /// Removed rows whose last touch is still on record.
+    /// Removed rows whose last change is still kept.
     pub fn removed(&self) -> impl Iterator<Item = (&RowKey, &Origin)> {
         self.origins
             .iter()
@@ -83,10 +85,10 @@
 
     /// Revision of a row that is neither in the table nor in [`Table::removed`].
     pub fn absent_revision(&self) -> Revision {
-        self.floor
+        self.absent_revision
     }
 
-    /// Past commands, the oldest first.
+    /// Kept records of processed commands, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Record> + ExactSizeIterator {
         self.history.iter()
     }
@@ -96,17 +98,17 @@
         self.proposals.open()
     }
 
-    /// The last closed proposals, the oldest first.
+    /// The last closed proposals, oldest first.
     pub fn closed_proposals(&self) -> impl DoubleEndedIterator<Item = &Proposal> {
         self.proposals.closed()
     }
 
-    /// A proposal, open or lately closed.
+    /// A proposal that is open or among the last closed ones.
     pub fn proposal(&self, number: ProposalNumber) -> Option<&Proposal> {
         self.proposals.get(number)
     }
 
-    /// The last hand-overs, the oldest first.
+    /// The last hand-overs, oldest first.
     pub fn handovers(&self) -> impl DoubleEndedIterator<Item = &HandOver> {
         self.handovers.iter()
     }
@@ -116,7 +118,7 @@
         &self.replicas
     }
 
-    /// The rows of these edits that have moved on since their author saw them.
+    /// Conflicts of those edits whose expected revision isn't the current one.
     pub fn conflicts(&self, edits: &[Edit]) -> Vec<Conflict> {
         edits
             .iter()
@@ -124,15 +126,15 @@
             .collect()
     }
 
-    /// Dangers of these edits that show in the rows alone.
+    /// Dangers of these edits that follow from the rows alone.
     pub fn dangers(&self, edits: &[Edit]) -> Vec<Finding> {
         danger::find(&self.rows, edits)
     }
 
     /// Applies a command from the log.
     ///
-    /// A command whose id is on record isn't applied again: it gets the outcome of its
-    /// first time, so that an operator who lost the answer may resend it at will.
+    /// A command whose id is in the history isn't applied again but returns its first
+    /// outcome, so that an operator who got no answer can safely resend it.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         if let Some(earlier) = self.history.find(command) {
             return if earlier.command.is_resend(command) {
@@ -143,7 +145,7 @@
         }
         let mut differences = Vec::new();
         let outcome = match command.check() {
-            Ok(()) => self.act(command, &mut differences),
+            Ok(()) => self.execute(command, &mut differences),
             Err(rule) => Outcome::Invalid {
                 reason: rule.to_string(),
             },
@@ -152,22 +154,22 @@
         outcome
     }
 
-    fn act(&mut self, command: &Command, differences: &mut Vec<Difference>) -> Outcome {
-        match &command.act {
-            Act::Change(change) => self.change(command, change, &change.allow, differences),
-            Act::Propose { change, supersedes } => self.propose(command, change, *supersedes),
-            Act::Review {
+    fn execute(&mut self, command: &Command, differences: &mut Vec<Difference>) -> Outcome {
+        match &command.operation {
+            Operation::Change(change) => self.change(command, change, &change.allow, differences),
+            Operation::Propose { change, supersedes } => self.propose(command, change, *supersedes),
+            Operation::Review {
                 proposal,
                 verdict,
                 note,
             } => self.review(command, *proposal, *verdict, note),
-            Act::Accept {
+            Operation::Accept {
                 proposal, allow, ..
             } => self.accept(command, *proposal, allow, differences),
-            Act::Withdraw { proposal, .. } => self.withdraw(command, *proposal),
-            Act::HandOver { note } => self.hand_over(command, note),
-            Act::RegisterReplica(info) => self.register(info),
-            Act::ForgetReplica(id) => {
+            Operation::Withdraw { proposal, .. } => self.withdraw(command, *proposal),
+            Operation::HandOver { note } => self.hand_over(command, note),
+            Operation::RegisterReplica(info) => self.register(info),
+            Operation::ForgetReplica(id) => {
                 self.replicas.remove(id);
                 Outcome::Recorded
             }
@@ -182,10 +184,10 @@
         differences: &mut Vec<Difference>,
     ) -> Outcome {
         match self.decide(command, change, allow) {
-            Decision::Refuse(outcome) => outcome,
-            Decision::Install => {
+            Decision::Reject(outcome) => outcome,
+            Decision::Apply => {
                 *differences = self.differences(&change.edits);
-                let version = self.install(command, &change.edits);
+                let version = self.apply_edits(command, &change.edits);
                 Outcome::Accepted { version }
             }
         }
@@ -205,8 +207,8 @@
         if !self.proposals.has_room(change.edits.len(), supersedes) {
             return Outcome::TooManyProposals;
         }
-        // Refused now rather than at acceptance: the author is still at their desk.
-        if let Decision::Refuse(outcome) = self.decide(command, change, &change.allow) {
+        // Checked now and not only at acceptance, while the author can still correct it.
+        if let Decision::Reject(outcome) = self.decide(command, change, &change.allow) {
             return outcome;
         }
         let author = &command.actor.name;
@@ -255,7 +257,7 @@
         let Some(proposal) = self.proposals.get_open(number) else {
             return self.proposal_unknown(number);
         };
-        // Going without a review can be allowed for; going against one can't.
+        // A missing review can be waived, a rejection can't.
         let rejected_by: Vec<_> = proposal.rejected_by().map(str::to_owned).collect();
         let waived = rejected_by.is_empty() && allow.contains(&Danger::OwnReview);
         if !proposal.is_approved() && !waived {
@@ -313,33 +315,33 @@
     fn decide(&self, command: &Command, change: &Change, allow: &BTreeSet<Danger>) -> Decision {
         let conflicts = self.conflicts(&change.edits);
         if !conflicts.is_empty() {
-            return Decision::Refuse(Outcome::Conflict { conflicts });
+            return Decision::Reject(Outcome::Conflict { conflicts });
         }
-        if self.rows_after(&change.edits) > MAX_ROWS {
+        if self.row_count_after(&change.edits) > MAX_ROWS {
             let reason = format!("the table would have more than {MAX_ROWS} rows");
-            return Decision::Refuse(Outcome::Invalid { reason });
+            return Decision::Reject(Outcome::Invalid { reason });
         }
         let mut findings = self.dangers(&change.edits);
         findings.extend(command.findings.iter().cloned());
         findings.retain(|finding| !allow.contains(&finding.danger));
         if !findings.is_empty() {
-            return Decision::Refuse(Outcome::Dangerous { findings });
+            return Decision::Reject(Outcome::Dangerous { findings });
         }
-        Decision::Install
+        Decision::Apply
     }
 
-    fn rows_after(&self, edits: &[Edit]) -> usize {
+    fn row_count_after(&self, edits: &[Edit]) -> usize {
         let is_new = |edit: &&Edit| edit.set.is_some() && !self.rows.contains_key(&edit.key);
         self.rows.len() + edits.iter().filter(is_new).count()
     }
 
     fn conflict(&self, edit: &Edit) -> Option<Conflict> {
         let revision = self.revision(&edit.key);
-        // Nobody can have seen a removal of a row that was never there.
+        // Removing a row that doesn't exist conflicts even with a matching revision.
         let nothing_to_remove = edit.set.is_none() && !self.rows.contains_key(&edit.key);
-        (revision != edit.seen || nothing_to_remove).then(|| Conflict {
+        (revision != edit.expected_revision || nothing_to_remove).then(|| Conflict {
             key: edit.key.clone(),
-            seen: edit.seen,
+            expected_revision: edit.expected_revision,
             wanted: edit.set,
             current: self.rows.get(&edit.key).copied(),
             revision,
@@ -358,7 +360,7 @@
             .collect()
     }
 
-    fn install(&mut self, command: &Command, edits: &[Edit]) -> Version {
+    fn apply_edits(&mut self, command: &Command, edits: &[Edit]) -> Version {
         self.version = self.version.next();
         let revision = Revision(self.version.0);
         for edit in edits {
@@ -381,19 +383,20 @@
         self.version
     }
 
-    /// Lets the oldest removed rows go, and raises the floor to their revisions.
+    /// Drops the origins of the oldest removed rows above [`MAX_REMOVED_ROWS`], and raises
+    /// `absent_revision` to their revisions.
     fn forget_removed(&mut self) {
         let mut removed: Vec<_> = self
             .removed()
             .map(|(key, origin)| (origin.revision, key.clone()))
             .collect();
-        let Some(excess) = removed.len().checked_sub(MAX_REMOVED) else {
+        let Some(excess) = removed.len().checked_sub(MAX_REMOVED_ROWS) else {
             return;
         };
         removed.sort();
         for (revision, key) in removed.drain(..excess) {
             self.origins.remove(&key);
-            self.floor = self.floor.max(revision);
+            self.absent_revision = self.absent_revision.max(revision);
         }
     }
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use filberthead_operator::{Answer, ClientError, ConflictBody};
-use filberthead_table::SheetError;
+use filberthead_table::CsvError;
 use filberthead_types::{ChangeId, ResultCode};
 use serde_json::json;
 
@@ -40,7 +40,7 @@
     /// The command line can't be used.
     Usage(String),
     /// A CSV file has invalid lines.
-    Csv { file: String, error: SheetError },
+    Csv { file: String, error: CsvError },
     /// The API refused the request.
     Refused(Box<Answer>),
     /// The client got no usable answer. `id` is the change id of an act, `None` for a read.
--- a/src/cli/table/csv.rs
+++ b/src/cli/table/csv.rs
@@ -8,7 +8,7 @@
     ConflictBody, DifferenceBody, EditBody, ProposalBody, RemovedBody, RowBody, TableBody,
 };
 use filberthead_table::{
-    MAX_SHEET_BYTES, Row, RowKey, RowValues, SheetAction, SheetRow, read_sheet, write_sheet,
+    CsvAction, CsvRow, MAX_CSV_BYTES, Row, RowKey, RowValues, read_csv, write_csv,
 };
 use filberthead_types::Revision;
 use serde::Serialize;
@@ -42,7 +42,7 @@
 fn write_table(table: &TableBody, target: impl Write) -> Result<()> {
     let rows: Vec<_> = table.rows.iter().map(keyed_row).collect();
     let rows = rows.iter().map(|(key, row)| (key, *row));
-    write_sheet(rows, target).map_err(|e| {
+    write_csv(rows, target).map_err(|e| {
         let cause = std::error::Error::source(&e).map(ToString::to_string);
         CliError::fault(format!("{e}: {}", cause.unwrap_or_default()))
     })
@@ -62,25 +62,25 @@
     Ok(rows.iter().filter_map(|row| to_edit(row, table)).collect())
 }
 
-fn read_rows(path: &str) -> Result<Vec<SheetRow>> {
+fn read_rows(path: &str) -> Result<Vec<CsvRow>> {
     let unreadable = |e: io::Error| CliError::usage(format!("can't read the sheet {path}: {e}"));
     let size = Path::new(path).metadata().map_err(unreadable)?.len();
-    if size > MAX_SHEET_BYTES as u64 {
-        let message = format!("the sheet {path} is over {MAX_SHEET_BYTES} bytes");
+    if size > MAX_CSV_BYTES as u64 {
+        let message = format!("the sheet {path} is over {MAX_CSV_BYTES} bytes");
         return Err(CliError::usage(message));
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    read_sheet(&text).map_err(|error| CliError::Csv {
+    read_csv(&text).map_err(|error| CliError::Csv {
         file: path.to_owned(),
         error,
     })
 }
 
-fn to_edit(row: &SheetRow, table: &TableBody) -> Option<EditBody> {
+fn to_edit(row: &CsvRow, table: &TableBody) -> Option<EditBody> {
     let set = match row.action {
-        SheetAction::Remove => None,
-        SheetAction::Set(values) if is_unedited(row, values, table) => return None,
-        SheetAction::Set(values) => Some(values),
+        CsvAction::Remove => None,
+        CsvAction::Set(values) if is_unedited(row, values, table) => return None,
+        CsvAction::Set(values) => Some(values),
     };
     Some(EditBody {
         service: row.key.service.clone(),
@@ -93,7 +93,7 @@
 
 /// Whether a line is still as it was exported. Without the column `was`, a line that differs
 /// from the table counts as edited: that may cause a conflict, but loses no edit.
-fn is_unedited(row: &SheetRow, values: RowValues, table: &TableBody) -> bool {
+fn is_unedited(row: &CsvRow, values: RowValues, table: &TableBody) -> bool {
     match row.was {
         Some(was) => was == values,
         None => table
@@ -104,7 +104,7 @@
 
 /// The row's revision on which the edit is based. A line that the operator added is based on
 /// no row; if one exists by now, revision 0 makes the edit a conflict.
-fn expected_revision(row: &SheetRow, table: &TableBody) -> Revision {
+fn expected_revision(row: &CsvRow, table: &TableBody) -> Revision {
     match row.revision {
         Some(revision) if revision != Revision::default() => revision,
         _ if table.row(&row.key).is_some() => Revision::default(),
