--- a/crates/filberthead/src/entry/endpoints.rs
+++ b/crates/filberthead/src/entry/endpoints.rs
@@ -1,4 +1,4 @@
-//! The duty that decides where requests go and talks to endpoints.
+//! The duty that selects targets for requests and talks to endpoints.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,33 +19,35 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::carry::{Core, CoreParts, carry};
-use super::incoming::Incoming;
+use super::dispatch::IncomingMessage;
+use super::forward::{Core, CoreParts, forward_call};
 use crate::stop::Stop;
 use crate::{Duty, DutyError};
 
+/// Interval of steering's ticks.
 const TICK: Duration = Duration::from_millis(50);
+/// How often the platform's list is fetched.
 const PLATFORM_PERIOD: Duration = Duration::from_secs(1);
-/// Look-ups are prepared afresh this often, besides on each change, so that they follow
-/// what steering has learned.
+/// How often the answers to look-ups are rebuilt, besides on each change, so that they
+/// follow steering's measurements.
 const DIRECTORY_PERIOD: Duration = Duration::from_secs(1);
-/// How often slots in use are read, for metrics and samples.
+/// How often the slots in use are recorded, for metrics and samples.
 const MEASURE_PERIOD: Duration = Duration::from_millis(500);
-/// A VM that is missing from the list for less may just have been left out by a list
-/// that lags.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// How long a VM must be missing from the platform's list before it is removed; a list
+/// that lags may omit it for less.
+const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 pub(crate) struct EndpointsDuty {
-    /// What requests share.
+    /// Parts of the core that all requests share.
     pub(crate) core: CoreParts,
     /// Settings of the entry.
     pub(crate) cfg: Arc<EntrySettings>,
     /// Requests of callers.
     pub(crate) calls: Receiver<Call>,
-    /// Messages of steering in.
-    pub(crate) rx: Receiver<Incoming>,
-    /// What look-ups are answered from.
+    /// Received steering and quarantine messages.
+    pub(crate) rx: Receiver<IncomingMessage>,
+    /// The prepared answers to look-ups.
     pub(crate) directory: watch::Sender<Arc<Directory>>,
     /// Set when a planned stop begins.
     pub(crate) leaving: watch::Receiver<bool>,
@@ -68,77 +70,78 @@
     let core = Rc::new(Core::new(core));
     let mut cluster = core.cluster.clone();
     let mut ledger = core.ledger.clone();
-    let mut known = Known::new(Rc::clone(&core), cfg, directory);
-    let mut lists = known.poll();
+    let mut state = EndpointsState::new(Rc::clone(&core), cfg, directory);
+    let mut lists = state.start_polling();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut refresh = tokio::time::interval(DIRECTORY_PERIOD);
     refresh.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut measure = tokio::time::interval(MEASURE_PERIOD);
     measure.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    known.endpoints_changed();
-    known.cluster_changed();
+    state.endpoints_changed();
+    state.cluster_changed();
     loop {
         tokio::select! {
             call = calls.recv() => match call {
                 Some(call) => {
-                    tokio::task::spawn_local(carry(Rc::clone(&core), call));
+                    tokio::task::spawn_local(forward_call(Rc::clone(&core), call));
                 }
                 None => return,
             },
             _ = tick.tick() => {
-                known.count_connections();
+                state.report_connections();
                 core.observe(Event::Tick);
             }
             _ = refresh.tick() => {
-                core.tick_suspicion();
-                known.publish();
+                core.tick_quarantine();
+                state.publish();
             }
-            _ = measure.tick() => core.measure(),
+            _ = measure.tick() => core.record_usage(),
             message = rx.recv() => match message {
-                Some(message) => received(&core, message),
+                Some(message) => receive(&core, message),
                 None => return,
             },
-            Ok(()) = cluster.changed() => known.cluster_changed(),
+            Ok(()) = cluster.changed() => state.cluster_changed(),
             Ok(()) = leaving.changed() => core.observe(Event::Stop),
-            Ok(()) = ledger.prefix_changed() => known.publish(),
-            Some(list) = lists.recv() => known.listed(list),
+            Ok(()) = ledger.prefix_changed() => state.publish(),
+            Some(list) = lists.recv() => state.apply_list(list),
             () = stop.wait() => return,
         }
     }
 }
 
-fn received(core: &Rc<Core>, message: Incoming) {
+fn receive(core: &Rc<Core>, message: IncomingMessage) {
     let from = message.origin.name;
     match message.body {
         Body::Steer(message) => core.observe(Event::Received { from, message }),
-        Body::Quarantine(message) => core.heard_of_crash(message),
+        Body::Quarantine(message) => core.receive_quarantine(message),
         _ => {}
     }
 }
 
-/// A VM of the platform's list and when the list last had it.
+/// A VM of the platform's list and the time of the last list that contained it.
 #[derive(Debug)]
-struct Listed {
+struct ListedVm {
     vm: Vm,
-    seen: Instant,
+    last_seen: Instant,
 }
 
-/// What the duty knows of endpoints and entries, and the look-ups made of it.
+/// The known endpoints, from settings and the platform's list, and the directory of
+/// look-up answers built from them and from the live entries.
 #[derive(Debug)]
-struct Known {
+struct EndpointsState {
     core: Rc<Core>,
     cfg: Arc<EntrySettings>,
-    listed: BTreeMap<NodeName, Listed>,
-    /// Where the endpoints are that steering knows.
+    listed: BTreeMap<NodeName, ListedVm>,
+    /// Addresses of the endpoints that steering was last given.
     addresses: Vec<(NodeName, SocketAddr)>,
     directory: watch::Sender<Arc<Directory>>,
-    /// Start that steering has been given the table of. Not read from the cluster when
-    /// look-ups are prepared: that may be ahead of steering.
+    /// Start whose table steering was last given. The start of the current cluster may be
+    /// newer than that, so it isn't used when look-ups are prepared.
     start: Cell<Option<StartNumber>>,
 }
 
-impl Known {
+impl EndpointsState {
     fn new(
         core: Rc<Core>,
         cfg: Arc<EntrySettings>,
@@ -154,12 +157,12 @@
         }
     }
 
-    /// Starts to fetch the platform's list. One list waits at most; fetching pauses
-    /// until it is taken.
-    fn poll(&self) -> tokio::sync::mpsc::Receiver<Vec<Vm>> {
+    /// Starts to fetch the platform's list periodically. The channel holds one list;
+    /// fetching pauses until it is received.
+    fn start_polling(&self) -> tokio::sync::mpsc::Receiver<Vec<Vm>> {
         let (tx, rx) = tokio::sync::mpsc::channel(1);
         let Some(url) = &self.cfg.platform_url else {
-            // Without a list the receiver only ever waits.
+            // Without a platform the receiver waits forever.
             tokio::task::spawn_local(async move { tx.closed().await });
             return rx;
         };
@@ -167,25 +170,28 @@
             Ok(poller) => {
                 tokio::task::spawn_local(fetch(poller, tx));
             }
-            Err(e) => warn!(error:% = e; "the platform's list can't be fetched"),
+            Err(e) => warn!(error:% = e; "can't set up fetching of the platform's list"),
         }
         rx
     }
 
-    fn listed(&mut self, list: Vec<Vm>) {
-        let seen = Instant::now();
+    /// Adds the VMs of a new list, and removes those that were missing for too long.
+    fn apply_list(&mut self, list: Vec<Vm>) {
+        let now = Instant::now();
         for vm in list {
-            self.listed.insert(vm.name.clone(), Listed { vm, seen });
+            self.listed
+                .insert(vm.name.clone(), ListedVm { vm, last_seen: now });
         }
         self.listed
-            .retain(|_, listed| seen.duration_since(listed.seen) < FORGET_AFTER);
+            .retain(|_, listed| now.duration_since(listed.last_seen) < REMOVE_AFTER);
         self.endpoints_changed();
     }
 
-    fn count_connections(&self) {
-        self.core.count_connections(&self.addresses);
+    fn report_connections(&self) {
+        self.core.report_connections(&self.addresses);
     }
 
+    /// Passes the endpoints and the leaving VMs to steering, and rebuilds the look-ups.
     fn endpoints_changed(&mut self) {
         let leaving = self.leaving().into_iter().collect();
         let endpoints = self.endpoints();
@@ -198,10 +204,11 @@
         self.publish();
     }
 
+    /// Passes table and entries to steering, and rebuilds the look-ups.
     fn cluster_changed(&self) {
         let cluster = Arc::clone(&self.core.cluster.borrow());
-        // Version 0 is what a process starts with, not a table that operators made:
-        // steering then knows that it knows no weights.
+        // Version 0 is a process's initial, empty table, not one from operators: steering
+        // must treat the weights as unknown.
         let proven = cluster.readiness == Readiness::Proven;
         if proven && cluster.view.version > Version::default() {
             self.core.observe(Event::Table(Arc::clone(&cluster.view)));
@@ -213,6 +220,7 @@
         self.publish();
     }
 
+    /// Names of the VMs that the platform's list shows as leaving.
     fn leaving(&self) -> BTreeSet<NodeName> {
         self.listed
             .values()
@@ -221,10 +229,10 @@
             .collect()
     }
 
-    /// Endpoints of the own failure domain; where settings and list name the same one,
-    /// the list, which is newer, counts.
+    /// Endpoints of this failure domain. For an endpoint in both settings and platform's
+    /// list, the list takes precedence because it is newer.
     fn endpoints(&self) -> Vec<EndpointInfo> {
-        let set = self.cfg.endpoints.iter().map(|endpoint| EndpointInfo {
+        let configured = self.cfg.endpoints.iter().map(|endpoint| EndpointInfo {
             name: endpoint.name.clone(),
             service: endpoint.service.clone(),
             addr: endpoint.addr,
@@ -233,20 +241,23 @@
             slots: endpoint.slots,
             connections: endpoint.connections,
         });
-        let listed = self.listed.values().filter_map(|listed| info(&listed.vm));
+        let listed = self
+            .listed
+            .values()
+            .filter_map(|listed| endpoint_info(&listed.vm));
         let listed = listed.filter(|info| info.failure_domain == self.cfg.failure_domain);
-        let by_name: BTreeMap<_, _> = set
+        let by_name: BTreeMap<_, _> = configured
             .chain(listed)
             .map(|info| (info.name.clone(), info))
             .collect();
         by_name.into_values().collect()
     }
 
-    /// Services that are in the table or run on endpoints anywhere.
+    /// Services in the table, in the settings, or on any listed VM.
     fn services(&self) -> BTreeSet<ServiceName> {
         let cluster = self.core.cluster.borrow();
         let rows = cluster.view.rows.keys().map(|key| key.service.clone());
-        let set = self
+        let configured = self
             .cfg
             .endpoints
             .iter()
@@ -255,16 +266,16 @@
             .listed
             .values()
             .filter_map(|listed| listed.vm.service.clone());
-        rows.chain(set).chain(listed).collect()
+        rows.chain(configured).chain(listed).collect()
     }
 
-    /// Makes the answers to look-ups from what is known now.
+    /// Builds and publishes the answers to look-ups from the current state.
     fn publish(&self) {
         let leaving = self.leaving();
         let mut builder =
             Directory::builder(self.cfg.failure_domain.clone()).ttl(self.cfg.lookup_ttl);
         builder = builder.start(self.start.get());
-        builder = builder.current(self.core.cluster.borrow().current);
+        builder = builder.complete(self.core.cluster.borrow().current);
         if let Some(prefix) = self.core.ledger.prefix() {
             builder = builder.key_prefix(prefix.to_string());
         }
@@ -279,14 +290,15 @@
             });
         }
         for service in self.services() {
-            let orders = CallerGroup::all().map(|group| self.core.look_up(&service, group));
-            builder = builder.service(service.clone(), orders.collect());
+            let preferences = CallerGroup::all().map(|group| self.core.look_up(&service, group));
+            builder = builder.service(service.clone(), preferences.collect());
         }
         self.directory.send_replace(Arc::new(builder.build()));
     }
 }
 
-fn info(vm: &Vm) -> Option<EndpointInfo> {
+/// Converts a VM for steering; `None` unless it is an endpoint with a service.
+fn endpoint_info(vm: &Vm) -> Option<EndpointInfo> {
     if vm.kind != Kind::Endpoint {
         return None;
     }
@@ -301,6 +313,7 @@
     })
 }
 
+/// Fetches the platform's list periodically until the receiver is dropped.
 async fn fetch(poller: Poller, tx: tokio::sync::mpsc::Sender<Vec<Vm>>) {
     let mut period = tokio::time::interval(PLATFORM_PERIOD);
     period.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -312,7 +325,7 @@
                     return;
                 }
             }
-            Err(e) => warn!(error:% = e; "the platform's list can't be had; the last one stands"),
+            Err(e) => warn!(error:% = e; "can't fetch the platform's list; using the last one"),
         }
     }
 }
--- a/crates/filberthead/src/entry/carry/keyed.rs
+++ b/crates/filberthead/src/entry/forward/keyed.rs
@@ -1,18 +1,18 @@
-//! Requests under an idempotency key: to their home first, then at most one run.
+//! Requests with an idempotency key: run at most once, as the key's home decides.
 //!
-//! The ledger decides before anything else does, because only it can say what became of
-//! earlier sends of the key. A request whose home is another entry goes there; one that
-//! may start makes attempts like any other, and its end goes on record before its caller
-//! hears of it. From an entry that only passes a request on, a resend is always safe:
-//! the home knows the first one.
+//! The ledger is asked first, because only it knows the result of earlier sends of the key.
+//! A request whose home is another entry is forwarded there. One that may start here makes
+//! attempts like any other, and its end is recorded before its caller gets the answer.
+//! Forwarding a request to its home again is always safe: the home has a record of the
+//! first send.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use filberthead_caller::{Refusal, mark};
-use filberthead_endpoint::{RequestBody, Reuse, Sent, Trust};
+use filberthead_caller::{Refusal, insert_result_headers};
+use filberthead_endpoint::{AnswerCheck, RequestBody, Reuse, SendOutcome};
 use filberthead_ledger::Digest;
 use filberthead_types::{Meaning, NodeName, ResultCode, header};
 use http::response::Parts;
@@ -21,99 +21,101 @@
 use tokio::time::timeout_at;
 use xxhash_rust::xxh3::Xxh3Default;
 
-use super::attempt::{Upstream, clean, is_small};
+use super::attempt::{Upstream, clean_headers, fits_buffer};
+use super::context::{Reply, RequestContext};
 use super::core::{Core, Target};
-use super::job::{Job, Reply};
 use super::{Outcome, refused};
-use crate::entry::ledger::{Answer, Begin, Permit};
+use crate::entry::ledger::{Answer, LedgerDecision, Permit};
 
-/// Entries that a request is passed on to, one after the other, before its caller is
-/// told that the home can't be reached.
+/// Maximum number of forwards, one after the other, before the request is refused with
+/// `HomeUnreachable`.
 const MAX_FORWARDS: usize = 4;
 /// Pause before the ledger is asked again after a failed forward.
 const FORWARD_PAUSE: Duration = Duration::from_millis(100);
 
-/// Carries a request under `key`, its body whole in `body`.
+/// Processes a request with `key`, whose whole body is in `body`.
 pub(super) async fn run(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     key: &str,
     body: RequestBody,
     reply: &mut Reply,
 ) -> Outcome {
-    let Some(digest) = digest(job, &body) else {
+    let Some(digest) = digest(ctx, &body) else {
         return refused(ResultCode::KeyNotChecked);
     };
     let mut failed = None;
     for _ in 0..MAX_FORWARDS {
-        let deadline = core.clock.now() + job.left();
-        let begin = core
+        let deadline = core.clock.now() + ctx.remaining_time();
+        let decision = core
             .ledger
-            .begin(key, digest, deadline, job.hops, failed.take())
+            .begin(key, digest, deadline, ctx.hops, failed.take())
             .await;
-        match begin {
-            Begin::Start(permit) => return start(core, job, body, permit, reply).await,
-            Begin::Replay(answer) => return replay(job, answer),
-            Begin::Refuse { code, retry_after } => {
+        match decision {
+            LedgerDecision::Start(permit) => return start(core, ctx, body, permit, reply).await,
+            LedgerDecision::Replay(answer) => return replay(ctx, answer),
+            LedgerDecision::Refuse { code, retry_after } => {
                 return Outcome::Refused(Refusal::new(code).retry_after(retry_after));
             }
-            Begin::Forward { entry, addr } => {
-                match forward(core, job, &entry, addr, body.again()).await {
+            LedgerDecision::Forward { entry, addr } => {
+                match forward(core, ctx, &entry, addr, body.try_clone()).await {
                     Some(outcome) => return outcome,
                     None => failed = Some(entry),
                 }
-                tokio::time::sleep(FORWARD_PAUSE.min(job.left())).await;
+                tokio::time::sleep(FORWARD_PAUSE.min(ctx.remaining_time())).await;
             }
         }
     }
     refused(ResultCode::HomeUnreachable)
 }
 
-/// What makes two sends of a key the same request.
-fn digest(job: &Job, body: &RequestBody) -> Option<Digest> {
-    let RequestBody::Whole(body) = body else {
+/// Hash of the request: two sends of a key with the same digest are the same request.
+/// `None` if the body isn't buffered.
+fn digest(ctx: &RequestContext, body: &RequestBody) -> Option<Digest> {
+    let RequestBody::Buffered(body) = body else {
         return None;
     };
     let mut hash = Xxh3Default::new();
     let parts = [
-        job.service.as_str().as_bytes(),
-        job.parts.method.as_str().as_bytes(),
-        job.parts.uri.path().as_bytes(),
-        job.parts.uri.query().unwrap_or_default().as_bytes(),
+        ctx.service.as_str().as_bytes(),
+        ctx.parts.method.as_str().as_bytes(),
+        ctx.parts.uri.path().as_bytes(),
+        ctx.parts.uri.query().unwrap_or_default().as_bytes(),
         body,
     ];
     for part in parts {
-        // With its length, so that no byte can pass from one part into the next.
+        // Prefixed with its length, so that different splits into parts differ in the hash.
         hash.update(&part.len().to_le_bytes());
         hash.update(part);
     }
     Some(Digest(hash.digest128()))
 }
 
+/// Runs a request that the ledger permits, and reports its end through `permit`.
 async fn start(
     core: &Rc<Core>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     body: RequestBody,
     permit: Permit,
     reply: &mut Reply,
 ) -> Outcome {
-    job.start_at_home();
-    match super::attempts(core, job, body, reply).await {
+    ctx.mark_started();
+    match super::run_attempts(core, ctx, body, reply).await {
         Outcome::Answer(head, body) if ran(&head) => {
-            permit.finish(&stored(&head, body.clone()));
+            permit.finish(&to_stored(&head, body.clone()));
             Outcome::Answer(head, body)
         }
-        // Another entry that was to run it can't say whether it did.
+        // The entry that it was forwarded to can't tell whether it ran.
         Outcome::Answer(head, body) => {
             permit.unknown();
             Outcome::Answer(head, body)
         }
         Outcome::Streaming(upstream, _) => {
-            let keep = Keep::new(permit, &upstream.head);
-            Outcome::Streaming(upstream, Some(keep))
+            let recorder = AnswerRecorder::new(permit, &upstream.head);
+            Outcome::Streaming(upstream, Some(recorder))
         }
         Outcome::Refused(refusal) => {
-            let refusal = job.truthful(refusal);
+            let refusal = ctx.restrict_refusal(refusal);
             if refusal.code.meaning() == Meaning::NotRun {
                 permit.not_run(refusal.code);
             } else {
@@ -128,14 +130,16 @@
     }
 }
 
-/// Only an entry's own refusal carries a meaning here, an endpoint's answer never.
+/// Whether the answer comes from a run. Only an entry's refusal carries the meaning header
+/// here; it is removed from endpoints' answers.
 fn ran(head: &Parts) -> bool {
     let meaning = head.headers.get(header::MEANING);
     meaning.is_none_or(|value| value == Meaning::Ran.as_str())
 }
 
-/// What a resend is to get: the answer without what belongs to this pass of it.
-fn stored(head: &Parts, body: Bytes) -> Answer {
+/// The answer to store for resends, without `filberthead-` headers, which apply to this
+/// send only.
+fn to_stored(head: &Parts, body: Bytes) -> Answer {
     let headers = head.headers.iter();
     let headers = headers.filter(|(name, _)| !name.as_str().starts_with(header::PREFIX));
     Answer {
@@ -150,7 +154,8 @@
     }
 }
 
-fn replay(job: &Job, answer: Answer) -> Outcome {
+/// Returns a stored answer, marked as replayed.
+fn replay(ctx: &RequestContext, answer: Answer) -> Outcome {
     let mut response = Response::new(());
     let Ok(status) = StatusCode::from_u16(answer.status) else {
         return refused(ResultCode::AnswerNotStored);
@@ -162,34 +167,40 @@
             response.headers_mut().append(name, value);
         }
     }
-    mark(&mut response, job.id, ResultCode::Replayed);
+    insert_result_headers(&mut response, ctx.id, ResultCode::Replayed);
     let (head, ()) = response.into_parts();
     Outcome::Answer(head, answer.body)
 }
 
-/// Passes a request on to the entry that decides on its key; `None` if no whole answer
-/// came back, or none that could be sent.
+/// Forwards a request to the entry that decides on its key. `None` if it couldn't be sent
+/// or its answer was lost, so that it may be forwarded again.
 async fn forward(
     core: &Rc<Core>,
-    job: &Job,
+    ctx: &RequestContext,
     entry: &NodeName,
     addr: SocketAddr,
     body: Option<RequestBody>,
 ) -> Option<Outcome> {
     let target = Target::Entry(entry.clone(), addr);
-    let req = job.request(core, &target, body?);
+    let req = ctx.build_request(core, &target, body?);
     let sent = core
         .client
-        .send(addr, Trust::Id(job.id), Reuse::Allowed, job.deadline, req)
+        .send(
+            addr,
+            AnswerCheck::Id(ctx.id),
+            Reuse::Allowed,
+            ctx.deadline,
+            req,
+        )
         .await;
     let answer = match sent {
-        Sent::Answer(answer) => answer,
-        Sent::NotSent(_) | Sent::Lost => return None,
-        Sent::Late => return Some(refused(ResultCode::DeadlineWhileRunning)),
+        SendOutcome::Answer(answer) => answer,
+        SendOutcome::NotSent(_) | SendOutcome::Lost => return None,
+        SendOutcome::TimedOut => return Some(refused(ResultCode::DeadlineWhileRunning)),
     };
     let (mut head, body) = answer.response.into_parts();
-    clean(&target, &mut head);
-    if !is_small(&body) {
+    clean_headers(&target, &mut head);
+    if !fits_buffer(&body) {
         let upstream = Upstream {
             head,
             body,
@@ -198,7 +209,7 @@
         };
         return Some(Outcome::Streaming(Box::new(upstream), None));
     }
-    match timeout_at(job.deadline, body.collect()).await {
+    match timeout_at(ctx.deadline, body.collect()).await {
         Ok(Ok(body)) => {
             answer.connection.release();
             Some(Outcome::Answer(head, body.to_bytes()))
@@ -208,28 +219,29 @@
     }
 }
 
-/// Collects a streamed answer for the ledger while its caller gets it.
+/// Collects a streamed answer for the ledger while it is sent to the caller.
 #[derive(Debug)]
-pub(super) struct Keep {
+pub(super) struct AnswerRecorder {
     permit: Permit,
     head: Answer,
-    /// `None` once the answer is over the ledger's bound.
+    /// The body so far; `None` once it exceeds [`AnswerRecorder::MAX_BODY`].
     body: Option<BytesMut>,
 }
 
-impl Keep {
-    /// Longest body that is collected; the ledger bounds the whole answer once more.
+impl AnswerRecorder {
+    /// Maximum body length that is collected, in bytes. The ledger has a limit of its own
+    /// for the whole answer.
     const MAX_BODY: usize = 64 * 1024;
 
     fn new(permit: Permit, head: &Parts) -> Self {
         Self {
             permit,
-            head: stored(head, Bytes::new()),
+            head: to_stored(head, Bytes::new()),
             body: Some(BytesMut::new()),
         }
     }
 
-    /// Another piece of the body.
+    /// Appends a piece of the body.
     pub(super) fn push(&mut self, piece: &[u8]) {
         let fits = |body: &BytesMut| body.len() + piece.len() <= Self::MAX_BODY;
         self.body = self.body.take().filter(fits);
@@ -238,8 +250,8 @@
         }
     }
 
-    /// The whole answer came.
-    pub(super) fn whole(self) {
+    /// Records the complete answer.
+    pub(super) fn complete(self) {
         match self.body {
             Some(body) => self.permit.finish(&Answer {
                 body: body.freeze(),
@@ -249,8 +261,8 @@
         }
     }
 
-    /// The answer was cut.
-    pub(super) fn cut(self) {
+    /// Records that the answer was cut: the outcome is unknown.
+    pub(super) fn abort(self) {
         self.permit.unknown();
     }
 }
--- /dev/null
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -0,0 +1,170 @@
+//! Streaming of long answers, resumed from another endpoint if one is lost.
+//!
+//! One piece waits in the channel to the caller's connection and one in each connection's
+//! own buffer, so the memory of a download doesn't depend on its length or on how slowly it
+//! is read: a full channel stops reading here, and TCP flow control stops the endpoint.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use filberthead_caller::{AnswerBody, BodyPart};
+use filberthead_endpoint::{RequestBody, Resume};
+use filberthead_types::ResultCode;
+use http::Response;
+use http_body_util::BodyExt;
+use log::{debug, info};
+use tokio::sync::mpsc;
+use tokio::time::{Instant, timeout};
+
+use super::attempt::{Attempt, Upstream, attempt};
+use super::context::{Reply, RequestContext};
+use super::core::Core;
+use super::keyed::AnswerRecorder;
+
+/// Capacity, in pieces, of the channel to the caller's connection.
+const CHANNEL_CAPACITY: usize = 1;
+/// A caller that reads nothing for this long counts as disconnected.
+const READER_TIMEOUT: Duration = Duration::from_secs(300);
+/// Pause before the rest of a download is requested again.
+const RESUME_PAUSE: Duration = Duration::from_millis(200);
+
+/// How copying an answer ended.
+#[derive(Debug)]
+enum CopyEnd {
+    /// The answer was read to its end.
+    Whole,
+    /// The endpoint was lost, or sent nothing for too long.
+    Lost,
+    /// The caller is gone.
+    CallerGone,
+}
+
+/// Streams an answer to the caller. Returns `Answered` if it was complete, `EndpointLost` if
+/// it was cut, and `None` if the caller disconnected before its end.
+///
+/// `recorder` collects the answer to a request with a key. Such an answer is read to its
+/// end even if the caller is gone, because the caller's resend gets it from the ledger.
+pub(crate) async fn stream_answer(
+    core: &Rc<Core>,
+    ctx: &mut RequestContext,
+    mut upstream: Upstream,
+    reply: Reply,
+    mut recorder: Option<AnswerRecorder>,
+) -> Option<ResultCode> {
+    let mut resume = Resume::from_response(&ctx.parts, &upstream.head);
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
+    let response = Response::from_parts(upstream.head.clone(), AnswerBody::Stream(rx));
+    let delivered = reply.send(Ok(response)).is_ok();
+    if !delivered && recorder.is_none() {
+        return None;
+    }
+    loop {
+        match copy(core, &mut upstream, &tx, resume.as_mut(), &mut recorder).await {
+            CopyEnd::Whole => {
+                upstream.complete();
+                if let Some(recorder) = recorder {
+                    recorder.complete();
+                }
+                // If the caller is gone by now, it has all but the end.
+                let _ = tx.send(BodyPart::End).await;
+                return Some(ResultCode::Answered);
+            }
+            CopyEnd::CallerGone => return None,
+            CopyEnd::Lost => upstream.broken(),
+        }
+        if let Some(recorder) = recorder.take() {
+            recorder.abort();
+            return Some(ResultCode::EndpointLost);
+        }
+        match resume_elsewhere(core, ctx, resume.as_ref(), &tx).await {
+            Some(next) => upstream = next,
+            // Dropping the channel without `Piece::End` breaks the caller's connection.
+            None => {
+                info!(request:% = ctx.id; "an answer was cut and can't be resumed");
+                return Some(ResultCode::EndpointLost);
+            }
+        }
+    }
+}
+
+/// Copies the body to the caller's channel and to the recorder, until it ends, the endpoint
+/// is lost or the caller is gone.
+async fn copy(
+    core: &Core,
+    upstream: &mut Upstream,
+    tx: &mpsc::Sender<BodyPart>,
+    mut resume: Option<&mut Resume>,
+    recorder: &mut Option<AnswerRecorder>,
+) -> CopyEnd {
+    loop {
+        let frame = tokio::select! {
+            frame = timeout(core.request_timeout, upstream.body.frame()) => frame,
+            () = tx.closed(), if recorder.is_none() => return CopyEnd::CallerGone,
+        };
+        let frame = match frame {
+            Ok(Some(Ok(frame))) => frame,
+            Ok(None) if resume.is_none_or(|resume| resume.is_complete()) => return CopyEnd::Whole,
+            Ok(None | Some(Err(_))) | Err(_) => return CopyEnd::Lost,
+        };
+        let len = frame.data_ref().map_or(0, Bytes::len);
+        if let (Some(recorder), Some(data)) = (recorder.as_mut(), frame.data_ref()) {
+            recorder.push(data);
+        }
+        match timeout(READER_TIMEOUT, tx.send(BodyPart::Frame(frame))).await {
+            Ok(Ok(())) => {}
+            Ok(Err(_)) | Err(_) if recorder.is_some() => {}
+            Ok(Err(_)) | Err(_) => return CopyEnd::CallerGone,
+        }
+        if let Some(resume) = resume.as_deref_mut() {
+            resume.advance(len as u64);
+        }
+    }
+}
+
+/// Requests the rest of an answer from other endpoints until one returns it, for at most
+/// the time that an answer may make no progress. `None` if the answer can't be resumed.
+async fn resume_elsewhere(
+    core: &Rc<Core>,
+    ctx: &mut RequestContext,
+    resume: Option<&Resume>,
+    tx: &mpsc::Sender<BodyPart>,
+) -> Option<Upstream> {
+    let resume = resume?;
+    resume.set_range(&mut ctx.parts.headers);
+    ctx.resuming = true;
+    // Any endpoint but the one that was just lost may have the rest.
+    let earlier = ctx.tried.len().saturating_sub(1);
+    ctx.tried.drain(..earlier);
+    let give_up_at = Instant::now() + core.request_timeout;
+    let mut retry_granted = false;
+    while Instant::now() < give_up_at {
+        retry_granted = retry_granted || core.try_spend_retry();
+        if !retry_granted {
+            return None;
+        }
+        ctx.deadline = give_up_at;
+        let body = RequestBody::Buffered(Bytes::new());
+        match attempt(core, ctx, body, tx.closed()).await {
+            Attempt::Streaming(upstream) if resume.matches(&upstream.head) => {
+                debug!(request:% = ctx.id; "a download is resumed from another endpoint");
+                return Some(*upstream);
+            }
+            // Another version of the file, or none: it can't be joined to the first part.
+            Attempt::Streaming(_) | Attempt::Whole(..) | Attempt::Abandoned => return None,
+            Attempt::Refused(_) => {
+                // All were tried; the one that was lost first may be available again.
+                ctx.tried.clear();
+                tokio::time::sleep(RESUME_PAUSE).await;
+            }
+            Attempt::NotRun(_)
+            | Attempt::NotSent(_)
+            | Attempt::Lost
+            | Attempt::LostElsewhere
+            | Attempt::Late => {
+                retry_granted = false;
+            }
+        }
+    }
+    None
+}
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use filberthead_ledger::{Action, Begun, Config, Event, Ledger, Member, Message, Pass};
+use filberthead_ledger::{Action, Config, Decision, Event, Ledger, Member, Message, Token};
 use filberthead_peer::Body;
 use filberthead_ring::{PushError, Receiver, Sender};
 use filberthead_spread::MemberInfo;
@@ -16,42 +16,42 @@
 use super::handle::{BeginCommand, Command, DutySide, End, EndCommand, Grant, Reply};
 use super::journal::{JournalSide, JournalSynced, JournalWrite, Recovered};
 use crate::entry::cluster::{Cluster, ClusterReader};
-use crate::entry::incoming::Incoming;
+use crate::entry::dispatch::IncomingMessage;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
 
-/// Below a quarter of the ledger's heartbeat, and below the time after which it sends
-/// again what isn't acknowledged.
+/// Tick interval: below a quarter of the ledger's heartbeat, and below the time after which
+/// it resends unacknowledged messages.
 const TICK: Duration = Duration::from_millis(50);
-/// Commands taken in before messages and ticks get their turn.
-const BURST: usize = 64;
-/// When a refused caller may come back if the duty itself refuses.
+/// Maximum number of commands handled in a row before messages and ticks are checked.
+const MAX_BURST: usize = 64;
+/// Retry-After of refusals that come from the duty and not from the ledger.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 pub(crate) struct LedgerDuty {
     /// This entry.
     pub(crate) me: MemberInfo,
-    /// Times and bounds.
+    /// Limits and durations of the ledger.
     pub(crate) cfg: Config,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// The live entries, and where control is.
+    /// The live entries, and the address of the control leader.
     pub(crate) cluster: ClusterReader,
-    /// Messages of other ledgers and of control.
-    pub(crate) rx: Receiver<Incoming>,
-    /// Messages out.
+    /// Received messages of other entries' ledgers and of control.
+    pub(crate) rx: Receiver<IncomingMessage>,
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
-    /// Whether this entry is on its planned stop.
+    /// Whether a planned stop has begun.
     pub(crate) leaving: watch::Receiver<bool>,
-    /// Set once a planned stop needs to wait for the ledger no more.
+    /// Set once a planned stop no longer needs to wait for the ledger.
     pub(crate) handed_over: watch::Sender<bool>,
-    /// The disk; nothing is written to it unless the settings name a data folder.
+    /// Rings to the journal's thread; unused without a data folder.
     pub(crate) journal: JournalSide,
-    /// Homes that a predecessor left on it.
+    /// Homes that an earlier process left in the data folder.
     pub(crate) recovered: Vec<Recovered>,
-    /// Requests.
+    /// Channels of the requests' handle.
     pub(crate) side: DutySide,
 }
 
@@ -60,12 +60,13 @@
     Duty::spawn("ledger", move || run(duty, stop))
 }
 
-/// A pass whose answer the ledger owes.
-struct Waiting {
-    open: OwnedSemaphorePermit,
+/// A pass that the ledger hasn't answered yet.
+struct WaitingPass {
+    admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
 }
 
+/// State of the duty's thread.
 struct State {
     ledger: Ledger,
     clock: Clock,
@@ -73,10 +74,10 @@
     out: Sender<Outgoing>,
     commands: Sender<Command>,
     journal: Sender<JournalWrite>,
-    /// Writes that found the disk's ring full.
+    /// Writes that didn't fit into the journal's ring, in order.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Pass, Waiting>,
-    next_pass: u64,
+    waiting: HashMap<Token, WaitingPass>,
+    next_token: u64,
 }
 
 async fn run(duty: LedgerDuty, mut stop: Stop) {
@@ -111,7 +112,7 @@
         journal: writes,
         unwritten: VecDeque::new(),
         waiting: HashMap::new(),
-        next_pass: 0,
+        next_token: 0,
     };
     for Recovered { home, ops } in recovered {
         state.ledger.recover(clock.now(), home, ops);
@@ -121,18 +122,18 @@
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(command) => state.take_burst(command, &mut commands),
+                Some(command) => state.handle_burst(command, &mut commands),
                 None => return,
             },
             message = rx.recv() => match message {
-                Some(message) => state.received(message),
+                Some(message) => state.receive(message),
                 None => return,
             },
             Some(JournalSynced { home, number }) = synced.recv() => {
                 state.step(Event::Synced { home, number });
             }
             _ = tick.tick() => {
-                state.write_on();
+                state.flush_unwritten();
                 state.cancel_abandoned();
                 state.step(Event::Tick);
                 handed_over.send_if_modified(|done| update(done, state.is_handed_over()));
@@ -145,14 +146,14 @@
             },
             () = stop.wait() => return,
         }
-        prefix.send_if_modified(|known| update(known, state.ledger.prefix()));
+        prefix.send_if_modified(|current| update(current, state.ledger.prefix()));
     }
 }
 
-/// Sets a watched value; whether it is another one.
-fn update<T: PartialEq>(known: &mut T, new: T) -> bool {
-    let changed = *known != new;
-    *known = new;
+/// Sets a watched value; returns whether it changed.
+fn update<T: PartialEq>(current: &mut T, new: T) -> bool {
+    let changed = *current != new;
+    *current = new;
     changed
 }
 
@@ -166,17 +167,17 @@
 }
 
 impl State {
-    fn take_burst(&mut self, first: Command, commands: &mut Receiver<Command>) {
-        self.take(first);
-        for _ in 1..BURST {
+    fn handle_burst(&mut self, first: Command, commands: &mut Receiver<Command>) {
+        self.handle(first);
+        for _ in 1..MAX_BURST {
             let Some(command) = commands.try_recv() else {
                 return;
             };
-            self.take(command);
+            self.handle(command);
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Begin(begin) => self.begin(begin),
             Command::End(end) => self.end(end),
@@ -184,15 +185,15 @@
     }
 
     fn begin(&mut self, begin: BeginCommand) {
-        let pass = Pass(self.next_pass);
-        self.next_pass += 1;
-        let waiting = Waiting {
-            open: begin.open,
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        let waiting = WaitingPass {
+            admission: begin.admission,
             reply: begin.reply,
         };
-        self.waiting.insert(pass, waiting);
+        self.waiting.insert(token, waiting);
         self.step(Event::Begin {
-            pass,
+            token,
             key: begin.key,
             digest: begin.digest,
             deadline: begin.deadline,
@@ -202,15 +203,15 @@
     }
 
     fn end(&mut self, end: EndCommand) {
-        let pass = end.pass;
+        let token = end.token;
         self.step(match end.end {
-            End::Finished(answer) => Event::Finished { pass, answer },
-            End::Unknown => Event::Unknown { pass },
-            End::NotRun(code) => Event::NotRun { pass, code },
+            End::Finished(answer) => Event::Finished { token, answer },
+            End::Unknown => Event::Unknown { token },
+            End::NotRun(code) => Event::NotRun { token, code },
         });
     }
 
-    fn received(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: IncomingMessage) {
         if let Body::Ledger(message) = incoming.body {
             let from = incoming.origin.name;
             self.step(Event::Received { from, message });
@@ -223,20 +224,20 @@
         self.step(Event::Members(members));
     }
 
-    /// Takes back what nobody waits for any more.
+    /// Cancels the passes whose request no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(pass, waiting): (&Pass, &Waiting)| {
+        let abandoned = |(token, waiting): (&Token, &WaitingPass)| {
             let closed = waiting.reply.is_closed();
-            closed.then_some(*pass)
+            closed.then_some(*token)
         };
-        let passes: Vec<Pass> = self.waiting.iter().filter_map(abandoned).collect();
-        for pass in passes {
-            self.waiting.remove(&pass);
-            self.step(Event::Cancel { pass });
+        let tokens: Vec<Token> = self.waiting.iter().filter_map(abandoned).collect();
+        for token in tokens {
+            self.waiting.remove(&token);
+            self.step(Event::Cancel { token });
         }
     }
 
-    /// Whether a planned stop needs to wait no more.
+    /// Whether a planned stop no longer needs to wait for the ledger.
     fn is_handed_over(&self) -> bool {
         self.ledger.is_handed_over() && self.waiting.is_empty()
     }
@@ -244,13 +245,13 @@
     fn step(&mut self, event: Event) {
         let now = self.clock.now();
         for action in self.ledger.step(now, event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Begun { pass, begun } => self.begun(pass, begun),
+            Action::Decide { token, decision } => self.reply_decision(token, decision),
             Action::Send { to, message } => self.send(&to, message),
             Action::Sync {
                 home,
@@ -266,7 +267,8 @@
                 retire,
             }),
             Action::Claim(claim) => {
-                // Unknown or wrong, the claim is repeated until its verdict has come.
+                // The leader may be unknown or outdated: a claim is resent until its
+                // verdict arrives.
                 if let Some(to) = self.cluster.control {
                     let body = Body::Ledger(Message::Claim(claim));
                     let _ = self.out.push(Outgoing { to, body });
@@ -277,15 +279,16 @@
 
     fn write(&mut self, write: JournalWrite) {
         self.unwritten.push_back(write);
-        self.write_on();
+        self.flush_unwritten();
     }
 
-    fn write_on(&mut self) {
+    /// Passes queued writes to the journal until its ring is full.
+    fn flush_unwritten(&mut self) {
         while let Some(write) = self.unwritten.pop_front() {
             match self.journal.push(write) {
                 Ok(()) => {}
-                Err(PushError::Full(back)) => return self.unwritten.push_front(back),
-                // The disk's duty has failed; the supervisor ends this process.
+                Err(PushError::Full(write)) => return self.unwritten.push_front(write),
+                // The journal duty has failed; the supervisor ends this process.
                 Err(PushError::Closed(_)) => return,
             }
         }
@@ -294,29 +297,30 @@
     fn send(&self, to: &NodeName, message: Message) {
         if let Some(to) = self.cluster.peer_addr(to) {
             let body = Body::Ledger(message);
-            // A full ring drops the message; it is repeated until it is answered.
+            // A full ring drops the message; the ledger resends it until it is answered.
             let _ = self.out.push(Outgoing { to, body });
         }
     }
 
-    fn begun(&mut self, pass: Pass, begun: Begun) {
-        let Some(waiting) = self.waiting.remove(&pass) else {
-            warn!(pass = pass.0; "an answer for a pass that doesn't wait");
+    fn reply_decision(&mut self, token: Token, decision: Decision) {
+        let Some(waiting) = self.waiting.remove(&token) else {
+            warn!(pass = token.0; "the ledger answered a pass that isn't waiting");
             return;
         };
-        let reply = match begun {
-            Begun::Start => {
+        let reply = match decision {
+            Decision::Start => {
                 let commands = self.commands.clone();
-                Reply::Start(Grant::new(pass, waiting.open, commands))
+                Reply::Start(Grant::new(token, waiting.admission, commands))
             }
-            Begun::Replay(answer) => Reply::Replay(answer),
-            Begun::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
-            Begun::Forward { entry } => self.forward(entry),
+            Decision::Replay(answer) => Reply::Replay(answer),
+            Decision::Refuse { code, retry_after } => Reply::Refuse { code, retry_after },
+            Decision::Forward { entry } => self.forward(entry),
         };
-        // Whoever asked may be gone; a grant that comes back ends as not run.
+        // The request may be gone; the grant is then dropped and ends as not run.
         let _ = waiting.reply.send(reply);
     }
 
+    /// The reply for a key whose home is `entry`; a refusal if that entry isn't live.
     fn forward(&self, entry: NodeName) -> Reply {
         let mut entries = self.cluster.entries.iter();
         match entries.find(|member| member.name == entry) {
--- a/crates/filberthead/src/entry/measures.rs
+++ b/crates/filberthead/src/entry/measures.rs
@@ -1,4 +1,4 @@
-//! What the endpoints duty counts: requests by their end, slots, drains of endpoints.
+//! Metrics of the endpoints duty: finished requests, slots, drains of endpoints.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,7 +8,8 @@
 use filberthead_steer::{EndpointUsage, ServiceUsage};
 use filberthead_types::{Moment, NodeName, Region, ResultCode, ServiceName};
 
-/// Handles and the drains that are under way. Lives on the endpoints duty's thread.
+/// Metric handles, created on first use, and the drains in progress. Owned by the
+/// endpoints duty's thread.
 #[derive(Debug)]
 pub(crate) struct Measures {
     metrics: Arc<EntryMetrics>,
@@ -18,17 +19,17 @@
     drains: BTreeMap<NodeName, Drain>,
 }
 
-/// An endpoint that leaves.
+/// The drain of an endpoint that is leaving.
 #[derive(Debug)]
 struct Drain {
     service: ServiceName,
     since: Moment,
-    /// Whether its time has been taken.
-    done: bool,
+    /// Whether its duration has been recorded.
+    recorded: bool,
 }
 
 impl Measures {
-    /// Counts for an entry of that region.
+    /// Creates the metrics of an entry in `region`.
     pub(crate) fn new(metrics: Arc<EntryMetrics>, region: Region) -> Self {
         Self {
             metrics,
@@ -39,9 +40,9 @@
         }
     }
 
-    /// Counts a request that came from a caller and has ended. `region` is where it was
-    /// last sent; a request that was sent nowhere counts for this entry's own region.
-    pub(crate) fn finished(
+    /// Records a finished request of a caller. `region` is where it was last sent; `None`
+    /// counts for this entry's own region.
+    pub(crate) fn record_request(
         &mut self,
         service: &ServiceName,
         region: Option<Region>,
@@ -53,25 +54,26 @@
         self.requests
             .entry((service.clone(), region))
             .or_insert_with_key(|(service, region)| metrics.requests(service, region))
-            .finished(code, took);
+            .record(code, took);
     }
 
-    /// Takes in what is in use. To be called at a steady pace.
-    pub(crate) fn used(&mut self, now: Moment, usage: &[ServiceUsage]) {
+    /// Records the slots in use, the queue and the drains. Must be called at a regular
+    /// interval.
+    pub(crate) fn record_usage(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let waiting = usage.iter().map(|service| service.waiting as usize).sum();
-        self.metrics.queued(waiting);
+        self.metrics.set_queued(waiting);
         for service in usage {
             self.set_slots(service);
             for endpoint in &service.endpoints {
-                self.follow_drain(now, &service.service, endpoint);
+                self.track_drain(now, &service.service, endpoint);
             }
         }
-        self.end_vanished(now, usage);
+        self.end_drains_of_removed(now, usage);
     }
 
     fn set_slots(&mut self, usage: &ServiceUsage) {
-        let staying = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
-        let slots = staying.map(|endpoint| endpoint.slots).sum();
+        let active = usage.endpoints.iter().filter(|endpoint| !endpoint.leaving);
+        let slots = active.map(|endpoint| endpoint.slots).sum();
         let busy = usage
             .endpoints
             .iter()
@@ -84,48 +86,49 @@
             .set(slots, busy);
     }
 
-    fn follow_drain(&mut self, now: Moment, service: &ServiceName, endpoint: &EndpointUsage) {
+    fn track_drain(&mut self, now: Moment, service: &ServiceName, endpoint: &EndpointUsage) {
         if !endpoint.leaving {
             self.drains.remove(&endpoint.name);
             return;
         }
-        let known = self.drains.contains_key(&endpoint.name);
-        // An entry that doesn't admit to the endpoint has nothing to drain, and would
-        // report a drain of no time at all beside the one that the owner reports.
-        if !known && endpoint.slots == 0 && endpoint.running == 0 {
+        let tracked = self.drains.contains_key(&endpoint.name);
+        // An entry that doesn't admit requests to the endpoint has nothing to drain: it
+        // would report a drain of zero duration next to the one that the owner reports.
+        if !tracked && endpoint.slots == 0 && endpoint.running == 0 {
             return;
         }
         let drain = self.drains.entry(endpoint.name.clone());
         let drain = drain.or_insert_with(|| Drain {
             service: service.clone(),
             since: now,
-            done: false,
+            recorded: false,
         });
         if endpoint.running == 0 {
             drain.end(now, &self.metrics, &self.region);
         }
     }
 
-    /// Steering forgets an endpoint that is off every list once nothing runs there.
-    fn end_vanished(&mut self, now: Moment, usage: &[ServiceUsage]) {
+    /// Ends the drains of endpoints that steering no longer reports: it drops an endpoint
+    /// that is on no list once nothing runs there.
+    fn end_drains_of_removed(&mut self, now: Moment, usage: &[ServiceUsage]) {
         let endpoints = usage.iter().flat_map(|service| &service.endpoints);
         let present: Vec<_> = endpoints.map(|endpoint| &endpoint.name).collect();
         let (metrics, region) = (&self.metrics, &self.region);
         self.drains.retain(|name, drain| {
-            let stays = present.contains(&name);
-            if !stays {
+            let is_present = present.contains(&name);
+            if !is_present {
                 drain.end(now, metrics, region);
             }
-            stays
+            is_present
         });
     }
 }
 
 impl Drain {
     fn end(&mut self, now: Moment, metrics: &EntryMetrics, region: &Region) {
-        if !self.done {
-            self.done = true;
-            metrics.drained(&self.service, region, now.saturating_sub(self.since));
+        if !self.recorded {
+            self.recorded = true;
+            metrics.record_drain(&self.service, region, now.saturating_sub(self.since));
         }
     }
 }
--- a/crates/filberthead/src/entry/mod.rs
+++ b/crates/filberthead/src/entry/mod.rs
@@ -1,25 +1,25 @@
-//! The entry daemon: answers look-ups and carries requests.
+//! The entry daemon: answers look-ups and forwards requests to endpoints.
 //!
-//! Its duties, each a thread: `callers` serves look-ups and takes requests; `endpoints`
-//! decides where requests go and talks to endpoints and other entries; `ledger` decides
-//! whether a request under an idempotency key may run; `state` knows the table and the
-//! live entries; `status` shows state and metrics; `samples` reports counts to control;
-//! the transport's own threads receive and send messages. Look-ups never leave
-//! `callers`; a request crosses to `endpoints` once and
-//! its answer crosses back once.
+//! Each of its duties is a thread: `callers` answers look-ups and accepts requests;
+//! `endpoints` selects targets and talks to endpoints and other entries; `ledger` decides
+//! whether a request with an idempotency key may run, and `journal` syncs its records to
+//! disk; `state` tracks the table in force and the live entries; `status` serves state and
+//! metrics; `samples` reports counts to control; the transport has threads of its own.
+//! Look-ups are answered on `callers` alone. A request passes to `endpoints` once, and its
+//! answer passes back once.
 
 mod callers;
-mod carry;
 mod cluster;
+mod dispatch;
 mod endpoints;
-mod floor;
-mod incoming;
+mod forward;
 mod ledger;
 mod measures;
 mod samples;
 mod state;
 mod status;
 mod stop;
+mod watermark;
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -37,10 +37,10 @@
 use tokio::sync::watch;
 
 use self::callers::CountLookups;
-use self::carry::{CoreParts, Identity};
 use self::cluster::Cluster;
+use self::dispatch::{Mailboxes, dispatcher};
 use self::endpoints::EndpointsDuty;
-use self::incoming::{Mailboxes, sorter};
+use self::forward::{CoreParts, Identity};
 pub use self::ledger::JournalError;
 use self::ledger::{Journals, LedgerDuty, Recovered, journal_rings};
 use self::measures::Measures;
@@ -53,87 +53,89 @@
 use crate::supervisor::{Signals, supervise};
 use crate::{Clock, Duty, DutyError, SuperviseError, peers};
 
-/// Requests that wait for the endpoints duty. When they are this many that thread is
-/// starved, and further ones are refused as not run.
-const CALLS: usize = 1024;
-/// How long a key may first be sent after its prefix is no longer handed out, at least.
+/// Capacity of the ring of requests for the endpoints duty. It fills only when that thread
+/// is starved; further requests are refused as not run.
+const CALL_CAPACITY: usize = 1024;
+/// Minimum time for which the first request with a key is accepted after look-ups stopped
+/// returning the key's prefix.
 const START_WINDOW: Duration = Duration::from_secs(600);
-/// Silence of the `state` duty after which the process counts as suspended. Spreading
-/// starts over after the same gap.
-const SUSPENDED: Duration = filberthead_spread::DEFAULT_SUSPEND_THRESHOLD;
-/// Connections of callers at the same time.
-const CALLER_CONNECTIONS: usize = 8192;
+/// Time without a step of the `state` duty after which the process counts as suspended.
+/// The spread protocol restarts after the same gap.
+const SUSPEND_THRESHOLD: Duration = filberthead_spread::DEFAULT_SUSPEND_THRESHOLD;
+/// Maximum number of concurrent caller connections.
+const MAX_CALLER_CONNECTIONS: usize = 8192;
 
-/// Why an entry doesn't start or ends other than by a planned stop.
+/// Why an entry failed to start, or ended other than by a clean planned stop.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum EntryError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[snafu(display("can't listen on {addr}"))]
     Listen {
-        /// The address.
+        /// The address; `0.0.0.0:0` if the address of an open listener can't be read.
         addr: SocketAddr,
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The transport between processes can't start.
+    /// The transport between processes failed to start.
     #[snafu(display("can't start the transport between processes"))]
     Peer {
-        /// Its word.
+        /// The transport's error.
         source: TransportError,
     },
-    /// The data folder can't be used.
+    /// The data folder is unusable.
     #[snafu(display("can't use the data folder"))]
     Journals {
-        /// How.
+        /// The error of opening or reading the journals.
         source: JournalError,
     },
-    /// A thread can't be started.
+    /// A duty's thread failed to start.
     #[snafu(display("can't start a duty"))]
     Duty {
-        /// Which and why.
+        /// The duty and the cause.
         source: DutyError,
     },
-    /// The line that says that the entry serves can't be written.
+    /// Writing the readiness line to standard output failed.
     #[snafu(display("can't write to standard output"))]
     Ready {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The runtime of the supervisor can't be started.
+    /// The supervisor's runtime failed to start.
     #[snafu(display("can't start the supervisor's runtime"))]
     Runtime {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// A duty failed.
     #[snafu(display("the entry failed"))]
     Supervise {
-        /// Which and how.
+        /// The duty and the cause.
         source: SuperviseError,
     },
-    /// The deadline of a planned stop came before the end of all requests.
+    /// The deadline of a planned stop passed while requests were still running.
     #[snafu(display("the planned stop cut {cut} requests"))]
     Cut {
-        /// How many.
+        /// Number of requests that were cut, at least 1.
         cut: usize,
     },
 }
 
-/// Everything that is open before the first thread starts.
+/// Sockets, files and settings that are open before the first thread starts.
 struct Opened {
     cfg: Arc<EntrySettings>,
     clock: Clock,
+    /// This entry, as announced to the other processes.
     me: MemberInfo,
     callers: TcpListener,
     status: TcpListener,
     transport: Transport,
     mailboxes: Mailboxes,
-    /// The data folder's journals and the homes found there, if there is a data folder.
+    /// The journals and the homes recovered from them; `None` without a data folder.
     journals: Option<(Journals, Vec<Recovered>)>,
 }
 
-/// What the duties share.
+/// Watch channels between the duties.
 struct Channels {
     cluster: watch::Sender<Arc<Cluster>>,
     directory: watch::Sender<Arc<Directory>>,
@@ -148,8 +150,8 @@
 ///
 /// # Errors
 ///
-/// Fails if it can't start, if one of its duties fails, or if the deadline of a planned
-/// stop cuts requests.
+/// Fails if the entry can't start, if a duty fails, or if the deadline of a planned stop
+/// cuts requests.
 pub fn run(cfg: EntrySettings) -> Result<(), EntryError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -169,14 +171,14 @@
         handed_over: channels.handed_over.subscribe(),
     };
     let ready = [
-        ("caller", bound(&opened.callers)?),
+        ("caller", local_addr(&opened.callers)?),
         ("peer", opened.transport.addr()),
-        ("status", bound(&opened.status)?),
+        ("status", local_addr(&opened.status)?),
     ];
     let duties = start(opened, &channels, &stop).context(DutySnafu)?;
     announce(&ready).context(ReadySnafu)?;
     let mut cut = 0;
-    let supervised = supervise(duties, signals, source, keep_settings, || async {
+    let supervised = supervise(duties, signals, source, log_settings_unchanged, || async {
         cut = planned.run().await;
     });
     runtime.block_on(supervised).context(SuperviseSnafu)?;
@@ -184,22 +186,23 @@
     Ok(())
 }
 
-/// An entry reads its settings at its start only.
-fn keep_settings() {
-    log::info!("asked to read settings again; they hold until a restart");
+/// Handles a reload signal: settings are read only at start.
+fn log_settings_unchanged() {
+    log::info!("settings are not reloaded; changes apply after a restart");
 }
 
+/// Binds all listeners and opens the data folder.
 fn open(cfg: EntrySettings) -> Result<Opened, EntryError> {
-    let (sorter, mailboxes) = sorter();
+    let (dispatcher, mailboxes) = dispatcher();
     let cluster = cluster_id(&cfg.cluster);
-    let transport = Transport::listen(cfg.peer_listen, cluster, sorter).context(PeerSnafu)?;
+    let transport = Transport::listen(cfg.peer_listen, cluster, dispatcher).context(PeerSnafu)?;
     let callers = listen(cfg.caller_listen)?;
     let status = listen(cfg.status_listen)?;
     let me = MemberInfo {
         name: cfg.node.clone(),
         incarnation: Incarnation(rand::random()),
         peer_addr: cfg.peer_advertise.unwrap_or(transport.addr()),
-        caller_addr: cfg.caller_advertise.unwrap_or(bound(&callers)?),
+        caller_addr: cfg.caller_advertise.unwrap_or(local_addr(&callers)?),
         region: cfg.region.clone(),
         failure_domain: cfg.failure_domain.clone(),
         leaving: false,
@@ -225,7 +228,8 @@
     Ok(listener)
 }
 
-fn bound(listener: &TcpListener) -> Result<SocketAddr, EntryError> {
+/// The address that a listener is bound to.
+fn local_addr(listener: &TcpListener) -> Result<SocketAddr, EntryError> {
     let addr = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().context(ListenSnafu { addr })
 }
@@ -242,6 +246,7 @@
     }
 }
 
+/// Connects the duties and starts their threads.
 fn start(opened: Opened, channels: &Channels, stop: &Stop) -> Result<Vec<Duty>, DutyError> {
     let Opened {
         cfg,
@@ -264,12 +269,12 @@
     let counters = transport.counters();
     let sending = peers::spawn(transport, outbox, rx, stop.clone())?;
     let metrics = Arc::new(EntryMetrics::new());
-    let (calls_tx, calls_rx) = ring(CALLS);
+    let (calls_tx, calls_rx) = ring(CALL_CAPACITY);
     let bounds = Bounds {
-        connections: CALLER_CONNECTIONS,
+        connections: MAX_CALLER_CONNECTIONS,
         request_timeout: cfg.request_timeout,
     };
-    let heartbeat = Heartbeat::new(SUSPENDED);
+    let heartbeat = Heartbeat::new(SUSPEND_THRESHOLD);
     let server = Server::new(
         bounds,
         me.incarnation,
@@ -279,7 +284,7 @@
         calls_tx.clone(),
     )
     .observer(Arc::new(CountLookups(Arc::clone(&metrics))));
-    let state = StateDuty {
+    let state_duty = StateDuty {
         me: me.clone(),
         cfg: Arc::clone(&cfg),
         clock,
@@ -289,7 +294,7 @@
         heartbeat,
         leaving: channels.leaving.subscribe(),
     };
-    let shown = Status {
+    let status_duty = Status {
         node: me.name.clone(),
         cluster: channels.cluster.subscribe(),
         running: channels.running.subscribe(),
@@ -299,7 +304,7 @@
         calls: calls_tx,
         out: tx.clone(),
     };
-    let reporting = SamplesDuty {
+    let samples_duty = SamplesDuty {
         me: me.clone(),
         metrics: Arc::clone(&metrics),
         replicas: cfg.replicas.iter().map(|r| r.peer_addr).collect(),
@@ -307,10 +312,10 @@
         rx: mailboxes.samples,
         out: tx.clone(),
     };
-    let (ledger, side) = ledger::handle();
+    let (ledger, duty_side) = ledger::handle();
     let (journal, disk) = journal_rings();
     let (journals, recovered) = journals.unzip();
-    let keys = LedgerDuty {
+    let ledger_duty = LedgerDuty {
         me: me.clone(),
         cfg: ledger_config(&cfg),
         clock,
@@ -321,7 +326,7 @@
         handed_over: channels.handed_over.clone(),
         journal,
         recovered: recovered.unwrap_or_default(),
-        side,
+        side: duty_side,
     };
     let core = CoreParts {
         identity: Identity {
@@ -337,7 +342,7 @@
         running: channels.running.clone(),
         measures: Measures::new(metrics, cfg.region.clone()),
     };
-    let endpoints = EndpointsDuty {
+    let endpoints_duty = EndpointsDuty {
         core,
         cfg,
         calls: calls_rx,
@@ -347,11 +352,11 @@
     };
     let mut duties = vec![
         sending,
-        state::spawn(state, stop.clone())?,
-        ledger::spawn(keys, stop.clone())?,
-        endpoints::spawn(endpoints, stop.clone())?,
-        status::spawn(shown, status, stop.clone())?,
-        samples::spawn(reporting, stop.clone())?,
+        state::spawn(state_duty, stop.clone())?,
+        ledger::spawn(ledger_duty, stop.clone())?,
+        endpoints::spawn(endpoints_duty, stop.clone())?,
+        status::spawn(status_duty, status, stop.clone())?,
+        samples::spawn(samples_duty, stop.clone())?,
         callers::spawn(server, callers, channels.callers_done.clone(), stop.clone())?,
     ];
     if let Some(journals) = journals {
@@ -365,18 +370,19 @@
         .max_keys(cfg.ledger_keys)
         .retention(cfg.ledger_retention)
         .journal(cfg.data.is_some())
-        // A caller may first use a prefix when its look-up is about to lapse.
+        // A caller may first use a prefix just before its look-up expires.
         .start_window(START_WINDOW.max(4 * cfg.lookup_ttl))
         .build()
 }
 
+/// Creates the policy that selects targets.
 fn steering(cfg: &EntrySettings, clock: Clock, incarnation: Incarnation) -> Box<dyn Steering> {
     let node = cfg.node.clone();
-    let place = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
-    let policy = place
+    let config = Config::new(node, cfg.region.clone(), cfg.failure_domain.clone());
+    let policy = config
         .incarnation(incarnation)
-        // A failure domain that is cut off and has lost an entry goes on serving; what
-        // that may cost stands at the setting.
+        // A failure domain that is cut off and has lost an entry keeps serving; the
+        // consequences are documented on the setting.
         .serve_isolated(true)
         .seed(rand::random())
         .queue(cfg.queue);
--- a/crates/filberthead/src/entry/state.rs
+++ b/crates/filberthead/src/entry/state.rs
@@ -1,8 +1,8 @@
-//! The duty that knows the table in force and the live entries: [`Node`] joined to the
-//! transport.
+//! The duty that tracks the table in force and the live entries: runs [`Node`] on the
+//! transport's messages.
 //!
-//! Its invariant: a view reaches the other duties only when the node says that it is in
-//! force, and never while the node says that it isn't proven.
+//! Invariant: a view is published to the other duties only when the node reports it in
+//! force, and never while the node reports that it isn't proven.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,15 +20,16 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::cluster::Cluster;
-use super::floor::Floor;
-use super::incoming::Incoming;
+use super::dispatch::IncomingMessage;
+use super::watermark::Watermark;
 use crate::peers::Outgoing;
 use crate::stop::Stop;
 use crate::{Clock, Duty, DutyError};
 
+/// Interval of the node's ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// What the duty is made of.
+/// Inputs and outputs of the duty.
 #[derive(Debug)]
 pub(crate) struct StateDuty {
     /// This entry.
@@ -37,13 +38,13 @@
     pub(crate) cfg: Arc<EntrySettings>,
     /// The clock of the process.
     pub(crate) clock: Clock,
-    /// Messages in.
-    pub(crate) rx: Receiver<Incoming>,
-    /// Messages out.
+    /// Received messages.
+    pub(crate) rx: Receiver<IncomingMessage>,
+    /// Messages to be sent.
     pub(crate) out: Sender<Outgoing>,
-    /// What the other duties read.
+    /// The snapshot that the other duties read.
     pub(crate) cluster: watch::Sender<Arc<Cluster>>,
-    /// Beaten with each step.
+    /// Beaten after each step; a gap shows that the process was suspended.
     pub(crate) heartbeat: Heartbeat,
     /// Set when a planned stop begins.
     pub(crate) leaving: watch::Receiver<bool>,
@@ -54,17 +55,18 @@
     Duty::spawn("state", move || State::new(duty).run(stop))
 }
 
+/// State of the duty's thread.
 struct State {
     node: Node,
-    floor: Floor,
+    watermark: Watermark,
     duty: StateDuty,
 }
 
 impl State {
     fn new(duty: StateDuty) -> Self {
-        let floor = Floor::new(duty.cfg.data.clone());
+        let watermark = Watermark::new(duty.cfg.data.clone());
         let cfg = Config::builder()
-            .watermark(floor.load())
+            .watermark(watermark.load())
             .seed(rand::random())
             .build();
         let replicas = duty.cfg.replicas.iter();
@@ -74,7 +76,7 @@
         };
         Self {
             node: Node::new(cfg, duty.me.clone(), contacts),
-            floor,
+            watermark,
             duty,
         }
     }
@@ -86,7 +88,7 @@
             tokio::select! {
                 _ = ticks.tick() => self.step(Event::Tick),
                 message = self.duty.rx.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.receive(message),
                     None => return,
                 },
                 Ok(()) = self.duty.leaving.changed() => self.step(Event::Leave),
@@ -95,7 +97,7 @@
         }
     }
 
-    fn take(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: IncomingMessage) {
         if let Body::Spread(message) = incoming.body {
             let origin = incoming.origin;
             let from = filberthead_spread::Sender {
@@ -115,7 +117,7 @@
             match action {
                 Action::Send { to, message } => self.send(to, message),
                 Action::InForce(view) => {
-                    self.in_force(view.version);
+                    self.record_in_force(view.version);
                     cluster.view = view;
                     changed = true;
                 }
@@ -127,7 +129,7 @@
                     error!(version:% = cluster.view.version; "another node holds other rows");
                 }
                 Action::Readiness(readiness) => {
-                    cluster.start = self.start_under(readiness);
+                    cluster.start = self.start_number(readiness);
                     cluster.readiness = readiness;
                     changed = true;
                 }
@@ -143,37 +145,39 @@
             match current {
                 true => info!(version:% = cluster.view.version; "the table is the newest"),
                 false => warn!(version:% = cluster.view.version;
-                    "the table may have been overtaken: no service is denied"),
+                    "a newer table may exist: no service is answered as unknown"),
             }
         }
         if changed {
             self.duty.cluster.send_replace(Arc::new(cluster));
         }
-        // Only now: the step may just have found out that the process was suspended, and
-        // has then begun a new start.
+        // After the step: the step may have detected that the process was suspended and
+        // begun a new start.
         self.duty.heartbeat.beat();
     }
 
-    /// Full means that the transport is starved; spreading repeats what it needs.
+    /// Drops the message if the ring is full, which means that the transport is starved:
+    /// the spread protocol resends what it needs.
     fn send(&self, to: SocketAddr, message: Message) {
         let body = Body::Spread(message);
         let _ = self.duty.out.push(Outgoing { to, body });
     }
 
-    fn in_force(&self, version: Version) {
-        self.floor.store(version);
+    fn record_in_force(&self, version: Version) {
+        self.watermark.store(version);
         info!(version:%; "table in force");
     }
 
-    /// The start that callers may be answered under, or `None` for one that has just begun.
-    fn start_under(&self, readiness: Readiness) -> Option<StartNumber> {
+    /// The start under which callers may be answered; begins a new one and returns `None`
+    /// if the node is starting.
+    fn start_number(&self, readiness: Readiness) -> Option<StartNumber> {
         match readiness {
             Readiness::Proven => info!("the table is proven"),
-            Readiness::Cautious => warn!("no proven table: serving the own failure domain only"),
-            // The process was suspended. Callers are refused until it is known what has
-            // passed it by.
+            Readiness::Cautious => warn!("no proven table: serving this failure domain only"),
+            // The process was suspended. Callers are refused until the table is known to
+            // include the changes that it may have missed.
             Readiness::Starting => {
-                warn!("asking for the newest table");
+                warn!("requesting the newest table");
                 self.duty.heartbeat.start_over();
                 return None;
             }
--- a/crates/filberthead/src/entry/status.rs
+++ b/crates/filberthead/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! The duty that shows an entry's state to operators and their tools.
+//! The duty that serves an entry's state and metrics over HTTP, for operators and tools.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -30,27 +30,27 @@
 
 const JSON: &str = "application/json";
 const METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Connections at the same time; further ones wait.
-const CONNECTIONS: usize = 16;
+/// Maximum number of concurrent connections; further ones wait.
+const MAX_CONNECTIONS: usize = 16;
 
-/// What the duty shows.
+/// Sources of the served state and metrics.
 #[derive(Debug)]
 pub(crate) struct Status {
-    /// This entry.
+    /// Name of this entry.
     pub(crate) node: NodeName,
-    /// Table and entries.
+    /// Table in force and live entries.
     pub(crate) cluster: ClusterReader,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) running: watch::Receiver<usize>,
     /// Whether a planned stop has begun.
     pub(crate) leaving: watch::Receiver<bool>,
-    /// What is counted.
+    /// Metrics of this entry.
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// What the transport counts.
+    /// Counters of the transport.
     pub(crate) counters: Arc<Counters>,
-    /// Requests on their way to the endpoints duty.
+    /// Ring of requests for the endpoints duty; read for the items that it refused.
     pub(crate) calls: Sender<Call>,
-    /// Messages on their way out.
+    /// Ring of messages to be sent; read for the items that it refused.
     pub(crate) out: Sender<Outgoing>,
 }
 
@@ -86,7 +86,7 @@
 }
 
 async fn run(status: Rc<Status>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     while let Ok(permit) = Arc::clone(&permits).acquire_owned().await {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -102,7 +102,7 @@
 }
 
 async fn serve(status: &Status, stream: TcpStream) {
-    let service = service_fn(|req| async move { Ok::<_, Infallible>(answer(status, &req)) });
+    let service = service_fn(|req| async move { Ok::<_, Infallible>(respond(status, &req)) });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service)
@@ -112,7 +112,7 @@
     }
 }
 
-fn answer(status: &Status, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(status: &Status, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     match req.uri().path() {
         "/status" => page(JSON, status_page(status)),
         "/metrics" => page(METRICS, metrics_page(status).into()),
@@ -146,7 +146,7 @@
 
 fn metrics_page(status: &Status) -> String {
     let metrics = &status.metrics;
-    metrics.table_version(status.cluster.borrow().view.version);
+    metrics.set_table_version(status.cluster.borrow().view.version);
     let peers = metrics.peers();
     peers.record(&totals(&status.counters));
     peers.ring_refused("calls", status.calls.refused());
--- a/crates/ledger/src/backup.rs
+++ b/crates/ledger/src/backup.rs
@@ -1,48 +1,48 @@
-//! What the backup of a home does.
+//! The backup of a home.
 
 use filberthead_types::{Incarnation, Moment, NodeName};
 
-use crate::holder::Cx;
 use crate::home::{Home, Role};
-use crate::{Action, Claim, ConfigNumber, Member, Message, Op};
+use crate::primary::Cx;
+use crate::{Action, Claim, HomeEpoch, Member, Message, Op};
 
-/// State of a backup besides the records.
+/// State of a backup, without the records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Backup {
-    pub(crate) holder: NodeName,
-    pub(crate) holder_incarnation: Incarnation,
-    /// Number of the first step that isn't here.
+    pub(crate) primary: NodeName,
+    pub(crate) primary_incarnation: Incarnation,
+    /// Number of the first operation that it doesn't have.
     next: u64,
-    joined: bool,
-    /// When the holder was heard last.
-    pub(crate) heard: Moment,
-    /// When control was last asked to let this entry go on alone.
+    active: bool,
+    /// When the last message from the primary arrived.
+    pub(crate) last_seen: Moment,
+    /// When the last claim was sent; `None` if it never sent one in this epoch.
     pub(crate) claimed: Option<Moment>,
 }
 
-/// A message of a home's holder, its home and config left out.
+/// A [`Message::Append`] without home, epoch and receiver.
 pub(crate) struct Append {
-    pub(crate) holder: Incarnation,
+    pub(crate) primary: Incarnation,
     pub(crate) first: u64,
     pub(crate) ops: Vec<Op>,
-    pub(crate) joined_at: Option<u64>,
+    pub(crate) active_from: Option<u64>,
 }
 
 impl Backup {
-    pub(crate) fn new(now: Moment, holder: &NodeName, holder_incarnation: Incarnation) -> Self {
+    pub(crate) fn new(now: Moment, primary: &NodeName, primary_incarnation: Incarnation) -> Self {
         Self {
-            holder: holder.clone(),
-            holder_incarnation,
+            primary: primary.clone(),
+            primary_incarnation,
             next: 0,
-            joined: false,
-            heard: now,
+            active: false,
+            last_seen: now,
             claimed: None,
         }
     }
 
-    /// Whether every key that the holder may start is on record here first.
-    pub(crate) fn is_joined(&self) -> bool {
-        self.joined
+    /// Whether no key starts before its record is here.
+    pub(crate) fn is_active(&self) -> bool {
+        self.active
     }
 }
 
@@ -54,15 +54,16 @@
         }
     }
 
-    /// Takes in the steps of a message that fit, and acknowledges all that are here.
+    /// Applies the operations that follow the ones it has, and acknowledges everything up
+    /// to them.
     pub(crate) fn append(&mut self, cx: &mut Cx<'_>, from: &NodeName, append: Append) {
-        let config = self.config;
+        let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
             return;
         };
-        backup.heard = cx.now;
+        backup.last_seen = cx.now;
         let Some(skip) = backup.next.checked_sub(append.first) else {
-            // A gap: what is missing comes again.
+            // A gap: the primary sends the missing operations again.
             return;
         };
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
@@ -74,20 +75,21 @@
         }
         if let Some(backup) = self.backup_mut() {
             backup.next = next;
-            backup.joined |= append.joined_at.is_some_and(|at| next >= at);
+            backup.active |= append.active_from.is_some_and(|at| next >= at);
         }
-        self.acknowledge(cx, from, config, next);
+        self.acknowledge(cx, from, epoch, next);
         if handed_over {
-            self.take_over(cx.now, config.next());
+            self.take_over(cx.now, epoch.next());
         }
     }
 
-    /// What happens without the check of configs, for the guard switch only.
+    /// Applies operations without checking their epoch. Used only where the guard
+    /// `check_epoch` is off.
     pub(crate) fn append_unchecked(
         &mut self,
         cx: &mut Cx<'_>,
         from: &NodeName,
-        config: ConfigNumber,
+        epoch: HomeEpoch,
         append: &Append,
     ) {
         for op in &append.ops {
@@ -96,28 +98,29 @@
             }
         }
         let next = append.first + append.ops.len() as u64;
-        self.acknowledge(cx, from, config, next);
+        self.acknowledge(cx, from, epoch, next);
     }
 
-    fn acknowledge(&self, cx: &mut Cx<'_>, to: &NodeName, config: ConfigNumber, next: u64) {
+    fn acknowledge(&self, cx: &mut Cx<'_>, to: &NodeName, epoch: HomeEpoch, next: u64) {
         let message = Message::Ack {
             home: cx.id.clone(),
-            config,
+            epoch,
             next,
         };
         cx.send(to, message);
     }
 
-    /// Asks control to let this entry hold the home, again and again: a claim on its way
-    /// may win, so only its verdict ends it.
+    /// Sends a claim to become primary, and repeats it: a claim in flight may win, so only
+    /// its result ends it.
     pub(crate) fn claim_as_backup(&mut self, cx: &mut Cx<'_>, silent: bool) {
-        let config = self.config;
+        let epoch = self.epoch;
         let Some(backup) = self.backup_mut() else {
             return;
         };
-        // Failure: the holder dies while its records are being copied; the half copy
-        // takes over, misses a key that ran, and runs it again.
-        if !backup.joined && cx.cfg.guards.complete_before_claim {
+        // Guards against an incomplete copy: if the primary died while its records are
+        // being copied and this entry took over, it would miss a key that ran, and run it
+        // again.
+        if !backup.active && cx.cfg.guards.complete_before_claim {
             return;
         }
         let due = backup
@@ -129,38 +132,38 @@
         backup.claimed = Some(cx.now);
         let claim = Claim {
             home: cx.id.clone(),
-            config,
+            epoch,
             claimant: cx.me.incarnation,
         };
         cx.out.push(Action::Claim(claim));
     }
 
-    /// Leaves the config on a planned stop, if the holder still counts on this entry.
+    /// Leaves the epoch on a planned stop, unless this entry has claimed the home.
     pub(crate) fn release(&mut self, cx: &mut Cx<'_>) {
         let Role::Backup(backup) = &self.role else {
             return;
         };
         if backup.claimed.is_some() {
-            // A claim on its way may win, and nobody would hold the home then.
+            // A claim in flight may win, and then the home would have no primary.
             return;
         }
-        let holder = Member {
-            name: backup.holder.clone(),
-            incarnation: backup.holder_incarnation,
+        let primary = Member {
+            name: backup.primary.clone(),
+            incarnation: backup.primary_incarnation,
             failure_domain: cx.id.failure_domain.clone(),
             leaving: false,
         };
-        self.role = Role::Past {
-            holder: Some(holder.incarnation),
+        self.role = Role::Former {
+            primary: Some(primary.incarnation),
             since: cx.now,
         };
-        self.send_release(cx, &holder.name);
+        self.send_release(cx, &primary.name);
     }
 
     pub(crate) fn send_release(&self, cx: &mut Cx<'_>, to: &NodeName) {
         let message = Message::Release {
             home: cx.id.clone(),
-            config: self.config,
+            epoch: self.epoch,
         };
         cx.send(to, message);
     }
--- a/crates/ledger/tests/all/explore.rs
+++ b/crates/ledger/tests/all/explore.rs
@@ -1,6 +1,6 @@
-//! Exhaustive exploration of the real step function over a small configuration: two
-//! entries of one failure domain and one elsewhere, one key, every order of events up to
-//! a depth. What isn't delivered stands for what is lost or late.
+//! Exhaustive exploration of the real step function in a small cluster: two entries of one
+//! failure domain and one elsewhere, one key, every order of events up to a depth. A packet
+//! that is never delivered stands for one that is lost or late.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -10,15 +10,15 @@
 use filberthead_ledger::{Event, Guards, Message};
 use pathfinding::directed::bfs::bfs;
 
+use crate::cluster::{Cluster, FAILOVER_TIMEOUT, config};
 use crate::wire::Packet;
-use crate::world::{SUSPECT_AFTER, World, config};
 
-/// How often each kind of event may still happen.
+/// How many more events of each kind may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Budget {
+struct EventBudget {
     depth: u8,
     sends: u8,
-    silences: u8,
+    timeouts: u8,
     crashes: u8,
     boots: u8,
     stops: u8,
@@ -27,15 +27,15 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    world: World,
+    cluster: Cluster,
     key: Rc<str>,
-    budget: Budget,
+    budget: EventBudget,
 }
 
-/// Two states are one if the same can happen from them; how they came about doesn't count.
+/// Two states are equal if the same events are possible from them, whatever led to them.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.budget == other.budget && self.world.is_same(&other.world)
+        self.budget == other.budget && self.cluster.is_equivalent(&other.cluster)
     }
 }
 
@@ -44,35 +44,35 @@
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.budget.hash(state);
-        self.world.hash_into(state);
+        self.cluster.hash_into(state);
     }
 }
 
 impl State {
-    fn new(world: World, key: &str, budget: Budget) -> Self {
+    fn new(cluster: Cluster, key: &str, budget: EventBudget) -> Self {
         Self {
-            world,
+            cluster,
             key: key.into(),
             budget,
         }
     }
 
-    /// The state after `f`, brought into a form that doesn't depend on the order of
-    /// what is on the wire.
-    fn after(&self, spend: impl FnOnce(&mut Budget), f: impl FnOnce(&mut World)) -> Self {
+    /// The state after `f`, in a form that doesn't depend on the order of the packets in
+    /// flight.
+    fn after(&self, spend: impl FnOnce(&mut EventBudget), f: impl FnOnce(&mut Cluster)) -> Self {
         let mut next = self.clone();
         next.budget.depth -= 1;
         spend(&mut next.budget);
-        f(&mut next.world);
-        next.world.told.clear();
-        // Heartbeats only inform; a key must be safe without them.
+        f(&mut next.cluster);
+        next.cluster.decisions.clear();
+        // Drops heartbeats: the guarantees must hold without them.
         let heartbeat = |packet: &Packet| match packet {
-            Packet::Message { body, .. } => matches!(body.message(), Message::Holds { .. }),
+            Packet::Message { body, .. } => matches!(body.message(), Message::HeldHomes { .. }),
             _ => false,
         };
-        let wire = std::mem::take(&mut next.world.wire);
+        let wire = std::mem::take(&mut next.cluster.wire);
         let wire: BTreeSet<_> = wire.into_iter().filter(|p| !heartbeat(p)).collect();
-        next.world.wire = wire.into_iter().collect();
+        next.cluster.wire = wire.into_iter().collect();
         next
     }
 
@@ -82,19 +82,19 @@
             return next;
         }
         let budget = self.budget;
-        for index in 0..self.world.wire.len() {
-            next.push(self.after(|_| {}, |w| w.deliver(index)));
+        for index in 0..self.cluster.wire.len() {
+            next.push(self.after(|_| {}, |cluster| cluster.deliver(index)));
             if budget.duplicates > 0 {
-                let packet = self.world.wire[index].clone();
-                next.push(self.after(|b| b.duplicates -= 1, |w| w.arrive(&packet)));
+                let packet = self.cluster.wire[index].clone();
+                next.push(self.after(|b| b.duplicates -= 1, |cluster| cluster.arrive(&packet)));
             }
         }
-        for index in 0..self.world.started.len() {
-            if !self.world.started[index].ran {
-                next.push(self.after(|_| {}, |w| w.run(index)));
-                next.push(self.after(|_| {}, |w| w.give_up(index)));
+        for index in 0..self.cluster.started.len() {
+            if !self.cluster.started[index].ran {
+                next.push(self.after(|_| {}, |cluster| cluster.run(index)));
+                next.push(self.after(|_| {}, |cluster| cluster.give_up(index)));
             } else {
-                next.push(self.after(|_| {}, |w| w.finish(index)));
+                next.push(self.after(|_| {}, |cluster| cluster.finish(index)));
             }
         }
         self.faults(&mut next);
@@ -103,131 +103,134 @@
 
     fn faults(&self, next: &mut Vec<Self>) {
         let budget = self.budget;
-        let live: Vec<_> = self.world.nodes.keys().copied().collect();
+        let live: Vec<_> = self.cluster.nodes.keys().copied().collect();
         if budget.sends > 0 {
             for slot in &live {
-                next.push(self.after(|b| b.sends -= 1, |w| w.send(*slot, &self.key)));
+                next.push(self.after(|b| b.sends -= 1, |cluster| cluster.send(*slot, &self.key)));
             }
         }
-        if budget.silences > 0 {
-            next.push(self.after(|b| b.silences -= 1, silence));
+        if budget.timeouts > 0 {
+            next.push(self.after(|b| b.timeouts -= 1, run_out_failover_timeout));
         }
         if budget.crashes > 0 {
             for slot in live.iter().filter(|slot| **slot < 2) {
-                next.push(self.after(|b| b.crashes -= 1, |w| w.crash(*slot)));
+                next.push(self.after(|b| b.crashes -= 1, |cluster| cluster.crash(*slot)));
             }
         }
         if budget.boots > 0 {
             for slot in (0..2).filter(|slot| !live.contains(slot)) {
-                let boot = |w: &mut World| {
-                    w.boot(slot);
-                    w.spread_members();
+                let boot = |cluster: &mut Cluster| {
+                    cluster.boot(slot);
+                    cluster.announce_members();
                 };
                 next.push(self.after(|b| b.boots -= 1, boot));
             }
         }
         if budget.stops > 0 {
             for slot in live.iter().filter(|slot| **slot < 2) {
-                next.push(self.after(|b| b.stops -= 1, |w| w.step(*slot, Event::Stop)));
+                next.push(self.after(|b| b.stops -= 1, |cluster| cluster.step(*slot, Event::Stop)));
             }
         }
     }
 }
 
-/// Time passes without any message arriving, until each suspects the other one.
-fn silence(world: &mut World) {
+/// Advances the time by more than the failover timeout without delivering anything.
+fn run_out_failover_timeout(cluster: &mut Cluster) {
     for _ in 0..5 {
-        world.now += SUSPECT_AFTER / 4;
-        world.tick();
+        cluster.now += FAILOVER_TIMEOUT / 4;
+        cluster.tick();
     }
 }
 
-/// Explores from `start`; the broken promise and the steps to it if there is one, and
-/// how many states were seen.
+/// Explores from `start`. Returns the violation and the number of steps that led to it, if
+/// there is one, and the number of states explored.
 fn explore(start: State) -> (Option<(String, usize)>, usize) {
-    let mut seen = 0;
+    let mut explored = 0;
     let successors = |state: &State| {
-        seen += 1;
+        explored += 1;
         state.successors()
     };
-    let path = bfs(&start, successors, |state| state.world.broken.is_some());
-    let broken = path.and_then(|path| {
+    let path = bfs(&start, successors, |state| {
+        state.cluster.violation.is_some()
+    });
+    let violation = path.and_then(|path| {
         let last = path.last()?;
-        Some((last.world.broken.clone()?, path.len() - 1))
+        Some((last.cluster.violation.clone()?, path.len() - 1))
     });
-    (broken, seen)
+    (violation, explored)
 }
 
-/// Entry 0 holds a home whose backup is entry 1; nothing is on its way.
-fn paired(guards: Guards) -> World {
-    let mut world = World::new(config(guards).build(), &["a", "a", "b"]);
-    world.settle(Duration::from_secs(1));
-    world
+/// A cluster in which entry 0 is the primary of a home, entry 1 its backup, and nothing is
+/// in flight.
+fn primary_with_backup(guards: Guards) -> Cluster {
+    let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
+    cluster.settle(Duration::from_secs(1));
+    cluster
 }
 
-const BUDGET: Budget = Budget {
+const BUDGET: EventBudget = EventBudget {
     depth: 9,
     sends: 2,
-    silences: 1,
+    timeouts: 1,
     crashes: 1,
     boots: 0,
     stops: 0,
     duplicates: 0,
 };
 
-fn crash_or_silence(guards: Guards) -> State {
-    let world = paired(guards);
-    let key = world.key(0, "order");
-    State::new(world, &key, BUDGET)
+fn crash_or_timeout(guards: Guards) -> State {
+    let cluster = primary_with_backup(guards);
+    let key = cluster.key(0, "order");
+    State::new(cluster, &key, BUDGET)
 }
 
 fn planned_stop(guards: Guards) -> State {
-    let world = paired(guards);
-    let key = world.key(0, "order");
-    let budget = Budget {
-        silences: 1,
+    let cluster = primary_with_backup(guards);
+    let key = cluster.key(0, "order");
+    let budget = EventBudget {
+        timeouts: 1,
         crashes: 0,
         stops: 1,
         ..BUDGET
     };
-    State::new(world, &key, budget)
+    State::new(cluster, &key, budget)
 }
 
-/// A key has run at entry 0, whose backup is about to be replaced by a new process of
-/// the same name, while copies of everything ever sent to the old one are still about.
+/// A key has run at entry 0, whose backup is about to be replaced by a new process of the
+/// same name, while copies of everything ever sent to the old process are still in flight.
 fn backup_restarted(guards: Guards) -> State {
-    let mut world = World::new(config(guards).build(), &["a", "a", "b"]);
-    let mut old = BTreeSet::new();
+    let mut cluster = Cluster::new(config(guards).build(), &["a", "a", "b"]);
+    let mut old_packets = BTreeSet::new();
     let end = Duration::from_secs(1);
-    while world.now < end {
-        while !world.wire.is_empty() {
-            let packet = world.wire[0].clone();
-            if is_append_of_home(&packet, 0) {
-                old.insert(packet);
+    while cluster.now < end {
+        while !cluster.wire.is_empty() {
+            let packet = cluster.wire[0].clone();
+            if is_append_from(&packet, 0) {
+                old_packets.insert(packet);
             }
-            world.deliver(0);
+            cluster.deliver(0);
         }
-        world.now += Duration::from_millis(50);
-        world.tick();
+        cluster.now += Duration::from_millis(50);
+        cluster.tick();
     }
-    world.drain();
-    let key = world.key(0, "order");
-    world.send(0, &key);
-    world.drain();
-    world.run(0);
-    world.crash(1);
-    world.wire = old.into_iter().collect();
-    let budget = Budget {
+    cluster.drain();
+    let key = cluster.key(0, "order");
+    cluster.send(0, &key);
+    cluster.drain();
+    cluster.run(0);
+    cluster.crash(1);
+    cluster.wire = old_packets.into_iter().collect();
+    let budget = EventBudget {
         depth: 11,
         sends: 1,
         crashes: 0,
         boots: 1,
         ..BUDGET
     };
-    State::new(world, &key, budget)
+    State::new(cluster, &key, budget)
 }
 
-fn is_append_of_home(packet: &Packet, from: usize) -> bool {
+fn is_append_from(packet: &Packet, from: usize) -> bool {
     let Packet::Message {
         from: sender, body, ..
     } = packet
@@ -238,42 +241,42 @@
 }
 
 #[test]
-fn every_order_of_events_keeps_the_promises() {
+fn every_order_of_events_keeps_the_guarantees() {
     let scenarios = [
-        ("crash or silence", crash_or_silence(Guards::ALL)),
+        ("crash or failover timeout", crash_or_timeout(Guards::ALL)),
         ("planned stop", planned_stop(Guards::ALL)),
         ("backup restarted", backup_restarted(Guards::ALL)),
     ];
     for (name, start) in scenarios {
         let depth = start.budget.depth;
-        let (broken, seen) = explore(start);
-        println!("{name}: {seen} states to depth {depth}");
-        assert_eq!(broken, None, "{name}");
-        assert!(seen > 1_000, "{name}: only {seen} states");
+        let (violation, explored) = explore(start);
+        println!("{name}: {explored} states to depth {depth}");
+        assert_eq!(violation, None, "{name}");
+        assert!(explored > 1_000, "{name}: only {explored} states");
     }
 }
 
 #[test]
-fn exploration_notices_a_guard_switched_off() {
+fn exploration_detects_a_disabled_guard() {
     let all = Guards::ALL;
-    let twins = [
+    let variants = [
         (
             "record before start",
-            crash_or_silence(Guards {
+            crash_or_timeout(Guards {
                 record_before_start: false,
                 ..all
             }),
         ),
         (
-            "config",
-            crash_or_silence(Guards {
-                check_config: false,
+            "epoch",
+            crash_or_timeout(Guards {
+                check_epoch: false,
                 ..all
             }),
         ),
         (
             "closing of refused keys",
-            crash_or_silence(Guards {
+            crash_or_timeout(Guards {
                 close_refused: false,
                 ..all
             }),
@@ -281,17 +284,17 @@
         (
             "backup",
             backup_restarted(Guards {
-                check_backup: false,
+                check_backup_incarnation: false,
                 ..all
             }),
         ),
     ];
-    for (guard, start) in twins {
-        let (broken, seen) = explore(start);
-        println!("without {guard}: {broken:?} after {seen} states");
+    for (guard, start) in variants {
+        let (violation, explored) = explore(start);
+        println!("without {guard}: {violation:?} after {explored} states");
         assert!(
-            broken.is_some(),
-            "nothing breaks without the guard `{guard}`"
+            violation.is_some(),
+            "no violation without the guard `{guard}`"
         );
     }
 }
--- a/crates/ledger/tests/all/wire.rs
+++ b/crates/ledger/tests/all/wire.rs
@@ -1,4 +1,4 @@
-//! What is on its way between the entries of a world, to their disks and to control.
+//! Packets and disk writes in flight in a test cluster.
 
 use std::cmp::Ordering;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,21 +6,21 @@
 use filberthead_ledger::{Claim, HomeId, Message, Op};
 use filberthead_types::Incarnation;
 
-use crate::world::Slot;
+use crate::cluster::Slot;
 
-/// Something on its way.
+/// A packet in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Packet {
     Message {
         from: Slot,
         to: Slot,
-        body: Sealed,
+        body: HashedMessage,
     },
     Claim {
         from: Slot,
         claim: Claim,
     },
-    Verdict {
+    ClaimResult {
         to: Slot,
         claim: Claim,
         winner: Incarnation,
@@ -34,8 +34,8 @@
 }
 
 impl Packet {
-    /// Where a record on its way to a backup goes.
-    pub(crate) fn record_to(&self) -> Option<Slot> {
+    /// The receiver, if the packet carries operations from a primary to a backup.
+    pub(crate) fn append_receiver(&self) -> Option<Slot> {
         match self {
             Self::Message { to, body, .. } => match body.message() {
                 Message::Append { ops, .. } if !ops.is_empty() => Some(*to),
@@ -46,7 +46,7 @@
     }
 }
 
-/// A write on its way to a disk. Disks write in order.
+/// A disk write in flight. Disks complete writes in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DiskWrite {
     pub(crate) home: HomeId,
@@ -56,36 +56,37 @@
     pub(crate) retire: bool,
 }
 
-/// A message with an order, by a digest of its own, so that packets can stand in a set.
+/// A message ordered by its digest, so that packets can be stored in a set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Sealed {
+pub(crate) struct HashedMessage {
     digest: u64,
-    message: Unordered,
+    message: WithoutOrder,
 }
 
-/// Leaves the order to the digest that stands before it.
+/// Compares as equal to any other message, so that the derived order of [`HashedMessage`]
+/// depends on the digest alone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Unordered(Message);
+struct WithoutOrder(Message);
 
-impl PartialOrd for Unordered {
+impl PartialOrd for WithoutOrder {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Unordered {
+impl Ord for WithoutOrder {
     fn cmp(&self, _: &Self) -> Ordering {
         Ordering::Equal
     }
 }
 
-impl Sealed {
+impl HashedMessage {
     pub(crate) fn new(message: Message) -> Self {
         let mut hasher = DefaultHasher::new();
         message.hash(&mut hasher);
         Self {
             digest: hasher.finish(),
-            message: Unordered(message),
+            message: WithoutOrder(message),
         }
     }
 
--- a/crates/observe/src/burn/html.rs
+++ b/crates/observe/src/burn/html.rs
@@ -1,5 +1,5 @@
-//! The report as one HTML page that needs nothing else: no script, no font, no picture
-//! from elsewhere. It follows the reader's choice of a light or dark display.
+//! The report as one self-contained HTML page: no scripts, and no fonts or images from
+//! other servers. It follows the reader's light or dark colour scheme.
 
 use std::fmt::Write as _;
 
@@ -30,11 +30,11 @@
   vertical-align: middle; }
 ";
 
-const BOUND: &str = "<span>dashed: the objective's bound</span>";
+const BOUND_LEGEND: &str = "<span>dashed: the objective's bound</span>";
 
-/// Burn from which a figure is marked: the budget goes faster than it may.
+/// Burn rate above which a cell is marked as a warning: the budget is used too fast.
 const WARN_BURN: f64 = 1.0;
-/// Burn from which it is marked as bad: three days' budget is gone within a day.
+/// Burn rate from which a cell is marked as bad: it uses three days' budget within a day.
 const BAD_BURN: f64 = 3.0;
 
 /// The report as an HTML page.
@@ -72,33 +72,34 @@
 }
 
 fn rows(page: &mut String, scope: &Scope) {
-    for (place, (measure, cells)) in scope.measures.iter().zip(text::rows(scope)).enumerate() {
-        page.push_str(if place == 0 {
+    for (index, (measure, cells)) in scope.measures.iter().zip(text::rows(scope)).enumerate() {
+        page.push_str(if index == 0 {
             "<tr class=\"first\">"
         } else {
             "<tr>"
         });
         for (column, cell) in cells.iter().enumerate() {
-            let mark = mark(measure, column);
-            let _ = write!(page, "<td{}>{}</td>", class(column, mark), escape(cell));
+            let severity = severity(measure, column);
+            let _ = write!(page, "<td{}>{}</td>", class(column, severity), escape(cell));
         }
         page.push_str("</tr>\n");
     }
 }
 
-/// Columns before the windows: service, region, measure, objective, budget left.
-const FIRST_WINDOW: usize = 5;
-const BUDGET: usize = 4;
+/// Index of the first window column, after service, region, measure, objective and budget.
+const FIRST_WINDOW_COLUMN: usize = 5;
+const BUDGET_COLUMN: usize = 4;
 
-/// How a figure is marked; the figure itself stands there, so nobody needs the colour.
-fn mark(measure: &Measure, column: usize) -> Option<&'static str> {
-    if column == BUDGET {
+/// CSS class that colours a cell. The cell shows the number as well, so the colour carries
+/// no information of its own.
+fn severity(measure: &Measure, column: usize) -> Option<&'static str> {
+    if column == BUDGET_COLUMN {
         return measure
             .budget_left
             .filter(|left| *left < 0.0)
             .map(|_| "bad");
     }
-    let window = column.checked_sub(FIRST_WINDOW)?;
+    let window = column.checked_sub(FIRST_WINDOW_COLUMN)?;
     let burn = measure.windows.get(window)?.burn?;
     match burn {
         burn if burn >= BAD_BURN => Some("bad"),
@@ -107,9 +108,9 @@
     }
 }
 
-fn class(column: usize, mark: Option<&str>) -> String {
-    let number = (column >= BUDGET).then_some("num");
-    let classes: Vec<_> = number.into_iter().chain(mark).collect();
+fn class(column: usize, severity: Option<&str>) -> String {
+    let number = (column >= BUDGET_COLUMN).then_some("num");
+    let classes: Vec<_> = number.into_iter().chain(severity).collect();
     match classes.is_empty() {
         true => String::new(),
         false => format!(" class=\"{}\"", classes.join(" ")),
@@ -122,7 +123,7 @@
         let Some(first) = group.first() else { continue };
         let _ = writeln!(page, "<h2>{}</h2>", escape(first.service.as_str()));
         let legend = legend(report, group);
-        let _ = writeln!(page, "<p class=\"legend\">{legend}{BOUND}</p>");
+        let _ = writeln!(page, "<p class=\"legend\">{legend}{BOUND_LEGEND}</p>");
         page.push_str("<div class=\"plots\">\n");
         for plot in plots(report, group) {
             let caption = escape(&plot.caption);
@@ -136,7 +137,7 @@
     }
 }
 
-/// Makes text safe between tags. Names are plain words already; paths may be anything.
+/// Escapes text for HTML. Names contain no special characters, but paths may contain any character.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/observe/src/metrics/requests.rs
+++ b/crates/observe/src/metrics/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of one service that one region serves.
+//! Metrics of the requests of one service that are served in one region.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use super::labels::{PairLabels, RequestLabels};
 use super::{observe, wait_histogram};
-use crate::samples::Window;
+use crate::samples::PeriodCounter;
 
 type Histograms = Family<PairLabels, Histogram, fn() -> Histogram>;
 
-/// The families that handles are resolved from.
+/// The metric families that [`RequestMetrics`] are resolved from.
 #[derive(Debug)]
 pub(super) struct RequestFamilies {
     results: Family<RequestLabels, Counter>,
@@ -46,14 +46,18 @@
         );
     }
 
-    pub(super) fn handle(&self, labels: PairLabels, window: Window) -> RequestMetrics {
+    pub(super) fn handle(
+        &self,
+        labels: PairLabels,
+        period_counter: PeriodCounter,
+    ) -> RequestMetrics {
         RequestMetrics {
             shared: Arc::new(Shared {
                 results: self.results.clone(),
                 duration: self.durations.get_or_create_owned(&labels),
                 counters: ResultCode::ALL.iter().map(|_| OnceLock::new()).collect(),
                 labels,
-                window,
+                period_counter,
             }),
         }
     }
@@ -62,26 +66,26 @@
 #[derive(Debug)]
 struct Shared {
     labels: PairLabels,
-    window: Window,
+    period_counter: PeriodCounter,
     results: Family<RequestLabels, Counter>,
     duration: Histogram,
-    /// One for each of [`ResultCode::ALL`], made when it is first seen, so that codes
-    /// that never occur make no series.
+    /// One for each of [`ResultCode::ALL`], resolved on first use, so that codes that never
+    /// occur have no series.
     counters: Vec<OnceLock<Counter>>,
 }
 
-/// Counts the requests of one service that one region serves. Cheap to clone and to
-/// call; get it once for each service and keep it.
+/// Counts the requests of one service that are served in one region. Cheap to clone and to
+/// call; resolve it once and keep it.
 #[derive(Clone, Debug)]
 pub struct RequestMetrics {
     shared: Arc<Shared>,
 }
 
 impl RequestMetrics {
-    /// Counts a request that ended; `took` since its arrival.
-    pub fn finished(&self, code: ResultCode, took: Duration) {
+    /// Counts a request that ended `took` after its arrival.
+    pub fn record(&self, code: ResultCode, took: Duration) {
         self.counter(code).inc();
-        self.shared.window.finished(code, took);
+        self.shared.period_counter.record_request(code, took);
         if code.meaning() == Meaning::Ran {
             observe(&self.shared.duration, took);
         }
@@ -89,9 +93,9 @@
 
     fn counter(&self, code: ResultCode) -> Counter {
         let number = code.number();
-        let place = ResultCode::ALL.binary_search_by_key(&number, |code| code.number());
-        match place.ok().and_then(|place| self.shared.counters.get(place)) {
-            Some(slot) => slot.get_or_init(|| self.resolve(code)).clone(),
+        let index = ResultCode::ALL.binary_search_by_key(&number, |code| code.number());
+        match index.ok().and_then(|index| self.shared.counters.get(index)) {
+            Some(counter) => counter.get_or_init(|| self.resolve(code)).clone(),
             None => self.resolve(code),
         }
     }
--- /dev/null
+++ b/crates/observe/src/trace.rs
@@ -0,0 +1,146 @@
+//! The trace of one request, collected from the logs of all processes.
+//!
+//! Each process that made a decision about a request logs lines with the request's id.
+//! [`RequestTrace`] sorts these lines by time. It also holds the state that each of these
+//! processes had logged before: its routes, its endpoints, whether it reached control.
+//! Clocks of VMs differ, so lines of different processes may be out of order by that
+//! difference; lines of one process keep their order.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use serde_json::{Map, Value};
+
+/// Log key of a request's id.
+const REQUEST_FIELD: &str = "request";
+/// Messages that log a part of a process's state, each with its topic. A later message
+/// replaces an earlier one of the same topic.
+const STATE_MESSAGES: [(&str, &str); 8] = [
+    ("routes in force", "routes"),
+    ("list of endpoints", "endpoints"),
+    ("list of endpoints changed", "endpoints"),
+    ("evacuated failure domains", "evacuated"),
+    ("control is heard", "control"),
+    ("no control replica is heard", "control"),
+    ("planned stop begins", "stop"),
+    ("leadership or membership", "leader"),
+];
+/// Keys that are in every line. They aren't listed again in [`Event::fields`].
+const HEADER_FIELDS: [&str; 6] = ["ts", "level", "process", "target", "msg", REQUEST_FIELD];
+
+/// One parsed log line.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Event {
+    /// Timestamp by the process's clock, in RFC 3339.
+    pub at: String,
+    /// Name of the process.
+    pub process: String,
+    /// The message text.
+    pub message: String,
+    /// The other keys with their values, sorted by key.
+    pub fields: Vec<(String, String)>,
+}
+
+impl Event {
+    /// Parses a JSON log line. Text before the first `{` is skipped, since other programs
+    /// may prefix lines. `None` if it is no JSON object with the usual keys.
+    pub fn parse(line: &str) -> Option<Self> {
+        Self::from_object(&parse_object(line)?)
+    }
+
+    fn from_object(map: &Map<String, Value>) -> Option<Self> {
+        let fields = map
+            .iter()
+            .filter(|(key, _)| !HEADER_FIELDS.contains(&key.as_str()));
+        Some(Self {
+            at: text(map, "ts")?,
+            process: text(map, "process")?,
+            message: text(map, "msg")?,
+            fields: fields
+                .map(|(key, value)| (key.clone(), value_text(value)))
+                .collect(),
+        })
+    }
+}
+
+impl fmt::Display for Event {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} {}: {}", self.at, self.process, self.message)?;
+        self.fields
+            .iter()
+            .try_for_each(|(key, value)| write!(f, " {key}={value}"))
+    }
+}
+
+fn parse_object(line: &str) -> Option<Map<String, Value>> {
+    let start = line.find('{')?;
+    serde_json::from_str(&line[start..]).ok()
+}
+
+fn text(map: &Map<String, Value>, key: &str) -> Option<String> {
+    Some(map.get(key)?.as_str()?.to_owned())
+}
+
+fn value_text(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
+}
+
+/// What the logs contain about one request.
+#[derive(Clone, Debug, Default)]
+pub struct RequestTrace {
+    /// State that the processes involved had logged before their first line about it.
+    pub process_states: Vec<Event>,
+    /// The lines about the request, sorted by time.
+    pub events: Vec<Event>,
+}
+
+impl RequestTrace {
+    /// Collects the trace of the request `id`. The lines of each log must be in their
+    /// original order, one log after the other.
+    pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
+        let mut states: BTreeMap<(String, &str), Event> = BTreeMap::new();
+        let mut trace = Self::default();
+        for line in lines {
+            let Some(map) = parse_object(line) else {
+                continue;
+            };
+            let Some(event) = Event::from_object(&map) else {
+                continue;
+            };
+            if is_about(&map, id) {
+                trace.add_states_of(&states, &event.process);
+                trace.events.push(event);
+            } else if let Some(topic) = topic_of(&event.message) {
+                states.insert((event.process.clone(), topic), event);
+            }
+        }
+        // The sort is stable: lines of one process with equal timestamps keep their order.
+        trace.events.sort_by(|a, b| a.at.cmp(&b.at));
+        trace.process_states.sort_by(|a, b| a.at.cmp(&b.at));
+        trace
+    }
+
+    /// Adds the state that a process had logged before its first line about the request.
+    fn add_states_of(&mut self, states: &BTreeMap<(String, &str), Event>, process: &str) {
+        if self.events.iter().any(|event| event.process == process) {
+            return;
+        }
+        let own = states.iter().filter(|((owner, _), _)| owner == process);
+        self.process_states
+            .extend(own.map(|(_, event)| event.clone()));
+    }
+}
+
+fn topic_of(message: &str) -> Option<&'static str> {
+    let entry = STATE_MESSAGES
+        .iter()
+        .find(|(state_message, _)| *state_message == message);
+    entry.map(|(_, topic)| *topic)
+}
+
+fn is_about(map: &Map<String, Value>, id: &str) -> bool {
+    map.get(REQUEST_FIELD)
+        .is_some_and(|value| value_text(value) == id)
+}
--- a/crates/operator/src/server/act.rs
+++ b/crates/operator/src/server/operations.rs
@@ -1,10 +1,10 @@
-//! What changes something.
+//! Requests that change something.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
 use filberthead_table::{
-    Act, Change, Command, Danger, Edit, ProposalNumber, ReplicaInfo, Timestamp,
+    Change, Command, Danger, Edit, Operation, ProposalNumber, ReplicaInfo, Timestamp,
 };
 use filberthead_types::{ChangeId, ResultCode};
 use log::info;
@@ -14,11 +14,11 @@
 use super::access::Operator;
 use super::reply::{Refusal, refuse};
 use super::route::Route;
-use super::{Shared, view};
+use super::{Shared, queries};
 use crate::live::{self, LiveCheck};
 use crate::{
-    AcceptBody, AddReplicaBody, AdministrationError, Answer, ChangeBody, MembershipAct, NoteBody,
-    ReplicaBody, ReviewBody,
+    AcceptBody, AddReplicaBody, AdministrationError, Answer, ChangeBody, MembershipChange,
+    NoteBody, ReplicaBody, ReviewBody,
 };
 
 pub(super) async fn perform(
@@ -33,11 +33,11 @@
             change_membership(shared, operator, route, body).await
         }
         _ => {
-            let (id, act) = parse_act(shared, route, body)?;
-            let edits = edits_of(shared, &act).await?;
+            let (id, operation) = parse_operation(shared, route, body)?;
+            let edits = edits_of(shared, &operation).await?;
             operator.require_services(&edits)?;
-            let check = check_live(shared, &act, &edits).await;
-            submit(shared, operator, id, act, check).await
+            let check = check_live(shared, &operation, &edits).await;
+            submit(shared, operator, id, operation, check).await
         }
     }
 }
@@ -46,98 +46,107 @@
     serde_json::from_slice(body).map_err(|e| refuse(ResultCode::ApiBodyMalformed, e.to_string()))
 }
 
-fn parse_act(shared: &Shared, route: Route, body: &Bytes) -> Result<(ChangeId, Act), Refusal> {
+fn parse_operation(
+    shared: &Shared,
+    route: Route,
+    body: &Bytes,
+) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Change => {
             let body: ChangeBody = parse(body)?;
-            refuse_unreviewed(shared)?;
+            refuse_if_review_required(shared)?;
             if body.supersedes.is_some() {
-                let message = "`supersedes` goes with a proposal";
+                let message = "`supersedes` is allowed in a proposal only";
                 return Err(refuse(ResultCode::ApiBodyMalformed, message));
             }
-            Ok((body.id, Act::Change(change_of(body)?)))
+            Ok((body.id, Operation::Change(convert_change(body)?)))
         }
         Route::Propose => {
             let body: ChangeBody = parse(body)?;
             let (id, supersedes) = (body.id, body.supersedes);
-            let change = change_of(body)?;
-            Ok((id, Act::Propose { change, supersedes }))
+            let change = convert_change(body)?;
+            Ok((id, Operation::Propose { change, supersedes }))
         }
         Route::Accept(proposal) => {
             let AcceptBody { id, note, allow } = parse(body)?;
             if allow.contains(&Danger::OwnReview) {
-                refuse_unreviewed(shared)?;
+                refuse_if_review_required(shared)?;
             }
-            let act = Act::Accept {
+            let operation = Operation::Accept {
                 proposal,
                 note,
                 allow,
             };
-            Ok((id, act))
+            Ok((id, operation))
         }
-        _ => parse_word(route, body),
+        _ => parse_note_operation(route, body),
     }
 }
 
-/// Acts that come with a note and without a change.
-fn parse_word(route: Route, body: &Bytes) -> Result<(ChangeId, Act), Refusal> {
+/// Parses the operations that have a note and no change.
+fn parse_note_operation(route: Route, body: &Bytes) -> Result<(ChangeId, Operation), Refusal> {
     match route {
         Route::Review(proposal) => {
             let ReviewBody { id, verdict, note } = parse(body)?;
-            let act = Act::Review {
+            let operation = Operation::Review {
                 proposal,
                 verdict,
                 note,
             };
-            Ok((id, act))
+            Ok((id, operation))
         }
         Route::Withdraw(proposal) => {
             let NoteBody { id, note } = parse(body)?;
-            Ok((id, Act::Withdraw { proposal, note }))
+            Ok((id, Operation::Withdraw { proposal, note }))
         }
         Route::HandOver => {
             let NoteBody { id, note } = parse(body)?;
-            Ok((id, Act::HandOver { note }))
+            Ok((id, Operation::HandOver { note }))
         }
-        _ => Err(refuse(ResultCode::NoSuchRoute, "nothing to do")),
+        _ => Err(refuse(
+            ResultCode::NoSuchRoute,
+            "this route has no operation",
+        )),
     }
 }
 
-fn change_of(body: ChangeBody) -> Result<Change, Refusal> {
+fn convert_change(body: ChangeBody) -> Result<Change, Refusal> {
     body.into_change()
         .map_err(|e| refuse(ResultCode::ApiBodyMalformed, e.to_string()))
 }
 
-fn refuse_unreviewed(shared: &Shared) -> Result<(), Refusal> {
+fn refuse_if_review_required(shared: &Shared) -> Result<(), Refusal> {
     if !shared.require_review {
         return Ok(());
     }
-    let message = "this cluster takes no change without a colleague's review; propose it";
+    let message = "this cluster requires another operator's review of every change; propose it";
     Err(refuse(ResultCode::ReviewMissing, message))
 }
 
-/// The edits that an act is about. Those of a proposal never change, so what is read
-/// here is what would be accepted.
-async fn edits_of(shared: &Shared, act: &Act) -> Result<Vec<Edit>, Refusal> {
-    match act {
-        Act::Change(change) | Act::Propose { change, .. } => Ok(change.edits.clone()),
-        Act::Review { proposal, .. }
-        | Act::Accept { proposal, .. }
-        | Act::Withdraw { proposal, .. } => edits_of_proposal(shared, *proposal).await,
-        Act::HandOver { .. } | Act::RegisterReplica(_) | Act::ForgetReplica(_) => Ok(Vec::new()),
+/// The edits that an operation refers to. The edits of an open proposal are immutable, so
+/// those read here are the ones that would be accepted.
+async fn edits_of(shared: &Shared, operation: &Operation) -> Result<Vec<Edit>, Refusal> {
+    match operation {
+        Operation::Change(change) | Operation::Propose { change, .. } => Ok(change.edits.clone()),
+        Operation::Review { proposal, .. }
+        | Operation::Accept { proposal, .. }
+        | Operation::Withdraw { proposal, .. } => edits_of_proposal(shared, *proposal).await,
+        Operation::HandOver { .. }
+        | Operation::RegisterReplica(_)
+        | Operation::ForgetReplica(_) => Ok(Vec::new()),
     }
 }
 
 async fn edits_of_proposal(shared: &Shared, number: ProposalNumber) -> Result<Vec<Edit>, Refusal> {
-    let table = view::read(shared).await?;
+    let table = queries::read(shared).await?;
     let proposal = table.proposal(number);
     Ok(proposal.map_or_else(Vec::new, |proposal| proposal.change.edits.clone()))
 }
 
-async fn check_live(shared: &Shared, act: &Act, edits: &[Edit]) -> LiveCheck {
+async fn check_live(shared: &Shared, operation: &Operation, edits: &[Edit]) -> LiveCheck {
     if !matches!(
-        act,
-        Act::Change(_) | Act::Propose { .. } | Act::Accept { .. }
+        operation,
+        Operation::Change(_) | Operation::Propose { .. } | Operation::Accept { .. }
     ) {
         return LiveCheck::default();
     }
@@ -149,7 +158,7 @@
     shared: &Shared,
     operator: &Operator,
     id: ChangeId,
-    act: Act,
+    operation: Operation,
     check: LiveCheck,
 ) -> Result<Answer, Refusal> {
     let command = Command {
@@ -157,7 +166,7 @@
         actor: operator.actor.clone(),
         at: now(),
         findings: check.findings,
-        act,
+        operation,
     };
     command.check().map_err(|rule| {
         refuse(
@@ -165,8 +174,8 @@
             format!("nothing changed: {rule}"),
         )
     })?;
-    let waiting = shared.administration.submit(command);
-    let result = time::timeout(shared.answer_timeout, waiting).await;
+    let pending = shared.administration.submit(command);
+    let result = time::timeout(shared.answer_timeout, pending).await;
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     let mut answer = match result {
         Ok(outcome) => Answer::from_outcome(id, &outcome),
@@ -176,7 +185,7 @@
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role,
         result = answer.code.number();
-        "operator's act: {}", answer.message
+        "operator command: {}", answer.message
     );
     Ok(answer)
 }
@@ -198,14 +207,14 @@
         Route::Initialise => initialise(shared, operator, &parse(body)?).await,
         Route::Promote => {
             let ReplicaBody { id, replica } = parse(body)?;
-            apply_membership(shared, operator, id, MembershipAct::Promote(replica)).await
+            apply_membership(shared, operator, id, MembershipChange::Promote(replica)).await
         }
         _ => {
             let ReplicaBody { id, replica } = parse(body)?;
             let done =
-                apply_membership(shared, operator, id, MembershipAct::Remove(replica)).await?;
-            // After the removal, so that nobody loses the address of a replica that votes.
-            let forget = Act::ForgetReplica(replica);
+                apply_membership(shared, operator, id, MembershipChange::Remove(replica)).await?;
+            // Only after the removal, because the others need the addresses of a voter.
+            let forget = Operation::ForgetReplica(replica);
             let answer = submit(shared, operator, id, forget, LiveCheck::default()).await?;
             Ok(if answer.code == ResultCode::ActRecorded {
                 done
@@ -221,14 +230,14 @@
     operator: &Operator,
     body: &ReplicaBody,
 ) -> Result<Answer, Refusal> {
-    let status = view::status(shared).await?;
+    let status = queries::status(shared).await?;
     if status.replica != body.replica {
         let message = format!("this is replica {}, not {}", status.replica, body.replica);
         return Err(refuse(ResultCode::MembershipRefused, message));
     }
     let done = match status.replicas.as_slice() {
-        [] => apply_membership(shared, operator, body.id, MembershipAct::Initialise).await?,
-        // A first attempt may have come this far and no further.
+        [] => apply_membership(shared, operator, body.id, MembershipChange::Initialise).await?,
+        // An earlier attempt may have stopped after this step.
         [only] if only.id == status.replica => group_changed(body.id),
         group => {
             let message = format!("this replica is in a group of {} already", group.len());
@@ -241,7 +250,7 @@
         peer_addr: status.peer_addr,
         operator_addr: status.operator_addr,
     };
-    let register = Act::RegisterReplica(info);
+    let register = Operation::RegisterReplica(info);
     let answer = submit(shared, operator, body.id, register, LiveCheck::default()).await?;
     Ok(if answer.code == ResultCode::ActRecorded {
         done
@@ -261,28 +270,28 @@
         peer_addr: body.peer_addr,
         operator_addr: body.operator_addr,
     };
-    // Its addresses first: the leader needs them to send it the log.
-    let register = Act::RegisterReplica(info);
+    // The addresses are registered first, because the leader needs them to send the log.
+    let register = Operation::RegisterReplica(info);
     let answer = submit(shared, operator, body.id, register, LiveCheck::default()).await?;
     if answer.code != ResultCode::ActRecorded {
         return Ok(answer);
     }
-    let act = MembershipAct::AddLearner(body.replica);
-    apply_membership(shared, operator, body.id, act).await
+    let change = MembershipChange::AddLearner(body.replica);
+    apply_membership(shared, operator, body.id, change).await
 }
 
 async fn apply_membership(
     shared: &Shared,
     operator: &Operator,
     id: ChangeId,
-    act: MembershipAct,
+    change: MembershipChange,
 ) -> Result<Answer, Refusal> {
-    let waiting = shared.administration.membership(act);
-    let result = time::timeout(shared.answer_timeout, waiting).await;
+    let pending = shared.administration.membership(change);
+    let result = time::timeout(shared.answer_timeout, pending).await;
     let result = result.unwrap_or(Err(AdministrationError::OutcomeUnknown));
     info!(
         change:% = id, by:% = operator.actor.name, role:% = operator.actor.role;
-        "operator's act: membership {act:?}: {result:?}"
+        "membership change: {change:?}: {result:?}"
     );
     match result {
         Ok(()) => Ok(group_changed(id)),
--- a/crates/operator/tests/api.rs
+++ b/crates/operator/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API as a stranger, a team and a careless tool meet it.
+//! The API over raw HTTP: authentication, roles, malformed requests, limits and reviews.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{FakeControl, Served, SharedTable, serve, serve_with};
+use common::{FakeControl, SharedTable, TestServer, serve, serve_with};
 use filberthead_operator::{
     Answer, BoxFuture, HandOverBody, HistoryBody, MAX_BODY_BYTES, NewToken, Page, ProposalsBody,
     RowReading, TokenSource,
@@ -20,23 +20,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer as it came over the wire.
-struct Raw {
+/// An HTTP response as received.
+struct RawResponse {
     status: u16,
     code: u16,
     body: String,
 }
 
-impl Raw {
+impl RawResponse {
     fn answer(&self) -> Answer {
         serde_json::from_str(&self.body).expect("the body is an answer")
     }
 }
 
-/// Writes bytes as they are, and reads to the end.
-async fn raw(addr: SocketAddr, request: &[u8]) -> Raw {
+/// Sends bytes unchanged and reads until the connection is closed.
+async fn raw(addr: SocketAddr, request: &[u8]) -> RawResponse {
     let mut stream = TcpStream::connect(addr).await.expect("the server listens");
-    // A server that refuses early may have closed its side already.
+    // The write fails if the server has answered early and closed the connection.
     let _ = stream.write_all(request).await;
     let _ = stream.flush().await;
     let mut buf = Vec::new();
@@ -47,14 +47,14 @@
     let code = head
         .lines()
         .find_map(|line| line.strip_prefix("filberthead-result: "));
-    Raw {
+    RawResponse {
         status: status.unwrap_or(0),
         code: code.and_then(|text| text.parse().ok()).unwrap_or(0),
         body: body.to_owned(),
     }
 }
 
-async fn request(addr: SocketAddr, line: &str, headers: &str, body: &str) -> Raw {
+async fn request(addr: SocketAddr, line: &str, headers: &str, body: &str) -> RawResponse {
     let len = body.len();
     let text = format!(
         "{line} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {len}\r\n\
@@ -65,7 +65,7 @@
 
 const JSON: &str = "content-type: application/json\r\n";
 
-async fn post(addr: SocketAddr, path: &str, token: &str, body: &str) -> Raw {
+async fn post(addr: SocketAddr, path: &str, token: &str, body: &str) -> RawResponse {
     let headers = format!("{JSON}authorization: Bearer {token}\r\n");
     request(addr, &format!("POST {path}"), &headers, body).await
 }
@@ -84,9 +84,9 @@
     format!(r#"{{"id":"{id:x}","note":"n","edits":[{edit}]}}"#)
 }
 
-/// A server that asks for tokens, and the secrets of its operators.
-struct Guarded {
-    served: Served,
+/// A server with a tokens file, and the secrets of its operators.
+struct TokenServer {
+    served: TestServer,
     control: Arc<FakeControl>,
     dir: TempDir,
     reader: String,
@@ -95,20 +95,20 @@
     orders_team: String,
 }
 
-impl Guarded {
+impl TokenServer {
     async fn new() -> Self {
-        let draw = |name: &str, role, services: &[&str]| {
+        let generate = |name: &str, role, services: &[&str]| {
             let services: Vec<ServiceName> = services
                 .iter()
                 .map(|name| name.parse().expect("a name"))
                 .collect();
-            NewToken::draw(name, role, &services).expect("a token")
+            NewToken::generate(name, role, &services).expect("a token")
         };
         let tokens = [
-            draw("rita", Role::Read, &[]),
-            draw("petra", Role::Propose, &[]),
-            draw("ana", Role::Accept, &[]),
-            draw("orders-team", Role::Accept, &["orders"]),
+            generate("rita", Role::Read, &[]),
+            generate("petra", Role::Propose, &[]),
+            generate("ana", Role::Accept, &[]),
+            generate("orders-team", Role::Accept, &["orders"]),
         ];
         let dir = TempDir::new().expect("a folder");
         let lines: Vec<_> = tokens.iter().map(|token| token.line.as_str()).collect();
@@ -129,11 +129,11 @@
         }
     }
 
-    async fn post(&self, path: &str, token: &str, body: &str) -> Raw {
+    async fn post(&self, path: &str, token: &str, body: &str) -> RawResponse {
         post(self.served.addr, path, token, body).await
     }
 
-    async fn get(&self, path: &str, token: &str) -> Raw {
+    async fn get(&self, path: &str, token: &str) -> RawResponse {
         let headers = format!("authorization: Bearer {token}\r\n");
         request(self.served.addr, &format!("GET {path}"), &headers, "").await
     }
@@ -143,12 +143,12 @@
     }
 }
 
-/// A stranger finds the port. Whatever they send, they get a result code, nothing
-/// changes, and they don't learn which paths exist.
+/// A client without a valid token gets a result code, changes nothing, and can't find out
+/// which paths exist.
 #[tokio::test]
-async fn without_a_known_token_nothing_is_shown_or_changed() {
-    let guarded = Guarded::new().await;
-    let addr = guarded.served.addr;
+async fn requests_without_a_valid_token_are_rejected() {
+    let server = TokenServer::new().await;
+    let addr = server.served.addr;
     let body = change(1, "orders", 0, 50);
     let none = request(addr, "POST /v1/changes", JSON, &body).await;
     assert_eq!((none.status, none.code), (401, 3100));
@@ -157,66 +157,54 @@
     for token in [
         "wrong",
         "",
-        &guarded.accepter[1..],
-        &format!("{}0", guarded.accepter),
+        &server.accepter[1..],
+        &format!("{}0", server.accepter),
     ] {
-        let wrong = guarded.post("/v1/changes", token, &body).await;
+        let wrong = server.post("/v1/changes", token, &body).await;
         assert!(matches!(wrong.code, 3100 | 3101), "{}", wrong.code);
         assert_eq!(wrong.status, 401);
     }
-    assert_eq!(guarded.get("/v1/nothing", "wrong").await.code, 3101);
-    assert_eq!(guarded.get("/v1/nothing", &guarded.reader).await.code, 3103);
-    assert_eq!(guarded.version(), Version(0));
-    assert!(guarded.control.submitted().is_empty());
+    assert_eq!(server.get("/v1/nothing", "wrong").await.code, 3101);
+    assert_eq!(server.get("/v1/nothing", &server.reader).await.code, 3103);
+    assert_eq!(server.version(), Version(0));
+    assert!(server.control.submitted().is_empty());
 }
 
 #[tokio::test]
-async fn each_role_does_its_acts_and_no_higher_ones() {
-    let guarded = Guarded::new().await;
+async fn each_role_allows_its_operations_and_no_higher_ones() {
+    let server = TokenServer::new().await;
     let body = change(1, "orders", 0, 50);
-    let (reader, proposer) = (&guarded.reader, &guarded.proposer);
-    assert_eq!(guarded.get("/v1/table", reader).await.code, 3000);
+    let (reader, proposer) = (&server.reader, &server.proposer);
+    assert_eq!(server.get("/v1/table", reader).await.code, 3000);
+    assert_eq!(server.post("/v1/proposals", reader, &body).await.code, 3102);
+    assert_eq!(server.post("/v1/changes", proposer, &body).await.code, 3102);
     assert_eq!(
-        guarded.post("/v1/proposals", reader, &body).await.code,
-        3102
-    );
-    assert_eq!(
-        guarded.post("/v1/changes", proposer, &body).await.code,
-        3102
-    );
-    assert_eq!(
-        guarded
+        server
             .post("/v1/control/promote", proposer, "{}")
             .await
             .code,
         3102
     );
     assert_eq!(
-        guarded.post("/v1/proposals", proposer, &body).await.code,
+        server.post("/v1/proposals", proposer, &body).await.code,
         2001
     );
     let accept = r#"{"id":"2"}"#;
     let path = "/v1/proposals/1/accept";
-    assert_eq!(guarded.post(path, proposer, accept).await.code, 3102);
-    assert_eq!(
-        guarded.post(path, &guarded.accepter, accept).await.code,
-        2106
-    );
+    assert_eq!(server.post(path, proposer, accept).await.code, 3102);
+    assert_eq!(server.post(path, &server.accepter, accept).await.code, 2106);
     let review = r#"{"id":"3","verdict":"approve"}"#;
     let path = "/v1/proposals/1/review";
-    assert_eq!(guarded.post(path, proposer, review).await.code, 2105);
+    assert_eq!(server.post(path, proposer, review).await.code, 2105);
     let review = r#"{"id":"5","verdict":"approve"}"#;
-    assert_eq!(
-        guarded.post(path, &guarded.accepter, review).await.code,
-        2002
-    );
+    assert_eq!(server.post(path, &server.accepter, review).await.code, 2002);
     let accept = r#"{"id":"4"}"#;
     let path = "/v1/proposals/1/accept";
-    let accepted = guarded.post(path, &guarded.accepter, accept).await;
+    let accepted = server.post(path, &server.accepter, accept).await;
     assert_eq!((accepted.status, accepted.code), (200, 2000));
-    assert_eq!(guarded.version(), Version(1));
-    // The names on record are those of the tokens.
-    let history = guarded.get("/v1/history", reader).await;
+    assert_eq!(server.version(), Version(1));
+    // The history has the names of the tokens.
+    let history = server.get("/v1/history", reader).await;
     let history: HistoryBody = serde_json::from_str(&history.body).expect("a history");
     let names: Vec<_> = history
         .records
@@ -226,20 +214,23 @@
     assert_eq!(names, ["ana", "ana", "petra", "ana", "petra"]);
 }
 
-/// Two teams share the table. The one for orders changes nothing of the catalogue, by
-/// whatever way: a direct change, a proposal, or the acceptance or withdrawal of others'.
+/// A token for the service orders can't change the catalogue: neither by a direct change or
+/// a proposal, nor by accepting, reviewing or withdrawing another operator's proposal.
 #[tokio::test]
 async fn a_team_changes_its_own_services_only() {
-    let guarded = Guarded::new().await;
-    let (team, all) = (&guarded.orders_team, &guarded.accepter);
-    let foreign = change(1, "catalogue", 0, 50);
-    assert_eq!(guarded.post("/v1/changes", team, &foreign).await.code, 3106);
+    let server = TokenServer::new().await;
+    let (team, all) = (&server.orders_team, &server.accepter);
+    let not_allowed = change(1, "catalogue", 0, 50);
+    assert_eq!(
+        server.post("/v1/changes", team, &not_allowed).await.code,
+        3106
+    );
     assert_eq!(
-        guarded.post("/v1/proposals", team, &foreign).await.code,
+        server.post("/v1/proposals", team, &not_allowed).await.code,
         3106
     );
     assert_eq!(
-        guarded.post("/v1/proposals", all, &foreign).await.code,
+        server.post("/v1/proposals", all, &not_allowed).await.code,
         2001
     );
     for (path, body) in [
@@ -248,38 +239,38 @@
         ("withdraw", r#"{"id":"7"}"#),
     ] {
         let path = format!("/v1/proposals/1/{path}");
-        assert_eq!(guarded.post(&path, team, body).await.code, 3106, "{path}");
+        assert_eq!(server.post(&path, team, body).await.code, 3106, "{path}");
     }
     let replica = r#"{"id":"8","replica":"1"}"#;
     assert_eq!(
-        guarded.post("/v1/control/remove", team, replica).await.code,
+        server.post("/v1/control/remove", team, replica).await.code,
         3106
     );
     let own = change(9, "orders", 0, 50);
-    assert_eq!(guarded.post("/v1/changes", team, &own).await.code, 2000);
+    assert_eq!(server.post("/v1/changes", team, &own).await.code, 2000);
 }
 
-/// An operator leaves, and their line is taken out of the file: their token ends without
-/// a restart. A slip in the file ends all of them, rather than keep one alive unseen.
+/// A token becomes invalid without a restart when its line is removed from the file. A
+/// malformed line makes all tokens invalid, so that a revoked one can't stay valid.
 #[tokio::test]
-async fn a_token_ends_when_its_line_does() {
-    let guarded = Guarded::new().await;
-    let path = guarded.dir.path().join("tokens");
+async fn a_token_is_invalid_once_its_line_is_removed() {
+    let server = TokenServer::new().await;
+    let path = server.dir.path().join("tokens");
     let text = std::fs::read_to_string(&path).expect("the file");
     let without: Vec<_> = text
         .lines()
         .filter(|line| !line.starts_with("rita"))
         .collect();
-    assert_eq!(guarded.get("/v1/table", &guarded.reader).await.code, 3000);
+    assert_eq!(server.get("/v1/table", &server.reader).await.code, 3000);
     std::fs::write(&path, without.join("\n")).expect("written");
-    assert_eq!(guarded.get("/v1/table", &guarded.reader).await.code, 3101);
-    assert_eq!(guarded.get("/v1/table", &guarded.accepter).await.code, 3000);
+    assert_eq!(server.get("/v1/table", &server.reader).await.code, 3101);
+    assert_eq!(server.get("/v1/table", &server.accepter).await.code, 3000);
     std::fs::write(&path, format!("{text}\nnonsense")).expect("written");
-    assert_eq!(guarded.get("/v1/table", &guarded.accepter).await.code, 3101);
+    assert_eq!(server.get("/v1/table", &server.accepter).await.code, 3101);
 }
 
-/// A tool sends what is no proper body. Each gets a result code that says that nothing
-/// ran; in particular a lost `set` is no removal.
+/// Each malformed body gets a result code that means that nothing was changed; in
+/// particular, an edit without `set` is no removal.
 #[tokio::test]
 async fn malformed_bodies_change_nothing() {
     let table = SharedTable::default();
@@ -330,9 +321,10 @@
     assert!(control.submitted().is_empty());
 }
 
-/// What breaks a rule by itself takes no room in the log and the history.
+/// An operation that is invalid regardless of the table is rejected before it takes space
+/// in the log and the history.
 #[tokio::test]
-async fn acts_that_break_a_rule_stop_at_the_door() {
+async fn operations_that_break_a_rule_are_not_submitted() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let long = format!(r#"{{"id":"1","note":"{}"}}"#, "x".repeat(100_000));
@@ -349,7 +341,7 @@
 }
 
 #[tokio::test]
-async fn oversized_bodies_are_refused_unread() {
+async fn oversized_requests_are_rejected() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -370,10 +362,10 @@
     assert!(control.submitted().is_empty());
 }
 
-/// A client sends half a body and stalls, another half a head. Both end, and the server
-/// goes on serving others meanwhile.
+/// One client stalls in the middle of a body, another in the middle of a head. Both time
+/// out, and other requests are served in the meantime.
 #[tokio::test]
-async fn a_stalled_request_ends_and_holds_nobody_up() {
+async fn a_stalled_request_times_out_without_blocking_others() {
     let control = FakeControl::new(&SharedTable::default());
     let short = Duration::from_secs(2);
     let served = serve_with(&control, |builder| {
@@ -392,7 +384,7 @@
     assert!(control.submitted().is_empty());
 }
 
-/// A page that an operator has open in a browser posts to the loopback behind their back.
+/// A web page in an operator's browser sends a request to the loopback.
 #[tokio::test]
 async fn web_pages_are_not_served() {
     let control = FakeControl::new(&SharedTable::default());
@@ -416,11 +408,11 @@
     }
 }
 
-/// An operator sets a limit below what is in progress, or above what the region has
-/// slots for. It is refused with the figures, and done once they say so. A reading that
-/// is missing or old refuses nothing, and the answer says that it was not compared.
+/// A limit below the requests in progress, or above the region's slots, is rejected with
+/// the figures, and accepted once the danger is allowed. A missing or outdated reading
+/// rejects nothing, and the answer lists the row as unchecked.
 #[tokio::test]
-async fn limits_are_compared_with_what_runs() {
+async fn limits_are_compared_with_live_readings() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -455,9 +447,9 @@
     assert_eq!(in_part.answer().unchecked, ["orders/zagreb"]);
 }
 
-/// Where every change needs a review, neither a direct change nor a waiver goes through.
+/// If every change requires a review, direct changes and `own-review` are rejected.
 #[tokio::test]
-async fn a_required_review_can_not_be_gone_round() {
+async fn a_required_review_can_not_be_bypassed() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve_with(&control, |builder| builder.require_review(true)).await;
     let addr = served.addr;
@@ -483,10 +475,10 @@
     );
 }
 
-/// The next shift sees what the last one left: its note, what happened since, and what
-/// is open, with the conflicts that have come up.
+/// The answer has the hand-over's note, the records since, and the open proposals with the
+/// conflicts that they have by now.
 #[tokio::test]
-async fn a_hand_over_shows_what_the_next_shift_needs() {
+async fn a_hand_over_shows_note_later_records_and_open_proposals() {
     let control = FakeControl::new(&SharedTable::default());
     let served = serve(&control).await;
     let addr = served.addr;
@@ -535,10 +527,10 @@
     assert_eq!(post.code, ResultCode::NoSuchRoute.number());
 }
 
-/// A scanner, or a broken tool, throws anything at the port. The server goes on, and
-/// nothing that it was sent counts as an act.
+/// Random bytes, as from a port scanner or a broken tool, submit no command and don't stop
+/// the server.
 #[tokio::test]
-async fn random_bytes_change_nothing_and_stop_nothing() {
+async fn random_bytes_change_nothing_and_the_server_goes_on() {
     let control = FakeControl::new(&SharedTable::default());
     let short = Duration::from_secs(2);
     let served = serve_with(&control, |builder| {
@@ -552,7 +544,7 @@
         let mut noise = vec![0; len];
         rng.fill(&mut noise[..]);
         raw(served.addr, &noise).await;
-        // A proper head with a body in which some bytes are damaged.
+        // A valid head with a body in which some bytes are damaged.
         let mut body = good.clone().into_bytes();
         for _ in 0..3 {
             let at = rng.random_range(0..body.len());
--- a/crates/operator/tests/common/mod.rs
+++ b/crates/operator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the control daemon: one table in memory, and faults by order.
+//! A fake control daemon with a table in memory and a queue of faults.
 
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filberthead_operator::{
-    Administration, AdministrationError, BoxFuture, MembershipAct, ReplicaRole, ReplicaStatus,
+    Administration, AdministrationError, BoxFuture, MembershipChange, ReplicaRole, ReplicaStatus,
     RowReading, Server, ServerBuilder, Status,
 };
 use filberthead_table::{Command, Outcome, Table};
@@ -17,20 +17,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// What goes wrong with one command.
+/// A fault of one `submit`.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Applied, but the daemon can't say so.
+    /// The command is applied, and the result is `OutcomeUnknown`.
     AppliedUnknown,
-    /// Applied, and no answer ever comes.
+    /// The command is applied, and `submit` never returns.
     AppliedSilent,
-    /// Not applied, and no answer ever comes.
+    /// The command is not applied, and `submit` never returns.
     Silent,
-    /// Refused by a replica that names a leader, or none.
+    /// The command is not applied; the result is `NotLeader` with this leader's address.
     NotLeader(Option<SocketAddr>),
 }
 
-/// The table of a group of replicas, shared by the stand-ins that play the group.
+/// The table, shared by the fake daemons of one group.
 pub type SharedTable = Arc<Mutex<Table>>;
 
 pub struct FakeControl {
@@ -38,7 +38,7 @@
     pub faults: Mutex<VecDeque<Fault>>,
     pub readings: Mutex<Vec<RowReading>>,
     pub submitted: Mutex<Vec<Command>>,
-    pub membership: Mutex<Vec<MembershipAct>>,
+    pub membership: Mutex<Vec<MembershipChange>>,
     pub status: Mutex<Status>,
 }
 
@@ -137,29 +137,32 @@
         Box::pin(async move { self.readings.lock().unwrap().clone() })
     }
 
-    fn membership(&self, act: MembershipAct) -> BoxFuture<'_, Result<(), AdministrationError>> {
+    fn membership(
+        &self,
+        change: MembershipChange,
+    ) -> BoxFuture<'_, Result<(), AdministrationError>> {
         Box::pin(async move {
-            self.membership.lock().unwrap().push(act);
+            self.membership.lock().unwrap().push(change);
             Ok(())
         })
     }
 }
 
-/// A server on a port of its own, which ends with it.
-pub struct Served {
+/// A running server, which is stopped on drop.
+pub struct TestServer {
     pub addr: SocketAddr,
     _stop: oneshot::Sender<()>,
 }
 
-/// Serves a stand-in with the defaults.
-pub async fn serve(control: &Arc<FakeControl>) -> Served {
+/// Starts a server with the default options.
+pub async fn serve(control: &Arc<FakeControl>) -> TestServer {
     serve_with(control, |builder| builder).await
 }
 
 pub async fn serve_with(
     control: &Arc<FakeControl>,
     configure: impl FnOnce(ServerBuilder) -> ServerBuilder,
-) -> Served {
+) -> TestServer {
     let administration: Arc<dyn Administration> = Arc::<FakeControl>::clone(control);
     let builder = Server::builder(administration).answer_timeout(Duration::from_secs(10));
     let server = configure(builder).build();
@@ -169,5 +172,5 @@
     tokio::spawn(server.serve(listener, async {
         let _ = stopped.await;
     }));
-    Served { addr, _stop: stop }
+    TestServer { addr, _stop: stop }
 }
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! nng sockets: one `pull` to listen, one `push` for each destination.
+//! nng sockets: one `pull` socket to receive, one `push` socket per destination.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -16,54 +16,56 @@
 use nng::{Protocol, Socket};
 use snafu::{ResultExt, Snafu};
 
-use crate::silence::{Acknowledgements, Belief, Watch};
+use crate::liveness::{Acknowledgements, ConnectionMonitor, Liveness};
 use crate::{Body, Envelope, MAX_MESSAGE_LEN, Origin, decode, encode};
 
-/// Messages that wait for a destination whose connection is slow or down. When they
-/// are this many, further ones are dropped: each protocol repeats what it needs.
+/// Messages queued for a destination whose connection is slow or down. Further ones are
+/// dropped: each protocol retries the messages that it needs.
 const SEND_BUFFER_MESSAGES: i32 = 64;
+/// Bounds of nng's delay between attempts to connect.
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(400);
-/// Longest message that nng takes in. It closes the connection of a longer one without
-/// a word; what is only somewhat too long is taken in, so that it can be counted.
+/// Maximum message length that nng accepts. It closes the connection of a longer one without
+/// an error; slightly oversized messages are accepted, so that they can be counted.
 const RECV_MAX_LEN: usize = 2 * MAX_MESSAGE_LEN;
-/// A connection that carried nothing for this long is closed. Without that a node that
-/// talks to a random other one now and then would in time hold one to every node.
+/// A connection unused for this long is closed. Otherwise a node that occasionally sends to a
+/// randomly chosen node would eventually keep a connection to every node.
 const IDLE_CLOSE: Duration = Duration::from_secs(15);
-/// How often the receiving thread looks whether it is to end.
+/// Receive timeout, after which the receiving thread checks whether it must stop.
 const RECV_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why the transport can't start.
+/// Why the transport failed to start.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum TransportError {
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[snafu(display("can't listen for peers on {addr}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// nng's word.
+        /// nng's error.
         source: nng::Error,
     },
     /// The receiving thread can't be started.
     #[snafu(display("can't start the thread that receives from peers"))]
     Thread {
-        /// The system's word.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-/// Takes messages from the receiving thread. Must not block: what it can't hand on at
-/// once it drops, because every protocol repeats what it needs answered.
+/// Callback for received messages, called on the receiving thread. Must not block: messages
+/// that it can't pass on at once are dropped, because every protocol retries those that need a
+/// reply.
 pub trait Deliver: Send {
-    /// Takes one message.
+    /// Handles one message.
     fn deliver(&mut self, origin: Origin, body: Body);
 }
 
-/// What the transport has counted since its start.
+/// Counts of messages since the transport's start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Messages handed to nng.
+    /// Messages passed to nng.
     pub sent: AtomicU64,
     /// Bytes of those.
     pub sent_bytes: AtomicU64,
@@ -79,49 +81,49 @@
 }
 
 impl Counters {
-    /// Bytes of messages handed to nng, by protocol.
+    /// Bytes of messages passed to nng, by protocol.
     pub fn sent_bytes_by_protocol(&self) -> HashMap<&'static str, u64> {
-        copy(&self.sent_bytes_by_protocol)
+        snapshot(&self.sent_bytes_by_protocol)
     }
 
     /// Bytes of messages received and accepted, by kind of message.
     pub fn received_bytes_by_kind(&self) -> HashMap<&'static str, u64> {
-        copy(&self.received_bytes_by_kind)
+        snapshot(&self.received_bytes_by_kind)
     }
 
     /// Messages rejected, by reason.
     pub fn rejected(&self) -> HashMap<&'static str, u64> {
-        copy(&self.rejected)
+        snapshot(&self.rejected)
     }
 
     fn sent(&self, protocol: &'static str, len: u64) {
         self.sent.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes.fetch_add(len, Ordering::Relaxed);
-        raise(&self.sent_bytes_by_protocol, protocol, len);
+        add_to(&self.sent_bytes_by_protocol, protocol, len);
     }
 
     fn received(&self, kind: &'static str, len: u64) {
         self.received.fetch_add(1, Ordering::Relaxed);
         self.received_bytes.fetch_add(len, Ordering::Relaxed);
-        raise(&self.received_bytes_by_kind, kind, len);
+        add_to(&self.received_bytes_by_kind, kind, len);
     }
 
     fn reject(&self, reason: &'static str) {
-        raise(&self.rejected, reason, 1);
+        add_to(&self.rejected, reason, 1);
     }
 }
 
-fn copy(totals: &Mutex<HashMap<&'static str, u64>>) -> HashMap<&'static str, u64> {
+fn snapshot(totals: &Mutex<HashMap<&'static str, u64>>) -> HashMap<&'static str, u64> {
     totals.lock().map(|map| map.clone()).unwrap_or_default()
 }
 
-fn raise(totals: &Mutex<HashMap<&'static str, u64>>, label: &'static str, by: u64) {
+fn add_to(totals: &Mutex<HashMap<&'static str, u64>>, label: &'static str, by: u64) {
     if let Ok(mut map) = totals.lock() {
         *map.entry(label).or_default() += by;
     }
 }
 
-/// A listening transport; ends its thread when dropped.
+/// A listening transport; stops its receiving thread when dropped.
 #[derive(Debug)]
 pub struct Transport {
     addr: SocketAddr,
@@ -132,11 +134,11 @@
 }
 
 impl Transport {
-    /// Listens on `addr` and hands every accepted message to `deliver`.
+    /// Listens on `addr` and passes every accepted message to `deliver`.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be listened on or no thread can be started.
+    /// Fails if listening on the address fails or no thread can be started.
     pub fn listen(
         addr: SocketAddr,
         cluster: ClusterId,
@@ -166,23 +168,23 @@
         })
     }
 
-    /// The address that is listened on, its port known.
+    /// The address listened on, with the actual port.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What has been counted.
+    /// The counters, which stay shared with the transport.
     pub fn counters(&self) -> Arc<Counters> {
         Arc::clone(&self.counters)
     }
 
-    /// Makes a sender; `origin` stands in each of its messages.
+    /// Creates a sender that puts `origin` into each of its messages.
     pub fn outbox(&self, cluster: ClusterId, origin: Origin) -> Outbox {
         Outbox {
             cluster,
             origin,
             destinations: HashMap::new(),
-            swept: Instant::now(),
+            last_sweep: Instant::now(),
             counters: Arc::clone(&self.counters),
             acknowledgements: Arc::clone(&self.acknowledgements),
         }
@@ -195,7 +197,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            warn!("the thread that receives from peers had panicked");
+            warn!("the thread that receives from peers panicked");
         }
     }
 }
@@ -207,7 +209,7 @@
     let builder = nng::ListenerBuilder::new(&socket, &url(addr))?;
     let listener = builder.start().map_err(|(_, e)| e)?;
     let mut bound = addr;
-    // The library hands the port out in network byte order.
+    // nng returns the port in network byte order.
     match listener.get_opt::<nng::options::LocalAddr>()? {
         nng::SocketAddr::Inet(v4) => bound.set_port(u16::from_be(v4.port())),
         nng::SocketAddr::Inet6(v6) => bound.set_port(u16::from_be(v6.port())),
@@ -232,7 +234,7 @@
     fn run(self, mut deliver: impl Deliver) {
         while !self.stop.load(Ordering::Acquire) {
             match self.socket.recv() {
-                Ok(buf) => self.take(&buf, &mut deliver),
+                Ok(buf) => self.handle_message(&buf, &mut deliver),
                 Err(nng::Error::TimedOut) => {}
                 Err(e) => {
                     warn!(error:% = e; "receiving from peers failed");
@@ -243,7 +245,7 @@
         self.socket.close();
     }
 
-    fn take(&self, buf: &[u8], deliver: &mut impl Deliver) {
+    fn handle_message(&self, buf: &[u8], deliver: &mut impl Deliver) {
         match decode(self.cluster, buf) {
             Ok(envelope) => {
                 self.counters
@@ -255,61 +257,61 @@
             }
             Err(e) => {
                 self.counters.reject(e.reason());
-                debug!(error:% = e; "rejected a message");
+                debug!(error:% = e; "rejected a message from a peer");
             }
         }
     }
 }
 
-/// A connection to another process.
+/// The connection to a peer.
 #[derive(Debug)]
 struct Destination {
     socket: Socket,
-    used: Instant,
-    watch: Watch,
+    last_used: Instant,
+    monitor: ConnectionMonitor,
 }
 
-/// Sends messages; never waits for a destination.
+/// Sends messages to peers without blocking.
 #[derive(Debug)]
 pub struct Outbox {
     cluster: ClusterId,
     origin: Origin,
     destinations: HashMap<SocketAddr, Destination>,
-    swept: Instant,
+    last_sweep: Instant,
     counters: Arc<Counters>,
     acknowledgements: Arc<Acknowledgements>,
 }
 
 impl Outbox {
-    /// The sender as it stands in messages.
+    /// The sender as named in each message's envelope.
     pub fn origin(&self) -> &Origin {
         &self.origin
     }
 
-    /// Sends a message, or drops and counts it if the destination doesn't drain.
+    /// Sends a message, or drops and counts it if the destination's buffer is full.
     pub fn send(&mut self, to: SocketAddr, body: Body) {
         let protocol = body.protocol();
         let envelope = Envelope {
             origin: self.origin.clone(),
-            received: self.acknowledgements.count(to),
+            received: self.acknowledgements.received_count(to),
             body,
         };
         let buf = match encode(self.cluster, &envelope) {
             Ok(buf) => buf,
             Err(e) => {
-                warn!(error:% = e; "a message can't be encoded");
+                warn!(error:% = e; "encoding a message to a peer failed");
                 return;
             }
         };
         let len = buf.len() as u64;
-        if self.hand_over(to, &buf) {
+        if self.try_send(to, &buf) {
             self.counters.sent(protocol, len);
         } else {
             self.counters.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn hand_over(&mut self, to: SocketAddr, buf: &[u8]) -> bool {
+    fn try_send(&mut self, to: SocketAddr, buf: &[u8]) -> bool {
         let now = Instant::now();
         self.close_idle(now);
         let destination = match self.destinations.entry(to) {
@@ -317,35 +319,37 @@
             Entry::Vacant(e) => match dial(to) {
                 Ok(socket) => e.insert(Destination {
                     socket,
-                    used: now,
-                    watch: Watch::default(),
+                    last_used: now,
+                    monitor: ConnectionMonitor::default(),
                 }),
                 Err(error) => {
-                    warn!(to:%, error:%; "can't dial a peer");
+                    warn!(to:%, error:%; "connecting to a peer failed");
                     return false;
                 }
             },
         };
-        destination.used = now;
-        let belief = destination.watch.sending(now, to, &self.acknowledgements);
-        if belief == Belief::Silent {
-            debug!(to:%; "what was sent isn't acknowledged, the connection is made anew");
+        destination.last_used = now;
+        let liveness = destination
+            .monitor
+            .before_send(now, to, &self.acknowledgements);
+        if liveness == Liveness::Stalled {
+            debug!(to:%; "messages to a peer aren't acknowledged, reconnecting");
             match dial(to) {
                 Ok(socket) => destination.socket = socket,
-                Err(error) => warn!(to:%, error:%; "can't dial a peer"),
+                Err(error) => warn!(to:%, error:%; "connecting to a peer failed"),
             }
         }
         destination.socket.try_send(buf).is_ok()
     }
 
     fn close_idle(&mut self, now: Instant) {
-        if now < self.swept + IDLE_CLOSE {
+        if now < self.last_sweep + IDLE_CLOSE {
             return;
         }
-        self.swept = now;
-        self.acknowledgements.forget(now);
+        self.last_sweep = now;
+        self.acknowledgements.remove_expired(now);
         self.destinations
-            .retain(|_, destination| now < destination.used + IDLE_CLOSE);
+            .retain(|_, destination| now < destination.last_used + IDLE_CLOSE);
     }
 }
 
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! From a file to settings.
+//! Loads a file into settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,10 +12,10 @@
 use crate::value::{Role, Value};
 use crate::{BudgetSettings, ControlSettings, EntrySettings, GatewaySettings, GroupSettings};
 use crate::{EndpointSettings, Problem, ReplicaSettings, SampleSettings, SettingsError};
-use crate::{ListSettings, LogSettings, ObjectiveSettings};
+use crate::{LogSettings, ObjectiveSettings, PlatformListSettings};
 use crate::{cross, schema};
 
-/// Finds every problem of a file; none means that its program loads it.
+/// Returns all problems of a file. Without any, the program accepts the file.
 pub fn check(path: &Path) -> Vec<Problem> {
     match read(path) {
         Ok(text) => check_text(path, &text),
@@ -28,9 +28,9 @@
     }
 }
 
-/// Like [`check`], for a text that goes by the name of `path`.
+/// Like [`check`], for a text; `path` is only used in the problems.
 pub fn check_text(path: &Path, text: &str) -> Vec<Problem> {
-    let (_, problems) = judge(path, text, None);
+    let (_, problems) = parse_and_check(path, text, None);
     problems
 }
 
@@ -77,26 +77,31 @@
     build: fn(&Document<'_>) -> Option<T>,
 ) -> Result<T, SettingsError> {
     let text = read(path)?;
-    let (document, problems) = judge(path, &text, Some(role));
+    let (document, problems) = parse_and_check(path, &text, Some(role));
     if !problems.is_empty() {
         return InvalidSnafu { problems }.fail();
     }
-    // `judge` has found every required key and read every value, so `build` finds them
-    // again; an empty list would mean that a declaration and `build` disagree.
+    // Without problems every required key is present and valid, so `build` succeeds. An
+    // error with an empty list would mean that a declaration and `build` disagree.
     build(&document).context(InvalidSnafu { problems })
 }
 
-/// Parses a text and collects its problems in the order of lines.
-fn judge<'a>(path: &Path, text: &'a str, wanted: Option<Role>) -> (Document<'a>, Vec<Problem>) {
+/// Parses a text and returns its problems sorted by line. `expected` is the role of the
+/// program that loads it, if any.
+fn parse_and_check<'a>(
+    path: &Path,
+    text: &'a str,
+    expected: Option<Role>,
+) -> (Document<'a>, Vec<Problem>) {
     let mut problems = Vec::new();
     let document = Document::parse(text, &mut problems);
     let role = document.role();
     schema::check(&document, role, &mut problems);
     cross::check(&document, role, &mut problems);
-    if let (Some(role), Some(wanted)) = (role, wanted)
-        && role != wanted
+    if let (Some(role), Some(expected)) = (role, expected)
+        && role != expected
     {
-        problems.push(wrong_role(&document, role, wanted));
+        problems.push(wrong_role(&document, role, expected));
     }
     for problem in &mut problems {
         path.clone_into(&mut problem.file);
@@ -105,13 +110,13 @@
     (document, problems)
 }
 
-fn wrong_role(document: &Document<'_>, role: Role, wanted: Role) -> Problem {
+fn wrong_role(document: &Document<'_>, role: Role, expected: Role) -> Problem {
     Problem {
         line: document.line(&keys::ROLE),
         section: keys::ROLE.section.to_owned(),
         key: keys::ROLE.name.to_owned(),
         found: format!("`{}`", role.as_str()),
-        allowed: format!("`{}` for this program", wanted.as_str()),
+        allowed: format!("`{}` for this program", expected.as_str()),
         ..Problem::default()
     }
 }
@@ -134,7 +139,7 @@
             .map_or(Vec::new(), |seeds| seeds.0),
         platform_url: document.get(&keys::PLATFORM_URL).map(|url| url.0),
         endpoints: document
-            .labelled(keys::ENDPOINT_ADDRESS.section)
+            .labelled_sections(keys::ENDPOINT_ADDRESS.section)
             .map(endpoint)
             .collect::<Option<_>>()?,
         lookup_ttl: document.get(&keys::LOOKUP_TTL)?,
@@ -165,12 +170,12 @@
         orders_listen: document.get(&keys::ORDERS_LISTEN).map(|addr| addr.0),
         lookups_listen: document.get(&keys::LOOKUPS_LISTEN).map(|addr| addr.0),
         lookups_ttl: document.get(&keys::LOOKUPS_TTL)?,
-        list: list(document)?,
+        platform_list: platform_list(document)?,
         heartbeat: document.get(&keys::HEARTBEAT)?,
         election_timeout: document.get(&keys::ELECTION_TIMEOUT)?,
         lease: document.get(&keys::LEASE)?,
         objectives: document
-            .labelled(keys::LATENCY_TARGET.section)
+            .labelled_sections(keys::LATENCY_TARGET.section)
             .map(objective)
             .collect::<Option<_>>()?,
         samples: SampleSettings {
@@ -195,7 +200,7 @@
         peer_advertise: document.get(&keys::PEERS_ADVERTISE).map(|addr| addr.0),
         seeds: seeds(document)?,
         regions: document
-            .labelled(keys::DOMAIN_REGION.section)
+            .labelled_sections(keys::DOMAIN_REGION.section)
             .map(domain)
             .collect::<Option<_>>()?,
         budgets: BudgetSettings {
@@ -215,7 +220,7 @@
     Some((FailureDomain::read(section.label?)?, region))
 }
 
-/// The outer option is `None` only where a declaration and this function disagree.
+/// The outer option is `None` only if a declaration and this function disagree.
 fn group(document: &Document<'_>) -> Option<Option<GroupSettings>> {
     if document.get(&keys::SEEDS_OF_GROUP).is_none() {
         return Some(None);
@@ -227,7 +232,7 @@
     }))
 }
 
-/// Peer addresses of the seeds: their IP numbers with the group's port, if one is set.
+/// Peer addresses of the seeds. The group's `port`, if set, replaces their own.
 fn seeds(document: &Document<'_>) -> Option<Vec<SocketAddr>> {
     let mut seeds = document.get(&keys::SEEDS_OF_GROUP)?.0;
     if let Some(port) = document.get(&keys::SEED_PORT) {
@@ -237,11 +242,11 @@
     Some(seeds)
 }
 
-fn list(document: &Document<'_>) -> Option<Option<ListSettings>> {
+fn platform_list(document: &Document<'_>) -> Option<Option<PlatformListSettings>> {
     let Some(addr) = document.get(&keys::PLATFORM_LIST) else {
         return Some(None);
     };
-    Some(Some(ListSettings {
+    Some(Some(PlatformListSettings {
         addr: addr.0,
         rate: document.get(&keys::PLATFORM_RATE)?,
         domains: document
@@ -253,7 +258,7 @@
 
 fn replicas(document: &Document<'_>) -> Option<Vec<ReplicaSettings>> {
     document
-        .labelled(keys::REPLICA_PEER.section)
+        .labelled_sections(keys::REPLICA_PEER.section)
         .map(replica)
         .collect()
 }
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files for both users' deployments of today are good, and fit together.
+//! The example files for both users' deployments are valid and consistent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     deployment
 }
 
-/// Upstreams of each service.
+/// Number of distinct endpoints of each service.
 fn endpoints(deployment: &Deployment) -> BTreeMap<String, usize> {
     let mut names = BTreeSet::new();
     let mut counts = BTreeMap::new();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn upstreams_are_those_of_today() {
+fn endpoint_counts_match_the_deployments() {
     let kovceg = endpoints(&load("kovceg"));
     assert_eq!(
         kovceg,
@@ -101,12 +101,15 @@
 fn no_region_holds_a_majority_of_the_replicas() {
     for user in ["kovceg", "associacao"] {
         let deployment = load(user);
-        let mut held = BTreeMap::new();
+        let mut replicas_by_region = BTreeMap::new();
         for control in &deployment.controls {
-            *held.entry(&control.region).or_insert(0) += 1;
+            *replicas_by_region.entry(&control.region).or_insert(0) += 1;
         }
         let majority = deployment.controls.len() / 2 + 1;
-        assert!(held.values().all(|count| *count < majority), "{held:?}");
+        assert!(
+            replicas_by_region.values().all(|count| *count < majority),
+            "{replicas_by_region:?}"
+        );
     }
 }
 
@@ -176,9 +179,9 @@
         let deployment = load(user);
         let services: BTreeSet<_> = endpoints(&deployment).into_keys().collect();
         for control in &deployment.controls {
-            let judged = control.objectives.iter().map(|o| o.service.to_string());
+            let with_objective = control.objectives.iter().map(|o| o.service.to_string());
             assert_eq!(
-                judged.collect::<BTreeSet<_>>(),
+                with_objective.collect::<BTreeSet<_>>(),
                 services,
                 "{}",
                 control.node
--- a/crates/settings/tests/fuzz.rs
+++ b/crates/settings/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a file holds, judging it ends in problems that point into the file.
+//! Checking a file with arbitrary content returns problems with lines inside the file.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 
 const SEEDS: u64 = 20_000;
 const FILE: &str = "fuzz.ini";
-/// Fragments that random bytes would hardly hit.
+/// Fragments that random bytes would hardly ever form.
 const FRAGMENTS: &[&str] = &[
     "[node]\n",
     "[replica ",
@@ -33,9 +33,9 @@
     "é",
 ];
 
-fn judge(text: &str) {
+fn check_problems(text: &str) {
     let problems = check_text(Path::new(FILE), text);
-    // `\r` alone ends a line too.
+    // A single `\r` ends a line too.
     let lines = text.chars().filter(|c| matches!(c, '\n' | '\r')).count() + 1;
     for problem in &problems {
         assert!(problem.line as usize <= lines, "{problem}");
@@ -44,30 +44,30 @@
     }
     let in_order = problems.is_sorted_by_key(|problem| problem.line);
     assert!(in_order, "{problems:?}");
-    // No text this short names everything that a file must name.
+    // The generated texts are too short to have all required keys.
     assert!(!problems.is_empty());
 }
 
-/// Values that bolero generates from fixed seeds. Its own loop draws new seeds in each
-/// run, and a test is to give the same verdict in every one.
-fn for_seeds(mut judge: impl FnMut(Vec<u8>)) {
+/// Checks values that bolero generates from fixed seeds. Its own loop draws new seeds in
+/// each run, but the test must have the same result in every run.
+fn for_seeds(mut check: impl FnMut(Vec<u8>)) {
     let options = Options::default();
     for seed in 0..SEEDS {
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
         let value = Vec::generate(&mut driver).expect("the driver has bytes left");
-        judge(value);
+        check(value);
     }
 }
 
 #[test]
-fn random_text_is_judged() {
-    for_seeds(|bytes| judge(&String::from_utf8_lossy(&bytes)));
+fn random_text_is_checked() {
+    for_seeds(|bytes| check_problems(&String::from_utf8_lossy(&bytes)));
 }
 
 #[test]
-fn random_fragments_are_judged() {
+fn random_fragments_are_checked() {
     for_seeds(|picks| {
         let fragment = |pick: &u8| FRAGMENTS[usize::from(*pick) % FRAGMENTS.len()];
-        judge(&picks.iter().map(fragment).collect::<String>());
+        check_problems(&picks.iter().map(fragment).collect::<String>());
     });
 }
--- a/crates/table/src/history.rs
+++ b/crates/table/src/history.rs
@@ -1,77 +1,78 @@
-//! What was done, by whom and how it ended: for resends and for people.
+//! History of applied commands: answers resends, and is shown to operators.
 
 use std::collections::VecDeque;
 use std::mem::size_of;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Act, Command, Difference, Outcome};
+use crate::{Command, Difference, Operation, Outcome};
 
-/// Most records of past commands that are kept. At 1,300 changes a day this is more
-/// than three days.
-pub const KEPT_OUTCOMES: usize = 4096;
+/// Maximum number of kept records. At 1,300 changes a day this is more than three days.
+pub const MAX_HISTORY_RECORDS: usize = 4096;
 
-/// Most bytes that the kept records may come to by their own estimate, which lies
-/// above the encoded size. Large changes push old records out sooner.
-pub const HISTORY_BYTES: usize = 5 << 18;
+/// Maximum total size of the kept records in bytes, by an estimate that is above the
+/// encoded size. With large changes, old records are dropped sooner.
+pub const MAX_HISTORY_BYTES: usize = 5 << 18;
 
-/// A command that was applied.
+/// A processed command with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// Place in the history, counted from 1 without gaps.
+    /// Serial number, from 1 without gaps.
     pub serial: u64,
     /// The command.
     pub command: Command,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// What it did to the rows; empty unless it was accepted.
+    /// Changed rows; empty unless the outcome is `Accepted`.
     pub differences: Vec<Difference>,
 }
 
 impl Record {
-    /// Upper estimate of the encoded size in bytes.
-    fn cost(&self) -> usize {
+    /// Upper bound of the encoded size in bytes.
+    fn estimated_bytes(&self) -> usize {
         const HEADER: usize = 80;
-        let text = self.command.actor.name.len() + act_text(&self.command.act);
-        let findings: usize = self.command.findings.iter().map(finding_cost).sum();
-        let differences: usize = self.differences.iter().map(|d| row_cost(&d.key)).sum();
-        HEADER + text + findings + differences + outcome_cost(&self.outcome)
+        let text = self.command.actor.name.len() + operation_bytes(&self.command.operation);
+        let findings: usize = self.command.findings.iter().map(finding_bytes).sum();
+        let differences: usize = self.differences.iter().map(|d| row_bytes(&d.key)).sum();
+        HEADER + text + findings + differences + outcome_bytes(&self.outcome)
     }
 }
 
-fn row_cost(key: &crate::RowKey) -> usize {
+fn row_bytes(key: &crate::RowKey) -> usize {
     const VALUES: usize = 48;
     key.service.as_str().len() + key.region.as_str().len() + VALUES
 }
 
-fn finding_cost(finding: &crate::Finding) -> usize {
+fn finding_bytes(finding: &crate::Finding) -> usize {
     size_of::<crate::Finding>() + finding.subject.len() + finding.reason.len()
 }
 
-fn act_text(act: &Act) -> usize {
-    match act {
-        Act::Change(change) | Act::Propose { change, .. } => {
-            let edits: usize = change.edits.iter().map(|edit| row_cost(&edit.key)).sum();
+fn operation_bytes(operation: &Operation) -> usize {
+    match operation {
+        Operation::Change(change) | Operation::Propose { change, .. } => {
+            let edits: usize = change.edits.iter().map(|edit| row_bytes(&edit.key)).sum();
             change.note.len() + edits
         }
-        Act::Review { note, .. }
-        | Act::Accept { note, .. }
-        | Act::Withdraw { note, .. }
-        | Act::HandOver { note } => note.len(),
-        Act::RegisterReplica(info) => info.name.as_str().len() + size_of::<crate::ReplicaInfo>(),
-        Act::ForgetReplica(_) => 0,
+        Operation::Review { note, .. }
+        | Operation::Accept { note, .. }
+        | Operation::Withdraw { note, .. }
+        | Operation::HandOver { note } => note.len(),
+        Operation::RegisterReplica(info) => {
+            info.name.as_str().len() + size_of::<crate::ReplicaInfo>()
+        }
+        Operation::ForgetReplica(_) => 0,
     }
 }
 
-fn outcome_cost(outcome: &Outcome) -> usize {
+fn outcome_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Conflict { conflicts } => conflicts
             .iter()
-            .map(|c| 2 * row_cost(&c.key) + c.origin.as_ref().map_or(0, |o| o.by.len()))
+            .map(|c| 2 * row_bytes(&c.key) + c.origin.as_ref().map_or(0, |o| o.by.len()))
             .sum(),
         Outcome::Invalid { reason } | Outcome::ProposalUnknown { reason, .. } => reason.len(),
-        Outcome::Dangerous { findings } => findings.iter().map(finding_cost).sum(),
+        Outcome::Dangerous { findings } => findings.iter().map(finding_bytes).sum(),
         Outcome::ReviewMissing { rejected_by } => {
             rejected_by.iter().map(|name| name.len() + 8).sum()
         }
@@ -84,7 +85,7 @@
     }
 }
 
-/// The kept records, the oldest first.
+/// The kept records, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct History {
@@ -113,20 +114,21 @@
             outcome: outcome.clone(),
             differences,
         };
-        self.bytes += record.cost();
+        self.bytes += record.estimated_bytes();
         self.records.push_back(record);
-        while self.is_over_bound() {
+        while self.exceeds_bound() {
             let Some(oldest) = self.records.pop_front() else {
                 break;
             };
-            self.bytes -= oldest.cost();
+            self.bytes -= oldest.estimated_bytes();
         }
     }
 
-    // The newest record stays whatever its size: its sender may be about to resend it.
-    fn is_over_bound(&self) -> bool {
+    // The newest record is kept regardless of its size, because its sender may be about
+    // to resend the command.
+    fn exceeds_bound(&self) -> bool {
         let len = self.records.len();
-        len > 1 && (len > KEPT_OUTCOMES || self.bytes > HISTORY_BYTES)
+        len > 1 && (len > MAX_HISTORY_RECORDS || self.bytes > MAX_HISTORY_BYTES)
     }
 
     pub(crate) fn serial(&self) -> u64 {
--- a/crates/table/tests/bounds.rs
+++ b/crates/table/tests/bounds.rs
@@ -1,26 +1,26 @@
-//! The whole state stays below the longest message between control replicas.
+//! The encoded state stays below the maximum message size between control replicas.
 
 mod common;
 
 use common::*;
 use filberthead_table::{
-    Act, Change, Command, Edit, HISTORY_BYTES, KEPT_CLOSED, MAX_EDITS, MAX_NAME_BYTES,
-    MAX_NOTE_BYTES, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Outcome,
+    Change, Command, Edit, MAX_CLOSED_PROPOSALS, MAX_EDITS, MAX_HISTORY_BYTES, MAX_NAME_BYTES,
+    MAX_NOTE_BYTES, MAX_OPEN_EDITS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, MAX_ROWS, Operation, Outcome,
     ProposalNumber, RowKey, RowValues, Table, Verdict,
 };
 
-/// Longest message that control replicas exchange, a snapshot among them.
+/// Maximum size of a message between control replicas, such as a snapshot.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
-struct Filler {
+struct TableBuilder {
     table: Table,
     id: u128,
 }
 
-impl Filler {
-    fn apply(&mut self, name: &str, act: Act) -> Outcome {
+impl TableBuilder {
+    fn apply(&mut self, name: &str, operation: Operation) -> Outcome {
         self.id += 1;
-        self.table.apply(&command(self.id, name, act))
+        self.table.apply(&command(self.id, name, operation))
     }
 
     fn encoded_len(&self) -> usize {
@@ -42,7 +42,7 @@
     "n".repeat(MAX_NOTE_BYTES)
 }
 
-fn highest() -> RowValues {
+fn max_values() -> RowValues {
     RowValues {
         weight: u32::MAX,
         limit: u32::MAX,
@@ -54,13 +54,17 @@
 fn edits(table: &Table, range: std::ops::Range<usize>, set: Option<RowValues>) -> Vec<Edit> {
     let edit = |n| {
         let key = longest_key(n);
-        let seen = table.revision(&key);
-        Edit { key, seen, set }
+        let expected_revision = table.revision(&key);
+        Edit {
+            key,
+            expected_revision,
+            set,
+        }
     };
     range.map(edit).collect()
 }
 
-fn full(edits: Vec<Edit>) -> Change {
+fn full_change(edits: Vec<Edit>) -> Change {
     Change {
         note: note(),
         edits,
@@ -68,85 +72,92 @@
     }
 }
 
-/// Everything that operators can fill is filled to its bound, with the longest names and
-/// notes: the snapshot of it still fits into one message.
+/// Everything that is bounded is filled to its bound, with the longest names and notes:
+/// the snapshot still fits into one message.
 #[test]
-fn the_fullest_table_fits_into_a_message() {
-    let mut filler = Filler {
+fn a_full_table_fits_into_one_message() {
+    let mut builder = TableBuilder {
         table: Table::default(),
         id: 0,
     };
     let names: Vec<_> = (0..MAX_REVIEWS + 1).map(longest_name).collect();
     let author = names[0].clone();
-    // Removed rows first, then as many rows as may be.
+    // First the removed rows, then the maximum number of rows.
     for start in [0, MAX_EDITS] {
-        let made = edits(&filler.table, start..start + MAX_EDITS, Some(highest()));
-        let outcome = filler.apply(&author, Act::Change(full(made)));
+        let made = edits(&builder.table, start..start + MAX_EDITS, Some(max_values()));
+        let outcome = builder.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
     let keep = 10;
-    let gone = edits(&filler.table, keep..MAX_EDITS, None);
-    filler.apply(&author, Act::Change(full(gone)));
+    let removals = edits(&builder.table, keep..MAX_EDITS, None);
+    builder.apply(&author, Operation::Change(full_change(removals)));
     let mut next = 10_000;
-    while filler.table.rows().len() < MAX_ROWS {
-        let count = MAX_EDITS.min(MAX_ROWS - filler.table.rows().len());
-        let made = edits(&filler.table, next..next + count, Some(highest()));
+    while builder.table.rows().len() < MAX_ROWS {
+        let count = MAX_EDITS.min(MAX_ROWS - builder.table.rows().len());
+        let made = edits(&builder.table, next..next + count, Some(max_values()));
         next += count;
-        let outcome = filler.apply(&author, Act::Change(full(made)));
+        let outcome = builder.apply(&author, Operation::Change(full_change(made)));
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     }
-    let one_more = edits(&filler.table, next..next + 1, Some(highest()));
-    let refused = filler.apply(&author, Act::Change(full(one_more)));
+    let one_more = edits(&builder.table, next..next + 1, Some(max_values()));
+    let refused = builder.apply(&author, Operation::Change(full_change(one_more)));
     assert!(matches!(refused, Outcome::Invalid { .. }));
 
     let per_proposal = MAX_OPEN_EDITS / MAX_OPEN_PROPOSALS;
-    for n in 0..KEPT_CLOSED + MAX_OPEN_PROPOSALS {
+    for n in 0..MAX_CLOSED_PROPOSALS + MAX_OPEN_PROPOSALS {
         let supersedes = n
             .checked_sub(MAX_OPEN_PROPOSALS)
             .map(|n| ProposalNumber(n as u64 + 1));
         let made = edits(
-            &filler.table,
+            &builder.table,
             10_000..10_000 + per_proposal,
-            Some(highest()),
+            Some(max_values()),
         );
-        let change = full(made);
-        let outcome = filler.apply(&author, Act::Propose { change, supersedes });
+        let change = full_change(made);
+        let outcome = builder.apply(&author, Operation::Propose { change, supersedes });
         let Outcome::Proposed { proposal } = outcome else {
             panic!("{outcome:?}");
         };
         for name in &names[1..] {
-            let act = Act::Review {
+            let operation = Operation::Review {
                 proposal,
                 verdict: Verdict::Approve,
                 note: note(),
             };
-            assert_eq!(filler.apply(name, act), Outcome::Recorded);
+            assert_eq!(builder.apply(name, operation), Outcome::Recorded);
         }
     }
     for _ in 0..100 {
-        filler.apply(&author, Act::HandOver { note: note() });
+        builder.apply(&author, Operation::HandOver { note: note() });
     }
-    let len = filler.encoded_len();
+    let len = builder.encoded_len();
     assert!(len < MAX_MESSAGE_BYTES, "{len} bytes");
-    // If this were far below, some part was not filled.
+    // A far smaller size means that some part wasn't filled.
     assert!(len > MAX_MESSAGE_BYTES / 2, "{len} bytes");
 }
 
-/// The records of ordinary changes, a row each with a short note, are all kept: a resend
-/// of the last three days finds its outcome.
+/// Records of ordinary changes, one row each with a short note, are limited by their
+/// number and not by their size, so that a resend within three days gets its outcome.
 #[test]
-fn ordinary_changes_fill_the_history_by_number_and_not_by_size() {
+fn ordinary_changes_reach_the_record_limit_before_the_byte_limit() {
     let mut table = small_table();
-    let mut seen = 1;
+    let mut expected_revision = 1;
     for n in 0..5000 {
-        let mut command: Command = direct(n + 1, "ana.horvat", [set("orders", "split", seen, 50)]);
-        if let Act::Change(change) = &mut command.act {
+        let mut command: Command = direct(
+            n + 1,
+            "ana.horvat",
+            [set("orders", "split", expected_revision, 50)],
+        );
+        if let Operation::Change(change) = &mut command.operation {
             change.note = "split takes less until its cache is warm".to_owned();
         }
         table.apply(&command);
-        seen = table.version().0;
+        expected_revision = table.version().0;
     }
-    assert_eq!(table.history().len(), filberthead_table::KEPT_OUTCOMES);
+    assert_eq!(
+        table.history().len(),
+        filberthead_table::MAX_HISTORY_RECORDS
+    );
     let len = postcard::to_stdvec(&table).unwrap().len();
-    assert!(len < HISTORY_BYTES, "{len} bytes");
+    assert!(len < MAX_HISTORY_BYTES, "{len} bytes");
 }
