--- a/crates/table/tests/stories.rs
+++ b/crates/table/tests/changes.rs
@@ -1,15 +1,18 @@
-//! What operators meet: races, resends and dangers.
+//! Direct changes: concurrent edits, resends, dangers, rules and the history.
 
 mod common;
 
 use common::*;
-use filberthead_table::{Act, Danger, Finding, KEPT_OUTCOMES, MAX_REMOVED, Outcome, Table};
+use filberthead_table::{
+    Danger, Finding, MAX_HISTORY_RECORDS, MAX_REMOVED_ROWS, Operation, Outcome, Table,
+};
 use filberthead_types::{Revision, Version};
 
-/// Two shifts race to set the same row to equal numbers. The first in the log wins; the
-/// other is told who, and that both sides are equal: it doesn't pass as accepted twice.
+/// Two operators concurrently set the same row to equal values. The first in the log is
+/// accepted; the second gets a conflict with both versions and the first's author, and
+/// isn't reported as accepted although the values are equal.
 #[test]
-fn of_two_equal_edits_the_first_wins_and_the_second_sees_both_sides() {
+fn of_two_equal_edits_the_first_wins_and_the_second_conflicts() {
     let mut table = small_table();
     let edit = set("orders", "split", 1, 20);
     assert_eq!(table.apply(&direct(1, "ana", [edit.clone()])), accepted(2));
@@ -18,13 +21,13 @@
     };
     let conflict = &conflicts[0];
     assert_eq!(conflict.wanted, conflict.current.map(|row| row.values));
-    assert_eq!(conflict.seen, Revision(1));
+    assert_eq!(conflict.expected_revision, Revision(1));
     assert_eq!(conflict.revision, Revision(2));
     assert_eq!(conflict.origin.as_ref().unwrap().by, "ana");
     assert_eq!(table.version(), Version(2));
 }
 
-/// An edit of three rows meets one that has moved on. None of the three takes effect.
+/// One of three edited rows has a newer revision. None of the three edits is applied.
 #[test]
 fn a_change_takes_effect_as_a_whole_or_not_at_all() {
     let mut table = small_table();
@@ -40,9 +43,9 @@
     assert_eq!(table.view(), before);
 }
 
-/// An operator loses the answer, a colleague changes the same row, then the operator
-/// sends again, at a later time by the clock of another replica. They get the first
-/// outcome; the colleague's change stays.
+/// An operator gets no answer, another one changes the same row, then the first one
+/// resends through another replica, with a later timestamp. The resend gets the first
+/// outcome, and the other operator's change stays.
 #[test]
 fn a_resend_after_a_later_change_gets_the_first_outcome() {
     let mut table = small_table();
@@ -56,10 +59,10 @@
     assert_eq!(table.version(), Version(3));
 }
 
-/// The first attempt was accepted although something was in progress; by the time of the
-/// resend the readings speak against it. The operator still hears what happened.
+/// The first attempt was accepted; at the time of the resend the live readings would
+/// reject it. The resend still gets the first outcome.
 #[test]
-fn a_resend_is_not_judged_again_by_newer_readings() {
+fn a_resend_is_not_checked_against_newer_readings() {
     let mut table = small_table();
     let first = direct(1, "ana", [set("orders", "split", 1, 20)]);
     table.apply(&first);
@@ -72,17 +75,17 @@
     assert_eq!(table.apply(&again), accepted(2));
 }
 
-/// A resend comes in so late that its outcome is no longer kept. It fails on the
-/// revision that it saw, as any old edit does.
+/// A resend arrives so late that its outcome is no longer kept. It conflicts by its
+/// expected revision, as any stale edit does.
 #[test]
 fn a_resend_older_than_the_kept_outcomes_fails_on_its_revision() {
     let mut table = small_table();
     let old = direct(1, "ana", [set("orders", "split", 1, 20)]);
     assert_eq!(table.apply(&old), accepted(2));
-    for n in 0..KEPT_OUTCOMES as u64 {
+    for n in 0..MAX_HISTORY_RECORDS as u64 {
         let id = 10_000 + u128::from(n);
-        let seen = if n == 0 { 1 } else { n + 2 };
-        let edit = set("catalogue", "split", seen, 40);
+        let expected_revision = if n == 0 { 1 } else { n + 2 };
+        let edit = set("catalogue", "split", expected_revision, 40);
         assert_eq!(table.apply(&direct(id, "bruno", [edit])), accepted(n + 3));
     }
     let before = table.view();
@@ -90,28 +93,29 @@
     assert_eq!(table.view(), before);
 }
 
-/// A row is made, the answer is lost, a colleague removes the row, and the resend comes
-/// in after its outcome was let go: the row must not come back. Then more rows are
-/// removed than are kept one by one, and it still must not.
+/// A row is created, the answer is lost, another operator removes the row, and the
+/// resend arrives after its outcome was dropped from the history: it must not create the
+/// row again. Nor may it once so many other rows were removed that the row's own last
+/// revision was dropped.
 #[test]
-fn an_old_creation_does_not_bring_a_removed_row_back() {
+fn a_late_resend_of_a_creation_does_not_recreate_a_removed_row() {
     let mut table = small_table();
     let creation = direct(1, "ana", [set("orders", "osijek", 0, 20)]);
     assert_eq!(table.apply(&creation), accepted(2));
     let removal = direct(2, "bruno", [remove("orders", "osijek", 2)]);
     assert_eq!(table.apply(&removal), accepted(3));
-    let mut seen = 1;
-    for n in 0..KEPT_OUTCOMES as u128 {
+    let mut expected_revision = 1;
+    for n in 0..MAX_HISTORY_RECORDS as u128 {
         table.apply(&direct(
             10_000 + n,
             "bruno",
-            [set("orders", "split", seen, 50)],
+            [set("orders", "split", expected_revision, 50)],
         ));
-        seen = table.version().0;
+        expected_revision = table.version().0;
     }
     assert!(matches!(table.apply(&creation), Outcome::Conflict { .. }));
 
-    for n in 0..=MAX_REMOVED as u128 {
+    for n in 0..=MAX_REMOVED_ROWS as u128 {
         let region = format!("r{n}");
         let absent = table.revision(&key("orders", &region)).0;
         let made = table.apply(&direct(
@@ -138,10 +142,10 @@
     assert!(matches!(table.apply(&anew), Outcome::Accepted { .. }));
 }
 
-/// An id is used for two different changes, or by two people. The second is told so; it
-/// is not answered with the outcome of a change that it didn't make.
+/// An id is used for two different changes, or by two operators. The second command gets
+/// `IdReused`, not the outcome of the first.
 #[test]
-fn an_id_stands_for_one_act_of_one_operator() {
+fn an_id_identifies_one_operation_of_one_operator() {
     let mut table = small_table();
     let edit = set("orders", "split", 1, 20);
     table.apply(&direct(1, "ana", [edit.clone()]));
@@ -151,10 +155,10 @@
     assert_eq!(table.version(), Version(2));
 }
 
-/// An operator zeroes the last region of a service by a slip, or removes its last row.
-/// Both are refused with the reason, and done once the operator says that they mean it.
+/// Setting all weights of a service to zero, or removing its last row, is rejected with
+/// the reason, and accepted once the operator allows that danger.
 #[test]
-fn switching_a_service_off_has_to_be_said() {
+fn switching_a_service_off_must_be_allowed_explicitly() {
     let mut table = small_table();
     let off = [set("orders", "zagreb", 1, 0), set("orders", "split", 1, 0)];
     let refused = table.apply(&direct(1, "ana", off.clone()));
@@ -165,11 +169,11 @@
     );
     let meant = allowing(&[Danger::AllWeightsZero], change(off));
     assert_eq!(
-        table.apply(&command(2, "ana", Act::Change(meant))),
+        table.apply(&command(2, "ana", Operation::Change(meant))),
         accepted(2)
     );
 
-    // It is off already, so this edit doesn't bring the danger about.
+    // All weights are zero already, so this edit doesn't cause the danger.
     let more = direct(3, "ana", [set("orders", "zagreb", 2, 0)]);
     assert_eq!(table.apply(&more), accepted(3));
 
@@ -178,42 +182,42 @@
     assert!(matches!(&refused, Outcome::Dangerous { findings }
         if findings[0].danger == Danger::LastRow));
     let wrong = allowing(&[Danger::AllWeightsZero], change(gone.clone()));
-    let refused = table.apply(&command(5, "ana", Act::Change(wrong)));
+    let refused = table.apply(&command(5, "ana", Operation::Change(wrong)));
     assert!(matches!(refused, Outcome::Dangerous { .. }));
     let meant = allowing(&[Danger::LastRow], change(gone));
     assert_eq!(
-        table.apply(&command(6, "ana", Act::Change(meant))),
+        table.apply(&command(6, "ana", Operation::Change(meant))),
         accepted(4)
     );
 }
 
-/// A drain of one region leaves the other with all the weight: no danger.
+/// Draining one region leaves the other with a weight, which is no danger.
 #[test]
-fn draining_one_of_two_regions_is_plain_work() {
+fn draining_one_of_two_regions_is_no_danger() {
     let mut table = small_table();
     let drain = direct(1, "ana", [set("orders", "split", 1, 0)]);
     assert_eq!(table.apply(&drain), accepted(2));
 }
 
 #[test]
-fn acts_that_break_a_rule_are_refused() {
+fn operations_that_break_a_rule_are_rejected() {
     let mut table = small_table();
     let twice = [set("orders", "split", 1, 1), set("orders", "split", 1, 2)];
     let long = "x".repeat(1001);
     let mut escape = change([set("orders", "split", 1, 1)]);
     escape.note = "\u{1b}[2J".to_owned();
     let acts = [
-        Act::Change(change([])),
-        Act::Change(change(twice)),
-        Act::Change(escape),
-        Act::HandOver { note: long },
-        Act::HandOver {
+        Operation::Change(change([])),
+        Operation::Change(change(twice)),
+        Operation::Change(escape),
+        Operation::HandOver { note: long },
+        Operation::HandOver {
             note: " ".to_owned(),
         },
     ];
-    for (id, act) in (1..).zip(acts) {
-        let outcome = table.apply(&command(id, "ana", act.clone()));
-        assert!(matches!(outcome, Outcome::Invalid { .. }), "{act:?}");
+    for (id, operation) in (1..).zip(acts) {
+        let outcome = table.apply(&command(id, "ana", operation.clone()));
+        assert!(matches!(outcome, Outcome::Invalid { .. }), "{operation:?}");
     }
     let nameless = direct(100, "", [set("orders", "split", 1, 1)]);
     assert!(matches!(table.apply(&nameless), Outcome::Invalid { .. }));
@@ -223,7 +227,7 @@
 }
 
 #[test]
-fn history_tells_who_did_what_and_how_it_ended() {
+fn history_records_actors_differences_and_outcomes() {
     let mut table = small_table();
     table.apply(&direct(1, "ana", [set("orders", "split", 1, 20)]));
     table.apply(&direct(2, "bruno", [set("orders", "split", 1, 30)]));
--- a/crates/table/tests/common/mod.rs
+++ b/crates/table/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Short ways to make commands.
+//! Helpers that build commands and outcomes.
 
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
 
 use filberthead_table::{
-    Act, Actor, Change, Command, Danger, Edit, Outcome, ProposalNumber, Role, RowKey, RowValues,
-    Table, Timestamp, Verdict,
+    Actor, Change, Command, Danger, Edit, Operation, Outcome, ProposalNumber, Role, RowKey,
+    RowValues, Table, Timestamp, Verdict,
 };
 use filberthead_types::{ChangeId, Revision, Version};
 
@@ -26,18 +26,18 @@
     }
 }
 
-pub fn set(service: &str, region: &str, seen: u64, weight: u32) -> Edit {
+pub fn set(service: &str, region: &str, expected_revision: u64, weight: u32) -> Edit {
     Edit {
         key: key(service, region),
-        seen: Revision(seen),
+        expected_revision: Revision(expected_revision),
         set: Some(values(weight)),
     }
 }
 
-pub fn remove(service: &str, region: &str, seen: u64) -> Edit {
+pub fn remove(service: &str, region: &str, expected_revision: u64) -> Edit {
     Edit {
         key: key(service, region),
-        seen: Revision(seen),
+        expected_revision: Revision(expected_revision),
         set: None,
     }
 }
@@ -55,7 +55,7 @@
     change
 }
 
-pub fn command(id: u128, name: &str, act: Act) -> Command {
+pub fn command(id: u128, name: &str, operation: Operation) -> Command {
     Command {
         id: ChangeId(id),
         actor: Actor {
@@ -64,36 +64,36 @@
         },
         at: Timestamp(1_000 + u64::try_from(id).unwrap()),
         findings: Vec::new(),
-        act,
+        operation,
     }
 }
 
 pub fn direct(id: u128, name: &str, edits: impl IntoIterator<Item = Edit>) -> Command {
-    command(id, name, Act::Change(change(edits)))
+    command(id, name, Operation::Change(change(edits)))
 }
 
 pub fn propose(id: u128, name: &str, edits: impl IntoIterator<Item = Edit>) -> Command {
     let change = change(edits);
     let supersedes = None;
-    command(id, name, Act::Propose { change, supersedes })
+    command(id, name, Operation::Propose { change, supersedes })
 }
 
 pub fn review(id: u128, name: &str, number: u64, verdict: Verdict) -> Command {
-    let act = Act::Review {
+    let operation = Operation::Review {
         proposal: ProposalNumber(number),
         verdict,
         note: String::new(),
     };
-    command(id, name, act)
+    command(id, name, operation)
 }
 
 pub fn accept(id: u128, name: &str, number: u64, allow: &[Danger]) -> Command {
-    let act = Act::Accept {
+    let operation = Operation::Accept {
         proposal: ProposalNumber(number),
         note: String::new(),
         allow: allow.iter().copied().collect(),
     };
-    command(id, name, act)
+    command(id, name, operation)
 }
 
 pub fn accepted(version: u64) -> Outcome {
@@ -113,7 +113,7 @@
     Some(row.values.weight)
 }
 
-/// A table of two services in two regions each, at version 1, made by `ana`.
+/// A table at version 1 with two services in two regions each, created by `ana`.
 pub fn small_table() -> Table {
     let mut table = Table::default();
     let rows = [
--- a/crates/table/tests/sheet.rs
+++ b/crates/table/tests/csv_file.rs
@@ -1,11 +1,11 @@
-//! The CSV sheet, as spreadsheets send it back.
+//! CSV files as spreadsheets save them.
 
 mod common;
 
 use bolero::TypeGenerator;
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use common::*;
-use filberthead_table::{Row, SheetAction, SheetError, read_sheet, write_sheet};
+use filberthead_table::{CsvAction, CsvError, Row, read_csv, write_csv};
 use filberthead_types::Revision;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -14,21 +14,21 @@
     let table = small_table();
     let rows = table.rows().iter().map(|(key, row)| (key, *row));
     let mut buf = Vec::new();
-    write_sheet(rows, &mut buf).expect("memory takes it");
+    write_csv(rows, &mut buf).expect("writing to memory succeeds");
     String::from_utf8(buf).expect("CSV is text")
 }
 
 fn faults(text: &str) -> Vec<(u64, String)> {
-    let SheetError { faults } = read_sheet(text).expect_err("the sheet is bad");
+    let CsvError { faults } = read_csv(text).expect_err("the sheet is bad");
     faults
 }
 
 #[test]
 fn an_export_reads_back_as_it_was() {
-    let rows = read_sheet(&export()).unwrap();
+    let rows = read_csv(&export()).unwrap();
     assert_eq!(rows.len(), 4);
     for row in &rows {
-        let SheetAction::Set(values) = row.action else {
+        let CsvAction::Set(values) = row.action else {
             panic!("{row:?}");
         };
         assert_eq!(row.was, Some(values));
@@ -38,33 +38,32 @@
     assert_eq!(rows[0].key, key("catalogue", "split"));
 }
 
-/// Spreadsheets in Zagreb and in Porto save with semicolons and a byte order mark, in
-/// another order of columns, and with empty columns and lines at the end.
+/// Spreadsheets in some locales save with semicolons and a byte order mark, and may
+/// reorder columns and add empty columns and lines at the end.
 #[test]
-fn a_sheet_saved_by_a_spreadsheet_is_read() {
+fn a_file_saved_by_a_spreadsheet_is_read() {
     let text = "\u{feff}region;service;limit;weight;shift_cap;objective;was;revision;;\r\n\
                 split;orders;48;10;12;headroom;50 48 12 latency;1;;\r\n\
                 osijek;orders;30;5;6;latency;;;;\r\n\
                 ;;;;;;;;;\r\n";
-    let rows = read_sheet(text).unwrap();
+    let rows = read_csv(text).unwrap();
     assert_eq!(rows.len(), 2);
     assert_eq!(rows[0].was, Some(values(50)));
     assert_eq!(rows[1].revision, None);
-    assert_eq!(read_sheet(&text.replace(';', "\t")).unwrap().len(), 2);
+    assert_eq!(read_csv(&text.replace(';', "\t")).unwrap().len(), 2);
 }
 
 #[test]
-fn a_row_is_removed_only_where_it_is_said() {
+fn only_rows_marked_remove_are_removed() {
     let text = export().replace("50 48 12 latency,\n", "50 48 12 latency,remove\n");
-    let rows = read_sheet(&text).unwrap();
-    let removed = rows.iter().filter(|row| row.action == SheetAction::Remove);
+    let rows = read_csv(&text).unwrap();
+    let removed = rows.iter().filter(|row| row.action == CsvAction::Remove);
     assert_eq!(removed.count(), 2);
 }
 
-/// An operator has slipped in several lines. All slips are named in one pass, with the
-/// line of each.
+/// Several lines have faults: all are reported at once, each with its line number.
 #[test]
-fn all_bad_lines_are_named_at_once() {
+fn all_bad_lines_are_reported_at_once() {
     let text = "service,region,weight,limit,shift_cap,objective,revision,was,action\n\
                 orders,split,1.200,48,12,latency,1,,\n\
                 orders,zagreb,50,-3,12,speed,1,,\n\
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn a_sheet_without_its_columns_is_refused() {
+fn a_file_without_its_columns_is_rejected() {
     assert_eq!(faults("").len(), 6);
     let twice = "service,region,weight,limit,shift_cap,objective,weight\n";
     assert_eq!(faults(twice).len(), 1);
@@ -95,19 +94,19 @@
 }
 
 #[test]
-fn names_can_not_break_out_of_their_cells() {
+fn names_stay_within_their_fields() {
     let row = Row::default();
     let key = key("a-b.c_d", "r");
     let mut buf = Vec::new();
-    write_sheet([(&key, row)], &mut buf).unwrap();
-    let rows = read_sheet(&String::from_utf8(buf).unwrap()).unwrap();
+    write_csv([(&key, row)], &mut buf).unwrap();
+    let rows = read_csv(&String::from_utf8(buf).unwrap()).unwrap();
     assert_eq!(rows[0].key, key);
 }
 
-/// Whatever a file holds, reading it ends in rows or in faults with a line each; and what
-/// is read as rows says the same when it is read again.
+/// Random content yields either rows or faults with a line number each, and parsing the
+/// same text again yields the same rows.
 #[test]
-fn random_sheets_end_in_rows_or_in_faults() {
+fn random_files_yield_rows_or_faults() {
     const PIECES: [&str; 16] = [
         ",",
         ";",
@@ -132,19 +131,19 @@
         let mut driver = Rng::new(StdRng::seed_from_u64(seed), &options);
         let picks = Vec::<u8>::generate(&mut driver).expect("the driver has bytes left");
         let piece = |pick: &u8| PIECES[usize::from(*pick) % PIECES.len()];
-        // Half of them are nothing but noise, half an export with a little of it.
+        // Half of the texts are random only, half an export with a few random pieces added.
         let (mut text, noise) = if seed % 2 == 0 {
             (export(), 3)
         } else {
             (String::new(), usize::MAX)
         };
         text.extend(picks.iter().take(noise).map(piece));
-        match read_sheet(&text) {
+        match read_csv(&text) {
             Ok(rows) => {
                 with_rows += usize::from(!rows.is_empty());
-                assert_eq!(read_sheet(&text), Ok(rows));
+                assert_eq!(read_csv(&text), Ok(rows));
             }
-            Err(SheetError { faults }) => {
+            Err(CsvError { faults }) => {
                 let lines = text.lines().count() as u64 + 1;
                 assert!(!faults.is_empty());
                 assert!(faults.iter().all(|(line, _)| *line <= lines), "{faults:?}");
--- a/crates/table/tests/proposals.rs
+++ b/crates/table/tests/proposals.rs
@@ -6,12 +6,12 @@
 
 use common::*;
 use filberthead_table::{
-    Act, Danger, KEPT_CLOSED, KEPT_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Outcome,
-    ProposalNumber, ProposalState, Table, Verdict,
+    Danger, MAX_CLOSED_PROPOSALS, MAX_HAND_OVERS, MAX_OPEN_PROPOSALS, MAX_REVIEWS, Operation,
+    Outcome, ProposalNumber, ProposalState, Table, Verdict,
 };
 use filberthead_types::Version;
 
-/// One proposal by `ana`, number 1, that takes `orders/split` from 50 to 20.
+/// A table with proposal 1 by `ana`, which changes `orders/split` from 50 to 20.
 fn with_proposal() -> Table {
     let mut table = small_table();
     let outcome = table.apply(&propose(1, "ana", [set("orders", "split", 1, 20)]));
@@ -19,7 +19,7 @@
     table
 }
 
-/// A proposal changes nothing until a colleague has approved it and somebody accepts it.
+/// A proposal changes nothing until another operator has approved it and it is accepted.
 #[test]
 fn a_proposal_takes_effect_after_review_and_acceptance() {
     let mut table = with_proposal();
@@ -40,8 +40,8 @@
     assert_eq!(*state, ProposalState::Accepted { version, by });
 }
 
-/// Two colleagues accept the same proposal at once. It takes effect once, and the second
-/// is told that the first was there.
+/// Two operators accept the same proposal concurrently. It is applied once, and the second
+/// outcome names the operator who accepted it.
 #[test]
 fn a_proposal_is_accepted_once() {
     let mut table = with_proposal();
@@ -57,8 +57,8 @@
     assert_eq!(table.version(), Version(2));
 }
 
-/// The night shift has one operator. They accept their own proposal by saying so, which
-/// stays on record; against a colleague's rejection that doesn't help.
+/// An operator alone on a shift can accept their own proposal by allowing `own-review`,
+/// but not against the rejection of another operator.
 #[test]
 fn a_missing_review_can_be_waived_and_a_rejection_cannot() {
     let mut table = with_proposal();
@@ -75,11 +75,10 @@
     assert_eq!(waived, accepted(3));
 }
 
-/// While a proposal waits for its review, another shift changes one of its rows. It
-/// can't be accepted any more; put up again on the new revision it can, and the old one
-/// is closed by that.
+/// While a proposal is open, one of its rows is changed directly. It can't be accepted
+/// any more; a new proposal with the new revision can supersede and close it.
 #[test]
-fn a_proposal_overtaken_by_a_change_conflicts_and_is_put_up_again() {
+fn a_proposal_with_a_stale_revision_conflicts_and_can_be_superseded() {
     let mut table = with_proposal();
     table.apply(&review(2, "bruno", 1, Verdict::Approve));
     table.apply(&direct(3, "carla", [set("orders", "split", 1, 33)]));
@@ -91,21 +90,24 @@
     assert_eq!(weight(&table, "orders", "split"), Some(33));
     assert_eq!(table.open_proposals().count(), 1);
 
-    let act = Act::Propose {
+    let operation = Operation::Propose {
         change: change([set("orders", "split", 2, 20)]),
         supersedes: Some(ProposalNumber(1)),
     };
-    assert_eq!(table.apply(&command(5, "ana", act.clone())), proposed(2));
+    assert_eq!(
+        table.apply(&command(5, "ana", operation.clone())),
+        proposed(2)
+    );
     let old = table.proposal(ProposalNumber(1)).unwrap();
     assert_eq!(old.state.describe(), "superseded by proposal 2");
-    // The approval was for the old one.
+    // The approval of the old proposal doesn't carry over.
     let unreviewed = table.apply(&accept(6, "bruno", 2, &[]));
     assert!(matches!(unreviewed, Outcome::ReviewMissing { .. }));
-    let closed = table.apply(&command(7, "ana", act));
+    let closed = table.apply(&command(7, "ana", operation));
     assert!(matches!(closed, Outcome::ProposalUnknown { .. }));
 }
 
-/// A stale edit is refused when it is proposed, while its author is still at their desk.
+/// A stale or dangerous edit is rejected when it is proposed, not only at acceptance.
 #[test]
 fn a_stale_or_dangerous_proposal_is_refused_at_once() {
     let mut table = small_table();
@@ -114,20 +116,20 @@
     let off = [set("orders", "zagreb", 1, 0), set("orders", "split", 1, 0)];
     let dangerous = table.apply(&propose(2, "ana", off.clone()));
     assert!(matches!(dangerous, Outcome::Dangerous { .. }));
-    let act = Act::Propose {
+    let operation = Operation::Propose {
         change: allowing(&[Danger::AllWeightsZero], change(off)),
         supersedes: None,
     };
-    assert_eq!(table.apply(&command(3, "ana", act)), proposed(1));
+    assert_eq!(table.apply(&command(3, "ana", operation)), proposed(1));
     table.apply(&review(4, "bruno", 1, Verdict::Approve));
-    // What its author takes, and a colleague approved, needn't be said again.
+    // Dangers that the author allowed need not be allowed again at acceptance.
     assert_eq!(table.apply(&accept(5, "bruno", 1, &[])), accepted(2));
 }
 
-/// Two proposals were harmless when made: each drains another region of a service. The
-/// second would switch the service off, and is refused at acceptance.
+/// Two proposals have no danger when proposed: each drains another region of a service.
+/// Accepting both would leave no weight, so the second is rejected at acceptance.
 #[test]
-fn dangers_are_looked_for_again_at_acceptance() {
+fn dangers_are_checked_again_at_acceptance() {
     let mut table = small_table();
     table.apply(&propose(1, "ana", [set("orders", "zagreb", 1, 0)]));
     table.apply(&propose(2, "ana", [set("orders", "split", 1, 0)]));
@@ -143,14 +145,17 @@
     assert_eq!(meant, accepted(3));
 }
 
-/// A shift hands over. The next one sees the note, the version and what was open then,
-/// and what happened after it.
+/// A hand-over stores the note, the version, the open proposals and the position in the
+/// history.
 #[test]
 fn a_hand_over_carries_note_version_and_open_proposals() {
     let mut table = with_proposal();
     let note = "osijek is warm again".to_owned();
-    let act = Act::HandOver { note: note.clone() };
-    assert_eq!(table.apply(&command(2, "ana", act)), Outcome::Recorded);
+    let operation = Operation::HandOver { note: note.clone() };
+    assert_eq!(
+        table.apply(&command(2, "ana", operation)),
+        Outcome::Recorded
+    );
     let handover = table.handovers().next_back().unwrap();
     assert_eq!((&handover.by, &handover.note), (&"ana".to_owned(), &note));
     assert_eq!(handover.open, [ProposalNumber(1)]);
@@ -161,11 +166,14 @@
 #[test]
 fn a_withdrawn_proposal_is_closed() {
     let mut table = with_proposal();
-    let act = Act::Withdraw {
+    let operation = Operation::Withdraw {
         proposal: ProposalNumber(1),
         note: String::new(),
     };
-    assert_eq!(table.apply(&command(2, "bruno", act)), Outcome::Recorded);
+    assert_eq!(
+        table.apply(&command(2, "bruno", operation)),
+        Outcome::Recorded
+    );
     let late = table.apply(&review(3, "bruno", 1, Verdict::Approve));
     assert!(matches!(late, Outcome::ProposalUnknown { .. }));
     let never = table.apply(&accept(4, "bruno", 77, &[]));
@@ -181,12 +189,12 @@
     }
     let full = table.apply(&propose(500, "ana", [set("orders", "split", 1, 20)]));
     assert_eq!(full, Outcome::TooManyProposals);
-    // One that takes the place of another needs no room.
-    let act = Act::Propose {
+    // A proposal that supersedes another doesn't raise the number of open ones.
+    let operation = Operation::Propose {
         change: change([set("orders", "split", 1, 21)]),
         supersedes: Some(ProposalNumber(1)),
     };
-    let in_place = table.apply(&command(501, "ana", act));
+    let in_place = table.apply(&command(501, "ana", operation));
     assert!(matches!(in_place, Outcome::Proposed { .. }));
 
     for n in 0..MAX_REVIEWS as u128 {
@@ -200,18 +208,18 @@
 
     for n in 0..100_u128 {
         let note = format!("note {n}");
-        table.apply(&command(1000 + n, "ana", Act::HandOver { note }));
+        table.apply(&command(1000 + n, "ana", Operation::HandOver { note }));
     }
-    assert_eq!(table.handovers().count(), KEPT_HAND_OVERS);
-    for n in 0..KEPT_CLOSED as u128 + 10 {
+    assert_eq!(table.handovers().count(), MAX_HAND_OVERS);
+    for n in 0..MAX_CLOSED_PROPOSALS as u128 + 10 {
         let number = table.open_proposals().next().unwrap().number;
-        let act = Act::Propose {
+        let operation = Operation::Propose {
             change: change([set("orders", "split", 1, 21)]),
             supersedes: Some(number),
         };
-        table.apply(&command(2000 + n, "ana", act));
+        table.apply(&command(2000 + n, "ana", operation));
     }
-    assert_eq!(table.closed_proposals().count(), KEPT_CLOSED);
+    assert_eq!(table.closed_proposals().count(), MAX_CLOSED_PROPOSALS);
     let edits: BTreeSet<_> = table
         .closed_proposals()
         .map(|p| p.change.edits.len())
--- a/crates/table/tests/random.rs
+++ b/crates/table/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random orders of commands against a model that knows nothing but the log.
+//! Random sequences of commands, checked against a simple model.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use common::*;
 use filberthead_table::{
-    Act, Change, Command, Danger, Edit, Outcome, ProposalNumber, RowKey, RowValues, Table, Verdict,
+    Change, Command, Danger, Edit, Operation, Outcome, ProposalNumber, RowKey, RowValues, Table,
+    Verdict,
 };
 use filberthead_types::{ChangeId, Revision};
 use rand::SeedableRng;
@@ -17,7 +18,7 @@
 const SEEDS: u64 = 600;
 const STEPS: usize = 120;
 
-/// Raw material of one step; each field is taken modulo what there is to choose from.
+/// Random input of one step; each field is reduced modulo the number of choices.
 #[derive(Clone, Debug)]
 #[derive(TypeGenerator)]
 struct Step {
@@ -33,7 +34,8 @@
 struct EditPick {
     row: u8,
     weight: u8,
-    /// Most edits name the revision in force; the rest lag.
+    /// The edit's revision is behind by the excess over 200, so most edits have the
+    /// current one.
     lag: u8,
     remove: bool,
 }
@@ -51,23 +53,28 @@
     fn edit(&self, table: &Table) -> Edit {
         let (service, region) = ROWS[usize::from(self.row) % ROWS.len()];
         let lag = u64::from(self.lag).saturating_sub(200);
-        let seen = table.revision(&key(service, region)).0.saturating_sub(lag);
-        let edit = set(service, region, seen, u32::from(self.weight % 3));
+        let expected_revision = table.revision(&key(service, region)).0.saturating_sub(lag);
+        let edit = set(
+            service,
+            region,
+            expected_revision,
+            u32::from(self.weight % 3),
+        );
         let set = edit.set.filter(|_| !self.remove);
         Edit { set, ..edit }
     }
 }
 
-/// What the log alone says, kept in the plainest way.
+/// The expected rows, derived from the commands and their outcomes only.
 #[derive(Default)]
 struct Model {
     rows: BTreeMap<RowKey, RowValues>,
     proposals: BTreeMap<ProposalNumber, Change>,
-    first: BTreeMap<ChangeId, (Command, Outcome)>,
+    first_outcomes: BTreeMap<ChangeId, (Command, Outcome)>,
 }
 
 impl Model {
-    fn install(&mut self, edits: &[Edit]) {
+    fn apply_edits(&mut self, edits: &[Edit]) {
         for edit in edits {
             match edit.set {
                 Some(values) => self.rows.insert(edit.key.clone(), values),
@@ -76,31 +83,31 @@
         }
     }
 
-    /// The change that a command put into the table, if its outcome says so.
+    /// The change that the command applied to the table; `None` if it wasn't accepted.
     fn effect(&self, command: &Command, outcome: &Outcome) -> Option<Change> {
         if !matches!(outcome, Outcome::Accepted { .. }) {
             return None;
         }
-        match &command.act {
-            Act::Change(change) => Some(change.clone()),
-            Act::Accept { proposal, .. } => Some(self.proposals[proposal].clone()),
+        match &command.operation {
+            Operation::Change(change) => Some(change.clone()),
+            Operation::Accept { proposal, .. } => Some(self.proposals[proposal].clone()),
             other => panic!("{other:?} can't be accepted"),
         }
     }
 
-    fn take_in(&mut self, command: &Command, outcome: &Outcome) {
-        if let (Act::Propose { change, .. }, Outcome::Proposed { proposal }) =
-            (&command.act, outcome)
+    fn record(&mut self, command: &Command, outcome: &Outcome) {
+        if let (Operation::Propose { change, .. }, Outcome::Proposed { proposal }) =
+            (&command.operation, outcome)
         {
             self.proposals.insert(*proposal, change.clone());
         }
         if let Some(change) = self.effect(command, outcome) {
-            self.install(&change.edits);
+            self.apply_edits(&change.edits);
         }
     }
 }
 
-fn make(step: &Step, id: u128, table: &Table) -> Command {
+fn random_command(step: &Step, id: u128, table: &Table) -> Command {
     let name = ["ana", "bruno", "carla"][usize::from(step.actor) % 3];
     let number = u64::from(step.proposal % 12) + 1;
     let edits = step.edits.iter().map(|pick| pick.edit(table));
@@ -108,12 +115,12 @@
     let plain = change([step.edits[0].edit(table)]);
     let supersedes = Some(ProposalNumber(number)).filter(|_| step.proposal > 200);
     match step.kind % 8 {
-        0 => command(id, name, Act::Change(made)),
-        1 | 2 => command(id, name, Act::Change(plain)),
+        0 => command(id, name, Operation::Change(made)),
+        1 | 2 => command(id, name, Operation::Change(plain)),
         3 => command(
             id,
             name,
-            Act::Propose {
+            Operation::Propose {
                 change: plain,
                 supersedes,
             },
@@ -130,52 +137,59 @@
     ROWS.iter().map(revision).collect()
 }
 
-fn values_of(table: &Table) -> BTreeMap<RowKey, RowValues> {
+fn row_values(table: &Table) -> BTreeMap<RowKey, RowValues> {
     let rows = table.rows().iter();
     rows.map(|(key, row)| (key.clone(), row.values)).collect()
 }
 
-/// One command on both replicas: all that has to hold, whatever it was.
+/// Applies a command to both replicas and checks the invariants. Returns whether it was
+/// accepted for the first time.
 fn check(model: &mut Model, table: &mut Table, other: &mut Table, command: &Command) -> bool {
     let before = table.clone();
     let outcome = table.apply(command);
     assert_eq!(other.apply(command), outcome, "replicas disagree");
-    if let Some((first, earlier)) = model.first.get(&command.id) {
+    if let Some((first, earlier)) = model.first_outcomes.get(&command.id) {
         if first == command {
-            assert_eq!(outcome, *earlier, "a resend ends otherwise");
+            assert_eq!(outcome, *earlier, "a resend got another outcome");
         }
-        assert_eq!(*table, before, "a resend has an effect");
+        assert_eq!(*table, before, "a resend changed the table");
         return false;
     }
     let effect = model.effect(command, &outcome);
     if let Some(change) = &effect {
-        let is_current = |edit: &Edit| before.revision(&edit.key) == edit.seen;
+        let is_current = |edit: &Edit| before.revision(&edit.key) == edit.expected_revision;
         assert!(
             change.edits.iter().all(is_current),
-            "a blind edit is accepted"
+            "an edit with a stale revision was accepted"
         );
         assert_eq!(table.version(), before.version().next());
     } else {
-        assert_eq!(table.view(), before.view(), "a refused act has an effect");
+        assert_eq!(
+            table.view(),
+            before.view(),
+            "a command that was not accepted changed the view"
+        );
     }
     for (now, then) in revisions(table).iter().zip(revisions(&before)) {
-        assert!(*now >= then, "a revision goes down");
+        assert!(*now >= then, "a revision decreased");
     }
-    model.take_in(command, &outcome);
+    model.record(command, &outcome);
     assert_eq!(
-        values_of(table),
+        row_values(table),
         model.rows,
-        "an accepted change is lost or doubled"
+        "an accepted change was lost or applied twice"
     );
-    model.first.insert(command.id, (command.clone(), outcome));
+    model
+        .first_outcomes
+        .insert(command.id, (command.clone(), outcome));
     effect.is_some()
 }
 
-/// Whatever operators send, in whatever order and however often: no accepted change is
-/// lost or takes effect twice, a resend gets its first outcome, revisions only go up,
-/// and a replica that started from a snapshot agrees with one that saw the whole log.
+/// For any sequence of commands and resends: no accepted change is lost or applied twice,
+/// a resend gets its first outcome, revisions never decrease, and a replica restored from
+/// a snapshot equals one that applied the whole log.
 #[test]
-fn random_orders_keep_what_operators_were_told() {
+fn random_commands_match_the_model() {
     let options = Options::default();
     let (mut accepted, mut resent) = (0, 0);
     for seed in 0..SEEDS {
@@ -190,7 +204,7 @@
                 resent += 1;
                 log[usize::from(step.resend / 4) % log.len()].clone()
             } else {
-                make(&step, n as u128 + 1, &table)
+                random_command(&step, n as u128 + 1, &table)
             };
             if check(&mut model, &mut table, &mut other, &command) {
                 accepted += 1;
@@ -203,7 +217,7 @@
         }
         assert_eq!(table, other);
     }
-    // The commands have to get somewhere, or the checks above say nothing.
+    // Without enough accepted and resent commands the checks above would be vacuous.
     assert!(accepted > SEEDS * 10, "{accepted} accepted");
     assert!(resent > SEEDS * 10, "{resent} resent");
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,9 +1,9 @@
-//! How a command ends.
+//! Errors and exit codes of the command line.
 
 use std::process::ExitCode;
 
 use filberthead_operator::{Answer, ClientError, ConflictBody};
-use filberthead_table::SheetError;
+use filberthead_table::CsvError;
 use filberthead_types::{ChangeId, ResultCode};
 use serde_json::json;
 
@@ -12,17 +12,17 @@
 /// Exit code of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done, or shown.
+    /// The command succeeded.
     Done = 0,
-    /// Refused, or in conflict: nothing changed.
+    /// Refused or in conflict; nothing changed.
     Refused = 1,
-    /// The command line, or a file that it names, can't be used: nothing was sent.
+    /// The command line or a file that it names can't be used; nothing was sent.
     Usage = 2,
-    /// It was sent, and whether it took effect is not known.
+    /// An act was sent, and whether it took effect is not known.
     Unknown = 3,
-    /// No control replica answers for the table: nothing changed.
+    /// No control replica answers for the table; nothing changed.
     Unreachable = 4,
-    /// Accepted for good, but some entries had not reported it as in force in time.
+    /// The change is accepted, but some entries didn't report it as in force within `--timeout`.
     NotInForce = 5,
 }
 
@@ -34,21 +34,21 @@
 
 pub(super) type Result<T> = std::result::Result<T, CliError>;
 
-/// Why a command was not done.
+/// Why a command failed.
 #[derive(Debug)]
 pub(super) enum CliError {
     /// The command line can't be used.
     Usage(String),
-    /// A sheet has bad lines.
-    Sheet { file: String, error: SheetError },
-    /// The API refuses.
+    /// A CSV file has invalid lines.
+    Csv { file: String, error: CsvError },
+    /// The API refused the request.
     Refused(Box<Answer>),
-    /// There is no answer.
+    /// The client got no usable answer. `id` is the change id of an act, `None` for a read.
     Client {
         id: Option<ChangeId>,
         error: ClientError,
     },
-    /// Something of this machine failed.
+    /// A local operation failed, such as writing a file.
     Fault(String),
 }
 
@@ -61,18 +61,18 @@
         Self::Fault(message.into())
     }
 
-    pub(super) fn looking(error: ClientError) -> Self {
+    pub(super) fn from_read(error: ClientError) -> Self {
         Self::Client { id: None, error }
     }
 
     fn exit(&self) -> Exit {
         match self {
-            Self::Usage(_) | Self::Sheet { .. } | Self::Fault(_) => Exit::Usage,
+            Self::Usage(_) | Self::Csv { .. } | Self::Fault(_) => Exit::Usage,
             Self::Refused(_) => Exit::Refused,
             Self::Client { error, .. } => match error {
                 ClientError::OutcomeUnknown { .. } => Exit::Unknown,
                 ClientError::Unreachable { .. } => Exit::Unreachable,
-                // An answer that can't be read leaves open what became of an act.
+                // With an unreadable answer it is unknown whether an act took effect.
                 ClientError::Malformed { .. } => Exit::Unknown,
                 ClientError::NoAddress | ClientError::Body { .. } | ClientError::Header => {
                     Exit::Usage
@@ -84,14 +84,14 @@
     fn message(&self) -> String {
         match self {
             Self::Usage(message) | Self::Fault(message) => message.clone(),
-            Self::Sheet { file, error } => {
+            Self::Csv { file, error } => {
                 let faults = error.faults.iter();
                 let lines: Vec<_> = faults
                     .map(|(line, fault)| format!("{file}:{line}: {fault}"))
                     .collect();
                 lines.join("\n")
             }
-            Self::Refused(answer) => explain(answer),
+            Self::Refused(answer) => describe_refusal(answer),
             Self::Client { id, error } => match (id, error) {
                 (Some(id), ClientError::OutcomeUnknown { last }) => format!(
                     "the outcome is not known ({last})\n\
@@ -110,10 +110,10 @@
     }
 }
 
-/// A refusal in words, with both sides of each conflict and the way on.
-fn explain(answer: &Answer) -> String {
+/// Describes a refusal, with both sides of each conflict and what to do next.
+fn describe_refusal(answer: &Answer) -> String {
     let mut lines = vec![format!("{} ({})", answer.message, answer.code)];
-    lines.extend(answer.conflicts.iter().map(explain_conflict));
+    lines.extend(answer.conflicts.iter().map(describe_conflict));
     for finding in &answer.findings {
         let allow = format!("  to do it all the same: --allow {}", finding.danger);
         lines.push(allow);
@@ -142,8 +142,8 @@
     lines.join("\n")
 }
 
-/// Both sides of a conflict.
-pub(super) fn explain_conflict(conflict: &ConflictBody) -> String {
+/// Describes both sides of a conflict.
+pub(super) fn describe_conflict(conflict: &ConflictBody) -> String {
     let ConflictBody {
         service,
         region,
@@ -164,8 +164,8 @@
     )
 }
 
-/// Prints why a command was not done, and gives the exit code that goes with it.
-pub(super) fn report(error: &CliError, json: bool) -> Exit {
+/// Prints an error and returns its exit code.
+pub(super) fn report_error(error: &CliError, json: bool) -> Exit {
     let exit = error.exit();
     if !json {
         eprintln!("filberthead: {}", error.message());
@@ -176,7 +176,7 @@
         CliError::Client { id, .. } => {
             json!({ "exit": exit as u8, "message": error.message(), "id": id })
         }
-        CliError::Sheet { error, .. } => {
+        CliError::Csv { error, .. } => {
             let fault = |(line, fault): &(u64, String)| json!({ "line": line, "fault": fault });
             let faults: Vec<_> = error.faults.iter().map(fault).collect();
             json!({ "exit": exit as u8, "message": error.to_string(), "faults": faults })
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -1,4 +1,4 @@
-//! `filberthead token new NAME ROLE`: draws a bearer token.
+//! `filberthead token new NAME ROLE`: generates a bearer token.
 
 use filberthead_operator::NewToken;
 use filberthead_table::Role;
@@ -10,15 +10,15 @@
 use super::text;
 
 pub(super) fn run(mut args: Args, json: bool) -> Result<Exit> {
-    let word = args.word("`new`")?;
+    let word = args.positional("`new`")?;
     if word != "new" {
-        return Err(args::unknown("command", &word, &["new"]));
+        return Err(args::unknown_name("command", &word, &["new"]));
     }
-    let name = args.word("the operator's name")?;
-    let role: Role = args.parsed_word("the role: read, propose or accept")?;
+    let name = args.positional("the operator's name")?;
+    let role: Role = args.parse_positional("the role: read, propose or accept")?;
     let services = services(&mut args)?;
     args.finish()?;
-    let token = NewToken::draw(&name, role, &services).map_err(|e| {
+    let token = NewToken::generate(&name, role, &services).map_err(|e| {
         let faults: Vec<_> = e.faults.into_iter().map(|(_, fault)| fault).collect();
         CliError::usage(faults.join("; "))
     })?;
@@ -36,7 +36,7 @@
 }
 
 fn services(args: &mut Args) -> Result<Vec<ServiceName>> {
-    let lists = args.many("services");
+    let lists = args.option_values("services");
     let names = lists.iter().flat_map(|list| list.split(','));
     names
         .map(|name| {
