--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -20,7 +20,7 @@
 const LARGE_CROSSING_COST: f64 = 0.05;
 /// Round trip to another failure domain of the region in seconds: within a region, it is
 /// short.
-const DEFAULT_INTRA_REGION_RTT: f64 = 0.003;
+const INTRA_REGION_RTT: f64 = 0.003;
 /// Round trip to another region in seconds until it was observed: a usual distance on a
 /// continent.
 pub(crate) const DEFAULT_INTER_REGION_RTT: f64 = 0.06;
@@ -386,7 +386,7 @@
         if e.domain == self.cfg.domain {
             0.0
         } else if e.region.as_ref() == Some(&self.cfg.region) {
-            DEFAULT_INTRA_REGION_RTT
+            INTRA_REGION_RTT
         } else {
             let learned = e.region.as_ref().and_then(|region| self.rtts.get(region));
             learned.copied().unwrap_or(DEFAULT_INTER_REGION_RTT)
