--- a/crates/fleet/tests/all/narrow_link.rs
+++ b/crates/fleet/tests/all/narrow_link.rs
@@ -191,7 +191,7 @@
     }
 
     /// The first replica, the leader, has read this list, and the other one receives it.
-    fn list(&mut self, list: Vec<Endpoint>) {
+    fn set_endpoints(&mut self, list: Vec<Endpoint>) {
         let [(leader, reader), (other, follower)] = &mut self.replicas;
         let (leader, other) = (*leader, *other);
         let before = reader.revisions().endpoints;
@@ -297,7 +297,7 @@
 fn serving_gateway(routes: u32) -> Simulation {
     let mut sim = Simulation::new();
     sim.set_routes(1, &table(routes));
-    sim.list(endpoints(None));
+    sim.set_endpoints(endpoints(None));
     sim.run_until(ms(6000));
     assert!(sim.member.is_synced(sim.now));
     sim.bytes = 0;
@@ -315,7 +315,7 @@
     sim.run_until(ms(6600));
     sim.set_routes(3, &further);
     sim.run_until(ms(6700));
-    sim.list(endpoints(Some("i-00000007")));
+    sim.set_endpoints(endpoints(Some("i-00000007")));
     sim.run_until(ms(20_000));
     let leaving = sim
         .received_leaving_at("i-00000007")
@@ -344,7 +344,7 @@
     let mut sim = Simulation::new();
     let routes = table(4222);
     sim.set_routes(1, &routes);
-    sim.list(endpoints(None));
+    sim.set_endpoints(endpoints(None));
     sim.run_until(ms(10_000));
     assert!(sim.received_routes_at(&routes).is_some());
     let once = postcard::to_stdvec(&*routes).expect("it can be encoded");
@@ -373,7 +373,7 @@
 #[test]
 fn an_endpoint_update_takes_one_network_trip() {
     let mut sim = serving_gateway(22);
-    sim.list(endpoints(Some("i-00000007")));
+    sim.set_endpoints(endpoints(Some("i-00000007")));
     sim.run_until(ms(7000));
     let leaving = sim
         .received_leaving_at("i-00000007")
@@ -403,7 +403,7 @@
 #[test]
 fn a_lost_update_is_repeated_after_the_next_report() {
     let mut sim = serving_gateway(22);
-    sim.list(endpoints(Some("i-00000007")));
+    sim.set_endpoints(endpoints(Some("i-00000007")));
     sim.drop_queued();
     sim.run_until(ms(7000));
     let leaving = sim
@@ -420,9 +420,9 @@
 #[test]
 fn a_gateway_pulls_missing_changes_at_once() {
     let mut sim = serving_gateway(22);
-    sim.list(endpoints(Some("i-00000006")));
+    sim.set_endpoints(endpoints(Some("i-00000006")));
     sim.drop_queued();
-    sim.list(endpoints(Some("i-00000007")));
+    sim.set_endpoints(endpoints(Some("i-00000007")));
     sim.run_until(ms(7000));
     let leaving = sim
         .received_leaving_at("i-00000007")
@@ -438,7 +438,7 @@
 fn requests_do_not_wait_behind_a_large_table() {
     let mut sim = Simulation::new();
     sim.set_routes(1, &table(4222));
-    sim.list(endpoints(None));
+    sim.set_endpoints(endpoints(None));
     sim.run_until(ms(10_000));
     assert!(sim.member.is_synced(sim.now));
     assert!(
--- a/crates/fleet/tests/all/parts.rs
+++ b/crates/fleet/tests/all/parts.rs
@@ -96,10 +96,10 @@
     let part = first_part(&mut member, &mut registry);
     let (out, _) = member.receive(ms(10), addr(CONTROL), part);
     registry.set_routes(ms(15), 6, 8, Arc::clone(&newer));
-    let announcement = Message::Pull(Revisions::default());
-    let foreign_part = answer(&mut registry, announcement);
-    let (asked, updates) = member.receive(ms(16), addr(OTHER_REPLICA), foreign_part);
-    assert_eq!((asked, updates), (Vec::new(), Vec::new()));
+    let pull = Message::Pull(Revisions::default());
+    let foreign_part = answer(&mut registry, pull);
+    let (pulls, updates) = member.receive(ms(16), addr(OTHER_REPLICA), foreign_part);
+    assert_eq!((pulls, updates), (Vec::new(), Vec::new()));
     let updates = finish_transfer(&mut member, &mut registry, part_pulls(out));
     assert!(matches!(&updates[..], [Update::Routes { table, .. }] if *table == older));
 }
--- a/crates/place/tests/all/link.rs
+++ b/crates/place/tests/all/link.rs
@@ -79,15 +79,15 @@
 fn simulate_peak(short_per_s: u64, large_per_s: u64) -> (f64, f64) {
     const PEAK_BITS_PER_S: f64 = 4_000_000.0;
     const SECONDS: u64 = 20;
-    let mut share = LargeResponseAdmission::new(PEAK_BITS_PER_S);
+    let mut admission = LargeResponseAdmission::new(PEAK_BITS_PER_S);
     let (mut bytes, mut admitted) = (0, 0);
     for at in 0..SECONDS * 1000 {
         if at % (1000 / short_per_s) == 0 {
-            share.record_short(SHORT_BYTES);
+            admission.record_short(SHORT_BYTES);
             bytes += SHORT_BYTES;
         }
-        if at % (1000 / large_per_s) == 0 && share.admit(ms(at), false).is_ok() {
-            share.record_large(DOWNLOAD_BYTES as u64);
+        if at % (1000 / large_per_s) == 0 && admission.admit(ms(at), false).is_ok() {
+            admission.record_large(DOWNLOAD_BYTES as u64);
             bytes += DOWNLOAD_BYTES;
             admitted += 1;
         }
@@ -119,12 +119,12 @@
 /// retries that are rejected again.
 #[test]
 fn a_retried_download_is_admitted_first() {
-    let mut share = LargeResponseAdmission::new(4_000_000.0);
-    let refused = (0..100).find_map(|_| share.admit(ms(10), false).err());
-    let room_in = refused.expect("a hundred at once don't fit");
-    assert!(room_in >= Duration::from_millis(100), "{room_in:?}");
-    assert!(share.admit(ms(20), true).is_ok());
-    assert!(share.admit(ms(20), false).is_err());
+    let mut admission = LargeResponseAdmission::new(4_000_000.0);
+    let refused = (0..100).find_map(|_| admission.admit(ms(10), false).err());
+    let retry_after = refused.expect("a hundred at once don't fit");
+    assert!(retry_after >= Duration::from_millis(100), "{retry_after:?}");
+    assert!(admission.admit(ms(20), true).is_ok());
+    assert!(admission.admit(ms(20), false).is_err());
     let (_, admitted) = simulate_peak(100, 2);
     assert!(admitted > 0.1, "{admitted} of downloads");
 }
--- a/crates/steer/tests/all/random.rs
+++ b/crates/steer/tests/all/random.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn shares_raised_before_cuts_are_acknowledged_violate_an_invariant() {
+fn shares_raised_before_reductions_are_acknowledged_violate_an_invariant() {
     let variant = Variant {
         presumed_acks: true,
         ..Variant::default()
--- a/crates/table/tests/changes.rs
+++ b/crates/table/tests/changes.rs
@@ -206,7 +206,7 @@
     let long = "x".repeat(1001);
     let mut escape = change([set("orders", "split", 1, 1)]);
     escape.note = "\u{1b}[2J".to_owned();
-    let acts = [
+    let operations = [
         Operation::Change(change([])),
         Operation::Change(change(twice)),
         Operation::Change(escape),
@@ -215,7 +215,7 @@
             note: " ".to_owned(),
         },
     ];
-    for (id, operation) in (1..).zip(acts) {
+    for (id, operation) in (1..).zip(operations) {
         let outcome = table.apply(&command(id, "ana", operation.clone()));
         assert!(matches!(outcome, Outcome::Invalid { .. }), "{operation:?}");
     }
