--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -209,7 +209,7 @@
         self.contacts.set_seeds(seeds);
     }
 
-    /// Sends reports that are due and overdue pulls of parts. `load` is called only for a
+    /// Sends reports that are due, and pulls overdue parts again. `load` is called only for a
     /// report.
     pub fn tick(&mut self, now: Moment, load: impl FnOnce() -> Load) -> Vec<Outbound> {
         let mut out = self.transfers.tick(now);
--- a/crates/fleet/tests/all/restarts.rs
+++ b/crates/fleet/tests/all/restarts.rs
@@ -157,7 +157,7 @@
     assert_eq!(received_list(ms(1), &mut registry).len(), 2);
 }
 
-/// A table that knows the service of [`endpoint`].
+/// A table that defines the service of [`endpoint`].
 fn orders() -> Table {
     let service = Service {
         name: "orders".parse().expect("a name"),
--- a/crates/operator/src/request.rs
+++ b/crates/operator/src/request.rs
@@ -26,7 +26,9 @@
     pub service: ServiceName,
     /// The region.
     pub region: Region,
-    /// Revision that the author read; the edit conflicts if the row has another one.
+    /// Revision that the author read, for a missing row as
+    /// [`TableBody::revision`](crate::TableBody::revision) returns it. The edit conflicts if the
+    /// row has another one.
     pub revision: Revision,
     /// New values of the row; `None` to remove it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -18,8 +18,8 @@
 /// Cost in seconds of sending a large response to another failure domain: the time that has to
 /// be saved before a download leaves its failure domain.
 const LARGE_CROSSING_COST: f64 = 0.05;
-/// Round trip to another failure domain of the region in seconds: within a region, it is
-/// short.
+/// Assumed round trip to another failure domain of the region, in seconds. It is short, and
+/// isn't measured.
 const INTRA_REGION_RTT: f64 = 0.003;
 /// Round trip to another region in seconds until it was observed: a usual distance on a
 /// continent.
@@ -87,7 +87,8 @@
         self.send(now, object, &chosen)
     }
 
-    /// Whether the share of requests that run in this region may decrease.
+    /// Whether the share of requests that run in this region may decrease. If not, requests that
+    /// the plan places there are pinned to it.
     fn may_decrease(&self, req: &Request<'_>, region: &Region) -> bool {
         let shares = self.region_shares.get(req.service);
         shares.is_none_or(|shares| shares.may_decrease(region))
@@ -218,8 +219,8 @@
                     is_ordered.then_some(rank),
                     (index, state),
                 );
-                // Of endpoints with the same load, each has its turn; otherwise one that has
-                // failed once would be avoided forever.
+                // The order of endpoints with the same load varies between requests; otherwise
+                // one that has failed once would be avoided forever.
                 let tie_break = match object {
                     Some(_) => 0.0,
                     None => RANK_COST * rank as f64 / count,
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -39,7 +39,7 @@
 /// costs it a slow first request.
 const DEAD_BAND: f64 = 0.04;
 
-/// Busy or available slots of each region.
+/// A value for each region: busy or available slots, or a share of requests.
 pub(crate) type SlotsByRegion = BTreeMap<Region, f64>;
 
 /// How fast requests move back to their own region.
@@ -66,7 +66,7 @@
         self.updated_at = Some(now);
     }
 
-    /// Keeps the shares.
+    /// Keeps the shares. The time that bounds the next step starts now.
     pub(crate) fn hold(&mut self, now: Moment) {
         self.updated_at = Some(now);
     }
--- a/crates/place/src/planning.rs
+++ b/crates/place/src/planning.rs
@@ -55,7 +55,7 @@
 enum PlanStep {
     /// Nothing: there is no information to base it on.
     Stay,
-    /// Its shares are kept.
+    /// Its shares are kept; the time that bounds its next step starts anew.
     Hold,
     /// It is set to these shares in one step.
     Set(SlotsByRegion),
--- a/crates/place/src/shift.rs
+++ b/crates/place/src/shift.rs
@@ -34,7 +34,7 @@
 struct RegionShare {
     /// Recent requests that ran there, weighted as `RegionShares::total`.
     recent: f64,
-    /// The lowest share of all requests that has to run there.
+    /// Lower bound of the share of all requests that runs there.
     min_share: f64,
 }
 
--- a/crates/steer/src/estimate.rs
+++ b/crates/steer/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Running estimates of latency.
+//! Moving averages of latencies and hold times.
 
 use std::time::Duration;
 
--- a/crates/steer/src/lookup.rs
+++ b/crates/steer/src/lookup.rs
@@ -2,8 +2,8 @@
 //!
 //! Callers cache an answer for its TTL, so answers are kept as stable as possible: regions
 //! and entries are in rendezvous order, which depends on the table, the regions' mean
-//! utilisation and the set of live entries. Short-term load is moved by spillover between
-//! entries, which takes effect at once and needs no new look-up.
+//! utilisation, and the live entries and their slots. Short-term load is moved by spillover
+//! between entries, which takes effect at once and needs no new look-up.
 
 use std::net::IpAddr;
 
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -15,8 +15,8 @@
     /// Response time: requests go where the response is expected soonest.
     #[default]
     Latency,
-    /// Free slots: load is spread so that the most utilised region keeps as many free
-    /// slots as possible.
+    /// Free slots: within a region, load is spread so that the most utilised entry keeps
+    /// as many free slots as possible.
     Headroom,
 }
 
--- a/crates/table/src/rules.rs
+++ b/crates/table/src/rules.rs
@@ -26,7 +26,7 @@
 /// Maximum length of an actor's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Maximum number of findings in a command.
+/// Maximum number of findings in a command; further ones would add nothing new.
 pub(crate) const MAX_FINDINGS: usize = 64;
 
 /// A rule that a command breaks regardless of the table's content.
