--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -216,10 +216,9 @@
         self.leader
     }
 
-    /// Whether the view held is the newest, or was so within the last `member_timeout`: the
-    /// view is proven, and a message from the leader, which announces its own version, has
-    /// arrived since then. Only then may the node answer that something missing from the view
-    /// doesn't exist.
+    /// Whether the view held is the newest, but for changes after the leader was last seen:
+    /// the view is proven, and the leader, which announces its own version, isn't silent. Only
+    /// then may the node answer that something missing from the view doesn't exist.
     ///
     /// A node that is cut off stays [`Readiness::Proven`]: it may act on the view it holds.
     pub fn is_current(&self, now: Moment) -> bool {
