--- a/crates/steer/src/ownership.rs
+++ b/crates/steer/src/ownership.rs
@@ -2,11 +2,11 @@
 //!
 //! Every entry follows a roster of its failure domain, which determines the owner of each
 //! endpoint, and admits only while its membership is in force: leased by control, or
-//! backed by promises of a majority of the members. Until its promise expires, a member
-//! doesn't confirm the removal of the entry that received it, which control needs to remove
-//! that entry. Lease and promises are checked against the current time before each
-//! admission, because a process that was suspended may resume with expired ones and a full
-//! queue.
+//! backed by promises of a majority of the members. A member that has given a promise
+//! doesn't confirm the receiver's removal before the promise expires, and control removes a
+//! silent entry only with enough confirmations. Lease and promises are checked against the
+//! current time before each admission, because a process that was suspended may resume with
+//! expired ones and a full queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
