--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -20,7 +20,7 @@
     /// A verdict that was applied here is committed and never changes, so a replica may send it
     /// without holding the lease.
     pub(super) async fn handle_claim(&mut self, origin: &Origin, claim: Claim) {
-        if self.send_verdict(origin.addr, &claim) || !self.has_room_for(&claim) {
+        if self.send_claim_result(origin.addr, &claim) || !self.has_room_for(&claim) {
             return;
         }
         let Ok(buf) = postcard::to_stdvec(&Entry::Claim(claim.clone())) else {
@@ -34,13 +34,14 @@
     }
 
     /// Sends the verdict on a claim, if there is one. Returns whether there is.
-    pub(super) fn send_verdict(&mut self, to: SocketAddr, claim: &Claim) -> bool {
-        let Some(verdict) = self.machine.verdicts.get(claim) else {
+    pub(super) fn send_claim_result(&mut self, to: SocketAddr, claim: &Claim) -> bool {
+        let Some(claim_result) = self.machine.claim_results.get(claim) else {
             return false;
         };
-        info!(home:% = verdict.home, config = verdict.epoch.0, winner = verdict.winner.0;
+        info!(home:% = claim_result.home, config = claim_result.epoch.0,
+            winner = claim_result.winner.0;
             "verdict sent for a claim on a home");
-        self.send(to, Body::Ledger(Message::ClaimResult(verdict)));
+        self.send(to, Body::Ledger(Message::ClaimResult(claim_result)));
         true
     }
 
--- a/crates/filberthead/src/control/core.rs
+++ b/crates/filberthead/src/control/core.rs
@@ -462,7 +462,7 @@
                 let _ = reply.send(Ok(()));
             }
             Some(Pending::Claim { to, claim }) => {
-                self.send_verdict(to, &claim);
+                self.send_claim_result(to, &claim);
             }
             Some(Pending::Order(reply_to)) => self.finish_order(reply_to, Ok(())),
             Some(Pending::Read(_) | Pending::RoutesRead(_) | Pending::NoReply) | None => {}
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -54,7 +54,7 @@
     /// The table, shared with its readers.
     pub(crate) table: Arc<Table>,
     /// Which entry continued, by home and config.
-    pub(crate) verdicts: ClaimResults,
+    pub(crate) claim_results: ClaimResults,
     /// The routes in force.
     pub(crate) routes: LatestChange,
     /// Index of the entry that put them in force; 0 for none.
@@ -75,7 +75,7 @@
                 let outcome = Arc::make_mut(&mut self.table).apply(command);
                 Applied::Table(outcome)
             }
-            Entry::Claim(claim) => Applied::Claim(self.verdicts.apply(claim)),
+            Entry::Claim(claim) => Applied::Claim(self.claim_results.apply(claim)),
             Entry::Order(order) => {
                 self.apply_order(index, order);
                 Applied::NoOutcome
--- a/crates/filberthead/src/entry/forward/attempt.rs
+++ b/crates/filberthead/src/entry/forward/attempt.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) enum Attempt {
     /// A complete answer, small enough to be buffered.
-    Whole(Parts, Bytes),
+    Buffered(Parts, Bytes),
     /// The head of an answer whose body is still to come.
     Streaming(Box<Upstream>),
     /// Steering has no target for it, or it is quarantined; it wasn't sent.
@@ -50,7 +50,7 @@
     /// Another entry reports that it may have run at an endpoint that was lost there.
     LostElsewhere,
     /// The deadline passed while the request may have been running.
-    Late,
+    TimedOut,
     /// The caller is gone.
     Abandoned,
 }
@@ -196,7 +196,7 @@
             slot.finish(FinishKind::Broken);
             Attempt::Lost
         }
-        SendOutcome::TimedOut => Attempt::Late,
+        SendOutcome::TimedOut => Attempt::TimedOut,
         SendOutcome::Answer(answer) => {
             slot.answered();
             receive(ctx, &target, answer, slot).await
@@ -223,7 +223,7 @@
     }
     clean_headers(target, &mut head);
     if !ctx.resuming && fits_buffer(&body) {
-        return read_whole(ctx, head, body, answer.connection, slot).await;
+        return read_buffered(ctx, head, body, answer.connection, slot).await;
     }
     let upstream = Upstream {
         head,
@@ -296,7 +296,7 @@
         .is_some_and(|len| len <= MAX_BUFFERED_ANSWER)
 }
 
-async fn read_whole(
+async fn read_buffered(
     ctx: &RequestContext,
     head: Parts,
     body: Incoming,
@@ -307,13 +307,13 @@
         Ok(Ok(body)) => {
             connection.release();
             slot.finish(finish_kind(head.status));
-            Attempt::Whole(head, body.to_bytes())
+            Attempt::Buffered(head, body.to_bytes())
         }
         Ok(Err(_)) => {
             slot.finish(FinishKind::Broken);
             Attempt::Lost
         }
-        Err(_) => Attempt::Late,
+        Err(_) => Attempt::TimedOut,
     }
 }
 
--- a/crates/filberthead/src/entry/forward/core.rs
+++ b/crates/filberthead/src/entry/forward/core.rs
@@ -85,7 +85,7 @@
     pub(super) crash_tracker: CrashTracker,
     /// Attempts that wait in steering's queue, by attempt id.
     queued: RefCell<HashMap<RequestId, oneshot::Sender<Decision>>>,
-    budget: RefCell<RetryBudget>,
+    retry_budget: RefCell<RetryBudget>,
     out: Sender<Outgoing>,
     running: watch::Sender<usize>,
     measures: RefCell<Measures>,
@@ -240,7 +240,7 @@
             ledger: parts.ledger,
             steering: RefCell::new(parts.steering),
             queued: RefCell::default(),
-            budget: RefCell::default(),
+            retry_budget: RefCell::default(),
             out: parts.out,
             running: parts.running,
             measures: RefCell::new(parts.measures),
@@ -251,7 +251,7 @@
     /// Counts a request as running until the returned guard is dropped, and adds its share
     /// to the retry budget.
     pub(crate) fn start_request(self: &Rc<Self>) -> Running {
-        self.budget.borrow_mut().record_request();
+        self.retry_budget.borrow_mut().record_request();
         self.running.send_modify(|running| *running += 1);
         let core = Rc::clone(self);
         Running { core }
@@ -281,12 +281,12 @@
 
     /// Takes one retry from the budget; false if there is none.
     pub(crate) fn try_spend_retry(&self) -> bool {
-        self.budget.borrow_mut().try_spend()
+        self.retry_budget.borrow_mut().try_spend()
     }
 
     /// Number of retries left in the budget.
     pub(crate) fn retries_left(&self) -> u32 {
-        self.budget.borrow().remaining()
+        self.retry_budget.borrow().remaining()
     }
 
     /// Places an attempt, waiting in steering's queue if necessary until `abandoned`
--- a/crates/filberthead/src/entry/forward/mod.rs
+++ b/crates/filberthead/src/entry/forward/mod.rs
@@ -204,10 +204,10 @@
     fallback: &mut Option<(Parts, Bytes)>,
 ) -> Next {
     match attempt {
-        Attempt::Whole(head, body) if finish_kind(head.status) == FinishKind::Shed => {
+        Attempt::Buffered(head, body) if finish_kind(head.status) == FinishKind::Shed => {
             shed(core, ctx, body_copy, fallback, (head, body))
         }
-        Attempt::Whole(head, body) => Next::Done(Outcome::Answer(head, body)),
+        Attempt::Buffered(head, body) => Next::Done(Outcome::Answer(head, body)),
         Attempt::Streaming(upstream) => Next::Done(Outcome::Streaming(upstream, None)),
         Attempt::Refused(refusal) => match (fallback.take(), body_copy) {
             // The last endpoint's answer is more specific than "no endpoint has capacity".
@@ -236,7 +236,7 @@
             ctx.may_have_run = true;
             Next::Done(refused(ResultCode::EndpointLost))
         }
-        Attempt::Late => {
+        Attempt::TimedOut => {
             ctx.may_have_run = true;
             Next::Done(refused(ResultCode::DeadlineWhileRunning))
         }
--- a/crates/filberthead/src/entry/forward/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 enum CopyEnd {
     /// The answer was read to its end.
-    Whole,
+    Complete,
     /// The endpoint was lost, or sent nothing for too long.
     Lost,
     /// The caller is gone.
@@ -61,7 +61,7 @@
     }
     loop {
         match copy(core, &mut upstream, &tx, resume.as_mut(), &mut recorder).await {
-            CopyEnd::Whole => {
+            CopyEnd::Complete => {
                 upstream.complete();
                 if let Some(recorder) = recorder {
                     recorder.complete();
@@ -104,7 +104,9 @@
         };
         let frame = match frame {
             Ok(Some(Ok(frame))) => frame,
-            Ok(None) if resume.is_none_or(|resume| resume.is_complete()) => return CopyEnd::Whole,
+            Ok(None) if resume.is_none_or(|resume| resume.is_complete()) => {
+                return CopyEnd::Complete;
+            }
             Ok(None | Some(Err(_))) | Err(_) => return CopyEnd::Lost,
         };
         let len = frame.data_ref().map_or(0, Bytes::len);
@@ -151,7 +153,7 @@
                 return Some(*upstream);
             }
             // Another version of the file, or none: it can't be joined to the first part.
-            Attempt::Streaming(_) | Attempt::Whole(..) | Attempt::Abandoned => return None,
+            Attempt::Streaming(_) | Attempt::Buffered(..) | Attempt::Abandoned => return None,
             Attempt::Refused(_) => {
                 // All were tried; the one that was lost first may be available again.
                 ctx.tried.clear();
@@ -161,7 +163,7 @@
             | Attempt::NotSent(_)
             | Attempt::Lost
             | Attempt::LostElsewhere
-            | Attempt::Late => {
+            | Attempt::TimedOut => {
                 retry_granted = false;
             }
         }
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -61,7 +61,7 @@
 }
 
 /// A pass that the ledger hasn't answered yet.
-struct WaitingPass {
+struct PendingBegin {
     admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
 }
@@ -76,7 +76,7 @@
     journal: Sender<JournalWrite>,
     /// Writes that didn't fit into the journal's ring, in order.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Token, WaitingPass>,
+    waiting: HashMap<Token, PendingBegin>,
     next_token: u64,
 }
 
@@ -187,7 +187,7 @@
     fn begin(&mut self, begin: BeginCommand) {
         let token = Token(self.next_token);
         self.next_token += 1;
-        let waiting = WaitingPass {
+        let waiting = PendingBegin {
             admission: begin.admission,
             reply: begin.reply,
         };
@@ -226,7 +226,7 @@
 
     /// Cancels the passes whose request no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(token, waiting): (&Token, &WaitingPass)| {
+        let abandoned = |(token, waiting): (&Token, &PendingBegin)| {
             let closed = waiting.reply.is_closed();
             closed.then_some(*token)
         };
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -140,7 +140,7 @@
     let empty = HeaderValue::from_static("");
     let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
-    let trust = AnswerCheck::Echo { name, value };
+    let check = AnswerCheck::Echo { name, value };
     let reuse = match job.kind {
         Kind::Unsafe => Reuse::Within(MAX_IDLE_FOR_UNSAFE),
         Kind::Safe | Kind::Download => Reuse::Allowed,
@@ -148,7 +148,7 @@
     let deadline = job.deadline.respond_by;
     match core
         .client
-        .send(target.addr, trust, reuse, deadline, req)
+        .send(target.addr, check, reuse, deadline, req)
         .await
     {
         SendOutcome::NotSent(req) => {
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -46,7 +46,7 @@
     /// Model of the VM's uplink, if its rate is configured.
     pub(crate) link: Option<Link>,
     /// Share of the uplink that large responses may use; `None` if its rate isn't configured.
-    pub(crate) large_share: Option<LargeResponseAdmission>,
+    pub(crate) large_admission: Option<LargeResponseAdmission>,
     /// Number of open caller connections.
     pub(crate) connections: watch::Sender<usize>,
     pub(crate) metrics: Arc<GatewayMetrics>,
@@ -89,9 +89,9 @@
     pub(crate) metrics: Arc<GatewayMetrics>,
     /// Model of the VM's uplink, if its rate is configured.
     link: Option<RefCell<Link>>,
-    large_share: Option<RefCell<LargeResponseAdmission>>,
+    large_admission: Option<RefCell<LargeResponseAdmission>>,
     /// Compares the uplink's utilisation with other gateways'.
-    balance: RefCell<ConnectionBalancer>,
+    balancer: RefCell<ConnectionBalancer>,
     /// State of the protocol with the control replicas.
     member: RefCell<Member>,
     active_routes: RefCell<Option<Rc<ActiveRoutes>>>,
@@ -107,7 +107,7 @@
     /// When the endpoint list last changed.
     list_changed_at: Cell<Moment>,
     /// Rate limit of the log lines about rejected requests, by result code.
-    log_allowance: RefCell<LogRateLimiter<ResultCode>>,
+    log_limiter: RefCell<LogRateLimiter<ResultCode>>,
 }
 
 /// Counts a request as running until dropped.
@@ -137,8 +137,8 @@
             placer: RefCell::new(parts.placer),
             metrics: parts.metrics,
             link: parts.link.map(RefCell::new),
-            large_share: parts.large_share.map(RefCell::new),
-            balance: RefCell::default(),
+            large_admission: parts.large_admission.map(RefCell::new),
+            balancer: RefCell::default(),
             member: RefCell::new(parts.member),
             active_routes: RefCell::new(None),
             bounds: watch::Sender::new(None),
@@ -149,7 +149,7 @@
             seeds: RefCell::new(parts.seeds),
             control_silent: Cell::new(true),
             list_changed_at: Cell::new(Moment::ZERO),
-            log_allowance: RefCell::new(LogRateLimiter::new(LOG_LINES_PER_SECOND)),
+            log_limiter: RefCell::new(LogRateLimiter::new(LOG_LINES_PER_SECOND)),
         })
     }
 
@@ -159,8 +159,8 @@
 
     /// Accounts for the bytes of a short message sent on the uplink.
     pub(crate) fn record_sent(&self, bytes: usize) {
-        if let Some(share) = &self.large_share {
-            share.borrow_mut().record_short(bytes);
+        if let Some(admission) = &self.large_admission {
+            admission.borrow_mut().record_short(bytes);
         }
         self.record_sent_chunk(bytes);
     }
@@ -175,16 +175,16 @@
     /// Admits a large response, or returns the time after which the uplink has room for it.
     /// With `is_retry`, for a caller's repeated attempt, it may borrow from the next second.
     pub(crate) fn admit_large(&self, is_retry: bool) -> Result<(), Duration> {
-        match &self.large_share {
-            Some(share) => share.borrow_mut().admit(self.now(), is_retry),
+        match &self.large_admission {
+            Some(admission) => admission.borrow_mut().admit(self.now(), is_retry),
             None => Ok(()),
         }
     }
 
     /// Records the length of a large response.
-    pub(crate) fn observe_large(&self, bytes: u64) {
-        if let Some(share) = &self.large_share {
-            share.borrow_mut().record_large(bytes);
+    pub(crate) fn record_large(&self, bytes: u64) {
+        if let Some(admission) = &self.large_admission {
+            admission.borrow_mut().record_large(bytes);
         }
     }
 
@@ -200,14 +200,14 @@
     fn link_milli(&self, now: Moment) -> u32 {
         let link = self.link.as_ref();
         let used = link.map_or(0.0, |link| link.borrow_mut().utilisation(now));
-        self.balance.borrow_mut().set_utilisation(used);
+        self.balancer.borrow_mut().set_utilisation(used);
         (used * 1000.0) as u32
     }
 
     /// Whether the response being sent should close the caller's connection, so that the caller
     /// reconnects and may reach another gateway.
     pub(crate) fn should_close_connection(&self) -> bool {
-        self.is_leaving() || self.balance.borrow_mut().should_close(self.now())
+        self.is_leaving() || self.balancer.borrow_mut().should_close(self.now())
     }
 
     /// Largest chunk of a large response to send at once, in bytes.
@@ -265,7 +265,7 @@
     /// Whether a line about a rejection with this code may be logged now: the number of lines
     /// suppressed before it, or `None` if this one is to be suppressed too.
     pub(crate) fn may_log(&self, code: ResultCode) -> Option<u64> {
-        self.log_allowance.borrow_mut().allow(self.now(), code)
+        self.log_limiter.borrow_mut().allow(self.now(), code)
     }
 
     pub(crate) fn track_request(self: &Rc<Self>) -> RequestGuard {
@@ -372,7 +372,7 @@
             Update::Demand(demand) => placer.set_demand(now, &demand),
             Update::Links(milli) => {
                 let mean = milli.map(|milli| f64::from(milli) / 1000.0);
-                self.balance.borrow_mut().set_mean_utilisation(now, mean);
+                self.balancer.borrow_mut().set_mean_utilisation(now, mean);
             }
         }
     }
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -62,7 +62,7 @@
     is_retry: bool,
     /// Version of the routes that it was matched against.
     version: u64,
-    tries: Attempts,
+    attempts: Attempts,
     /// Response of an endpoint that ran the request and failed. The caller gets it if no further
     /// attempt can be made.
     failed_response: Option<Response<ResponseBody>>,
@@ -112,7 +112,7 @@
         deadline,
         is_retry: is_caller_retry(core, &head, route),
         version: active_routes.version,
-        tries: Attempts::new(route.max_attempts),
+        attempts: Attempts::new(route.max_attempts),
         failed_response: None,
     };
     let response = forwarding.run(body).await;
@@ -187,7 +187,7 @@
             } => {
                 return match reason {
                     // Endpoints exist, but each has refused the request.
-                    Refusal::NoEndpoint if self.tries.was_refused() => {
+                    Refusal::NoEndpoint if self.attempts.was_refused() => {
                         self.reject(ResultCode::Overloaded, RETRY_AFTER_REFUSED)
                     }
                     Refusal::NoEndpoint => self.reject(ResultCode::NoEndpoint, retry_after),
@@ -195,7 +195,7 @@
                 };
             }
         };
-        self.tries.record_sent(target.id.clone());
+        self.attempts.record_sent(target.id.clone());
         let retry_body = body.try_clone();
         let job = Job {
             route: &self.route.name,
@@ -211,7 +211,7 @@
             Attempt::Failed(response) => self.after_failure(response, retry_body),
             Attempt::Lost => self.after_loss(&target.id, retry_body),
             Attempt::TimedOut => {
-                self.tries.record_ran();
+                self.attempts.record_ran();
                 self.log_attempt("deadline passed before the endpoint responded", &target.id);
                 Next::respond(gateway_response(ResultCode::DeadlineWhileRunning, None))
             }
@@ -233,7 +233,7 @@
             remaining: self.deadline.remaining(),
             is_caller_retry: self.is_retry,
             regions: &self.route.regions,
-            excluded: self.tries.excluded(),
+            excluded: self.attempts.excluded(),
         };
         let now = self.core.now();
         self.core.placer.borrow_mut().place(now, request)
@@ -241,7 +241,7 @@
 
     /// The endpoint couldn't be reached.
     fn after_unreached(&mut self, body: RequestBody) -> Next {
-        match self.tries.record_unreachable() {
+        match self.attempts.record_unreachable() {
             NextAttempt::Allowed => Next::Retry(body),
             NextAttempt::Exhausted => self.reject(ResultCode::NoEndpoint, RETRY_AFTER_STARTING),
         }
@@ -254,7 +254,7 @@
             .placer
             .borrow()
             .may_retry_same_endpoint(load_reported);
-        let further = self.tries.record_refused(same);
+        let further = self.attempts.record_refused(same);
         match retry_body.filter(|_| self.may_retry(further)) {
             Some(body) => Next::Retry(body),
             None => self.reject(ResultCode::Overloaded, RETRY_AFTER_REFUSED),
@@ -267,7 +267,7 @@
         response: Response<ResponseBody>,
         retry_body: Option<RequestBody>,
     ) -> Next {
-        let further = self.tries.record_ran();
+        let further = self.attempts.record_ran();
         let idempotent = self.route.kind.is_idempotent();
         match retry_body.filter(|_| idempotent && self.may_retry(further)) {
             Some(body) => {
@@ -280,7 +280,7 @@
 
     /// The connection broke; the request may have run.
     fn after_loss(&mut self, endpoint: &EndpointId, retry_body: Option<RequestBody>) -> Next {
-        let further = self.tries.record_ran();
+        let further = self.attempts.record_ran();
         self.log_attempt("lost with the request at it", endpoint);
         let idempotent = self.route.kind.is_idempotent();
         match retry_body.filter(|_| idempotent && self.may_retry(further)) {
@@ -315,12 +315,12 @@
         let left = self.deadline.remaining().as_millis();
         let (list_ms, control_ms) = self.core.data_ages();
         info!(request = self.request_id(), route = self.route.name.as_str(), code:%, left,
-            tried = self.tries.made(), returned = self.is_retry, version = self.version,
+            tried = self.attempts.made(), returned = self.is_retry, version = self.version,
             list_ms, control_ms, retry_after_ms = retry_after.as_millis(); "refused");
         if let Some(response) = self.failed_response.take() {
             return response;
         }
-        if self.tries.may_have_run() > 0 {
+        if self.attempts.may_have_run() > 0 {
             return gateway_response(ResultCode::EndpointLost, None);
         }
         gateway_response(code, Some(retry_after))
@@ -329,8 +329,8 @@
     fn log_attempt(&self, event: &'static str, endpoint: &EndpointId) {
         let left = self.deadline.remaining().as_millis();
         let route = self.route.name.as_str();
-        info!(request = self.request_id(), route, endpoint:%, left, ran = self.tries.may_have_run(),
-            tried = self.tries.made(), version = self.version; "{event}");
+        info!(request = self.request_id(), route, endpoint:%, left,
+            ran = self.attempts.may_have_run(), tried = self.attempts.made(), version = self.version; "{event}");
     }
 
     fn request_id(&self) -> &str {
--- a/crates/filberthead/src/gateway/mod.rs
+++ b/crates/filberthead/src/gateway/mod.rs
@@ -254,7 +254,7 @@
         phase,
         connections,
         link: cfg.link_rate.map(|rate| Link::new(rate * BITS_PER_MBIT)),
-        large_share: cfg
+        large_admission: cfg
             .link_rate
             .map(|rate| LargeResponseAdmission::new(rate * BITS_PER_MBIT)),
         metrics,
--- a/crates/filberthead/src/gateway/streamed.rs
+++ b/crates/filberthead/src/gateway/streamed.rs
@@ -51,7 +51,7 @@
         connection: Connection,
         deadline: Instant,
     ) -> Self {
-        core.observe_large(body.size_hint().lower());
+        core.record_large(body.size_hint().lower());
         Self {
             core: Rc::clone(core),
             body,
