--- a/crates/filberthead/src/control/claims.rs
+++ b/crates/filberthead/src/control/claims.rs
@@ -10,14 +10,14 @@
 use super::core::{Core, Pending};
 use super::machine::Entry;
 
-/// Most claims whose verdict isn't committed yet. Further ones are dropped; an entry repeats its
-/// claim until it gets the verdict.
+/// Most claims whose result isn't committed yet. Further ones are dropped; an entry repeats its
+/// claim until it receives the result.
 const MAX_PENDING: usize = 1024;
 
 impl Core {
-    /// Replies to a claim with its verdict, or else proposes it.
+    /// Replies to a claim with its result, or proposes the claim if there is none yet.
     ///
-    /// A verdict that was applied here is committed and never changes, so a replica may send it
+    /// A result that was applied here is committed and never changes, so a replica may send it
     /// without holding the lease.
     pub(super) async fn handle_claim(&mut self, origin: &Origin, claim: Claim) {
         if self.send_claim_result(origin.addr, &claim) || !self.has_room_for(&claim) {
@@ -33,14 +33,14 @@
         self.step(Event::Propose { token, proposal }).await;
     }
 
-    /// Sends the verdict on a claim, if there is one. Returns whether there is.
+    /// Sends the result of a claim, if there is one. Returns whether there is.
     pub(super) fn send_claim_result(&mut self, to: SocketAddr, claim: &Claim) -> bool {
         let Some(claim_result) = self.machine.claim_results.get(claim) else {
             return false;
         };
         info!(home:% = claim_result.home, config = claim_result.epoch.0,
             winner = claim_result.winner.0;
-            "verdict sent for a claim on a home");
+            "result sent for a claim on a home");
         self.send(to, Body::Ledger(Message::ClaimResult(claim_result)));
         true
     }
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -1,8 +1,8 @@
-//! The replicated state machine: the operators' table, verdicts on homes of idempotency keys,
-//! routes, evacuations and replica addresses.
+//! The replicated state machine: the operators' table, results of claims on homes of idempotency
+//! keys, routes, evacuations and replica addresses.
 //!
 //! All share the log because all need the same guarantee: what is committed is never undone.
-//! Verdicts are separate from the table since they have no version and aren't distributed: only
+//! Claim results are separate from the table since they have no version and aren't distributed: only
 //! the two entries concerned need them. The revision of routes and evacuations is the index of
 //! the entry that last changed them, which is the same on every replica.
 
@@ -53,7 +53,7 @@
 pub(crate) struct Machine {
     /// The table, shared with its readers.
     pub(crate) table: Arc<Table>,
-    /// Which entry continued, by home and config.
+    /// Which entry continued, by home and its epoch.
     pub(crate) claim_results: ClaimResults,
     /// The routes in force.
     pub(crate) routes: LatestChange,
--- a/crates/filberthead/src/entry/forward/stream.rs
+++ b/crates/filberthead/src/entry/forward/stream.rs
@@ -79,7 +79,7 @@
         }
         match resume_elsewhere(core, ctx, resume.as_ref(), &tx).await {
             Some(next) => upstream = next,
-            // Dropping the channel without `Piece::End` breaks the caller's connection.
+            // Dropping the channel without `BodyPart::End` breaks the caller's connection.
             None => {
                 info!(request:% = ctx.id; "an answer was cut and can't be resumed");
                 return Some(ResultCode::EndpointLost);
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -60,7 +60,7 @@
     Duty::spawn("ledger", move || run(duty, stop))
 }
 
-/// A pass that the ledger hasn't answered yet.
+/// A request to run that the ledger hasn't decided on yet.
 struct PendingBegin {
     admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
@@ -224,7 +224,7 @@
         self.step(Event::Members(members));
     }
 
-    /// Cancels the passes whose request no longer waits for the reply.
+    /// Cancels the requests whose task no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
         let abandoned = |(token, waiting): (&Token, &PendingBegin)| {
             let closed = waiting.reply.is_closed();
@@ -268,7 +268,7 @@
             }),
             Action::Claim(claim) => {
                 // The leader may be unknown or outdated: a claim is resent until its
-                // verdict arrives.
+                // result arrives.
                 if let Some(to) = self.cluster.control {
                     let body = Body::Ledger(Message::Claim(claim));
                     let _ = self.out.push(Outgoing { to, body });
@@ -304,7 +304,7 @@
 
     fn reply_decision(&mut self, token: Token, decision: Decision) {
         let Some(waiting) = self.waiting.remove(&token) else {
-            warn!(pass = token.0; "the ledger answered a pass that isn't waiting");
+            warn!(pass = token.0; "the ledger decided on a request that isn't waiting");
             return;
         };
         let reply = match decision {
--- a/crates/filberthead/src/gateway/core.rs
+++ b/crates/filberthead/src/gateway/core.rs
@@ -432,7 +432,7 @@
     fn send(&self, out: Vec<Outbound>) {
         for (to, message) in out {
             let body = Body::Fleet(message);
-            // Dropped if the queue is full; reports and questions are repeated.
+            // Dropped if the queue is full; reports and pulls are repeated.
             let _ = self.out.push(Outgoing { to, body });
         }
     }
