--- a/crates/endpoint/src/pool.rs
+++ b/crates/endpoint/src/pool.rs
@@ -61,7 +61,7 @@
 pub(crate) enum ConnectError {
     /// Connecting timed out.
     #[snafu(display("connecting to {addr} timed out"))]
-    Late {
+    TimedOut {
         /// The address.
         addr: SocketAddr,
         /// The timer's error.
@@ -176,7 +176,7 @@
         }
         timeout(self.connect_timeout, self.connect(addr))
             .await
-            .context(LateSnafu { addr })?
+            .context(TimedOutSnafu { addr })?
     }
 
     /// Takes the most recently used connection: the longer one is idle, the more likely the
--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -230,7 +230,7 @@
         };
         connection.release();
         in_flight.mark_served();
-        return finish(in_flight, head, ResponseBody::Full(bytes));
+        return finish(in_flight, head, ResponseBody::Buffered(bytes));
     }
     in_flight.mark_served();
     let streamed = StreamedBody::new(core, body, connection, job.deadline.respond_by);
@@ -254,7 +254,7 @@
     body: ResponseBody,
 ) -> Attempt {
     let status = head.status;
-    if let ResponseBody::Full(bytes) = &body {
+    if let ResponseBody::Buffered(bytes) = &body {
         let bodyless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         head.headers.remove(CONTENT_LENGTH);
         if !bodyless {
--- a/crates/filberthead/src/gateway/forward.rs
+++ b/crates/filberthead/src/gateway/forward.rs
@@ -161,8 +161,8 @@
 impl Forwarding<'_> {
     async fn run(mut self, body: RequestBody) -> Response<ResponseBody> {
         let is_large = self.route.kind == Kind::Download;
-        if is_large && let Err(room_in) = self.core.admit_large(self.is_retry) {
-            return self.final_response(ResultCode::LinkBusy, room_in);
+        if is_large && let Err(retry_after) = self.core.admit_large(self.is_retry) {
+            return self.final_response(ResultCode::LinkBusy, retry_after);
         }
         let mut body = body;
         loop {
@@ -330,7 +330,8 @@
         let left = self.deadline.remaining().as_millis();
         let route = self.route.name.as_str();
         info!(request = self.request_id(), route, endpoint:%, left,
-            ran = self.attempts.may_have_run(), tried = self.attempts.made(), version = self.version; "{event}");
+            ran = self.attempts.may_have_run(), tried = self.attempts.made(),
+            version = self.version; "{event}");
     }
 
     fn request_id(&self) -> &str {
--- a/crates/filberthead/src/gateway/response.rs
+++ b/crates/filberthead/src/gateway/response.rs
@@ -17,7 +17,7 @@
 /// Body of a response.
 pub(crate) enum ResponseBody {
     /// Buffered in memory.
-    Full(Bytes),
+    Buffered(Bytes),
     /// Streamed from an endpoint.
     Streamed(Box<StreamedBody>),
 }
@@ -31,8 +31,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Full(bytes) => {
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => {
                 let frame = Frame::data(std::mem::take(bytes));
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -42,14 +42,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Full(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             Self::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Streamed(body) => body.size_hint(),
         }
     }
@@ -65,7 +65,7 @@
     retry_after: Option<Duration>,
 ) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(status(code)).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = Response::new(ResponseBody::Full(Bytes::new()));
+    let mut response = Response::new(ResponseBody::Buffered(Bytes::new()));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(RESULT, HeaderValue::from(code.number()));
--- a/crates/filberthead/src/gateway/serve.rs
+++ b/crates/filberthead/src/gateway/serve.rs
@@ -161,7 +161,7 @@
     let guard = core.track_request();
     let mut response = forward(core, caller, req).await;
     drop(guard);
-    if let ResponseBody::Full(body) = response.body() {
+    if let ResponseBody::Buffered(body) = response.body() {
         core.record_sent(TYPICAL_HEAD_BYTES + body.len());
     }
     if core.should_close_connection() {
