--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -2,9 +2,9 @@
 //! keys, routes, evacuations and replica addresses.
 //!
 //! All share the log because all need the same guarantee: what is committed is never undone.
-//! Claim results are separate from the table since they have no version and aren't distributed: only
-//! the two entries concerned need them. The revision of routes and evacuations is the index of
-//! the entry that last changed them, which is the same on every replica.
+//! Claim results are separate from the table since they have no version and aren't distributed:
+//! only the two entries concerned need them. The revision of routes and evacuations is the index
+//! of the log entry that last changed them, which is the same on every replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -149,8 +149,8 @@
         })
     }
 
-    /// Whether a planned stop of this entry may go on: nothing runs here, and each home that another
-    /// entry can be primary of has been handed over.
+    /// Whether a planned stop of this entry may go on: nothing runs here, and each home that
+    /// another entry can be primary of has been handed over.
     pub fn is_handed_over(&self) -> bool {
         let alone =
             |primary: &Primary| matches!(primary.backup, crate::primary::BackupState::Absent);
--- a/crates/ledger/tests/all/random.rs
+++ b/crates/ledger/tests/all/random.rs
@@ -191,8 +191,8 @@
     }
 }
 
-/// Applies random events to a new cluster for every seed. Returns how often each event happened, and the first violation with its
-/// seed.
+/// Applies random events to a new cluster for every seed. Returns how often each event
+/// happened, and the first violation with its seed.
 fn run_seeds(guards: Guards, journal: bool) -> (Counts, Option<String>) {
     let options = Options::default().with_max_len(STEPS * 8);
     let mut total = Counts::default();
