--- a/crates/filberthead/src/control/handle.rs
+++ b/crates/filberthead/src/control/handle.rs
@@ -77,8 +77,8 @@
         rx.await.unwrap_or(Err(OrderError::NoLeader))
     }
 
-    /// Submits the platform's endpoint list. It is ignored unless this replica is to poll it, and
-    /// dropped if the queue is full; the next one is read soon.
+    /// Submits the platform's endpoint list. A replica that doesn't lead ignores it if it has a
+    /// list already. It is dropped if the queue is full; the next one is read soon.
     pub fn submit_endpoints(&self, list: Vec<Endpoint>) {
         if self.push(HandleRequest::EndpointList(list)).is_err() {
             log::warn!("endpoint list dropped, the queue to the consensus duty is full");
