--- a/crates/ledger/src/quarantine/history.rs
+++ b/crates/ledger/src/quarantine/history.rs
@@ -7,7 +7,7 @@
 
 use super::api::{Config, Fingerprint, LossId};
 
-/// Most losses that are stored; two are enough to refuse.
+/// Most losses that are stored; two are enough to refuse, and further ones add nothing new.
 const MAX_LOSSES: usize = 4;
 
 /// Loss of an endpoint while the fingerprint ran there.
