--- a/crates/filberthead/src/gateway/attempt.rs
+++ b/crates/filberthead/src/gateway/attempt.rs
@@ -140,7 +140,7 @@
     let empty = HeaderValue::from_static("");
     let name = &core.protocol.request_id;
     let value = job.head.headers.get(name).unwrap_or(&empty);
-    let trust = AnswerCheck::Echo { name, value };
+    let check = AnswerCheck::Echo { name, value };
     let reuse = match job.kind {
         Kind::Unsafe => Reuse::Within(MAX_IDLE_FOR_UNSAFE),
         Kind::Safe | Kind::Download => Reuse::Allowed,
@@ -148,7 +148,7 @@
     let deadline = job.deadline.respond_by;
     match core
         .client
-        .send(target.addr, trust, reuse, deadline, req)
+        .send(target.addr, check, reuse, deadline, req)
         .await
     {
         SendOutcome::NotSent(req) => {
@@ -230,7 +230,7 @@
         };
         connection.release();
         in_flight.mark_served();
-        return finish(in_flight, head, ResponseBody::Full(bytes));
+        return finish(in_flight, head, ResponseBody::Buffered(bytes));
     }
     in_flight.mark_served();
     let streamed = StreamedBody::new(core, body, connection, job.deadline.respond_by);
@@ -254,7 +254,7 @@
     body: ResponseBody,
 ) -> Attempt {
     let status = head.status;
-    if let ResponseBody::Full(bytes) = &body {
+    if let ResponseBody::Buffered(bytes) = &body {
         let bodyless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         head.headers.remove(CONTENT_LENGTH);
         if !bodyless {
