--- a/tests/all/operators/group.rs
+++ b/tests/all/operators/group.rs
@@ -5,7 +5,7 @@
 use filberthead_testing::cluster::Cluster;
 use filberthead_testing::wait_until;
 
-use super::desk::Desk;
+use super::session::Desk;
 use crate::support::programs;
 
 /// A VM is lost for good. Its replica is replaced by a fourth one in one command, which
--- a/tests/all/operators/input.rs
+++ b/tests/all/operators/input.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use super::desk::Desk;
+use super::session::Desk;
 
 #[test]
 fn command_lines_that_make_no_sense_are_refused_before_anything_is_sent() {
--- a/tests/all/operators/limits.rs
+++ b/tests/all/operators/limits.rs
@@ -10,7 +10,7 @@
 use filberthead_testing::{eventually, wait_until};
 use filberthead_types::{ResultCode, Revision, Version};
 
-use super::desk::Desk;
+use super::session::Desk;
 use crate::support::programs;
 
 const BOUND: Duration = Duration::from_secs(120);
--- a/tests/all/operators/resend.rs
+++ b/tests/all/operators/resend.rs
@@ -9,7 +9,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use super::desk::Desk;
+use super::session::Desk;
 
 /// The answer of the only replica that an operator reaches is lost, and so is each
 /// further one. They are told that the outcome is not known, and the id. With the link
--- a/tests/all/operators/shifts.rs
+++ b/tests/all/operators/shifts.rs
@@ -1,6 +1,6 @@
 //! Three shifts work on one table.
 
-use super::desk::Desk;
+use super::session::Desk;
 
 /// The morning shift exports, edits for hours and proposes; meanwhile the midday shift
 /// changes a row that the morning left alone. A colleague approves, and the proposal is
--- a/tests/all/operators/tokens.rs
+++ b/tests/all/operators/tokens.rs
@@ -4,7 +4,7 @@
 
 use filberthead_testing::cluster::Cluster;
 
-use super::desk::{Desk, Ended};
+use super::session::{Desk, Ended};
 use crate::support::programs;
 
 /// Tokens are drawn by the command line, and only their hashes lie with the replicas.
