--- a/tests/all/control/catch_up.rs
+++ b/tests/all/control/catch_up.rs
@@ -7,7 +7,7 @@
 use crate::control::group::{Group, builder};
 
 const CHANGES: u32 = 300;
-const AWAY: &str = "entry-osijek-a-1";
+const RESTARTED: &str = "entry-osijek-a-1";
 
 fn group() -> Group {
     let builder = builder().service("orders", 1).entries_each(2);
@@ -25,7 +25,7 @@
 }
 
 /// Makes the changes and returns the newest version.
-fn change_often(group: &Group) -> Version {
+fn make_changes(group: &Group) -> Version {
     let mut seen = group.operator.table().version;
     for weight in 2..CHANGES + 2 {
         let change = set_weight("orders", "osijek", Revision(seen.0), weight);
@@ -37,21 +37,21 @@
 /// An entry's process dies and is started again after 300 changes have passed it by. It
 /// acts on no weights until it knows the newest ones, and then on these.
 #[test]
-fn restarted_after_300_changes() {
+fn restarted_entry_applies_only_the_newest_version() {
     let mut group = group();
-    group.cluster.entry(AWAY).kill();
-    let newest = change_often(&group);
-    group.cluster.entry(AWAY).start();
-    wait_newest(&mut group, newest);
+    group.cluster.entry(RESTARTED).kill();
+    let newest = make_changes(&group);
+    group.cluster.entry(RESTARTED).start();
+    wait_newest_in_force(&mut group, newest);
 }
 
 /// Waits until the entry acts on the newest version, and fails if it ever acts on an
 /// older one.
 #[track_caller]
-fn wait_newest(group: &mut Group, newest: Version) {
+fn wait_newest_in_force(group: &mut Group, newest: Version) {
     let none = Version(0);
     wait_until("the newest version in force", BOUND, || {
-        let in_force = group.cluster.entry(AWAY).version_in_force();
+        let in_force = group.cluster.entry(RESTARTED).version_in_force();
         let version = in_force.unwrap_or(none);
         assert!(version == none || version >= newest, "acts on {version}");
         version >= newest
@@ -61,12 +61,12 @@
 /// The same, and the entry can't reach any control replica when it comes back: the
 /// other entry of its failure domain tells it the newest version.
 #[test]
-fn restarted_out_of_reach_of_control() {
+fn restarted_entry_without_control_gets_the_version_from_its_neighbour() {
     let mut group = group();
-    group.cluster.entry(AWAY).kill();
-    let newest = change_often(&group);
+    group.cluster.entry(RESTARTED).kill();
+    let newest = make_changes(&group);
     let controls: Vec<_> = group.cluster.controls.iter().map(|n| n.name()).collect();
-    group.cluster.network.partition(&[&controls, &[AWAY]]);
-    group.cluster.entry(AWAY).start();
-    wait_newest(&mut group, newest);
+    group.cluster.network.partition(&[&controls, &[RESTARTED]]);
+    group.cluster.entry(RESTARTED).start();
+    wait_newest_in_force(&mut group, newest);
 }
--- a/tests/all/control/group.rs
+++ b/tests/all/control/group.rs
@@ -23,7 +23,7 @@
 pub(crate) struct Group {
     pub(crate) cluster: Cluster,
     pub(crate) operator: Operator,
-    pub(crate) told: Told,
+    pub(crate) outcomes: Told,
 }
 
 impl Group {
@@ -42,13 +42,13 @@
         Self {
             cluster,
             operator,
-            told: Told::default(),
+            outcomes: Told::default(),
         }
     }
 
     /// Operators that change their own rows all the time, and readers that check.
     pub(crate) fn writers(&self) -> Writers {
-        Writers::start(self.cluster.operator_addrs(), &self.told)
+        Writers::start(self.cluster.operator_addrs(), &self.outcomes)
     }
 
     /// The replica that leads.
@@ -76,15 +76,15 @@
 
     /// Waits until a replica other than `name` leads.
     #[track_caller]
-    pub(crate) fn wait_leader_but(&self, name: &str) -> Status {
+    pub(crate) fn wait_other_leader(&self, name: &str) -> Status {
         eventually("another leader", BOUND, || {
-            let addrs = self.operator_addrs_but(name);
+            let addrs = self.other_operator_addrs(name);
             let leader = Operator::new("ana", addrs).leader();
             leader.filter(|status| status.node.as_str() != name)
         })
     }
 
-    fn operator_addrs_but(&self, name: &str) -> Vec<SocketAddr> {
+    fn other_operator_addrs(&self, name: &str) -> Vec<SocketAddr> {
         let others = self.cluster.controls.iter().filter(|n| n.name() != name);
         others.map(|node| node.addr("operator")).collect()
     }
@@ -92,9 +92,9 @@
     /// Waits until this many more changes are accepted than at the call.
     #[track_caller]
     pub(crate) fn wait_progress(&self, changes: usize) {
-        let goal = self.told.accepted() + changes;
+        let goal = self.outcomes.accepted() + changes;
         wait_until("changes are accepted", BOUND, || {
-            self.told.accepted() >= goal
+            self.outcomes.accepted() >= goal
         });
     }
 
@@ -102,7 +102,7 @@
     #[track_caller]
     pub(crate) fn check(&self, writers: Writers) {
         writers.stop();
-        self.told.check(&self.operator);
+        self.outcomes.check(&self.operator);
         self.wait_agreement();
     }
 
--- a/tests/all/control/hostile.rs
+++ b/tests/all/control/hostile.rs
@@ -14,7 +14,7 @@
 const PUSH_HEADER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
 
 /// A message as some process of another name would send it.
-fn greeting() -> Envelope {
+fn hello() -> Envelope {
     let addr = SocketAddr::from(([127, 0, 0, 1], 9));
     Envelope {
         origin: Origin {
@@ -65,13 +65,13 @@
 /// messages that are cut, damaged, far too long, or of another cluster. Each is counted
 /// by its reason, and everybody goes on as if it hadn't come.
 #[test]
-fn garbage_is_counted_and_harmless() {
+fn invalid_messages_are_counted_and_dropped() {
     let mut group = Group::build(builder().service("service-0", 1));
     let writers = group.writers();
     group.wait_progress(5);
     let nodes = group.cluster.controls.iter().chain(&group.cluster.entries);
     let targets: Vec<_> = nodes.map(|node| node.direct_addr("peer")).collect();
-    let own = encode(cluster_id(&group.cluster.name()), &greeting()).expect("a message");
+    let own = encode(cluster_id(&group.cluster.name()), &hello()).expect("a message");
     let mut damaged = own.clone();
     damaged.reverse();
     damaged[0] = own[0];
@@ -82,7 +82,7 @@
         own[..1].to_vec(),
         damaged,
         other_format,
-        encode(cluster_id("other"), &greeting()).expect("a message"),
+        encode(cluster_id("other"), &hello()).expect("a message"),
         vec![own[0]; MAX_MESSAGE_LEN + 1],
     ];
     // A length that no message has, and nothing after it.
@@ -113,7 +113,7 @@
 /// Two clusters of different names are set up with each other's addresses by mistake.
 /// Neither takes a message of the other for its own.
 #[test]
-fn clusters_do_not_mix() {
+fn messages_of_another_cluster_are_dropped() {
     let first = Group::start();
     let mut second = builder().entries_each(0).prepare();
     let theirs: Vec<_> = first.cluster.controls.iter().collect();
--- a/tests/all/control/leader.rs
+++ b/tests/all/control/leader.rs
@@ -8,7 +8,7 @@
 
 use crate::control::group::Group;
 
-const ENOUGH: usize = 20;
+const MIN_CHANGES: usize = 20;
 
 /// Operators send changes while the leader's VM dies, three times over. Those whose
 /// answer is lost send again, to whoever answers. Nobody may lose a change or see it
@@ -18,11 +18,11 @@
     let mut group = Group::start();
     let writers = group.writers();
     for _ in 0..3 {
-        group.wait_progress(ENOUGH);
+        group.wait_progress(MIN_CHANGES);
         let name = group.leader_name();
         group.cluster.control(&name).kill();
-        group.wait_leader_but(&name);
-        group.wait_progress(ENOUGH);
+        group.wait_other_leader(&name);
+        group.wait_progress(MIN_CHANGES);
         group.cluster.control(&name).start();
     }
     group.check(writers);
@@ -32,34 +32,38 @@
 /// another replica leads. It wakes in the middle of answering, with requests that came
 /// in while it slept, and still takes itself for the leader. It must not show a table
 /// that others have changed since, nor accept anything on its own.
-fn suspended(time: Duration) {
+fn suspend_leader(time: Duration) {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     let addr = group.leader().addr("operator");
     group.leader().process().suspend();
     let asleep = std::time::Instant::now();
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     wait_until("the suspension lasts long enough", 2 * time + BOUND, || {
         asleep.elapsed() >= time
     });
 
-    let floor = group.told.newest();
+    let min_version = group.outcomes.newest();
     let operator = group.operator.clone();
     let read = std::thread::spawn(move || operator.table_of(addr));
     let operator = group.operator.clone();
-    let told = group.told.clone();
+    let outcomes = group.outcomes.clone();
     let write = std::thread::spawn(move || {
         let change = set_weight("woken", "split", Revision(0), 1);
         let attempt = operator.attempt(addr, &change);
-        told.note(change.id, &attempt);
+        outcomes.note(change.id, &attempt);
         (change, attempt)
     });
     group.cluster.control(&name).process().resume();
     if let Some(table) = read.join().expect("no panic") {
-        assert!(table.version >= floor, "{} after {floor}", table.version);
+        assert!(
+            table.version >= min_version,
+            "{} after {min_version}",
+            table.version
+        );
     }
     let (change, attempt) = write.join().expect("no panic");
     assert!(
@@ -67,54 +71,54 @@
         "a new row can't conflict: {attempt:?}"
     );
     let again = group.operator.change(&change);
-    group.told.note(change.id, &again);
-    group.wait_progress(ENOUGH);
+    group.outcomes.note(change.id, &again);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
 #[test]
-fn suspended_past_its_lease() {
-    suspended(Duration::from_secs(3));
+fn leader_suspended_past_its_lease() {
+    suspend_leader(Duration::from_secs(3));
 }
 
 #[test]
-fn suspended_for_half_a_minute() {
-    suspended(Duration::from_secs(31));
+fn leader_suspended_for_31_s() {
+    suspend_leader(Duration::from_secs(31));
 }
 
 /// The leader hears the others, but nothing that it sends arrives. It must not go on
 /// taking itself for the leader on what it hears, and the others elect one of theirs.
 #[test]
-fn cut_off_outwards() {
+fn outbound_cut() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     for other in group.others(&name) {
         group.cluster.network.cut_one_way(&name, &other);
     }
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     group.cluster.network.heal();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
 /// The leader's heartbeats arrive, but no answer reaches it. The others would follow it
 /// for ever while it can't accept anything: it has to notice and give up the lead.
 #[test]
-fn cut_off_inwards() {
+fn inbound_cut() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     for other in group.others(&name) {
         group.cluster.network.cut_one_way(&other, &name);
     }
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     group.cluster.network.heal();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
@@ -122,15 +126,15 @@
 /// which hears the other one only. Changes go on being accepted, and the follower's
 /// tries to be elected don't push out a leader that has a majority.
 #[test]
-fn one_follower_unheard() {
+fn one_way_cut_to_one_follower() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
-    let deaf = group.others(&name).remove(0);
+    let unreachable = group.others(&name).remove(0);
     let term = group.operator.wait_leader().term;
-    group.cluster.network.cut_one_way(&name, &deaf);
-    group.wait_progress(5 * ENOUGH);
+    group.cluster.network.cut_one_way(&name, &unreachable);
+    group.wait_progress(5 * MIN_CHANGES);
     let leader = group.operator.wait_leader();
     assert_eq!((leader.node.as_str(), leader.term), (name.as_str(), term));
     group.cluster.network.heal();
--- a/tests/all/control/partition.rs
+++ b/tests/all/control/partition.rs
@@ -7,7 +7,7 @@
 
 use crate::control::group::{Group, builder};
 
-const ENOUGH: usize = 20;
+const MIN_CHANGES: usize = 20;
 
 fn cut_off(cluster: &Cluster, failure_domain: &str) {
     let inside = cluster.names_in(failure_domain);
@@ -28,19 +28,19 @@
 /// accepted and no table shown. The other side elects a leader and goes on. When the
 /// link heals, the entries that were cut off take over every change that they missed.
 #[test]
-fn leader_isolated_with_its_failure_domain() {
+fn isolated_leader_accepts_and_shows_nothing() {
     let mut group = Group::build(builder().entries_each(2).service("service-0", 1));
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let status = group.operator.wait_leader();
     let node = group.cluster.control(status.node.as_str());
     let (name, addr) = (node.name().to_owned(), node.addr("operator"));
     let domain = node.place().failure_domain.clone();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.outcomes.newest());
 
     cut_off(&group.cluster, &domain);
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     let inside = Operator::new("eva", vec![addr]);
     wait_until("the isolated replica gives up", BOUND, || {
         inside.leader().is_none()
@@ -48,15 +48,15 @@
     let change = set_weight("isolated", "split", Revision(0), 1);
     for _ in 0..3 {
         let attempt = inside.attempt(addr, &change);
-        group.told.note(change.id, &attempt);
+        group.outcomes.note(change.id, &attempt);
         let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!known, "while isolated: {attempt:?}");
         assert_eq!(inside.table_of(addr).map(|table| table.version), None);
     }
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
 
     group.cluster.network.heal();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.outcomes.newest());
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
@@ -76,7 +76,7 @@
 /// While changes go on, links between failure domains break and heal again and again.
 /// No entry ever goes back to an older version than it had, and at the end all agree.
 #[test]
-fn versions_only_go_up() {
+fn entry_versions_never_decrease() {
     let group = Group::build(builder().entries_each(2).service("service-0", 1));
     let writers = group.writers();
     let mut newest = vec![Version(0); group.cluster.entries.len()];
@@ -84,19 +84,19 @@
         cut_off(&group.cluster, domain);
         for _ in 0..10 {
             group.wait_progress(3);
-            look(&group, &mut newest);
+            check_versions(&group, &mut newest);
         }
         group.cluster.network.heal();
         for _ in 0..10 {
             group.wait_progress(3);
-            look(&group, &mut newest);
+            check_versions(&group, &mut newest);
         }
     }
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
 
-fn look(group: &Group, newest: &mut [Version]) {
+fn check_versions(group: &Group, newest: &mut [Version]) {
     for (node, newest) in group.cluster.entries.iter().zip(newest) {
         if let Some(version) = node.version_in_force() {
             let name = node.name();
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -15,7 +15,7 @@
 /// numbers, and both resend. One change wins; the other operator is told whose change
 /// stands, each time they ask, although the numbers look as they wanted them.
 #[test]
-fn equal_numbers_at_the_same_moment() {
+fn one_of_two_concurrent_equal_edits_wins() {
     let group = Group::start();
     let addrs = group.cluster.operator_addrs();
     let mut seen = Revision(0);
@@ -36,7 +36,7 @@
         }
         seen = Revision(won[0].0);
     }
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
 
 fn race(group: &Group, changes: &[ChangeBody; 2]) -> Vec<Attempt> {
@@ -45,11 +45,11 @@
     std::thread::scope(|scope| {
         let threads = [0, 1].map(|number| {
             let operator = Operator::new(NAMES[number], addrs.clone());
-            let (barrier, told, change) = (&barrier, group.told.clone(), &changes[number]);
+            let (barrier, outcomes, change) = (&barrier, group.outcomes.clone(), &changes[number]);
             scope.spawn(move || {
                 barrier.wait();
                 let attempt = operator.change(change);
-                told.note(change.id, &attempt);
+                outcomes.note(change.id, &attempt);
                 attempt
             })
         });
@@ -78,7 +78,7 @@
 /// again, the leader dies, all replicas restart; hours later the operator sends the
 /// first change again. It must count as done, and must not undo the colleague's.
 #[test]
-fn resent_after_later_changes() {
+fn resend_does_not_undo_later_changes() {
     let mut group = Group::start();
     let leader = group.leader_name();
     let addr = group.leader().addr("operator");
@@ -91,10 +91,10 @@
     proxy.heal();
 
     let known = group.operator.accept(&first);
-    group.told.note(first.id, &Attempt::Accepted(known));
+    group.outcomes.note(first.id, &Attempt::Accepted(known));
     let second = set_weight("orders", "zagreb", Revision(known.0), 20);
     let newest = group.operator.accept(&second);
-    group.told.note(second.id, &Attempt::Accepted(newest));
+    group.outcomes.note(second.id, &Attempt::Accepted(newest));
 
     let resend = |group: &Group| {
         let again = group.operator.change(&first);
@@ -104,11 +104,11 @@
     };
     resend(&group);
     group.cluster.control(&leader).kill();
-    group.wait_leader_but(&leader);
+    group.wait_other_leader(&leader);
     resend(&group);
     group.cluster.control(&leader).start();
     group.cluster.controls.iter_mut().for_each(|n| n.kill());
     group.cluster.controls.iter_mut().for_each(|n| n.start());
     resend(&group);
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
--- a/tests/all/control/replacement.rs
+++ b/tests/all/control/replacement.rs
@@ -7,11 +7,11 @@
 
 use crate::control::group::Group;
 
-const ENOUGH: usize = 20;
+const MIN_CHANGES: usize = 20;
 
 /// Kills a follower, throws its disk away and starts it again. Returns its name and the
 /// identity that it had.
-fn lose_a_disk(group: &mut Group) -> (String, filberthead_types::ReplicaId) {
+fn wipe_follower(group: &mut Group) -> (String, filberthead_types::ReplicaId) {
     let leader = group.leader_name();
     let name = group.others(&leader).remove(0);
     let node = group.cluster.control(&name);
@@ -31,12 +31,12 @@
 /// votes, another VM dies. The replaced replica is half of the majority that is left,
 /// so it must hold everything that was accepted before it came.
 #[test]
-fn second_loss_right_after_the_repair() {
+fn replaced_replica_holds_all_accepted_changes() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
-    let (name, lost) = lose_a_disk(&mut group);
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
+    let (name, lost) = wipe_follower(&mut group);
+    group.wait_progress(MIN_CHANGES);
     group.operator.remove_replica(lost);
     let addr = group.cluster.control(&name).addr("operator");
     group.operator.add_replica(addr);
@@ -48,8 +48,8 @@
         leader
     };
     group.cluster.control(&victim).kill();
-    group.wait_leader_but(&victim);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&victim);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
@@ -57,11 +57,11 @@
 /// second one dies. Two of three processes run, but only one of them remembers what was
 /// accepted: nothing may be accepted until the second one is back.
 #[test]
-fn wiped_replica_is_no_majority() {
+fn wiped_replica_does_not_count_towards_a_majority() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
-    let (wiped, _) = lose_a_disk(&mut group);
+    group.wait_progress(MIN_CHANGES);
+    let (wiped, _) = wipe_follower(&mut group);
     let leader = group.leader_name();
     let second = group.others(&leader).into_iter().find(|n| *n != wiped);
     let second = second.expect("three replicas");
@@ -73,26 +73,26 @@
     let change = set_weight("orders", "split", Revision(0), 1);
     for addr in group.cluster.operator_addrs().iter().cycle().take(9) {
         let attempt = group.operator.attempt(*addr, &change);
-        group.told.note(change.id, &attempt);
+        group.outcomes.note(change.id, &attempt);
         let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!known, "without a majority: {attempt:?}");
     }
     group.cluster.control(&second).start();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     writers.stop();
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
 
 /// The new replica of another name joins before the dead one is dropped, so that the
 /// group never counts on fewer than it had.
 #[test]
-fn added_before_the_dead_one_is_removed() {
+fn replacement_added_before_the_dead_replica_is_removed() {
     let mut group = Group::start();
     let place = group.cluster.controls[0].place().clone();
     group.cluster.add_control("control-4", &place);
     group.operator = Operator::new("ana", group.cluster.operator_addrs());
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let leader = group.leader_name();
     let running = group.others(&leader);
     let dead = running.iter().find(|name| *name != "control-4");
@@ -105,11 +105,11 @@
     let spare = spare.addr("operator");
     group.operator.add_replica(spare);
     group.operator.remove_replica(lost);
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
 
     let leader = group.leader_name();
     group.cluster.control(&leader).kill();
-    group.wait_leader_but(&leader);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&leader);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
--- a/tests/all/control/restart.rs
+++ b/tests/all/control/restart.rs
@@ -8,21 +8,21 @@
 
 use crate::control::group::Group;
 
-const ENOUGH: usize = 20;
+const MIN_CHANGES: usize = 20;
 
 /// The power of a whole site fails while operators send changes: all control replicas
 /// die at the same instant and come back. Whoever was told "accepted" before finds the
 /// change in force, and those without an answer get a true one by sending again.
 #[test]
-fn all_killed_at_once() {
+fn accepted_changes_survive_a_power_failure_of_all() {
     let mut group = Group::start();
     let writers = group.writers();
     for _ in 0..3 {
-        group.wait_progress(ENOUGH);
+        group.wait_progress(MIN_CHANGES);
         kill_all(&mut group);
         group.cluster.controls.iter_mut().for_each(Node::spawn);
         group.cluster.controls.iter_mut().for_each(Node::wait_ready);
-        group.wait_progress(ENOUGH);
+        group.wait_progress(MIN_CHANGES);
     }
     group.check(writers);
 }
@@ -37,10 +37,10 @@
 /// The power fails in the middle of a write: the last record of each log is there in
 /// part. It was never acknowledged, so it is dropped, and nothing else is.
 #[test]
-fn torn_log_tail() {
+fn torn_log_tail_is_dropped() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     kill_all(&mut group);
     for node in &group.cluster.controls {
         let log = newest_log(node.data());
@@ -51,7 +51,7 @@
     }
     group.cluster.controls.iter_mut().for_each(Node::spawn);
     group.cluster.controls.iter_mut().for_each(Node::wait_ready);
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
@@ -61,7 +61,7 @@
 fn damaged_log_stops_its_replica() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let leader = group.leader_name();
     let name = group.others(&leader).remove(0);
     let node = group.cluster.control(&name);
@@ -77,9 +77,9 @@
     let text = node.process().log();
     let file = log.file_name().and_then(|name| name.to_str());
     assert!(text.contains(file.expect("a name")), "{text}");
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     writers.stop();
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
 
 fn newest_log(data: &Path) -> PathBuf {
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -23,15 +23,15 @@
 }
 
 impl Writers {
-    pub(crate) fn start(addrs: Vec<SocketAddr>, told: &Told) -> Self {
+    pub(crate) fn start(addrs: Vec<SocketAddr>, outcomes: &Told) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads: Vec<_> = (0..WRITERS)
             .map(|number| {
-                let worker = Worker::new(&format!("writer-{number}"), &addrs, told, &stop);
+                let worker = Worker::new(&format!("writer-{number}"), &addrs, outcomes, &stop);
                 std::thread::spawn(move || worker.write(number))
             })
             .collect();
-        let reader = Worker::new("reader", &addrs, told, &stop);
+        let reader = Worker::new("reader", &addrs, outcomes, &stop);
         threads.push(std::thread::spawn(move || reader.read()));
         Self { stop, threads }
     }
@@ -55,16 +55,16 @@
 struct Worker {
     operator: Operator,
     addrs: Vec<SocketAddr>,
-    told: Told,
+    outcomes: Told,
     stop: Arc<AtomicBool>,
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], told: &Told, stop: &Arc<AtomicBool>) -> Self {
+    fn new(name: &str, addrs: &[SocketAddr], outcomes: &Told, stop: &Arc<AtomicBool>) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
-            told: told.clone(),
+            outcomes: outcomes.clone(),
             stop: Arc::clone(stop),
         }
     }
@@ -95,7 +95,7 @@
         loop {
             let addr = self.addrs[tries % self.addrs.len()];
             let attempt = self.operator.attempt(addr, change);
-            self.told.note(change.id, &attempt);
+            self.outcomes.note(change.id, &attempt);
             match attempt {
                 Attempt::Accepted(version) => return Some(version),
                 Attempt::Refused(answer) => panic!("change {} refused: {answer:?}", change.id),
@@ -111,13 +111,13 @@
     /// before it was asked, and never goes back.
     fn read(&self) {
         let mut newest = Version(0);
-        let mut turn = 0;
+        let mut attempts = 0;
         while !self.stopped() {
-            let addr = self.addrs[turn % self.addrs.len()];
-            turn += 1;
-            let floor = self.told.newest().max(newest);
+            let addr = self.addrs[attempts % self.addrs.len()];
+            attempts += 1;
+            let min_version = self.outcomes.newest().max(newest);
             if let Some(table) = self.operator.table_of(addr) {
-                assert_current(&table, floor);
+                assert_current(&table, min_version);
                 newest = table.version;
             }
             std::thread::sleep(PAUSE);
@@ -125,10 +125,10 @@
     }
 }
 
-fn assert_current(table: &TableBody, floor: Version) {
+fn assert_current(table: &TableBody, min_version: Version) {
     let shown = table.version;
     assert!(
-        shown >= floor,
-        "version {shown} shown after {floor} was accepted"
+        shown >= min_version,
+        "version {shown} shown after {min_version} was accepted"
     );
 }
--- a/tests/all/operators/input.rs
+++ b/tests/all/operators/input.rs
@@ -2,12 +2,12 @@
 
 use std::fs;
 
-use super::session::Desk;
+use super::session::Session;
 
 #[test]
-fn command_lines_that_make_no_sense_are_refused_before_anything_is_sent() {
-    let desk = Desk::start(1);
-    desk.fill();
+fn invalid_command_lines_are_rejected_before_anything_is_sent() {
+    let session = Session::start(1);
+    session.add_rows();
     let lines: &[(&[&str], &str)] = &[
         (&[], "a command"),
         (&["tabel"], "did you mean `table`"),
@@ -79,15 +79,17 @@
         (&["token", "new", "#ana", "read"], "no name"),
         (&["check"], "the settings file"),
     ];
-    for (words, hint) in lines {
-        let ended = desk.run("ana", words);
-        assert_eq!(ended.exit, 2, "{words:?}: {ended:?}");
-        assert!(ended.err.contains(hint), "{words:?}: {ended:?}");
+    for (args, hint) in lines {
+        let result = session.run("ana", args);
+        assert_eq!(result.exit, 2, "{args:?}: {result:?}");
+        assert!(result.err.contains(hint), "{args:?}: {result:?}");
     }
-    let bad = desk.run("ana", &["--json", "tabel"]).expect(2);
+    let bad = session.run("ana", &["--json", "tabel"]).expect(2);
     assert_eq!(bad.json()["exit"], 2);
-    assert_eq!(desk.version(), 2);
-    let history = desk.run("ana", &["table", "history", "--json"]).expect(0);
+    assert_eq!(session.version(), 2);
+    let history = session
+        .run("ana", &["table", "history", "--json"])
+        .expect(0);
     let records = history.json()["records"].as_array().map(Vec::len);
     // Both first rows and the registration of the replica.
     assert_eq!(records, Some(3));
@@ -96,16 +98,16 @@
 /// A sheet comes back from a spreadsheet with three slips in two lines. All are named
 /// with their lines, and none of the good lines is proposed.
 #[test]
-fn every_bad_line_of_a_sheet_is_named() {
-    let desk = Desk::start(1);
-    desk.fill();
+fn every_invalid_line_of_a_sheet_is_reported() {
+    let session = Session::start(1);
+    session.add_rows();
     let text = "service;region;weight;limit;shift_cap;objective\n\
                 orders;split;20;36;12;latency\n\
                 orders;zagreb;1.200;36;12;speed\n\
                 orders;osijek;1;36;;latency\n";
-    fs::write(desk.path("bad.csv"), text).expect("written");
-    let words = ["table", "propose", "bad.csv", "--note", "x"];
-    let refused = desk.run("ana", &words).expect(2);
+    fs::write(session.path("bad.csv"), text).expect("written");
+    let args = ["table", "propose", "bad.csv", "--note", "x"];
+    let refused = session.run("ana", &args).expect(2);
     for fault in [
         "bad.csv:3: `weight`",
         "bad.csv:3: `objective`",
@@ -113,23 +115,25 @@
     ] {
         assert!(refused.err.contains(fault), "{refused:?}");
     }
-    let json = desk
-        .run("ana", &[&words[..], &["--json"]].concat())
+    let json = session
+        .run("ana", &[&args[..], &["--json"]].concat())
         .expect(2);
     assert_eq!(json.json()["faults"].as_array().map(Vec::len), Some(3));
-    let open = desk.run("ana", &["table", "review", "--json"]).expect(0);
+    let open = session.run("ana", &["table", "review", "--json"]).expect(0);
     assert_eq!(open.json()["open"].as_array().map(Vec::len), Some(0));
 }
 
 #[test]
-fn an_export_does_not_overwrite_a_sheet_that_is_being_edited() {
-    let desk = Desk::start(1);
-    desk.fill();
-    desk.run("ana", &["table", "export", "--out", "a.csv"])
+fn an_export_does_not_overwrite_an_existing_sheet() {
+    let session = Session::start(1);
+    session.add_rows();
+    session
+        .run("ana", &["table", "export", "--out", "a.csv"])
         .expect(0);
-    desk.edit_sheet("a.csv", "split,50", "split,20");
-    desk.run("ana", &["table", "export", "--out", "a.csv"])
+    session.edit_sheet("a.csv", "split,50", "split,20");
+    session
+        .run("ana", &["table", "export", "--out", "a.csv"])
         .expect(2);
-    let text = fs::read_to_string(desk.path("a.csv")).expect("the sheet");
+    let text = fs::read_to_string(session.path("a.csv")).expect("the sheet");
     assert!(text.contains("split,20"), "{text}");
 }
--- a/tests/all/operators/limits.rs
+++ b/tests/all/operators/limits.rs
@@ -10,52 +10,56 @@
 use filberthead_testing::{eventually, wait_until};
 use filberthead_types::{ResultCode, Revision, Version};
 
-use super::session::Desk;
+use super::session::Session;
 use crate::support::programs;
 
 const BOUND: Duration = Duration::from_secs(120);
 /// Slots of an endpoint; each failure domain of `split` has one.
 const SLOTS: u32 = 3;
 /// The entry that the next leader doesn't hear.
-const CUT: &str = "entry-split-b-1";
+const PARTITIONED: &str = "entry-split-b-1";
 /// Longer than a leader waits for what was granted by the one before, and than the
 /// directory keeps an entry that is silent.
-const HEARD: Duration = Duration::from_secs(8);
+const REPORT_WAIT: Duration = Duration::from_secs(8);
 
 /// A region of two failure domains, with an entry and an endpoint in each of them.
-fn start() -> Desk {
+fn start() -> Session {
     let places = [("split", "split-a"), ("split", "split-b")];
     let builder = Cluster::builder(programs()).places(&places);
-    let mut desk = Desk::with(builder.service("orders", 1).prepare());
-    desk.join(3);
-    desk.cluster.entries.iter_mut().for_each(Node::spawn);
-    desk.cluster.entries.iter_mut().for_each(Node::wait_ready);
-    desk
+    let mut session = Session::with_cluster(builder.service("orders", 1).prepare());
+    session.form_group(3);
+    session.cluster.entries.iter_mut().for_each(Node::spawn);
+    session
+        .cluster
+        .entries
+        .iter_mut()
+        .for_each(Node::wait_ready);
+    session
 }
 
-fn leader(desk: &Desk) -> Option<Status> {
-    Operator::new("ana", desk.cluster.operator_addrs()).leader()
+fn leader(session: &Session) -> Option<Status> {
+    Operator::new("ana", session.cluster.operator_addrs()).leader()
 }
 
-fn reading(desk: &Desk) -> Option<RowReading> {
-    let rows = leader(desk)?.rows;
+fn row_reading(session: &Session) -> Option<RowReading> {
+    let rows = leader(session)?.rows;
     rows.into_iter()
         .find(|row| row.service.as_str() == "orders")
 }
 
-fn wait_slots(desk: &Desk) {
+fn wait_slots(session: &Session) {
     wait_until("the leader knows all slots", BOUND, || {
-        reading(desk).is_some_and(|row| row.slots == Some(u64::from(2 * SLOTS)))
+        row_reading(session).is_some_and(|row| row.slots == Some(u64::from(2 * SLOTS)))
     });
 }
 
 /// Sets the limit of the row and takes no danger. By a connection of the test's own, since
 /// the proxies hold those of strangers while links are cut.
-fn set_limit(desk: &Desk, seen: Version, limit: u32) -> Answer {
+fn set_limit(session: &Session, revision: Version, limit: u32) -> Answer {
     let edit = EditBody {
         service: "orders".parse().expect("a name"),
         region: "split".parse().expect("a name"),
-        revision: Revision(seen.0),
+        revision: Revision(revision.0),
         set: Some(RowValues {
             weight: 1,
             limit,
@@ -71,7 +75,7 @@
         .header(OPERATOR_HEADER, "ana")
         .body(serde_json::to_vec(&change).expect("plain data"));
     eventually("the table decides", BOUND, || {
-        let addrs = desk.cluster.operator_addrs();
+        let addrs = session.cluster.operator_addrs();
         let answers = addrs.into_iter().filter_map(|addr| call.send(addr).ok());
         let mut answers = answers.map(|answer| answer.json::<Answer>());
         answers.find(|answer| matches!(answer.code.number(), 2000..2200))
@@ -85,8 +89,8 @@
 /// nothing, and the operator is told so. Once the other entry is heard, limits are judged
 /// again.
 #[test]
-fn a_limit_is_judged_by_the_slots_of_all_entries_or_not_at_all() {
-    let mut desk = start();
+fn a_limit_is_checked_against_the_slots_of_all_entries_or_not_at_all() {
+    let mut session = start();
     let limit = (2 * SLOTS).to_string();
     let first = [
         "--limit",
@@ -96,29 +100,32 @@
         "--allow",
         "limit-above-slots",
     ];
-    desk.set("ana", "split", "1", &first).expect(0);
-    wait_slots(&desk);
+    session.set("ana", "split", "1", &first).expect(0);
+    wait_slots(&session);
 
     let controls = ["control-1", "control-2", "control-3"];
-    desk.cluster.network.partition(&[&[CUT], &controls]);
-    let before = leader(&desk).expect("a leader").node;
-    desk.cluster.control(before.as_str()).kill();
+    session
+        .cluster
+        .network
+        .partition(&[&[PARTITIONED], &controls]);
+    let before = leader(&session).expect("a leader").node;
+    session.cluster.control(before.as_str()).kill();
     eventually("the next leader hears of the row", BOUND, || {
-        let next = leader(&desk)?;
+        let next = leader(&session)?;
         (next.node != before && !next.rows.is_empty()).then_some(())
     });
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut version = Version(1);
-    while begun.elapsed() < HEARD {
-        let answer = set_limit(&desk, version, 2 * SLOTS);
+    while started.elapsed() < REPORT_WAIT {
+        let answer = set_limit(&session, version, 2 * SLOTS);
         assert_eq!(answer.code, ResultCode::ChangeAccepted, "{answer:?}");
         assert_eq!(answer.unchecked, ["orders/split"]);
         version = answer.version.expect("an accepted change has a version");
     }
 
-    desk.cluster.network.heal();
-    wait_slots(&desk);
-    let refused = set_limit(&desk, version, 2 * SLOTS + 1);
+    session.cluster.network.heal();
+    wait_slots(&session);
+    let refused = set_limit(&session, version, 2 * SLOTS + 1);
     let dangers: Vec<_> = refused.findings.iter().map(|found| found.danger).collect();
     assert_eq!(dangers, [Danger::LimitAboveSlots], "{refused:?}");
 }
--- a/tests/all/operators/resend.rs
+++ b/tests/all/operators/resend.rs
@@ -9,7 +9,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use super::session::Desk;
+use super::session::Session;
 
 /// The answer of the only replica that an operator reaches is lost, and so is each
 /// further one. They are told that the outcome is not known, and the id. With the link
@@ -17,12 +17,12 @@
 /// once.
 #[test]
 fn a_change_whose_answer_is_lost_is_found_by_its_id() {
-    let desk = Desk::start(1);
-    desk.fill();
-    let proxy = desk.cluster.controls[0].proxy("operator");
+    let session = Session::start(1);
+    session.add_rows();
+    let proxy = session.cluster.controls[0].proxy("operator");
     // The revision is given: to look it up would be the request whose answer is lost.
     let id = "0123456789abcdef0123456789abcdef";
-    let words = [
+    let args = [
         "--change-id",
         id,
         "--revision",
@@ -39,31 +39,31 @@
     proxy.set(Direction::ToClient, Flow::Hold);
     let addr = proxy.addr();
     // Kept open: a client that goes away before the act has begun leaves it undone.
-    let unheard = runtime::wait(async move { post_unheard(addr, &body).await });
-    let beside = [desk.cluster.controls[0].direct_addr("operator")];
+    let unread_connection = runtime::wait(async move { post_without_reading(addr, &body).await });
+    let direct_addr = [session.cluster.controls[0].direct_addr("operator")];
     wait_until(
         "the change to take effect",
         Duration::from_secs(120),
         || {
-            let shown = desk.run_at(&beside, "ana", &["table", "show", "--json"]);
+            let shown = session.run_at(&direct_addr, "ana", &["table", "show", "--json"]);
             shown.expect(0).json()["version"] == 3
         },
     );
-    let hasty = [&words[..], &["--timeout", "4"]].concat();
-    let blind = desk.set("ana", "split", "20", &hasty).expect(4);
+    let short_timeout = [&args[..], &["--timeout", "4"]].concat();
+    let failed = session.set("ana", "split", "20", &short_timeout).expect(4);
     assert!(
-        blind.err.contains("no control replica answers"),
-        "{blind:?}"
+        failed.err.contains("no control replica answers"),
+        "{failed:?}"
     );
     proxy.heal();
-    drop(unheard);
-    let found = desk.set("ana", "split", "20", &words).expect(0);
+    drop(unread_connection);
+    let found = session.set("ana", "split", "20", &args).expect(0);
     assert!(found.out.contains("on record already"), "{found:?}");
-    assert_eq!((desk.version(), desk.weight("split")), (3, 20));
+    assert_eq!((session.version(), session.weight("split")), (3, 20));
 }
 
 /// Posts a change as the command line does and reads nothing.
-async fn post_unheard(addr: SocketAddr, body: &str) -> TcpStream {
+async fn post_without_reading(addr: SocketAddr, body: &str) -> TcpStream {
     let head = format!(
         "POST /v1/changes HTTP/1.1\r\nhost: {addr}\r\ncontent-type: application/json\r\n\
          filberthead-operator: ana\r\ncontent-length: {}\r\n\r\n{body}",
@@ -77,32 +77,32 @@
 }
 
 /// The leader dies under a stream of changes that operators send to any replica. Each
-/// command that says "accepted" is in the table, once, and none ends unknown: the client
+/// command that says "accepted" is in the table, once, and none ends failed: the client
 /// finds the new leader under the same ids.
 #[test]
-fn changes_go_through_a_leader_that_dies() {
-    let mut desk = Desk::start(3);
-    desk.fill();
+fn changes_are_applied_once_when_the_leader_dies() {
+    let mut session = Session::start(3);
+    session.add_rows();
     let mut accepted = 0;
     for round in 0..12 {
         if round == 4 {
-            let leader = leader(&desk);
-            desk.cluster.control(&leader).kill();
+            let leader = leader(&session);
+            session.cluster.control(&leader).kill();
         }
         let weight = (60 + round).to_string();
-        let ended = desk.set("ana", "split", &weight, &["--timeout", "120"]);
-        assert_eq!(ended.exit, 0, "round {round}: {ended:?}");
+        let result = session.set("ana", "split", &weight, &["--timeout", "120"]);
+        assert_eq!(result.exit, 0, "round {round}: {result:?}");
         accepted += 1;
     }
-    assert_eq!(desk.version(), 2 + accepted);
-    assert_eq!(desk.weight("split"), 71);
-    desk.cluster.controls.iter_mut().for_each(Node::restart);
-    assert_eq!(desk.version(), 2 + accepted);
+    assert_eq!(session.version(), 2 + accepted);
+    assert_eq!(session.weight("split"), 71);
+    session.cluster.controls.iter_mut().for_each(Node::restart);
+    assert_eq!(session.version(), 2 + accepted);
 }
 
 /// Name of the replica that leads.
-fn leader(desk: &Desk) -> String {
-    let status = desk.run("ana", &["status", "--json"]).expect(0);
+fn leader(session: &Session) -> String {
+    let status = session.run("ana", &["status", "--json"]).expect(0);
     let status = status.json();
     let controls = status["controls"].as_array().expect("controls").clone();
     let leads = |control: &&serde_json::Value| control["status"]["holds_lease"] == true;
--- a/tests/all/operators/session.rs
+++ b/tests/all/operators/session.rs
@@ -11,26 +11,26 @@
 use crate::support::programs;
 
 /// Time for a command that has to get through, however busy the machine is.
-const PATIENCE_SECS: &str = "120";
+const TIMEOUT_SECS: &str = "120";
 
-fn timeout_for(words: &[&str]) -> &'static [&'static str] {
-    let is_local = matches!(words.first(), Some(&"token" | &"check") | None);
-    if is_local || words.contains(&"--timeout") {
+fn timeout_args(args: &[&str]) -> &'static [&'static str] {
+    let is_local = matches!(args.first(), Some(&"token" | &"check") | None);
+    if is_local || args.contains(&"--timeout") {
         &[]
     } else {
-        &["--timeout", PATIENCE_SECS]
+        &["--timeout", TIMEOUT_SECS]
     }
 }
 
 /// How a command ended.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct CliResult {
     pub(super) exit: i32,
     pub(super) out: String,
     pub(super) err: String,
 }
 
-impl Ended {
+impl CliResult {
     fn new(output: &Output) -> Self {
         Self {
             exit: output
@@ -55,21 +55,22 @@
 }
 
 /// A system of control replicas only, and a folder for sheets.
-pub(super) struct Desk {
+pub(super) struct Session {
     pub(super) cluster: Cluster,
     controls: Vec<SocketAddr>,
 }
 
-impl Desk {
+impl Session {
     /// Starts so many replicas and makes a group of them by the command line.
     pub(super) fn start(replicas: usize) -> Self {
-        let mut desk = Self::with(Cluster::builder(programs()).replicas(replicas).prepare());
-        desk.join(replicas);
-        desk
+        let mut session =
+            Self::with_cluster(Cluster::builder(programs()).replicas(replicas).prepare());
+        session.form_group(replicas);
+        session
     }
 
     /// A desk before replicas that run and form no group yet.
-    pub(super) fn with(mut cluster: Cluster) -> Self {
+    pub(super) fn with_cluster(mut cluster: Cluster) -> Self {
         cluster.controls.iter_mut().for_each(Node::spawn);
         cluster.controls.iter_mut().for_each(Node::wait_ready);
         let controls = cluster.operator_addrs();
@@ -77,7 +78,7 @@
     }
 
     /// Makes a group of the first so many replicas.
-    pub(super) fn join(&mut self, replicas: usize) {
+    pub(super) fn form_group(&mut self, replicas: usize) {
         let addrs = self.cluster.operator_addrs();
         self.run_at(&addrs[..1], "ana", &["control", "init"])
             .expect(0);
@@ -94,35 +95,35 @@
         self.cluster.dir().join(file)
     }
 
-    pub(super) fn run(&self, who: &str, words: &[&str]) -> Ended {
-        self.run_at(&self.controls, who, words)
+    pub(super) fn run(&self, user: &str, args: &[&str]) -> CliResult {
+        self.run_at(&self.controls, user, args)
     }
 
-    pub(super) fn run_at(&self, controls: &[SocketAddr], who: &str, words: &[&str]) -> Ended {
-        let output = self.command(controls, who, words).output();
-        Ended::new(&output.expect("the command line starts"))
+    pub(super) fn run_at(&self, controls: &[SocketAddr], user: &str, args: &[&str]) -> CliResult {
+        let output = self.command(controls, user, args).output();
+        CliResult::new(&output.expect("the command line starts"))
     }
 
-    /// Starts a command, to be waited for by [`Desk::wait`].
-    pub(super) fn spawn(&self, who: &str, words: &[&str]) -> Child {
-        let child = self.command(&self.controls, who, words).spawn();
+    /// Starts a command, to be waited for by [`Session::wait`].
+    pub(super) fn spawn(&self, user: &str, args: &[&str]) -> Child {
+        let child = self.command(&self.controls, user, args).spawn();
         child.expect("the command line starts")
     }
 
-    pub(super) fn wait(child: Child) -> Ended {
-        Ended::new(&child.wait_with_output().expect("the command line ends"))
+    pub(super) fn wait(child: Child) -> CliResult {
+        CliResult::new(&child.wait_with_output().expect("the command line ends"))
     }
 
-    fn command(&self, controls: &[SocketAddr], who: &str, words: &[&str]) -> Command {
+    fn command(&self, controls: &[SocketAddr], user: &str, args: &[&str]) -> Command {
         let list: Vec<_> = controls.iter().map(ToString::to_string).collect();
         let mut command = Command::new(&self.cluster.programs().cli);
         command
-            .args(words)
-            .args(timeout_for(words))
+            .args(args)
+            .args(timeout_args(args))
             .current_dir(self.cluster.dir())
             .env_clear()
             .env("FILBERTHEAD_CONTROL", list.join(","))
-            .env("USER", who)
+            .env("USER", user)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped());
@@ -130,9 +131,9 @@
     }
 
     /// Makes two regions of one service, as `ana`: versions 1 and 2.
-    pub(super) fn fill(&self) {
+    pub(super) fn add_rows(&self) {
         for region in ["zagreb", "split"] {
-            let words = [
+            let args = [
                 "table",
                 "set",
                 "orders",
@@ -146,16 +147,16 @@
                 "--note",
                 "first rows",
             ];
-            self.run("ana", &words).expect(0);
+            self.run("ana", &args).expect(0);
         }
     }
 
-    pub(super) fn set(&self, who: &str, region: &str, weight: &str, more: &[&str]) -> Ended {
-        let mut words = vec![
+    pub(super) fn set(&self, user: &str, region: &str, weight: &str, more: &[&str]) -> CliResult {
+        let mut args = vec![
             "table", "set", "orders", region, "--weight", weight, "--note", "a note",
         ];
-        words.extend(more);
-        self.run(who, &words)
+        args.extend(more);
+        self.run(user, &args)
     }
 
     pub(super) fn table(&self) -> Value {
--- a/tests/all/operators/tokens.rs
+++ b/tests/all/operators/tokens.rs
@@ -4,48 +4,48 @@
 
 use filberthead_testing::cluster::Cluster;
 
-use super::session::{Desk, Ended};
+use super::session::{CliResult, Session};
 use crate::support::programs;
 
 /// Tokens are drawn by the command line, and only their hashes lie with the replicas.
 /// Each operator does what their role and services allow, under their token's name,
 /// whatever name they claim.
 #[test]
-fn operators_act_under_their_tokens() {
+fn a_token_sets_the_name_and_rights_of_an_operator() {
     let dir = tempfile::tempdir().expect("a folder");
     let tokens = dir.path().join("tokens");
     fs::write(&tokens, "# nobody yet\n").expect("written");
     let path = tokens.to_str().expect("a path in UTF-8");
     let builder = Cluster::builder(programs()).replicas(1);
-    let desk = Desk::with(
+    let session = Session::with_cluster(
         builder
             .control_setting("operators", "tokens", path)
             .prepare(),
     );
 
-    let draw = |name: &str, role: &str, services: &[&str]| {
-        let mut words = vec!["token", "new", name, role, "--json"];
-        words.extend(services);
-        let drawn = desk.run("x", &words).expect(0).json();
-        let line = drawn["line"].as_str().expect("a line").to_owned();
-        let secret = drawn["secret"].as_str().expect("a secret").to_owned();
+    let create_token = |name: &str, role: &str, services: &[&str]| {
+        let mut args = vec!["token", "new", name, role, "--json"];
+        args.extend(services);
+        let created = session.run("x", &args).expect(0).json();
+        let line = created["line"].as_str().expect("a line").to_owned();
+        let secret = created["secret"].as_str().expect("a secret").to_owned();
         fs::write(dir.path().join(name), &secret).expect("written");
         assert!(!line.contains(&secret));
         line
     };
     let lines = [
-        draw("ana", "accept", &[]),
-        draw("rita", "read", &[]),
-        draw("orders-team", "accept", &["--services", "orders"]),
+        create_token("ana", "accept", &[]),
+        create_token("rita", "read", &[]),
+        create_token("orders-team", "accept", &["--services", "orders"]),
     ];
     fs::write(&tokens, lines.join("\n")).expect("written");
 
-    let run = |token: &str, words: &[&str]| -> Ended {
+    let run = |token: &str, args: &[&str]| -> CliResult {
         let file = dir.path().join(token);
         let file = file.to_str().expect("a path in UTF-8");
-        desk.run("somebody", &[words, &["--token-file", file]].concat())
+        session.run("somebody", &[args, &["--token-file", file]].concat())
     };
-    let refused = desk.run("ana", &["control", "init"]).expect(1);
+    let refused = session.run("ana", &["control", "init"]).expect(1);
     assert!(refused.err.contains("token-missing"), "{refused:?}");
     run("orders-team", &["control", "init"]).expect(1);
     run("ana", &["control", "init"]).expect(0);
@@ -78,11 +78,11 @@
 /// Where the settings ask for reviews, an operator with every right can neither change a
 /// row directly nor accept their own proposal; with a colleague's approval they can.
 #[test]
-fn a_required_review_binds_every_operator() {
+fn a_required_review_applies_to_every_operator() {
     let builder = Cluster::builder(programs()).replicas(1);
     let builder = builder.control_setting("operators", "review", "required");
-    let mut desk = Desk::with(builder.prepare());
-    desk.join(1);
+    let mut session = Session::with_cluster(builder.prepare());
+    session.form_group(1);
     let values = [
         "--weight",
         "1",
@@ -94,14 +94,16 @@
         "x",
     ];
     let set = [&["table", "set", "orders", "split"], &values[..]].concat();
-    let refused = desk.run("ana", &set).expect(1);
+    let refused = session.run("ana", &set).expect(1);
     assert!(refused.err.contains("review-missing"), "{refused:?}");
     let propose = [&["table", "propose", "orders", "split"], &values[..]].concat();
-    desk.run("ana", &propose).expect(0);
-    desk.run("ana", &["table", "accept", "1", "--allow", "own-review"])
+    session.run("ana", &propose).expect(0);
+    session
+        .run("ana", &["table", "accept", "1", "--allow", "own-review"])
         .expect(1);
-    desk.run("bruno", &["table", "review", "1", "--approve"])
+    session
+        .run("bruno", &["table", "review", "1", "--approve"])
         .expect(0);
-    desk.run("ana", &["table", "accept", "1"]).expect(0);
-    assert_eq!(desk.version(), 1);
+    session.run("ana", &["table", "accept", "1"]).expect(0);
+    assert_eq!(session.version(), 1);
 }
--- a/tests/all/operators/unknown.rs
+++ b/tests/all/operators/unknown.rs
@@ -31,7 +31,7 @@
 /// told that the outcome is not known, with the id to ask by. They run the same command
 /// with that id, and hear that it is done; it was done once.
 #[test]
-fn an_unknown_outcome_comes_with_the_id_to_ask_by() {
+fn an_unknown_outcome_shows_the_change_id_for_a_retry() {
     let table = SharedTable::default();
     let control = FakeControl::new(&table);
     control.fail([Fault::AppliedSilent]);
@@ -53,7 +53,7 @@
 /// An operator lowers a limit below what is in progress. The command line shows the
 /// figures and the flag that does it all the same.
 #[test]
-fn a_limit_below_what_runs_has_to_be_allowed_by_name() {
+fn a_limit_below_the_requests_in_progress_needs_an_explicit_waiver() {
     let table = SharedTable::default();
     let control = FakeControl::new(&table);
     control
--- a/tests/all/rejections.rs
+++ b/tests/all/rejections.rs
@@ -16,10 +16,10 @@
 const SERVICES: &[(&str, &str)] = &[("orders", "unsafe"), ("catalogue", "safe")];
 const MESSAGE: &str = "turned away";
 /// Of one code in a second, as the gateway allows.
-const LINES_A_SECOND: u64 = 20;
+const LINES_PER_SECOND: u64 = 20;
 
 /// One replica and one gateway that logs JSON and has no routes yet.
-fn bare() -> Site {
+fn start_without_routes() -> Site {
     let mut site = site().replicas(1).tolerate(0).start();
     site.gateways[0].settings().set("log", "format", "json");
     site.gateways[0].restart();
@@ -28,7 +28,7 @@
 
 /// A gateway that serves orders.
 fn start() -> Site {
-    let mut site = bare();
+    let mut site = start_without_routes();
     site.add_endpoint("orders", "zagreb-a");
     site.put_routes(1, SERVICES);
     site.wait_serving(0);
@@ -45,7 +45,7 @@
 }
 
 /// Lines about requests that were turned away, so far.
-fn turned_away(site: &Site) -> Vec<Event> {
+fn rejection_lines(site: &Site) -> Vec<Event> {
     let log = log(site);
     let events = log.lines().filter_map(Event::parse);
     events.filter(|event| event.message == MESSAGE).collect()
@@ -77,7 +77,7 @@
 }
 
 #[track_caller]
-fn says(event: &Event, fields: &[(&str, &str)]) {
+fn assert_fields(event: &Event, fields: &[(&str, &str)]) {
     for (key, value) in fields {
         assert_eq!(field(event, key), *value, "{key} in {event}");
     }
@@ -86,7 +86,7 @@
 /// Sends requests on a route that there isn't until one is told so for good, and returns its
 /// id: a gateway first has to hear that its routes are the newest.
 #[track_caller]
-fn denied(site: &Site, path: &str, prefix: &str) -> String {
+fn send_until_denied(site: &Site, path: &str, prefix: &str) -> String {
     let mut number = 0;
     eventually("a request is denied", BOUND, || {
         number += 1;
@@ -104,34 +104,34 @@
 
 /// Sends a head that announces so many bytes of body, and then only a few.
 fn begin_order(gateway: SocketAddr, id: &str, length: u64, deadline_ms: u64) -> TcpStream {
-    let mut till = TcpStream::connect(gateway).expect("a connection");
+    let mut stream = TcpStream::connect(gateway).expect("a connection");
     let head = format!(
         "POST /orders/one HTTP/1.1\r\nhost: {HOST}\r\nx-request-id: {id}\r\n\
          x-deadline-ms: {deadline_ms}\r\ncontent-length: {length}\r\n\r\n"
     );
-    till.write_all(head.as_bytes()).expect("the head is sent");
-    till.write_all(b"ab").expect("a part is sent");
-    till
+    stream.write_all(head.as_bytes()).expect("the head is sent");
+    stream.write_all(b"ab").expect("a part is sent");
+    stream
 }
 
 /// Sends orders that are too large until one is told so for good, and returns its id.
 #[track_caller]
-fn too_large(site: &Site, gateway: SocketAddr) -> String {
+fn send_until_too_large(site: &Site, gateway: SocketAddr) -> String {
     let proven = || site.gateways[0].metric("routes_proven") > 0.0;
     let mut number = 0;
     eventually("an order is denied", BOUND, || {
         wait_until("the routes are proved", BOUND, proven);
         number += 1;
         let id = format!("large-{number}");
-        let mut till = begin_order(gateway, &id, 64 * 1024 * 1024 + 1, 20_000);
-        (status_line(&mut till) == "HTTP/1.1 413").then_some(id)
+        let mut stream = begin_order(gateway, &id, 64 * 1024 * 1024 + 1, 20_000);
+        (status_line(&mut stream) == "HTTP/1.1 413").then_some(id)
     })
 }
 
 /// The first line of the answer.
-fn status_line(till: &mut TcpStream) -> String {
+fn status_line(stream: &mut TcpStream) -> String {
     let mut buf = [0; 12];
-    till.read_exact(&mut buf).expect("an answer");
+    stream.read_exact(&mut buf).expect("an answer");
     String::from_utf8_lossy(&buf).into_owned()
 }
 
@@ -140,9 +140,9 @@
 #[test]
 fn a_request_without_a_route_is_explained() {
     let site = start();
-    let id = denied(&site, "/nowhere/cards?page=2", "astray-");
+    let id = send_until_denied(&site, "/nowhere/cards?page=2", "astray-");
     let line = line(&site, &id);
-    says(
+    assert_fields(
         &line,
         &[
             ("host", HOST),
@@ -169,10 +169,10 @@
 /// A gateway that has never had routes refuses everything, and says that it has none.
 #[test]
 fn a_request_to_a_gateway_without_routes_is_explained() {
-    let site = bare();
+    let site = start_without_routes();
     let answer = site.request(0, &request("POST", "/orders/one", "early-1"));
     assert_eq!(answer.expect("an answer").status, 503);
-    says(
+    assert_fields(
         &line(&site, "early-1"),
         &[
             ("code", "1206 not-ready"),
@@ -193,10 +193,10 @@
 /// An order is too large, another one's body breaks off, a third one's doesn't come in time.
 /// Each has a route, which its line and the metrics name.
 #[test]
-fn an_order_whose_body_can_not_be_had_is_explained() {
+fn an_order_without_a_usable_body_is_explained() {
     let site = start();
     let gateway = site.gateways[0].addr("caller");
-    let large = too_large(&site, gateway);
+    let large = send_until_too_large(&site, gateway);
     let broken = begin_order(gateway, "broken-1", 100, 20_000);
     broken.shutdown(Shutdown::Write).expect("it breaks off");
     let mut slow = begin_order(gateway, "slow-1", 100, 300);
@@ -212,7 +212,7 @@
             ("route", "r-orders"),
             ("version", "1"),
         ];
-        says(&line(&site, id), &fields);
+        assert_fields(&line(&site, id), &fields);
     }
     let gateway = &site.gateways[0];
     for code in ["1104", "1103", "1203"] {
@@ -224,9 +224,9 @@
 /// An engineer has the id of a request that got 404, and the logs. One command shows the
 /// line, and before it which routes the gateway had put in force, and from whom.
 #[test]
-fn one_command_tells_the_story_of_a_request_without_a_route() {
+fn explain_shows_the_routes_behind_a_404() {
     let site = start();
-    let id = denied(&site, "/nowhere/", "astray-");
+    let id = send_until_denied(&site, "/nowhere/", "astray-");
     line(&site, &id);
     let output = Command::new(env!("CARGO_BIN_EXE_filberthead"))
         .args(["explain", &id])
@@ -234,14 +234,14 @@
         .arg(site.dir().join("control-1.log"))
         .output()
         .expect("the command line starts");
-    let story = String::from_utf8_lossy(&output.stdout);
+    let trace = String::from_utf8_lossy(&output.stdout);
     let from = format!("from={}", site.controls[0].addr("peer"));
     for parts in [
         ["turned away", "code=1100 unknown-service", &from],
         ["routes in force", "version=1", &from],
     ] {
-        let whole = |line: &str| parts.iter().all(|part| line.contains(part));
-        assert!(story.lines().any(whole), "no {parts:?} in {story}");
+        let has_all = |line: &str| parts.iter().all(|part| line.contains(part));
+        assert!(trace.lines().any(has_all), "no {parts:?} in {trace}");
     }
 }
 
@@ -254,7 +254,7 @@
     let site = start();
     // Past the proxy, which lets some 25 new connections through a second.
     let gateway = site.gateways[0].direct_addr("caller");
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0..FLOOD {
         let call = request("GET", "/nowhere/", &format!("flood-{number}"));
         let answer = call.send(gateway).expect("an answer");
@@ -263,24 +263,27 @@
     }
     let order = site.request(0, &request("POST", "/orders/one", "order-1"));
     assert_eq!(order.expect("an answer").status, 200);
-    let large = too_large(&site, gateway);
+    let large = send_until_too_large(&site, gateway);
     line(&site, &large);
-    let seconds = begun.elapsed().as_secs() + 1;
+    let seconds = started.elapsed().as_secs() + 1;
     // The line after the flood tells what was left out at its end.
     std::thread::sleep(Duration::from_secs(1));
-    let last = denied(&site, "/nowhere/", "last-");
+    let last = send_until_denied(&site, "/nowhere/", "last-");
     line(&site, &last);
-    let astray = |event: &Event| field(event, "code") == "1100 unknown-service";
-    let lines: Vec<_> = turned_away(&site).into_iter().filter(astray).collect();
+    let is_unknown_service = |event: &Event| field(event, "code") == "1100 unknown-service";
+    let lines: Vec<_> = rejection_lines(&site)
+        .into_iter()
+        .filter(is_unknown_service)
+        .collect();
     let written = lines.len() as u64;
     let omitted: u64 = lines.iter().map(|line| number(line, "omitted")).sum();
     let counted = |code: &str| site.gateways[0].metric(&format!("kind=\"none\",code=\"{code}\""));
-    let (denied, unproven) = (counted("1100"), counted("1211"));
-    assert!(denied + unproven >= (FLOOD + 1) as f64);
-    assert!((denied - (written + omitted) as f64).abs() < 1e-9);
+    let (send_until_denied, unproven) = (counted("1100"), counted("1211"));
+    assert!(send_until_denied + unproven >= (FLOOD + 1) as f64);
+    assert!((send_until_denied - (written + omitted) as f64).abs() < 1e-9);
     assert!(omitted > 0, "{written} lines in {seconds} s");
     assert!(
-        written <= LINES_A_SECOND * seconds + 1,
+        written <= LINES_PER_SECOND * seconds + 1,
         "{written} lines in {seconds} s"
     );
 }
@@ -288,12 +291,12 @@
 /// A caller may name itself, its host and its path in many kilobytes; a line shows the
 /// beginning of each.
 #[test]
-fn a_line_shows_a_bounded_part_of_what_a_caller_sent() {
+fn a_line_truncates_what_a_caller_sent() {
     let site = start();
     let path = format!("/nowhere/{}", "ž".repeat(2_000));
     let path = path.replace('ž', "%C5%BE");
-    denied(&site, &path, &"x".repeat(3_000));
-    let line = eventually("the line", BOUND, || turned_away(&site).pop());
+    send_until_denied(&site, &path, &"x".repeat(3_000));
+    let line = eventually("the line", BOUND, || rejection_lines(&site).pop());
     assert!(field(&line, "path").starts_with("/nowhere/%C5%BE"));
     assert_eq!(field(&line, "path").len(), 256);
 }
@@ -301,13 +304,13 @@
 /// Somebody sends what is no request, and a head longer than any that is taken in. Both are
 /// answered before there is a request, and neither had a line or was counted.
 #[test]
-fn heads_that_can_not_be_read_are_counted() {
+fn unreadable_request_heads_are_counted() {
     let site = start();
     let gateway = site.gateways[0].direct_addr("caller");
     let refused = |head: &str| {
-        let mut till = TcpStream::connect(gateway).expect("a connection");
-        till.write_all(head.as_bytes()).expect("the head is sent");
-        status_line(&mut till)
+        let mut stream = TcpStream::connect(gateway).expect("a connection");
+        stream.write_all(head.as_bytes()).expect("the head is sent");
+        status_line(&mut stream)
     };
     assert_eq!(refused("what is this\r\n\r\n"), "HTTP/1.1 400");
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(40_000));
