--- a/tests/all/bounds.rs
+++ b/tests/all/bounds.rs
@@ -15,11 +15,11 @@
 const BOUND: Duration = Duration::from_secs(60);
 const SERVICES: &[(&str, &str)] = &[("catalogue", "safe")];
 /// Time between two requests that keep a connection from being idle.
-const PACE: Duration = Duration::from_millis(200);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Puts routes in force with some bounds changed.
 #[track_caller]
-fn put(site: &Site, version: u64, bounds: &Value) {
+fn put_limits(site: &Site, version: u64, bounds: &Value) {
     let mut body: Value = serde_json::from_str(&config(version, SERVICES)).expect("JSON");
     for (name, value) in bounds.as_object().expect("names and values") {
         body["limits"][name] = value.clone();
@@ -31,7 +31,7 @@
 fn start(bounds: &Value) -> Site {
     let mut site = site().replicas(1).tolerate(0).start();
     site.add_endpoint("catalogue", "zagreb-a");
-    put(&site, 1, bounds);
+    put_limits(&site, 1, bounds);
     site.wait_serving(0);
     wait_until("an answer", BOUND, || {
         let answer = site.request(0, &request("GET", "/catalogue/warm-up", "warm-up"));
@@ -49,12 +49,12 @@
 }
 
 /// A connection that its caller keeps.
-struct Kept {
+struct KeptConnection {
     addr: SocketAddr,
     stream: TcpStream,
 }
 
-impl Kept {
+impl KeptConnection {
     fn open(addr: SocketAddr) -> Self {
         let stream = TcpStream::connect(addr).expect("the gateway listens");
         stream.set_read_timeout(Some(BOUND)).expect("a timeout");
@@ -63,7 +63,7 @@
 
     /// The status of the answer to a request with a head of some length; `None` if the
     /// connection was closed without one.
-    fn ask(&mut self, head_bytes: usize) -> Option<u16> {
+    fn send_head(&mut self, head_bytes: usize) -> Option<u16> {
         let line = "GET /catalogue/kept HTTP/1.1\r\nHost: shop.example\r\n\
             X-Request-Id: kept\r\nX-Deadline-Ms: 20000\r\nX-Note: ";
         let note = "n".repeat(head_bytes.saturating_sub(line.len() + 4));
@@ -93,11 +93,11 @@
         }
     }
 
-    /// As [`Kept::ask`], by a caller that connects anew where its request wasn't read.
-    fn ask_again(&mut self, head_bytes: usize) -> Option<u16> {
-        self.ask(head_bytes).or_else(|| {
+    /// As [`KeptConnection::ask`], by a caller that connects anew where its request wasn't read.
+    fn send_head_reconnecting(&mut self, head_bytes: usize) -> Option<u16> {
+        self.send_head(head_bytes).or_else(|| {
             *self = Self::open(self.addr);
-            self.ask(head_bytes)
+            self.send_head(head_bytes)
         })
     }
 }
@@ -106,40 +106,40 @@
 /// their connection went on to be measured by the bound from the day on which they had
 /// connected, and each of their requests was answered 431, which callers take as final.
 #[test]
-fn a_kept_connection_takes_the_longer_heads_that_are_allowed_since() {
+fn a_raised_header_limit_applies_to_open_connections() {
     let site = start(&json!({"max_header_bytes": 16384}));
-    let mut kept = Kept::open(site.gateways[0].addr("caller"));
-    assert_eq!(kept.ask(1024), Some(200));
-    put(&site, 2, &json!({"max_header_bytes": 65536}));
+    let mut kept = KeptConnection::open(site.gateways[0].addr("caller"));
+    assert_eq!(kept.send_head(1024), Some(200));
+    put_limits(&site, 2, &json!({"max_header_bytes": 65536}));
     wait_until("the version is in force", BOUND, || has_version(&site, 2));
-    assert_eq!(kept.ask_again(40_000), Some(200));
+    assert_eq!(kept.send_head_reconnecting(40_000), Some(200));
 }
 
 /// Operators allow connections to stay idle for longer. One that a caller kept from before
 /// was still closed after the short time, in front of the caller's next request.
 #[test]
-fn a_kept_connection_may_stay_idle_as_long_as_is_allowed_since() {
+fn a_raised_idle_timeout_applies_to_open_connections() {
     let site = start(&json!({"idle_timeout_ms": 4000}));
-    let mut kept = Kept::open(site.gateways[0].addr("caller"));
-    assert_eq!(kept.ask(1024), Some(200));
-    put(&site, 2, &json!({"idle_timeout_ms": 60000}));
+    let mut kept = KeptConnection::open(site.gateways[0].addr("caller"));
+    assert_eq!(kept.send_head(1024), Some(200));
+    put_limits(&site, 2, &json!({"idle_timeout_ms": 60000}));
     wait_until("the version is in force", BOUND, || {
-        sleep(PACE);
-        assert_eq!(kept.ask(1024), Some(200));
+        sleep(REQUEST_INTERVAL);
+        assert_eq!(kept.send_head(1024), Some(200));
         has_version(&site, 2)
     });
-    assert_eq!(kept.ask(1024), Some(200));
+    assert_eq!(kept.send_head(1024), Some(200));
     sleep(Duration::from_secs(5));
-    assert_eq!(kept.ask(1024), Some(200));
+    assert_eq!(kept.send_head(1024), Some(200));
 }
 
 /// The time for an idle connection is kept to: one that is used no more is closed.
 #[test]
-fn an_idle_connection_is_closed_when_its_time_is_up() {
+fn an_idle_connection_is_closed_after_the_idle_timeout() {
     let site = start(&json!({"idle_timeout_ms": 1000}));
-    let mut kept = Kept::open(site.gateways[0].addr("caller"));
+    let mut kept = KeptConnection::open(site.gateways[0].addr("caller"));
     let begin = Instant::now();
-    assert_eq!(kept.ask(1024), Some(200));
+    assert_eq!(kept.send_head(1024), Some(200));
     assert_eq!(kept.answer(), None);
     let idle = begin.elapsed();
     assert!(idle >= Duration::from_millis(900), "{idle:?}");
@@ -149,16 +149,16 @@
 /// A gateway that has just started knows no bounds yet. It measured by bounds of its own and
 /// answered 431 for good to a head that operators allow; all that it can say is "come back".
 #[test]
-fn a_gateway_that_knows_no_bounds_refuses_no_head_for_good() {
+fn a_gateway_without_limits_rejects_no_head_permanently() {
     let site = site().replicas(1).tolerate(0).start();
-    let mut kept = Kept::open(site.gateways[0].addr("caller"));
-    assert_eq!(kept.ask(30_000), Some(503));
+    let mut kept = KeptConnection::open(site.gateways[0].addr("caller"));
+    assert_eq!(kept.send_head(30_000), Some(503));
 }
 
 /// The bound is one of bytes. A caller whose head stays far below it, but has 120 short
 /// lines, was answered 431 by a bound of a hundred lines that no operator had set.
 #[test]
-fn many_short_lines_are_within_the_bound_of_bytes() {
+fn many_short_header_lines_are_within_the_byte_limit() {
     let site = start(&json!({"max_header_bytes": 16384}));
     let mut call = request("GET", "/catalogue/lines", "lines");
     for number in 0..120 {
@@ -171,9 +171,9 @@
 /// A gateway is cut off, and operators may have allowed longer heads since. It refused those
 /// that are over its old bound with 431, which callers take as final.
 #[test]
-fn a_gateway_that_is_cut_off_refuses_no_head_for_good() {
+fn a_partitioned_gateway_rejects_no_head_permanently() {
     let site = start(&json!({"max_header_bytes": 16384}));
-    let status = || Kept::open(site.gateways[0].addr("caller")).ask(30_000);
+    let status = || KeptConnection::open(site.gateways[0].addr("caller")).send_head(30_000);
     wait_until("it is told that its routes are the newest", BOUND, || {
         status() == Some(431)
     });
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -17,7 +17,7 @@
 /// others browse. It takes two endpoints at most, then it is refused with a code of its
 /// own, and the others get their pages from the endpoints that are left.
 #[test]
-fn a_search_that_crashes_endpoints_takes_two_at_most() {
+fn a_crashing_request_takes_down_two_endpoints_at_most() {
     let mut cluster = Cluster::builder(programs())
         .places(&[("zagreb", "zagreb-a")])
         .service("catalogue", 5)
@@ -58,7 +58,7 @@
 /// A search crashes what runs it, and the clerk sends it to one entry after the other, in
 /// two failure domains. What one entry has learned holds at all of them.
 #[test]
-fn a_search_is_refused_at_every_entry() {
+fn a_crashing_request_is_quarantined_at_every_entry() {
     let mut cluster = Cluster::builder(programs())
         .places(&[("zagreb", "zagreb-a"), ("split", "split-a")])
         .replicas(1)
@@ -76,7 +76,7 @@
             page.send(*entry).is_ok_and(|answer| answer.status == 200)
         });
     }
-    know_each_other(&entries);
+    wait_for_homes(&entries);
     for endpoint in &cluster.endpoints {
         let when = When::Path("/search".to_owned());
         endpoint
@@ -107,7 +107,7 @@
 }
 
 /// Waits until an order that is sent to each entry finds its home at the first one.
-fn know_each_other(entries: &[SocketAddr]) {
+fn wait_for_homes(entries: &[SocketAddr]) {
     for (n, entry) in entries.iter().enumerate() {
         wait_until("orders reach their home", BOUND, || {
             let lookup = Call::get("/v1/lookup?service=catalogue").send(entries[0]);
--- a/tests/all/entries.rs
+++ b/tests/all/entries.rs
@@ -10,7 +10,7 @@
 use filberthead_testing::{eventually, wait_until};
 use serde::Deserialize;
 
-use crate::support::{at_once, programs, set_row, start_site, warm_up};
+use crate::support::{programs, run_concurrently, set_row, start_single_replica, warm_up};
 
 const BOUND: Duration = Duration::from_secs(60);
 const ANSWER_BYTES: usize = 64;
@@ -37,7 +37,7 @@
         .entries_each(entries_each)
         .service("catalogue", endpoints_each)
         .entry_setting("callers", "lookup_ttl", "1s");
-    let cluster = start_site(builder);
+    let cluster = start_single_replica(builder);
     // Without a table no request leaves its failure domain.
     set_row(&cluster, "catalogue", "zagreb");
     let named = 2 * entries_each - 1;
@@ -60,12 +60,12 @@
 
 /// Lets the near failure domain's endpoints leave, so that its entries pass all on, and
 /// waits until they do.
-fn empty_near_domain(cluster: &Cluster) {
+fn drain_near_domain(cluster: &Cluster) {
     let near = cluster.entries[NEAR].place().clone();
     for endpoint in cluster.endpoints.iter().filter(|end| end.place == near) {
         endpoint.standin.script(|script| script.leaving = true);
     }
-    let here = || {
+    let near_received = || {
         let near = cluster.endpoints.iter().filter(|end| end.place == near);
         let count = |end: &filberthead_testing::cluster::Endpoint| {
             end.standin.record().count(Stage::Received, |_| true)
@@ -74,10 +74,10 @@
     };
     let entry = cluster.caller_addrs()[NEAR];
     wait_until("reads go to the other failure domain", BOUND, || {
-        let before = here();
-        let answers = at_once(4, |_| read("/tricks").send(entry));
+        let before = near_received();
+        let answers = run_concurrently(4, |_| read("/tricks").send(entry));
         let served = |answer: &Answer| answer.status == 200;
-        here() == before && answers.iter().flatten().all(served)
+        near_received() == before && answers.iter().flatten().all(served)
     });
 }
 
@@ -88,7 +88,7 @@
     let cluster = start();
     let entry = cluster.caller_addrs()[NEAR];
     warm_up(&cluster, "catalogue");
-    empty_near_domain(&cluster);
+    drain_near_domain(&cluster);
     for number in 0..20 {
         let path = format!("/tricks/{number}?shelf=2");
         let answer = read(&path).send(entry).expect("an answer");
@@ -104,12 +104,12 @@
 /// A lesson comes through two entries, and the second one is killed half way. The first
 /// one must go on with it from where it broke off, through another entry.
 #[test]
-fn a_download_goes_on_when_the_entry_that_passes_it_on_is_killed() {
+fn a_download_resumes_when_the_forwarding_entry_is_killed() {
     const BYTES: usize = 3_000_000;
     let mut cluster = start();
     let entry = cluster.caller_addrs()[NEAR];
     warm_up(&cluster, "catalogue");
-    empty_near_domain(&cluster);
+    drain_near_domain(&cluster);
     for endpoint in &cluster.endpoints {
         endpoint
             .standin
@@ -123,39 +123,39 @@
         record.count(Stage::Executed, |seen| seen.path.contains("lesson")) > 0
     };
     wait_until("the lesson has begun", BOUND, || runs(&cluster));
-    let carrier = carrier(&mut cluster);
-    cluster.entry(&carrier).kill();
+    let forwarder = forwarder(&mut cluster);
+    cluster.entry(&forwarder).kill();
     let lesson = lesson.join().expect("no panic");
     let lesson = lesson.unwrap_or_else(|e| panic!("{e}"));
     let refused = (lesson.body.len() < 1000).then(|| lesson.text());
     assert_eq!(lesson.body.len(), BYTES, "{} {refused:?}", lesson.status);
     assert!(Payload::of_download("lesson", 1).matches(0, &lesson.body));
-    let carried = |seen: &filberthead_testing::standin::Seen| seen.path.contains("lesson");
-    assert!(cluster.record().count(Stage::Executed, carried) > 1);
+    let is_lesson = |seen: &filberthead_testing::standin::Seen| seen.path.contains("lesson");
+    assert!(cluster.record().count(Stage::Executed, is_lesson) > 1);
 }
 
 /// Sends a reading to the near failure domain, which passes it on, and kills the entry that
 /// has passed it to its endpoint before a byte of the answer has come.
-fn lose_its_carrier(cluster: &mut Cluster, call: Call) -> Answer {
+fn kill_forwarder(cluster: &mut Cluster, call: Call) -> Answer {
     let entry = cluster.caller_addrs()[NEAR];
     warm_up(cluster, "catalogue");
-    empty_near_domain(cluster);
+    drain_near_domain(cluster);
     for endpoint in &cluster.endpoints {
         let slow = |script: &mut Script| script.service_time = Duration::from_secs(1);
         endpoint.standin.script(slow);
     }
-    let reading = std::thread::spawn(move || call.bound(BOUND).send(entry));
+    let read_thread = std::thread::spawn(move || call.bound(BOUND).send(entry));
     wait_until("the reading runs", BOUND, || {
         let record = cluster.record();
         record.count(Stage::Executed, |seen| seen.path == "/slow") > 0
     });
-    let carrier = carrier(cluster);
-    cluster.entry(&carrier).kill();
-    let answer = reading.join().expect("no panic");
+    let forwarder = forwarder(cluster);
+    cluster.entry(&forwarder).kill();
+    let answer = read_thread.join().expect("no panic");
     answer.unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn has_waited(cluster: &Cluster) -> bool {
+fn waited_for_takeover(cluster: &Cluster) -> bool {
     let log = cluster.entries[NEAR].process_ref().log();
     log.contains("waits for the next owner of its endpoints")
 }
@@ -166,42 +166,42 @@
 /// "refused ... code=1301 why=1202 touched=true tried=1". The reading can simply run again,
 /// so it waits for the neighbour.
 #[test]
-fn a_reading_whose_entry_is_killed_waits_for_the_next_owner() {
+fn a_read_whose_entry_is_killed_waits_for_the_takeover() {
     let mut cluster = start_with(2, 1);
-    let answer = lose_its_carrier(&mut cluster, read("/slow"));
+    let answer = kill_forwarder(&mut cluster, read("/slow"));
     assert_eq!(answer.status, 200, "{}", answer.text());
     let own = Payload::of_answer("GET", "/slow", b"").slice(0, ANSWER_BYTES);
     assert_eq!(answer.body, own);
-    assert!(has_waited(&cluster));
+    assert!(waited_for_takeover(&cluster));
 }
 
 /// The same, but the killed entry was alone in its failure domain: nobody takes over. The
 /// caller is told at once that the reading may have run, and can turn elsewhere.
 #[test]
-fn a_reading_that_nobody_takes_over_does_not_wait() {
+fn a_read_without_a_successor_does_not_wait() {
     let mut cluster = start_with(1, 1);
-    let answer = lose_its_carrier(&mut cluster, read("/slow"));
+    let answer = kill_forwarder(&mut cluster, read("/slow"));
     assert_eq!(answer.result(), Some(1301), "{}", answer.text());
-    assert!(!has_waited(&cluster));
+    assert!(!waited_for_takeover(&cluster));
 }
 
 /// The same, with a caller that gives up before any lease can have lapsed. Waiting would
 /// only keep it from turning elsewhere.
 #[test]
-fn a_reading_that_ends_before_the_next_owner_comes_does_not_wait() {
+fn a_read_that_ends_before_the_takeover_does_not_wait() {
     let mut cluster = start_with(2, 1);
     let call = read("/slow").header("filberthead-timeout-ms", "2400");
-    let answer = lose_its_carrier(&mut cluster, call);
+    let answer = kill_forwarder(&mut cluster, call);
     assert!(
         matches!(answer.result(), Some(1300 | 1301)),
         "{}",
         answer.text()
     );
-    assert!(!has_waited(&cluster));
+    assert!(!waited_for_takeover(&cluster));
 }
 
 /// The entry of the far failure domain that has a request in progress.
-fn carrier(cluster: &mut Cluster) -> String {
+fn forwarder(cluster: &mut Cluster) -> String {
     let near = cluster.entries[NEAR].place().clone();
     let far: Vec<_> = cluster
         .entries
@@ -242,12 +242,13 @@
         Cut::InBody => head.len() + BODY.len() / 2,
         Cut::BeforeAnswer | Cut::InAnswer => request.len(),
     };
-    let mut till = TcpStream::connect(entry).expect("a connection");
-    till.write_all(&request.as_bytes()[..sent])
+    let mut stream = TcpStream::connect(entry).expect("a connection");
+    stream
+        .write_all(&request.as_bytes()[..sent])
         .expect("a sent part");
     if matches!(cut, Cut::InAnswer) {
         let mut buf = [0; 32];
-        till.read_exact(&mut buf).expect("the answer begins");
+        stream.read_exact(&mut buf).expect("the answer begins");
     }
 }
 
@@ -255,7 +256,7 @@
 /// of the answer, and sends the order again through another entry. However far the first
 /// one came, the order is placed once, and the till gets its answer.
 #[test]
-fn an_order_cut_at_any_stage_and_sent_elsewhere_is_placed_once() {
+fn an_order_cut_at_any_stage_and_resent_to_another_entry_is_placed_once() {
     let cluster = start();
     let entries = cluster.caller_addrs();
     warm_up(&cluster, "catalogue");
@@ -286,7 +287,7 @@
     let prefix = look_up(entries[0]).expect("a look-up").key_prefix;
     let key = format!("{prefix}all");
     let order = Call::post("/v1/services/catalogue/place", &key, BODY);
-    let answers = at_once(2 * entries.len(), |number| {
+    let answers = run_concurrently(2 * entries.len(), |number| {
         order.send(entries[number % entries.len()])
     });
     let own = Payload::of_answer("POST", "/place", BODY.as_bytes()).slice(0, ANSWER_BYTES);
--- a/tests/all/explained.rs
+++ b/tests/all/explained.rs
@@ -32,7 +32,7 @@
 }
 
 /// What `filberthead explain` prints of a request, from the logs of all processes.
-fn story(site: &Site, id: &str) -> String {
+fn explain(site: &Site, id: &str) -> String {
     let log = |name: &str| site.dir().join(format!("{name}.log"));
     let output = Command::new(env!("CARGO_BIN_EXE_filberthead"))
         .args(["explain", id])
@@ -44,7 +44,7 @@
 
 /// Waits until a line about the request holds all these words.
 #[track_caller]
-fn explained(site: &Site, id: &str, words: &[&str]) {
+fn wait_logged(site: &Site, id: &str, words: &[&str]) {
     eventually(&format!("a line with {words:?}"), BOUND, || {
         let lines = lines(site, id);
         lines
@@ -62,8 +62,8 @@
     site.endpoints[0].manner(Manner::Sheds);
     let answer = site.request(0, &request("POST", "/orders/one", "refused-1"));
     assert_eq!(answer.expect("an answer").status, 503);
-    explained(&site, "refused-1", &["attempt ended", "i-1", "Full"]);
-    explained(
+    wait_logged(&site, "refused-1", &["attempt ended", "i-1", "Full"]);
+    wait_logged(
         &site,
         "refused-1",
         &[
@@ -86,14 +86,14 @@
     site.endpoints[0].manner(Manner::LosesAnswer);
     let answer = site.request(0, &request("POST", "/orders/one", "lost-1"));
     assert_eq!(answer.expect("an answer").status, 502);
-    explained(&site, "lost-1", &["attempt ended", "i-1", "Broken"]);
-    explained(&site, "lost-1", &["lost with the request at it", "ran=1"]);
+    wait_logged(&site, "lost-1", &["attempt ended", "i-1", "Broken"]);
+    wait_logged(&site, "lost-1", &["lost with the request at it", "ran=1"]);
 }
 
 /// An engineer has the logs of all processes as they are written, in JSON, and the id of an
 /// order that got 502. One command names the endpoint that has it and the routes it went by.
 #[test]
-fn one_command_tells_the_story_of_a_request() {
+fn explain_traces_a_request_through_all_logs() {
     let mut site = start();
     site.gateways[0].settings().set("log", "format", "json");
     site.gateways[0].restart();
@@ -108,10 +108,13 @@
         "routes in force",
     ];
     eventually("the whole story", BOUND, || {
-        let story = story(&site, "lost-2");
-        wanted.iter().all(|part| story.contains(part)).then_some(())
+        let explain = explain(&site, "lost-2");
+        wanted
+            .iter()
+            .all(|part| explain.contains(part))
+            .then_some(())
     });
-    assert!(story(&site, "nobody-1").contains("no line names nobody-1"));
+    assert!(explain(&site, "nobody-1").contains("no line names nobody-1"));
 }
 
 /// A request met an endpoint that wasn't the one on the list any more: the log names it.
@@ -121,7 +124,7 @@
     site.endpoints[0].reborn("i-somebody-else");
     let answer = site.request(0, &request("POST", "/orders/one", "gone-1"));
     assert_eq!(answer.expect("an answer").status, 503);
-    explained(&site, "gone-1", &["attempt ended", "i-1", "Gone"]);
+    wait_logged(&site, "gone-1", &["attempt ended", "i-1", "Gone"]);
 }
 
 #[test]
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -57,8 +57,11 @@
     let answer = send_until(&site, "GET", "/catalogue/cards?page=2", 200);
     assert_eq!(answer.text(), "GET /catalogue/cards?page=2 0");
     assert_eq!(answer.header("x-response-signature"), "signed");
-    let left = site.endpoints[0].deadlines()[0];
-    assert!((10_000..=20_000).contains(&left), "{left} ms left");
+    let remaining = site.endpoints[0].deadlines()[0];
+    assert!(
+        (10_000..=20_000).contains(&remaining),
+        "{remaining} ms left"
+    );
     // For good only once control has proved the routes; until then it may come back.
     let denied = eventually("a final answer", BOUND, || {
         let answer = send(&site, "GET", "/nowhere/", "x");
@@ -176,7 +179,7 @@
     site.endpoints[0].drain();
     site.show_endpoints();
     assert_eq!(site.order("evacuations.start&of=split-a", "").status, 200);
-    let rest = |site: &Site| {
+    let new_runs = |site: &Site| {
         let before: Vec<_> = site.endpoints.iter().map(|e| e.ran().len()).collect();
         (0..20).for_each(|n| {
             send(site, "GET", &format!("/catalogue/{n}"), &format!("r-{n}"));
@@ -185,12 +188,12 @@
         after.zip(before).map(|(a, b)| a - b).collect::<Vec<_>>()
     };
     wait_until("only the third one runs requests", BOUND, || {
-        rest(&site) == [0, 0, 20]
+        new_runs(&site) == [0, 0, 20]
     });
     assert_eq!(site.order("evacuations.end&of=split-a", "").status, 200);
     site.endpoints[2].leave();
     site.show_endpoints();
-    wait_until("the second one is back", BOUND, || rest(&site)[1] > 0);
+    wait_until("the second one is back", BOUND, || new_runs(&site)[1] > 0);
 }
 
 /// A caller leaves while its request runs. The endpoint must be told, so that it doesn't
@@ -431,17 +434,17 @@
     hanging.join().expect("the caller").expect("an answer");
     send_until(&site, "GET", "/catalogue/three", 200);
     let before = endpoint.ran().len();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < Duration::from_secs(2) {
+    while started.elapsed() < Duration::from_secs(2) {
         number += 1;
         send(&site, "GET", "/catalogue/four", &format!("press-{number}"));
     }
-    let got = (endpoint.ran().len() - before) as f64;
-    let bears = COLD_PER_S * begun.elapsed().as_secs_f64();
+    let received = (endpoint.ran().len() - before) as f64;
+    let capacity = COLD_PER_S * started.elapsed().as_secs_f64();
     assert!(
-        got >= 1.0 && got <= bears,
-        "{got} of {number} pressed, {bears} are borne"
+        received >= 1.0 && received <= capacity,
+        "{received} of {number} pressed, {capacity} are borne"
     );
 }
 
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -68,8 +68,8 @@
         (id != lost).then_some(id)
     });
     wait_until("it votes", BOUND, || {
-        let known = site.controls[..2].iter().all(|node| votes(node, &id));
-        known && wait_version_once(&site.controls[1], 7)
+        let known = site.controls[..2].iter().all(|node| lists_voter(node, &id));
+        known && has_proven(&site.controls[1], 7)
     });
     // The second loss.
     site.controls[2].kill();
@@ -89,19 +89,19 @@
 }
 
 /// Whether a replica last knew another one as a voter.
-fn votes(node: &Node, id: &str) -> bool {
+fn lists_voter(node: &Node, id: &str) -> bool {
     let log = node.process_ref().log();
-    let mut beliefs = log
+    let mut lines = log
         .lines()
         .filter(|line| line.contains("leadership or membership"));
-    let voters = beliefs.next_back().and_then(|line| {
+    let voters = lines.next_back().and_then(|line| {
         let (_, rest) = line.split_once(" voters=")?;
         Some(rest.split_once(" learners=")?.0)
     });
     voters.is_some_and(|voters| voters.contains(id))
 }
 
-fn wait_version_once(node: &Node, version: u64) -> bool {
+fn has_proven(node: &Node, version: u64) -> bool {
     proven(node) == Some(version)
 }
 
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn calls_that_do_not_exist_change_nothing() {
+fn unknown_calls_change_nothing() {
     let site = site().replicas(1).tolerate(0).start();
     site.put_routes(7, SERVICES);
     let status = |call: &str| site.order(call, "").status.as_u16();
@@ -161,8 +161,8 @@
         .map(|n| n.name().to_owned())
         .filter(|n| *n != name)
         .collect();
-    let sides: Vec<&str> = others.iter().map(String::as_str).collect();
-    site.network.partition(&[&[&name], &sides]);
+    let other_names: Vec<&str> = others.iter().map(String::as_str).collect();
+    site.network.partition(&[&[&name], &other_names]);
     wait_until("the others accept a change", BOUND, || {
         others.iter().any(|other| {
             let body = config(8, SERVICES);
@@ -212,7 +212,7 @@
 /// leader's last word on the membership names all four, and stays so.
 #[test]
 fn a_replica_that_was_replaced_loses_its_vote() {
-    const LONG: Duration = Duration::from_secs(20);
+    const REPLACEMENT_BOUND: Duration = Duration::from_secs(20);
     let mut site = site().start();
     site.put_routes(7, SERVICES);
     site.controls.iter().for_each(|node| wait_version(node, 7));
@@ -220,9 +220,9 @@
     site.controls[2].kill();
     site.add_control();
     let new = replica_id(&site.controls[3]);
-    wait_until("the new one has the place", LONG, || {
+    wait_until("the new one has the place", REPLACEMENT_BOUND, || {
         let node = &site.controls[0];
-        votes(node, &new) && !votes(node, &gone)
+        lists_voter(node, &new) && !lists_voter(node, &gone)
     });
 }
 
@@ -245,7 +245,7 @@
 /// The platform tells a process that its settings have changed in the moment in which it
 /// says that it serves. It had not caught the signal yet, which ended it.
 #[test]
-fn a_process_bears_a_reload_as_soon_as_it_serves() {
+fn a_reload_signal_right_after_start_ends_no_process() {
     let mut site = site().replicas(1).tolerate(0).start();
     for _ in 0..10 {
         for node in site.controls.iter_mut().chain(&mut site.gateways) {
@@ -281,8 +281,8 @@
     // Closed without an answer is an invitation to come again as well.
     let _ = stream.read_to_string(&mut answer);
     let again = ["HTTP/1.1 408 ", "HTTP/1.1 503 "];
-    let asked_back = again.iter().any(|status| answer.starts_with(status));
-    assert!(asked_back || answer.is_empty(), "{answer}");
+    let may_retry = again.iter().any(|status| answer.starts_with(status));
+    assert!(may_retry || answer.is_empty(), "{answer}");
     assert_eq!(site.order("config.put", &text).status, 200);
     wait_version(&site.controls[0], 2);
 }
--- a/tests/all/homes.rs
+++ b/tests/all/homes.rs
@@ -14,9 +14,9 @@
 
 const BOUND: Duration = Duration::from_secs(120);
 /// Holds the homes of most tests, has the backup in the next one.
-const HOLDER: &str = "entry-zagreb-a-1";
+const PRIMARY: &str = "entry-zagreb-a-1";
 const BACKUP: &str = "entry-zagreb-a-2";
-const ELSEWHERE: &str = "entry-split-a-1";
+const REMOTE: &str = "entry-split-a-1";
 
 const REPLAYED: Option<u16> = Some(1001);
 const HOME_UNREACHABLE: Option<u16> = Some(1204);
@@ -48,24 +48,24 @@
         cluster.entries.iter_mut().for_each(Node::spawn);
         cluster.entries.iter_mut().for_each(Node::wait_ready);
         let mut site = Self { cluster };
-        site.settle();
+        site.wait_settled();
         site
     }
 
     /// Waits until each entry hands out a prefix and passes orders on to the holder.
-    fn settle(&mut self) {
-        for name in [HOLDER, BACKUP, ELSEWHERE] {
+    fn wait_settled(&mut self) {
+        for name in [PRIMARY, BACKUP, REMOTE] {
             let addr = self.addr(name);
             wait_until("the entry hands out a prefix", BOUND, || {
                 look_up(addr).is_some_and(|lookup| !lookup.key_prefix.is_empty())
             });
         }
-        for name in [HOLDER, BACKUP, ELSEWHERE] {
+        for name in [PRIMARY, BACKUP, REMOTE] {
             let addr = self.addr(name);
-            let holder = self.addr(HOLDER);
+            let primary = self.addr(PRIMARY);
             let mut sent = 0;
             wait_until("orders reach the holder", BOUND, || {
-                let prefix = look_up(holder).expect("a look-up").key_prefix;
+                let prefix = look_up(primary).expect("a look-up").key_prefix;
                 // While nobody has slots an order is refused, for good under its key.
                 sent += 1;
                 let key = format!("{prefix}{name}-{sent}");
@@ -81,9 +81,9 @@
     }
 
     /// A key whose home is held by an entry.
-    fn key(&mut self, entry: &str, rest: &str) -> String {
+    fn key(&mut self, entry: &str, suffix: &str) -> String {
         let lookup = look_up(self.addr(entry)).expect("a look-up");
-        format!("{}{rest}", lookup.key_prefix)
+        format!("{}{suffix}", lookup.key_prefix)
     }
 
     fn send(&mut self, entry: &str, key: &str) -> Answer {
@@ -102,10 +102,12 @@
     }
 
     /// Makes all endpoints answer orders late.
-    fn slow(&self, late: Duration) {
+    fn delay_orders(&self, delay: Duration) {
         for endpoint in &self.cluster.endpoints {
             let when = When::Path("/place".to_owned());
-            endpoint.standin.rule(Rule::always(when, Fault::Late(late)));
+            endpoint
+                .standin
+                .rule(Rule::always(when, Fault::Late(delay)));
         }
     }
 
@@ -114,16 +116,16 @@
     }
 
     /// Starts an order, whose answer nobody reads, and waits until an endpoint runs it.
-    fn running(&mut self, entry: &str, key: &str) -> TcpStream {
-        let mut till = TcpStream::connect(self.addr(entry)).expect("a connection");
+    fn start_order(&mut self, entry: &str, key: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.addr(entry)).expect("a connection");
         let head = "POST /v1/services/orders/place HTTP/1.1\r\nhost: a\r\ncontent-length: 13";
         write!(
-            till,
+            stream,
             "{head}\r\nidempotency-key: {key}\r\n\r\nthree rabbits"
         )
         .expect("sent");
         wait_until("the order runs", BOUND, || self.executions(key) == 1);
-        till
+        stream
     }
 }
 
@@ -141,13 +143,13 @@
 #[test]
 fn a_resend_at_another_entry_gets_the_first_answer() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    for entry in [BACKUP, ELSEWHERE] {
-        let again = site.send(entry, &key);
-        assert_eq!(again.result(), REPLAYED, "{}", again.text());
-        assert_eq!(again.body, first.body);
+    for entry in [BACKUP, REMOTE] {
+        let resent = site.send(entry, &key);
+        assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
+        assert_eq!(resent.body, first.body);
     }
     assert_eq!(site.executions(&key), 1);
 }
@@ -157,15 +159,15 @@
 #[test]
 fn a_finished_order_survives_its_entry() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
     // The answer is copied after it was told; a resend through the backup shows it there.
     let copied = site.send(BACKUP, &key);
     assert_eq!(copied.result(), REPLAYED);
-    site.cluster.entry(HOLDER).kill();
-    let again = site.resend_until(ELSEWHERE, &key, REPLAYED);
-    assert_eq!(again.body, first.body);
+    site.cluster.entry(PRIMARY).kill();
+    let resent = site.resend_until(REMOTE, &key, REPLAYED);
+    assert_eq!(resent.body, first.body);
     assert_eq!(site.executions(&key), 1);
 }
 
@@ -174,12 +176,12 @@
 #[test]
 fn a_running_order_is_not_placed_again_when_its_entry_dies() {
     let mut site = Site::start();
-    site.slow(Duration::from_secs(20));
-    let key = site.key(HOLDER, "a");
-    let till = site.running(HOLDER, &key);
-    site.cluster.entry(HOLDER).kill();
-    drop(till);
-    site.resend_until(ELSEWHERE, &key, OUTCOME_UNKNOWN);
+    site.delay_orders(Duration::from_secs(20));
+    let key = site.key(PRIMARY, "a");
+    let stream = site.start_order(PRIMARY, &key);
+    site.cluster.entry(PRIMARY).kill();
+    drop(stream);
+    site.resend_until(REMOTE, &key, OUTCOME_UNKNOWN);
     site.resend_until(BACKUP, &key, OUTCOME_UNKNOWN);
     assert_eq!(site.executions(&key), 1);
 }
@@ -190,23 +192,23 @@
 #[test]
 fn a_planned_stop_hands_the_home_over() {
     let mut site = Site::start();
-    let running = site.key(HOLDER, "running");
-    let cached = site.key(HOLDER, "cached");
-    site.slow(Duration::from_secs(2));
-    let till = site.running(HOLDER, &running);
-    site.cluster.entry(HOLDER).process().terminate();
-    let placed = site.send(ELSEWHERE, &cached);
+    let start_order = site.key(PRIMARY, "running");
+    let cached = site.key(PRIMARY, "cached");
+    site.delay_orders(Duration::from_secs(2));
+    let stream = site.start_order(PRIMARY, &start_order);
+    site.cluster.entry(PRIMARY).process().terminate();
+    let placed = site.send(REMOTE, &cached);
     assert!(
         matches!(placed.result(), Some(1000 | 1001)),
         "{}",
         placed.text()
     );
-    let status = site.cluster.entry(HOLDER).process().wait_exit();
+    let status = site.cluster.entry(PRIMARY).process().wait_exit();
     assert!(status.success(), "{status:?}");
-    drop(till);
-    let again = site.send(ELSEWHERE, &running);
-    assert_eq!(again.result(), REPLAYED, "{}", again.text());
-    assert_eq!(site.executions(&running), 1);
+    drop(stream);
+    let resent = site.send(REMOTE, &start_order);
+    assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
+    assert_eq!(site.executions(&start_order), 1);
     assert_eq!(site.executions(&cached), 1);
 }
 
@@ -215,18 +217,18 @@
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_its_own_keys() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let inside: &[&str] = &[HOLDER, BACKUP];
-    let outside: &[&str] = &[ELSEWHERE, "entry-split-a-2", "control-1"];
+    let key = site.key(PRIMARY, "a");
+    let inside: &[&str] = &[PRIMARY, BACKUP];
+    let outside: &[&str] = &[REMOTE, "entry-split-a-2", "control-1"];
     site.cluster.network.partition(&[inside, outside]);
-    let refused = site.resend_until(ELSEWHERE, &key, HOME_UNREACHABLE);
+    let refused = site.resend_until(REMOTE, &key, HOME_UNREACHABLE);
     assert_eq!(refused.header("filberthead-meaning"), "may-have-run");
     assert_eq!(site.executions(&key), 0);
     let first = site.send(BACKUP, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
     site.cluster.network.heal();
-    let again = site.resend_until(ELSEWHERE, &key, REPLAYED);
-    assert_eq!(again.body, first.body);
+    let resent = site.resend_until(REMOTE, &key, REPLAYED);
+    assert_eq!(resent.body, first.body);
     assert_eq!(site.executions(&key), 1);
 }
 
@@ -235,19 +237,19 @@
 #[test]
 fn a_home_that_lost_its_records_places_nothing() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    for entry in [HOLDER, BACKUP] {
+    for entry in [PRIMARY, BACKUP] {
         site.cluster.entry(entry).kill();
     }
-    for entry in [HOLDER, BACKUP] {
+    for entry in [PRIMARY, BACKUP] {
         site.cluster.entry(entry).start();
     }
-    for entry in [HOLDER, ELSEWHERE] {
+    for entry in [PRIMARY, REMOTE] {
         site.resend_until(entry, &key, HOME_LOST_RECORDS);
     }
-    let fresh = site.key(HOLDER, "fresh");
+    let fresh = site.key(PRIMARY, "fresh");
     assert_ne!(fresh, key);
     let placed = |seen: &Seen| seen.path == "/place";
     assert_eq!(site.cluster.record().count(Stage::Executed, placed), 1);
--- a/tests/all/journals.rs
+++ b/tests/all/journals.rs
@@ -23,15 +23,15 @@
     key_prefix: String,
 }
 
-struct Shop {
+struct SingleEntry {
     cluster: Cluster,
     key: String,
     first: Answer,
 }
 
-impl Shop {
+impl SingleEntry {
     /// An entry at which an order was placed and answered.
-    fn with_an_order() -> Self {
+    fn with_finished_order() -> Self {
         let mut cluster = Cluster::builder(programs())
             .places(&[("zagreb", "zagreb-a")])
             .service("orders", 2)
@@ -103,57 +103,57 @@
 /// resends it when the entry is back, and gets the answer that it had lost.
 #[test]
 fn an_answer_survives_the_only_entry() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), REPLAYED, "{}", again.text());
-    assert_eq!(again.body, shop.first.body);
-    let record = shop.cluster.record();
-    assert_eq!(record.executions_of(&shop.key), 1);
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
+    assert_eq!(resent.body, site.first.body);
+    let record = site.cluster.record();
+    assert_eq!(record.executions_of(&site.key), 1);
 }
 
 /// Power was lost in the middle of a write, so the journal ends in half a step. That step
 /// was told to nobody; all before it counts.
 #[test]
 fn a_torn_journal_keeps_what_was_synced() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    let journal = fs::OpenOptions::new().append(true).open(shop.journal());
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    let journal = fs::OpenOptions::new().append(true).open(site.journal());
     let torn = [0x40, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7];
     journal
         .and_then(|mut f| f.write_all(&torn))
         .expect("a torn write");
-    shop.start();
-    assert_eq!(shop.resend().result(), REPLAYED);
+    site.start();
+    assert_eq!(site.resend().result(), REPLAYED);
 }
 
 /// A bit of the journal has flipped on the disk. A start may be missing from what can be
 /// read, so the entry must not go on from it; it says what is true, "may have run".
 #[test]
 fn a_damaged_journal_loses_the_home() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    let path = shop.journal();
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    let path = site.journal();
     let mut content = fs::read(&path).expect("a journal");
     let middle = content.len() / 2;
     content[middle] ^= 0x10;
     fs::write(&path, content).expect("a damaged journal");
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), HOME_LOST_RECORDS, "{}", again.text());
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
 }
 
 /// The entry comes back with a new disk.
 #[test]
 fn a_wiped_disk_loses_the_home() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    shop.cluster.entries[0].wipe();
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), HOME_LOST_RECORDS, "{}", again.text());
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    site.cluster.entries[0].wipe();
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
     wait_until("new orders are taken", BOUND, || {
-        prefix(shop.entry()).is_some()
+        prefix(site.entry()).is_some()
     });
 }
--- a/tests/all/large_routes.rs
+++ b/tests/all/large_routes.rs
@@ -10,15 +10,15 @@
 
 const BOUND: Duration = Duration::from_secs(60);
 /// Bytes that a few messages take, and a table of thousands of routes doesn't.
-const FEW_BYTES: f64 = 16.0 * 1024.0;
+const DELTA_BOUND: f64 = 16.0 * 1024.0;
 
 /// A configuration with so many further routes to one service.
-fn grown(version: u64, further: usize) -> String {
+fn config_with_routes(version: u64, extra: usize) -> String {
     let text = config(version, &[("catalogue", "safe")]);
     let mut body: Value = serde_json::from_str(&text).expect("it is JSON");
     let first = body["routes"][0].clone();
     let routes = body["routes"].as_array_mut().expect("a list of routes");
-    routes.extend((0..further).map(|number| {
+    routes.extend((0..extra).map(|number| {
         let mut route = first.clone();
         route["name"] = json!(format!("r-further{number}"));
         route["path_prefix"] = json!(format!("/further{number}/"));
@@ -52,25 +52,25 @@
 /// Guards against a large configuration that is sent whole, and sent again for each change:
 /// it takes a small VM's link for seconds.
 #[test]
-fn a_gateway_gets_a_large_table_in_parts_and_then_changes_alone() {
+fn a_large_table_is_sent_in_parts_and_then_as_deltas() {
     let mut site = site().start();
     site.add_endpoint("catalogue", "zagreb-a");
-    put(&site, &grown(1, 0));
+    put(&site, &config_with_routes(1, 0));
     site.wait_serving(0);
-    put(&site, &grown(2, 3000));
+    put(&site, &config_with_routes(2, 3000));
     wait_in_force(&site, 2);
     assert_served(&site, "/further2999/1");
     let parts = received(&site, "part");
-    assert!(parts > 4.0 * FEW_BYTES, "{parts}");
-    put(&site, &grown(3, 3001));
+    assert!(parts > 4.0 * DELTA_BOUND, "{parts}");
+    put(&site, &config_with_routes(3, 3001));
     wait_in_force(&site, 3);
     assert_served(&site, "/further3000/1");
-    let further = received(&site, "part") - parts;
-    assert!(further < FEW_BYTES, "the change alone, not {further}");
-    let whole = received(&site, "routes") + received(&site, "routes-changed");
-    assert!(whole < FEW_BYTES, "{whole}");
+    let extra = received(&site, "part") - parts;
+    assert!(extra < DELTA_BOUND, "the change alone, not {extra}");
+    let full = received(&site, "routes") + received(&site, "routes-changed");
+    assert!(full < DELTA_BOUND, "{full}");
     site.gateways[0].restart();
     wait_in_force(&site, 3);
     assert_served(&site, "/further3000/1");
-    assert!(received(&site, "part") > 4.0 * FEW_BYTES);
+    assert!(received(&site, "part") > 4.0 * DELTA_BOUND);
 }
--- a/tests/all/measures.rs
+++ b/tests/all/measures.rs
@@ -85,9 +85,9 @@
     assert_eq!(value(status, &drains), 1.0);
 }
 
-struct TakeSamples(Sender<SampleReport>);
+struct SampleSink(Sender<SampleReport>);
 
-impl Deliver for TakeSamples {
+impl Deliver for SampleSink {
     fn deliver(&mut self, _origin: Origin, body: Body) {
         if let Body::Samples(report) = body {
             // The test may have ended.
@@ -120,7 +120,7 @@
     let mut cluster = prepared();
     let listen = "127.0.0.1:0".parse().expect("an address");
     let name = cluster.name();
-    let control = Transport::listen(listen, cluster_id(&name), TakeSamples(tx));
+    let control = Transport::listen(listen, cluster_id(&name), SampleSink(tx));
     let control = control.expect("a transport");
     cluster.entries[0]
         .settings()
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -44,13 +44,13 @@
 }
 
 /// A key under the prefix of a look-up at `entry`.
-fn key(entry: SocketAddr, rest: &str) -> String {
+fn key(entry: SocketAddr, suffix: &str) -> String {
     let prefix = eventually("the entry hands out a prefix", BOUND, || {
         let answer = Call::get("/v1/lookup?service=orders").send(entry).ok()?;
         let lookup: Lookup = answer.json();
         Some(lookup.key_prefix).filter(|prefix| !prefix.is_empty())
     });
-    format!("{prefix}{rest}")
+    format!("{prefix}{suffix}")
 }
 
 fn order(key: &str) -> Call {
@@ -62,9 +62,9 @@
 }
 
 /// Sends an order until an endpoint has a slot for it; each refusal needs another key.
-fn placed(entry: SocketAddr, rest: &str) -> (String, Answer) {
+fn placed(entry: SocketAddr, suffix: &str) -> (String, Answer) {
     eventually("an order is placed", BOUND, || {
-        let key = key(entry, rest);
+        let key = key(entry, suffix);
         let answer = answered(order(&key).send(entry));
         Some((key, answer)).filter(|(_, answer)| answer.result() == Some(1000))
     })
@@ -74,11 +74,11 @@
 fn a_resend_gets_the_stored_answer() {
     let (cluster, entry) = start();
     let (placed, first) = placed(entry, "a");
-    let again = answered(order(&placed).send(entry));
-    assert_eq!(again.result(), Some(1001));
-    assert_eq!(again.header("filberthead-key-prefix"), key(entry, ""));
-    assert_eq!(again.status, first.status);
-    assert_eq!(again.body, first.body);
+    let resent = answered(order(&placed).send(entry));
+    assert_eq!(resent.result(), Some(1001));
+    assert_eq!(resent.header("filberthead-key-prefix"), key(entry, ""));
+    assert_eq!(resent.status, first.status);
+    assert_eq!(resent.body, first.body);
     assert_eq!(cluster.record().executions_of(&placed), 1);
 }
 
@@ -123,8 +123,8 @@
     let lost = answered(order(&key).send(entry));
     assert_eq!(lost.header("filberthead-meaning"), "may-have-run");
     for _ in 0..5 {
-        let again = answered(order(&key).send(entry));
-        assert_eq!(again.result(), Some(1302), "{}", again.text());
+        let resent = answered(order(&key).send(entry));
+        assert_eq!(resent.result(), Some(1302), "{}", resent.text());
     }
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
@@ -140,18 +140,18 @@
         endpoint.standin.rule(Rule::always(when, slow));
     }
     let key = key(entry, "a");
-    let mut till = TcpStream::connect(entry).expect("a connection");
+    let mut stream = TcpStream::connect(entry).expect("a connection");
     let head = "POST /v1/services/orders/place HTTP/1.1\r\nhost: a\r\ncontent-length: 13";
     write!(
-        till,
+        stream,
         "{head}\r\nidempotency-key: {key}\r\n\r\nthree rabbits"
     )
     .expect("a sent order");
     let executions = || cluster.record().executions_of(&key);
     wait_until("the order runs", BOUND, || executions() == 1);
-    drop(till);
-    let again = answered(order(&key).send(entry));
-    assert_eq!(again.result(), Some(1001));
+    drop(stream);
+    let resent = answered(order(&key).send(entry));
+    assert_eq!(resent.result(), Some(1001));
     assert_eq!(executions(), 1);
 }
 
@@ -202,8 +202,8 @@
     let back = gone.listen();
     back.set_nonblocking(true).expect("a socket");
     for _ in 0..5 {
-        let again = answered(booking.send(entry));
-        assert_eq!(again.result(), refused.result());
+        let resent = answered(booking.send(entry));
+        assert_eq!(resent.result(), refused.result());
     }
     // Health checks may come in; a booking must not.
     while let Ok((mut stream, _)) = back.accept() {
--- a/tests/all/outdated.rs
+++ b/tests/all/outdated.rs
@@ -22,22 +22,22 @@
     site.add_endpoint("lessons", "zagreb-a");
     site.put_routes(1, FIRST);
     site.wait_serving(0);
-    let holds_first = |node: &Node| proven(node) == Some(1);
+    let has_first = |node: &Node| proven(node) == Some(1);
     wait_until("all replicas have the first routes", BOUND, || {
-        site.controls.iter().all(holds_first)
+        site.controls.iter().all(has_first)
     });
     site
 }
 
 #[track_caller]
-fn ask(site: &Site, service: &str) -> Answer {
+fn send_read(site: &Site, service: &str) -> Answer {
     let answer = site.request(0, &request("GET", &format!("/{service}/1"), "read-1"));
     answer.expect("the gateway answers")
 }
 
 /// That nothing ran, and when to come back.
 #[track_caller]
-fn assert_may_come_back(answer: &Answer) {
+fn assert_retryable(answer: &Answer) {
     assert_eq!(answer.status, 503);
     let after: f64 = answer.header("retry-after").parse().expect("a time");
     assert!(after > 0.0);
@@ -46,7 +46,7 @@
 #[track_caller]
 fn wait_served(site: &Site, service: &str) {
     wait_until("the request is served", BOUND, || {
-        ask(site, service).status == 200
+        send_read(site, service).status == 200
     });
 }
 
@@ -58,23 +58,23 @@
 fn a_gateway_that_is_cut_off_denies_no_route() {
     let site = start();
     wait_until("it vouches for its routes", BOUND, || {
-        ask(&site, "nowhere").status == 404
+        send_read(&site, "nowhere").status == 404
     });
     site.network.partition(&[&[GATEWAY], &CONTROLS]);
     site.put_routes(2, SECOND);
     eventually("it no longer vouches for its routes", BOUND, || {
-        (ask(&site, "lessons").status != 404).then_some(())
+        (send_read(&site, "lessons").status != 404).then_some(())
     });
-    assert_may_come_back(&ask(&site, "lessons"));
+    assert_retryable(&send_read(&site, "lessons"));
     assert_eq!(
-        ask(&site, "catalogue").status,
+        send_read(&site, "catalogue").status,
         200,
         "what it knows it serves"
     );
     site.network.heal();
     wait_served(&site, "lessons");
     wait_until("it vouches again", BOUND, || {
-        ask(&site, "nowhere").status == 404
+        send_read(&site, "nowhere").status == 404
     });
 }
 
@@ -83,7 +83,7 @@
 /// once. It took the first routes that anybody gave it, and answered 404 on the route that was
 /// added since: `routes in force` with version 1, then `no route`, version 1.
 #[test]
-fn a_gateway_that_starts_by_old_routes_denies_no_route() {
+fn a_gateway_that_starts_with_old_routes_denies_no_route() {
     let mut site = start();
     let [first, second, behind] = CONTROLS;
     site.network
@@ -95,7 +95,7 @@
     wait_until("it has the old routes", BOUND, || {
         site.gateways[0].metric("routes_version") == 1.0
     });
-    assert_may_come_back(&ask(&site, "lessons"));
+    assert_retryable(&send_read(&site, "lessons"));
     site.network.heal();
     wait_served(&site, "lessons");
 }
@@ -104,7 +104,7 @@
 /// force is older than the last change, which it had missed. Nobody leads, so nobody knows
 /// what is the newest. The gateway served by the old note, and answered 404 on the new route.
 #[test]
-fn a_gateway_that_starts_by_an_old_note_denies_no_route() {
+fn a_gateway_that_starts_from_an_old_note_denies_no_route() {
     let mut site = start();
     wait_until("the first routes are noted", BOUND, || {
         site.controls[2].data().join("note").exists()
@@ -122,7 +122,7 @@
     wait_until("it has the old routes", BOUND, || {
         site.gateways[0].metric("routes_version") == 1.0
     });
-    assert_may_come_back(&ask(&site, "lessons"));
+    assert_retryable(&send_read(&site, "lessons"));
     wait_served(&site, "catalogue");
     site.controls[0].start();
     site.controls[1].start();
@@ -143,9 +143,9 @@
         .partition(&[&[GATEWAY, CONTROLS[leader]], &names]);
     put_at_any(&site, &others);
     wait_until("it no longer vouches for its routes", BOUND, || {
-        ask(&site, "lessons").status != 404
+        send_read(&site, "lessons").status != 404
     });
-    assert_may_come_back(&ask(&site, "lessons"));
+    assert_retryable(&send_read(&site, "lessons"));
     site.network.heal();
     wait_served(&site, "lessons");
 }
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -65,9 +65,9 @@
     }
 }
 
-struct Deaf;
+struct DiscardMessages;
 
-impl Deliver for Deaf {
+impl Deliver for DiscardMessages {
     fn deliver(&mut self, _origin: Origin, _body: Body) {}
 }
 
@@ -107,7 +107,7 @@
 fn send(to: &Control, report: &SampleReport) {
     let cluster = cluster_id("test");
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let transport = Transport::listen(listen, cluster, Deaf).expect("a transport");
+    let transport = Transport::listen(listen, cluster, DiscardMessages).expect("a transport");
     let origin = Origin {
         name: "split-a-1".parse().expect("a valid name"),
         incarnation: Incarnation(1),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_entries_count_survives_a_restart_and_shows_in_every_shape() {
+fn reported_samples_survive_a_restart_and_show_in_every_format() {
     let mut control = Control::start();
     send(&control, &sample());
     control.process.terminate();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn what_can_not_be_reported_on_is_said() {
+fn unusable_arguments_and_an_unreachable_replica_have_exit_codes() {
     for args in [
         &["report", "no-such.ini"][..],
         &["report", "--html", "--json", "no-such.ini"],
@@ -173,7 +173,7 @@
         assert_eq!(output.status.code(), Some(2), "{output:?}");
     }
     let closed = filberthead_testing::ClosedPort::bind();
-    let nobody = closed.addr().to_string();
-    let output = cli(&["report", "--control", &nobody, "--timeout", "1"]);
+    let unreachable = closed.addr().to_string();
+    let output = cli(&["report", "--control", &unreachable, "--timeout", "1"]);
     assert_eq!(output.status.code(), Some(4), "{output:?}");
 }
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -10,7 +10,7 @@
 use filberthead_testing::{ClosedPort, eventually, wait_until};
 use serde::Deserialize;
 
-use crate::support::{at_once, programs, warm_up};
+use crate::support::{programs, run_concurrently, warm_up};
 
 const BOUND: Duration = Duration::from_secs(30);
 const ANSWER_BYTES: usize = 64;
@@ -60,13 +60,13 @@
     Call::get(&format!("/v1/services/catalogue{path}"))
 }
 
-fn is_whole(answer: &Answer, path: &str) -> bool {
+fn is_complete(answer: &Answer, path: &str) -> bool {
     answer.body == Payload::of_answer("GET", path, b"").slice(0, ANSWER_BYTES)
 }
 
 /// The answer, or a failure told without its megabytes.
 #[track_caller]
-fn whole(answer: Result<Answer, CallError>) -> Answer {
+fn expect_answer(answer: Result<Answer, CallError>) -> Answer {
     answer.unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -97,10 +97,10 @@
 }
 
 #[test]
-fn a_read_brings_the_endpoints_own_answer() {
+fn a_read_returns_the_endpoints_answer() {
     let (_cluster, entry) = start(one_domain());
     let answer = read("/tricks?shelf=3").send(entry).expect("an answer");
-    assert!(is_whole(&answer, "/tricks?shelf=3"), "{}", answer.text());
+    assert!(is_complete(&answer, "/tricks?shelf=3"), "{}", answer.text());
     assert_eq!(answer.result(), Some(1000));
     assert_eq!(answer.header("filberthead-meaning"), "ran");
     assert!(!answer.header("filberthead-request-id").is_empty());
@@ -119,7 +119,7 @@
     for number in 0..8 {
         let path = format!("/cut/{number}");
         match read(&path).send(entry) {
-            Ok(answer) if answer.status == 200 => assert!(is_whole(&answer, &path)),
+            Ok(answer) if answer.status == 200 => assert!(is_complete(&answer, &path)),
             // Both endpoints are left alone for a moment after a cut.
             Ok(answer) => assert!(!answer.header("retry-after").is_empty()),
             Err(e) => panic!("{e}"),
@@ -133,7 +133,7 @@
 /// the endpoints mixed up two answers. The id on the answer is another request's, so the
 /// entry drops it with its connection and asks elsewhere.
 #[test]
-fn a_crossed_answer_reaches_nobody() {
+fn an_answer_with_another_requests_id_reaches_no_caller() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/crossed".to_owned());
@@ -145,14 +145,14 @@
         assert_eq!(answer.header("filberthead-meaning"), "may-have-run");
         // The endpoints are left alone for a moment after each such answer.
         let other = read("/tricks").resend(&[entry], 100).expect("an answer");
-        assert!(is_whole(&other, "/tricks"));
+        assert!(is_complete(&other, "/tricks"));
     }
 }
 
 /// A clerk gives up on a slow page and asks for another one; then the slow answer comes.
 /// It belongs to a request that has ended and must not be taken for the second one's.
 #[test]
-fn a_late_answer_reaches_nobody() {
+fn a_late_answer_is_not_used_for_the_next_request() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/late".to_owned());
@@ -166,7 +166,7 @@
         for number in 0..10 {
             let path = format!("/prompt/{number}");
             let answer = read(&path).send(entry).expect("an answer");
-            assert!(is_whole(&answer, &path));
+            assert!(is_complete(&answer, &path));
         }
     }
 }
@@ -174,7 +174,7 @@
 /// A clerk closes the page before it has come. The endpoint shouldn't go on computing
 /// for nobody: the entry closes its connection, which is how a read is cancelled.
 #[test]
-fn a_reader_that_leaves_cancels_its_read() {
+fn a_disconnecting_caller_cancels_its_read() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/silent".to_owned());
@@ -193,7 +193,7 @@
 /// A performer's lesson breaks off half way: its endpoint died. The rest must come from
 /// another endpoint, and not a byte be missing, doubled or of another lesson.
 #[test]
-fn a_download_goes_on_when_its_endpoint_dies() {
+fn a_download_resumes_when_its_endpoint_dies() {
     const BYTES: usize = 4 * 1024 * 1024;
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
@@ -203,7 +203,7 @@
         endpoint.standin.rule(Rule::once(when, fault));
     }
     let path = format!("/download/lesson?bytes={BYTES}");
-    let answer = whole(read(&path).send(entry));
+    let answer = expect_answer(read(&path).send(entry));
     assert_eq!(answer.body.len(), BYTES);
     assert!(Payload::of_download("lesson", 1).matches(0, &answer.body));
     let lesson = |seen: &Seen| seen.path == path;
@@ -251,14 +251,14 @@
     for number in 0..20 {
         let path = format!("/tricks/{number}");
         let answer = read(&path).send(entry).expect("an answer");
-        assert!(is_whole(&answer, &path), "{}", answer.text());
+        assert!(is_complete(&answer, &path), "{}", answer.text());
     }
 }
 
 /// All slots are taken, and the queue too. A clerk gets a refusal that is true, not run,
 /// and says when to come back, and gets it before the deadline has gone by.
 #[test]
-fn a_full_service_refuses_at_once_and_truly() {
+fn a_full_service_rejects_at_once_and_runs_nothing() {
     let builder = one_domain().entry_setting("limits", "queue", "1");
     let (cluster, entry) = start(builder);
     for endpoint in &cluster.endpoints {
@@ -267,7 +267,7 @@
             script.when_full = WhenFull::Wait;
         });
     }
-    let answers = at_once(24, |number| read(&format!("/full/{number}")).send(entry));
+    let answers = run_concurrently(24, |number| read(&format!("/full/{number}")).send(entry));
     let mut refused = 0;
     for (number, answer) in answers.into_iter().enumerate() {
         let answer = answer.expect("an answer");
@@ -278,7 +278,7 @@
             let ran = |seen: &Seen| seen.path == path;
             assert_eq!(cluster.record().count(Stage::Executed, ran), 0);
         } else {
-            assert!(is_whole(&answer, &path));
+            assert!(is_complete(&answer, &path));
         }
     }
     assert!(refused > 0);
@@ -287,7 +287,7 @@
 /// Headers that only entries and endpoints may set arrive with a caller's request. It
 /// must pass for neither.
 #[test]
-fn a_caller_cant_pass_for_an_entry() {
+fn forged_internal_headers_are_not_trusted() {
     let (_cluster, entry) = start(one_domain());
     let forged = read("/tricks")
         .header("filberthead-forwarded-by", "entry-zagreb-a-1 7")
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -25,10 +25,10 @@
 ];
 
 /// Seeds in which a process ended in the transport's library, in the thread that sends to peers.
-const CRASHED: [u64; 2] = [94_010, 94_044];
+const CRASHING_SEEDS: [u64; 2] = [94_010, 94_044];
 
 #[track_caller]
-fn soak(seed: u64) {
+fn play_seed(seed: u64) {
     let programs = SitePrograms {
         control: PathBuf::from(env!("CARGO_BIN_EXE_filberthead-control")),
         gateway: PathBuf::from(env!("CARGO_BIN_EXE_filberthead-gateway")),
@@ -44,25 +44,25 @@
 #[test]
 fn nothing_is_broken_by_planned_work() {
     assert!(Plan::new(SEEDS[0], Size::default()).planned_only);
-    soak(SEEDS[0]);
+    play_seed(SEEDS[0]);
 }
 
 #[test]
-fn no_promise_is_broken_by_faults() {
+fn no_guarantee_is_broken_by_faults() {
     assert!(!Plan::new(SEEDS[1], Size::default()).planned_only);
-    soak(SEEDS[1]);
+    play_seed(SEEDS[1]);
 }
 
 #[test]
-fn seeds_that_once_broke_a_promise_do_not_any_more() {
+fn regression_seeds_break_no_guarantee() {
     for (seed, cause) in REGRESSIONS {
         println!("seed {seed}: {cause}");
-        soak(seed);
+        play_seed(seed);
     }
 }
 
 /// Guards against a transport that crashes its process. Not mended; it depends on timing.
 #[test]
 fn no_process_ends_by_itself() {
-    CRASHED.into_iter().for_each(soak);
+    CRASHING_SEEDS.into_iter().for_each(play_seed);
 }
--- a/tests/all/spreading.rs
+++ b/tests/all/spreading.rs
@@ -14,7 +14,7 @@
 const BOUND: Duration = Duration::from_secs(90);
 /// Time within which an entry notices that it is cut off, several times over: it takes a
 /// leader for silent after 3 s.
-const CUT_OFF: Duration = Duration::from_secs(20);
+const CUT_OFF_BOUND: Duration = Duration::from_secs(20);
 /// Longer than a process may be away without starting over.
 const SUSPENSION: Duration = Duration::from_secs(7);
 
@@ -54,15 +54,15 @@
     }
 
     fn form_group(&self) {
-        self.operate(&["control", "init"]);
+        self.run_cli(&["control", "init"]);
         let addrs = self.cluster.operator_addrs();
         for (addr, number) in addrs[1..].iter().zip(2..) {
-            self.operate(&["control", "add", &addr.to_string()]);
-            self.operate(&["control", "promote", &format!("control-{number}")]);
+            self.run_cli(&["control", "add", &addr.to_string()]);
+            self.run_cli(&["control", "promote", &format!("control-{number}")]);
         }
     }
 
-    fn operate(&self, words: &[&str]) {
+    fn run_cli(&self, words: &[&str]) {
         let first = self.cluster.operator_addrs()[0].to_string();
         let output = Command::new(&self.cluster.programs().cli)
             .args(words)
@@ -76,12 +76,12 @@
 
     /// Sets the weights of both regions in one change and returns its version.
     fn set_weights(&mut self, zagreb: u32, split: u32) -> u64 {
-        let seen = self.version;
+        let revision = self.version;
         let edit = |region: &str, weight: u32| {
-            json!({"service": "catalogue", "region": region, "revision": seen, "set":
+            json!({"service": "catalogue", "region": region, "revision": revision, "set":
                 {"weight": weight, "limit": 9, "shift_cap": 9, "objective": "latency"}})
         };
-        let id = format!("{:032x}", seen + 1);
+        let id = format!("{:032x}", revision + 1);
         let edits = [edit("zagreb", zagreb), edit("split", split)];
         // Some of these regions have fewer slots than that; the limit is not what counts.
         let allow = ["limit-above-slots"];
@@ -92,13 +92,13 @@
             .body(body.to_string());
         // The leader may be any of them, and may be on the way.
         let addrs = self.cluster.operator_addrs();
-        let places = (self.leader..addrs.len()).chain(0..self.leader);
-        let (place, answer) = eventually("the change is accepted", BOUND, || {
-            let sent = |place: usize| Some((place, call.send(addrs[place]).ok()?));
-            let mut answers = places.clone().filter_map(sent);
+        let order = (self.leader..addrs.len()).chain(0..self.leader);
+        let (index, answer) = eventually("the change is accepted", BOUND, || {
+            let sent = |index: usize| Some((index, call.send(addrs[index]).ok()?));
+            let mut answers = order.clone().filter_map(sent);
             answers.find(|(_, answer)| answer.result() == Some(2000))
         });
-        self.leader = place;
+        self.leader = index;
         let body: Value = answer.json();
         self.version = body["version"].as_u64().expect("a version");
         self.version
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_at_every_entry_and_status_says_so() {
+fn a_change_is_in_force_at_every_entry_and_shown_in_status() {
     let mut system = System::start(two_domains());
     for weight in 1..10 {
         system.set_weights(weight, 10);
@@ -169,12 +169,12 @@
         .cluster
         .entry("entry-zagreb-a-1")
         .direct_addr("caller");
-    let ended = |path: &str| {
+    let status_and_code = |path: &str| {
         let answer = Call::get(path).send(addr).expect("the entry answers");
         (answer.status.as_u16(), answer.result())
     };
     let paths = ["/v1/lookup?service=lessons", "/v1/services/lessons/first"];
-    let denied = |path: &&str| ended(path) == (404, Some(1100));
+    let denied = |path: &&str| status_and_code(path) == (404, Some(1100));
     wait_until("the newest table denies it", BOUND, || {
         paths.iter().all(denied)
     });
@@ -183,9 +183,9 @@
     let groups = [&inside, &outside].map(|names| names.iter().map(String::as_str).collect());
     let [inside, outside]: [Vec<_>; 2] = groups;
     system.cluster.network.partition(&[&inside, &outside]);
-    let asked_back = |path: &&str| ended(path) == (503, Some(1206));
-    wait_until("callers are asked to come back", CUT_OFF, || {
-        paths.iter().all(asked_back)
+    let is_not_ready = |path: &&str| status_and_code(path) == (503, Some(1206));
+    wait_until("callers are asked to come back", CUT_OFF_BOUND, || {
+        paths.iter().all(is_not_ready)
     });
     assert!(look_up(addr).is_ok(), "what is known is named");
     system.cluster.network.heal();
@@ -198,7 +198,7 @@
 /// drains the region. From the moment it is back, no caller may be sent to Zagreb by
 /// the weights from before, not even by the first look-up that it answers.
 #[test]
-fn an_entry_restarted_after_300_changes_sends_nobody_by_old_weights() {
+fn an_entry_restarted_after_300_changes_uses_no_old_weights() {
     let mut system = System::start(two_domains());
     let version = system.set_weights(10, 1);
     system.wait_in_force(version);
@@ -232,7 +232,7 @@
 /// tell it which weights are the newest. It says so, and serves its callers from the
 /// endpoints at hand; when the cut is mended it goes by the table again.
 #[test]
-fn an_entry_that_restarts_cut_off_serves_its_own_domain_and_says_so() {
+fn an_entry_that_restarts_cut_off_serves_its_own_domain_cautiously() {
     let mut system = System::start(two_domains().entries_each(1));
     let version = system.set_weights(1, 10);
     system.wait_in_force(version);
@@ -265,7 +265,7 @@
 /// that drains its region passes it by. Continued, it doesn't know that it was away;
 /// callers whose look-ups waited all the time must not be answered by the old weights.
 #[test]
-fn an_entry_that_was_suspended_sends_nobody_by_old_weights() {
+fn a_resumed_entry_uses_no_old_weights() {
     let mut system = System::start(two_domains());
     let version = system.set_weights(10, 1);
     system.wait_in_force(version);
--- a/tests/all/stops.rs
+++ b/tests/all/stops.rs
@@ -11,7 +11,7 @@
 use filberthead_testing::wait_until;
 use serde::Deserialize;
 
-use crate::support::{at_once, programs, start_site, warm_up};
+use crate::support::{programs, run_concurrently, start_single_replica, warm_up};
 
 const BOUND: Duration = Duration::from_secs(60);
 const ANSWER_BYTES: usize = 64;
@@ -41,7 +41,7 @@
 }
 
 fn start(builder: Builder) -> Cluster {
-    let cluster = start_site(builder);
+    let cluster = start_single_replica(builder);
     for entry in cluster.caller_addrs() {
         wait_until("the entries know each other", BOUND, || {
             look_up(entry).is_ok_and(|l| l.entries.len() == 2 && !l.key_prefix.is_empty())
@@ -62,7 +62,7 @@
 }
 
 /// Requests that an endpoint has received.
-fn works(endpoint: &Endpoint) -> usize {
+fn received_count(endpoint: &Endpoint) -> usize {
     endpoint.standin.record().count(Stage::Received, |_| true)
 }
 
@@ -70,25 +70,28 @@
 /// to live, and goes to the next entry when one refuses and says that nothing ran.
 struct Caller {
     lookup: Lookup,
-    asked: Instant,
+    looked_up_at: Instant,
 }
 
 impl Caller {
     fn new(entry: SocketAddr) -> Self {
-        let asked = Instant::now();
+        let looked_up_at = Instant::now();
         let lookup = look_up(entry).expect("a look-up");
-        Self { lookup, asked }
+        Self {
+            lookup,
+            looked_up_at,
+        }
     }
 
     /// Looks up again once the last answer has lapsed; a connection that ends before it
     /// begins to answer would be a cut look-up.
     fn refresh(&mut self) -> Result<(), CallError> {
-        if self.asked.elapsed() < Duration::from_secs(self.lookup.ttl_seconds) {
+        if self.looked_up_at.elapsed() < Duration::from_secs(self.lookup.ttl_seconds) {
             return Ok(());
         }
-        let asked = Instant::now();
+        let looked_up_at = Instant::now();
         self.lookup = look_up(self.lookup.entries[0].address)?;
-        self.asked = asked;
+        self.looked_up_at = looked_up_at;
         Ok(())
     }
 
@@ -177,36 +180,36 @@
 /// while the others have all the slots.
 fn burst(entry: SocketAddr) {
     for _ in 0..8 {
-        at_once(8, |number| {
+        run_concurrently(8, |number| {
             read(&format!("/page/{number}")).send(entry).is_ok()
         });
     }
 }
 
 /// Reads until an endpoint has had no new request for a while.
-fn wait_until_left_alone(cluster: &Cluster, index: usize) {
+fn wait_without_new_requests(cluster: &Cluster, index: usize) {
     let entry = cluster.caller_addrs()[0];
     wait_until("the endpoint gets no new work", BOUND, || {
-        let before = works(&cluster.endpoints[index]);
+        let before = received_count(&cluster.endpoints[index]);
         burst(entry);
-        works(&cluster.endpoints[index]) == before
+        received_count(&cluster.endpoints[index]) == before
     });
 }
 
 /// Reads through both entries and returns how much of it came to an endpoint.
-fn new_work(cluster: &Cluster, index: usize) -> usize {
-    let before = works(&cluster.endpoints[index]);
+fn count_new_requests(cluster: &Cluster, index: usize) -> usize {
+    let before = received_count(&cluster.endpoints[index]);
     for entry in cluster.caller_addrs() {
         burst(entry);
     }
-    works(&cluster.endpoints[index]) - before
+    received_count(&cluster.endpoints[index]) - before
 }
 
 /// An endpoint's VM is about to be replaced, and the endpoint says that it is leaving
 /// while a performer's lesson comes from it. It must get nothing new, and the lesson must
 /// come to its end.
 #[test]
-fn a_leaving_endpoint_finishes_and_gets_nothing_new() {
+fn a_leaving_endpoint_finishes_its_requests_and_gets_no_new_ones() {
     let cluster = start(site());
     let entry = cluster.caller_addrs()[0];
     for endpoint in &cluster.endpoints {
@@ -225,8 +228,8 @@
         let index = sender().unwrap_or_default();
         let leaving = &cluster.endpoints[index].standin;
         leaving.script(|script| script.leaving = true);
-        wait_until_left_alone(&cluster, index);
-        assert_eq!(new_work(&cluster, index), 0);
+        wait_without_new_requests(&cluster, index);
+        assert_eq!(count_new_requests(&cluster, index), 0);
         let lesson = lesson.join().expect("no panic");
         let lesson = lesson.unwrap_or_else(|e| panic!("lesson: {e}"));
         assert!(Payload::of_download("lesson", 1).matches(0, &lesson.body));
@@ -238,16 +241,16 @@
 /// The platform's list shows an endpoint as leaving, and a moment later, because it lags,
 /// as live again. The endpoint itself says nothing. The word that it leaves must win.
 #[test]
-fn a_list_that_wavers_brings_no_work_back() {
+fn a_flapping_platform_list_brings_no_requests_back() {
     let cluster = start(site().platform(true));
     let mut vms = cluster.vms();
     vms[0].state = VmState::Leaving;
     cluster.platform.set(vms.clone());
-    wait_until_left_alone(&cluster, 0);
+    wait_without_new_requests(&cluster, 0);
     vms[0].state = VmState::Live;
     cluster.platform.set(vms);
     for _ in 0..3 {
-        assert_eq!(new_work(&cluster, 0), 0);
+        assert_eq!(count_new_requests(&cluster, 0), 0);
         // Longer than the entries' time between two fetches of the list.
         std::thread::sleep(Duration::from_millis(1100));
     }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -23,7 +23,7 @@
 }
 
 /// Starts a system with one control replica that is the whole group.
-pub(crate) fn start_site(builder: Builder) -> Cluster {
+pub(crate) fn start_single_replica(builder: Builder) -> Cluster {
     let mut cluster = builder.replicas(1).prepare();
     cluster.controls.iter_mut().for_each(Node::start);
     let output = Command::new(&cluster.programs().cli)
@@ -42,9 +42,9 @@
 }
 
 /// Runs the command line against the control replica.
-fn run_cli(cluster: &Cluster, words: &[&str]) {
+fn run_cli(cluster: &Cluster, args: &[&str]) {
     let output = Command::new(&cluster.programs().cli)
-        .args(words)
+        .args(args)
         .env(
             "FILBERTHEAD_CONTROL",
             cluster.operator_addrs()[0].to_string(),
@@ -57,7 +57,7 @@
 
 /// Sets the first row of a service, wide enough for every test.
 pub(crate) fn set_row(cluster: &Cluster, service: &str, region: &str) {
-    let words = [
+    let args = [
         "table",
         "set",
         service,
@@ -73,11 +73,11 @@
         "--note",
         "a test's row",
     ];
-    run_cli(cluster, &words);
+    run_cli(cluster, &args);
 }
 
 /// Runs `call` with each number below `count`, all at the same time.
-pub(crate) fn at_once<T: Send>(count: usize, call: impl Fn(usize) -> T + Sync) -> Vec<T> {
+pub(crate) fn run_concurrently<T: Send>(count: usize, call: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let call = &call;
     std::thread::scope(|scope| {
         let running: Vec<_> = (0..count)
@@ -92,26 +92,26 @@
 /// domain. While one endpoint has slots it may get all that come one after the other, so
 /// it is filled.
 pub(crate) fn warm_up(cluster: &Cluster, service: &str) {
-    let slow = |time| {
+    let set_service_time = |time| {
         for endpoint in &cluster.endpoints {
             endpoint.standin.script(|script| script.service_time = time);
         }
     };
-    let used = |endpoint: &Endpoint| {
+    let has_run = |endpoint: &Endpoint| {
         let record = endpoint.standin.record();
         record.count(Stage::Executed, |seen| seen.path == "/warm-up") > 0
     };
     let call = Call::get(&format!("/v1/services/{service}/warm-up"));
-    slow(WARM_UP_TIME);
+    set_service_time(WARM_UP_TIME);
     for entry in &cluster.entries {
-        let near = |end: &&Endpoint| end.place == *entry.place();
+        let is_near = |end: &&Endpoint| end.place == *entry.place();
         wait_until("each endpoint takes requests", WARM_UP_BOUND, || {
             let addr = entry.addr("caller");
-            at_once(4 * cluster.endpoints.len(), |_| call.send(addr).is_ok());
-            cluster.endpoints.iter().filter(near).all(used)
+            run_concurrently(4 * cluster.endpoints.len(), |_| call.send(addr).is_ok());
+            cluster.endpoints.iter().filter(is_near).all(has_run)
         });
     }
-    slow(Duration::ZERO);
+    set_service_time(Duration::ZERO);
 }
 
 /// Makes a group of the only control replica.
