--- a/tests/all/entries.rs
+++ b/tests/all/entries.rs
@@ -176,8 +176,8 @@
 }
 
 /// As above, but the killed entry was alone in its failure domain, so no entry takes
-/// over. The caller learns at once that the read may have run, and can go to another
-/// region.
+/// over. The caller learns at once that the read may have run, and can go
+/// elsewhere.
 #[test]
 fn a_read_without_a_successor_does_not_wait() {
     let mut cluster = start_with(1, 1);
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -1,4 +1,4 @@
-//! Requests through gateways: what may run, how often, and what callers are told.
+//! Requests through gateways: what may run, how often, and what callers get.
 
 use std::time::{Duration, Instant};
 
@@ -34,8 +34,8 @@
     answer.expect("the gateway answers")
 }
 
-/// Sends requests until one is answered as wanted: what a gateway knows comes to it in
-/// its own time.
+/// Sends requests until one gets this status: routes and endpoint lists reach the gateway
+/// with some delay.
 #[track_caller]
 fn send_until(site: &Site, method: &str, path: &str, status: u16) -> Answer {
     let mut number = 0;
@@ -46,6 +46,7 @@
     })
 }
 
+/// How often endpoints ran a request.
 fn runs(endpoints: &[SiteEndpoint], id: &str) -> usize {
     let all = endpoints.iter().flat_map(SiteEndpoint::ran);
     all.filter(|ran| ran == id).count()
@@ -62,7 +63,7 @@
         (10_000..=20_000).contains(&remaining),
         "{remaining} ms left"
     );
-    // For good only once control has proved the routes; until then it may come back.
+    // 404 only once control has proved the routes; until then 503.
     let denied = eventually("a final answer", BOUND, || {
         let answer = send(&site, "GET", "/nowhere/", "x");
         (answer.status != 503).then_some(answer)
@@ -70,8 +71,8 @@
     assert_eq!(denied.status, 404);
 }
 
-/// A shop's order reaches an endpoint whose answer is lost. The shop must neither be told
-/// that the order did not run nor have it run again at another endpoint.
+/// An order reaches an endpoint whose answer is lost. The caller must neither be told
+/// that the order did not run, nor may it run again at another endpoint.
 #[test]
 fn an_order_whose_answer_is_lost_runs_once() {
     let site = start("orders", 3);
@@ -84,8 +85,8 @@
     assert_eq!(runs(&site.endpoints, "order-1"), 1);
 }
 
-/// An endpoint answers under the id of another request, as one does whose answer came too
-/// late for its own. Nobody may be given it as the answer to their order.
+/// An endpoint answers with the id of another request, as one does whose answer came too
+/// late for its own. No caller may get that answer.
 #[test]
 fn an_answer_to_somebody_else_is_given_to_nobody() {
     let site = start("orders", 1);
@@ -96,9 +97,9 @@
     assert_eq!(answer.text(), "");
 }
 
-/// The list leads to an address behind which something else answers 404 to everything, as fast
-/// as it can. No endpoint answers without the request's id, so that 404 is nobody's word on the
-/// request: its caller got it as the endpoint's, and didn't come back.
+/// Behind the address of a listed endpoint something else answers 404 to everything, as
+/// fast as it can. No endpoint answers without the request's id, so that 404 comes from
+/// none: callers got it as the endpoint's answer and didn't retry.
 #[test]
 fn an_answer_without_the_requests_id_is_given_to_nobody() {
     let site = start("catalogue", 2);
@@ -112,8 +113,8 @@
     assert_eq!(send(&site, "GET", "/catalogue/one", "read-x").status, 502);
 }
 
-/// Every endpoint is full and says so. The caller is told that nothing ran, and when to
-/// come back; and nothing runs afterwards.
+/// Every endpoint is full and sheds. The caller is told that nothing ran and when to
+/// retry, and nothing runs afterwards.
 #[test]
 fn an_order_that_all_refuse_is_refused_truthfully() {
     let site = start("orders", 2);
@@ -128,8 +129,8 @@
     assert_eq!(runs(&site.endpoints, "order-1"), 0);
 }
 
-/// One of two endpoints fails what it runs. A reading may run again, so its caller gets
-/// the other one's answer; an order may not, so its caller gets the failure.
+/// One of two endpoints fails what it runs. A read may run again, so its caller gets the
+/// other one's answer; an order may not, so its caller gets the failure.
 #[test]
 fn only_idempotent_requests_are_tried_again() {
     let mut site = start("catalogue", 1);
@@ -141,7 +142,7 @@
     assert_eq!(failed.status, 500);
     // Either has failed once or twice by now; one of them serves again.
     site.endpoints[1].manner(Manner::Serves);
-    wait_until("a reading that the other one served", BOUND, || {
+    wait_until("a read that the other endpoint served", BOUND, || {
         let answer = send(&site, "GET", "/catalogue/two", "read-2");
         answer.status == 200 && runs(&site.endpoints[..1], "read-2") > 0
     });
@@ -156,8 +157,8 @@
     assert_eq!(runs(&orders.endpoints, "order-1"), 1);
 }
 
-/// An endpoint ends and another service's has its address, before the list shows it. No
-/// request may run there.
+/// An endpoint ends and its address goes to another service's, before the list shows it.
+/// No request may run there.
 #[test]
 fn an_address_that_has_changed_hands_runs_nothing() {
     let site = start("orders", 1);
@@ -168,8 +169,8 @@
     assert_eq!(runs(&site.endpoints, "order-1"), 0);
 }
 
-/// The list says that an endpoint is to go, and an operator evacuates a failure domain.
-/// Neither may get new work from then on; work comes back when the evacuation ends.
+/// The list shows an endpoint as draining, and an operator evacuates a failure domain.
+/// Neither may get new requests from then on; they return when the evacuation ends.
 #[test]
 fn what_leaves_or_is_evacuated_gets_nothing_new() {
     let mut site = start("catalogue", 1);
@@ -193,11 +194,13 @@
     assert_eq!(site.order("evacuations.end&of=split-a", "").status, 200);
     site.endpoints[2].leave();
     site.show_endpoints();
-    wait_until("the second one is back", BOUND, || new_runs(&site)[1] > 0);
+    wait_until("the second one gets requests again", BOUND, || {
+        new_runs(&site)[1] > 0
+    });
 }
 
-/// A caller leaves while its request runs. The endpoint must be told, so that it doesn't
-/// work for nobody.
+/// A caller disconnects while its request runs. The endpoint must learn of it, so that it
+/// stops useless work.
 #[test]
 fn work_ends_when_its_caller_leaves() {
     let site = start("catalogue", 1);
@@ -205,12 +208,12 @@
     site.endpoints[0].manner(Manner::Hangs);
     let call = request("GET", "/catalogue/one", "read-1").bound(Duration::from_millis(500));
     assert!(site.request(0, &call).is_err());
-    wait_until("the endpoint knows", BOUND, || {
+    wait_until("the endpoint has dropped the request", BOUND, || {
         site.endpoints[0].dropped().contains(&"read-1".to_owned())
     });
 }
 
-/// An endpoint never answers. The caller gets its final answer when its time is up.
+/// An endpoint never answers. The caller gets a final answer at its deadline.
 #[test]
 fn a_request_that_hangs_is_answered_when_its_time_is_up() {
     let site = start("catalogue", 1);
@@ -224,8 +227,8 @@
     assert_eq!(answer.status, 504);
 }
 
-/// A gateway is stopped with a request running. It says at once that it leaves, finishes
-/// the request, and ends by itself in time.
+/// A gateway is stopped with a request running. It reports at once that it is stopping,
+/// finishes the request, and exits in time.
 #[test]
 fn a_planned_stop_cuts_nothing() {
     let mut site = start("catalogue", 1);
@@ -237,14 +240,16 @@
         site.endpoints[0].ran().contains(&"read-1".to_owned())
     });
     site.gateways[0].process().terminate();
-    wait_until("it says that it leaves", BOUND, || !site.is_serving(0));
+    wait_until("it reports that it is stopping", BOUND, || {
+        !site.is_serving(0)
+    });
     let answer = running.join().expect("the caller").expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(site.gateways[0].wait_exit().success());
 }
 
-/// The settings of a running process change and it is told so, or its console goes away.
-/// Neither may end it.
+/// A process gets a hang-up signal, because its settings changed or its console closed.
+/// That may not end it.
 #[test]
 fn a_process_that_is_asked_to_reload_goes_on() {
     let site = start("catalogue", 1);
@@ -263,8 +268,8 @@
     order_at(node, "config.get", "").is_ok_and(|answer| answer.status == 200)
 }
 
-/// A gateway is killed, or told to stop. Callers who ask where to go must not be sent to
-/// it any more, and must be sent to it again when it is back.
+/// A gateway is killed. Look-ups must not return its address any more, and must return it
+/// again once it has restarted.
 #[test]
 fn callers_are_sent_to_live_gateways_only() {
     let mut site = site().replicas(1).tolerate(0).gateways(2).start();
@@ -285,24 +290,28 @@
     };
     let addr = |site: &Site, n: usize| vec![site.gateways[n].addr("caller").to_string()];
     let (first, second) = (addr(&site, 0), addr(&site, 1));
-    wait_until("each is found by its neighbours", BOUND, || {
-        found(&site, "zagreb-a").as_ref() == Some(&first)
-            && found(&site, "split-a").as_ref() == Some(&second)
-    });
+    wait_until(
+        "look-ups return the gateway of their failure domain",
+        BOUND,
+        || {
+            found(&site, "zagreb-a").as_ref() == Some(&first)
+                && found(&site, "split-a").as_ref() == Some(&second)
+        },
+    );
     site.gateways[0].kill();
-    wait_until("the killed one is named to nobody", BOUND, || {
+    wait_until("no look-up returns the killed gateway", BOUND, || {
         found(&site, "zagreb-a").as_ref() == Some(&second)
     });
     site.gateways[0].start();
-    wait_until("it is named again", BOUND, || {
+    wait_until("it is returned again", BOUND, || {
         found(&site, "zagreb-a").as_ref() == Some(&first)
     });
 }
 
-/// A power cut takes everything, and only one of three control VMs comes back. There is no
-/// majority, so no order can be accepted and nothing proved; but callers are to be served
-/// by what was last in force. Gateways had nothing to go by, because a replica that starts
-/// doesn't know how much of its log is committed before there is a leader.
+/// After a power cut only one of three control VMs restarts. Without a majority no order
+/// is accepted and nothing proved; but callers must be served by the last routes in
+/// force. Gateways had no routes, because a replica that starts can't tell how much of
+/// its log is committed before there is a leader.
 #[test]
 fn a_gateway_serves_by_one_control_vm_that_was_left_by_a_power_cut() {
     let mut site = site().start();
@@ -310,9 +319,11 @@
     site.put_routes(1, SERVICES);
     site.wait_serving(0);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    // The note of what is in force is kept a moment after the order is accepted.
+    // The note of the routes in force is written a moment after the order is accepted.
     for node in &site.controls {
-        wait_until("it is noted", BOUND, || node.data().join("note").exists());
+        wait_until("the note is written", BOUND, || {
+            node.data().join("note").exists()
+        });
     }
     site.gateways[0].kill();
     site.controls.iter_mut().for_each(Node::kill);
@@ -327,9 +338,9 @@
     assert_eq!(answer.status, 503, "nothing is proved");
 }
 
-/// The list has many pages, of which each names only the next. Read one after the other from
-/// another region, an endpoint that drained got new work for over three seconds. The parts
-/// of all failure domains are read at once, and no endpoint may be lost on the way.
+/// The list has many pages, each of which names only the next. Read one after the other
+/// from another region, a draining endpoint got new requests for over three seconds. The
+/// parts of all failure domains are read concurrently, and no endpoint may be missed.
 #[test]
 fn a_list_of_many_pages_is_read_by_failure_domain() {
     let mut site = start("catalogue", 5);
@@ -351,7 +362,7 @@
     });
     site.endpoints[3].drain();
     site.show_endpoints();
-    wait_until("the one that drains is left alone", BOUND, || {
+    wait_until("the draining endpoint gets no new requests", BOUND, || {
         let before = site.endpoints[3].ran().len();
         (0..40).for_each(|n| {
             send(&site, "GET", &format!("/catalogue/{n}"), &format!("s-{n}"));
@@ -360,10 +371,9 @@
     });
 }
 
-/// A performer's lesson is long and comes slowly. It must reach the performer while it
-/// comes: read whole by the gateway first, each lesson came later by the time that it needs
-/// on a small VM's link. What is missing at the deadline is of no use to anybody, and what
-/// there is must not look whole.
+/// A long download arrives slowly. It must be streamed to the caller: when the gateway
+/// read it whole first, it was delayed by its transfer time on a small VM's link. What is
+/// missing at the deadline is useless, and the part that was sent must not look complete.
 #[test]
 fn a_download_goes_on_while_it_comes() {
     let site = start("lessons", 1);
@@ -382,9 +392,9 @@
     assert!(Payload::of_answer("GET", path, b"").matches(0, &got));
 }
 
-/// A gateway is stopped while a lesson comes that is still under way when it takes no more
-/// callers. The lesson's head had been answered, so nothing counted as running, and the
-/// process ended in the middle of it.
+/// A gateway is stopped during a download that outlasts the time in which it still
+/// accepts callers. The download's head had been answered, so it didn't count as running,
+/// and the process exited in the middle of it.
 #[test]
 fn a_planned_stop_cuts_no_download() {
     const PACE: u64 = 200_000;
@@ -408,12 +418,12 @@
     assert!(site.gateways[0].wait_exit().success());
 }
 
-/// An endpoint hands its address over, drains and ends, with a request running that never
-/// came to its end. It starts again under its identity, cold. It must get requests again,
-/// also from a gateway that has heard that it is gone, and no more than it bears.
+/// An endpoint's address goes to another, then it drains and ends, with a request that
+/// never finished. It starts again under its identity, cold. It must get requests again,
+/// also from a gateway that has seen it gone, and no more than its cold rate.
 #[test]
 fn an_endpoint_that_starts_again_under_its_identity_is_used_again() {
-    // As `config` of the stand-ins has it.
+    // As in `config` of `filberthead_testing::site`.
     const COLD_PER_S: f64 = 9.4;
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
@@ -444,13 +454,14 @@
     let capacity = COLD_PER_S * started.elapsed().as_secs_f64();
     assert!(
         received >= 1.0 && received <= capacity,
-        "{received} of {number} pressed, {capacity} are borne"
+        "{received} of {number} requests reached the endpoint, {capacity} at most allowed"
     );
 }
 
-/// Another program writes into the platform's list: entries that lack fields or hold odd
-/// ones, one with the identity of an endpoint, and bytes that aren't text. The endpoints
-/// around them serve, one that drains is left alone, and the log has a line for each.
+/// Another program writes into the platform's list: entries that lack fields or hold
+/// invalid ones, one with the identity of an endpoint, and bytes that aren't text. The
+/// other endpoints serve, a draining one gets no new requests, and the log has a line for
+/// each invalid entry.
 #[test]
 fn entries_of_another_writer_change_nothing_for_endpoints() {
     let mut site = start("catalogue", 1);
@@ -480,7 +491,9 @@
     assert!(serves(&site, 0));
     site.endpoints[0].drain();
     site.show_endpoints();
-    wait_until("the other one is left alone", BOUND, || !serves(&site, 0));
+    wait_until("the draining one gets no new requests", BOUND, || {
+        !serves(&site, 0)
+    });
     let calls = site.list.calls();
     wait_until("the list is read some more", BOUND, || {
         site.list.calls() > calls + 10
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -1,4 +1,5 @@
-//! Groups of control replicas that keep themselves, and what they accept.
+//! Groups of control replicas that manage their own membership, and the configurations
+//! that they accept.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -12,7 +13,7 @@
 const BOUND: Duration = Duration::from_secs(60);
 const SERVICES: &[(&str, &str)] = &[("orders", "unsafe"), ("catalogue", "safe")];
 
-/// The programs as cargo built them for this test.
+/// A builder with the programs as cargo built them for this test.
 pub(crate) fn site() -> SiteBuilder {
     Site::builder(SitePrograms {
         control: PathBuf::from(env!("CARGO_BIN_EXE_filberthead-control")),
@@ -36,10 +37,10 @@
     }
 }
 
-/// All VMs of control lose power, and the only one that everybody's settings name does not
-/// come back. The others must find each other by what they know themselves, or no order is
-/// accepted and no route served again. They looked only where settings pointed, since
-/// addresses in the log count as unknown until a leader says that they are committed.
+/// All control VMs lose power, and the only one that all settings name as a seed doesn't
+/// restart. The others must find each other by their stored addresses, or no order is
+/// accepted and no route served again. They used the seeds alone, since addresses in the
+/// log count as unknown until a leader says that they are committed.
 #[test]
 fn a_majority_without_the_seed_goes_on_after_a_power_cut() {
     let mut site = site().start();
@@ -52,8 +53,8 @@
     wait_version(&site.controls[2], 7);
 }
 
-/// A VM of control comes back with an empty disk. It is another replica then, must be
-/// taken in by itself, and the old one must go, or a second loss leaves no majority.
+/// A control VM restarts with an empty disk. It is a new replica then and must be added
+/// automatically, and the old one removed, or a second loss leaves no majority.
 #[test]
 fn a_replica_with_an_empty_disk_takes_the_place_of_the_old_one() {
     let mut site = site().start();
@@ -62,7 +63,7 @@
     site.controls[1].kill();
     site.controls[1].wipe();
     site.controls[1].start();
-    // Three voters there are from the beginning, and whoever only learns proves versions too.
+    // There are three voters from the beginning, and a learner proves versions, too.
     let id = eventually("another identity", BOUND, || {
         let id = replica_id(&site.controls[1]);
         (id != lost).then_some(id)
@@ -77,7 +78,7 @@
     wait_version(&site.controls[1], 8);
 }
 
-/// Identity that a replica last said that it starts with, in its log.
+/// The replica id that a node last logged at its start.
 #[track_caller]
 fn replica_id(node: &Node) -> String {
     eventually("an identity", BOUND, || {
@@ -88,7 +89,7 @@
     })
 }
 
-/// Whether a replica last knew another one as a voter.
+/// Whether a node's last log line on the membership lists this replica as a voter.
 fn lists_voter(node: &Node, id: &str) -> bool {
     let log = node.process_ref().log();
     let mut lines = log
@@ -105,9 +106,9 @@
     proven(node) == Some(version)
 }
 
-/// An operator's answer is lost, and the same configuration comes again, later also one
-/// that is older, one of the same number with other content, and ones that are not valid.
-/// None of them may change what is in force, and only the last are refused.
+/// An operator resends a configuration whose answer was lost, and later sends an older
+/// one, one of the same number with other content, and invalid ones. None of them may
+/// change what is in force, and only the invalid ones are refused.
 #[test]
 fn only_a_valid_configuration_of_a_higher_number_takes_effect() {
     let site = site().replicas(1).tolerate(0).start();
@@ -146,8 +147,8 @@
     assert_eq!(status("evacuations.end&of=zagreb-a"), 200);
 }
 
-/// The leader is cut off from the others without knowing it, and they accept a change. An
-/// operator who asks the cut-off one must not be shown the older routes.
+/// The leader is partitioned from the others without noticing, and they accept a change.
+/// It must not show the older routes to an operator.
 #[test]
 fn a_leader_that_is_cut_off_shows_no_older_routes() {
     let mut site = site().start();
@@ -176,10 +177,11 @@
     wait_version(site.control(&name), 8);
 }
 
-/// A VM of control is replaced by another one at another address while the leader is not among
-/// the seeds that the new one is told. Nobody told either of the other: the new replica greeted
-/// its seeds, which weren't leading, and was never taken in. Two lost disks later no majority
-/// was left, nobody led for good, and gateways went on by what had been noted before.
+/// A control VM is replaced at another address while the leader is not among the seeds of
+/// the new replica. The new one sent its hello to its seeds, which weren't leading, and
+/// no replica forwarded either's address to the other, so it was never added. After two
+/// further lost disks no majority was left, no replica led for good, and gateways went on
+/// with the last noted routes.
 #[test]
 fn a_newcomer_is_taken_in_by_a_leader_that_is_none_of_its_seeds() {
     let mut site = site().start();
@@ -191,7 +193,7 @@
             .iter()
             .all(|node| node.metric("voters") >= 3.0)
     });
-    // The seed, which leads at first, must not when the newcomer comes.
+    // The seed, which leads at first, must not lead when the new replica starts.
     while !site.controls[1..].iter().any(leads) {
         site.controls[0].kill();
         wait_until("another one leads", BOUND, || {
@@ -206,10 +208,11 @@
     wait_until("it votes", BOUND, || voters(&site.controls[3]));
 }
 
-/// A VM of control is gone for good, and its successor comes at another address within a second.
-/// It is made a further voter before the other counts as gone, and nobody is left to stand in
-/// for that one: of four voters one never answers, and the next loss leaves two of four. The
-/// leader's last word on the membership names all four, and stays so.
+/// A control VM is gone for good, and its successor starts at another address within a
+/// second. It was made an additional voter before the other one counted as gone, and then
+/// no replica was left to replace that one: of four voters one never answers, and the
+/// next loss leaves two of four. The leader's last log line on the membership lists all
+/// four for good.
 #[test]
 fn a_replica_that_was_replaced_loses_its_vote() {
     const REPLACEMENT_BOUND: Duration = Duration::from_secs(20);
@@ -220,15 +223,20 @@
     site.controls[2].kill();
     site.add_control();
     let new = replica_id(&site.controls[3]);
-    wait_until("the new one has the place", REPLACEMENT_BOUND, || {
-        let node = &site.controls[0];
-        lists_voter(node, &new) && !lists_voter(node, &gone)
-    });
+    wait_until(
+        "the new replica has replaced the old one as a voter",
+        REPLACEMENT_BOUND,
+        || {
+            let node = &site.controls[0];
+            lists_voter(node, &new) && !lists_voter(node, &gone)
+        },
+    );
 }
 
-/// A device between two VMs forgets all connections to one replica: what the others send it
-/// vanishes, nothing is reset, and new connections would pass. It never heard of a leader
-/// again, and took itself for cut off until it was restarted.
+/// A network device between VMs loses the state of all connections to one replica: what
+/// the others send to it is dropped, nothing is reset, and new connections would work.
+/// The replica never received from a leader again, and took itself for partitioned until
+/// it was restarted.
 #[test]
 fn a_replica_is_heard_again_after_its_connections_have_gone_silent() {
     let site = site().start();
@@ -242,8 +250,8 @@
     wait_version(&site.controls[follower], 8);
 }
 
-/// The platform tells a process that its settings have changed in the moment in which it
-/// says that it serves. It had not caught the signal yet, which ended it.
+/// The platform sends a reload signal at the moment in which a process reports that it
+/// serves. The process had no handler for it yet, and was ended by it.
 #[test]
 fn a_reload_signal_right_after_start_ends_no_process() {
     let mut site = site().replicas(1).tolerate(0).start();
@@ -253,16 +261,15 @@
             node.process().hang_up();
         }
         for node in site.controls.iter_mut().chain(&mut site.gateways) {
-            // It is asked to stop in order, and says how it ended: not by the other signal.
+            // A regular stop; its exit status shows that the reload signal didn't end it.
             assert!(node.stop().success(), "{}", node.name());
         }
     }
 }
 
-/// An operator's tool breaks off in the middle of a configuration, and says so by closing its
-/// side of the connection. It was told that the configuration is too large, which ends an
-/// order for good, although a few kilobytes were missing and the same order was fine. Nothing
-/// was ordered, so it may come again.
+/// An operator's tool breaks off in the middle of a configuration and closes its side of
+/// the connection. It got the answer that the configuration is too large, which is final,
+/// although the same order was valid. Nothing was ordered, so it may be sent again.
 #[test]
 fn a_configuration_that_breaks_off_may_be_sent_again() {
     let site = site().replicas(1).tolerate(0).start();
@@ -278,7 +285,7 @@
     stream.write_all(half.as_bytes()).expect("it reads");
     stream.shutdown(Shutdown::Write).expect("still open");
     let mut answer = String::new();
-    // Closed without an answer is an invitation to come again as well.
+    // A close without an answer permits a retry as well.
     let _ = stream.read_to_string(&mut answer);
     let again = ["HTTP/1.1 408 ", "HTTP/1.1 503 "];
     let may_retry = again.iter().any(|status| answer.starts_with(status));
@@ -287,7 +294,8 @@
     wait_version(&site.controls[0], 2);
 }
 
-/// A configuration above the longest that replicas can hand each other is refused as that.
+/// A configuration above the longest that replicas can send each other is refused with
+/// 413.
 #[test]
 fn a_configuration_that_is_too_large_is_refused_as_such() {
     let site = site().replicas(1).tolerate(0).start();
--- a/tests/all/homes.rs
+++ b/tests/all/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of idempotency keys: several entries, killed, stopped and cut off.
+//! Homes of idempotency keys: several entries, killed, stopped and partitioned.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -13,9 +13,10 @@
 use crate::support::{init, programs};
 
 const BOUND: Duration = Duration::from_secs(120);
-/// Holds the homes of most tests, has the backup in the next one.
+/// Primary of the homes in most tests; its backup is [`BACKUP`].
 const PRIMARY: &str = "entry-zagreb-a-1";
 const BACKUP: &str = "entry-zagreb-a-2";
+/// An entry of the other failure domain.
 const REMOTE: &str = "entry-split-a-1";
 
 const REPLAYED: Option<u16> = Some(1001);
@@ -52,11 +53,11 @@
         site
     }
 
-    /// Waits until each entry hands out a prefix and passes orders on to the holder.
+    /// Waits until each entry returns a key prefix and forwards orders to the primary.
     fn wait_settled(&mut self) {
         for name in [PRIMARY, BACKUP, REMOTE] {
             let addr = self.addr(name);
-            wait_until("the entry hands out a prefix", BOUND, || {
+            wait_until("the entry returns a prefix", BOUND, || {
                 look_up(addr).is_some_and(|lookup| !lookup.key_prefix.is_empty())
             });
         }
@@ -64,9 +65,9 @@
             let addr = self.addr(name);
             let primary = self.addr(PRIMARY);
             let mut sent = 0;
-            wait_until("orders reach the holder", BOUND, || {
+            wait_until("orders reach the primary", BOUND, || {
                 let prefix = look_up(primary).expect("a look-up").key_prefix;
-                // While nobody has slots an order is refused, for good under its key.
+                // Without free slots an order is refused, permanently under its key.
                 sent += 1;
                 let key = format!("{prefix}{name}-{sent}");
                 let warm_up = Call::post("/v1/services/orders/warm-up", &key, "");
@@ -80,7 +81,7 @@
         self.cluster.entry(entry).addr("caller")
     }
 
-    /// A key whose home is held by an entry.
+    /// A key whose home is the one that this entry's look-up returns.
     fn key(&mut self, entry: &str, suffix: &str) -> String {
         let lookup = look_up(self.addr(entry)).expect("a look-up");
         format!("{}{suffix}", lookup.key_prefix)
@@ -91,10 +92,10 @@
         order(key).send(addr).expect("an answer")
     }
 
-    /// Resends until the answer has this code. What comes before must not say "not run".
+    /// Resends until the answer has this code. No earlier answer may say "not run".
     fn resend_until(&mut self, entry: &str, key: &str, code: Option<u16>) -> Answer {
         let addr = self.addr(entry);
-        eventually("the resend has its answer", BOUND, || {
+        eventually("the resend gets the expected code", BOUND, || {
             let answer = order(key).send(addr).ok()?;
             assert!(!answer.is_not_run(), "{}", answer.text());
             (answer.result() == code).then_some(answer)
@@ -115,7 +116,7 @@
         self.cluster.record().executions_of(key)
     }
 
-    /// Starts an order, whose answer nobody reads, and waits until an endpoint runs it.
+    /// Sends an order without reading its answer, and waits until an endpoint runs it.
     fn start_order(&mut self, entry: &str, key: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.addr(entry)).expect("a connection");
         let head = "POST /v1/services/orders/place HTTP/1.1\r\nhost: a\r\ncontent-length: 13";
@@ -138,7 +139,7 @@
     Call::post("/v1/services/orders/place", key, "three rabbits")
 }
 
-/// A shop owner's answer is lost. Her till resends at another entry, in another failure
+/// A caller's answer is lost. It resends to another entry, also in another failure
 /// domain, and gets the first run's answer, byte for byte.
 #[test]
 fn a_resend_at_another_entry_gets_the_first_answer() {
@@ -154,15 +155,16 @@
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry loses its power after an order was answered. The till, which lost the answer,
-/// resends at once elsewhere, and gets it from the backup once that has taken over.
+/// An entry loses power after an order was answered. The caller, which lost the answer,
+/// resends at once to another entry, and gets it from the backup once that has taken
+/// over.
 #[test]
 fn a_finished_order_survives_its_entry() {
     let mut site = Site::start();
     let key = site.key(PRIMARY, "a");
     let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    // The answer is copied after it was told; a resend through the backup shows it there.
+    // The answer is copied after it was sent; a resend through the backup shows that it is there.
     let copied = site.send(BACKUP, &key);
     assert_eq!(copied.result(), REPLAYED);
     site.cluster.entry(PRIMARY).kill();
@@ -171,8 +173,8 @@
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry loses its power while an order runs. The backup can't know whether it was
-/// placed; it says so, and neither places it again nor says that it was not.
+/// An entry loses power while an order runs. The backup can't tell whether it was placed;
+/// it answers so, and neither places it again nor answers "not run".
 #[test]
 fn a_running_order_is_not_placed_again_when_its_entry_dies() {
     let mut site = Site::start();
@@ -186,9 +188,9 @@
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry is stopped in order while an order runs and a till holds a cached prefix.
-/// The running order is answered, the till's order is placed elsewhere, the resend gets
-/// its answer from the successor, and nobody notices.
+/// An entry is stopped while an order runs and a caller holds a cached prefix. The
+/// running order is answered, the order under the cached prefix is placed through another
+/// entry, and the resend gets its answer from the successor; no caller is affected.
 #[test]
 fn a_planned_stop_hands_the_home_over() {
     let mut site = Site::start();
@@ -212,8 +214,9 @@
     assert_eq!(site.executions(&cached), 1);
 }
 
-/// A failure domain is cut off from all others and from control. Orders made there go on
-/// there. The same order sent elsewhere is refused without the word "not run".
+/// A failure domain is partitioned from all others and from control. Orders sent to it
+/// still run there. The same order sent to another domain is refused as "may-have-run",
+/// not "not-run".
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_its_own_keys() {
     let mut site = Site::start();
@@ -232,8 +235,8 @@
     assert_eq!(site.executions(&key), 1);
 }
 
-/// Both entries of a failure domain lose their power and come back without any record.
-/// The resend of an order from before gets the only true answer.
+/// Both entries of a failure domain lose power and restart without any record. The resend
+/// of an earlier order is answered that the records are lost.
 #[test]
 fn a_home_that_lost_its_records_places_nothing() {
     let mut site = Site::start();
--- a/tests/all/journals.rs
+++ b/tests/all/journals.rs
@@ -1,4 +1,4 @@
-//! The only entry of a failure domain, with a data folder, killed and started again.
+//! The only entry of a failure domain, with a data folder, killed and restarted.
 
 use std::fs;
 use std::io::Write;
@@ -23,6 +23,7 @@
     key_prefix: String,
 }
 
+/// A cluster with a single entry, an order that it has answered, and that order's key.
 struct SingleEntry {
     cluster: Cluster,
     key: String,
@@ -44,8 +45,8 @@
             let answer = order(&key).send(entry).ok()?;
             (answer.result() == Some(1000)).then_some((key, answer))
         });
-        // A resend is answered from the record, so the outcome is at the ledger; it is on
-        // disk once a further start is, for writes keep their order.
+        // A resend is answered from the record, so the outcome is in the ledger; it is on
+        // disk once the start of a later order is, since writes keep their order.
         eventually("another order is placed", BOUND, || {
             let key = format!("{}b", prefix(entry)?);
             let answer = order(&key).send(entry).ok()?;
@@ -67,7 +68,7 @@
         eventually("the entry answers", BOUND, || {
             let answer = order(&self.key).send(self.entry()).ok()?;
             assert!(!answer.is_not_run(), "{}", answer.text());
-            // Starting, it may refuse before it asks the ledger.
+            // While it starts, it may refuse before it consults the ledger.
             (answer.result() != Some(1307)).then_some(answer)
         })
     }
@@ -80,7 +81,7 @@
         self.cluster.entries[0].start();
     }
 
-    /// The journal of the home; it must not be open.
+    /// The journal file of the home; the entry must not be running.
     fn journal(&self) -> PathBuf {
         let folder = self.cluster.entries[0].data().join("ledger");
         let mut files = fs::read_dir(folder).expect("a folder of journals");
@@ -99,8 +100,8 @@
     Call::post("/v1/services/orders/place", key, "three rabbits")
 }
 
-/// The only entry of a shop's failure domain loses its power after an order. The till
-/// resends it when the entry is back, and gets the answer that it had lost.
+/// The only entry of a failure domain loses power after an order. The caller resends it
+/// when the entry is back, and gets the lost answer.
 #[test]
 fn an_answer_survives_the_only_entry() {
     let mut site = SingleEntry::with_finished_order();
@@ -113,8 +114,8 @@
     assert_eq!(record.executions_of(&site.key), 1);
 }
 
-/// Power was lost in the middle of a write, so the journal ends in half a step. That step
-/// was told to nobody; all before it counts.
+/// Power failed in the middle of a write, so the journal ends in a partial step. That
+/// step was never acknowledged; all before it counts.
 #[test]
 fn a_torn_journal_keeps_what_was_synced() {
     let mut site = SingleEntry::with_finished_order();
@@ -128,8 +129,8 @@
     assert_eq!(site.resend().result(), REPLAYED);
 }
 
-/// A bit of the journal has flipped on the disk. A start may be missing from what can be
-/// read, so the entry must not go on from it; it says what is true, "may have run".
+/// A bit of the journal has flipped on the disk. An order's start may be missing from
+/// what can be read, so the entry must not continue from it; it answers "may have run".
 #[test]
 fn a_damaged_journal_loses_the_home() {
     let mut site = SingleEntry::with_finished_order();
@@ -144,7 +145,7 @@
     assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
 }
 
-/// The entry comes back with a new disk.
+/// The entry restarts with an empty disk.
 #[test]
 fn a_wiped_disk_loses_the_home() {
     let mut site = SingleEntry::with_finished_order();
@@ -153,7 +154,7 @@
     site.start();
     let resent = site.resend();
     assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
-    wait_until("new orders are taken", BOUND, || {
+    wait_until("new orders are accepted", BOUND, || {
         prefix(site.entry()).is_some()
     });
 }
--- a/tests/all/measures.rs
+++ b/tests/all/measures.rs
@@ -1,4 +1,4 @@
-//! What an entry counts, at `/metrics` and on its way to control.
+//! What an entry counts, at `/metrics` and in its reports to control.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -29,7 +29,8 @@
     answer.expect("an answer").result().expect("a result code")
 }
 
-/// Sends reads until so many were answered; an entry that has just started refuses some.
+/// Sends reads until [`READS`] were answered; an entry that has just started refuses
+/// some.
 fn reads(entry: SocketAddr) {
     let mut answered = 0;
     wait_until("reads are answered", BOUND, || {
@@ -38,7 +39,7 @@
     });
 }
 
-/// Value of the series that starts so, 0 if there is none.
+/// Value of the series whose line starts with `series`, 0 if there is none.
 fn value(status: SocketAddr, series: &str) -> f64 {
     let text = Call::get("/metrics")
         .send(status)
@@ -70,7 +71,9 @@
     );
     let slots = format!("filberthead_slots{{{place}}}");
     // No control replica runs, so the entry fills one slot of each endpoint.
-    wait_until("all slots are seen", BOUND, || value(status, &slots) == 2.0);
+    wait_until("all slots are counted", BOUND, || {
+        value(status, &slots) == 2.0
+    });
 
     cluster.endpoints[0]
         .standin
@@ -80,11 +83,12 @@
         value(status, &drains) == 1.0
     });
     assert_eq!(value(status, &slots), 1.0);
-    // It goes on leaving, and that is one drain.
+    // It is still leaving, which stays one drain.
     reads(entry);
     assert_eq!(value(status, &drains), 1.0);
 }
 
+/// A control replica's stand-in that passes on the sample reports it receives.
 struct SampleSink(Sender<SampleReport>);
 
 impl Deliver for SampleSink {
@@ -96,14 +100,14 @@
     }
 }
 
-/// What the newest reports have counted of the service, up to one that has the reads.
+/// Sums the newest period of each report, until all reads are counted.
 fn counts(reports: &Receiver<SampleReport>) -> Counts {
     let mut sum = Counts::default();
     while sum.answered() < READS {
         let report = reports
             .recv_timeout(REPORT_BOUND)
             .expect("a report each minute");
-        // Periods but the newest are repeats.
+        // All periods but the newest are repeats.
         let newest = report.periods.last().expect("a period");
         for sample in &newest.samples {
             assert_eq!(sample.service.as_str(), "catalogue");
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -26,7 +26,7 @@
         .service("orders", 2)
 }
 
-/// A cluster of one entry that takes orders.
+/// A cluster of one entry that accepts orders.
 fn start() -> (Cluster, SocketAddr) {
     let mut cluster = one_domain().prepare();
     let entry = start_entry(&mut cluster);
@@ -45,7 +45,7 @@
 
 /// A key under the prefix of a look-up at `entry`.
 fn key(entry: SocketAddr, suffix: &str) -> String {
-    let prefix = eventually("the entry hands out a prefix", BOUND, || {
+    let prefix = eventually("the entry returns a prefix", BOUND, || {
         let answer = Call::get("/v1/lookup?service=orders").send(entry).ok()?;
         let lookup: Lookup = answer.json();
         Some(lookup.key_prefix).filter(|prefix| !prefix.is_empty())
@@ -61,7 +61,7 @@
     answer.expect("an answer")
 }
 
-/// Sends an order until an endpoint has a slot for it; each refusal needs another key.
+/// Sends orders until an endpoint has a slot for one; each refusal needs another key.
 fn placed(entry: SocketAddr, suffix: &str) -> (String, Answer) {
     eventually("an order is placed", BOUND, || {
         let key = key(entry, suffix);
@@ -82,8 +82,8 @@
     assert_eq!(cluster.record().executions_of(&placed), 1);
 }
 
-/// A shop owner corrects an order and her till sends it under the old key. She must not
-/// be shown the old order's answer for it.
+/// A caller corrects an order and sends it under the old key. It must not get the old
+/// order's answer.
 #[test]
 fn another_body_under_the_same_key_is_refused() {
     let (cluster, entry) = start();
@@ -93,8 +93,8 @@
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
 
-/// A till makes up its own keys. Nobody could say where such a key was sent before, so it
-/// never runs; the refusal brings a prefix to use.
+/// A caller makes up its own keys. It can't be known where such a key was sent before, so
+/// it never runs; the refusal returns a prefix to use.
 #[test]
 fn a_key_without_a_prefix_never_runs() {
     let (cluster, entry) = start();
@@ -110,8 +110,8 @@
     assert_eq!(cluster.record().executions_of("order-17"), 0);
 }
 
-/// The endpoint dies after it placed an order and before it answered. The owner's till
-/// resends; the order must not be placed at the other endpoint as well.
+/// The endpoint dies after it placed an order and before it answered. The caller resends;
+/// the order must not be placed at the other endpoint as well.
 #[test]
 fn an_order_whose_endpoint_died_is_not_placed_again() {
     let (cluster, entry) = start();
@@ -129,8 +129,8 @@
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
 
-/// A till's connection is cut while its order runs, and the till resends at once. The
-/// resend waits for the running order and gets its answer.
+/// A caller's connection is cut while its order runs, and it resends at once. The resend
+/// waits for the running order and gets its answer.
 #[test]
 fn a_resend_waits_for_the_running_order() {
     let (cluster, entry) = start();
@@ -155,8 +155,8 @@
     assert_eq!(executions(), 1);
 }
 
-/// Ten tills send the same order at the same moment. It is placed once, and each is told
-/// so.
+/// Ten callers send the same order at the same moment. It is placed once, and each gets
+/// that outcome or that the order is running.
 #[test]
 fn the_same_order_ten_times_at_once_is_placed_once() {
     let (cluster, entry) = start();
@@ -174,13 +174,13 @@
     });
     let with = |code| answers.iter().filter(|a| a.result() == Some(code)).count();
     assert_eq!(with(1000), 1);
-    // Resends over the bound of those that wait are told that it is running.
+    // Resends above the limit of waiting ones get the code for a running order.
     assert_eq!(with(1001) + with(1304), 9);
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
 
-/// The only endpoint that takes bookings refuses connections. The owner is told "not
-/// run", and that must stay true when the endpoint is back and the booking comes again.
+/// The only endpoint for bookings refuses connections. The caller gets "not run", and
+/// that must stay true when the endpoint is back and the booking is resent.
 #[test]
 fn a_refused_booking_never_runs() {
     let mut cluster = one_domain().prepare();
@@ -205,7 +205,7 @@
         let resent = answered(booking.send(entry));
         assert_eq!(resent.result(), refused.result());
     }
-    // Health checks may come in; a booking must not.
+    // Health checks may arrive; a booking must not.
     while let Ok((mut stream, _)) = back.accept() {
         let mut buf = [0; 4];
         let read = stream.read(&mut buf).unwrap_or(0);
--- a/tests/all/outdated.rs
+++ b/tests/all/outdated.rs
@@ -1,4 +1,4 @@
-//! What gateways refuse for good while their routes may have been overtaken.
+//! Gateways give no final refusals while their routes may be outdated.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     answer.expect("the gateway answers")
 }
 
-/// That nothing ran, and when to come back.
+/// Asserts that the answer says that nothing ran and when to retry.
 #[track_caller]
 fn assert_retryable(answer: &Answer) {
     assert_eq!(answer.status, 503);
@@ -50,38 +50,39 @@
     });
 }
 
-/// A gateway is cut off from control, and operators add a route. To the gateway the route
-/// doesn't exist, and it answered 404, which tells a caller never to come back. Its routes had
-/// not been said to be the newest for as long as it was cut off:
+/// A gateway is partitioned from control, and operators add a route. The gateway answered
+/// 404 on it, which tells a caller never to retry, although its routes had not been proved
+/// to be the newest during the partition:
 /// `"msg":"no route","path":"/lessons/1","version":1` while version 2 was accepted.
 #[test]
 fn a_gateway_that_is_cut_off_denies_no_route() {
     let site = start();
-    wait_until("it vouches for its routes", BOUND, || {
+    wait_until("its routes are proved", BOUND, || {
         send_read(&site, "nowhere").status == 404
     });
     site.network.partition(&[&[GATEWAY], &CONTROLS]);
     site.put_routes(2, SECOND);
-    eventually("it no longer vouches for its routes", BOUND, || {
+    eventually("the proof of its routes has expired", BOUND, || {
         (send_read(&site, "lessons").status != 404).then_some(())
     });
     assert_retryable(&send_read(&site, "lessons"));
     assert_eq!(
         send_read(&site, "catalogue").status,
         200,
-        "what it knows it serves"
+        "routes that it has are served"
     );
     site.network.heal();
     wait_served(&site, "lessons");
-    wait_until("it vouches again", BOUND, || {
+    wait_until("its routes are proved again", BOUND, || {
         send_read(&site, "nowhere").status == 404
     });
 }
 
-/// A gateway starts while one control VM is cut off from the others with older routes, and
-/// that one is all that the gateway reaches. Callers who have its address from before come at
-/// once. It took the first routes that anybody gave it, and answered 404 on the route that was
-/// added since: `routes in force` with version 1, then `no route`, version 1.
+/// A gateway starts while one control VM with older routes is partitioned from the
+/// others, and that one is all that the gateway reaches. Callers that have the gateway's
+/// address from before send requests at once. It used the first routes that it received,
+/// and answered 404 on the route that was added since: `routes in force` with version 1,
+/// then `no route`, version 1.
 #[test]
 fn a_gateway_that_starts_with_old_routes_denies_no_route() {
     let mut site = start();
@@ -100,13 +101,14 @@
     wait_served(&site, "lessons");
 }
 
-/// All VMs lose power, and only one of control comes back: the one whose note of what was in
-/// force is older than the last change, which it had missed. Nobody leads, so nobody knows
-/// what is the newest. The gateway served by the old note, and answered 404 on the new route.
+/// All VMs lose power, and of control only the one restarts whose note of the routes in
+/// force is older than the last change, which it had missed. There is no leader, so it is
+/// not known what is the newest. The gateway served by the old note, and answered 404 on
+/// the new route.
 #[test]
 fn a_gateway_that_starts_from_an_old_note_denies_no_route() {
     let mut site = start();
-    wait_until("the first routes are noted", BOUND, || {
+    wait_until("the note of the first routes is written", BOUND, || {
         site.controls[2].data().join("note").exists()
     });
     site.controls[2].kill();
@@ -129,9 +131,9 @@
     wait_served(&site, "lessons");
 }
 
-/// A gateway is cut off together with the leader, and the others elect another one and accept a
-/// change. The old leader goes on answering the gateway's reports; what it proved, it may prove
-/// no longer.
+/// A gateway is partitioned together with the leader, and the others elect another one
+/// and accept a change. The old leader still answers the gateway's reports, but it may
+/// not prove its routes any longer.
 #[test]
 fn a_gateway_that_is_cut_off_with_the_leader_denies_no_route() {
     let site = start();
@@ -142,7 +144,7 @@
     site.network
         .partition(&[&[GATEWAY, CONTROLS[leader]], &names]);
     put_at_any(&site, &others);
-    wait_until("it no longer vouches for its routes", BOUND, || {
+    wait_until("the proof of its routes has expired", BOUND, || {
         send_read(&site, "lessons").status != 404
     });
     assert_retryable(&send_read(&site, "lessons"));
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -1,4 +1,4 @@
-//! The burn report from an entry's message to the operator's page.
+//! The burn report, from an entry's message to the operator's page.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -55,7 +55,7 @@
         self.dir.path().join("control.ini")
     }
 
-    /// How many messages it has accepted.
+    /// Number of messages that it has accepted.
     fn received(&self) -> u64 {
         let answer = Call::get("/metrics").send(self.process.addr("operator"));
         let text = answer.expect("metrics are served").text();
@@ -65,6 +65,7 @@
     }
 }
 
+/// Drops every message that it receives.
 struct DiscardMessages;
 
 impl Deliver for DiscardMessages {
@@ -104,6 +105,7 @@
     }
 }
 
+/// Sends a sample report until control has received it.
 fn send(to: &Control, report: &SampleReport) {
     let cluster = cluster_id("test");
     let listen = "127.0.0.1:0".parse().expect("an address");
@@ -116,8 +118,8 @@
     };
     let mut outbox = transport.outbox(cluster, origin);
     let addr = to.process.addr("peer");
-    wait_until("control takes the samples", BOUND, || {
-        // Repeats count once, so sending until one has come changes nothing.
+    wait_until("control has received the samples", BOUND, || {
+        // Repeats count once, so sending until one has arrived changes nothing.
         outbox.send(addr, Body::Samples(report.clone()));
         to.received() > 0
     });
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,4 +1,5 @@
-//! Requests between callers and endpoints: whole, own answers and true refusals.
+//! Requests between callers and endpoints: complete answers, to the right request, and
+//! true refusals.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +16,7 @@
 const BOUND: Duration = Duration::from_secs(30);
 const ANSWER_BYTES: usize = 64;
 
-/// What a look-up answers.
+/// Body of a look-up's answer.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct Lookup {
@@ -39,7 +40,7 @@
         .entry_setting("callers", "lookup_ttl", "1s")
 }
 
-/// Starts the entries alone; what these tests show needs no control replica.
+/// Starts the entries alone; these tests need no control replica.
 fn start(builder: Builder) -> (Cluster, SocketAddr) {
     let mut cluster = builder.prepare();
     let entry = start_entries(&mut cluster);
@@ -60,11 +61,12 @@
     Call::get(&format!("/v1/services/catalogue{path}"))
 }
 
+/// Whether the body is the endpoint's complete answer to a read of `path`.
 fn is_complete(answer: &Answer, path: &str) -> bool {
     answer.body == Payload::of_answer("GET", path, b"").slice(0, ANSWER_BYTES)
 }
 
-/// The answer, or a failure told without its megabytes.
+/// The answer; a failure panics without printing megabytes of body.
 #[track_caller]
 fn expect_answer(answer: Result<Answer, CallError>) -> Answer {
     answer.unwrap_or_else(|e| panic!("{e}"))
@@ -86,7 +88,7 @@
     assert_eq!(lookup.ttl_seconds, 1);
     let own = lookup.key_prefix.starts_with("zagreb-a:");
     assert!(own && lookup.key_prefix.ends_with(':'), "{lookup:?}");
-    // No control replica has told it the table, so it can't say that there is no such service.
+    // It has no table from a control replica, so it can't deny that there is such a service.
     let unknown = Call::get("/v1/lookup?service=nowhere").send(entry);
     let unknown = unknown.expect("an answer");
     assert_eq!(
@@ -106,9 +108,8 @@
     assert!(!answer.header("filberthead-request-id").is_empty());
 }
 
-/// A clerk's page stops in the middle. The endpoint's process died while it sent the
-/// answer, so the connection ended early; its length tells. The clerk must get the whole
-/// answer, from the other endpoint.
+/// An endpoint's process dies while it sends an answer, so the connection ends before the
+/// announced length. The caller must get the complete answer from the other endpoint.
 #[test]
 fn a_truncated_answer_is_never_passed_on() {
     let (cluster, entry) = start(one_domain());
@@ -120,7 +121,7 @@
         let path = format!("/cut/{number}");
         match read(&path).send(entry) {
             Ok(answer) if answer.status == 200 => assert!(is_complete(&answer, &path)),
-            // Both endpoints are left alone for a moment after a cut.
+            // Both endpoints get no requests for a moment after a cut.
             Ok(answer) => assert!(!answer.header("retry-after").is_empty()),
             Err(e) => panic!("{e}"),
         }
@@ -129,9 +130,9 @@
     assert_eq!(cluster.record().count(Stage::Cancelled, cut), 2);
 }
 
-/// Two clerks ask at the same moment, and each sees the other's page: something before
-/// the endpoints mixed up two answers. The id on the answer is another request's, so the
-/// entry drops it with its connection and asks elsewhere.
+/// Two requests run at the same moment, and something in front of the endpoints mixes up
+/// their answers. The id on the answer is another request's, so the entry drops it with
+/// its connection.
 #[test]
 fn an_answer_with_another_requests_id_reaches_no_caller() {
     let (cluster, entry) = start(one_domain());
@@ -143,14 +144,14 @@
         let path = format!("/crossed/{number}");
         let answer = read(&path).send(entry).expect("an answer");
         assert_eq!(answer.header("filberthead-meaning"), "may-have-run");
-        // The endpoints are left alone for a moment after each such answer.
+        // The endpoints get no requests for a moment after each such answer.
         let other = read("/tricks").resend(&[entry], 100).expect("an answer");
         assert!(is_complete(&other, "/tricks"));
     }
 }
 
-/// A clerk gives up on a slow page and asks for another one; then the slow answer comes.
-/// It belongs to a request that has ended and must not be taken for the second one's.
+/// A read times out and its caller sends another one; then the late answer arrives. It
+/// belongs to a request that has ended and must not be used for the second one.
 #[test]
 fn a_late_answer_is_not_used_for_the_next_request() {
     let (cluster, entry) = start(one_domain());
@@ -171,8 +172,8 @@
     }
 }
 
-/// A clerk closes the page before it has come. The endpoint shouldn't go on computing
-/// for nobody: the entry closes its connection, which is how a read is cancelled.
+/// A caller disconnects before the answer. To end useless work at the endpoint, the entry
+/// closes its connection, which is how a read is cancelled.
 #[test]
 fn a_disconnecting_caller_cancels_its_read() {
     let (cluster, entry) = start(one_domain());
@@ -190,8 +191,8 @@
     wait_until("it is cancelled", BOUND, || count(Stage::Cancelled) == 1);
 }
 
-/// A performer's lesson breaks off half way: its endpoint died. The rest must come from
-/// another endpoint, and not a byte be missing, doubled or of another lesson.
+/// A download's endpoint dies half way. The rest must come from another endpoint, with no
+/// byte missing, doubled or of another download.
 #[test]
 fn a_download_resumes_when_its_endpoint_dies() {
     const BYTES: usize = 4 * 1024 * 1024;
@@ -210,9 +211,9 @@
     assert!(cluster.record().count(Stage::Received, lesson) > 1);
 }
 
-/// A new version of a lesson has reached one endpoint and not yet the other, and the one
+/// One endpoint has a new version of a file and the other one doesn't yet, and the one
 /// that sends it dies. The rest of the other version would not fit the first half, so the
-/// download must break off, not end as if it were whole.
+/// download must be cut, not end as if it were complete.
 #[test]
 fn a_download_of_two_versions_is_cut() {
     const BYTES: usize = 4 * 1024 * 1024;
@@ -238,7 +239,7 @@
 }
 
 /// One endpoint's machine is gone and refuses connections. No byte of a request gets
-/// there, so each may go to the other endpoint, and readers notice nothing.
+/// there, so each may go to the other endpoint, and callers see no failure.
 #[test]
 fn a_refused_connection_costs_no_answer() {
     let mut cluster = one_domain().prepare();
@@ -255,8 +256,9 @@
     }
 }
 
-/// All slots are taken, and the queue too. A clerk gets a refusal that is true, not run,
-/// and says when to come back, and gets it before the deadline has gone by.
+/// All slots are taken, and the queue is full. Callers are rejected well before the
+/// deadline, with the time after which to retry, and what is reported as not run has not
+/// run.
 #[test]
 fn a_full_service_rejects_at_once_and_runs_nothing() {
     let builder = one_domain().entry_setting("limits", "queue", "1");
@@ -284,8 +286,8 @@
     assert!(refused > 0);
 }
 
-/// Headers that only entries and endpoints may set arrive with a caller's request. It
-/// must pass for neither.
+/// A caller's request has headers that only entries and endpoints may set. It must not be
+/// treated as coming from either.
 #[test]
 fn forged_internal_headers_are_not_trusted() {
     let (_cluster, entry) = start(one_domain());
--- a/tests/all/spreading.rs
+++ b/tests/all/spreading.rs
@@ -1,4 +1,4 @@
-//! Tables on their way from an operator to every entry.
+//! Distribution of the table from an operator to every entry.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -12,10 +12,10 @@
 use crate::support::programs;
 
 const BOUND: Duration = Duration::from_secs(90);
-/// Time within which an entry notices that it is cut off, several times over: it takes a
-/// leader for silent after 3 s.
+/// Several times the time in which an entry notices a partition: it considers a leader
+/// silent after 3 s.
 const CUT_OFF_BOUND: Duration = Duration::from_secs(20);
-/// Longer than a process may be away without starting over.
+/// Longer than a process may be suspended without starting over.
 const SUSPENSION: Duration = Duration::from_secs(7);
 
 fn two_domains() -> Builder {
@@ -30,9 +30,9 @@
 /// A system whose control replicas form a group.
 struct System {
     cluster: Cluster,
-    /// Changes accepted.
+    /// Version of the last accepted change.
     version: u64,
-    /// Which replica accepted the last one.
+    /// Index of the replica that accepted the last change.
     leader: usize,
 }
 
@@ -83,14 +83,14 @@
         };
         let id = format!("{:032x}", revision + 1);
         let edits = [edit("zagreb", zagreb), edit("split", split)];
-        // Some of these regions have fewer slots than that; the limit is not what counts.
+        // Some of these regions have fewer slots than the limit, which is irrelevant here.
         let allow = ["limit-above-slots"];
         let body = json!({"id": id, "note": "a note", "edits": edits, "allow": allow});
         let call = Call::new("POST", "/v1/changes")
             .header("content-type", "application/json")
             .header("filberthead-operator", "ana")
             .body(body.to_string());
-        // The leader may be any of them, and may be on the way.
+        // Any of them may lead, and an election may be in progress.
         let addrs = self.cluster.operator_addrs();
         let order = (self.leader..addrs.len()).chain(0..self.leader);
         let (index, answer) = eventually("the change is accepted", BOUND, || {
@@ -124,7 +124,7 @@
     answer.map_or(Value::Null, |answer| answer.json())
 }
 
-/// Regions that a look-up names, or the result code of its refusal.
+/// Regions that a look-up returns, or the result code of its refusal.
 fn look_up(addr: SocketAddr) -> Result<Vec<String>, u16> {
     let answer = Call::get("/v1/lookup?service=catalogue").send(addr);
     let answer = answer.expect("the entry answers");
@@ -156,10 +156,10 @@
     });
 }
 
-/// Zagreb is cut off while operators elsewhere may add services. Its entry goes on with what it
-/// knows, as it should; but it answered 404 to callers of a service that its table lacks, who
-/// take that as final, although only somebody who knows the newest table can say that there is
-/// no such service. It must ask them to come back until it hears the leader again.
+/// Zagreb is partitioned while operators outside may add services. Its entry goes on with
+/// its table, as it should; but it answered 404 to callers of a service that the table
+/// lacks, which they take as final, although only the newest table can tell that there is
+/// no such service. It must answer 503 until it receives from the leader again.
 #[test]
 fn an_entry_that_is_cut_off_denies_no_service() {
     let mut system = System::start(two_domains().entries_each(1));
@@ -184,19 +184,22 @@
     let [inside, outside]: [Vec<_>; 2] = groups;
     system.cluster.network.partition(&[&inside, &outside]);
     let is_not_ready = |path: &&str| status_and_code(path) == (503, Some(1206));
-    wait_until("callers are asked to come back", CUT_OFF_BOUND, || {
+    wait_until("callers get 503 instead", CUT_OFF_BOUND, || {
         paths.iter().all(is_not_ready)
     });
-    assert!(look_up(addr).is_ok(), "what is known is named");
+    assert!(
+        look_up(addr).is_ok(),
+        "services of its table are still looked up"
+    );
     system.cluster.network.heal();
     wait_until("the newest table denies it", BOUND, || {
         paths.iter().all(denied)
     });
 }
 
-/// An entry of Zagreb is down while operators make 300 changes, the last of which
-/// drains the region. From the moment it is back, no caller may be sent to Zagreb by
-/// the weights from before, not even by the first look-up that it answers.
+/// An entry of Zagreb is down while operators make 300 changes, the last of which drains
+/// the region. Once it is back, no caller may be sent to Zagreb by the earlier weights,
+/// not even by the first look-up that it answers.
 #[test]
 fn an_entry_restarted_after_300_changes_uses_no_old_weights() {
     let mut system = System::start(two_domains());
@@ -213,7 +216,7 @@
     let mut answered = 0;
     wait_until("look-ups are answered again", BOUND, || {
         match look_up(addr) {
-            // Its own region is no choice any more; while nothing is known it refuses.
+            // Its own region is drained; without a table it refuses.
             Ok(regions) => {
                 assert!(
                     regions.iter().all(|region| region == "split"),
@@ -228,9 +231,9 @@
     system.wait_in_force(version);
 }
 
-/// The only entry of a failure domain restarts while the domain is cut off. Nobody can
-/// tell it which weights are the newest. It says so, and serves its callers from the
-/// endpoints at hand; when the cut is mended it goes by the table again.
+/// The only entry of a failure domain restarts while the domain is partitioned, so it
+/// can't learn the newest weights. Its status shows that, and it serves its callers from
+/// the endpoints of its own domain; when the partition heals it uses the table again.
 #[test]
 fn an_entry_that_restarts_cut_off_serves_its_own_domain_cautiously() {
     let mut system = System::start(two_domains().entries_each(1));
@@ -241,9 +244,9 @@
     let groups = [&inside, &outside].map(|names| names.iter().map(String::as_str).collect());
     let [inside, outside]: [Vec<_>; 2] = groups;
     system.cluster.network.partition(&[&inside, &outside]);
-    // If the replica inside led, its lease outlives the cut for a moment.
+    // If the replica inside led, its lease outlasts the cut for a moment.
     let replica = system.cluster.control("control-2").addr("operator");
-    wait_until("nobody inside leads", BOUND, || {
+    wait_until("no replica inside leads", BOUND, || {
         let status = Call::get("/v1/status").send(replica);
         status.is_ok_and(|status| status.json::<Value>()["holds_lease"] == false)
     });
@@ -261,9 +264,9 @@
     system.wait_in_force(version);
 }
 
-/// An entry is stopped by a signal for longer than its proof holds, while the change
-/// that drains its region passes it by. Continued, it doesn't know that it was away;
-/// callers whose look-ups waited all the time must not be answered by the old weights.
+/// An entry is suspended by a signal for longer than its proof holds, and misses the
+/// change that drains its region. Resumed, it can't tell that it was suspended; callers
+/// whose look-ups waited all the time must not be answered by the old weights.
 #[test]
 fn a_resumed_entry_uses_no_old_weights() {
     let mut system = System::start(two_domains());
@@ -274,11 +277,11 @@
     entry.process().suspend();
     let begin = Instant::now();
     let version = system.set_weights(0, 10);
-    // These connect at once and are answered after the entry was continued.
+    // These connect at once and are answered after the entry has resumed.
     let waiting: Vec<_> = (0..20)
         .map(|_| std::thread::spawn(move || look_up(addr)))
         .collect();
-    wait_until("the entry was away for long", BOUND, || {
+    wait_until("the entry was suspended for long enough", BOUND, || {
         begin.elapsed() > SUSPENSION
     });
     system.cluster.entry("entry-zagreb-a-2").process().resume();
--- a/tests/all/stops.rs
+++ b/tests/all/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops of entries and drains of endpoints, with work in progress.
+//! Planned stops of entries and drains of endpoints, with requests in progress.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -43,7 +43,7 @@
 fn start(builder: Builder) -> Cluster {
     let cluster = start_single_replica(builder);
     for entry in cluster.caller_addrs() {
-        wait_until("the entries know each other", BOUND, || {
+        wait_until("the entries have discovered each other", BOUND, || {
             look_up(entry).is_ok_and(|l| l.entries.len() == 2 && !l.key_prefix.is_empty())
         });
     }
@@ -61,13 +61,13 @@
     Call::get(&format!("/v1/services/catalogue{path}"))
 }
 
-/// Requests that an endpoint has received.
+/// Number of requests that an endpoint has received.
 fn received_count(endpoint: &Endpoint) -> usize {
     endpoint.standin.record().count(Stage::Received, |_| true)
 }
 
-/// A caller as its documentation asks it to be: it keeps a look-up's answer for its time
-/// to live, and goes to the next entry when one refuses and says that nothing ran.
+/// A caller that follows its documentation: it keeps a look-up's answer for its time to
+/// live, and goes to the next entry when one refuses with "not run".
 struct Caller {
     lookup: Lookup,
     looked_up_at: Instant,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Looks up again once the last answer has lapsed; a connection that ends before it
-    /// begins to answer would be a cut look-up.
+    /// Looks up again once the last answer has expired. An error means that a connection
+    /// ended before its answer: a look-up was cut.
     fn refresh(&mut self) -> Result<(), CallError> {
         if self.looked_up_at.elapsed() < Duration::from_secs(self.lookup.ttl_seconds) {
             return Ok(());
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads page after page until told to stop; returns how many pages it got.
+/// Reads page after page until `stop` is set; returns how many pages it got.
 fn browse(entry: SocketAddr, stop: &AtomicBool) -> usize {
     let mut caller = Caller::new(entry);
     let mut pages = 0;
@@ -129,9 +129,9 @@
     pages
 }
 
-/// An entry is stopped for an update in the middle of the day. Clerks hold look-ups that
-/// name it, an owner's order is running and a performer is half way through a lesson.
-/// Nobody may notice, and the process must end by itself when the last of them is served.
+/// An entry is stopped for an update while callers hold look-ups that name it, an order
+/// is running and a download is half way. No caller may be affected, and the process must
+/// exit when the last request is served.
 #[test]
 fn a_planned_stop_of_an_entry_cuts_nothing() {
     let mut cluster = start(site());
@@ -176,7 +176,7 @@
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
 
-/// Reads with more requests at a time than one endpoint has slots. Some are refused
+/// Reads with more concurrent requests than one endpoint has slots. Some are refused
 /// while the others have all the slots.
 fn burst(entry: SocketAddr) {
     for _ in 0..8 {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Reads until an endpoint has had no new request for a while.
+/// Sends bursts until one brings no new request to an endpoint.
 fn wait_without_new_requests(cluster: &Cluster, index: usize) {
     let entry = cluster.caller_addrs()[0];
     wait_until("the endpoint gets no new work", BOUND, || {
@@ -196,7 +196,7 @@
     });
 }
 
-/// Reads through both entries and returns how much of it came to an endpoint.
+/// Sends bursts through both entries and returns how many requests reached an endpoint.
 fn count_new_requests(cluster: &Cluster, index: usize) -> usize {
     let before = received_count(&cluster.endpoints[index]);
     for entry in cluster.caller_addrs() {
@@ -205,9 +205,8 @@
     received_count(&cluster.endpoints[index]) - before
 }
 
-/// An endpoint's VM is about to be replaced, and the endpoint says that it is leaving
-/// while a performer's lesson comes from it. It must get nothing new, and the lesson must
-/// come to its end.
+/// An endpoint's VM is about to be replaced, and the endpoint reports that it is leaving
+/// during a download. It must get no new requests, and the download must finish.
 #[test]
 fn a_leaving_endpoint_finishes_its_requests_and_gets_no_new_ones() {
     let cluster = start(site());
@@ -238,8 +237,8 @@
     });
 }
 
-/// The platform's list shows an endpoint as leaving, and a moment later, because it lags,
-/// as live again. The endpoint itself says nothing. The word that it leaves must win.
+/// The platform's list shows an endpoint as leaving and, because it lags, a moment later
+/// as live again. The endpoint itself reports nothing. The leaving state must win.
 #[test]
 fn a_flapping_platform_list_brings_no_requests_back() {
     let cluster = start(site().platform(true));
@@ -251,7 +250,7 @@
     cluster.platform.set(vms);
     for _ in 0..3 {
         assert_eq!(count_new_requests(&cluster, 0), 0);
-        // Longer than the entries' time between two fetches of the list.
+        // Longer than the entries' interval between two fetches of the list.
         std::thread::sleep(Duration::from_millis(1100));
     }
 }
