--- a/tests/all/control/leader.rs
+++ b/tests/all/control/leader.rs
@@ -40,11 +40,11 @@
     let name = group.leader_name();
     let addr = group.leader().addr("operator");
     group.leader().process().suspend();
-    let asleep = std::time::Instant::now();
+    let suspended_at = std::time::Instant::now();
     group.wait_other_leader(&name);
     group.wait_progress(MIN_CHANGES);
     wait_until("the suspension lasts long enough", 2 * time + BOUND, || {
-        asleep.elapsed() >= time
+        suspended_at.elapsed() >= time
     });
 
     let min_version = group.outcomes.newest();
@@ -90,7 +90,7 @@
 /// The leader receives from the others, but nothing that it sends arrives. It must not
 /// keep its lead because of what it receives, and the others elect another leader.
 #[test]
-fn outbound_cut() {
+fn leader_that_cannot_send_is_replaced() {
     let mut group = Group::start();
     let writers = group.writers();
     group.wait_progress(MIN_CHANGES);
@@ -108,7 +108,7 @@
 /// The leader's heartbeats arrive, but no reply reaches it. The others would follow it
 /// for ever while it can't commit anything: it has to step down.
 #[test]
-fn inbound_cut() {
+fn leader_that_cannot_receive_steps_down() {
     let mut group = Group::start();
     let writers = group.writers();
     group.wait_progress(MIN_CHANGES);
@@ -127,7 +127,7 @@
 /// receives from the other follower only. Changes are still accepted, and the follower's
 /// election attempts don't depose a leader that has a majority.
 #[test]
-fn one_way_cut_to_one_follower() {
+fn one_way_cut_does_not_depose_a_leader_with_a_majority() {
     let mut group = Group::start();
     let writers = group.writers();
     group.wait_progress(MIN_CHANGES);
--- a/tests/all/control/partition.rs
+++ b/tests/all/control/partition.rs
@@ -50,8 +50,8 @@
     for _ in 0..3 {
         let attempt = inside.attempt(addr, &change);
         group.outcomes.note(change.id, &attempt);
-        let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
-        assert!(!known, "while isolated: {attempt:?}");
+        let is_decided = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
+        assert!(!is_decided, "while isolated: {attempt:?}");
         assert_eq!(inside.table_of(addr).map(|table| table.version), None);
     }
     group.wait_progress(MIN_CHANGES);
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -92,15 +92,17 @@
     proxy.cut();
     proxy.heal();
 
-    let known = group.operator.accept(&first);
-    group.outcomes.note(first.id, &Attempt::Accepted(known));
-    let second = set_weight("orders", "zagreb", Revision(known.0), 20);
+    let accepted_version = group.operator.accept(&first);
+    group
+        .outcomes
+        .note(first.id, &Attempt::Accepted(accepted_version));
+    let second = set_weight("orders", "zagreb", Revision(accepted_version.0), 20);
     let newest = group.operator.accept(&second);
     group.outcomes.note(second.id, &Attempt::Accepted(newest));
 
     let resend = |group: &Group| {
         let again = group.operator.change(&first);
-        assert_eq!(again, Attempt::Accepted(known));
+        assert_eq!(again, Attempt::Accepted(accepted_version));
         let table = group.operator.table();
         assert_eq!((table.version, table.rows[0].weight), (newest, 20));
     };
--- a/tests/all/control/replacement.rs
+++ b/tests/all/control/replacement.rs
@@ -75,8 +75,8 @@
     for addr in group.cluster.operator_addrs().iter().cycle().take(9) {
         let attempt = group.operator.attempt(*addr, &change);
         group.outcomes.note(change.id, &attempt);
-        let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
-        assert!(!known, "without a majority: {attempt:?}");
+        let is_decided = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
+        assert!(!is_decided, "without a majority: {attempt:?}");
     }
     group.cluster.control(&second).start();
     group.wait_progress(MIN_CHANGES);
--- a/tests/all/rejections.rs
+++ b/tests/all/rejections.rs
@@ -283,9 +283,9 @@
     let written = lines.len() as u64;
     let omitted: u64 = lines.iter().map(|line| number(line, "omitted")).sum();
     let counted = |code: &str| site.gateways[0].metric(&format!("kind=\"none\",code=\"{code}\""));
-    let (send_until_denied, unproven) = (counted("1100"), counted("1211"));
-    assert!(send_until_denied + unproven >= (FLOOD + 1) as f64);
-    assert!((send_until_denied - (written + omitted) as f64).abs() < 1e-9);
+    let (denied, unproven) = (counted("1100"), counted("1211"));
+    assert!(denied + unproven >= (FLOOD + 1) as f64);
+    assert!((denied - (written + omitted) as f64).abs() < 1e-9);
     assert!(omitted > 0, "{written} lines in {seconds} s");
     assert!(
         written <= LINES_PER_SECOND * seconds + 1,
