--- a/tests/all/control/catch_up.rs
+++ b/tests/all/control/catch_up.rs
@@ -27,12 +27,12 @@
 
 /// Makes [`CHANGES`] changes and returns the newest version.
 fn make_changes(group: &Group) -> Version {
-    let mut seen = group.operator.table().version;
+    let mut newest = group.operator.table().version;
     for weight in 2..CHANGES + 2 {
-        let change = set_weight("orders", "osijek", Revision(seen.0), weight);
-        seen = group.operator.accept(&change);
+        let change = set_weight("orders", "osijek", Revision(newest.0), weight);
+        newest = group.operator.accept(&change);
     }
-    seen
+    newest
 }
 
 /// An entry's process dies and restarts after it has missed 300 changes. It applies no
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -18,9 +18,9 @@
 fn one_of_two_concurrent_equal_edits_wins() {
     let group = Group::start();
     let addrs = group.cluster.operator_addrs();
-    let mut seen = Revision(0);
+    let mut revision = Revision(0);
     for round in 1..=30 {
-        let changes = [0, 1].map(|_| set_weight("orders", "zagreb", seen, round));
+        let changes = [0, 1].map(|_| set_weight("orders", "zagreb", revision, round));
         let attempts = race(&group, &changes);
         let won: Vec<_> = attempts.iter().filter_map(accepted).collect();
         assert_eq!(won.len(), 1, "round {round}: {attempts:?}");
@@ -34,7 +34,7 @@
             let again = Operator::new(name, addrs.clone()).change(change);
             assert_eq!(outcome(&again), outcome(first), "round {round}");
         }
-        seen = Revision(won[0].0);
+        revision = Revision(won[0].0);
     }
     group.outcomes.check(&group.operator);
 }
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -78,15 +78,15 @@
     /// change must be accepted.
     fn write(&self, number: usize) {
         let service = format!("service-{number}");
-        let mut seen = Revision(0);
+        let mut revision = Revision(0);
         let mut weight = 0;
         while !self.stopped() {
             weight += 1;
-            let change = set_weight(&service, "zagreb", seen, weight);
+            let change = set_weight(&service, "zagreb", revision, weight);
             let Some(version) = self.send(&change) else {
                 return;
             };
-            seen = Revision(version.0);
+            revision = Revision(version.0);
             std::thread::sleep(PAUSE);
         }
     }
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -69,8 +69,8 @@
         (id != lost).then_some(id)
     });
     wait_until("it votes", BOUND, || {
-        let known = site.controls[..2].iter().all(|node| lists_voter(node, &id));
-        known && has_proven(&site.controls[1], 7)
+        let is_listed = site.controls[..2].iter().all(|node| lists_voter(node, &id));
+        is_listed && has_proven(&site.controls[1], 7)
     });
     // The second loss.
     site.controls[2].kill();
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -57,7 +57,7 @@
     Call::post("/v1/services/orders/place", key, "three rabbits")
 }
 
-fn answered(answer: Result<Answer, CallError>) -> Answer {
+fn expect_answer(answer: Result<Answer, CallError>) -> Answer {
     answer.expect("an answer")
 }
 
@@ -65,7 +65,7 @@
 fn placed(entry: SocketAddr, suffix: &str) -> (String, Answer) {
     eventually("an order is placed", BOUND, || {
         let key = key(entry, suffix);
-        let answer = answered(order(&key).send(entry));
+        let answer = expect_answer(order(&key).send(entry));
         Some((key, answer)).filter(|(_, answer)| answer.result() == Some(1000))
     })
 }
@@ -74,7 +74,7 @@
 fn a_resend_gets_the_stored_answer() {
     let (cluster, entry) = start();
     let (placed, first) = placed(entry, "a");
-    let resent = answered(order(&placed).send(entry));
+    let resent = expect_answer(order(&placed).send(entry));
     assert_eq!(resent.result(), Some(1001));
     assert_eq!(resent.header("filberthead-key-prefix"), key(entry, ""));
     assert_eq!(resent.status, first.status);
@@ -89,7 +89,7 @@
     let (cluster, entry) = start();
     let (key, _) = placed(entry, "a");
     let other = Call::post("/v1/services/orders/place", &key, "four rabbits");
-    assert_eq!(answered(other.send(entry)).result(), Some(1102));
+    assert_eq!(expect_answer(other.send(entry)).result(), Some(1102));
     assert_eq!(cluster.record().executions_of(&key), 1);
 }
 
@@ -99,12 +99,12 @@
 fn a_key_without_a_prefix_never_runs() {
     let (cluster, entry) = start();
     let prefix = key(entry, "");
-    let refused = answered(order("order-17").send(entry));
+    let refused = expect_answer(order("order-17").send(entry));
     assert_eq!(refused.result(), Some(1105));
     assert_eq!(refused.header("filberthead-key-prefix"), prefix);
     assert_eq!(refused.header("filberthead-meaning"), "not-run");
     let missing = Call::new("POST", "/v1/services/orders/place").send(entry);
-    let missing = answered(missing);
+    let missing = expect_answer(missing);
     assert_eq!(missing.result(), Some(1101));
     assert_eq!(missing.header("filberthead-key-prefix"), prefix);
     assert_eq!(cluster.record().executions_of("order-17"), 0);
@@ -120,10 +120,10 @@
         endpoint.standin.rule(Rule::always(when, Fault::CrashAfter));
     }
     let key = key(entry, "a");
-    let lost = answered(order(&key).send(entry));
+    let lost = expect_answer(order(&key).send(entry));
     assert_eq!(lost.header("filberthead-meaning"), "may-have-run");
     for _ in 0..5 {
-        let resent = answered(order(&key).send(entry));
+        let resent = expect_answer(order(&key).send(entry));
         assert_eq!(resent.result(), Some(1302), "{}", resent.text());
     }
     assert_eq!(cluster.record().executions_of(&key), 1);
@@ -150,7 +150,7 @@
     let executions = || cluster.record().executions_of(&key);
     wait_until("the order runs", BOUND, || executions() == 1);
     drop(stream);
-    let resent = answered(order(&key).send(entry));
+    let resent = expect_answer(order(&key).send(entry));
     assert_eq!(resent.result(), Some(1001));
     assert_eq!(executions(), 1);
 }
@@ -167,7 +167,7 @@
     }
     let key = key(entry, "a");
     let answers: Vec<_> = std::thread::scope(|scope| {
-        let send = || scope.spawn(|| answered(order(&key).send(entry)));
+        let send = || scope.spawn(|| expect_answer(order(&key).send(entry)));
         let sent: Vec<_> = (0..10).map(|_| send()).collect();
         let ended = sent.into_iter().map(|thread| thread.join());
         ended.map(|answer| answer.expect("no panic")).collect()
@@ -192,7 +192,7 @@
     let entry = start_entry(&mut cluster);
     let key = key(entry, "a");
     let booking = Call::post("/v1/services/bookings/book", &key, "two seats");
-    let refused = answered(booking.send(entry));
+    let refused = expect_answer(booking.send(entry));
     assert_eq!(
         refused.header("filberthead-meaning"),
         "not-run",
@@ -202,7 +202,7 @@
     let back = gone.listen();
     back.set_nonblocking(true).expect("a socket");
     for _ in 0..5 {
-        let resent = answered(booking.send(entry));
+        let resent = expect_answer(booking.send(entry));
         assert_eq!(resent.result(), refused.result());
     }
     // Health checks may arrive; a booking must not.
--- a/tests/all/spreading.rs
+++ b/tests/all/spreading.rs
@@ -62,16 +62,16 @@
         }
     }
 
-    fn run_cli(&self, words: &[&str]) {
+    fn run_cli(&self, args: &[&str]) {
         let first = self.cluster.operator_addrs()[0].to_string();
         let output = Command::new(&self.cluster.programs().cli)
-            .args(words)
+            .args(args)
             .env_clear()
             .env("FILBERTHEAD_CONTROL", first)
             .env("USER", "ana")
             .output()
             .expect("the command line starts");
-        assert!(output.status.success(), "{words:?}: {output:?}");
+        assert!(output.status.success(), "{args:?}: {output:?}");
     }
 
     /// Sets the weights of both regions in one change and returns its version.
