--- a/tests/all/entries.rs
+++ b/tests/all/entries.rs
@@ -145,7 +145,7 @@
         endpoint.standin.script(slow);
     }
     let read_thread = std::thread::spawn(move || call.bound(BOUND).send(entry));
-    wait_until("the reading runs", BOUND, || {
+    wait_until("the read runs", BOUND, || {
         let record = cluster.record();
         record.count(Stage::Executed, |seen| seen.path == "/slow") > 0
     });
@@ -176,8 +176,7 @@
 }
 
 /// As above, but the killed entry was alone in its failure domain, so no entry takes
-/// over. The caller learns at once that the read may have run, and can go
-/// elsewhere.
+/// over. The caller learns at once that the read may have run, and can go elsewhere.
 #[test]
 fn a_read_without_a_successor_does_not_wait() {
     let mut cluster = start_with(1, 1);
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -357,7 +357,7 @@
         let near = site.endpoints.iter().filter(|e| e.domain() == "zagreb-a");
         near.into_iter().all(|e| !e.ran().is_empty())
     });
-    wait_until("both parts are read by themselves", BOUND, || {
+    wait_until("both failure domains are read separately", BOUND, || {
         site.list.domains_read().len() == 2
     });
     site.endpoints[3].drain();
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -211,7 +211,7 @@
 /// A control VM is gone for good, and its successor starts at another address within a
 /// second. It was made an additional voter before the other one counted as gone, and then
 /// no replica was left to replace that one: of four voters one never answers, and the
-/// next loss leaves two of four. The leader's last log line on the membership lists all
+/// next loss leaves two of four. The leader's last log line on the membership listed all
 /// four for good.
 #[test]
 fn a_replica_that_was_replaced_loses_its_vote() {
--- a/tests/all/operators/limits.rs
+++ b/tests/all/operators/limits.rs
@@ -75,7 +75,7 @@
         .header("content-type", "application/json")
         .header(OPERATOR_HEADER, "ana")
         .body(serde_json::to_vec(&change).expect("plain data"));
-    eventually("the table decides", BOUND, || {
+    eventually("the change is accepted or refused", BOUND, || {
         let addrs = session.cluster.operator_addrs();
         let answers = addrs.into_iter().filter_map(|addr| call.send(addr).ok());
         let mut answers = answers.map(|answer| answer.json::<Answer>());
