--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -71,8 +71,8 @@
     assert_eq!(denied.status, 404);
 }
 
-/// An order reaches an endpoint whose answer is lost. The caller must neither be told
-/// that the order did not run, nor may it run again at another endpoint.
+/// An order reaches an endpoint whose answer is lost. The caller must not get the answer
+/// that the order did not run, and the order must not run again at another endpoint.
 #[test]
 fn an_order_whose_answer_is_lost_runs_once() {
     let site = start("orders", 3);
@@ -113,8 +113,8 @@
     assert_eq!(send(&site, "GET", "/catalogue/one", "read-x").status, 502);
 }
 
-/// Every endpoint is full and sheds. The caller is told that nothing ran and when to
-/// retry, and nothing runs afterwards.
+/// Every endpoint is full and sheds. The caller gets an answer that nothing ran and when
+/// to retry, and nothing runs afterwards.
 #[test]
 fn an_order_that_all_refuse_is_refused_truthfully() {
     let site = start("orders", 2);
