--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -132,7 +132,7 @@
 
 /// Two requests run at the same moment, and something in front of the endpoints mixes up
 /// their answers. The id on the answer is another request's, so the entry drops it with
-/// its connection.
+/// its connection and tries another endpoint.
 #[test]
 fn an_answer_with_another_requests_id_reaches_no_caller() {
     let (cluster, entry) = start(one_domain());
@@ -256,7 +256,7 @@
     }
 }
 
-/// All slots are taken, and the queue is full. Callers are rejected well before the
+/// All slots are taken, and the queue is full. Callers are rejected before the
 /// deadline, with the time after which to retry, and what is reported as not run has not
 /// run.
 #[test]
