--- a/tests/all/control/group.rs
+++ b/tests/all/control/group.rs
@@ -1,4 +1,4 @@
-//! A group of control replicas with what a test needs around it.
+//! Test fixture: a group of control replicas with an operator.
 
 use std::net::SocketAddr;
 
@@ -18,22 +18,23 @@
     ("osijek", "osijek-a"),
 ];
 
-/// A running group, one replica in each of [`PLACES`].
+/// A running group, one replica in each of [`PLACES`], with an operator and a record of
+/// the outcomes of all changes.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) cluster: Cluster,
     pub(crate) operator: Operator,
-    pub(crate) told: Told,
+    pub(crate) outcomes: Told,
 }
 
 impl Group {
-    /// Three replicas and no entry.
+    /// Starts three replicas and no entry.
     #[track_caller]
     pub(crate) fn start() -> Self {
         Self::build(builder().entries_each(0))
     }
 
-    /// A group as described.
+    /// Starts the cluster that the builder describes and initialises its group.
     #[track_caller]
     pub(crate) fn build(builder: Builder) -> Self {
         let cluster = builder.start();
@@ -42,29 +43,30 @@
         Self {
             cluster,
             operator,
-            told: Told::default(),
+            outcomes: Told::default(),
         }
     }
 
-    /// Operators that change their own rows all the time, and readers that check.
+    /// Starts operators that each keep changing a row of their own, and a reader that
+    /// checks the table.
     pub(crate) fn writers(&self) -> Writers {
-        Writers::start(self.cluster.operator_addrs(), &self.told)
+        Writers::start(self.cluster.operator_addrs(), &self.outcomes)
     }
 
-    /// The replica that leads.
+    /// The leading replica.
     #[track_caller]
     pub(crate) fn leader(&mut self) -> &mut Node {
         let status = self.operator.wait_leader();
         self.cluster.control(status.node.as_str())
     }
 
-    /// Name of the replica that leads.
+    /// Name of the leading replica.
     #[track_caller]
     pub(crate) fn leader_name(&mut self) -> String {
         self.leader().name().to_owned()
     }
 
-    /// Names of the other replicas.
+    /// Names of all replicas but this one.
     #[track_caller]
     pub(crate) fn others(&self, name: &str) -> Vec<String> {
         let names = self.cluster.controls.iter().map(Node::name);
@@ -76,25 +78,25 @@
 
     /// Waits until a replica other than `name` leads.
     #[track_caller]
-    pub(crate) fn wait_leader_but(&self, name: &str) -> Status {
+    pub(crate) fn wait_other_leader(&self, name: &str) -> Status {
         eventually("another leader", BOUND, || {
-            let addrs = self.operator_addrs_but(name);
+            let addrs = self.other_operator_addrs(name);
             let leader = Operator::new("ana", addrs).leader();
             leader.filter(|status| status.node.as_str() != name)
         })
     }
 
-    fn operator_addrs_but(&self, name: &str) -> Vec<SocketAddr> {
+    fn other_operator_addrs(&self, name: &str) -> Vec<SocketAddr> {
         let others = self.cluster.controls.iter().filter(|n| n.name() != name);
         others.map(|node| node.addr("operator")).collect()
     }
 
-    /// Waits until this many more changes are accepted than at the call.
+    /// Waits until `changes` more changes are accepted than at the call.
     #[track_caller]
     pub(crate) fn wait_progress(&self, changes: usize) {
-        let goal = self.told.accepted() + changes;
+        let goal = self.outcomes.accepted() + changes;
         wait_until("changes are accepted", BOUND, || {
-            self.told.accepted() >= goal
+            self.outcomes.accepted() >= goal
         });
     }
 
@@ -102,7 +104,7 @@
     #[track_caller]
     pub(crate) fn check(&self, writers: Writers) {
         writers.stop();
-        self.told.check(&self.operator);
+        self.outcomes.check(&self.operator);
         self.wait_agreement();
     }
 
@@ -122,7 +124,7 @@
     }
 }
 
-/// A cluster over [`PLACES`], to be described further.
+/// A cluster over [`PLACES`], for further settings.
 pub(crate) fn builder() -> Builder {
     Cluster::builder(programs()).places(PLACES)
 }
--- a/tests/all/control/leader.rs
+++ b/tests/all/control/leader.rs
@@ -1,4 +1,4 @@
-//! The leader dies, is suspended, or is cut off one way.
+//! The leader is killed, suspended, or partitioned one way.
 
 use std::time::Duration;
 
@@ -8,58 +8,63 @@
 
 use crate::control::group::Group;
 
-const ENOUGH: usize = 20;
+/// Accepted changes to wait for between two steps.
+const MIN_CHANGES: usize = 20;
 
-/// Operators send changes while the leader's VM dies, three times over. Those whose
-/// answer is lost send again, to whoever answers. Nobody may lose a change or see it
-/// twice, whether it was committed before the leader died or not.
+/// The leader's VM dies three times while operators send changes. Those who get no answer
+/// resend to another replica. No change may be lost or applied twice, whether or not it
+/// was committed before the leader died.
 #[test]
 fn killed() {
     let mut group = Group::start();
     let writers = group.writers();
     for _ in 0..3 {
-        group.wait_progress(ENOUGH);
+        group.wait_progress(MIN_CHANGES);
         let name = group.leader_name();
         group.cluster.control(&name).kill();
-        group.wait_leader_but(&name);
-        group.wait_progress(ENOUGH);
+        group.wait_other_leader(&name);
+        group.wait_progress(MIN_CHANGES);
         group.cluster.control(&name).start();
     }
     group.check(writers);
 }
 
-/// A leader's VM is paused by its host and goes on long after its lease has lapsed and
-/// another replica leads. It wakes in the middle of answering, with requests that came
-/// in while it slept, and still takes itself for the leader. It must not show a table
-/// that others have changed since, nor accept anything on its own.
-fn suspended(time: Duration) {
+/// A leader's VM is paused by its host until long after its lease has expired and another
+/// replica leads. It resumes in the middle of answering, with requests that arrived
+/// during the pause, and still in the leader's state. It must not show a table that has
+/// been changed since, nor accept anything.
+fn suspend_leader(time: Duration) {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     let addr = group.leader().addr("operator");
     group.leader().process().suspend();
-    let asleep = std::time::Instant::now();
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    let suspended_at = std::time::Instant::now();
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     wait_until("the suspension lasts long enough", 2 * time + BOUND, || {
-        asleep.elapsed() >= time
+        suspended_at.elapsed() >= time
     });
 
-    let floor = group.told.newest();
+    let min_version = group.outcomes.newest();
     let operator = group.operator.clone();
     let read = std::thread::spawn(move || operator.table_of(addr));
     let operator = group.operator.clone();
-    let told = group.told.clone();
+    let outcomes = group.outcomes.clone();
     let write = std::thread::spawn(move || {
         let change = set_weight("woken", "split", Revision(0), 1);
         let attempt = operator.attempt(addr, &change);
-        told.note(change.id, &attempt);
+        outcomes.note(change.id, &attempt);
         (change, attempt)
     });
     group.cluster.control(&name).process().resume();
     if let Some(table) = read.join().expect("no panic") {
-        assert!(table.version >= floor, "{} after {floor}", table.version);
+        assert!(
+            table.version >= min_version,
+            "{} after {min_version}",
+            table.version
+        );
     }
     let (change, attempt) = write.join().expect("no panic");
     assert!(
@@ -67,70 +72,70 @@
         "a new row can't conflict: {attempt:?}"
     );
     let again = group.operator.change(&change);
-    group.told.note(change.id, &again);
-    group.wait_progress(ENOUGH);
+    group.outcomes.note(change.id, &again);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
 #[test]
-fn suspended_past_its_lease() {
-    suspended(Duration::from_secs(3));
+fn leader_suspended_past_its_lease() {
+    suspend_leader(Duration::from_secs(3));
 }
 
 #[test]
-fn suspended_for_half_a_minute() {
-    suspended(Duration::from_secs(31));
+fn leader_suspended_for_31_s() {
+    suspend_leader(Duration::from_secs(31));
 }
 
-/// The leader hears the others, but nothing that it sends arrives. It must not go on
-/// taking itself for the leader on what it hears, and the others elect one of theirs.
+/// The leader receives from the others, but nothing that it sends arrives. It must not
+/// keep its lead because of what it receives, and the others elect another leader.
 #[test]
-fn cut_off_outwards() {
+fn leader_that_cannot_send_is_replaced() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     for other in group.others(&name) {
         group.cluster.network.cut_one_way(&name, &other);
     }
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     group.cluster.network.heal();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
-/// The leader's heartbeats arrive, but no answer reaches it. The others would follow it
-/// for ever while it can't accept anything: it has to notice and give up the lead.
+/// The leader's heartbeats arrive, but no reply reaches it. The others would follow it
+/// for ever while it can't commit anything: it has to step down.
 #[test]
-fn cut_off_inwards() {
+fn leader_that_cannot_receive_steps_down() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
     for other in group.others(&name) {
         group.cluster.network.cut_one_way(&other, &name);
     }
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     group.cluster.network.heal();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
 
-/// One link of three is down one way, for long: the leader can't reach one follower,
-/// which hears the other one only. Changes go on being accepted, and the follower's
-/// tries to be elected don't push out a leader that has a majority.
+/// One link of three is cut one way for long: the leader can't reach one follower, which
+/// receives from the other follower only. Changes are still accepted, and the follower's
+/// election attempts don't depose a leader that has a majority.
 #[test]
-fn one_follower_unheard() {
+fn one_way_cut_does_not_depose_a_leader_with_a_majority() {
     let mut group = Group::start();
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let name = group.leader_name();
-    let deaf = group.others(&name).remove(0);
+    let unreachable = group.others(&name).remove(0);
     let term = group.operator.wait_leader().term;
-    group.cluster.network.cut_one_way(&name, &deaf);
-    group.wait_progress(5 * ENOUGH);
+    group.cluster.network.cut_one_way(&name, &unreachable);
+    group.wait_progress(5 * MIN_CHANGES);
     let leader = group.operator.wait_leader();
     assert_eq!((leader.node.as_str(), leader.term), (name.as_str(), term));
     group.cluster.network.heal();
--- a/tests/all/control/partition.rs
+++ b/tests/all/control/partition.rs
@@ -1,4 +1,4 @@
-//! A failure domain is cut off and comes back.
+//! A failure domain is partitioned and rejoins.
 
 use filberthead_testing::cluster::Cluster;
 use filberthead_testing::operator::{Attempt, BOUND, Operator, set_weight};
@@ -7,7 +7,8 @@
 
 use crate::control::group::{Group, builder};
 
-const ENOUGH: usize = 20;
+/// Accepted changes to wait for between two steps.
+const MIN_CHANGES: usize = 20;
 
 fn cut_off(cluster: &Cluster, failure_domain: &str) {
     let inside = cluster.names_in(failure_domain);
@@ -23,45 +24,45 @@
     cluster.network.partition(&[&inside, &outside]);
 }
 
-/// A failure domain is cut off with a control VM that leads, its entries, and an
-/// operator in front of it. The operator there is told nothing untrue: no change is
-/// accepted and no table shown. The other side elects a leader and goes on. When the
-/// link heals, the entries that were cut off take over every change that they missed.
+/// A failure domain is partitioned together with the leader, its entries and an operator.
+/// The isolated leader accepts no change and shows no table. The majority elects a leader
+/// and goes on. When the link heals, the isolated entries receive every change that they
+/// missed.
 #[test]
-fn leader_isolated_with_its_failure_domain() {
+fn isolated_leader_accepts_and_shows_nothing() {
     let mut group = Group::build(builder().entries_each(2).service("service-0", 1));
     let writers = group.writers();
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
     let status = group.operator.wait_leader();
     let node = group.cluster.control(status.node.as_str());
     let (name, addr) = (node.name().to_owned(), node.addr("operator"));
     let domain = node.place().failure_domain.clone();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.outcomes.newest());
 
     cut_off(&group.cluster, &domain);
-    group.wait_leader_but(&name);
-    group.wait_progress(ENOUGH);
+    group.wait_other_leader(&name);
+    group.wait_progress(MIN_CHANGES);
     let inside = Operator::new("eva", vec![addr]);
-    wait_until("the isolated replica gives up", BOUND, || {
+    wait_until("the isolated replica steps down", BOUND, || {
         inside.leader().is_none()
     });
     let change = set_weight("isolated", "split", Revision(0), 1);
     for _ in 0..3 {
         let attempt = inside.attempt(addr, &change);
-        group.told.note(change.id, &attempt);
-        let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
-        assert!(!known, "while isolated: {attempt:?}");
+        group.outcomes.note(change.id, &attempt);
+        let is_decided = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
+        assert!(!is_decided, "while isolated: {attempt:?}");
         assert_eq!(inside.table_of(addr).map(|table| table.version), None);
     }
-    group.wait_progress(ENOUGH);
+    group.wait_progress(MIN_CHANGES);
 
     group.cluster.network.heal();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.outcomes.newest());
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
 
-/// Waits until each entry acts on this version or a later one.
+/// Waits until each entry has applied this version or a later one.
 #[track_caller]
 fn wait_in_force(group: &Group, version: Version) {
     for node in &group.cluster.entries {
@@ -73,10 +74,10 @@
     }
 }
 
-/// While changes go on, links between failure domains break and heal again and again.
-/// No entry ever goes back to an older version than it had, and at the end all agree.
+/// Links between failure domains break and heal again and again while changes go on. No
+/// entry ever returns to an older version, and at the end all agree.
 #[test]
-fn versions_only_go_up() {
+fn entry_versions_never_decrease() {
     let group = Group::build(builder().entries_each(2).service("service-0", 1));
     let writers = group.writers();
     let mut newest = vec![Version(0); group.cluster.entries.len()];
@@ -84,19 +85,21 @@
         cut_off(&group.cluster, domain);
         for _ in 0..10 {
             group.wait_progress(3);
-            look(&group, &mut newest);
+            check_versions(&group, &mut newest);
         }
         group.cluster.network.heal();
         for _ in 0..10 {
             group.wait_progress(3);
-            look(&group, &mut newest);
+            check_versions(&group, &mut newest);
         }
     }
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
 
-fn look(group: &Group, newest: &mut [Version]) {
+/// Fails if an entry's version is older than the one recorded in `newest`, and updates
+/// that.
+fn check_versions(group: &Group, newest: &mut [Version]) {
     for (node, newest) in group.cluster.entries.iter().zip(newest) {
         if let Some(version) = node.version_in_force() {
             let name = node.name();
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -1,4 +1,4 @@
-//! Operators who edit the same rows, and resend what they have no answer to.
+//! Operators that edit the same rows, and resend after lost answers.
 
 use std::sync::Barrier;
 
@@ -11,16 +11,16 @@
 
 const NAMES: [&str; 2] = ["ana", "eva"];
 
-/// Two operators on different shifts edit the same row at the same moment, with equal
-/// numbers, and both resend. One change wins; the other operator is told whose change
-/// stands, each time they ask, although the numbers look as they wanted them.
+/// Two operators edit the same row at the same moment with equal values, and both resend.
+/// One change wins; the other operator gets a conflict that names the winning change, on
+/// each resend, although the values are the ones they wanted.
 #[test]
-fn equal_numbers_at_the_same_moment() {
+fn one_of_two_concurrent_equal_edits_wins() {
     let group = Group::start();
     let addrs = group.cluster.operator_addrs();
-    let mut seen = Revision(0);
+    let mut revision = Revision(0);
     for round in 1..=30 {
-        let changes = [0, 1].map(|_| set_weight("orders", "zagreb", seen, round));
+        let changes = [0, 1].map(|_| set_weight("orders", "zagreb", revision, round));
         let attempts = race(&group, &changes);
         let won: Vec<_> = attempts.iter().filter_map(accepted).collect();
         assert_eq!(won.len(), 1, "round {round}: {attempts:?}");
@@ -34,22 +34,23 @@
             let again = Operator::new(name, addrs.clone()).change(change);
             assert_eq!(outcome(&again), outcome(first), "round {round}");
         }
-        seen = Revision(won[0].0);
+        revision = Revision(won[0].0);
     }
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
 
+/// Sends both changes at the same moment.
 fn race(group: &Group, changes: &[ChangeBody; 2]) -> Vec<Attempt> {
     let barrier = Barrier::new(changes.len());
     let addrs = group.cluster.operator_addrs();
     std::thread::scope(|scope| {
         let threads = [0, 1].map(|number| {
             let operator = Operator::new(NAMES[number], addrs.clone());
-            let (barrier, told, change) = (&barrier, group.told.clone(), &changes[number]);
+            let (barrier, outcomes, change) = (&barrier, group.outcomes.clone(), &changes[number]);
             scope.spawn(move || {
                 barrier.wait();
                 let attempt = operator.change(change);
-                told.note(change.id, &attempt);
+                outcomes.note(change.id, &attempt);
                 attempt
             })
         });
@@ -60,6 +61,7 @@
     })
 }
 
+/// The version of an accepted change.
 fn accepted(attempt: &Attempt) -> Option<Version> {
     match attempt {
         Attempt::Accepted(version) => Some(*version),
@@ -75,10 +77,10 @@
 }
 
 /// An operator's change is accepted but the answer is lost. A colleague changes the row
-/// again, the leader dies, all replicas restart; hours later the operator sends the
-/// first change again. It must count as done, and must not undo the colleague's.
+/// again, the leader dies, all replicas restart; then the operator resends the first
+/// change. It must be reported as accepted and must not undo the later one.
 #[test]
-fn resent_after_later_changes() {
+fn resend_does_not_undo_later_changes() {
     let mut group = Group::start();
     let leader = group.leader_name();
     let addr = group.leader().addr("operator");
@@ -90,25 +92,27 @@
     proxy.cut();
     proxy.heal();
 
-    let known = group.operator.accept(&first);
-    group.told.note(first.id, &Attempt::Accepted(known));
-    let second = set_weight("orders", "zagreb", Revision(known.0), 20);
+    let accepted_version = group.operator.accept(&first);
+    group
+        .outcomes
+        .note(first.id, &Attempt::Accepted(accepted_version));
+    let second = set_weight("orders", "zagreb", Revision(accepted_version.0), 20);
     let newest = group.operator.accept(&second);
-    group.told.note(second.id, &Attempt::Accepted(newest));
+    group.outcomes.note(second.id, &Attempt::Accepted(newest));
 
     let resend = |group: &Group| {
         let again = group.operator.change(&first);
-        assert_eq!(again, Attempt::Accepted(known));
+        assert_eq!(again, Attempt::Accepted(accepted_version));
         let table = group.operator.table();
         assert_eq!((table.version, table.rows[0].weight), (newest, 20));
     };
     resend(&group);
     group.cluster.control(&leader).kill();
-    group.wait_leader_but(&leader);
+    group.wait_other_leader(&leader);
     resend(&group);
     group.cluster.control(&leader).start();
     group.cluster.controls.iter_mut().for_each(|n| n.kill());
     group.cluster.controls.iter_mut().for_each(|n| n.start());
     resend(&group);
-    group.told.check(&group.operator);
+    group.outcomes.check(&group.operator);
 }
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -1,4 +1,4 @@
-//! Operators at work while things fail.
+//! Operators that keep changing and reading the table during failures.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,11 @@
 use filberthead_types::{Revision, Version};
 
 const WRITERS: usize = 3;
+/// Time between two requests of a thread.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Threads that change a row each, resending every change until its outcome is known,
-/// and one that reads the table wherever it is shown.
+/// Threads that each change a row of their own, resending every change until its outcome
+/// is known, and one that reads the table from all replicas in turn.
 #[derive(Debug)]
 pub(crate) struct Writers {
     stop: Arc<AtomicBool>,
@@ -23,20 +24,20 @@
 }
 
 impl Writers {
-    pub(crate) fn start(addrs: Vec<SocketAddr>, told: &Told) -> Self {
+    pub(crate) fn start(addrs: Vec<SocketAddr>, outcomes: &Told) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads: Vec<_> = (0..WRITERS)
             .map(|number| {
-                let worker = Worker::new(&format!("writer-{number}"), &addrs, told, &stop);
+                let worker = Worker::new(&format!("writer-{number}"), &addrs, outcomes, &stop);
                 std::thread::spawn(move || worker.write(number))
             })
             .collect();
-        let reader = Worker::new("reader", &addrs, told, &stop);
+        let reader = Worker::new("reader", &addrs, outcomes, &stop);
         threads.push(std::thread::spawn(move || reader.read()));
         Self { stop, threads }
     }
 
-    /// Lets each finish its change, and fails if one of them saw a violation.
+    /// Lets each thread finish its change, and fails if one of them saw a violation.
     #[track_caller]
     pub(crate) fn stop(mut self) {
         self.stop.store(true, Ordering::SeqCst);
@@ -55,16 +56,16 @@
 struct Worker {
     operator: Operator,
     addrs: Vec<SocketAddr>,
-    told: Told,
+    outcomes: Told,
     stop: Arc<AtomicBool>,
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], told: &Told, stop: &Arc<AtomicBool>) -> Self {
+    fn new(name: &str, addrs: &[SocketAddr], outcomes: &Told, stop: &Arc<AtomicBool>) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
-            told: told.clone(),
+            outcomes: outcomes.clone(),
             stop: Arc::clone(stop),
         }
     }
@@ -73,33 +74,34 @@
         self.stop.load(Ordering::SeqCst)
     }
 
-    /// Nobody else edits the writer's row, so every change of it must be accepted.
+    /// Changes the writer's row again and again. No other thread edits it, so every
+    /// change must be accepted.
     fn write(&self, number: usize) {
         let service = format!("service-{number}");
-        let mut seen = Revision(0);
+        let mut revision = Revision(0);
         let mut weight = 0;
         while !self.stopped() {
             weight += 1;
-            let change = set_weight(&service, "zagreb", seen, weight);
+            let change = set_weight(&service, "zagreb", revision, weight);
             let Some(version) = self.send(&change) else {
                 return;
             };
-            seen = Revision(version.0);
+            revision = Revision(version.0);
             std::thread::sleep(PAUSE);
         }
     }
 
-    /// Sends a change until its outcome is known, also when told to stop meanwhile.
+    /// Sends a change until its outcome is known, also after `stop` was set.
     fn send(&self, change: &filberthead_operator::ChangeBody) -> Option<Version> {
         let mut tries = 0;
         loop {
             let addr = self.addrs[tries % self.addrs.len()];
             let attempt = self.operator.attempt(addr, change);
-            self.told.note(change.id, &attempt);
+            self.outcomes.note(change.id, &attempt);
             match attempt {
                 Attempt::Accepted(version) => return Some(version),
                 Attempt::Refused(answer) => panic!("change {} refused: {answer:?}", change.id),
-                // At the end of a test that has failed already nobody answers.
+                // When the test has failed already, no replica answers.
                 Attempt::NotRun | Attempt::Unknown if self.stopped() && tries > 200 => return None,
                 Attempt::NotRun | Attempt::Unknown => tries += 1,
             }
@@ -107,17 +109,17 @@
         }
     }
 
-    /// Whatever replica shows the table: it shows no less than what anybody was told
-    /// before it was asked, and never goes back.
+    /// Reads the table from all replicas in turn: none may show a version older than one
+    /// accepted before the read, or than one shown before.
     fn read(&self) {
         let mut newest = Version(0);
-        let mut turn = 0;
+        let mut attempts = 0;
         while !self.stopped() {
-            let addr = self.addrs[turn % self.addrs.len()];
-            turn += 1;
-            let floor = self.told.newest().max(newest);
+            let addr = self.addrs[attempts % self.addrs.len()];
+            attempts += 1;
+            let min_version = self.outcomes.newest().max(newest);
             if let Some(table) = self.operator.table_of(addr) {
-                assert_current(&table, floor);
+                assert_current(&table, min_version);
                 newest = table.version;
             }
             std::thread::sleep(PAUSE);
@@ -125,10 +127,10 @@
     }
 }
 
-fn assert_current(table: &TableBody, floor: Version) {
+fn assert_current(table: &TableBody, min_version: Version) {
     let shown = table.version;
     assert!(
-        shown >= floor,
-        "version {shown} shown after {floor} was accepted"
+        shown >= min_version,
+        "version {shown} shown after {min_version} was accepted"
     );
 }
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -1,4 +1,4 @@
-//! The burn report from an entry's message to the operator's page.
+//! The burn report, from an entry's message to the operator's page.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -55,7 +55,7 @@
         self.dir.path().join("control.ini")
     }
 
-    /// How many messages it has accepted.
+    /// Number of messages that it has accepted.
     fn received(&self) -> u64 {
         let answer = Call::get("/metrics").send(self.process.addr("operator"));
         let text = answer.expect("metrics are served").text();
@@ -65,9 +65,10 @@
     }
 }
 
-struct Deaf;
+/// Drops every message that it receives.
+struct DiscardMessages;
 
-impl Deliver for Deaf {
+impl Deliver for DiscardMessages {
     fn deliver(&mut self, _origin: Origin, _body: Body) {}
 }
 
@@ -104,10 +105,11 @@
     }
 }
 
+/// Sends a sample report until control has received it.
 fn send(to: &Control, report: &SampleReport) {
     let cluster = cluster_id("test");
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let transport = Transport::listen(listen, cluster, Deaf).expect("a transport");
+    let transport = Transport::listen(listen, cluster, DiscardMessages).expect("a transport");
     let origin = Origin {
         name: "split-a-1".parse().expect("a valid name"),
         incarnation: Incarnation(1),
@@ -116,15 +118,15 @@
     };
     let mut outbox = transport.outbox(cluster, origin);
     let addr = to.process.addr("peer");
-    wait_until("control takes the samples", BOUND, || {
-        // Repeats count once, so sending until one has come changes nothing.
+    wait_until("control has received the samples", BOUND, || {
+        // Repeats count once, so sending until one has arrived changes nothing.
         outbox.send(addr, Body::Samples(report.clone()));
         to.received() > 0
     });
 }
 
 #[test]
-fn what_entries_count_survives_a_restart_and_shows_in_every_shape() {
+fn reported_samples_survive_a_restart_and_show_in_every_format() {
     let mut control = Control::start();
     send(&control, &sample());
     control.process.terminate();
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn what_can_not_be_reported_on_is_said() {
+fn unusable_arguments_and_an_unreachable_replica_have_exit_codes() {
     for args in [
         &["report", "no-such.ini"][..],
         &["report", "--html", "--json", "no-such.ini"],
@@ -173,7 +175,7 @@
         assert_eq!(output.status.code(), Some(2), "{output:?}");
     }
     let closed = filberthead_testing::ClosedPort::bind();
-    let nobody = closed.addr().to_string();
-    let output = cli(&["report", "--control", &nobody, "--timeout", "1"]);
+    let unreachable = closed.addr().to_string();
+    let output = cli(&["report", "--control", &unreachable, "--timeout", "1"]);
     assert_eq!(output.status.code(), Some(4), "{output:?}");
 }
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,4 +1,5 @@
-//! Requests between callers and endpoints: whole, own answers and true refusals.
+//! Requests between callers and endpoints: complete answers, to the right request, and
+//! true refusals.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -10,12 +11,12 @@
 use filberthead_testing::{ClosedPort, eventually, wait_until};
 use serde::Deserialize;
 
-use crate::support::{at_once, programs, warm_up};
+use crate::support::{programs, run_concurrently, warm_up};
 
 const BOUND: Duration = Duration::from_secs(30);
 const ANSWER_BYTES: usize = 64;
 
-/// What a look-up answers.
+/// Body of a look-up's answer.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct Lookup {
@@ -39,7 +40,7 @@
         .entry_setting("callers", "lookup_ttl", "1s")
 }
 
-/// Starts the entries alone; what these tests show needs no control replica.
+/// Starts the entries alone; these tests need no control replica.
 fn start(builder: Builder) -> (Cluster, SocketAddr) {
     let mut cluster = builder.prepare();
     let entry = start_entries(&mut cluster);
@@ -60,13 +61,14 @@
     Call::get(&format!("/v1/services/catalogue{path}"))
 }
 
-fn is_whole(answer: &Answer, path: &str) -> bool {
+/// Whether the body is the endpoint's complete answer to a read of `path`.
+fn is_complete(answer: &Answer, path: &str) -> bool {
     answer.body == Payload::of_answer("GET", path, b"").slice(0, ANSWER_BYTES)
 }
 
-/// The answer, or a failure told without its megabytes.
+/// The answer; a failure panics without printing megabytes of body.
 #[track_caller]
-fn whole(answer: Result<Answer, CallError>) -> Answer {
+fn expect_answer(answer: Result<Answer, CallError>) -> Answer {
     answer.unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -86,7 +88,7 @@
     assert_eq!(lookup.ttl_seconds, 1);
     let own = lookup.key_prefix.starts_with("zagreb-a:");
     assert!(own && lookup.key_prefix.ends_with(':'), "{lookup:?}");
-    // No control replica has told it the table, so it can't say that there is no such service.
+    // It has no table from a control replica, so it can't deny that there is such a service.
     let unknown = Call::get("/v1/lookup?service=nowhere").send(entry);
     let unknown = unknown.expect("an answer");
     assert_eq!(
@@ -97,18 +99,17 @@
 }
 
 #[test]
-fn a_read_brings_the_endpoints_own_answer() {
+fn a_read_returns_the_endpoints_answer() {
     let (_cluster, entry) = start(one_domain());
     let answer = read("/tricks?shelf=3").send(entry).expect("an answer");
-    assert!(is_whole(&answer, "/tricks?shelf=3"), "{}", answer.text());
+    assert!(is_complete(&answer, "/tricks?shelf=3"), "{}", answer.text());
     assert_eq!(answer.result(), Some(1000));
     assert_eq!(answer.header("filberthead-meaning"), "ran");
     assert!(!answer.header("filberthead-request-id").is_empty());
 }
 
-/// A clerk's page stops in the middle. The endpoint's process died while it sent the
-/// answer, so the connection ended early; its length tells. The clerk must get the whole
-/// answer, from the other endpoint.
+/// An endpoint's process dies while it sends an answer, so the connection ends before the
+/// announced length. The caller must get the complete answer from the other endpoint.
 #[test]
 fn a_truncated_answer_is_never_passed_on() {
     let (cluster, entry) = start(one_domain());
@@ -119,8 +120,8 @@
     for number in 0..8 {
         let path = format!("/cut/{number}");
         match read(&path).send(entry) {
-            Ok(answer) if answer.status == 200 => assert!(is_whole(&answer, &path)),
-            // Both endpoints are left alone for a moment after a cut.
+            Ok(answer) if answer.status == 200 => assert!(is_complete(&answer, &path)),
+            // Both endpoints get no requests for a moment after a cut.
             Ok(answer) => assert!(!answer.header("retry-after").is_empty()),
             Err(e) => panic!("{e}"),
         }
@@ -129,11 +130,11 @@
     assert_eq!(cluster.record().count(Stage::Cancelled, cut), 2);
 }
 
-/// Two clerks ask at the same moment, and each sees the other's page: something before
-/// the endpoints mixed up two answers. The id on the answer is another request's, so the
-/// entry drops it with its connection and asks elsewhere.
+/// Two requests run at the same moment, and something in front of the endpoints mixes up
+/// their answers. The id on the answer is another request's, so the entry drops it with
+/// its connection and tries another endpoint.
 #[test]
-fn a_crossed_answer_reaches_nobody() {
+fn an_answer_with_another_requests_id_reaches_no_caller() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/crossed".to_owned());
@@ -143,16 +144,16 @@
         let path = format!("/crossed/{number}");
         let answer = read(&path).send(entry).expect("an answer");
         assert_eq!(answer.header("filberthead-meaning"), "may-have-run");
-        // The endpoints are left alone for a moment after each such answer.
+        // The endpoints get no requests for a moment after each such answer.
         let other = read("/tricks").resend(&[entry], 100).expect("an answer");
-        assert!(is_whole(&other, "/tricks"));
+        assert!(is_complete(&other, "/tricks"));
     }
 }
 
-/// A clerk gives up on a slow page and asks for another one; then the slow answer comes.
-/// It belongs to a request that has ended and must not be taken for the second one's.
+/// A read times out and its caller sends another one; then the late answer arrives. It
+/// belongs to a request that has ended and must not be used for the second one.
 #[test]
-fn a_late_answer_reaches_nobody() {
+fn a_late_answer_is_not_used_for_the_next_request() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/late".to_owned());
@@ -166,15 +167,15 @@
         for number in 0..10 {
             let path = format!("/prompt/{number}");
             let answer = read(&path).send(entry).expect("an answer");
-            assert!(is_whole(&answer, &path));
+            assert!(is_complete(&answer, &path));
         }
     }
 }
 
-/// A clerk closes the page before it has come. The endpoint shouldn't go on computing
-/// for nobody: the entry closes its connection, which is how a read is cancelled.
+/// A caller disconnects before the answer. To end useless work at the endpoint, the entry
+/// closes its connection, which is how a read is cancelled.
 #[test]
-fn a_reader_that_leaves_cancels_its_read() {
+fn a_disconnecting_caller_cancels_its_read() {
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
         let when = When::Path("/silent".to_owned());
@@ -190,10 +191,10 @@
     wait_until("it is cancelled", BOUND, || count(Stage::Cancelled) == 1);
 }
 
-/// A performer's lesson breaks off half way: its endpoint died. The rest must come from
-/// another endpoint, and not a byte be missing, doubled or of another lesson.
+/// A download's endpoint dies half way. The rest must come from another endpoint, with no
+/// byte missing, doubled or of another download.
 #[test]
-fn a_download_goes_on_when_its_endpoint_dies() {
+fn a_download_resumes_when_its_endpoint_dies() {
     const BYTES: usize = 4 * 1024 * 1024;
     let (cluster, entry) = start(one_domain());
     for endpoint in &cluster.endpoints {
@@ -203,16 +204,16 @@
         endpoint.standin.rule(Rule::once(when, fault));
     }
     let path = format!("/download/lesson?bytes={BYTES}");
-    let answer = whole(read(&path).send(entry));
+    let answer = expect_answer(read(&path).send(entry));
     assert_eq!(answer.body.len(), BYTES);
     assert!(Payload::of_download("lesson", 1).matches(0, &answer.body));
     let lesson = |seen: &Seen| seen.path == path;
     assert!(cluster.record().count(Stage::Received, lesson) > 1);
 }
 
-/// A new version of a lesson has reached one endpoint and not yet the other, and the one
+/// One endpoint has a new version of a file and the other one doesn't yet, and the one
 /// that sends it dies. The rest of the other version would not fit the first half, so the
-/// download must break off, not end as if it were whole.
+/// download must be cut, not end as if it were complete.
 #[test]
 fn a_download_of_two_versions_is_cut() {
     const BYTES: usize = 4 * 1024 * 1024;
@@ -238,7 +239,7 @@
 }
 
 /// One endpoint's machine is gone and refuses connections. No byte of a request gets
-/// there, so each may go to the other endpoint, and readers notice nothing.
+/// there, so each may go to the other endpoint, and callers see no failure.
 #[test]
 fn a_refused_connection_costs_no_answer() {
     let mut cluster = one_domain().prepare();
@@ -251,14 +252,15 @@
     for number in 0..20 {
         let path = format!("/tricks/{number}");
         let answer = read(&path).send(entry).expect("an answer");
-        assert!(is_whole(&answer, &path), "{}", answer.text());
+        assert!(is_complete(&answer, &path), "{}", answer.text());
     }
 }
 
-/// All slots are taken, and the queue too. A clerk gets a refusal that is true, not run,
-/// and says when to come back, and gets it before the deadline has gone by.
+/// All slots are taken, and the queue is full. Callers are rejected before the
+/// deadline, with the time after which to retry, and what is reported as not run has not
+/// run.
 #[test]
-fn a_full_service_refuses_at_once_and_truly() {
+fn a_full_service_rejects_at_once_and_runs_nothing() {
     let builder = one_domain().entry_setting("limits", "queue", "1");
     let (cluster, entry) = start(builder);
     for endpoint in &cluster.endpoints {
@@ -267,7 +269,7 @@
             script.when_full = WhenFull::Wait;
         });
     }
-    let answers = at_once(24, |number| read(&format!("/full/{number}")).send(entry));
+    let answers = run_concurrently(24, |number| read(&format!("/full/{number}")).send(entry));
     let mut refused = 0;
     for (number, answer) in answers.into_iter().enumerate() {
         let answer = answer.expect("an answer");
@@ -278,16 +280,16 @@
             let ran = |seen: &Seen| seen.path == path;
             assert_eq!(cluster.record().count(Stage::Executed, ran), 0);
         } else {
-            assert!(is_whole(&answer, &path));
+            assert!(is_complete(&answer, &path));
         }
     }
     assert!(refused > 0);
 }
 
-/// Headers that only entries and endpoints may set arrive with a caller's request. It
-/// must pass for neither.
+/// A caller's request has headers that only entries and endpoints may set. It must not be
+/// treated as coming from either.
 #[test]
-fn a_caller_cant_pass_for_an_entry() {
+fn forged_internal_headers_are_not_trusted() {
     let (_cluster, entry) = start(one_domain());
     let forged = read("/tricks")
         .header("filberthead-forwarded-by", "entry-zagreb-a-1 7")
