--- a/crates/testing/src/record.rs
+++ b/crates/testing/src/record.rs
@@ -15,7 +15,7 @@
 
 /// Everything that operators of a test were told; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct ChangeOutcomes {
     shared: Arc<Mutex<Shared>>,
 }
 
@@ -26,10 +26,10 @@
     violations: Vec<String>,
 }
 
-impl Told {
+impl ChangeOutcomes {
     /// Takes in what an operator was told about a change. What one is told later must
     /// not contradict it.
-    pub fn note(&self, id: ChangeId, attempt: &Attempt) {
+    pub fn record(&self, id: ChangeId, attempt: &Attempt) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         match attempt {
             Attempt::Accepted(version) => shared.accepted(id, *version),
@@ -45,7 +45,7 @@
     }
 
     /// The newest version that somebody was told of.
-    pub fn newest(&self) -> Version {
+    pub fn newest_version(&self) -> Version {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         shared.accepted.values().max().copied().unwrap_or_default()
     }
--- a/crates/testing/tests/record.rs
+++ b/crates/testing/tests/record.rs
@@ -3,7 +3,7 @@
 use filberthead_operator::{Answer, DifferenceBody, RecordBody, RowBody, TableBody};
 use filberthead_table::{Objective, Role, RowValues, Timestamp};
 use filberthead_testing::operator::Attempt;
-use filberthead_testing::record::Told;
+use filberthead_testing::record::ChangeOutcomes;
 use filberthead_types::{ChangeId, ResultCode, Revision, Version};
 
 fn values(weight: u32) -> RowValues {
@@ -58,10 +58,10 @@
     }
 }
 
-fn told(changes: &[(u32, u64)]) -> Told {
-    let told = Told::default();
+fn told(changes: &[(u32, u64)]) -> ChangeOutcomes {
+    let told = ChangeOutcomes::default();
     for (id, version) in changes {
-        told.note(
+        told.record(
             ChangeId((*id).into()),
             &Attempt::Accepted(Version(*version)),
         );
@@ -76,7 +76,7 @@
 #[test]
 fn finds_nothing_where_all_is_well() {
     let told = told(&[(7, 1), (9, 2), (7, 1)]);
-    told.note(ChangeId(8), &refusal());
+    told.record(ChangeId(8), &refusal());
     let history = [record(1, 7, 1), record(2, 9, 2)];
     assert_eq!(
         told.violations(&table(2, 9), &history),
@@ -92,7 +92,7 @@
 #[test]
 fn finds_lost_reverted_and_doubled_changes() {
     let both = [record(1, 7, 1), record(2, 9, 2)];
-    let cases: [(&str, Told, TableBody, &[RecordBody]); 5] = [
+    let cases: [(&str, ChangeOutcomes, TableBody, &[RecordBody]); 5] = [
         ("lost", told(&[(7, 1), (9, 2)]), table(1, 7), &both[..1]),
         ("reverted", told(&[(7, 1), (9, 2)]), table(2, 7), &both),
         (
@@ -114,10 +114,10 @@
     let one = told(&[(7, 1), (7, 2)]);
     assert!(!one.violations(&table(1, 7), &[record(1, 7, 1)]).is_empty());
     let two = told(&[(7, 1)]);
-    two.note(ChangeId(7), &refusal());
+    two.record(ChangeId(7), &refusal());
     assert!(!two.violations(&table(1, 7), &[record(1, 7, 1)]).is_empty());
     let three = told(&[]);
-    three.note(ChangeId(7), &refusal());
+    three.record(ChangeId(7), &refusal());
     assert!(
         !three
             .violations(&table(1, 7), &[record(1, 7, 1)])
--- a/tests/all/control/group.rs
+++ b/tests/all/control/group.rs
@@ -5,7 +5,7 @@
 use filberthead_operator::Status;
 use filberthead_testing::cluster::{Builder, Cluster, Node};
 use filberthead_testing::operator::{BOUND, Operator};
-use filberthead_testing::record::Told;
+use filberthead_testing::record::ChangeOutcomes;
 use filberthead_testing::{eventually, wait_until};
 
 use crate::control::writers::Writers;
@@ -23,7 +23,7 @@
 pub(crate) struct Group {
     pub(crate) cluster: Cluster,
     pub(crate) operator: Operator,
-    pub(crate) told: Told,
+    pub(crate) told: ChangeOutcomes,
 }
 
 impl Group {
@@ -42,7 +42,7 @@
         Self {
             cluster,
             operator,
-            told: Told::default(),
+            told: ChangeOutcomes::default(),
         }
     }
 
--- a/tests/all/control/leader.rs
+++ b/tests/all/control/leader.rs
@@ -46,7 +46,7 @@
         asleep.elapsed() >= time
     });
 
-    let floor = group.told.newest();
+    let floor = group.told.newest_version();
     let operator = group.operator.clone();
     let read = std::thread::spawn(move || operator.table_of(addr));
     let operator = group.operator.clone();
@@ -54,7 +54,7 @@
     let write = std::thread::spawn(move || {
         let change = set_weight("woken", "split", Revision(0), 1);
         let attempt = operator.attempt(addr, &change);
-        told.note(change.id, &attempt);
+        told.record(change.id, &attempt);
         (change, attempt)
     });
     group.cluster.control(&name).process().resume();
@@ -67,7 +67,7 @@
         "a new row can't conflict: {attempt:?}"
     );
     let again = group.operator.change(&change);
-    group.told.note(change.id, &again);
+    group.told.record(change.id, &again);
     group.wait_progress(ENOUGH);
     group.check(writers);
 }
--- a/tests/all/control/partition.rs
+++ b/tests/all/control/partition.rs
@@ -36,7 +36,7 @@
     let node = group.cluster.control(status.node.as_str());
     let (name, addr) = (node.name().to_owned(), node.addr("operator"));
     let domain = node.place().failure_domain.clone();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.told.newest_version());
 
     cut_off(&group.cluster, &domain);
     group.wait_leader_but(&name);
@@ -48,7 +48,7 @@
     let change = set_weight("isolated", "split", Revision(0), 1);
     for _ in 0..3 {
         let attempt = inside.attempt(addr, &change);
-        group.told.note(change.id, &attempt);
+        group.told.record(change.id, &attempt);
         let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!known, "while isolated: {attempt:?}");
         assert_eq!(inside.table_of(addr).map(|table| table.version), None);
@@ -56,7 +56,7 @@
     group.wait_progress(ENOUGH);
 
     group.cluster.network.heal();
-    wait_in_force(&group, group.told.newest());
+    wait_in_force(&group, group.told.newest_version());
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -49,7 +49,7 @@
             scope.spawn(move || {
                 barrier.wait();
                 let attempt = operator.change(change);
-                told.note(change.id, &attempt);
+                told.record(change.id, &attempt);
                 attempt
             })
         });
@@ -91,10 +91,10 @@
     proxy.heal();
 
     let known = group.operator.accept(&first);
-    group.told.note(first.id, &Attempt::Accepted(known));
+    group.told.record(first.id, &Attempt::Accepted(known));
     let second = set_weight("orders", "zagreb", Revision(known.0), 20);
     let newest = group.operator.accept(&second);
-    group.told.note(second.id, &Attempt::Accepted(newest));
+    group.told.record(second.id, &Attempt::Accepted(newest));
 
     let resend = |group: &Group| {
         let again = group.operator.change(&first);
--- a/tests/all/control/replacement.rs
+++ b/tests/all/control/replacement.rs
@@ -73,7 +73,7 @@
     let change = set_weight("orders", "split", Revision(0), 1);
     for addr in group.cluster.operator_addrs().iter().cycle().take(9) {
         let attempt = group.operator.attempt(*addr, &change);
-        group.told.note(change.id, &attempt);
+        group.told.record(change.id, &attempt);
         let known = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!known, "without a majority: {attempt:?}");
     }
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -8,7 +8,7 @@
 
 use filberthead_operator::TableBody;
 use filberthead_testing::operator::{Attempt, Operator, set_weight};
-use filberthead_testing::record::Told;
+use filberthead_testing::record::ChangeOutcomes;
 use filberthead_types::{Revision, Version};
 
 const WRITERS: usize = 3;
@@ -23,7 +23,7 @@
 }
 
 impl Writers {
-    pub(crate) fn start(addrs: Vec<SocketAddr>, told: &Told) -> Self {
+    pub(crate) fn start(addrs: Vec<SocketAddr>, told: &ChangeOutcomes) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads: Vec<_> = (0..WRITERS)
             .map(|number| {
@@ -55,12 +55,12 @@
 struct Worker {
     operator: Operator,
     addrs: Vec<SocketAddr>,
-    told: Told,
+    told: ChangeOutcomes,
     stop: Arc<AtomicBool>,
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], told: &Told, stop: &Arc<AtomicBool>) -> Self {
+    fn new(name: &str, addrs: &[SocketAddr], told: &ChangeOutcomes, stop: &Arc<AtomicBool>) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
@@ -95,7 +95,7 @@
         loop {
             let addr = self.addrs[tries % self.addrs.len()];
             let attempt = self.operator.attempt(addr, change);
-            self.told.note(change.id, &attempt);
+            self.told.record(change.id, &attempt);
             match attempt {
                 Attempt::Accepted(version) => return Some(version),
                 Attempt::Refused(answer) => panic!("change {} refused: {answer:?}", change.id),
@@ -115,7 +115,7 @@
         while !self.stopped() {
             let addr = self.addrs[turn % self.addrs.len()];
             turn += 1;
-            let floor = self.told.newest().max(newest);
+            let floor = self.told.newest_version().max(newest);
             if let Some(table) = self.operator.table_of(addr) {
                 assert_current(&table, floor);
                 newest = table.version;
