--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -30,7 +30,7 @@
 
 /// How an endpoint answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// It runs a request and answers.
     #[default]
     Serves,
@@ -41,15 +41,15 @@
     /// It runs the request and answers 500.
     Fails,
     /// It runs the request and answers under another request's id.
-    Crosses,
+    WrongRequestId,
     /// It takes the request and never answers.
     Hangs,
     /// It runs the request and breaks off in the middle of the answer.
-    Cuts,
+    Truncates,
     /// It runs the request and sends its answer at so many bytes a second.
     Paced(u64),
     /// Somebody else has its address, and answers 404 to whatever comes.
-    Strays,
+    ForeignServer,
 }
 
 /// A request that an endpoint began to run.
@@ -67,7 +67,7 @@
     /// Unix millisecond of its start.
     born: u64,
     shown_at: Option<SocketAddr>,
-    manner: Manner,
+    behaviour: Behaviour,
     takes: Duration,
     draining: bool,
     gone: bool,
@@ -131,8 +131,8 @@
     }
 
     /// Changes how it answers.
-    pub fn manner(&self, manner: Manner) {
-        self.lock().manner = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.lock().behaviour = behaviour;
     }
 
     /// Changes how long a request runs.
@@ -162,7 +162,7 @@
     pub fn restart(&self, id: &str, cold_ms: u64) {
         self.reborn(id);
         let mut state = self.lock();
-        state.manner = Manner::default();
+        state.behaviour = Behaviour::default();
         state.draining = false;
         state.gone = false;
         state.cold_ms = cold_ms;
@@ -248,7 +248,7 @@
             let served = http1::Builder::new()
                 .max_headers(MAX_LINES)
                 .serve_connection(TokioIo::new(stream), service);
-            // An error is how a manner closes the connection.
+            // An error is how a behaviour closes the connection.
             tokio::select! {
                 _ = served => {}
                 () = restarted.notified() => {}
@@ -281,9 +281,9 @@
     };
     let id = text(&head.headers, "x-request-id");
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (own, manner, takes) = {
+    let (own, behaviour, takes) = {
         let state = endpoint.lock();
-        (state.id.clone(), state.manner, state.takes)
+        (state.id.clone(), state.behaviour, state.takes)
     };
     let answer = |status: StatusCode, body: SiteBody| {
         Response::builder()
@@ -294,7 +294,7 @@
             .body(body)
             .map_err(io::Error::other)
     };
-    if manner == Manner::Strays {
+    if behaviour == Behaviour::ForeignServer {
         let mut answer = Response::new(short(Bytes::new()));
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return Ok(answer);
@@ -302,7 +302,7 @@
     if text(&head.headers, "x-target-instance") != own {
         return answer(StatusCode::MISDIRECTED_REQUEST, short(Bytes::new()));
     }
-    if manner == Manner::Sheds {
+    if behaviour == Behaviour::Sheds {
         let mut answer = answer(StatusCode::SERVICE_UNAVAILABLE, short(Bytes::new()))?;
         answer
             .headers_mut()
@@ -324,18 +324,18 @@
         done: false,
     };
     tokio::time::sleep(takes).await;
-    match manner {
-        Manner::Hangs => std::future::pending().await,
-        Manner::LosesAnswer => {
+    match behaviour {
+        Behaviour::Hangs => std::future::pending().await,
+        Behaviour::LosesAnswer => {
             running.done = true;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         _ => {}
     }
     running.done = true;
-    let whole = whole_answer(&head, &body, manner);
-    let status = match manner {
-        Manner::Fails => StatusCode::INTERNAL_SERVER_ERROR,
+    let whole = whole_answer(&head, &body, behaviour);
+    let status = match behaviour {
+        Behaviour::Fails => StatusCode::INTERNAL_SERVER_ERROR,
         _ => StatusCode::OK,
     };
     let mut answer = answer(status, whole)?;
@@ -344,7 +344,7 @@
         "x-response-signature",
         http::HeaderValue::from_static("signed"),
     );
-    if manner == Manner::Crosses {
+    if behaviour == Behaviour::WrongRequestId {
         let other = http::HeaderValue::from_static("somebody-elses");
         headers.insert("x-request-id", other);
     }
@@ -356,17 +356,17 @@
 }
 
 /// As many bytes as the query `bytes=N` names, or a text that names the request.
-fn whole_answer(head: &http::request::Parts, body: &[u8], manner: Manner) -> SiteBody {
+fn whole_answer(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
     let (method, uri) = (head.method.as_str(), head.uri.to_string());
     let bytes = named_bytes(&uri);
-    if bytes.is_none() && manner != Manner::Cuts {
+    if bytes.is_none() && behaviour != Behaviour::Truncates {
         return short(Bytes::from(format!("{method} {uri} {}", body.len())));
     }
     let bytes = bytes.unwrap_or(CUT_BYTES);
     let payload = Payload::of_answer(method, &uri, body);
-    let cut = (manner == Manner::Cuts).then_some(bytes / 2);
-    let pace = match manner {
-        Manner::Paced(pace) => Some(pace),
+    let cut = (behaviour == Behaviour::Truncates).then_some(bytes / 2);
+    let pace = match behaviour {
+        Behaviour::Paced(pace) => Some(pace),
         _ => None,
     };
     let body = AnswerBody::new(payload, 0, bytes).cut_after(cut).pace(pace);
--- a/crates/testing/src/site/mod.rs
+++ b/crates/testing/src/site/mod.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-pub use endpoint::{Manner, Run, SiteEndpoint, is_answer};
+pub use endpoint::{Behaviour, Run, SiteEndpoint, is_answer};
 pub use list::{Line, SiteList};
 
 use crate::client::{Answer, Call, CallError};
--- a/crates/testing/src/soak/drive.rs
+++ b/crates/testing/src/soak/drive.rs
@@ -14,7 +14,7 @@
 use super::{callers, operators};
 use crate::proxy::{Direction, FaultProxy, Flow};
 use crate::runtime;
-use crate::site::{Manner, Site, SitePrograms, is_answer, proven, request};
+use crate::site::{Behaviour, Site, SitePrograms, is_answer, proven, request};
 
 /// Failure domains of a [`Site`]; the second one may be evacuated.
 const DOMAINS: [&str; 2] = ["zagreb-a", "split-a"];
@@ -201,7 +201,7 @@
     fn take_outside(&mut self, step: &Step) {
         let site = &mut self.nodes.site;
         match step {
-            Step::Manner(endpoint, manner) => site.endpoints[*endpoint].manner(*manner),
+            Step::SetBehaviour(endpoint, behaviour) => site.endpoints[*endpoint].set_behaviour(*behaviour),
             Step::CutEndpoint(endpoint) => {
                 site.link(*endpoint).into_iter().for_each(FaultProxy::hold);
             }
@@ -264,7 +264,7 @@
         let site = &self.nodes.site;
         site.network.heal();
         for (number, endpoint) in site.endpoints.iter().enumerate() {
-            endpoint.manner(Manner::Serves);
+            endpoint.set_behaviour(Behaviour::Serves);
             site.link(number).into_iter().for_each(FaultProxy::heal);
         }
         site.show_endpoints();
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::site::Manner;
+use crate::site::Behaviour;
 
 /// Time before the first fault: callers come and objects are learned.
 const CALM: Duration = Duration::from_millis(800);
@@ -17,13 +17,13 @@
 /// Part of the plans in which only planned work happens, so that nothing may be cut.
 const PLANNED_ONLY: f64 = 0.25;
 /// How endpoints misbehave.
-const MANNERS: [Manner; 6] = [
-    Manner::Sheds,
-    Manner::LosesAnswer,
-    Manner::Fails,
-    Manner::Crosses,
-    Manner::Hangs,
-    Manner::Cuts,
+const FAULTY_BEHAVIOURS: [Behaviour; 6] = [
+    Behaviour::Sheds,
+    Behaviour::LosesAnswer,
+    Behaviour::Fails,
+    Behaviour::WrongRequestId,
+    Behaviour::Hangs,
+    Behaviour::Truncates,
 ];
 
 /// How large a soak is.
@@ -101,7 +101,7 @@
     /// They come again.
     KeepAcks(usize),
     /// An endpoint changes how it answers.
-    Manner(usize, Manner),
+    SetBehaviour(usize, Behaviour),
     /// The way to an endpoint carries nothing.
     CutEndpoint(usize),
     /// The way to an endpoint carries again.
@@ -291,9 +291,9 @@
                 self.for_a_while(at, cut, heal);
             }
             _ => {
-                let manner = MANNERS[self.rng.random_range(0..MANNERS.len())];
-                let back = Step::Manner(endpoint, Manner::Serves);
-                self.for_a_while(at, Step::Manner(endpoint, manner), back);
+                let behaviour = FAULTY_BEHAVIOURS[self.rng.random_range(0..FAULTY_BEHAVIOURS.len())];
+                let back = Step::SetBehaviour(endpoint, Behaviour::Serves);
+                self.for_a_while(at, Step::SetBehaviour(endpoint, behaviour), back);
             }
         }
     }
--- a/tests/all/explained.rs
+++ b/tests/all/explained.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use filberthead_testing::site::{Manner, Site, request};
+use filberthead_testing::site::{Behaviour, Site, request};
 use filberthead_testing::{eventually, wait_until};
 
 use crate::groups::site;
@@ -59,7 +59,7 @@
 #[test]
 fn a_refused_request_is_explained() {
     let site = start();
-    site.endpoints[0].manner(Manner::Sheds);
+    site.endpoints[0].set_behaviour(Behaviour::Sheds);
     let answer = site.request(0, &request("POST", "/orders/one", "refused-1"));
     assert_eq!(answer.expect("an answer").status, 503);
     explained(&site, "refused-1", &["attempt ended", "i-1", "Full"]);
@@ -83,7 +83,7 @@
 #[test]
 fn an_order_whose_answer_was_lost_is_explained() {
     let site = start();
-    site.endpoints[0].manner(Manner::LosesAnswer);
+    site.endpoints[0].set_behaviour(Behaviour::LosesAnswer);
     let answer = site.request(0, &request("POST", "/orders/one", "lost-1"));
     assert_eq!(answer.expect("an answer").status, 502);
     explained(&site, "lost-1", &["attempt ended", "i-1", "Broken"]);
@@ -98,7 +98,7 @@
     site.gateways[0].settings().set("log", "format", "json");
     site.gateways[0].restart();
     site.wait_serving(0);
-    site.endpoints[0].manner(Manner::LosesAnswer);
+    site.endpoints[0].set_behaviour(Behaviour::LosesAnswer);
     let answer = site.request(0, &request("POST", "/orders/one", "lost-2"));
     assert_eq!(answer.expect("an answer").status, 502);
     let wanted = [
@@ -128,7 +128,7 @@
 fn metrics_count_requests_and_attempts() {
     let site = start();
     let before = site.gateways[0].metric("gateway_requests_total");
-    site.endpoints[0].manner(Manner::Sheds);
+    site.endpoints[0].set_behaviour(Behaviour::Sheds);
     for number in 0..3 {
         let id = format!("m-{number}");
         let answer = site.request(0, &request("POST", "/orders/one", &id));
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -4,7 +4,7 @@
 
 use filberthead_testing::client::{Answer, Call, CallError};
 use filberthead_testing::cluster::Node;
-use filberthead_testing::site::{Manner, Site, SiteEndpoint, order_at, request};
+use filberthead_testing::site::{Behaviour, Site, SiteEndpoint, order_at, request};
 use filberthead_testing::standin::Payload;
 use filberthead_testing::{eventually, wait_until};
 
@@ -74,7 +74,7 @@
     let site = start("orders", 3);
     send_until(&site, "POST", "/orders/warm-up", 200);
     for endpoint in &site.endpoints {
-        endpoint.manner(Manner::LosesAnswer);
+        endpoint.set_behaviour(Behaviour::LosesAnswer);
     }
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 502);
@@ -87,7 +87,7 @@
 fn an_answer_to_somebody_else_is_given_to_nobody() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
-    site.endpoints[0].manner(Manner::Crosses);
+    site.endpoints[0].set_behaviour(Behaviour::WrongRequestId);
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 502);
     assert_eq!(answer.text(), "");
@@ -100,12 +100,12 @@
 fn an_answer_without_the_requests_id_is_given_to_nobody() {
     let site = start("catalogue", 2);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Strays);
+    site.endpoints[0].set_behaviour(Behaviour::ForeignServer);
     for number in 0..20 {
         let answer = send(&site, "GET", "/catalogue/one", &format!("read-{number}"));
         assert_eq!(answer.status, 200, "the other endpoint serves");
     }
-    site.endpoints[1].manner(Manner::Strays);
+    site.endpoints[1].set_behaviour(Behaviour::ForeignServer);
     assert_eq!(send(&site, "GET", "/catalogue/one", "read-x").status, 502);
 }
 
@@ -116,7 +116,7 @@
     let site = start("orders", 2);
     send_until(&site, "POST", "/orders/warm-up", 200);
     for endpoint in &site.endpoints {
-        endpoint.manner(Manner::Sheds);
+        endpoint.set_behaviour(Behaviour::Sheds);
     }
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 503);
@@ -132,12 +132,12 @@
     let mut site = start("catalogue", 1);
     site.add_endpoint("catalogue", "zagreb-a");
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Fails);
-    site.endpoints[1].manner(Manner::Fails);
+    site.endpoints[0].set_behaviour(Behaviour::Fails);
+    site.endpoints[1].set_behaviour(Behaviour::Fails);
     let failed = send(&site, "GET", "/catalogue/one", "read-1");
     assert_eq!(failed.status, 500);
     // Either has failed once or twice by now; one of them serves again.
-    site.endpoints[1].manner(Manner::Serves);
+    site.endpoints[1].set_behaviour(Behaviour::Serves);
     wait_until("a reading that the other one served", BOUND, || {
         let answer = send(&site, "GET", "/catalogue/two", "read-2");
         answer.status == 200 && runs(&site.endpoints[..1], "read-2") > 0
@@ -147,7 +147,7 @@
     orders
         .endpoints
         .iter()
-        .for_each(|e| e.manner(Manner::Fails));
+        .for_each(|e| e.set_behaviour(Behaviour::Fails));
     let answer = send(&orders, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 500);
     assert_eq!(runs(&orders.endpoints, "order-1"), 1);
@@ -199,7 +199,7 @@
 fn work_ends_when_its_caller_leaves() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Hangs);
+    site.endpoints[0].set_behaviour(Behaviour::Hangs);
     let call = request("GET", "/catalogue/one", "read-1").bound(Duration::from_millis(500));
     assert!(site.request(0, &call).is_err());
     wait_until("the endpoint knows", BOUND, || {
@@ -212,7 +212,7 @@
 fn a_request_that_hangs_is_answered_when_its_time_is_up() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Hangs);
+    site.endpoints[0].set_behaviour(Behaviour::Hangs);
     let call = Call::new("GET", "/catalogue/one")
         .header("host", filberthead_testing::site::HOST)
         .header("x-request-id", "read-1")
@@ -365,7 +365,7 @@
 fn a_download_goes_on_while_it_comes() {
     let site = start("lessons", 1);
     send_until(&site, "GET", "/lessons/warm-up", 200);
-    site.endpoints[0].manner(Manner::Paced(200_000));
+    site.endpoints[0].set_behaviour(Behaviour::Paced(200_000));
     let path = "/lessons/1?bytes=20000000";
     let call = Call::new("GET", path)
         .header("host", filberthead_testing::site::HOST)
@@ -391,7 +391,7 @@
     site.gateways[0].restart();
     site.wait_serving(0);
     send_until(&site, "GET", "/lessons/warm-up", 200);
-    site.endpoints[0].manner(Manner::Paced(PACE));
+    site.endpoints[0].set_behaviour(Behaviour::Paced(PACE));
     let path = format!("/lessons/1?bytes={}", PACE * LASTS_S);
     let addr = site.gateways[0].addr("caller");
     let call = request("GET", &path, "lesson-1");
@@ -416,7 +416,7 @@
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     let endpoint = &site.endpoints[0];
     let id = endpoint.id();
-    endpoint.manner(Manner::Hangs);
+    endpoint.set_behaviour(Behaviour::Hangs);
     let addr = site.gateways[0].addr("caller");
     let hanging = std::thread::spawn(move || request("GET", "/catalogue/one", "read-1").send(addr));
     wait_until("the request runs", BOUND, || {
