--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -24,7 +24,7 @@
 /// Length of an answer that is to break off, unless the request names one.
 const CUT_BYTES: u64 = 100;
 
-/// Lines of a request's head that it reads, far above what hyper takes by itself, so that
+/// Lines of a request's head that it reads, far above what hyper reads by itself, so that
 /// what a gateway lets pass isn't refused here.
 const MAX_LINES: usize = 1024;
 
@@ -68,7 +68,7 @@
     born: u64,
     shown_at: Option<SocketAddr>,
     behaviour: Behaviour,
-    takes: Duration,
+    run_time: Duration,
     draining: bool,
     gone: bool,
     cold_ms: u64,
@@ -136,8 +136,8 @@
     }
 
     /// Changes how long a request runs.
-    pub fn takes(&self, takes: Duration) {
-        self.lock().takes = takes;
+    pub fn set_run_time(&self, run_time: Duration) {
+        self.lock().run_time = run_time;
     }
 
     /// Says on the list that it is to go.
@@ -146,12 +146,12 @@
     }
 
     /// Says on the list that it stays cold for so long.
-    pub fn cool(&self, ms: u64) {
+    pub fn set_warmup_left(&self, ms: u64) {
         self.lock().cold_ms = ms;
     }
 
     /// Begins anew under another identity, at the same address.
-    pub fn reborn(&self, id: &str) {
+    pub fn replace_instance(&self, id: &str) {
         let mut state = self.lock();
         state.id = id.to_owned();
         state.born = next_start(state.born);
@@ -160,7 +160,7 @@
     /// Begins anew under the identity that it had: requests break off, it is to stay, and is
     /// cold for so long.
     pub fn restart(&self, id: &str, cold_ms: u64) {
-        self.reborn(id);
+        self.replace_instance(id);
         let mut state = self.lock();
         state.behaviour = Behaviour::default();
         state.draining = false;
@@ -281,9 +281,9 @@
     };
     let id = text(&head.headers, "x-request-id");
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (own, behaviour, takes) = {
+    let (own, behaviour, run_time) = {
         let state = endpoint.lock();
-        (state.id.clone(), state.behaviour, state.takes)
+        (state.id.clone(), state.behaviour, state.run_time)
     };
     let answer = |status: StatusCode, body: SiteBody| {
         Response::builder()
@@ -323,7 +323,7 @@
         id: id.clone(),
         done: false,
     };
-    tokio::time::sleep(takes).await;
+    tokio::time::sleep(run_time).await;
     match behaviour {
         Behaviour::Hangs => std::future::pending().await,
         Behaviour::LosesAnswer => {
--- a/crates/testing/src/soak/drive.rs
+++ b/crates/testing/src/soak/drive.rs
@@ -212,13 +212,13 @@
                 site.endpoints[*endpoint].drain();
                 site.show_endpoints();
             }
-            Step::Reborn(endpoint) => {
+            Step::ReplaceInstance(endpoint) => {
                 let id = format!("{}-again", site.endpoints[*endpoint].id());
-                site.endpoints[*endpoint].reborn(&id);
+                site.endpoints[*endpoint].replace_instance(&id);
             }
             Step::Join(service) => {
                 let number = site.add_linked_endpoint(SERVICES[*service].0, DOMAINS[0]);
-                site.endpoints[number].cool(COLD_MS);
+                site.endpoints[number].set_warmup_left(COLD_MS);
                 site.show_endpoints();
             }
             Step::Evacuate if self.evacuation.is_none() => {
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -109,7 +109,7 @@
     /// The list says that an endpoint is to go.
     Drain(usize),
     /// Another start of an endpoint has its address before the list says so.
-    Reborn(usize),
+    ReplaceInstance(usize),
     /// A cold endpoint comes, of the service with this number.
     Join(usize),
     /// Operators evacuate the second failure domain.
@@ -285,7 +285,7 @@
     fn endpoints(&mut self, at: Duration) {
         let endpoint = self.endpoint();
         match self.rng.random_range(0..8) {
-            0 => self.push(at, Step::Reborn(endpoint)),
+            0 => self.push(at, Step::ReplaceInstance(endpoint)),
             1 => {
                 let (cut, heal) = (Step::CutEndpoint(endpoint), Step::HealEndpoint(endpoint));
                 self.for_a_while(at, cut, heal);
--- a/tests/all/explained.rs
+++ b/tests/all/explained.rs
@@ -118,7 +118,7 @@
 #[test]
 fn a_request_to_an_endpoint_that_had_left_is_explained() {
     let site = start();
-    site.endpoints[0].reborn("i-somebody-else");
+    site.endpoints[0].replace_instance("i-somebody-else");
     let answer = site.request(0, &request("POST", "/orders/one", "gone-1"));
     assert_eq!(answer.expect("an answer").status, 503);
     explained(&site, "gone-1", &["attempt ended", "i-1", "Gone"]);
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -159,7 +159,7 @@
 fn an_address_that_has_changed_hands_runs_nothing() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
-    site.endpoints[0].reborn("i-somebody-else");
+    site.endpoints[0].replace_instance("i-somebody-else");
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 503);
     assert_eq!(runs(&site.endpoints, "order-1"), 0);
@@ -227,7 +227,7 @@
 fn a_planned_stop_cuts_nothing() {
     let mut site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].takes(Duration::from_millis(800));
+    site.endpoints[0].set_run_time(Duration::from_millis(800));
     let addr = site.gateways[0].addr("caller");
     let running = std::thread::spawn(move || request("GET", "/catalogue/one", "read-1").send(addr));
     wait_until("the request runs", BOUND, || {
@@ -422,7 +422,7 @@
     wait_until("the request runs", BOUND, || {
         endpoint.ran().contains(&"read-1".to_owned())
     });
-    endpoint.reborn("i-somebody-else");
+    endpoint.replace_instance("i-somebody-else");
     assert_eq!(send(&site, "GET", "/catalogue/two", "read-2").status, 503);
     endpoint.drain();
     site.show_endpoints();
