--- a/crates/testing/src/standin/mod.rs
+++ b/crates/testing/src/standin/mod.rs
@@ -17,7 +17,7 @@
 
 pub(crate) use body::AnswerBody;
 pub use payload::Payload;
-pub use record::{Event, Record, Seen, Stage};
+pub use record::{Event, Record, ObservedRequest, Stage};
 pub use script::{Fault, Rule, Script, When, WhenFull};
 use state::State;
 
--- a/crates/testing/src/standin/record.rs
+++ b/crates/testing/src/standin/record.rs
@@ -27,7 +27,7 @@
 /// A request as the stand-in saw it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Seen {
+pub struct ObservedRequest {
     /// Its method.
     pub method: String,
     /// Its path and query.
@@ -47,7 +47,7 @@
     /// The stage.
     pub stage: Stage,
     /// The request.
-    pub seen: Seen,
+    pub seen: ObservedRequest,
 }
 
 /// All that stand-ins saw, in the order of events at each of them.
@@ -64,7 +64,7 @@
 
 impl Record {
     /// How many requests that fit reached a stage.
-    pub fn count(&self, stage: Stage, fits: impl Fn(&Seen) -> bool) -> usize {
+    pub fn count(&self, stage: Stage, fits: impl Fn(&ObservedRequest) -> bool) -> usize {
         let reached = |event: &&Event| event.stage == stage && fits(&event.seen);
         self.events.iter().filter(reached).count()
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    pub(super) fn push(&self, stage: Stage, seen: &Seen) {
+    pub(super) fn push(&self, stage: Stage, seen: &ObservedRequest) {
         let event = Event {
             stage,
             seen: seen.clone(),
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -11,7 +11,7 @@
 
 use super::body::AnswerBody;
 use super::payload::Payload;
-use super::record::{Seen, Stage};
+use super::record::{ObservedRequest, Stage};
 use super::script::{Fault, WhenFull};
 use super::state::{OtherAnswer, State, lock};
 use super::work::Work;
@@ -109,13 +109,13 @@
     Ok(body.to_bytes())
 }
 
-fn seen(method: &Method, uri: &http::Uri, headers: &HeaderMap) -> Seen {
+fn seen(method: &Method, uri: &http::Uri, headers: &HeaderMap) -> ObservedRequest {
     let text = |name| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
     let path = uri.path_and_query().map_or("", |path| path.as_str());
-    Seen {
+    ObservedRequest {
         method: method.as_str().to_owned(),
         path: path.to_owned(),
         key: text("idempotency-key"),
@@ -124,7 +124,7 @@
     }
 }
 
-async fn take_slot(state: &Arc<State>, seen: &Arc<Seen>, recorded: bool) -> Option<Work> {
+async fn take_slot(state: &Arc<State>, seen: &Arc<ObservedRequest>, recorded: bool) -> Option<Work> {
     loop {
         // Registered before the try, so that a slot freed in between is not missed.
         let freed = state.freed.notified();
@@ -141,7 +141,7 @@
 
 fn answer(
     state: &Arc<State>,
-    seen: &Seen,
+    seen: &ObservedRequest,
     body: &[u8],
     fault: Option<Fault>,
     work: Work,
@@ -205,7 +205,7 @@
     Err(io::ErrorKind::ConnectionAborted.into())
 }
 
-fn shed(state: &State, seen: &Seen, recorded: bool) -> Answer {
+fn shed(state: &State, seen: &ObservedRequest, recorded: bool) -> Answer {
     if recorded {
         state.recorder.push(Stage::Shed, seen);
     }
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::payload::Payload;
-use super::record::{Recorder, Seen};
+use super::record::{Recorder, ObservedRequest};
 use super::script::{Fault, Rule, Script, When};
 
 /// Whether the stand-in serves.
@@ -71,7 +71,7 @@
     }
 
     /// The fault for a request, and one use of its rule less.
-    pub(super) fn fault(&self, seen: &Seen, body: &[u8]) -> Option<Fault> {
+    pub(super) fn fault(&self, seen: &ObservedRequest, body: &[u8]) -> Option<Fault> {
         let mut script = lock(&self.script);
         let rules = &mut script.rules;
         let place = rules
@@ -125,7 +125,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn fits(rule: &Rule, seen: &Seen, body: &[u8]) -> bool {
+fn fits(rule: &Rule, seen: &ObservedRequest, body: &[u8]) -> bool {
     match &rule.when {
         When::Any => true,
         When::Method(method) => seen.method == *method,
--- a/crates/testing/src/standin/work.rs
+++ b/crates/testing/src/standin/work.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::record::{Seen, Stage};
+use super::record::{ObservedRequest, Stage};
 use super::state::State;
 
 /// A request that runs; it gives its slot back when dropped, and is cancelled unless it
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct Work {
     state: Arc<State>,
-    seen: Arc<Seen>,
+    seen: Arc<ObservedRequest>,
     recorded: bool,
     answered: bool,
 }
@@ -19,7 +19,7 @@
     /// Takes a slot if one is free.
     pub(super) fn start(
         state: &Arc<State>,
-        seen: &Arc<Seen>,
+        seen: &Arc<ObservedRequest>,
         slots: u32,
         recorded: bool,
     ) -> Option<Self> {
--- a/tests/all/entries.rs
+++ b/tests/all/entries.rs
@@ -96,7 +96,7 @@
         assert_eq!(answer.body, own, "{}", answer.text());
         assert_eq!(answer.result(), Some(1000));
         let id = answer.header("filberthead-request-id").to_owned();
-        let passed = |seen: &filberthead_testing::standin::Seen| seen.request_id == id;
+        let passed = |seen: &filberthead_testing::standin::ObservedRequest| seen.request_id == id;
         assert_eq!(cluster.record().count(Stage::Executed, passed), 1);
     }
 }
@@ -130,7 +130,7 @@
     let refused = (lesson.body.len() < 1000).then(|| lesson.text());
     assert_eq!(lesson.body.len(), BYTES, "{} {refused:?}", lesson.status);
     assert!(Payload::of_download("lesson", 1).matches(0, &lesson.body));
-    let carried = |seen: &filberthead_testing::standin::Seen| seen.path.contains("lesson");
+    let carried = |seen: &filberthead_testing::standin::ObservedRequest| seen.path.contains("lesson");
     assert!(cluster.record().count(Stage::Executed, carried) > 1);
 }
 
--- a/tests/all/homes.rs
+++ b/tests/all/homes.rs
@@ -6,7 +6,7 @@
 
 use filberthead_testing::client::{Answer, Call};
 use filberthead_testing::cluster::{Cluster, Node};
-use filberthead_testing::standin::{Fault, Rule, Seen, Stage, When};
+use filberthead_testing::standin::{Fault, Rule, ObservedRequest, Stage, When};
 use filberthead_testing::{eventually, wait_until};
 use serde::Deserialize;
 
@@ -249,6 +249,6 @@
     }
     let fresh = site.key(HOLDER, "fresh");
     assert_ne!(fresh, key);
-    let placed = |seen: &Seen| seen.path == "/place";
+    let placed = |seen: &ObservedRequest| seen.path == "/place";
     assert_eq!(site.cluster.record().count(Stage::Executed, placed), 1);
 }
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -6,7 +6,7 @@
 
 use filberthead_testing::client::{Answer, Call, CallError};
 use filberthead_testing::cluster::{Builder, Cluster};
-use filberthead_testing::standin::{Fault, Payload, Rule, Seen, Stage, When, WhenFull};
+use filberthead_testing::standin::{Fault, Payload, Rule, ObservedRequest, Stage, When, WhenFull};
 use filberthead_testing::{ClosedPort, eventually, wait_until};
 use serde::Deserialize;
 
@@ -125,7 +125,7 @@
             Err(e) => panic!("{e}"),
         }
     }
-    let cut = |seen: &Seen| seen.path.starts_with("/cut");
+    let cut = |seen: &ObservedRequest| seen.path.starts_with("/cut");
     assert_eq!(cluster.record().count(Stage::Cancelled, cut), 2);
 }
 
@@ -206,7 +206,7 @@
     let answer = whole(read(&path).send(entry));
     assert_eq!(answer.body.len(), BYTES);
     assert!(Payload::of_download("lesson", 1).matches(0, &answer.body));
-    let lesson = |seen: &Seen| seen.path == path;
+    let lesson = |seen: &ObservedRequest| seen.path == path;
     assert!(cluster.record().count(Stage::Received, lesson) > 1);
 }
 
@@ -275,7 +275,7 @@
         if answer.is_not_run() {
             refused += 1;
             assert!(!answer.header("retry-after").is_empty());
-            let ran = |seen: &Seen| seen.path == path;
+            let ran = |seen: &ObservedRequest| seen.path == path;
             assert_eq!(cluster.record().count(Stage::Executed, ran), 0);
         } else {
             assert!(is_whole(&answer, &path));
