--- a/crates/testing/src/cluster/node.rs
+++ b/crates/testing/src/cluster/node.rs
@@ -185,11 +185,11 @@
     /// Kills it, as a power cut would.
     pub fn kill(&mut self) {
         self.process.kill();
-        self.untarget();
+        self.clear_target();
     }
 
-    fn untarget(&self) {
-        self.proxies.values().for_each(FaultProxy::untarget);
+    fn clear_target(&self) {
+        self.proxies.values().for_each(FaultProxy::clear_target);
     }
 
     /// Kills it and starts it again with the same data folder.
@@ -222,7 +222,7 @@
     #[track_caller]
     pub fn wait_exit(&mut self) -> ExitStatus {
         let status = self.process.wait_exit();
-        self.untarget();
+        self.clear_target();
         status
     }
 
--- a/crates/testing/src/proxy/mod.rs
+++ b/crates/testing/src/proxy/mod.rs
@@ -171,7 +171,7 @@
     /// Has nothing behind the proxy any more: connections are reset until it is
     /// [retargeted](Self::retarget). The port of a process that has ended may belong to
     /// a process of another test at once.
-    pub fn untarget(&self) {
+    pub fn clear_target(&self) {
         self.rules.send_modify(|rules| rules.target = None);
     }
 
