--- a/crates/testing/src/bin/soak.rs
+++ b/crates/testing/src/bin/soak.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use filberthead_testing::site::SitePrograms;
-use filberthead_testing::soak::{Plan, Size, play};
+use filberthead_testing::soak::{Plan, Size, run_plan};
 use lexopt::{Arg, ValueExt};
 
 const USAGE: &str = "usage: filberthead-soak [--seed FIRST] [--seeds COUNT] [--controls N] \
@@ -79,7 +79,7 @@
             println!("{plan:#?}");
             continue;
         }
-        let report = play(programs.clone(), &plan);
+        let report = run_plan(programs.clone(), &plan);
         println!("{report}");
         if !report.violations.is_empty() {
             println!("  logs: {}", report.dir.display());
--- a/crates/testing/src/soak/drive.rs
+++ b/crates/testing/src/soak/drive.rs
@@ -80,7 +80,7 @@
 /// # Panics
 ///
 /// Panics if a process can't be started.
-pub fn play(programs: SitePrograms, plan: &Plan) -> Report {
+pub fn run_plan(programs: SitePrograms, plan: &Plan) -> Report {
     let mut drive = Drive::start(programs, plan);
     let begun = Instant::now();
     for timed in &plan.steps {
--- a/crates/testing/src/soak/mod.rs
+++ b/crates/testing/src/soak/mod.rs
@@ -1,7 +1,7 @@
 //! A randomised soak: the real programs as processes of one machine, with callers,
 //! operators and endpoints around them, while faults are injected from outside.
 //!
-//! A [`Plan`] is drawn from a seed: what happens when. [`play`] carries it out: it kills,
+//! A [`Plan`] is drawn from a seed: what happens when. [`run_plan`] carries it out: it kills,
 //! pauses, stops and restarts processes by signals, tears and wipes their data, and
 //! delays, resets, cuts and silences their connections by the proxies before them. In the
 //! end all faults are taken back, and service has to come back too.
@@ -20,7 +20,7 @@
 mod verdict;
 mod world;
 
-pub use drive::{Report, play};
+pub use drive::{Report, run_plan};
 pub use history::{Asked, Ended, History, Probed, Shown, Told};
 pub use plan::{Plan, Size, Step, Target, Timed};
 pub use verdict::{Ran, Violation, judge};
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use filberthead_testing::site::SitePrograms;
-use filberthead_testing::soak::{Plan, Size, play};
+use filberthead_testing::soak::{Plan, Size, run_plan};
 
 /// Seeds of the run in every test: one of planned work only, one of faults.
 const SEEDS: [u64; 2] = [3, 1];
@@ -33,7 +33,7 @@
         control: PathBuf::from(env!("CARGO_BIN_EXE_filberthead-control")),
         gateway: PathBuf::from(env!("CARGO_BIN_EXE_filberthead-gateway")),
     };
-    let report = play(programs, &Plan::new(seed, Size::default()));
+    let report = run_plan(programs, &Plan::new(seed, Size::default()));
     assert!(report.violations.is_empty(), "{report}");
     // Without service there would be nothing to break.
     assert!(report.served > 0, "{report}");
