--- a/crates/testing/src/site/mod.rs
+++ b/crates/testing/src/site/mod.rs
@@ -230,7 +230,7 @@
 }
 
 /// Version of the routes that a replica proves to be the newest; `None` if it can't.
-pub fn proven(node: &Node) -> Option<u64> {
+pub fn proven_version(node: &Node) -> Option<u64> {
     let answer = order_at(node, "config.get", "").ok()?;
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     body["version"].as_u64()
--- a/crates/testing/src/soak/drive.rs
+++ b/crates/testing/src/soak/drive.rs
@@ -14,7 +14,7 @@
 use super::{callers, operators};
 use crate::proxy::{Direction, FaultProxy, Flow};
 use crate::runtime;
-use crate::site::{Behaviour, Site, SitePrograms, is_answer, proven, request};
+use crate::site::{Behaviour, Site, SitePrograms, is_answer, proven_version, request};
 
 /// Failure domains of a [`Site`]; the second one may be evacuated.
 const DOMAINS: [&str; 2] = ["zagreb-a", "split-a"];
@@ -295,7 +295,7 @@
             let what = format!("control {control} proves version {accepted}");
             self.must_be_back(&what, |drive| {
                 let node = &drive.nodes.site.controls[control];
-                proven(node).is_some_and(|version| version >= accepted)
+                proven_version(node).is_some_and(|version| version >= accepted)
             });
         }
         for gateway in 0..self.nodes.site.gateways.len() {
@@ -308,7 +308,7 @@
     /// Whether a gateway serves the routes that control proves to be the newest by now. A change
     /// whose operator got no answer may take effect after all others.
     fn serves_newest(&mut self, gateway: usize, accepted: u64) -> bool {
-        let newest = proven(&self.nodes.site.controls[0]);
+        let newest = proven_version(&self.nodes.site.controls[0]);
         let Some(newest) = newest.filter(|newest| *newest >= accepted) else {
             return false;
         };
--- a/crates/testing/src/soak/nodes.rs
+++ b/crates/testing/src/soak/nodes.rs
@@ -11,7 +11,7 @@
 use super::verdict::Violation;
 use super::world::World;
 use crate::cluster::Node;
-use crate::site::{Site, proven};
+use crate::site::{Site, proven_version};
 
 /// Time after which a process that was told to stop has to be gone: its grace, and as much
 /// again as a busy machine may take.
@@ -226,7 +226,7 @@
         let accepted = self.world.accepted();
         let voters = controls.len() as f64;
         up && self.site.controls.iter().all(|node| {
-            proven(node).is_some_and(|version| version >= accepted)
+            proven_version(node).is_some_and(|version| version >= accepted)
                 && node.metric("voters") >= voters
         })
     }
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filberthead_testing::cluster::Node;
-use filberthead_testing::site::{Site, SiteBuilder, SitePrograms, config, order_at, proven};
+use filberthead_testing::site::{Site, SiteBuilder, SitePrograms, config, order_at, proven_version};
 use filberthead_testing::{eventually, wait_until};
 
 const BOUND: Duration = Duration::from_secs(60);
@@ -23,7 +23,7 @@
 #[track_caller]
 fn wait_version(node: &Node, version: u64) {
     wait_until("the replica proves the version", BOUND, || {
-        proven(node) == Some(version)
+        proven_version(node) == Some(version)
     });
 }
 
@@ -102,7 +102,7 @@
 }
 
 fn wait_version_once(node: &Node, version: u64) -> bool {
-    proven(node) == Some(version)
+    proven_version(node) == Some(version)
 }
 
 /// An operator's answer is lost, and the same configuration comes again, later also one
@@ -170,7 +170,7 @@
             answer.is_ok_and(|answer| answer.status == 200)
         })
     });
-    let shown = proven(site.control(&name));
+    let shown = proven_version(site.control(&name));
     assert_ne!(shown, Some(7), "the older routes are shown");
     site.network.heal();
     wait_version(site.control(&name), 8);
--- a/tests/all/outdated.rs
+++ b/tests/all/outdated.rs
@@ -4,7 +4,7 @@
 
 use filberthead_testing::client::Answer;
 use filberthead_testing::cluster::Node;
-use filberthead_testing::site::{Site, config, order_at, proven, request};
+use filberthead_testing::site::{Site, config, order_at, proven_version, request};
 use filberthead_testing::{eventually, wait_until};
 
 use crate::groups::site;
@@ -22,7 +22,7 @@
     site.add_endpoint("lessons", "zagreb-a");
     site.put_routes(1, FIRST);
     site.wait_serving(0);
-    let holds_first = |node: &Node| proven(node) == Some(1);
+    let holds_first = |node: &Node| proven_version(node) == Some(1);
     wait_until("all replicas have the first routes", BOUND, || {
         site.controls.iter().all(holds_first)
     });
