--- a/crates/testing/src/soak/callers.rs
+++ b/crates/testing/src/soak/callers.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::history::{Asked, Ended, Probed};
-use super::world::{World, only_in};
+use super::shared::{World, only_in};
 use crate::client::{Answer, Call, CallError, Connection};
 use crate::site::{HOST, is_answer};
 
--- a/crates/testing/src/soak/mod.rs
+++ b/crates/testing/src/soak/mod.rs
@@ -12,15 +12,15 @@
 //! run to run, since real processes race; the plan of a seed doesn't.
 
 mod callers;
-mod drive;
+mod runner;
 mod history;
 mod nodes;
 mod operators;
 mod plan;
-mod verdict;
-mod world;
+mod violations;
+mod shared;
 
-pub use drive::{Report, run_plan};
+pub use runner::{Report, run_plan};
 pub use history::{Asked, Ended, History, Probed, Shown, Told};
 pub use plan::{Plan, Size, Step, Target, Timed};
-pub use verdict::{Ran, Violation, judge};
+pub use violations::{Ran, Violation, judge};
--- a/crates/testing/src/soak/nodes.rs
+++ b/crates/testing/src/soak/nodes.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use super::plan::Target;
-use super::verdict::Violation;
-use super::world::World;
+use super::violations::Violation;
+use super::shared::World;
 use crate::cluster::Node;
 use crate::site::{Site, proven_version};
 
--- a/crates/testing/src/soak/operators.rs
+++ b/crates/testing/src/soak/operators.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::history::{Shown, Told};
-use super::world::World;
+use super::shared::World;
 use crate::client::{Answer, Call};
 
 /// How long an operator waits for an answer before the order goes to another replica.
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -202,7 +202,7 @@
 
     /// An endpoint that is there from the beginning.
     fn endpoint(&mut self) -> usize {
-        let domains_and_services = 2 * super::world::SERVICES.len();
+        let domains_and_services = 2 * super::shared::SERVICES.len();
         self.rng
             .random_range(0..self.size.endpoints * domains_and_services)
     }
@@ -219,7 +219,7 @@
             }
             5 | 6 => self.push(at, Step::HangUp(target)),
             7 => {
-                let service = self.rng.random_range(0..super::world::SERVICES.len());
+                let service = self.rng.random_range(0..super::shared::SERVICES.len());
                 self.push(at, Step::Join(service));
             }
             8 if !self.drained => {
--- a/crates/testing/src/standin/body.rs
+++ b/crates/testing/src/standin/body.rs
@@ -10,7 +10,7 @@
 use tokio::time::Sleep;
 
 use super::payload::Payload;
-use super::work::Work;
+use super::slot::Work;
 
 const CHUNK_BYTES: u64 = 32 * 1024;
 /// Pause that lets the server send what it has, before an answer breaks off.
--- a/crates/testing/src/standin/download.rs
+++ b/crates/testing/src/standin/download.rs
@@ -7,7 +7,7 @@
 use super::payload::Payload;
 use super::serve::{Answer, query, status};
 use super::state::State;
-use super::work::Work;
+use super::slot::Work;
 
 pub(super) const PREFIX: &str = "/download/";
 const DEFAULT_BYTES: u64 = 1024 * 1024;
--- a/crates/testing/src/standin/mod.rs
+++ b/crates/testing/src/standin/mod.rs
@@ -9,7 +9,7 @@
 mod script;
 mod serve;
 mod state;
-mod work;
+mod slot;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -14,7 +14,7 @@
 use super::record::{ObservedRequest, Stage};
 use super::script::{Fault, WhenFull};
 use super::state::{OtherAnswer, State, lock};
-use super::work::Work;
+use super::slot::Work;
 use super::{admin, download};
 
 pub(super) type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
