--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -24,13 +24,13 @@
 /// Length of an answer that is to break off, unless the request names one.
 const CUT_BYTES: u64 = 100;
 
-/// Lines of a request's head that it reads, far above what hyper takes by itself, so that
+/// Lines of a request's head that it reads, far above what hyper reads by itself, so that
 /// what a gateway lets pass isn't refused here.
 const MAX_LINES: usize = 1024;
 
 /// How an endpoint answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// It runs a request and answers.
     #[default]
     Serves,
@@ -41,15 +41,15 @@
     /// It runs the request and answers 500.
     Fails,
     /// It runs the request and answers under another request's id.
-    Crosses,
+    WrongRequestId,
     /// It takes the request and never answers.
     Hangs,
     /// It runs the request and breaks off in the middle of the answer.
-    Cuts,
+    Truncates,
     /// It runs the request and sends its answer at so many bytes a second.
     Paced(u64),
     /// Somebody else has its address, and answers 404 to whatever comes.
-    Strays,
+    ForeignServer,
 }
 
 /// A request that an endpoint began to run.
@@ -67,8 +67,8 @@
     /// Unix millisecond of its start.
     born: u64,
     shown_at: Option<SocketAddr>,
-    manner: Manner,
-    takes: Duration,
+    behaviour: Behaviour,
+    run_time: Duration,
     draining: bool,
     gone: bool,
     cold_ms: u64,
@@ -131,13 +131,13 @@
     }
 
     /// Changes how it answers.
-    pub fn manner(&self, manner: Manner) {
-        self.lock().manner = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.lock().behaviour = behaviour;
     }
 
     /// Changes how long a request runs.
-    pub fn takes(&self, takes: Duration) {
-        self.lock().takes = takes;
+    pub fn set_run_time(&self, run_time: Duration) {
+        self.lock().run_time = run_time;
     }
 
     /// Says on the list that it is to go.
@@ -146,12 +146,12 @@
     }
 
     /// Says on the list that it stays cold for so long.
-    pub fn cool(&self, ms: u64) {
+    pub fn set_warmup_left(&self, ms: u64) {
         self.lock().cold_ms = ms;
     }
 
     /// Begins anew under another identity, at the same address.
-    pub fn reborn(&self, id: &str) {
+    pub fn replace_instance(&self, id: &str) {
         let mut state = self.lock();
         state.id = id.to_owned();
         state.born = next_start(state.born);
@@ -160,9 +160,9 @@
     /// Begins anew under the identity that it had: requests break off, it is to stay, and is
     /// cold for so long.
     pub fn restart(&self, id: &str, cold_ms: u64) {
-        self.reborn(id);
+        self.replace_instance(id);
         let mut state = self.lock();
-        state.manner = Manner::default();
+        state.behaviour = Behaviour::default();
         state.draining = false;
         state.gone = false;
         state.cold_ms = cold_ms;
@@ -248,7 +248,7 @@
             let served = http1::Builder::new()
                 .max_headers(MAX_LINES)
                 .serve_connection(TokioIo::new(stream), service);
-            // An error is how a manner closes the connection.
+            // An error is how a behaviour closes the connection.
             tokio::select! {
                 _ = served => {}
                 () = restarted.notified() => {}
@@ -281,9 +281,9 @@
     };
     let id = text(&head.headers, "x-request-id");
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (own, manner, takes) = {
+    let (own, behaviour, run_time) = {
         let state = endpoint.lock();
-        (state.id.clone(), state.manner, state.takes)
+        (state.id.clone(), state.behaviour, state.run_time)
     };
     let answer = |status: StatusCode, body: SiteBody| {
         Response::builder()
@@ -294,7 +294,7 @@
             .body(body)
             .map_err(io::Error::other)
     };
-    if manner == Manner::Strays {
+    if behaviour == Behaviour::ForeignServer {
         let mut answer = Response::new(short(Bytes::new()));
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return Ok(answer);
@@ -302,7 +302,7 @@
     if text(&head.headers, "x-target-instance") != own {
         return answer(StatusCode::MISDIRECTED_REQUEST, short(Bytes::new()));
     }
-    if manner == Manner::Sheds {
+    if behaviour == Behaviour::Sheds {
         let mut answer = answer(StatusCode::SERVICE_UNAVAILABLE, short(Bytes::new()))?;
         answer
             .headers_mut()
@@ -323,19 +323,19 @@
         id: id.clone(),
         done: false,
     };
-    tokio::time::sleep(takes).await;
-    match manner {
-        Manner::Hangs => std::future::pending().await,
-        Manner::LosesAnswer => {
+    tokio::time::sleep(run_time).await;
+    match behaviour {
+        Behaviour::Hangs => std::future::pending().await,
+        Behaviour::LosesAnswer => {
             running.done = true;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         _ => {}
     }
     running.done = true;
-    let whole = whole_answer(&head, &body, manner);
-    let status = match manner {
-        Manner::Fails => StatusCode::INTERNAL_SERVER_ERROR,
+    let whole = whole_answer(&head, &body, behaviour);
+    let status = match behaviour {
+        Behaviour::Fails => StatusCode::INTERNAL_SERVER_ERROR,
         _ => StatusCode::OK,
     };
     let mut answer = answer(status, whole)?;
@@ -344,7 +344,7 @@
         "x-response-signature",
         http::HeaderValue::from_static("signed"),
     );
-    if manner == Manner::Crosses {
+    if behaviour == Behaviour::WrongRequestId {
         let other = http::HeaderValue::from_static("somebody-elses");
         headers.insert("x-request-id", other);
     }
@@ -356,17 +356,17 @@
 }
 
 /// As many bytes as the query `bytes=N` names, or a text that names the request.
-fn whole_answer(head: &http::request::Parts, body: &[u8], manner: Manner) -> SiteBody {
+fn whole_answer(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
     let (method, uri) = (head.method.as_str(), head.uri.to_string());
     let bytes = named_bytes(&uri);
-    if bytes.is_none() && manner != Manner::Cuts {
+    if bytes.is_none() && behaviour != Behaviour::Truncates {
         return short(Bytes::from(format!("{method} {uri} {}", body.len())));
     }
     let bytes = bytes.unwrap_or(CUT_BYTES);
     let payload = Payload::of_answer(method, &uri, body);
-    let cut = (manner == Manner::Cuts).then_some(bytes / 2);
-    let pace = match manner {
-        Manner::Paced(pace) => Some(pace),
+    let cut = (behaviour == Behaviour::Truncates).then_some(bytes / 2);
+    let pace = match behaviour {
+        Behaviour::Paced(pace) => Some(pace),
         _ => None,
     };
     let body = AnswerBody::new(payload, 0, bytes).cut_after(cut).pace(pace);
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::site::Manner;
+use crate::site::Behaviour;
 
 /// Time before the first fault: callers come and objects are learned.
 const CALM: Duration = Duration::from_millis(800);
@@ -17,13 +17,13 @@
 /// Part of the plans in which only planned work happens, so that nothing may be cut.
 const PLANNED_ONLY: f64 = 0.25;
 /// How endpoints misbehave.
-const MANNERS: [Manner; 6] = [
-    Manner::Sheds,
-    Manner::LosesAnswer,
-    Manner::Fails,
-    Manner::Crosses,
-    Manner::Hangs,
-    Manner::Cuts,
+const FAULTY_BEHAVIOURS: [Behaviour; 6] = [
+    Behaviour::Sheds,
+    Behaviour::LosesAnswer,
+    Behaviour::Fails,
+    Behaviour::WrongRequestId,
+    Behaviour::Hangs,
+    Behaviour::Truncates,
 ];
 
 /// How large a soak is.
@@ -101,7 +101,7 @@
     /// They come again.
     KeepAcks(usize),
     /// An endpoint changes how it answers.
-    Manner(usize, Manner),
+    SetBehaviour(usize, Behaviour),
     /// The way to an endpoint carries nothing.
     CutEndpoint(usize),
     /// The way to an endpoint carries again.
@@ -109,7 +109,7 @@
     /// The list says that an endpoint is to go.
     Drain(usize),
     /// Another start of an endpoint has its address before the list says so.
-    Reborn(usize),
+    ReplaceInstance(usize),
     /// A cold endpoint comes, of the service with this number.
     Join(usize),
     /// Operators evacuate the second failure domain.
@@ -202,7 +202,7 @@
 
     /// An endpoint that is there from the beginning.
     fn endpoint(&mut self) -> usize {
-        let domains_and_services = 2 * super::world::SERVICES.len();
+        let domains_and_services = 2 * super::shared::SERVICES.len();
         self.rng
             .random_range(0..self.size.endpoints * domains_and_services)
     }
@@ -219,7 +219,7 @@
             }
             5 | 6 => self.push(at, Step::HangUp(target)),
             7 => {
-                let service = self.rng.random_range(0..super::world::SERVICES.len());
+                let service = self.rng.random_range(0..super::shared::SERVICES.len());
                 self.push(at, Step::Join(service));
             }
             8 if !self.drained => {
@@ -285,15 +285,15 @@
     fn endpoints(&mut self, at: Duration) {
         let endpoint = self.endpoint();
         match self.rng.random_range(0..8) {
-            0 => self.push(at, Step::Reborn(endpoint)),
+            0 => self.push(at, Step::ReplaceInstance(endpoint)),
             1 => {
                 let (cut, heal) = (Step::CutEndpoint(endpoint), Step::HealEndpoint(endpoint));
                 self.for_a_while(at, cut, heal);
             }
             _ => {
-                let manner = MANNERS[self.rng.random_range(0..MANNERS.len())];
-                let back = Step::Manner(endpoint, Manner::Serves);
-                self.for_a_while(at, Step::Manner(endpoint, manner), back);
+                let behaviour = FAULTY_BEHAVIOURS[self.rng.random_range(0..FAULTY_BEHAVIOURS.len())];
+                let back = Step::SetBehaviour(endpoint, Behaviour::Serves);
+                self.for_a_while(at, Step::SetBehaviour(endpoint, behaviour), back);
             }
         }
     }
--- a/crates/testing/src/soak/drive.rs
+++ b/crates/testing/src/soak/runner.rs
@@ -9,12 +9,12 @@
 use super::history::{Asked, Ended};
 use super::nodes::Nodes;
 use super::plan::{Plan, Step, Target};
-use super::verdict::{Ran, Violation, judge};
-use super::world::{SERVICES, World, only_in};
+use super::violations::{Ran, Violation, judge};
+use super::shared::{SERVICES, World, only_in};
 use super::{callers, operators};
 use crate::proxy::{Direction, FaultProxy, Flow};
 use crate::runtime;
-use crate::site::{Manner, Site, SitePrograms, is_answer, proven, request};
+use crate::site::{Behaviour, Site, SitePrograms, is_answer, proven_version, request};
 
 /// Failure domains of a [`Site`]; the second one may be evacuated.
 const DOMAINS: [&str; 2] = ["zagreb-a", "split-a"];
@@ -80,7 +80,7 @@
 /// # Panics
 ///
 /// Panics if a process can't be started.
-pub fn play(programs: SitePrograms, plan: &Plan) -> Report {
+pub fn run_plan(programs: SitePrograms, plan: &Plan) -> Report {
     let mut drive = Drive::start(programs, plan);
     let begun = Instant::now();
     for timed in &plan.steps {
@@ -201,7 +201,7 @@
     fn take_outside(&mut self, step: &Step) {
         let site = &mut self.nodes.site;
         match step {
-            Step::Manner(endpoint, manner) => site.endpoints[*endpoint].manner(*manner),
+            Step::SetBehaviour(endpoint, behaviour) => site.endpoints[*endpoint].set_behaviour(*behaviour),
             Step::CutEndpoint(endpoint) => {
                 site.link(*endpoint).into_iter().for_each(FaultProxy::hold);
             }
@@ -212,13 +212,13 @@
                 site.endpoints[*endpoint].drain();
                 site.show_endpoints();
             }
-            Step::Reborn(endpoint) => {
+            Step::ReplaceInstance(endpoint) => {
                 let id = format!("{}-again", site.endpoints[*endpoint].id());
-                site.endpoints[*endpoint].reborn(&id);
+                site.endpoints[*endpoint].replace_instance(&id);
             }
             Step::Join(service) => {
                 let number = site.add_linked_endpoint(SERVICES[*service].0, DOMAINS[0]);
-                site.endpoints[number].cool(COLD_MS);
+                site.endpoints[number].set_warmup_left(COLD_MS);
                 site.show_endpoints();
             }
             Step::Evacuate if self.evacuation.is_none() => {
@@ -264,7 +264,7 @@
         let site = &self.nodes.site;
         site.network.heal();
         for (number, endpoint) in site.endpoints.iter().enumerate() {
-            endpoint.manner(Manner::Serves);
+            endpoint.set_behaviour(Behaviour::Serves);
             site.link(number).into_iter().for_each(FaultProxy::heal);
         }
         site.show_endpoints();
@@ -295,7 +295,7 @@
             let what = format!("control {control} proves version {accepted}");
             self.must_be_back(&what, |drive| {
                 let node = &drive.nodes.site.controls[control];
-                proven(node).is_some_and(|version| version >= accepted)
+                proven_version(node).is_some_and(|version| version >= accepted)
             });
         }
         for gateway in 0..self.nodes.site.gateways.len() {
@@ -308,7 +308,7 @@
     /// Whether a gateway serves the routes that control proves to be the newest by now. A change
     /// whose operator got no answer may take effect after all others.
     fn serves_newest(&mut self, gateway: usize, accepted: u64) -> bool {
-        let newest = proven(&self.nodes.site.controls[0]);
+        let newest = proven_version(&self.nodes.site.controls[0]);
         let Some(newest) = newest.filter(|newest| *newest >= accepted) else {
             return false;
         };
--- a/tests/all/control/group.rs
+++ b/tests/all/control/group.rs
@@ -5,7 +5,7 @@
 use filberthead_operator::Status;
 use filberthead_testing::cluster::{Builder, Cluster, Node};
 use filberthead_testing::operator::{BOUND, Operator};
-use filberthead_testing::record::Told;
+use filberthead_testing::record::ChangeOutcomes;
 use filberthead_testing::{eventually, wait_until};
 
 use crate::control::writers::Writers;
@@ -24,7 +24,7 @@
 pub(crate) struct Group {
     pub(crate) cluster: Cluster,
     pub(crate) operator: Operator,
-    pub(crate) outcomes: Told,
+    pub(crate) outcomes: ChangeOutcomes,
 }
 
 impl Group {
@@ -43,7 +43,7 @@
         Self {
             cluster,
             operator,
-            outcomes: Told::default(),
+            outcomes: ChangeOutcomes::default(),
         }
     }
 
--- a/tests/all/control/leader.rs
+++ b/tests/all/control/leader.rs
@@ -47,7 +47,7 @@
         suspended_at.elapsed() >= time
     });
 
-    let min_version = group.outcomes.newest();
+    let min_version = group.outcomes.newest_version();
     let operator = group.operator.clone();
     let read = std::thread::spawn(move || operator.table_of(addr));
     let operator = group.operator.clone();
@@ -55,7 +55,7 @@
     let write = std::thread::spawn(move || {
         let change = set_weight("woken", "split", Revision(0), 1);
         let attempt = operator.attempt(addr, &change);
-        outcomes.note(change.id, &attempt);
+        outcomes.record(change.id, &attempt);
         (change, attempt)
     });
     group.cluster.control(&name).process().resume();
@@ -72,7 +72,7 @@
         "a new row can't conflict: {attempt:?}"
     );
     let again = group.operator.change(&change);
-    group.outcomes.note(change.id, &again);
+    group.outcomes.record(change.id, &again);
     group.wait_progress(MIN_CHANGES);
     group.check(writers);
 }
--- a/tests/all/control/partition.rs
+++ b/tests/all/control/partition.rs
@@ -37,7 +37,7 @@
     let node = group.cluster.control(status.node.as_str());
     let (name, addr) = (node.name().to_owned(), node.addr("operator"));
     let domain = node.place().failure_domain.clone();
-    wait_in_force(&group, group.outcomes.newest());
+    wait_in_force(&group, group.outcomes.newest_version());
 
     cut_off(&group.cluster, &domain);
     group.wait_other_leader(&name);
@@ -49,7 +49,7 @@
     let change = set_weight("isolated", "split", Revision(0), 1);
     for _ in 0..3 {
         let attempt = inside.attempt(addr, &change);
-        group.outcomes.note(change.id, &attempt);
+        group.outcomes.record(change.id, &attempt);
         let is_decided = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!is_decided, "while isolated: {attempt:?}");
         assert_eq!(inside.table_of(addr).map(|table| table.version), None);
@@ -57,7 +57,7 @@
     group.wait_progress(MIN_CHANGES);
 
     group.cluster.network.heal();
-    wait_in_force(&group, group.outcomes.newest());
+    wait_in_force(&group, group.outcomes.newest_version());
     group.check(writers);
     wait_in_force(&group, group.operator.table().version);
 }
--- a/tests/all/control/racing.rs
+++ b/tests/all/control/racing.rs
@@ -50,7 +50,7 @@
             scope.spawn(move || {
                 barrier.wait();
                 let attempt = operator.change(change);
-                outcomes.note(change.id, &attempt);
+                outcomes.record(change.id, &attempt);
                 attempt
             })
         });
@@ -95,10 +95,10 @@
     let accepted_version = group.operator.accept(&first);
     group
         .outcomes
-        .note(first.id, &Attempt::Accepted(accepted_version));
+        .record(first.id, &Attempt::Accepted(accepted_version));
     let second = set_weight("orders", "zagreb", Revision(accepted_version.0), 20);
     let newest = group.operator.accept(&second);
-    group.outcomes.note(second.id, &Attempt::Accepted(newest));
+    group.outcomes.record(second.id, &Attempt::Accepted(newest));
 
     let resend = |group: &Group| {
         let again = group.operator.change(&first);
--- a/tests/all/control/replacement.rs
+++ b/tests/all/control/replacement.rs
@@ -74,7 +74,7 @@
     let change = set_weight("orders", "split", Revision(0), 1);
     for addr in group.cluster.operator_addrs().iter().cycle().take(9) {
         let attempt = group.operator.attempt(*addr, &change);
-        group.outcomes.note(change.id, &attempt);
+        group.outcomes.record(change.id, &attempt);
         let is_decided = matches!(attempt, Attempt::Accepted(_) | Attempt::Refused(_));
         assert!(!is_decided, "without a majority: {attempt:?}");
     }
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -8,7 +8,7 @@
 
 use filberthead_operator::TableBody;
 use filberthead_testing::operator::{Attempt, Operator, set_weight};
-use filberthead_testing::record::Told;
+use filberthead_testing::record::ChangeOutcomes;
 use filberthead_types::{Revision, Version};
 
 const WRITERS: usize = 3;
@@ -24,7 +24,7 @@
 }
 
 impl Writers {
-    pub(crate) fn start(addrs: Vec<SocketAddr>, outcomes: &Told) -> Self {
+    pub(crate) fn start(addrs: Vec<SocketAddr>, outcomes: &ChangeOutcomes) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads: Vec<_> = (0..WRITERS)
             .map(|number| {
@@ -56,12 +56,12 @@
 struct Worker {
     operator: Operator,
     addrs: Vec<SocketAddr>,
-    outcomes: Told,
+    outcomes: ChangeOutcomes,
     stop: Arc<AtomicBool>,
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], outcomes: &Told, stop: &Arc<AtomicBool>) -> Self {
+    fn new(name: &str, addrs: &[SocketAddr], outcomes: &ChangeOutcomes, stop: &Arc<AtomicBool>) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
@@ -97,7 +97,7 @@
         loop {
             let addr = self.addrs[tries % self.addrs.len()];
             let attempt = self.operator.attempt(addr, change);
-            self.outcomes.note(change.id, &attempt);
+            self.outcomes.record(change.id, &attempt);
             match attempt {
                 Attempt::Accepted(version) => return Some(version),
                 Attempt::Refused(answer) => panic!("change {} refused: {answer:?}", change.id),
@@ -117,7 +117,7 @@
         while !self.stopped() {
             let addr = self.addrs[attempts % self.addrs.len()];
             attempts += 1;
-            let min_version = self.outcomes.newest().max(newest);
+            let min_version = self.outcomes.newest_version().max(newest);
             if let Some(table) = self.operator.table_of(addr) {
                 assert_current(&table, min_version);
                 newest = table.version;
