--- a/crates/testing/src/standin/download.rs
+++ b/crates/testing/src/standin/download.rs
@@ -6,8 +6,8 @@
 use super::body::AnswerBody;
 use super::payload::Payload;
 use super::serve::{Answer, query, status};
-use super::state::State;
 use super::slot::Work;
+use super::state::State;
 
 pub(super) const PREFIX: &str = "/download/";
 const DEFAULT_BYTES: u64 = 1024 * 1024;
--- a/crates/testing/src/standin/mod.rs
+++ b/crates/testing/src/standin/mod.rs
@@ -8,8 +8,8 @@
 mod record;
 mod script;
 mod serve;
-mod state;
 mod slot;
+mod state;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -17,7 +17,7 @@
 
 pub(crate) use body::AnswerBody;
 pub use payload::Payload;
-pub use record::{Event, Record, ObservedRequest, Stage};
+pub use record::{Event, ObservedRequest, Record, Stage};
 pub use script::{Fault, Rule, Script, When, WhenFull};
 use state::State;
 
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -13,8 +13,8 @@
 use super::payload::Payload;
 use super::record::{ObservedRequest, Stage};
 use super::script::{Fault, WhenFull};
-use super::state::{OtherAnswer, State, lock};
 use super::slot::Work;
+use super::state::{OtherAnswer, State, lock};
 use super::{admin, download};
 
 pub(super) type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
@@ -124,7 +124,11 @@
     }
 }
 
-async fn take_slot(state: &Arc<State>, seen: &Arc<ObservedRequest>, recorded: bool) -> Option<Work> {
+async fn take_slot(
+    state: &Arc<State>,
+    seen: &Arc<ObservedRequest>,
+    recorded: bool,
+) -> Option<Work> {
     loop {
         // Registered before the try, so that a slot freed in between is not missed.
         let freed = state.freed.notified();
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::payload::Payload;
-use super::record::{Recorder, ObservedRequest};
+use super::record::{ObservedRequest, Recorder};
 use super::script::{Fault, Rule, Script, When};
 
 /// Whether the stand-in serves.
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -60,7 +60,12 @@
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], told: &ChangeOutcomes, stop: &Arc<AtomicBool>) -> Self {
+    fn new(
+        name: &str,
+        addrs: &[SocketAddr],
+        told: &ChangeOutcomes,
+        stop: &Arc<AtomicBool>,
+    ) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
--- a/tests/all/entries.rs
+++ b/tests/all/entries.rs
@@ -130,7 +130,8 @@
     let refused = (lesson.body.len() < 1000).then(|| lesson.text());
     assert_eq!(lesson.body.len(), BYTES, "{} {refused:?}", lesson.status);
     assert!(Payload::of_download("lesson", 1).matches(0, &lesson.body));
-    let carried = |seen: &filberthead_testing::standin::ObservedRequest| seen.path.contains("lesson");
+    let carried =
+        |seen: &filberthead_testing::standin::ObservedRequest| seen.path.contains("lesson");
     assert!(cluster.record().count(Stage::Executed, carried) > 1);
 }
 
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use filberthead_testing::cluster::Node;
-use filberthead_testing::site::{Site, SiteBuilder, SitePrograms, config, order_at, proven_version};
+use filberthead_testing::site::{
+    Site, SiteBuilder, SitePrograms, config, order_at, proven_version,
+};
 use filberthead_testing::{eventually, wait_until};
 
 const BOUND: Duration = Duration::from_secs(60);
--- a/tests/all/homes.rs
+++ b/tests/all/homes.rs
@@ -6,7 +6,7 @@
 
 use filberthead_testing::client::{Answer, Call};
 use filberthead_testing::cluster::{Cluster, Node};
-use filberthead_testing::standin::{Fault, Rule, ObservedRequest, Stage, When};
+use filberthead_testing::standin::{Fault, ObservedRequest, Rule, Stage, When};
 use filberthead_testing::{eventually, wait_until};
 use serde::Deserialize;
 
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -6,7 +6,7 @@
 
 use filberthead_testing::client::{Answer, Call, CallError};
 use filberthead_testing::cluster::{Builder, Cluster};
-use filberthead_testing::standin::{Fault, Payload, Rule, ObservedRequest, Stage, When, WhenFull};
+use filberthead_testing::standin::{Fault, ObservedRequest, Payload, Rule, Stage, When, WhenFull};
 use filberthead_testing::{ClosedPort, eventually, wait_until};
 use serde::Deserialize;
 
