--- a/crates/testing/src/bin/soak.rs
+++ b/crates/testing/src/bin/soak.rs
@@ -38,7 +38,7 @@
             Arg::Long("gateways") => options.size.gateways = parser.value()?.parse()?,
             Arg::Long("callers") => options.size.callers = parser.value()?.parse()?,
             Arg::Long("seconds") => {
-                options.size.lasts = Duration::from_secs(parser.value()?.parse()?);
+                options.size.duration = Duration::from_secs(parser.value()?.parse()?);
             }
             Arg::Long("show") => options.show = true,
             _ => return Err(arg.unexpected()),
--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -58,7 +58,7 @@
     /// Its id.
     pub id: String,
     /// Its method and path.
-    pub what: String,
+    pub request_line: String,
 }
 
 #[derive(Debug, Default)]
@@ -313,7 +313,7 @@
         let mut state = endpoint.lock();
         state.ran.push(Run {
             id: id.clone(),
-            what: format!("{} {}", head.method, head.uri),
+            request_line: format!("{} {}", head.method, head.uri),
         });
         let left = text(&head.headers, "x-deadline-ms").parse::<u64>();
         state.deadlines.extend(left);
--- a/crates/testing/src/soak/history.rs
+++ b/crates/testing/src/soak/history.rs
@@ -4,16 +4,16 @@
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// A whole answer came.
     Answered {
         /// Its status.
         status: u16,
         /// Whether it is, byte for byte, what an endpoint answers to this very request.
-        own: bool,
+        matches: bool,
     },
     /// No connection could be made.
-    Unreached,
+    ConnectFailed,
     /// The connection ended before an answer began.
     Closed,
     /// The connection ended in the middle of an answer.
@@ -24,26 +24,26 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct CallerRequest {
     /// Its id, which no other request has.
     pub id: String,
     /// Its method and path.
-    pub what: String,
+    pub request_line: String,
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Number of the gateway that got it.
     pub gateway: usize,
     /// How it ended.
-    pub ended: Ended,
+    pub outcome: RequestOutcome,
 }
 
 /// Routes that a control replica showed to an operator.
 #[derive(Clone, Debug)]
-pub struct Shown {
+pub struct RoutesRead {
     /// Number of the replica.
     pub control: usize,
     /// When it was asked.
-    pub asked: Instant,
+    pub sent: Instant,
     /// The version.
     pub version: u64,
     /// Whether they are, byte for byte, what was sent under that number.
@@ -52,7 +52,7 @@
 
 /// Routes that an operator sent.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct RoutesChange {
     /// Their version.
     pub version: u64,
     /// Whether they are valid.
@@ -65,30 +65,30 @@
 
 /// What a gateway did with a route that only one version has.
 #[derive(Clone, Debug)]
-pub struct Probed {
+pub struct RouteProbe {
     /// Number of the gateway.
     pub gateway: usize,
     /// Number of its start.
-    pub life: u32,
+    pub incarnation: u32,
     /// The version.
     pub version: u64,
     /// Whether the gateway knew the route.
-    pub known: bool,
+    pub has_route: bool,
     /// When the request was sent.
     pub sent: Instant,
     /// When its answer was there.
-    pub ended: Instant,
+    pub answered: Instant,
 }
 
 /// All of it.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests of callers.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<CallerRequest>,
     /// What operators read.
-    pub shown: Vec<Shown>,
+    pub reads: Vec<RoutesRead>,
     /// What operators changed.
-    pub told: Vec<Told>,
+    pub changes: Vec<RoutesChange>,
     /// Routes of single versions that were tried.
-    pub probed: Vec<Probed>,
+    pub probes: Vec<RouteProbe>,
 }
--- a/crates/testing/src/soak/mod.rs
+++ b/crates/testing/src/soak/mod.rs
@@ -7,20 +7,20 @@
 //! end all faults are taken back, and service has to come back too.
 //!
 //! What must hold is judged by what callers and operators were told and by what endpoints
-//! ran ([`History`], [`judge`]), never by what the processes say of themselves, but for
+//! ran ([`History`], [`find_violations`]), never by what the processes say of themselves, but for
 //! whether a group is whole before another disk is lost. The order of events differs from
 //! run to run, since real processes race; the plan of a seed doesn't.
 
 mod callers;
-mod runner;
 mod history;
 mod nodes;
 mod operators;
 mod plan;
-mod violations;
+mod runner;
 mod shared;
+mod violations;
 
+pub use history::{CallerRequest, History, RequestOutcome, RouteProbe, RoutesChange, RoutesRead};
+pub use plan::{Plan, Size, Step, Target, TimedStep};
 pub use runner::{Report, run_plan};
-pub use history::{Asked, Ended, History, Probed, Shown, Told};
-pub use plan::{Plan, Size, Step, Target, Timed};
-pub use violations::{Ran, Violation, judge};
+pub use violations::{EndpointRun, Violation, find_violations};
--- a/crates/testing/src/soak/nodes.rs
+++ b/crates/testing/src/soak/nodes.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use super::plan::Target;
+use super::shared::SharedState;
 use super::violations::Violation;
-use super::shared::World;
 use crate::cluster::Node;
 use crate::site::{Site, proven_version};
 
@@ -18,7 +18,7 @@
 const STOP_BOUND: Duration = Duration::from_secs(30);
 /// What a write that was torn by a loss of power leaves behind the last whole record: a
 /// length, and less than that of data.
-const TORN: [u8; 11] = [200, 0, 0, 0, 7, 1, 2, 3, 4, 5, 6];
+const TORN_RECORD: [u8; 11] = [200, 0, 0, 0, 7, 1, 2, 3, 4, 5, 6];
 
 /// What was last done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,18 +32,18 @@
 /// All processes.
 pub(super) struct Nodes {
     pub(super) site: Site,
-    world: Arc<World>,
+    shared: Arc<SharedState>,
     states: BTreeMap<Target, State>,
 }
 
 impl Nodes {
-    pub(super) fn new(site: Site, world: Arc<World>) -> Self {
+    pub(super) fn new(site: Site, shared: Arc<SharedState>) -> Self {
         let controls = (0..site.controls.len()).map(Target::Control);
         let gateways = (0..site.gateways.len()).map(Target::Gateway);
         let states = controls.chain(gateways).map(|t| (t, State::Up)).collect();
         Self {
             site,
-            world,
+            shared,
             states,
         }
     }
@@ -77,7 +77,7 @@
 
     fn set(&mut self, target: Target, state: State) {
         if let Target::Gateway(number) = target {
-            self.world.lives[number].fetch_add(1, Ordering::SeqCst);
+            self.shared.incarnations[number].fetch_add(1, Ordering::SeqCst);
         }
         self.states.insert(target, state);
     }
@@ -131,8 +131,8 @@
 
     /// Starts those again that have stopped, and looks for those that don't, or that have
     /// ended without having been told to.
-    pub(super) fn look(&mut self) -> Vec<Violation> {
-        let mut found = Vec::new();
+    pub(super) fn restart_ended(&mut self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for target in self.targets() {
             let state = self.state(target);
             let ended = state != State::Down && self.node(target).process().try_exit().is_some();
@@ -142,19 +142,21 @@
                     self.start(target);
                 }
                 State::Stopping(since) if since.elapsed() > STOP_BOUND => {
-                    found.push(Violation::NotBack(format!("{target:?} doesn't stop")));
+                    violations.push(Violation::NotRecovered(format!("{target:?} doesn't stop")));
                     self.kill(target);
                     self.start(target);
                 }
                 State::Up | State::Frozen if ended => {
-                    found.push(Violation::NotBack(format!("{target:?} ended by itself")));
+                    violations.push(Violation::NotRecovered(format!(
+                        "{target:?} ended by itself"
+                    )));
                     self.kill(target);
                     self.start(target);
                 }
                 _ => {}
             }
         }
-        found
+        violations
     }
 
     /// Whether any process is on its way to its end.
@@ -182,7 +184,7 @@
         });
         if let Some(newest) = logs.max() {
             let file = File::options().append(true).open(newest);
-            let torn = file.and_then(|mut file| file.write_all(&TORN));
+            let torn = file.and_then(|mut file| file.write_all(&TORN_RECORD));
             torn.expect("the log can be written");
         }
         self.start(target);
@@ -191,19 +193,19 @@
     /// Loses a disk. Only a group that is whole bears it: each voter is up, and holds all
     /// that was accepted. Says whether it was done.
     pub(super) fn wipe(&mut self, control: usize) -> bool {
-        let whole = self.is_whole();
-        if whole {
+        let healthy = self.is_group_healthy();
+        if healthy {
             let target = Target::Control(control);
             self.kill(target);
             self.node(target).wipe();
             self.start(target);
         }
-        whole
+        healthy
     }
 
     /// All replicas lose power at once, and one its disk as well if the group is whole.
     pub(super) fn power_cut(&mut self, lost: Option<usize>) {
-        let lost = lost.filter(|_| self.is_whole());
+        let lost = lost.filter(|_| self.is_group_healthy());
         let controls = self.controls();
         for target in &controls {
             self.kill(*target);
@@ -220,10 +222,10 @@
         }
     }
 
-    fn is_whole(&mut self) -> bool {
+    fn is_group_healthy(&mut self) -> bool {
         let controls = self.controls();
         let up = controls.iter().all(|t| self.state(*t) == State::Up);
-        let accepted = self.world.accepted();
+        let accepted = self.shared.accepted();
         let voters = controls.len() as f64;
         up && self.site.controls.iter().all(|node| {
             proven_version(node).is_some_and(|version| version >= accepted)
--- a/crates/testing/src/soak/operators.rs
+++ b/crates/testing/src/soak/operators.rs
@@ -7,12 +7,12 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
 
-use super::history::{Shown, Told};
-use super::shared::World;
+use super::history::{RoutesChange, RoutesRead};
+use super::shared::SharedState;
 use crate::client::{Answer, Call};
 
 /// How long an operator waits for an answer before the order goes to another replica.
-const PATIENCE: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long an order without a clear answer is sent again.
 const RESEND_FOR: Duration = Duration::from_secs(4);
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
@@ -24,18 +24,22 @@
 const INVALID: f64 = 0.15;
 
 /// Changes routes until the soak is over.
-pub(super) async fn change(world: Arc<World>, seed: u64) {
+pub(super) async fn change(shared: Arc<SharedState>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    while !world.is_over() {
-        let (version, body) = world.next_routes(rng.random_range(1..4));
+    while !shared.is_over() {
+        let (version, body) = shared.next_routes(rng.random_range(1..4));
         let valid = !rng.random_bool(INVALID);
-        let body = if valid { body } else { spoil(&body, &mut rng) };
-        put(&world, version, body, valid, &mut rng).await;
+        let body = if valid {
+            body
+        } else {
+            invalidate(&body, &mut rng)
+        };
+        put_routes(&shared, version, body, valid, &mut rng).await;
         sleep(Duration::from_millis(rng.random_range(CHANGE_MS))).await;
     }
 }
 
-fn spoil(body: &str, rng: &mut StdRng) -> String {
+fn invalidate(body: &str, rng: &mut StdRng) -> String {
     match rng.random_range(0..3) {
         0 => body[..body.len() / 2].to_owned(),
         1 => body.replace(r#""service":"orders""#, r#""service":"nobody""#),
@@ -43,35 +47,41 @@
     }
 }
 
-async fn put(world: &World, version: u64, body: String, valid: bool, rng: &mut StdRng) {
-    let place = {
-        let mut history = world.history();
-        history.told.push(Told {
+async fn put_routes(
+    shared: &SharedState,
+    version: u64,
+    body: String,
+    valid: bool,
+    rng: &mut StdRng,
+) {
+    let index = {
+        let mut history = shared.history();
+        history.changes.push(RoutesChange {
             version,
             valid,
             accepted: None,
             refused: None,
         });
-        history.told.len() - 1
+        history.changes.len() - 1
     };
-    let answer = order(world, "config.put", &body, rng).await;
+    let answer = order(shared, "config.put", &body, rng).await;
     let Some(status) = answer.map(|answer| answer.status.as_u16()) else {
         return;
     };
-    let told = &mut world.history().told[place];
+    let change = &mut shared.history().changes[index];
     match status {
-        200..300 => told.accepted = Some(Instant::now()),
-        _ => told.refused = Some(status),
+        200..300 => change.accepted = Some(Instant::now()),
+        _ => change.refused = Some(status),
     }
 }
 
 /// Sends an order to one replica after the other until one gives a clear answer.
-async fn order(world: &World, call: &str, body: &str, rng: &mut StdRng) -> Option<Answer> {
+async fn order(shared: &SharedState, call: &str, body: &str, rng: &mut StdRng) -> Option<Answer> {
     let call = Call::new("POST", &format!("/-/rpc?call={call}")).body(body.to_owned());
-    let call = call.bound(PATIENCE);
+    let call = call.bound(ANSWER_TIMEOUT);
     let give_up = Instant::now() + RESEND_FOR;
-    while Instant::now() < give_up && !world.is_over() {
-        let replica = world.orders[rng.random_range(0..world.orders.len())];
+    while Instant::now() < give_up && !shared.is_over() {
+        let replica = shared.orders[rng.random_range(0..shared.orders.len())];
         if let Ok(answer) = call.clone().send_async(replica).await
             && !answer.status.is_server_error()
         {
@@ -83,39 +93,39 @@
 }
 
 /// Evacuates a failure domain. Says whether that was accepted.
-pub(super) async fn evacuate(world: Arc<World>, domain: &str, seed: u64) -> bool {
+pub(super) async fn evacuate(shared: Arc<SharedState>, domain: &str, seed: u64) -> bool {
     let mut rng = StdRng::seed_from_u64(seed);
     let call = format!("evacuations.start&of={domain}");
-    let answer = order(&world, &call, "", &mut rng).await;
+    let answer = order(&shared, &call, "", &mut rng).await;
     answer.is_some_and(|answer| answer.status.is_success())
 }
 
 /// Reads routes from one replica after the other until the soak is over.
-pub(super) async fn read(world: Arc<World>, seed: u64) {
+pub(super) async fn read(shared: Arc<SharedState>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let call = Call::new("POST", "/-/rpc?call=config.get").bound(PATIENCE);
-    while !world.is_over() {
-        let control = rng.random_range(0..world.orders.len());
-        let asked = Instant::now();
-        if let Ok(answer) = call.clone().send_async(world.orders[control]).await
+    let call = Call::new("POST", "/-/rpc?call=config.get").bound(ANSWER_TIMEOUT);
+    while !shared.is_over() {
+        let control = rng.random_range(0..shared.orders.len());
+        let sent = Instant::now();
+        if let Ok(answer) = call.clone().send_async(shared.orders[control]).await
             && answer.status.is_success()
         {
-            note(&world, control, asked, &answer);
+            record_read(&shared, control, sent, &answer);
         }
         sleep(Duration::from_millis(rng.random_range(READ_MS))).await;
     }
 }
 
-fn note(world: &World, control: usize, asked: Instant, answer: &Answer) {
+fn record_read(shared: &SharedState, control: usize, sent: Instant, answer: &Answer) {
     let text = answer.text();
     let value: Result<serde_json::Value, _> = serde_json::from_str(&text);
     let version = value.ok().and_then(|value| value["version"].as_u64());
     let version = version.unwrap_or(0);
     // Whether they were sent at all; a soak begins with routes, so there are some.
-    let as_sent = world.is_as_sent(version, &text);
-    world.history().shown.push(Shown {
+    let as_sent = shared.matches_sent(version, &text);
+    shared.history().reads.push(RoutesRead {
         control,
-        asked,
+        sent,
         version,
         as_sent,
     });
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -8,14 +8,14 @@
 use crate::site::Behaviour;
 
 /// Time before the first fault: callers come and objects are learned.
-const CALM: Duration = Duration::from_millis(800);
+const INITIAL_DELAY: Duration = Duration::from_millis(800);
 /// Time between the beginnings of two faults, in milliseconds.
-const BETWEEN_MS: std::ops::Range<u64> = 150..900;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
 /// How long a fault lasts, in milliseconds: from shorter than any timeout of the system to
 /// longer than its leases.
-const LASTS_MS: std::ops::Range<u64> = 200..3_500;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..3_500;
 /// Part of the plans in which only planned work happens, so that nothing may be cut.
-const PLANNED_ONLY: f64 = 0.25;
+const PLANNED_ONLY_PROBABILITY: f64 = 0.25;
 /// How endpoints misbehave.
 const FAULTY_BEHAVIOURS: [Behaviour; 6] = [
     Behaviour::Sheds,
@@ -38,7 +38,7 @@
     /// Callers.
     pub callers: usize,
     /// Time over which faults begin.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 impl Default for Size {
@@ -48,7 +48,7 @@
             gateways: 3,
             endpoints: 2,
             callers: 8,
-            lasts: Duration::from_secs(9),
+            duration: Duration::from_secs(9),
         }
     }
 }
@@ -97,9 +97,9 @@
     /// The connections of others to it go silent for good.
     Silence(Target),
     /// Answers of a control replica to operators are held back.
-    LoseAcks(usize),
+    HoldAnswers(usize),
     /// They come again.
-    KeepAcks(usize),
+    ReleaseAnswers(usize),
     /// An endpoint changes how it answers.
     SetBehaviour(usize, Behaviour),
     /// The way to an endpoint carries nothing.
@@ -118,7 +118,7 @@
 
 /// A step and when it is taken, from the beginning of traffic.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timed {
+pub struct TimedStep {
     /// When.
     pub at: Duration,
     /// What.
@@ -135,30 +135,30 @@
     /// Whether only planned work happens.
     pub planned_only: bool,
     /// The steps, in order of time.
-    pub steps: Vec<Timed>,
+    pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
     /// The plan of a seed.
     pub fn new(seed: u64, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let planned_only = rng.random_bool(PLANNED_ONLY);
-        let mut draw = Draw {
+        let planned_only = rng.random_bool(PLANNED_ONLY_PROBABILITY);
+        let mut generator = Generator {
             rng,
             size,
             drained: false,
             steps: Vec::new(),
         };
-        let mut at = CALM;
-        while at < size.lasts {
+        let mut at = INITIAL_DELAY;
+        while at < size.duration {
             if planned_only {
-                draw.planned(at);
+                generator.planned_step(at);
             } else {
-                draw.any(at);
+                generator.any_step(at);
             }
-            at += Duration::from_millis(draw.rng.random_range(BETWEEN_MS));
+            at += Duration::from_millis(generator.rng.random_range(FAULT_INTERVAL_MS));
         }
-        let mut steps = draw.steps;
+        let mut steps = generator.steps;
         steps.sort_by_key(|timed| timed.at);
         Self {
             seed,
@@ -169,23 +169,23 @@
     }
 }
 
-struct Draw {
+struct Generator {
     rng: StdRng,
     size: Size,
     drained: bool,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
 }
 
-impl Draw {
+impl Generator {
     fn push(&mut self, at: Duration, step: Step) {
-        self.steps.push(Timed { at, step });
+        self.steps.push(TimedStep { at, step });
     }
 
     /// A step now, and another that takes it back.
-    fn for_a_while(&mut self, at: Duration, step: Step, back: Step) {
-        let lasts = Duration::from_millis(self.rng.random_range(LASTS_MS));
+    fn push_with_undo(&mut self, at: Duration, step: Step, undo: Step) {
+        let duration = Duration::from_millis(self.rng.random_range(FAULT_DURATION_MS));
         self.push(at, step);
-        self.push(at + lasts, back);
+        self.push(at + duration, undo);
     }
 
     fn control(&mut self) -> usize {
@@ -207,7 +207,7 @@
             .random_range(0..self.size.endpoints * domains_and_services)
     }
 
-    fn planned(&mut self, at: Duration) {
+    fn planned_step(&mut self, at: Duration) {
         let target = self.target();
         match self.rng.random_range(0..10) {
             0..=3 => self.push(at, Step::Stop(target)),
@@ -231,27 +231,27 @@
         }
     }
 
-    fn any(&mut self, at: Duration) {
+    fn any_step(&mut self, at: Duration) {
         match self.rng.random_range(0..22) {
-            0..=3 => self.planned(at),
-            4..=7 => self.process(at),
-            8..=10 => self.disk(at),
-            11..=14 => self.links(at),
-            15 | 16 => self.connections(at),
-            _ => self.endpoints(at),
+            0..=3 => self.planned_step(at),
+            4..=7 => self.process_fault(at),
+            8..=10 => self.disk_fault(at),
+            11..=14 => self.link_fault(at),
+            15 | 16 => self.connection_fault(at),
+            _ => self.endpoint_fault(at),
         }
     }
 
-    fn process(&mut self, at: Duration) {
+    fn process_fault(&mut self, at: Duration) {
         let target = self.target();
         if self.rng.random_bool(0.5) {
-            self.for_a_while(at, Step::Kill(target), Step::Start(target));
+            self.push_with_undo(at, Step::Kill(target), Step::Start(target));
         } else {
-            self.for_a_while(at, Step::Freeze(target), Step::Resume(target));
+            self.push_with_undo(at, Step::Freeze(target), Step::Resume(target));
         }
     }
 
-    fn disk(&mut self, at: Duration) {
+    fn disk_fault(&mut self, at: Duration) {
         let control = self.control();
         let lost = self.rng.random_bool(0.4).then_some(control);
         match self.rng.random_range(0..3) {
@@ -261,7 +261,7 @@
         }
     }
 
-    fn links(&mut self, at: Duration) {
+    fn link_fault(&mut self, at: Duration) {
         let (from, to) = (self.target(), self.target());
         let step = match self.rng.random_range(0..4) {
             0 => Step::Partition(vec![from]),
@@ -269,31 +269,36 @@
             2 => Step::OneWay(from, to),
             _ => Step::Slow(self.rng.random_range(5..150)),
         };
-        self.for_a_while(at, step, Step::Heal);
+        self.push_with_undo(at, step, Step::Heal);
     }
 
-    fn connections(&mut self, at: Duration) {
+    fn connection_fault(&mut self, at: Duration) {
         let target = self.target();
         let control = self.control();
         match self.rng.random_range(0..3) {
             0 => self.push(at, Step::Reset(target)),
             1 => self.push(at, Step::Silence(target)),
-            _ => self.for_a_while(at, Step::LoseAcks(control), Step::KeepAcks(control)),
+            _ => self.push_with_undo(
+                at,
+                Step::HoldAnswers(control),
+                Step::ReleaseAnswers(control),
+            ),
         }
     }
 
-    fn endpoints(&mut self, at: Duration) {
+    fn endpoint_fault(&mut self, at: Duration) {
         let endpoint = self.endpoint();
         match self.rng.random_range(0..8) {
             0 => self.push(at, Step::ReplaceInstance(endpoint)),
             1 => {
                 let (cut, heal) = (Step::CutEndpoint(endpoint), Step::HealEndpoint(endpoint));
-                self.for_a_while(at, cut, heal);
+                self.push_with_undo(at, cut, heal);
             }
             _ => {
-                let behaviour = FAULTY_BEHAVIOURS[self.rng.random_range(0..FAULTY_BEHAVIOURS.len())];
-                let back = Step::SetBehaviour(endpoint, Behaviour::Serves);
-                self.for_a_while(at, Step::SetBehaviour(endpoint, behaviour), back);
+                let behaviour =
+                    FAULTY_BEHAVIOURS[self.rng.random_range(0..FAULTY_BEHAVIOURS.len())];
+                let undo = Step::SetBehaviour(endpoint, Behaviour::Serves);
+                self.push_with_undo(at, Step::SetBehaviour(endpoint, behaviour), undo);
             }
         }
     }
--- a/crates/testing/src/soak/runner.rs
+++ b/crates/testing/src/soak/runner.rs
@@ -6,11 +6,11 @@
 
 use tokio::task::JoinHandle;
 
-use super::history::{Asked, Ended};
+use super::history::{CallerRequest, RequestOutcome};
 use super::nodes::Nodes;
 use super::plan::{Plan, Step, Target};
-use super::violations::{Ran, Violation, judge};
-use super::shared::{SERVICES, World, only_in};
+use super::shared::{SERVICES, SharedState, probe_path};
+use super::violations::{EndpointRun, Violation, find_violations};
 use super::{callers, operators};
 use crate::proxy::{Direction, FaultProxy, Flow};
 use crate::runtime;
@@ -25,10 +25,10 @@
 const STOP_GRACE: Duration = Duration::from_secs(8);
 /// Time in which everything has to be back once all faults are over: many times what it
 /// takes, since debug builds on a busy machine take long.
-const BACK_WITHIN: Duration = Duration::from_secs(60);
+const RECOVERY_BOUND: Duration = Duration::from_secs(60);
 /// Time in which nothing more may go to what has left.
-const LEFT_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const REMOVAL_BOUND: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Requests to each gateway and service after which an endpoint that gets none has left.
 const BURST: usize = 10;
 /// How long a cold endpoint is cold, in milliseconds.
@@ -81,29 +81,29 @@
 ///
 /// Panics if a process can't be started.
 pub fn run_plan(programs: SitePrograms, plan: &Plan) -> Report {
-    let mut drive = Drive::start(programs, plan);
-    let begun = Instant::now();
+    let mut runner = Runner::start(programs, plan);
+    let start = Instant::now();
     for timed in &plan.steps {
-        drive.wait_until(begun + timed.at);
-        drive.take(&timed.step);
+        runner.wait_until(start + timed.at);
+        runner.apply(&timed.step);
     }
-    drive.wait_until(begun + plan.size.lasts);
-    drive.calm();
-    drive.settle();
-    drive.report(plan)
+    runner.wait_until(start + plan.size.duration);
+    runner.end_faults();
+    runner.check_recovery();
+    runner.report(plan)
 }
 
-struct Drive {
+struct Runner {
     nodes: Nodes,
-    world: Arc<World>,
+    shared: Arc<SharedState>,
     tasks: Vec<JoinHandle<()>>,
     evacuation: Option<JoinHandle<bool>>,
     seed: u64,
-    asked: usize,
-    found: Vec<Violation>,
+    sent_requests: usize,
+    violations: Vec<Violation>,
 }
 
-impl Drive {
+impl Runner {
     fn start(programs: SitePrograms, plan: &Plan) -> Self {
         let size = plan.size;
         let mut site = Site::builder(programs)
@@ -120,35 +120,35 @@
                 }
             }
         }
-        let world = Arc::new(World::new(&site));
-        let (_, first) = world.next_routes(1);
+        let shared = Arc::new(SharedState::new(&site));
+        let (_, first) = shared.next_routes(1);
         let accepted = site.order("config.put", &first);
         assert!(accepted.status.is_success(), "the first routes are valid");
         (0..size.gateways).for_each(|gateway| site.wait_serving(gateway));
-        let mut drive = Self {
-            nodes: Nodes::new(site, Arc::clone(&world)),
-            world,
+        let mut runner = Self {
+            nodes: Nodes::new(site, Arc::clone(&shared)),
+            shared,
             tasks: Vec::new(),
             evacuation: None,
             seed: plan.seed,
-            asked: 0,
-            found: Vec::new(),
+            sent_requests: 0,
+            violations: Vec::new(),
         };
-        drive.begin_traffic(size.callers);
-        drive
+        runner.begin_traffic(size.callers);
+        runner
     }
 
     fn begin_traffic(&mut self, callers: usize) {
         let seed = self.seed;
         for number in 0..callers {
-            let world = Arc::clone(&self.world);
-            self.spawn(callers::call(world, number, seed ^ (number as u64 + 1)));
+            let shared = Arc::clone(&self.shared);
+            self.spawn(callers::call(shared, number, seed ^ (number as u64 + 1)));
         }
         // Two operators change routes at once, and one reads.
         for number in 100..102 {
-            self.spawn(operators::change(Arc::clone(&self.world), seed ^ number));
+            self.spawn(operators::change(Arc::clone(&self.shared), seed ^ number));
         }
-        self.spawn(operators::read(Arc::clone(&self.world), seed ^ 200));
+        self.spawn(operators::read(Arc::clone(&self.shared), seed ^ 200));
     }
 
     fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
@@ -157,16 +157,16 @@
 
     fn wait_until(&mut self, due: Instant) {
         loop {
-            self.found.extend(self.nodes.look());
+            self.violations.extend(self.nodes.restart_ended());
             let left = due.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
-            std::thread::sleep(left.min(LOOK_EVERY));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Kill(target) => self.nodes.kill(*target),
             Step::Start(target) => self.nodes.start(*target),
@@ -186,22 +186,26 @@
             }
             Step::Slow(ms) => self.slow(Duration::from_millis(*ms)),
             Step::Heal => self.nodes.site.network.heal(),
-            Step::Reset(target) => self.proxies(*target, FaultProxy::cut),
-            Step::Silence(target) => self.proxies(*target, FaultProxy::silence),
-            Step::LoseAcks(control) => {
+            Step::Reset(target) => self.for_each_proxy(*target, FaultProxy::cut),
+            Step::Silence(target) => self.for_each_proxy(*target, FaultProxy::silence),
+            Step::HoldAnswers(control) => {
                 let orders = self.nodes.site.controls[*control].proxy("orders");
                 orders.set(Direction::ToClient, Flow::Hold);
             }
-            Step::KeepAcks(control) => self.nodes.site.controls[*control].proxy("orders").heal(),
-            _ => self.take_outside(step),
+            Step::ReleaseAnswers(control) => {
+                self.nodes.site.controls[*control].proxy("orders").heal()
+            }
+            _ => self.apply_external(step),
         }
     }
 
     /// Steps that concern endpoints and operators.
-    fn take_outside(&mut self, step: &Step) {
+    fn apply_external(&mut self, step: &Step) {
         let site = &mut self.nodes.site;
         match step {
-            Step::SetBehaviour(endpoint, behaviour) => site.endpoints[*endpoint].set_behaviour(*behaviour),
+            Step::SetBehaviour(endpoint, behaviour) => {
+                site.endpoints[*endpoint].set_behaviour(*behaviour)
+            }
             Step::CutEndpoint(endpoint) => {
                 site.link(*endpoint).into_iter().for_each(FaultProxy::hold);
             }
@@ -222,7 +226,7 @@
                 site.show_endpoints();
             }
             Step::Evacuate if self.evacuation.is_none() => {
-                let order = operators::evacuate(Arc::clone(&self.world), DOMAINS[1], self.seed);
+                let order = operators::evacuate(Arc::clone(&self.shared), DOMAINS[1], self.seed);
                 self.evacuation = Some(runtime::handle().spawn(order));
             }
             _ => {}
@@ -231,14 +235,14 @@
 
     fn partition(&mut self, targets: &[Target]) {
         let all = self.nodes.targets();
-        let mut names = |within: bool| -> Vec<String> {
-            let side = all.iter().filter(|t| targets.contains(t) == within);
+        let mut names = |inside: bool| -> Vec<String> {
+            let side = all.iter().filter(|t| targets.contains(t) == inside);
             side.map(|t| self.nodes.name(*t)).collect()
         };
-        let (within, without) = (names(true), names(false));
-        let within: Vec<&str> = within.iter().map(String::as_str).collect();
-        let without: Vec<&str> = without.iter().map(String::as_str).collect();
-        self.nodes.site.network.partition(&[&within, &without]);
+        let (inside, outside) = (names(true), names(false));
+        let inside: Vec<&str> = inside.iter().map(String::as_str).collect();
+        let outside: Vec<&str> = outside.iter().map(String::as_str).collect();
+        self.nodes.site.network.partition(&[&inside, &outside]);
     }
 
     fn slow(&mut self, by: Duration) {
@@ -252,15 +256,15 @@
             .set_between(&groups, Flow::Delay(by));
     }
 
-    fn proxies(&mut self, target: Target, act: impl Fn(&FaultProxy)) {
+    fn for_each_proxy(&mut self, target: Target, action: impl Fn(&FaultProxy)) {
         let node = self.nodes.node(target);
         for key in Nodes::keys(target) {
-            act(node.proxy(key));
+            action(node.proxy(key));
         }
     }
 
     /// Takes back all faults, and ends traffic.
-    fn calm(&mut self) {
+    fn end_faults(&mut self) {
         let site = &self.nodes.site;
         site.network.heal();
         for (number, endpoint) in site.endpoints.iter().enumerate() {
@@ -276,9 +280,9 @@
             self.nodes.start(target);
         }
         while self.nodes.is_any_stopping() {
-            self.wait_until(Instant::now() + LOOK_EVERY);
+            self.wait_until(Instant::now() + POLL_INTERVAL);
         }
-        self.world.end();
+        self.shared.finish();
         let tasks = std::mem::take(&mut self.tasks);
         runtime::wait(async move {
             for task in tasks {
@@ -288,21 +292,21 @@
     }
 
     /// Waits until everything is back, and looks that nothing goes where it must not.
-    fn settle(&mut self) {
-        let accepted = self.world.accepted();
+    fn check_recovery(&mut self) {
+        let accepted = self.shared.accepted();
         let controls = self.nodes.site.controls.len();
         for control in 0..controls {
             let what = format!("control {control} proves version {accepted}");
-            self.must_be_back(&what, |drive| {
-                let node = &drive.nodes.site.controls[control];
+            self.require_recovery(&what, |runner| {
+                let node = &runner.nodes.site.controls[control];
                 proven_version(node).is_some_and(|version| version >= accepted)
             });
         }
         for gateway in 0..self.nodes.site.gateways.len() {
             let what = format!("gateway {gateway} serves the newest routes, {accepted} or later");
-            self.must_be_back(&what, |drive| drive.serves_newest(gateway, accepted));
+            self.require_recovery(&what, |runner| runner.serves_newest(gateway, accepted));
         }
-        self.look_for_left();
+        self.check_removed_endpoints();
     }
 
     /// Whether a gateway serves the routes that control proves to be the newest by now. A change
@@ -316,9 +320,10 @@
         paths.iter().all(|path| self.is_served(gateway, path))
     }
 
-    fn must_be_back(&mut self, what: &str, holds: impl FnMut(&mut Self) -> bool) {
-        if !self.holds_within(BACK_WITHIN, holds) {
-            self.found.push(Violation::NotBack(what.to_owned()));
+    fn require_recovery(&mut self, what: &str, holds: impl FnMut(&mut Self) -> bool) {
+        if !self.holds_within(RECOVERY_BOUND, holds) {
+            self.violations
+                .push(Violation::NotRecovered(what.to_owned()));
         }
     }
 
@@ -328,14 +333,14 @@
             if holds(self) {
                 return true;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
     fn is_served(&mut self, gateway: usize, path: &str) -> bool {
-        self.asked += 1;
-        let id = format!("end-{}", self.asked);
+        self.sent_requests += 1;
+        let id = format!("end-{}", self.sent_requests);
         let method = if path.starts_with("/orders") {
             "POST"
         } else {
@@ -345,55 +350,55 @@
             .nodes
             .site
             .request(gateway, &request(method, path, &id));
-        let (ended, served) = match result {
+        let (outcome, served) = match result {
             Ok(answer) => {
                 let status = answer.status.as_u16();
-                let own = is_answer(method, path, b"", &answer.body);
-                (Ended::Answered { status, own }, status == 200)
+                let matches = is_answer(method, path, b"", &answer.body);
+                (RequestOutcome::Answered { status, matches }, status == 200)
             }
-            Err(_) => (Ended::Closed, false),
+            Err(_) => (RequestOutcome::Closed, false),
         };
-        let unknown = matches!(ended, Ended::Answered { status: 404, .. });
-        if !unknown {
-            self.world.history().asked.push(Asked {
+        let is_unknown = matches!(outcome, RequestOutcome::Answered { status: 404, .. });
+        if !is_unknown {
+            self.shared.history().requests.push(CallerRequest {
                 id,
-                what: format!("{method} {path}"),
+                request_line: format!("{method} {path}"),
                 idempotent: method == "GET",
                 gateway,
-                ended,
+                outcome,
             });
         }
         served
     }
 
     /// Endpoints that are to leave, or whose failure domain is evacuated for sure.
-    fn left(&mut self) -> Vec<usize> {
+    fn removed_endpoints(&mut self) -> Vec<usize> {
         let evacuated = self
             .evacuation
             .take()
             .is_some_and(|task| runtime::wait(async move { task.await.unwrap_or(false) }));
         let endpoints = self.nodes.site.endpoints.iter().enumerate();
-        let left =
+        let removed =
             endpoints.filter(|(_, e)| e.is_draining() || (evacuated && e.domain() == DOMAINS[1]));
-        left.map(|(number, _)| number).collect()
+        removed.map(|(number, _)| number).collect()
     }
 
-    fn look_for_left(&mut self) {
-        let left = self.left();
+    fn check_removed_endpoints(&mut self) {
+        let removed = self.removed_endpoints();
         let mut at_fault = Vec::new();
-        self.holds_within(LEFT_WITHIN, |drive| {
-            at_fault = drive.burst(&left);
+        self.holds_within(REMOVAL_BOUND, |runner| {
+            at_fault = runner.burst(&removed);
             at_fault.is_empty()
         });
-        let found = at_fault.into_iter().map(Violation::WorkForOneThatLeft);
-        self.found.extend(found);
+        let violations = at_fault.into_iter().map(Violation::SentToRemovedEndpoint);
+        self.violations.extend(violations);
     }
 
     /// Sends some requests, and tells which of these endpoints got any.
-    fn burst(&mut self, left: &[usize]) -> Vec<usize> {
+    fn burst(&mut self, removed: &[usize]) -> Vec<usize> {
         let count =
-            |drive: &Self, endpoint: usize| drive.nodes.site.endpoints[endpoint].runs().len();
-        let before: Vec<_> = left.iter().map(|e| count(self, *e)).collect();
+            |runner: &Self, endpoint: usize| runner.nodes.site.endpoints[endpoint].runs().len();
+        let before: Vec<_> = removed.iter().map(|e| count(self, *e)).collect();
         for gateway in 0..self.nodes.site.gateways.len() {
             for number in 0..BURST {
                 for (service, _) in SERVICES {
@@ -401,37 +406,50 @@
                 }
             }
         }
-        let pairs = left.iter().zip(before);
+        let pairs = removed.iter().zip(before);
         let got = pairs.filter(|(e, before)| count(self, **e) > *before);
         got.map(|(e, _)| *e).collect()
     }
 
     fn report(mut self, plan: &Plan) -> Report {
         let endpoints = self.nodes.site.endpoints.iter().enumerate();
-        let ran: Vec<Ran> = endpoints
+        let ran: Vec<EndpointRun> = endpoints
             .flat_map(|(endpoint, e)| {
-                e.runs().into_iter().map(move |run| Ran {
+                e.runs().into_iter().map(move |run| EndpointRun {
                     endpoint,
                     id: run.id,
-                    what: run.what,
+                    request_line: run.request_line,
                 })
             })
             .collect();
-        let history = self.world.history().clone();
-        self.found
-            .extend(judge(&history, &ran, MAX_ATTEMPTS, plan.planned_only));
-        let served = |asked: &&Asked| matches!(asked.ended, Ended::Answered { status: 200, .. });
-        if !self.found.is_empty() {
+        let history = self.shared.history().clone();
+        self.violations.extend(find_violations(
+            &history,
+            &ran,
+            MAX_ATTEMPTS,
+            plan.planned_only,
+        ));
+        let is_served = |request: &&CallerRequest| {
+            matches!(
+                request.outcome,
+                RequestOutcome::Answered { status: 200, .. }
+            )
+        };
+        if !self.violations.is_empty() {
             self.nodes.site.keep();
         }
         Report {
             seed: plan.seed,
             steps: plan.steps.len(),
-            requests: history.asked.len(),
-            served: history.asked.iter().filter(served).count(),
-            accepted: history.told.iter().filter(|t| t.accepted.is_some()).count(),
-            shown: history.shown.len(),
-            violations: self.found,
+            requests: history.requests.len(),
+            served: history.requests.iter().filter(is_served).count(),
+            accepted: history
+                .changes
+                .iter()
+                .filter(|t| t.accepted.is_some())
+                .count(),
+            shown: history.reads.len(),
+            violations: self.violations,
             dir: self.nodes.site.dir().to_owned(),
         }
     }
@@ -441,6 +459,6 @@
 fn paths(version: u64) -> Vec<String> {
     let services = SERVICES.iter().map(|(name, _)| format!("/{name}/end"));
     services
-        .chain([format!("{}end", only_in(version))])
+        .chain([format!("{}end", probe_path(version))])
         .collect()
 }
--- a/crates/testing/src/soak/shared.rs
+++ b/crates/testing/src/soak/shared.rs
@@ -17,7 +17,7 @@
 
 /// Addresses, and what was sent and told so far.
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct SharedState {
     /// Where gateways take callers.
     pub(super) gateways: Vec<SocketAddr>,
     /// Where replicas answer look-ups.
@@ -25,25 +25,25 @@
     /// Where replicas take orders.
     pub(super) orders: Vec<SocketAddr>,
     /// Counts the starts and ends of each gateway.
-    pub(super) lives: Vec<AtomicU32>,
+    pub(super) incarnations: Vec<AtomicU32>,
     newest: AtomicU64,
-    bodies: Mutex<BTreeMap<u64, String>>,
+    sent_bodies: Mutex<BTreeMap<u64, String>>,
     history: Mutex<History>,
     over: AtomicBool,
 }
 
-impl World {
+impl SharedState {
     pub(super) fn new(site: &Site) -> Self {
-        let of = |nodes: &[crate::cluster::Node], key: &str| {
+        let addrs = |nodes: &[crate::cluster::Node], key: &str| {
             nodes.iter().map(|node| node.addr(key)).collect::<Vec<_>>()
         };
         Self {
-            gateways: of(&site.gateways, "caller"),
-            lookups: of(&site.controls, "lookups"),
-            orders: of(&site.controls, "orders"),
-            lives: site.gateways.iter().map(|_| AtomicU32::new(0)).collect(),
+            gateways: addrs(&site.gateways, "caller"),
+            lookups: addrs(&site.controls, "lookups"),
+            orders: addrs(&site.controls, "orders"),
+            incarnations: site.gateways.iter().map(|_| AtomicU32::new(0)).collect(),
             newest: AtomicU64::new(0),
-            bodies: Mutex::default(),
+            sent_bodies: Mutex::default(),
             history: Mutex::default(),
             over: AtomicBool::new(false),
         }
@@ -61,8 +61,11 @@
     /// The highest version that was accepted.
     pub(super) fn accepted(&self) -> u64 {
         let history = self.history();
-        let accepted = history.told.iter().filter(|told| told.accepted.is_some());
-        accepted.map(|told| told.version).max().unwrap_or(0)
+        let accepted = history
+            .changes
+            .iter()
+            .filter(|change| change.accepted.is_some());
+        accepted.map(|change| change.version).max().unwrap_or(0)
     }
 
     /// Routes of a version that nobody has used yet: those of all services, and one that
@@ -70,28 +73,34 @@
     pub(super) fn next_routes(&self, step: u64) -> (u64, String) {
         let version = self.newest.fetch_add(step, Ordering::Relaxed) + step;
         let body = routes(version);
-        let mut bodies = self.bodies.lock().unwrap_or_else(PoisonError::into_inner);
-        bodies.insert(version, body.clone());
+        let mut sent_bodies = self
+            .sent_bodies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        sent_bodies.insert(version, body.clone());
         (version, body)
     }
 
     /// Whether these are the routes that were sent under the number.
-    pub(super) fn is_as_sent(&self, version: u64, body: &str) -> bool {
-        let bodies = self.bodies.lock().unwrap_or_else(PoisonError::into_inner);
-        bodies.get(&version).is_some_and(|sent| sent == body)
+    pub(super) fn matches_sent(&self, version: u64, body: &str) -> bool {
+        let sent_bodies = self
+            .sent_bodies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        sent_bodies.get(&version).is_some_and(|sent| sent == body)
     }
 
     pub(super) fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
 
-    pub(super) fn end(&self) {
+    pub(super) fn finish(&self) {
         self.over.store(true, Ordering::Relaxed);
     }
 }
 
 /// Path of the route that only this version has.
-pub(super) fn only_in(version: u64) -> String {
+pub(super) fn probe_path(version: u64) -> String {
     format!("/only-{version}/")
 }
 
@@ -99,10 +108,10 @@
     let text = config(version, SERVICES);
     let mut value: serde_json::Value = serde_json::from_str(&text).expect("it was made as JSON");
     if let Some(routes) = value["routes"].as_array_mut() {
-        let mut own = routes[1].clone();
-        own["name"] = format!("r-only-{version}").into();
-        own["path_prefix"] = only_in(version).into();
-        routes.push(own);
+        let mut route = routes[1].clone();
+        route["name"] = format!("r-only-{version}").into();
+        route["path_prefix"] = probe_path(version).into();
+        routes.push(route);
     }
     value.to_string()
 }
--- a/crates/testing/src/soak/violations.rs
+++ b/crates/testing/src/soak/violations.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use super::history::{Asked, Ended, History};
+use super::history::{CallerRequest, History, RequestOutcome};
 
 /// Statuses that promise that the request has not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
@@ -13,13 +13,13 @@
 
 /// A request that an endpoint ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ran {
+pub struct EndpointRun {
     /// Number of the endpoint.
     pub endpoint: usize,
     /// Id of the request.
     pub id: String,
     /// Its method and path, as they arrived.
-    pub what: String,
+    pub request_line: String,
 }
 
 /// A promise that was broken.
@@ -32,15 +32,15 @@
     /// A request ran whose caller was told that it had not.
     RefusedButRan(String, u16),
     /// An endpoint ran what no caller had sent.
-    Unasked(String),
+    UnknownRequest(String),
     /// A caller was given an answer that isn't the one to its request.
-    NotItsAnswer(String),
+    WrongAnswer(String),
     /// A proper request was turned away, by this status.
-    Denied(String, u16),
+    UnexpectedStatus(String, u16),
     /// A request was passed on and its connection ended, with only planned work under way.
     CutByPlannedWork(String),
     /// A replica showed an older version than one accepted before it was asked.
-    OlderShown {
+    StaleRead {
         /// The replica.
         control: usize,
         /// What it showed.
@@ -49,13 +49,13 @@
         accepted: u64,
     },
     /// A replica showed other routes than those sent under the number.
-    OthersShown(usize, u64),
+    AlteredRoutes(usize, u64),
     /// Valid routes were refused.
     ValidRefused(u64, u16),
     /// Routes that aren't valid were accepted.
     InvalidAccepted(u64),
     /// A gateway went back to an older version within one life.
-    WentBack {
+    VersionRegressed {
         /// The gateway.
         gateway: usize,
         /// The version that it had served.
@@ -64,9 +64,9 @@
         to: u64,
     },
     /// Something didn't come back once all faults were over.
-    NotBack(String),
+    NotRecovered(String),
     /// An endpoint got work that had left or was evacuated.
-    WorkForOneThatLeft(usize),
+    SentToRemovedEndpoint(usize),
 }
 
 impl fmt::Display for Violation {
@@ -76,108 +76,121 @@
 }
 
 /// Looks for broken promises. `max_attempts` is that of all routes.
-pub fn judge(
+pub fn find_violations(
     history: &History,
-    ran: &[Ran],
+    runs: &[EndpointRun],
     max_attempts: usize,
     planned_only: bool,
 ) -> Vec<Violation> {
-    let mut runs: BTreeMap<&str, Vec<&Ran>> = BTreeMap::new();
-    for run in ran {
-        runs.entry(&run.id).or_default().push(run);
+    let mut runs_by_id: BTreeMap<&str, Vec<&EndpointRun>> = BTreeMap::new();
+    for run in runs {
+        runs_by_id.entry(&run.id).or_default().push(run);
     }
-    let mut found = Vec::new();
-    for asked in &history.asked {
-        let ran = runs.remove(asked.id.as_str()).unwrap_or_default();
-        found.extend(judge_runs(asked, &ran, max_attempts));
-        found.extend(judge_end(asked, !ran.is_empty(), planned_only));
+    let mut violations = Vec::new();
+    for request in &history.requests {
+        let runs = runs_by_id.remove(request.id.as_str()).unwrap_or_default();
+        violations.extend(check_runs(request, &runs, max_attempts));
+        violations.extend(check_outcome(request, !runs.is_empty(), planned_only));
     }
-    found.extend(runs.into_keys().map(|id| Violation::Unasked(id.to_owned())));
-    found.extend(judge_routes(history));
-    found.extend(judge_gateways(history));
-    found
+    violations.extend(
+        runs_by_id
+            .into_keys()
+            .map(|id| Violation::UnknownRequest(id.to_owned())),
+    );
+    violations.extend(check_routes(history));
+    violations.extend(check_gateways(history));
+    violations
 }
 
-fn judge_runs(asked: &Asked, ran: &[&Ran], max_attempts: usize) -> Vec<Violation> {
-    let id = || asked.id.clone();
-    let mut found = Vec::new();
-    if !asked.idempotent && ran.len() > 1 {
-        found.push(Violation::RanTwice(id()));
+fn check_runs(
+    request: &CallerRequest,
+    runs: &[&EndpointRun],
+    max_attempts: usize,
+) -> Vec<Violation> {
+    let id = || request.id.clone();
+    let mut violations = Vec::new();
+    if !request.idempotent && runs.len() > 1 {
+        violations.push(Violation::RanTwice(id()));
     }
-    let endpoints: BTreeSet<_> = ran.iter().map(|run| run.endpoint).collect();
+    let endpoints: BTreeSet<_> = runs.iter().map(|run| run.endpoint).collect();
     if endpoints.len() > max_attempts {
-        found.push(Violation::TooManyAttempts(id(), endpoints.len()));
+        violations.push(Violation::TooManyAttempts(id(), endpoints.len()));
     }
-    if ran.iter().any(|run| run.what != asked.what) {
-        found.push(Violation::Unasked(id()));
+    if runs
+        .iter()
+        .any(|run| run.request_line != request.request_line)
+    {
+        violations.push(Violation::UnknownRequest(id()));
     }
-    found
+    violations
 }
 
-fn judge_end(asked: &Asked, has_run: bool, planned_only: bool) -> Option<Violation> {
-    let id = asked.id.clone();
-    match asked.ended {
-        Ended::Answered { status, .. } if NOT_RUN.contains(&status) => {
+fn check_outcome(request: &CallerRequest, has_run: bool, planned_only: bool) -> Option<Violation> {
+    let id = request.id.clone();
+    match request.outcome {
+        RequestOutcome::Answered { status, .. } if NOT_RUN.contains(&status) => {
             has_run.then_some(Violation::RefusedButRan(id, status))
         }
-        Ended::Answered { status, own } if (200..300).contains(&status) => {
-            (!own).then_some(Violation::NotItsAnswer(id))
+        RequestOutcome::Answered { status, matches } if (200..300).contains(&status) => {
+            (!matches).then_some(Violation::WrongAnswer(id))
         }
-        Ended::Answered { status, .. } if MAY_HAVE_RUN.contains(&status) => None,
-        Ended::Answered { status, .. } => Some(Violation::Denied(id, status)),
-        Ended::Closed | Ended::Cut => {
+        RequestOutcome::Answered { status, .. } if MAY_HAVE_RUN.contains(&status) => None,
+        RequestOutcome::Answered { status, .. } => Some(Violation::UnexpectedStatus(id, status)),
+        RequestOutcome::Closed | RequestOutcome::Cut => {
             (planned_only && has_run).then_some(Violation::CutByPlannedWork(id))
         }
-        Ended::Unreached | Ended::TimedOut => None,
+        RequestOutcome::ConnectFailed | RequestOutcome::TimedOut => None,
     }
 }
 
-fn judge_routes(history: &History) -> Vec<Violation> {
-    let mut found = Vec::new();
-    for shown in &history.shown {
-        let before = history.told.iter().filter(|told| told.valid);
-        let before = before.filter(|told| told.accepted.is_some_and(|at| at <= shown.asked));
-        let accepted = before.map(|told| told.version).max().unwrap_or(0);
-        if shown.version < accepted {
-            found.push(Violation::OlderShown {
-                control: shown.control,
-                shown: shown.version,
+fn check_routes(history: &History) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for read in &history.reads {
+        let before = history.changes.iter().filter(|change| change.valid);
+        let before = before.filter(|change| change.accepted.is_some_and(|at| at <= read.sent));
+        let accepted = before.map(|change| change.version).max().unwrap_or(0);
+        if read.version < accepted {
+            violations.push(Violation::StaleRead {
+                control: read.control,
+                shown: read.version,
                 accepted,
             });
         }
-        if !shown.as_sent {
-            found.push(Violation::OthersShown(shown.control, shown.version));
+        if !read.as_sent {
+            violations.push(Violation::AlteredRoutes(read.control, read.version));
         }
     }
-    for told in &history.told {
-        match (told.valid, told.accepted, told.refused) {
-            (true, _, Some(status)) => found.push(Violation::ValidRefused(told.version, status)),
-            (false, Some(_), _) => found.push(Violation::InvalidAccepted(told.version)),
+    for change in &history.changes {
+        match (change.valid, change.accepted, change.refused) {
+            (true, _, Some(status)) => {
+                violations.push(Violation::ValidRefused(change.version, status))
+            }
+            (false, Some(_), _) => violations.push(Violation::InvalidAccepted(change.version)),
             _ => {}
         }
     }
-    found
+    violations
 }
 
 /// A gateway that has served by a version must not know, later in the same life, a route
 /// that only an older version has.
-fn judge_gateways(history: &History) -> Vec<Violation> {
-    let mut lives: BTreeMap<_, Vec<_>> = BTreeMap::new();
-    for probed in &history.probed {
-        let life = (probed.gateway, probed.life);
-        lives.entry(life).or_default().push(probed);
+fn check_gateways(history: &History) -> Vec<Violation> {
+    let mut incarnations: BTreeMap<_, Vec<_>> = BTreeMap::new();
+    for probe in &history.probes {
+        let incarnation = (probe.gateway, probe.incarnation);
+        incarnations.entry(incarnation).or_default().push(probe);
     }
-    let mut found = Vec::new();
-    for ((gateway, _), probed) in lives {
-        for earlier in probed.iter().filter(|p| p.known) {
-            let later = probed.iter().filter(|p| p.sent > earlier.ended);
-            let back = later.filter(|p| p.known && p.version < earlier.version);
-            found.extend(back.map(|p| Violation::WentBack {
+    let mut violations = Vec::new();
+    for ((gateway, _), probes) in incarnations {
+        for earlier in probes.iter().filter(|p| p.has_route) {
+            let later = probes.iter().filter(|p| p.sent > earlier.answered);
+            let back = later.filter(|p| p.has_route && p.version < earlier.version);
+            violations.extend(back.map(|p| Violation::VersionRegressed {
                 gateway,
                 from: earlier.version,
                 to: p.version,
             }));
         }
     }
-    found
+    violations
 }
--- a/crates/testing/tests/soak.rs
+++ b/crates/testing/tests/soak.rs
@@ -3,134 +3,153 @@
 use std::time::{Duration, Instant};
 
 use filberthead_testing::soak::{
-    Asked, Ended, History, Plan, Probed, Ran, Shown, Size, Told, Violation, judge,
+    CallerRequest, EndpointRun, History, Plan, RequestOutcome, RouteProbe, RoutesChange,
+    RoutesRead, Size, Violation, find_violations,
 };
 
 const ATTEMPTS: usize = 2;
 
-fn asked(id: &str, idempotent: bool, ended: Ended) -> Asked {
-    Asked {
+fn request(id: &str, idempotent: bool, outcome: RequestOutcome) -> CallerRequest {
+    CallerRequest {
         id: id.to_owned(),
-        what: "GET /catalogue/1".to_owned(),
+        request_line: "GET /catalogue/1".to_owned(),
         idempotent,
         gateway: 0,
-        ended,
+        outcome,
     }
 }
 
-fn ran(endpoint: usize, id: &str) -> Ran {
-    Ran {
+fn ran(endpoint: usize, id: &str) -> EndpointRun {
+    EndpointRun {
         endpoint,
         id: id.to_owned(),
-        what: "GET /catalogue/1".to_owned(),
+        request_line: "GET /catalogue/1".to_owned(),
     }
 }
 
-fn answered(status: u16) -> Ended {
-    Ended::Answered { status, own: true }
+fn answered(status: u16) -> RequestOutcome {
+    RequestOutcome::Answered {
+        status,
+        matches: true,
+    }
 }
 
 /// What is found in one request that ended so and was run by these endpoints.
-fn found(request: Asked, endpoints: &[usize], planned_only: bool) -> Vec<Violation> {
-    let runs: Vec<Ran> = endpoints.iter().map(|e| ran(*e, &request.id)).collect();
+fn violations(request: CallerRequest, endpoints: &[usize], planned_only: bool) -> Vec<Violation> {
+    let runs: Vec<EndpointRun> = endpoints.iter().map(|e| ran(*e, &request.id)).collect();
     let history = History {
-        asked: vec![request],
+        requests: vec![request],
         ..History::default()
     };
-    judge(&history, &runs, ATTEMPTS, planned_only)
+    find_violations(&history, &runs, ATTEMPTS, planned_only)
 }
 
 #[test]
 fn a_good_history_has_nothing() {
-    assert_eq!(found(asked("a", false, answered(200)), &[0], true), []);
-    assert_eq!(found(asked("a", false, answered(503)), &[], true), []);
-    assert_eq!(found(asked("a", true, answered(200)), &[0, 1], true), []);
-    assert_eq!(found(asked("a", false, answered(502)), &[0], true), []);
-    assert_eq!(found(asked("a", false, Ended::Closed), &[0], false), []);
+    assert_eq!(
+        violations(request("a", false, answered(200)), &[0], true),
+        []
+    );
+    assert_eq!(
+        violations(request("a", false, answered(503)), &[], true),
+        []
+    );
+    assert_eq!(
+        violations(request("a", true, answered(200)), &[0, 1], true),
+        []
+    );
+    assert_eq!(
+        violations(request("a", false, answered(502)), &[0], true),
+        []
+    );
+    assert_eq!(
+        violations(request("a", false, RequestOutcome::Closed), &[0], false),
+        []
+    );
 }
 
 #[test]
 fn each_kind_of_broken_request_is_found() {
     let id = || "a".to_owned();
-    let order = |ended| asked("a", false, ended);
+    let order = |outcome| request("a", false, outcome);
     assert_eq!(
-        found(order(answered(200)), &[0, 1], false),
+        violations(order(answered(200)), &[0, 1], false),
         [Violation::RanTwice(id())]
     );
     assert_eq!(
-        found(order(answered(503)), &[0], false),
+        violations(order(answered(503)), &[0], false),
         [Violation::RefusedButRan(id(), 503)]
     );
     assert_eq!(
-        found(asked("a", true, answered(200)), &[0, 1, 2], false),
+        violations(request("a", true, answered(200)), &[0, 1, 2], false),
         [Violation::TooManyAttempts(id(), 3)]
     );
-    let crossed = Ended::Answered {
+    let crossed = RequestOutcome::Answered {
         status: 200,
-        own: false,
+        matches: false,
     };
     assert_eq!(
-        found(order(crossed), &[0], false),
-        [Violation::NotItsAnswer(id())]
+        violations(order(crossed), &[0], false),
+        [Violation::WrongAnswer(id())]
     );
     assert_eq!(
-        found(order(answered(404)), &[], false),
-        [Violation::Denied(id(), 404)]
+        violations(order(answered(404)), &[], false),
+        [Violation::UnexpectedStatus(id(), 404)]
     );
     assert_eq!(
-        found(order(Ended::Closed), &[0], true),
+        violations(order(RequestOutcome::Closed), &[0], true),
         [Violation::CutByPlannedWork(id())]
     );
     let history = History::default();
     assert_eq!(
-        judge(&history, &[ran(0, "nobody's")], ATTEMPTS, false),
-        [Violation::Unasked("nobody's".to_owned())]
+        find_violations(&history, &[ran(0, "nobody's")], ATTEMPTS, false),
+        [Violation::UnknownRequest("nobody's".to_owned())]
     );
 }
 
 #[test]
 fn each_kind_of_broken_change_is_found() {
     let now = Instant::now();
-    let told = |version, valid, accepted: bool, refused| Told {
+    let change = |version, valid, accepted: bool, refused| RoutesChange {
         version,
         valid,
         accepted: accepted.then_some(now),
         refused,
     };
-    let shown = |version, as_sent| Shown {
+    let read = |version, as_sent| RoutesRead {
         control: 1,
-        asked: now + Duration::from_millis(1),
+        sent: now + Duration::from_millis(1),
         version,
         as_sent,
     };
-    let judged = |told: Vec<Told>, shown: Vec<Shown>| {
+    let violations = |changes: Vec<RoutesChange>, reads: Vec<RoutesRead>| {
         let history = History {
-            told,
-            shown,
+            changes,
+            reads,
             ..History::default()
         };
-        judge(&history, &[], ATTEMPTS, false)
+        find_violations(&history, &[], ATTEMPTS, false)
     };
-    let accepted = || vec![told(5, true, true, None)];
-    assert_eq!(judged(accepted(), vec![shown(5, true)]), []);
+    let accepted = || vec![change(5, true, true, None)];
+    assert_eq!(violations(accepted(), vec![read(5, true)]), []);
     assert_eq!(
-        judged(accepted(), vec![shown(4, true)]),
-        [Violation::OlderShown {
+        violations(accepted(), vec![read(4, true)]),
+        [Violation::StaleRead {
             control: 1,
             shown: 4,
             accepted: 5
         }]
     );
     assert_eq!(
-        judged(accepted(), vec![shown(6, false)]),
-        [Violation::OthersShown(1, 6)]
+        violations(accepted(), vec![read(6, false)]),
+        [Violation::AlteredRoutes(1, 6)]
     );
     assert_eq!(
-        judged(vec![told(5, true, false, Some(400))], vec![]),
+        violations(vec![change(5, true, false, Some(400))], vec![]),
         [Violation::ValidRefused(5, 400)]
     );
     assert_eq!(
-        judged(vec![told(5, false, true, None)], vec![]),
+        violations(vec![change(5, false, true, None)], vec![]),
         [Violation::InvalidAccepted(5)]
     );
 }
@@ -138,26 +157,26 @@
 #[test]
 fn a_gateway_that_goes_back_within_a_life_is_found() {
     let now = Instant::now();
-    let probed = |life, version, after_ms| Probed {
+    let probe = |incarnation, version, after_ms| RouteProbe {
         gateway: 2,
-        life,
+        incarnation,
         version,
-        known: true,
+        has_route: true,
         sent: now + Duration::from_millis(after_ms),
-        ended: now + Duration::from_millis(after_ms + 1),
+        answered: now + Duration::from_millis(after_ms + 1),
     };
-    let judged = |probed: Vec<Probed>| {
+    let violations = |probes: Vec<RouteProbe>| {
         let history = History {
-            probed,
+            probes,
             ..History::default()
         };
-        judge(&history, &[], ATTEMPTS, false)
+        find_violations(&history, &[], ATTEMPTS, false)
     };
-    assert_eq!(judged(vec![probed(1, 7, 0), probed(1, 8, 10)]), []);
-    assert_eq!(judged(vec![probed(1, 8, 0), probed(2, 7, 10)]), []);
+    assert_eq!(violations(vec![probe(1, 7, 0), probe(1, 8, 10)]), []);
+    assert_eq!(violations(vec![probe(1, 8, 0), probe(2, 7, 10)]), []);
     assert_eq!(
-        judged(vec![probed(1, 8, 0), probed(1, 7, 10)]),
-        [Violation::WentBack {
+        violations(vec![probe(1, 8, 0), probe(1, 7, 10)]),
+        [Violation::VersionRegressed {
             gateway: 2,
             from: 8,
             to: 7
