--- a/crates/testing/src/standin/body.rs
+++ b/crates/testing/src/standin/body.rs
@@ -10,7 +10,7 @@
 use tokio::time::Sleep;
 
 use super::payload::Payload;
-use super::slot::Work;
+use super::slot::SlotGuard;
 
 const CHUNK_BYTES: u64 = 32 * 1024;
 /// Pause that lets the server send what it has, before an answer breaks off.
@@ -26,7 +26,7 @@
     pace: Option<u64>,
     pause: Option<Pin<Box<Sleep>>>,
     /// Holds the slot until the last byte is taken.
-    work: Option<Work>,
+    slot: Option<SlotGuard>,
 }
 
 impl AnswerBody {
@@ -38,7 +38,7 @@
             cut: None,
             pace: None,
             pause: None,
-            work: None,
+            slot: None,
         }
     }
 
@@ -54,8 +54,8 @@
         self
     }
 
-    pub(super) fn work(mut self, work: Work) -> Self {
-        self.work = Some(work);
+    pub(super) fn slot(mut self, slot: SlotGuard) -> Self {
+        self.slot = Some(slot);
         self
     }
 
@@ -73,8 +73,8 @@
     }
 
     fn finish(&mut self) {
-        if let Some(work) = self.work.take() {
-            work.answered();
+        if let Some(slot) = self.slot.take() {
+            slot.record_answered();
         }
     }
 }
--- a/crates/testing/src/standin/download.rs
+++ b/crates/testing/src/standin/download.rs
@@ -6,7 +6,7 @@
 use super::body::AnswerBody;
 use super::payload::Payload;
 use super::serve::{Answer, query, status};
-use super::slot::Work;
+use super::slot::SlotGuard;
 use super::state::State;
 
 pub(super) const PREFIX: &str = "/download/";
@@ -25,7 +25,7 @@
     uri: &Uri,
     headers: &HeaderMap,
     state: &State,
-    work: Work,
+    slot: SlotGuard,
     cut: Option<u64>,
 ) -> Answer {
     let name = &uri.path()[PREFIX.len()..];
@@ -37,14 +37,14 @@
         Part::Whole => (0, total, StatusCode::OK),
         Part::Range(start, end) => (start, end, StatusCode::PARTIAL_CONTENT),
         Part::Unsatisfiable => {
-            work.answered();
+            slot.record_answered();
             return status(StatusCode::RANGE_NOT_SATISFIABLE);
         }
     };
     let body = AnswerBody::new(Payload::of_download(name, version), start, end)
         .cut_after(cut)
         .pace(pace)
-        .work(work);
+        .slot(slot);
     let mut answer = Response::new(body.boxed_unsync());
     *answer.status_mut() = code;
     let mut set = |name, value: &str| {
--- a/crates/testing/src/standin/listen.rs
+++ b/crates/testing/src/standin/listen.rs
@@ -35,7 +35,7 @@
     let Ok(socket) = SockRef::from(&stream).try_clone() else {
         return;
     };
-    state.recorder.connections.up();
+    state.recorder.connections.increment();
     let service = service_fn(|req| handle(req, Arc::clone(&state)));
     let serving = http1::Builder::new()
         .pipeline_flush(true)
@@ -48,7 +48,7 @@
         }
         () = down(&mut life) => reset(&socket),
     }
-    state.recorder.connections.down();
+    state.recorder.connections.decrement();
 }
 
 async fn down(life: &mut watch::Receiver<Life>) {
--- a/crates/testing/src/standin/payload.rs
+++ b/crates/testing/src/standin/payload.rs
@@ -41,8 +41,8 @@
         let end = start + len as u64;
         let first = start - start % WORD;
         let mut buf = BytesMut::with_capacity(len + 2 * WORD as usize);
-        for place in (first..end).step_by(WORD as usize) {
-            let word = xxh3_64_with_seed(&place.to_le_bytes(), self.seed);
+        for offset in (first..end).step_by(WORD as usize) {
+            let word = xxh3_64_with_seed(&offset.to_le_bytes(), self.seed);
             buf.extend_from_slice(&word.to_le_bytes());
         }
         let skip = (start - first) as usize;
--- a/crates/testing/src/standin/record.rs
+++ b/crates/testing/src/standin/record.rs
@@ -64,8 +64,8 @@
 
 impl Record {
     /// How many requests that fit reached a stage.
-    pub fn count(&self, stage: Stage, fits: impl Fn(&ObservedRequest) -> bool) -> usize {
-        let reached = |event: &&Event| event.stage == stage && fits(&event.seen);
+    pub fn count(&self, stage: Stage, predicate: impl Fn(&ObservedRequest) -> bool) -> usize {
+        let reached = |event: &&Event| event.stage == stage && predicate(&event.seen);
         self.events.iter().filter(reached).count()
     }
 
@@ -145,13 +145,13 @@
 }
 
 impl Gauge {
-    pub(super) fn up(&self) {
+    pub(super) fn increment(&self) {
         let now = self.now.fetch_add(1, Ordering::SeqCst) + 1;
         self.peak.fetch_max(now, Ordering::SeqCst);
     }
 
     /// Goes up unless that would go over a bound.
-    pub(super) fn up_within(&self, bound: u32) -> bool {
+    pub(super) fn try_increment(&self, bound: u32) -> bool {
         let step = |now| (now < bound).then_some(now + 1);
         match self
             .now
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(super) fn down(&self) {
+    pub(super) fn decrement(&self) {
         self.now.fetch_sub(1, Ordering::SeqCst);
     }
 
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -13,8 +13,8 @@
 use super::payload::Payload;
 use super::record::{ObservedRequest, Stage};
 use super::script::{Fault, WhenFull};
-use super::slot::Work;
-use super::state::{OtherAnswer, State, lock};
+use super::slot::SlotGuard;
+use super::state::{AnswerContent, State, lock};
 use super::{admin, download};
 
 pub(super) type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
@@ -42,13 +42,13 @@
     let mut last = lock(&state.last_health);
     let text = match last.take().filter(|_| frozen) {
         Some(text) => text,
-        None => reading(state),
+        None => current_health(state),
     };
     *last = Some(text.clone());
     json(text)
 }
 
-fn reading(state: &State) -> String {
+fn current_health(state: &State) -> String {
     let running = f64::from(state.recorder.running.get());
     let incarnation = state.incarnation();
     state.read(|script| {
@@ -65,7 +65,7 @@
 
 async fn execute(req: Request<Incoming>, state: &Arc<State>) -> io::Result<Answer> {
     let (parts, body) = req.into_parts();
-    let seen = Arc::new(seen(&parts.method, &parts.uri, &parts.headers));
+    let seen = Arc::new(observe(&parts.method, &parts.uri, &parts.headers));
     let recorded = state.read(|script| script.record);
     if recorded {
         state.recorder.push(Stage::Received, &seen);
@@ -78,10 +78,10 @@
         Some(Fault::Shed) => return Ok(shed(state, &seen, recorded)),
         _ => {}
     }
-    let Some(work) = take_slot(state, &seen, recorded).await else {
+    let Some(slot) = take_slot(state, &seen, recorded).await else {
         return Ok(shed(state, &seen, recorded));
     };
-    work.executed();
+    slot.record_executed();
     tokio::time::sleep(state.read(|script| script.service_time)).await;
     match fault {
         Some(Fault::CrashAfter) => return crash(state),
@@ -91,16 +91,16 @@
         _ => {}
     }
     if parts.uri.path().starts_with(download::PREFIX) && parts.method == Method::GET {
-        let cut = cut_of(fault.as_ref());
+        let cut = truncate_after(fault.as_ref());
         return Ok(download::answer(
             &parts.uri,
             &parts.headers,
             state,
-            work,
+            slot,
             cut,
         ));
     }
-    answer(state, &seen, &body, fault, work)
+    answer(state, &seen, &body, fault, slot)
 }
 
 async fn read_body(body: Incoming) -> io::Result<Bytes> {
@@ -109,7 +109,7 @@
     Ok(body.to_bytes())
 }
 
-fn seen(method: &Method, uri: &http::Uri, headers: &HeaderMap) -> ObservedRequest {
+fn observe(method: &Method, uri: &http::Uri, headers: &HeaderMap) -> ObservedRequest {
     let text = |name| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
@@ -128,13 +128,13 @@
     state: &Arc<State>,
     seen: &Arc<ObservedRequest>,
     recorded: bool,
-) -> Option<Work> {
+) -> Option<SlotGuard> {
     loop {
         // Registered before the try, so that a slot freed in between is not missed.
         let freed = state.freed.notified();
         let (slots, when_full) = state.read(|script| (script.slots, script.when_full));
-        if let Some(work) = Work::start(state, seen, slots, recorded) {
-            return Some(work);
+        if let Some(slot) = SlotGuard::acquire(state, seen, slots, recorded) {
+            return Some(slot);
         }
         match when_full {
             WhenFull::Shed => return None,
@@ -148,10 +148,10 @@
     seen: &ObservedRequest,
     body: &[u8],
     fault: Option<Fault>,
-    work: Work,
+    slot: SlotGuard,
 ) -> io::Result<Answer> {
     let hash = Sha256::digest(body);
-    let own = OtherAnswer {
+    let own = AnswerContent {
         payload: Payload::of_hashed_answer(&seen.method, &seen.path, &hash),
         bytes: query(&seen.path, "bytes").unwrap_or(DEFAULT_ANSWER_BYTES),
         request_id: seen.request_id.clone(),
@@ -162,7 +162,7 @@
     let is_other = |id: &str| id.is_empty() || id != own.request_id;
     let other = last.filter(|last| is_other(&last.request_id));
     let given = match fault {
-        Some(Fault::Crossed) => other.unwrap_or_else(nobodys_answer),
+        Some(Fault::Crossed) => other.unwrap_or_else(fallback_answer),
         _ => own,
     };
     let status = match fault {
@@ -170,9 +170,9 @@
         _ => StatusCode::OK,
     };
     let body = AnswerBody::new(given.payload, 0, given.bytes)
-        .cut_after(cut_of(fault.as_ref()))
+        .cut_after(truncate_after(fault.as_ref()))
         .pace(state.read(|script| script.pace))
-        .work(work);
+        .slot(slot);
     let answer = Response::builder()
         .status(status)
         .header(REQUEST_ID, given.request_id)
@@ -181,15 +181,15 @@
     answer.map_err(io::Error::other)
 }
 
-fn nobodys_answer() -> OtherAnswer {
-    OtherAnswer {
+fn fallback_answer() -> AnswerContent {
+    AnswerContent {
         payload: Payload::new("nobody's"),
         bytes: DEFAULT_ANSWER_BYTES,
         request_id: "0123456789abcdef0123456789abcdef".to_owned(),
     }
 }
 
-fn cut_of(fault: Option<&Fault>) -> Option<u64> {
+fn truncate_after(fault: Option<&Fault>) -> Option<u64> {
     match fault {
         Some(Fault::Truncate(bytes)) => Some(*bytes),
         _ => None,
--- a/crates/testing/src/standin/slot.rs
+++ b/crates/testing/src/standin/slot.rs
@@ -8,22 +8,22 @@
 /// A request that runs; it gives its slot back when dropped, and is cancelled unless it
 /// was answered before.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct SlotGuard {
     state: Arc<State>,
     seen: Arc<ObservedRequest>,
     recorded: bool,
     answered: bool,
 }
 
-impl Work {
+impl SlotGuard {
     /// Takes a slot if one is free.
-    pub(super) fn start(
+    pub(super) fn acquire(
         state: &Arc<State>,
         seen: &Arc<ObservedRequest>,
         slots: u32,
         recorded: bool,
     ) -> Option<Self> {
-        let free = state.recorder.running.up_within(slots);
+        let free = state.recorder.running.try_increment(slots);
         free.then(|| Self {
             state: Arc::clone(state),
             seen: Arc::clone(seen),
@@ -32,11 +32,11 @@
         })
     }
 
-    pub(super) fn executed(&self) {
+    pub(super) fn record_executed(&self) {
         self.push(Stage::Executed);
     }
 
-    pub(super) fn answered(mut self) {
+    pub(super) fn record_answered(mut self) {
         self.answered = true;
         self.push(Stage::Answered);
     }
@@ -48,12 +48,12 @@
     }
 }
 
-impl Drop for Work {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.push(Stage::Cancelled);
         }
-        self.state.recorder.running.down();
+        self.state.recorder.running.decrement();
         self.state.freed.notify_waiters();
     }
 }
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -21,7 +21,7 @@
 
 /// An answer that may be given to the wrong request.
 #[derive(Clone, Debug)]
-pub(super) struct OtherAnswer {
+pub(super) struct AnswerContent {
     pub(super) payload: Payload,
     pub(super) bytes: u64,
     pub(super) request_id: String,
@@ -33,7 +33,7 @@
     pub(super) recorder: Arc<Recorder>,
     /// Told each time a slot may have become free.
     pub(super) freed: Notify,
-    pub(super) last_answer: Mutex<Option<OtherAnswer>>,
+    pub(super) last_answer: Mutex<Option<AnswerContent>>,
     pub(super) last_health: Mutex<Option<String>>,
     script: Mutex<Script>,
     incarnation: Mutex<u64>,
@@ -50,7 +50,7 @@
             last_answer: Mutex::default(),
             last_health: Mutex::default(),
             script: Mutex::default(),
-            incarnation: Mutex::new(draw()),
+            incarnation: Mutex::new(random_incarnation()),
             life: watch::Sender::new(Life::Up),
             ends_process: false,
         }
@@ -66,18 +66,18 @@
         self.freed.notify_waiters();
     }
 
-    pub(super) fn read<T>(&self, take: impl FnOnce(&Script) -> T) -> T {
-        take(&lock(&self.script))
+    pub(super) fn read<T>(&self, view: impl FnOnce(&Script) -> T) -> T {
+        view(&lock(&self.script))
     }
 
     /// The fault for a request, and one use of its rule less.
     pub(super) fn fault(&self, seen: &ObservedRequest, body: &[u8]) -> Option<Fault> {
         let mut script = lock(&self.script);
         let rules = &mut script.rules;
-        let place = rules
+        let index = rules
             .iter()
-            .position(|rule| rule.times != Some(0) && fits(rule, seen, body))?;
-        let rule = &mut rules[place];
+            .position(|rule| rule.times != Some(0) && rule_matches(rule, seen, body))?;
+        let rule = &mut rules[index];
         rule.times = rule.times.map(|times| times - 1);
         Some(rule.fault.clone())
     }
@@ -102,7 +102,7 @@
     }
 
     pub(super) fn restart(&self) {
-        *lock(&self.incarnation) = draw();
+        *lock(&self.incarnation) = random_incarnation();
         self.set_life(Life::Up);
     }
 
@@ -125,7 +125,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn fits(rule: &Rule, seen: &ObservedRequest, body: &[u8]) -> bool {
+fn rule_matches(rule: &Rule, seen: &ObservedRequest, body: &[u8]) -> bool {
     match &rule.when {
         When::Any => true,
         When::Method(method) => seen.method == *method,
@@ -136,6 +136,6 @@
 }
 
 /// A random number: the standard library's hash keys are drawn by the system.
-fn draw() -> u64 {
+fn random_incarnation() -> u64 {
     RandomState::new().build_hasher().finish() | 1
 }
