--- a/crates/testing/src/bin/demo/main.rs
+++ b/crates/testing/src/bin/demo/main.rs
@@ -37,7 +37,7 @@
         let result = step(&mut system);
         let seconds = start.elapsed().as_secs_f64();
         match result {
-            Ok(seen) => println!("ok   {seconds:>7.3} s  {name}: {seen}"),
+            Ok(result) => println!("ok   {seconds:>7.3} s  {name}: {result}"),
             Err(e) => {
                 println!("FAIL {seconds:>7.3} s  {name}: {e}");
                 return ExitCode::FAILURE;
--- a/crates/testing/src/bin/demo/steps.rs
+++ b/crates/testing/src/bin/demo/steps.rs
@@ -10,9 +10,9 @@
 
 use crate::system::{StepError, System, ensure, wait_for};
 
-type Seen = Result<String, StepError>;
+type StepResult = Result<String, StepError>;
 
-pub(crate) fn make_group(system: &mut System) -> Seen {
+pub(crate) fn make_group(system: &mut System) -> StepResult {
     let addrs = system.cluster.operator_addrs();
     let (first, others) = addrs.split_at(1);
     system.run_at(first, &["control", "init"])?;
@@ -25,7 +25,7 @@
     Ok(format!("{} leads in term {}", leader.node, leader.term))
 }
 
-pub(crate) fn set_rows(system: &mut System) -> Seen {
+pub(crate) fn set_rows(system: &mut System) -> StepResult {
     for service in ["catalogue", "orders", "lessons"] {
         for region in ["zagreb", "split"] {
             system.set(service, region, "50")?;
@@ -35,7 +35,7 @@
 }
 
 /// The table's version, once each entry acts on it.
-fn in_force(system: &System) -> Seen {
+fn in_force(system: &System) -> StepResult {
     let table = wait_for("the table", || system.operator.try_table())?;
     for entry in &system.cluster.entries {
         wait_for("the version in force", || {
@@ -47,7 +47,7 @@
     Ok(format!("version {version} in force at {entries} entries"))
 }
 
-pub(crate) fn look_up(system: &mut System) -> Seen {
+pub(crate) fn look_up(system: &mut System) -> StepResult {
     let entry = system.cluster.entries[0].addr("caller");
     let lookup = wait_for("entries of two failure domains", || {
         let lookup = system.look_up(entry, "catalogue")?;
@@ -63,13 +63,13 @@
     Ok(format!("{}; good for {ttl} s", entries.join(", ")))
 }
 
-pub(crate) fn read(system: &mut System) -> Seen {
+pub(crate) fn read(system: &mut System) -> StepResult {
     let entry = system.cluster.entries[0].addr("caller");
     let path = "/cards/7?bytes=20000";
     let call = Call::get(&format!("/v1/services/catalogue{path}"));
     let answer = system.send(entry, &call)?;
-    let own = Payload::of_answer("GET", path, b"").slice(0, 20_000);
-    ensure(answer.body == own, || {
+    let expected = Payload::of_answer("GET", path, b"").slice(0, 20_000);
+    ensure(answer.body == expected, || {
         format!("{} with another body", answer.status)
     })?;
     let endpoint = answer.header("standin");
@@ -78,19 +78,19 @@
     ))
 }
 
-pub(crate) fn change(system: &mut System) -> Seen {
+pub(crate) fn change(system: &mut System) -> StepResult {
     let before = system.operator.table().version;
-    let said = system.set("catalogue", "split", "80")?;
+    let output = system.set("catalogue", "split", "80")?;
     let after = in_force(system)?;
-    let said = said.lines().next().unwrap_or_default().to_owned();
+    let output = output.lines().next().unwrap_or_default().to_owned();
     ensure(
         system.operator.table().version == Version(before.0 + 1),
-        || format!("{said}, from version {before}"),
+        || format!("{output}, from version {before}"),
     )?;
-    Ok(format!("{said}; {after}"))
+    Ok(format!("{output}; {after}"))
 }
 
-pub(crate) fn order(system: &mut System) -> Seen {
+pub(crate) fn order(system: &mut System) -> StepResult {
     let (first, other) = two_domains(system);
     let prefix = wait_for("a prefix for keys", || {
         let prefix = system.look_up(first, "orders")?.key_prefix;
@@ -120,29 +120,29 @@
     (addrs[0], addrs[addrs.len() - 1])
 }
 
-pub(crate) fn kill_leader(system: &mut System) -> Seen {
+pub(crate) fn kill_leader(system: &mut System) -> StepResult {
     let leader = wait_for("a leader", || system.operator.leader())?;
     let name = leader.node.as_str();
     system.cluster.control(name).kill();
     let killed = Instant::now();
-    let said = system.set("orders", "split", "60")?;
+    let output = system.set("orders", "split", "60")?;
     let gap = killed.elapsed().as_secs_f64();
-    let said = said.lines().next().unwrap_or_default().to_owned();
+    let output = output.lines().next().unwrap_or_default().to_owned();
     system.cluster.control(name).start();
     let after = in_force(system)?;
     Ok(format!(
-        "{name} killed, {said} and in force {gap:.3} s later; {after}"
+        "{name} killed, {output} and in force {gap:.3} s later; {after}"
     ))
 }
 
 /// Bytes a second of the caller on a limited link.
-const SLOW: u64 = 400_000;
+const THROTTLED_RATE: u64 = 400_000;
 const LESSON_BYTES: usize = 1_000_000;
 
-pub(crate) fn drain(system: &mut System) -> Seen {
+pub(crate) fn drain(system: &mut System) -> StepResult {
     let (leaving, other) = two_domains(system);
     let proxy = system.cluster.entries[0].proxy("caller");
-    proxy.set(Direction::ToClient, Flow::Throttle(SLOW));
+    proxy.set(Direction::ToClient, Flow::Throttle(THROTTLED_RATE));
     let path = format!("/v1/services/lessons/download/cups?bytes={LESSON_BYTES}");
     let download = std::thread::spawn(move || Call::get(&path).send(leaving));
     wait_for("the download begins", || {
@@ -151,30 +151,30 @@
         (begun > 0).then_some(())
     })?;
     system.cluster.entries[0].process().terminate();
-    let asked = Instant::now();
+    let stop_sent = Instant::now();
     wait_for("no look-up names it", || {
         let lookup = system.look_up(other, "lessons")?;
         let named = lookup.entries.iter().any(|entry| entry.address == leaving);
         (!named).then_some(())
     })?;
-    let unnamed = asked.elapsed().as_secs_f64();
+    let unlisted_after = stop_sent.elapsed().as_secs_f64();
     let answer = download
         .join()
         .expect("the caller's thread ends by itself")?;
-    let own = Payload::of_download("cups", 1).matches(0, &answer.body);
-    ensure(own && answer.body.len() == LESSON_BYTES, || {
+    let matches = Payload::of_download("cups", 1).matches(0, &answer.body);
+    ensure(matches && answer.body.len() == LESSON_BYTES, || {
         format!("{} and {} bytes", answer.status, answer.body.len())
     })?;
     let status = system.cluster.entries[0].wait_exit();
     ensure(status.success(), || format!("it ended with {status}"))?;
-    let gone = asked.elapsed().as_secs_f64();
+    let ended_after = stop_sent.elapsed().as_secs_f64();
     Ok(format!(
-        "out of look-ups after {unnamed:.3} s, the download whole, ended in order after {gap:.3} s",
-        gap = gone
+        "out of look-ups after {unlisted_after:.3} s, the download whole, ended in order after {gap:.3} s",
+        gap = ended_after
     ))
 }
 
-pub(crate) fn status(system: &mut System) -> Seen {
+pub(crate) fn status(system: &mut System) -> StepResult {
     let text = system.run(&["status"])?;
     let lines: Vec<_> = text
         .lines()
--- a/crates/testing/src/bin/demo/system.rs
+++ b/crates/testing/src/bin/demo/system.rs
@@ -12,7 +12,7 @@
 
 /// How long a step waits for what must come.
 const BOUND: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a step failed.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
         ensure(std::time::Instant::now() < deadline, || {
             format!("not within {BOUND:?}: {what}")
         })?;
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -103,19 +103,19 @@
     }
 
     /// Runs the command line as an operator would, and returns what it prints.
-    pub(crate) fn run(&self, words: &[&str]) -> Result<String, StepError> {
-        self.run_at(&self.cluster.operator_addrs(), words)
+    pub(crate) fn run(&self, args: &[&str]) -> Result<String, StepError> {
+        self.run_at(&self.cluster.operator_addrs(), args)
     }
 
     /// The same, towards these control replicas only.
     pub(crate) fn run_at(
         &self,
         controls: &[SocketAddr],
-        words: &[&str],
+        args: &[&str],
     ) -> Result<String, StepError> {
         let controls: Vec<_> = controls.iter().map(ToString::to_string).collect();
         let output = Command::new(&self.cluster.programs().cli)
-            .args(words)
+            .args(args)
             .args(["--as", "demo", "--timeout", "60"])
             .env("FILBERTHEAD_CONTROL", controls.join(","))
             .output()
@@ -123,7 +123,7 @@
         let text = |bytes| String::from_utf8_lossy(bytes).trim().to_owned();
         ensure(output.status.success(), || {
             let error = text(&output.stderr);
-            format!("filberthead {}: {error}", words.join(" "))
+            format!("filberthead {}: {error}", args.join(" "))
         })?;
         Ok(text(&output.stdout))
     }
@@ -135,7 +135,7 @@
         region: &str,
         weight: &str,
     ) -> Result<String, StepError> {
-        let words = [
+        let args = [
             "table",
             "set",
             service,
@@ -152,7 +152,7 @@
             "demo",
             "--wait",
         ];
-        self.run(&words)
+        self.run(&args)
     }
 
     pub(crate) fn look_up(&self, entry: SocketAddr, service: &str) -> Option<Lookup> {
--- a/crates/testing/src/cluster/builder.rs
+++ b/crates/testing/src/cluster/builder.rs
@@ -140,7 +140,7 @@
         cluster.platform.set(cluster.vms());
         cluster.controls = cluster.builder.controls(&cluster);
         cluster.entries = cluster.builder.entries(&cluster);
-        introduce(&mut cluster);
+        write_peer_addresses(&mut cluster);
         cluster
     }
 
@@ -209,7 +209,7 @@
         advertise(&mut node, "peers", "peer");
         advertise(&mut node, "operators", "operator");
         write_data(&mut node);
-        write_all(&mut node, &self.control_settings);
+        write_settings(&mut node, &self.control_settings);
         node
     }
 
@@ -248,13 +248,13 @@
         } else {
             write_endpoints(&mut node, &cluster.endpoints);
         }
-        write_all(&mut node, &self.entry_settings);
+        write_settings(&mut node, &self.entry_settings);
         node
     }
 }
 
 /// Writes the addresses that processes find each other by.
-fn introduce(cluster: &mut Cluster) {
+fn write_peer_addresses(cluster: &mut Cluster) {
     let replicas = peers_of(&cluster.controls);
     let seeds = peers_of(&cluster.entries);
     for node in cluster.controls.iter_mut().chain(&mut cluster.entries) {
@@ -328,7 +328,7 @@
     }
 }
 
-fn write_all(node: &mut Node, settings: &[Setting]) {
+fn write_settings(node: &mut Node, settings: &[Setting]) {
     for setting in settings {
         node.settings()
             .set(&setting.section, &setting.key, &setting.value);
--- a/crates/testing/src/cluster/ini.rs
+++ b/crates/testing/src/cluster/ini.rs
@@ -24,7 +24,7 @@
     /// Sets a key, replacing its earlier value.
     pub fn set(&mut self, section: &str, key: &str, value: impl fmt::Display) -> &mut Self {
         let section = self.section(section);
-        section.keys.retain(|known| known.name != key);
+        section.keys.retain(|existing| existing.name != key);
         section.keys.push(Key {
             name: key.to_owned(),
             value: value.to_string(),
@@ -38,7 +38,7 @@
     }
 
     fn section(&mut self, name: &str) -> &mut Section {
-        let place = self
+        let index = self
             .sections
             .iter()
             .position(|section| section.name == name)
@@ -49,7 +49,7 @@
                 });
                 self.sections.len() - 1
             });
-        &mut self.sections[place]
+        &mut self.sections[index]
     }
 }
 
--- a/crates/testing/src/eventually.rs
+++ b/crates/testing/src/eventually.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-const PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `probe` gives a value, and returns it.
 ///
@@ -18,7 +18,7 @@
             return value;
         }
         assert!(start.elapsed() < bound, "not within {bound:?}: {what}");
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/testing/src/operator.rs
+++ b/crates/testing/src/operator.rs
@@ -18,7 +18,7 @@
 pub const BOUND: Duration = Duration::from_secs(180);
 
 /// Longest time for one attempt.
-const ATTEMPT: Duration = Duration::from_secs(2);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What an operator knows after one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,7 +49,10 @@
 
     /// What a replica says of itself, unless it gives no answer.
     pub fn status_of(&self, addr: SocketAddr) -> Option<Status> {
-        let answer = Call::get("/v1/status").bound(ATTEMPT).send(addr).ok()?;
+        let answer = Call::get("/v1/status")
+            .bound(ATTEMPT_TIMEOUT)
+            .send(addr)
+            .ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
@@ -71,7 +74,7 @@
 
     /// Sends a change to one replica, once.
     pub fn attempt(&self, addr: SocketAddr, change: &ChangeBody) -> Attempt {
-        judge(self.post(addr, "/v1/changes", change))
+        classify(self.post(addr, "/v1/changes", change))
     }
 
     /// Sends a change, again and again, until its outcome is known.
@@ -85,7 +88,7 @@
         eventually("the outcome of a change", BOUND, || {
             match self.attempt(*addrs.next()?, change) {
                 Attempt::NotRun | Attempt::Unknown => None,
-                known => Some(known),
+                outcome => Some(outcome),
             }
         })
     }
@@ -110,9 +113,12 @@
 
     /// The table as one replica shows it, unless it refuses.
     pub fn table_of(&self, addr: SocketAddr) -> Option<TableBody> {
-        let answer = Call::get("/v1/table").bound(ATTEMPT).send(addr).ok()?;
-        let whole = answer.status.is_success();
-        whole.then(|| answer.json())
+        let answer = Call::get("/v1/table")
+            .bound(ATTEMPT_TIMEOUT)
+            .send(addr)
+            .ok()?;
+        let succeeded = answer.status.is_success();
+        succeeded.then(|| answer.json())
     }
 
     /// Waits for the table.
@@ -149,9 +155,9 @@
         let path = format!("/v1/history?limit=1000&before={before}");
         eventually("the history", BOUND, || {
             self.addrs.iter().find_map(|addr| {
-                let answer = Call::get(&path).bound(ATTEMPT).send(*addr).ok()?;
-                let whole = answer.status.is_success();
-                whole.then(|| answer.json())
+                let answer = Call::get(&path).bound(ATTEMPT_TIMEOUT).send(*addr).ok()?;
+                let succeeded = answer.status.is_success();
+                succeeded.then(|| answer.json())
             })
         })
     }
@@ -166,7 +172,7 @@
         let (first, others) = self.addrs.split_first().expect("one replica at least");
         let status = eventually("a status", BOUND, || self.status_of(*first));
         let body = ReplicaBody {
-            id: self.draw(),
+            id: self.new_id(),
             replica: status.replica,
         };
         eventually("the first replica", BOUND, || {
@@ -185,18 +191,18 @@
     pub fn add_replica(&self, addr: SocketAddr) {
         let status = eventually("a status", BOUND, || self.status_of(addr));
         let add = AddReplicaBody {
-            id: self.draw(),
+            id: self.new_id(),
             replica: status.replica,
             name: status.node,
             peer_addr: status.peer_addr,
             operator_addr: status.operator_addr,
         };
-        self.record("/v1/control/add", &add);
+        self.post_until_recorded("/v1/control/add", &add);
         let promote = ReplicaBody {
-            id: self.draw(),
+            id: self.new_id(),
             replica: status.replica,
         };
-        self.record("/v1/control/promote", &promote);
+        self.post_until_recorded("/v1/control/promote", &promote);
     }
 
     /// Drops a replica from the group.
@@ -206,13 +212,13 @@
     /// Panics if that takes too long.
     #[track_caller]
     pub fn remove_replica(&self, replica: filberthead_types::ReplicaId) {
-        let id = self.draw();
-        self.record("/v1/control/remove", &ReplicaBody { id, replica });
+        let id = self.new_id();
+        self.post_until_recorded("/v1/control/remove", &ReplicaBody { id, replica });
     }
 
     /// Sends an act to all replicas in turn until one has recorded it.
     #[track_caller]
-    fn record(&self, path: &str, body: &impl Serialize) {
+    fn post_until_recorded(&self, path: &str, body: &impl Serialize) {
         let mut addrs = self.addrs.iter().cycle();
         eventually(path, BOUND, || {
             let answer = self.post(*addrs.next()?, path, body).ok()?;
@@ -231,17 +237,17 @@
             .header("content-type", "application/json")
             .header(filberthead_operator::OPERATOR_HEADER, &self.name)
             .body(body)
-            .bound(ATTEMPT)
+            .bound(ATTEMPT_TIMEOUT)
             .send(addr)?;
         Ok(answer.json())
     }
 
-    fn draw(&self) -> ChangeId {
-        draw_change_id()
+    fn new_id(&self) -> ChangeId {
+        random_change_id()
     }
 }
 
-fn judge(answer: Result<Answer, CallError>) -> Attempt {
+fn classify(answer: Result<Answer, CallError>) -> Attempt {
     let answer = match answer {
         Ok(answer) => answer,
         Err(CallError::Connect(_)) => return Attempt::NotRun,
@@ -261,14 +267,14 @@
 }
 
 /// A change id that no other call gives.
-pub fn draw_change_id() -> ChangeId {
+pub fn random_change_id() -> ChangeId {
     use std::hash::{BuildHasher, Hasher};
-    let draw = || {
+    let random = || {
         std::collections::hash_map::RandomState::new()
             .build_hasher()
             .finish()
     };
-    ChangeId(u128::from(draw()) << 64 | u128::from(draw()))
+    ChangeId(u128::from(random()) << 64 | u128::from(random()))
 }
 
 /// A change that sets the weight of one row, as seen at `revision`.
@@ -295,7 +301,7 @@
 /// A change with these edits that takes all dangers.
 pub fn change_of(edits: Vec<EditBody>) -> ChangeBody {
     ChangeBody {
-        id: draw_change_id(),
+        id: random_change_id(),
         note: String::new(),
         edits,
         allow: Danger::ALL.iter().copied().collect(),
--- a/crates/testing/src/process.rs
+++ b/crates/testing/src/process.rs
@@ -15,7 +15,7 @@
 
 const READY_BOUND: Duration = Duration::from_secs(60);
 const EXIT_BOUND: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const SHOWN_LOG_LINES: usize = 60;
 
 /// A daemon as a process; it is killed when dropped.
@@ -86,12 +86,12 @@
         let lines = read_lines(stdout.expect("it was spawned and not waited for"));
         let deadline = Instant::now() + READY_BOUND;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Ok(line) = lines.recv_timeout(left) else {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(line) = lines.recv_timeout(remaining) else {
                 panic!("{} is not ready:\n{}", self.name, self.log_tail());
             };
-            if let Some(words) = line.strip_prefix("ready") {
-                self.addrs = parse_addrs(words);
+            if let Some(fields) = line.strip_prefix("ready") {
+                self.addrs = parse_addrs(fields);
                 return;
             }
         }
@@ -185,7 +185,7 @@
                 return status;
             }
             assert!(Instant::now() < deadline, "{} still runs", self.name);
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -217,8 +217,8 @@
         let stat = self.proc_file("stat");
         // The name in parentheses may hold spaces; the fields counted start after it.
         let (_, fields) = stat.rsplit_once(')').expect("a name in parentheses");
-        let ticks = |place| -> u64 {
-            let field = fields.split_whitespace().nth(place);
+        let ticks = |index| -> u64 {
+            let field = fields.split_whitespace().nth(index);
             field.and_then(|text| text.parse().ok()).expect("a number")
         };
         const USER: usize = 11;
@@ -292,8 +292,8 @@
     rx
 }
 
-fn parse_addrs(words: &str) -> BTreeMap<String, SocketAddr> {
-    words
+fn parse_addrs(fields: &str) -> BTreeMap<String, SocketAddr> {
+    fields
         .split_whitespace()
         .filter_map(|word| word.split_once('='))
         .filter_map(|(key, addr)| Some((key.to_owned(), addr.parse().ok()?)))
--- a/crates/testing/src/proxy/link.rs
+++ b/crates/testing/src/proxy/link.rs
@@ -71,7 +71,7 @@
 }
 
 /// Carries a connection until both directions have ended or it is cut.
-pub(super) async fn carry(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
+pub(super) async fn forward(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
     let cuts = rules.borrow().cuts;
     let refused = rules.borrow().refuse;
     reset_on_drop(&client);
@@ -92,7 +92,7 @@
 async fn relay(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
     let silences = rules.borrow().silences;
     let gate = Gate {
-        client: name_of(&client, owners).await,
+        client: client_name(&client, owners).await,
         silences,
         rules,
         direction: Direction::ToServer,
@@ -105,20 +105,20 @@
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     reset_on_drop(&server);
-    let back = Gate {
+    let return_gate = Gate {
         direction: Direction::ToClient,
         ..gate.clone()
     };
     let (client_rx, client_tx) = client.into_split();
     let (server_rx, server_tx) = server.into_split();
-    let to_server = direction(client_rx, server_tx, gate);
-    let to_client = direction(server_rx, client_tx, back);
-    both(to_server, to_client).await;
+    let to_server = relay_direction(client_rx, server_tx, gate);
+    let to_client = relay_direction(server_rx, client_tx, return_gate);
+    run_both(to_server, to_client).await;
 }
 
 /// The connecting process, if the proxy belongs to a network that tells them apart.
-async fn name_of(client: &TcpStream, owners: Owners) -> Option<Arc<str>> {
-    if !owners.tracks() {
+async fn client_name(client: &TcpStream, owners: Owners) -> Option<Arc<str>> {
+    if !owners.has_any() {
         return None;
     }
     let (peer, local) = (client.peer_addr().ok()?, client.local_addr().ok()?);
@@ -133,7 +133,7 @@
 }
 
 /// Waits for both directions; a reset in either ends both at once.
-async fn both(
+async fn run_both(
     to_server: impl Future<Output = (End, OwnedWriteHalf)>,
     to_client: impl Future<Output = (End, OwnedWriteHalf)>,
 ) {
@@ -151,18 +151,18 @@
         },
     };
     if second.0 != End::Reset {
-        end_in_order(&first.1);
-        end_in_order(&second.1);
+        clear_reset_on_drop(&first.1);
+        clear_reset_on_drop(&second.1);
     }
 }
 
 /// Takes back [`reset_on_drop`], which would throw away bytes not yet delivered.
-fn end_in_order(half: &OwnedWriteHalf) {
+fn clear_reset_on_drop(half: &OwnedWriteHalf) {
     // Fails only for a connection that has ended already.
     let _ = socket2::SockRef::from(half.as_ref()).set_linger(None);
 }
 
-async fn direction(
+async fn relay_direction(
     from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     gate: Gate,
--- a/crates/testing/src/proxy/mod.rs
+++ b/crates/testing/src/proxy/mod.rs
@@ -230,7 +230,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        tokio::spawn(link::carry(client, rules.subscribe(), owners.clone()));
+        tokio::spawn(link::forward(client, rules.subscribe(), owners.clone()));
     }
 }
 
--- a/crates/testing/src/proxy/network.rs
+++ b/crates/testing/src/proxy/network.rs
@@ -87,7 +87,7 @@
     fn update(&self, change: impl FnOnce(&mut Shared)) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut shared);
-        shared.tell_proxies();
+        shared.update_proxies();
     }
 }
 
@@ -96,7 +96,7 @@
         self.links.insert((from.to_owned(), to.to_owned()), flow);
     }
 
-    fn tell_proxies(&self) {
+    fn update_proxies(&self) {
         for (server, rules) in &self.proxies {
             let links = self.links_to(server);
             rules.send_modify(|rules| rules.links = links);
--- a/crates/testing/src/proxy/owner.rs
+++ b/crates/testing/src/proxy/owner.rs
@@ -24,13 +24,13 @@
     /// Names a process; a later process of the same name takes the place of the first.
     pub(crate) fn register(&self, name: &str, pid: u32) {
         let mut processes = self.lock();
-        processes.retain(|known| known.name.as_ref() != name);
+        processes.retain(|owner| owner.name.as_ref() != name);
         let name = name.into();
         processes.push(Owner { pid, name });
     }
 
     /// Whether any process can be told.
-    pub(crate) fn tracks(&self) -> bool {
+    pub(crate) fn has_any(&self) -> bool {
         !self.lock().is_empty()
     }
 
@@ -38,7 +38,9 @@
     pub(crate) fn find(&self, client: SocketAddr, proxy: SocketAddr) -> Option<Arc<str>> {
         let link = format!("socket:[{}]", inode(client, proxy)?);
         let processes = self.lock();
-        let owner = processes.iter().find(|owner| holds(owner.pid, &link))?;
+        let owner = processes
+            .iter()
+            .find(|owner| has_open_file(owner.pid, &link))?;
         Some(Arc::clone(&owner.name))
     }
 
@@ -49,7 +51,7 @@
     }
 }
 
-fn holds(pid: u32, link: &str) -> bool {
+fn has_open_file(pid: u32, link: &str) -> bool {
     let Ok(files) = fs::read_dir(format!("/proc/{pid}/fd")) else {
         return false;
     };
@@ -65,17 +67,17 @@
 const INODE: usize = 9;
 
 fn inode(local: SocketAddr, remote: SocketAddr) -> Option<String> {
-    let (local, remote) = (as_in_table(local)?, as_in_table(remote)?);
+    let (local, remote) = (proc_net_format(local)?, proc_net_format(remote)?);
     let table = fs::read_to_string("/proc/net/tcp").ok()?;
     table.lines().skip(1).find_map(|line| {
         let columns: Vec<_> = line.split_whitespace().collect();
-        let same = columns.get(LOCAL) == Some(&local.as_str())
+        let matches = columns.get(LOCAL) == Some(&local.as_str())
             && columns.get(REMOTE) == Some(&remote.as_str());
-        same.then(|| columns.get(INODE).map(|&inode| inode.to_owned()))?
+        matches.then(|| columns.get(INODE).map(|&inode| inode.to_owned()))?
     })
 }
 
-fn as_in_table(addr: SocketAddr) -> Option<String> {
+fn proc_net_format(addr: SocketAddr) -> Option<String> {
     let SocketAddr::V4(v4) = addr else {
         return None;
     };
--- a/crates/testing/src/record.rs
+++ b/crates/testing/src/record.rs
@@ -32,8 +32,8 @@
     pub fn record(&self, id: ChangeId, attempt: &Attempt) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         match attempt {
-            Attempt::Accepted(version) => shared.accepted(id, *version),
-            Attempt::Refused(answer) => shared.refused(id, answer.code),
+            Attempt::Accepted(version) => shared.record_accepted(id, *version),
+            Attempt::Refused(answer) => shared.record_refused(id, answer.code),
             Attempt::NotRun | Attempt::Unknown => {}
         }
     }
@@ -77,7 +77,7 @@
 }
 
 impl Shared {
-    fn accepted(&mut self, id: ChangeId, version: Version) {
+    fn record_accepted(&mut self, id: ChangeId, version: Version) {
         if let Some(code) = self.refused.get(&id) {
             let text = format!("change {id}: told {code}, then accepted as {version}");
             self.violations.push(text);
@@ -89,7 +89,7 @@
         }
     }
 
-    fn refused(&mut self, id: ChangeId, code: ResultCode) {
+    fn record_refused(&mut self, id: ChangeId, code: ResultCode) {
         if let Some(version) = self.accepted.get(&id) {
             let text = format!("change {id}: told accepted as {version}, then {code}");
             self.violations.push(text);
@@ -100,8 +100,8 @@
     fn check_accepted(&self, accepted: &[&RecordBody]) -> Vec<String> {
         let mut violations = Vec::new();
         for (id, version) in &self.accepted {
-            let stands = accepted.iter().filter(|record| record.id == *id);
-            let versions: Vec<_> = stands.filter_map(|record| record.version).collect();
+            let records = accepted.iter().filter(|record| record.id == *id);
+            let versions: Vec<_> = records.filter_map(|record| record.version).collect();
             if versions != [*version] {
                 violations.push(format!(
                     "change {id}: told accepted as {version}, in the history as {versions:?}"
@@ -112,9 +112,10 @@
     }
 
     fn check_refused(&self, accepted: &[&RecordBody]) -> Vec<String> {
-        let stands = |id: &ChangeId| accepted.iter().any(|record| record.id == *id);
-        let lies = self.refused.iter().filter(|(id, _)| stands(id));
-        lies.map(|(id, code)| format!("change {id}: told {code}, yet it was accepted"))
+        let was_accepted = |id: &ChangeId| accepted.iter().any(|record| record.id == *id);
+        let contradicted = self.refused.iter().filter(|(id, _)| was_accepted(id));
+        contradicted
+            .map(|(id, code)| format!("change {id}: told {code}, yet it was accepted"))
             .collect()
     }
 }
@@ -123,9 +124,9 @@
 fn check_versions(accepted: &[&RecordBody], newest: Version) -> Vec<String> {
     let mut violations = Vec::new();
     let versions = accepted.iter().filter_map(|record| record.version);
-    for (place, version) in versions.enumerate() {
-        if version.0 != place as u64 + 1 {
-            violations.push(format!("version {version} stands in place {}", place + 1));
+    for (index, version) in versions.enumerate() {
+        if version.0 != index as u64 + 1 {
+            violations.push(format!("version {version} stands in place {}", index + 1));
         }
     }
     if (accepted.len() as u64) < newest.0 {
@@ -145,8 +146,8 @@
 /// The rows are what the accepted changes up to the table's version make of nothing.
 fn check_rows(table: &TableBody, accepted: &[&RecordBody]) -> Vec<String> {
     let mut rows: BTreeMap<RowKey, RowValues> = BTreeMap::new();
-    let made = accepted.iter().filter(|r| r.version <= Some(table.version));
-    for difference in made.flat_map(|record| &record.differences) {
+    let applied = accepted.iter().filter(|r| r.version <= Some(table.version));
+    for difference in applied.flat_map(|record| &record.differences) {
         let key = RowKey {
             service: difference.service.clone(),
             region: difference.region.clone(),
--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -22,11 +22,11 @@
 type SiteBody = Either<Full<Bytes>, AnswerBody>;
 
 /// Length of an answer that is to break off, unless the request names one.
-const CUT_BYTES: u64 = 100;
+const DEFAULT_TRUNCATED_BYTES: u64 = 100;
 
 /// Lines of a request's head that it reads, far above what hyper reads by itself, so that
 /// what a gateway lets pass isn't refused here.
-const MAX_LINES: usize = 1024;
+const MAX_HEADERS: usize = 1024;
 
 /// How an endpoint answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -65,8 +65,8 @@
 struct State {
     id: String,
     /// Unix millisecond of its start.
-    born: u64,
-    shown_at: Option<SocketAddr>,
+    started_ms: u64,
+    proxy_addr: Option<SocketAddr>,
     behaviour: Behaviour,
     run_time: Duration,
     draining: bool,
@@ -104,7 +104,7 @@
             domain: domain.to_owned(),
             state: Arc::new(Mutex::new(State {
                 id: id.to_owned(),
-                born: next_start(0),
+                started_ms: next_start(0),
                 ..State::default()
             })),
             closed: Arc::new(Notify::new()),
@@ -119,9 +119,9 @@
         let state = self.lock();
         Line {
             id: state.id.clone(),
-            born: state.born,
+            born: state.started_ms,
             service: self.service.clone(),
-            address: state.shown_at.unwrap_or(self.addr),
+            address: state.proxy_addr.unwrap_or(self.addr),
             zone: self.domain.clone(),
             version: "v1".to_owned(),
             slots: 3,
@@ -154,7 +154,7 @@
     pub fn replace_instance(&self, id: &str) {
         let mut state = self.lock();
         state.id = id.to_owned();
-        state.born = next_start(state.born);
+        state.started_ms = next_start(state.started_ms);
     }
 
     /// Begins anew under the identity that it had: requests break off, it is to stay, and is
@@ -192,8 +192,8 @@
     }
 
     /// Has the list name this address, that of a proxy before the endpoint.
-    pub(super) fn show_at(&self, addr: SocketAddr) {
-        self.lock().shown_at = Some(addr);
+    pub(super) fn set_proxy_addr(&self, addr: SocketAddr) {
+        self.lock().proxy_addr = Some(addr);
     }
 
     /// Where it listens itself.
@@ -246,7 +246,7 @@
             let restarted = Arc::clone(&endpoint.restarted);
             let service = service_fn(move |req| handle(endpoint.clone(), req));
             let served = http1::Builder::new()
-                .max_headers(MAX_LINES)
+                .max_headers(MAX_HEADERS)
                 .serve_connection(TokioIo::new(stream), service);
             // An error is how a behaviour closes the connection.
             tokio::select! {
@@ -281,7 +281,7 @@
     };
     let id = text(&head.headers, "x-request-id");
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (own, behaviour, run_time) = {
+    let (instance_id, behaviour, run_time) = {
         let state = endpoint.lock();
         (state.id.clone(), state.behaviour, state.run_time)
     };
@@ -289,7 +289,7 @@
         Response::builder()
             .status(status)
             .header("x-request-id", &id)
-            .header("x-instance-id", &own)
+            .header("x-instance-id", &instance_id)
             .header("x-server-load", "0,0,3")
             .body(body)
             .map_err(io::Error::other)
@@ -299,7 +299,7 @@
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return Ok(answer);
     }
-    if text(&head.headers, "x-target-instance") != own {
+    if text(&head.headers, "x-target-instance") != instance_id {
         return answer(StatusCode::MISDIRECTED_REQUEST, short(Bytes::new()));
     }
     if behaviour == Behaviour::Sheds {
@@ -315,8 +315,8 @@
             id: id.clone(),
             request_line: format!("{} {}", head.method, head.uri),
         });
-        let left = text(&head.headers, "x-deadline-ms").parse::<u64>();
-        state.deadlines.extend(left);
+        let deadline_ms = text(&head.headers, "x-deadline-ms").parse::<u64>();
+        state.deadlines.extend(deadline_ms);
     }
     let mut running = Running {
         endpoint: endpoint.clone(),
@@ -333,12 +333,12 @@
         _ => {}
     }
     running.done = true;
-    let whole = whole_answer(&head, &body, behaviour);
+    let body = answer_body(&head, &body, behaviour);
     let status = match behaviour {
         Behaviour::Fails => StatusCode::INTERNAL_SERVER_ERROR,
         _ => StatusCode::OK,
     };
-    let mut answer = answer(status, whole)?;
+    let mut answer = answer(status, body)?;
     let headers = answer.headers_mut();
     headers.insert(
         "x-response-signature",
@@ -356,13 +356,13 @@
 }
 
 /// As many bytes as the query `bytes=N` names, or a text that names the request.
-fn whole_answer(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
+fn answer_body(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
     let (method, uri) = (head.method.as_str(), head.uri.to_string());
-    let bytes = named_bytes(&uri);
+    let bytes = requested_bytes(&uri);
     if bytes.is_none() && behaviour != Behaviour::Truncates {
         return short(Bytes::from(format!("{method} {uri} {}", body.len())));
     }
-    let bytes = bytes.unwrap_or(CUT_BYTES);
+    let bytes = bytes.unwrap_or(DEFAULT_TRUNCATED_BYTES);
     let payload = Payload::of_answer(method, &uri, body);
     let cut = (behaviour == Behaviour::Truncates).then_some(bytes / 2);
     let pace = match behaviour {
@@ -373,13 +373,13 @@
     Either::Right(body)
 }
 
-fn named_bytes(uri: &str) -> Option<u64> {
+fn requested_bytes(uri: &str) -> Option<u64> {
     uri.split_once("?bytes=")?.1.parse().ok()
 }
 
 /// Whether this is the whole answer to a request.
 pub fn is_answer(method: &str, path: &str, body: &[u8], answer: &[u8]) -> bool {
-    match named_bytes(path) {
+    match requested_bytes(path) {
         Some(bytes) => {
             answer.len() as u64 == bytes
                 && Payload::of_answer(method, path, body).matches(0, answer)
--- a/crates/testing/src/site/list.rs
+++ b/crates/testing/src/site/list.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 
 /// Lines on a page: few, so that tests turn pages.
-const PAGE: usize = 2;
+const PAGE_SIZE: usize = 2;
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -143,11 +143,11 @@
     state.domains_read.extend(domain.clone());
     let of_domain = |line: &&Line| domain.as_ref().is_none_or(|domain| line.zone == *domain);
     let lines: Vec<_> = state.lines.iter().filter(of_domain).collect();
-    let page = lines.iter().skip(from).take(PAGE);
+    let page = lines.iter().skip(from).take(PAGE_SIZE);
     let mut page: Vec<_> = page.map(json).collect();
-    let behind = page.len().min(1);
-    page.splice(behind..behind, state.foreign.iter().cloned());
-    let next = from + PAGE;
+    let insert_at = page.len().min(1);
+    page.splice(insert_at..insert_at, state.foreign.iter().cloned());
+    let next = from + PAGE_SIZE;
     let token = (next < lines.len()).then(|| next.to_string());
     let body = [
         b"{\"instances\":[",
--- a/crates/testing/src/site/mod.rs
+++ b/crates/testing/src/site/mod.rs
@@ -143,7 +143,7 @@
         let endpoint = &self.endpoints[number];
         let proxy = self.network.proxy(&endpoint.id());
         proxy.retarget(endpoint.addr());
-        endpoint.show_at(proxy.addr());
+        endpoint.set_proxy_addr(proxy.addr());
         self.links.insert(number, proxy);
         self.show_endpoints();
         number
@@ -156,8 +156,8 @@
 
     /// Puts all endpoints on the list that aren't gone.
     pub fn show_endpoints(&self) {
-        let there = self.endpoints.iter().filter(|e| !e.is_gone());
-        self.list.set(there.map(SiteEndpoint::line).collect());
+        let listed = self.endpoints.iter().filter(|e| !e.is_gone());
+        self.list.set(listed.map(SiteEndpoint::line).collect());
     }
 
     /// Sends an operator's call to each replica in turn, until one answers other than that
