--- a/crates/testing/src/client.rs
+++ b/crates/testing/src/client.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client for tests and the demonstration: blocking, one connection a request.
+//! A small HTTP client for tests and the demonstration. [`Call::send`] blocks and opens a
+//! connection for each request; [`Connection`] reuses one.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,7 +19,7 @@
 
 const DEFAULT_BOUND: Duration = Duration::from_secs(30);
 
-/// A request to be sent, any number of times.
+/// A request that can be sent any number of times.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -29,11 +30,11 @@
 }
 
 impl Call {
-    /// A request with this method and path.
+    /// A request with this method and path, and no headers or body.
     ///
     /// # Panics
     ///
-    /// Panics if `method` is no HTTP method.
+    /// Panics if `method` isn't a valid HTTP method.
     pub fn new(method: &str, path: &str) -> Self {
         Self {
             method: method.parse().expect("an HTTP method"),
@@ -44,12 +45,12 @@
         }
     }
 
-    /// A `GET`.
+    /// A `GET` request.
     pub fn get(path: &str) -> Self {
         Self::new("GET", path)
     }
 
-    /// A `POST` with an idempotency key.
+    /// A `POST` request with an idempotency key.
     pub fn post(path: &str, key: &str, body: impl Into<Bytes>) -> Self {
         Self::new("POST", path)
             .header("idempotency-key", key)
@@ -70,27 +71,27 @@
         self
     }
 
-    /// How long the caller waits for the whole answer. Default 30 s.
+    /// Sets the timeout for the complete answer. Default 30 s.
     #[must_use]
     pub fn bound(mut self, bound: Duration) -> Self {
         self.bound = bound;
         self
     }
 
-    /// Sends the request over a connection of its own and waits for the whole answer.
+    /// Sends the request over a new connection and waits for the complete answer.
     ///
     /// # Errors
     ///
-    /// Tells at which stage the request failed.
+    /// The error names the stage at which the request failed.
     pub fn send(&self, to: SocketAddr) -> Result<Answer, CallError> {
         runtime::wait(self.clone().send_async(to))
     }
 
-    /// Like [`send`](Self::send), within a runtime.
+    /// Like [`send`](Self::send), for asynchronous callers.
     ///
     /// # Errors
     ///
-    /// Tells at which stage the request failed.
+    /// The error names the stage at which the request failed.
     pub async fn send_async(self, to: SocketAddr) -> Result<Answer, CallError> {
         let bound = self.bound;
         tokio::time::timeout(bound, self.exchange(to))
@@ -98,12 +99,12 @@
             .unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Sends the request to one address after the other, round and round, until an
-    /// answer comes that isn't "not run". Gives up after `tries`.
+    /// Sends the request to the addresses in rotation until an answer says something other
+    /// than "not run". Stops after `tries` attempts.
     ///
     /// # Errors
     ///
-    /// Returns the last failure.
+    /// Returns the last attempt's failure.
     pub fn resend(&self, to: &[SocketAddr], tries: usize) -> Result<Answer, CallError> {
         let mut last = Err(CallError::TimedOut);
         for &addr in to.iter().cycle().take(tries) {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A connection that carries one request after the other.
+/// A connection that is reused for one request after another.
 #[derive(Debug)]
 pub struct Connection {
     addr: SocketAddr,
@@ -146,11 +147,11 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to `addr`.
     ///
     /// # Errors
     ///
-    /// Fails if no connection can be made.
+    /// Fails if the connection or the HTTP handshake fails.
     pub async fn open(addr: SocketAddr) -> Result<Self, CallError> {
         let stream = TcpStream::connect(addr).await.map_err(failed_connect)?;
         let _ = stream.set_nodelay(true);
@@ -161,11 +162,11 @@
         Ok(Self { addr, tx, driver })
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete answer, without a timeout.
     ///
     /// # Errors
     ///
-    /// Tells at which stage the request failed.
+    /// The error names the stage at which the request failed.
     pub async fn send(&mut self, call: &Call) -> Result<Answer, CallError> {
         self.tx.ready().await.map_err(failed_send)?;
         let answer = self.tx.send_request(call.request(self.addr)).await;
@@ -208,21 +209,21 @@
     })
 }
 
-/// Why a request has no whole answer.
+/// Why a request got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection could be made.
+    /// The connection could not be opened.
     Connect(String),
-    /// The connection ended before an answer began.
+    /// The connection failed before an answer began.
     NoAnswer(String),
-    /// The connection ended in the middle of the answer.
+    /// The connection ended in the middle of the answer's body.
     Cut {
         /// Status of the answer.
         status: StatusCode,
-        /// What came of its body.
+        /// The part of the body that was received.
         got: Bytes,
     },
-    /// The caller's bound passed.
+    /// The request's timeout passed.
     TimedOut,
 }
 
@@ -241,7 +242,7 @@
 
 impl std::error::Error for CallError {}
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Its status.
@@ -264,7 +265,7 @@
         self.header("filberthead-result").parse().ok()
     }
 
-    /// Whether the answer says that the request truly did not run.
+    /// Whether the answer says that the request did not run.
     pub fn is_not_run(&self) -> bool {
         self.header("filberthead-meaning") == "not-run"
     }
@@ -273,7 +274,7 @@
     ///
     /// # Panics
     ///
-    /// Panics, showing the body, if it is something else.
+    /// Panics with the body if it isn't valid JSON for `T`.
     #[track_caller]
     pub fn json<T: DeserializeOwned>(&self) -> T {
         match serde_json::from_slice(&self.body) {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// The body as text.
+    /// The body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
--- a/crates/testing/src/eventually.rs
+++ b/crates/testing/src/eventually.rs
@@ -1,15 +1,15 @@
-//! Waiting on conditions.
+//! Polling for conditions with a bound.
 
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `probe` gives a value, and returns it.
+/// Polls `probe` until it returns a value, and returns that value.
 ///
 /// # Panics
 ///
-/// Panics with `what` if there is none within `bound`. The bound only ends a test that
-/// would hang: it is to be generous, and no test is to assert on the time taken.
+/// Panics with `what` if there is none within `bound`. The bound only ends a test that would
+/// otherwise hang: choose it generously, and don't assert on the time taken.
 #[track_caller]
 pub fn eventually<T>(what: &str, bound: Duration, mut probe: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
@@ -22,7 +22,7 @@
     }
 }
 
-/// Waits until `condition` holds.
+/// Polls until `condition` holds.
 ///
 /// # Panics
 ///
--- a/crates/testing/src/lib.rs
+++ b/crates/testing/src/lib.rs
@@ -1,13 +1,14 @@
-//! What tests need around the real processes.
+//! Harness for system tests with real processes.
 //!
-//! The system is proved by its own daemons as real processes; all that they talk to is
-//! small and stands in this process: [`standin`] for endpoints, [`platform`] for the
-//! list of VMs, and between all of them [`proxy`], which injects the faults of networks.
-//! [`process`] starts, kills and suspends daemons, [`cluster`] puts a whole system
-//! together, and [`client`] speaks for callers and operators.
+//! The daemons under test run as separate processes. Everything they talk to runs inside
+//! the test process: [`standin`] replaces endpoints, [`platform`] replaces the list of VMs,
+//! and [`proxy`] injects network faults on the connections between them. [`process`] starts,
+//! kills and suspends daemons, [`cluster`] builds a system of control replicas and entries,
+//! [`site`] one of control replicas and gateways, and [`client`] and [`operator`] send
+//! requests. [`soak`] runs randomised faults against a site.
 //!
-//! Two rules keep verdicts the same every run: whatever listens is bound to port 0, and
-//! whatever is waited for is a condition with a generous bound ([`eventually`]).
+//! Two rules keep test results reproducible: every listener binds to port 0, and every wait
+//! is for a condition with a generous bound ([`eventually`]).
 
 pub mod client;
 pub mod cluster;
--- a/crates/testing/src/operator.rs
+++ b/crates/testing/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's desk in a test: changes, status and the group of control replicas.
+//! A client of the administration API: changes, status and membership of the control group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 use crate::client::{Call, CallError};
 use crate::eventually;
 
-/// Bound on what takes an election or two, on a machine that does much else.
+/// Bound for operations that may wait for one or two elections on a busy machine.
 pub const BOUND: Duration = Duration::from_secs(180);
 
-/// Longest time for one attempt.
+/// Timeout of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an operator knows after one attempt.
+/// Outcome of one attempt to make a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// The change is accepted.
+    /// The change was accepted and gave the table this version.
     Accepted(Version),
-    /// The table has decided against it, and will say the same to a resend.
+    /// The change was refused; a resend gets the same answer.
     Refused(Box<Answer>),
-    /// This attempt did not take effect and never will; another may.
+    /// This attempt did not and will not take effect; another attempt may.
     NotRun,
-    /// The attempt may have taken effect, or may yet.
+    /// The attempt may have taken effect, or may still do so.
     Unknown,
 }
 
-/// Somebody with the addresses of all control replicas.
+/// An operator with a name and the addresses of all control replicas.
 #[derive(Clone, Debug)]
 pub struct Operator {
     addrs: Vec<SocketAddr>,
@@ -41,13 +41,13 @@
 }
 
 impl Operator {
-    /// An operator of that name.
+    /// An operator with this name, which is sent with each call.
     pub fn new(name: &str, addrs: Vec<SocketAddr>) -> Self {
         let name = name.to_owned();
         Self { addrs, name }
     }
 
-    /// What a replica says of itself, unless it gives no answer.
+    /// Status of one replica; `None` if it doesn't answer.
     pub fn status_of(&self, addr: SocketAddr) -> Option<Status> {
         let answer = Call::get("/v1/status")
             .bound(ATTEMPT_TIMEOUT)
@@ -56,13 +56,13 @@
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// Status of the replica that holds the lease, if one says so.
+    /// Status of the replica that reports that it holds the lease, if one does.
     pub fn leader(&self) -> Option<Status> {
         let statuses = self.addrs.iter().filter_map(|addr| self.status_of(*addr));
         statuses.into_iter().find(|status| status.holds_lease)
     }
 
-    /// Waits for a leader.
+    /// Waits for a leader that holds the lease.
     ///
     /// # Panics
     ///
@@ -77,11 +77,11 @@
         classify(self.post(addr, "/v1/changes", change))
     }
 
-    /// Sends a change, again and again, until its outcome is known.
+    /// Sends a change to the replicas in rotation until it is accepted or refused.
     ///
     /// # Panics
     ///
-    /// Panics if none is known in time.
+    /// Panics if that takes longer than [`BOUND`].
     #[track_caller]
     pub fn change(&self, change: &ChangeBody) -> Attempt {
         let mut addrs = self.addrs.iter().cycle();
@@ -93,11 +93,11 @@
         })
     }
 
-    /// Like [`change`](Self::change), and the change must be accepted.
+    /// Like [`change`](Self::change) for a change that must be accepted.
     ///
     /// # Panics
     ///
-    /// Panics if it is refused or its outcome isn't known in time.
+    /// Panics if it is refused or its outcome isn't known within [`BOUND`].
     #[track_caller]
     pub fn accept(&self, change: &ChangeBody) -> Version {
         match self.change(change) {
@@ -106,12 +106,12 @@
         }
     }
 
-    /// The table as a leader proves it.
+    /// The table from the first replica that returns it.
     pub fn try_table(&self) -> Option<TableBody> {
         self.addrs.iter().find_map(|addr| self.table_of(*addr))
     }
 
-    /// The table as one replica shows it, unless it refuses.
+    /// The table from one replica; `None` if it refuses or doesn't answer.
     pub fn table_of(&self, addr: SocketAddr) -> Option<TableBody> {
         let answer = Call::get("/v1/table")
             .bound(ATTEMPT_TIMEOUT)
@@ -121,21 +121,21 @@
         succeeded.then(|| answer.json())
     }
 
-    /// Waits for the table.
+    /// Waits until a replica returns the table.
     ///
     /// # Panics
     ///
-    /// Panics if no replica shows it in time.
+    /// Panics if none does within [`BOUND`].
     #[track_caller]
     pub fn table(&self) -> TableBody {
         eventually("the table", BOUND, || self.try_table())
     }
 
-    /// All records that are kept, the oldest first.
+    /// All retained history records, the oldest first.
     ///
     /// # Panics
     ///
-    /// Panics if no replica shows them in time.
+    /// Panics if no replica returns them within [`BOUND`].
     #[track_caller]
     pub fn history(&self) -> Vec<RecordBody> {
         let mut records: Vec<RecordBody> = Vec::new();
@@ -162,11 +162,11 @@
         })
     }
 
-    /// Makes one group of all replicas, the first one leading it at the start.
+    /// Initialises a group with the first replica and adds the others to it.
     ///
     /// # Panics
     ///
-    /// Panics if that takes too long for a step.
+    /// Panics if a step takes longer than [`BOUND`].
     #[track_caller]
     pub fn initialise(&self) {
         let (first, others) = self.addrs.split_first().expect("one replica at least");
@@ -182,11 +182,11 @@
         others.iter().for_each(|addr| self.add_replica(*addr));
     }
 
-    /// Adds the replica that serves at `addr` to the group, and waits until it votes.
+    /// Adds the replica at `addr` to the group and promotes it to a voter.
     ///
     /// # Panics
     ///
-    /// Panics if that takes too long for a step.
+    /// Panics if a step takes longer than [`BOUND`].
     #[track_caller]
     pub fn add_replica(&self, addr: SocketAddr) {
         let status = eventually("a status", BOUND, || self.status_of(addr));
@@ -205,18 +205,18 @@
         self.post_until_recorded("/v1/control/promote", &promote);
     }
 
-    /// Drops a replica from the group.
+    /// Removes a replica from the group.
     ///
     /// # Panics
     ///
-    /// Panics if that takes too long.
+    /// Panics if that takes longer than [`BOUND`].
     #[track_caller]
     pub fn remove_replica(&self, replica: filberthead_types::ReplicaId) {
         let id = self.new_id();
         self.post_until_recorded("/v1/control/remove", &ReplicaBody { id, replica });
     }
 
-    /// Sends an act to all replicas in turn until one has recorded it.
+    /// Sends a membership change to the replicas in rotation until one has recorded it.
     #[track_caller]
     fn post_until_recorded(&self, path: &str, body: &impl Serialize) {
         let mut addrs = self.addrs.iter().cycle();
@@ -266,7 +266,7 @@
     }
 }
 
-/// A change id that no other call gives.
+/// A random change id.
 pub fn random_change_id() -> ChangeId {
     use std::hash::{BuildHasher, Hasher};
     let random = || {
@@ -277,11 +277,11 @@
     ChangeId(u128::from(random()) << 64 | u128::from(random()))
 }
 
-/// A change that sets the weight of one row, as seen at `revision`.
+/// A change that sets the weight of one row and expects the row to be at `revision`.
 ///
 /// # Panics
 ///
-/// Panics if `service` or `region` is no valid name.
+/// Panics if `service` or `region` isn't a valid name.
 pub fn set_weight(service: &str, region: &str, revision: Revision, weight: u32) -> ChangeBody {
     let edit = EditBody {
         service: service.parse().expect("a valid service"),
@@ -298,7 +298,7 @@
     change_of(vec![edit])
 }
 
-/// A change with these edits that takes all dangers.
+/// A change with these edits that allows every kind of danger.
 pub fn change_of(edits: Vec<EditBody>) -> ChangeBody {
     ChangeBody {
         id: random_change_id(),
--- a/crates/testing/src/platform.rs
+++ b/crates/testing/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of live and leaving VMs.
+//! A stand-in for the platform's list of VMs, which entries poll.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// What a VM of the list is.
+/// What runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -27,14 +27,14 @@
     Entry,
 }
 
-/// Whether a VM of the list is to stay.
+/// Whether a VM stays in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It is there to stay.
+    /// It stays in service.
     Live,
-    /// It is about to go.
+    /// It is about to be removed.
     Leaving,
 }
 
@@ -44,9 +44,9 @@
 pub struct Vm {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// What runs on it.
     pub kind: VmKind,
-    /// Service that it runs; empty for an entry.
+    /// Its service; empty for an entry.
     pub service: String,
     /// Its region.
     pub region: String,
@@ -54,18 +54,18 @@
     pub failure_domain: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Requests that it runs at the same time.
+    /// Requests that it can run concurrently.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Limit on open connections.
     pub connections: u32,
-    /// Whether it is to stay.
+    /// Whether it stays in service.
     pub state: VmState,
 }
 
 #[derive(Debug, Default)]
 struct State {
     shown: Vec<Vm>,
-    /// Lists that aren't shown yet, in the order of the moments at which they will be.
+    /// Lists that aren't shown yet, sorted by the time at which each will be.
     pending: Vec<(Instant, Vec<Vm>)>,
     lag: Duration,
     fails: bool,
@@ -81,7 +81,7 @@
     }
 }
 
-/// A server of the list; it ends when dropped.
+/// An HTTP server of the list; it stops when dropped.
 #[derive(Debug)]
 pub struct PlatformList {
     addr: SocketAddr,
@@ -116,12 +116,12 @@
         self.addr
     }
 
-    /// How much later each further list is shown. None at the start.
+    /// Sets the delay with which later calls of [`set`](Self::set) take effect. Initially zero.
     pub fn lag(&self, lag: Duration) {
         lock(&self.state).lag = lag;
     }
 
-    /// Replaces the list, after the lag.
+    /// Replaces the list once the [lag](Self::lag) has passed.
     pub fn set(&self, vms: Vec<Vm>) {
         let mut state = lock(&self.state);
         let due = Instant::now() + state.lag;
@@ -129,7 +129,7 @@
         state.pending.sort_by_key(|(at, _)| *at);
     }
 
-    /// Whether it answers 500 in place of the list.
+    /// Sets whether it answers 500 instead of the list.
     pub fn fail(&self, fails: bool) {
         lock(&self.state).fails = fails;
     }
--- a/crates/testing/src/port.rs
+++ b/crates/testing/src/port.rs
@@ -6,8 +6,8 @@
 
 const BACKLOG: i32 = 128;
 
-/// A loopback port that is bound and not listened on: connections to it are refused, as
-/// by a VM whose process has ended, and nobody else can get the port meanwhile.
+/// A loopback port that is bound but not listened on: connections to it are refused, as by a
+/// VM whose process has ended, and no other process can bind it meanwhile.
 #[derive(Debug)]
 pub struct ClosedPort {
     socket: Socket,
@@ -31,16 +31,16 @@
         }
     }
 
-    /// Its address.
+    /// The bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes connections from now on.
+    /// Starts listening on the port.
     ///
     /// # Panics
     ///
-    /// Panics if the system refuses to.
+    /// Panics if `listen` fails.
     pub fn listen(self) -> TcpListener {
         self.socket.listen(BACKLOG).expect("a bound socket listens");
         self.socket.into()
--- a/crates/testing/src/process.rs
+++ b/crates/testing/src/process.rs
@@ -1,4 +1,4 @@
-//! Real processes under test.
+//! Starts and signals the daemons under test.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -18,9 +18,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const SHOWN_LOG_LINES: usize = 60;
 
-/// A daemon as a process; it is killed when dropped.
+/// A daemon process; it is killed when dropped.
 ///
-/// Its standard error goes to a file, of which the end is printed if the test fails.
+/// Its standard error goes to a log file, whose last lines are printed if the test fails.
 pub struct Process {
     name: String,
     program: PathBuf,
@@ -40,7 +40,7 @@
 }
 
 impl Process {
-    /// Describes a process; it runs once [`start`](Self::start) is called.
+    /// Describes a process without starting it; see [`start`](Self::start).
     pub fn new(name: &str, program: &Path, args: &[&Path], log: &Path) -> Self {
         Self {
             name: name.to_owned(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Starts it, and hands its id to `started` before it is waited for.
+    /// Starts it without waiting for it, and returns its process id.
     ///
     /// # Panics
     ///
@@ -75,11 +75,11 @@
         id
     }
 
-    /// Waits until it says that it serves, and notes its addresses.
+    /// Waits for its `ready` line on standard output, and stores the addresses in it.
     ///
     /// # Panics
     ///
-    /// Panics if it ends or says nothing for a minute.
+    /// Panics if it ends or prints no `ready` line within a minute.
     #[track_caller]
     pub fn wait_ready(&mut self) {
         let stdout = self.child.as_mut().and_then(|child| child.stdout.take());
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Starts it and waits until it serves.
+    /// Starts it and waits until it is ready.
     ///
     /// # Panics
     ///
@@ -108,7 +108,7 @@
         self.wait_ready();
     }
 
-    /// Its name.
+    /// Name of the process in messages.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -118,51 +118,51 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// The address that it said under a key when it was ready.
+    /// The address that its `ready` line gave under `key`.
     ///
     /// # Panics
     ///
-    /// Panics if it said none.
+    /// Panics if it gave none.
     #[track_caller]
     pub fn addr(&self, key: &str) -> SocketAddr {
         match self.try_addr(key) {
             Some(addr) => addr,
-            None => panic!("{} said no address of `{key}`: {:?}", self.name, self.addrs),
+            None => panic!("{} printed no address `{key}`: {:?}", self.name, self.addrs),
         }
     }
 
-    /// The address that it said under a key when it was ready, if it said one.
+    /// The address that its `ready` line gave under `key`, if any.
     pub fn try_addr(&self, key: &str) -> Option<SocketAddr> {
         self.addrs.get(key).copied()
     }
 
-    /// Kills it, as a power cut would, and waits for its end.
+    /// Kills it with `SIGKILL` and waits until it has ended.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.reap();
     }
 
-    /// Asks it to stop in order.
+    /// Sends `SIGTERM`, which requests an orderly stop.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Tells it that its settings have changed.
+    /// Sends `SIGHUP`, which makes it reload its settings.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Suspends it.
+    /// Suspends it with `SIGSTOP`.
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on after [`suspend`](Self::suspend).
+    /// Resumes it after [`suspend`](Self::suspend).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for its end.
+    /// Waits until it has ended, and returns its exit status.
     ///
     /// # Panics
     ///
@@ -172,7 +172,7 @@
         self.wait_exit_within(EXIT_BOUND)
     }
 
-    /// Waits for its end.
+    /// Waits until it has ended, and returns its exit status.
     ///
     /// # Panics
     ///
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Its exit status, if it has ended since it was started.
+    /// Its exit status if it has ended since it was started. The status is returned once.
     pub fn try_exit(&mut self) -> Option<ExitStatus> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().expect("a child can be waited for")?;
@@ -202,20 +202,20 @@
         self.child.is_some() && self.try_exit().is_none()
     }
 
-    /// All that it has written to standard error.
+    /// Everything that it has written to standard error.
     pub fn log(&self) -> String {
         let bytes = std::fs::read(&self.log).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Processor time that it has used.
+    /// CPU time that it has used, in user and system mode.
     ///
     /// # Panics
     ///
     /// Panics if it doesn't run.
     pub fn cpu_time(&self) -> Duration {
         let stat = self.proc_file("stat");
-        // The name in parentheses may hold spaces; the fields counted start after it.
+        // The name in parentheses may contain spaces; the indices below count from after it.
         let (_, fields) = stat.rsplit_once(')').expect("a name in parentheses");
         let ticks = |index| -> u64 {
             let field = fields.split_whitespace().nth(index);
@@ -227,7 +227,7 @@
         Duration::from_secs_f64((ticks(USER) + ticks(SYSTEM)) as f64 / per_second as f64)
     }
 
-    /// Memory that it holds, in bytes.
+    /// Its resident memory, in bytes.
     ///
     /// # Panics
     ///
@@ -245,16 +245,16 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The child isn't reaped yet, so its id can't belong to another process.
+        // The child isn't reaped yet, so its id can't have been reused.
         if let Some(pid) = self.id().and_then(|id| Pid::from_raw(id.cast_signed())) {
-            // Fails only if it has ended by itself.
+            // Fails only if the process has already ended.
             let _ = kill_process(pid, signal);
         }
     }
 
     fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Fails only if it was waited for before, and then it wouldn't be here.
+            // Fails only for a child already waited for, and `try_exit` drops those.
             let _ = child.wait();
         }
     }
@@ -280,12 +280,13 @@
     }
 }
 
-/// Reads on to the end, so that the process never blocks on a full pipe.
+/// Reads all lines in a background thread, also after the `ready` line, so that the process
+/// never blocks on a full pipe.
 fn read_lines(stdout: ChildStdout) -> Receiver<String> {
     let (tx, rx) = mpsc::channel();
     std::thread::spawn(move || {
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-            // Nobody listens once the process is ready.
+            // The receiver is dropped once the process is ready.
             let _ = tx.send(line);
         }
     });
--- a/crates/testing/src/record.rs
+++ b/crates/testing/src/record.rs
@@ -1,8 +1,8 @@
-//! What operators were told, held against what the table says in the end.
+//! Compares the outcomes that operators received with the final table and its history.
 //!
-//! The invariant of every failure test of the control plane: no change that somebody
-//! was told is accepted is lost, reverted or applied twice, and none that somebody was
-//! told is refused takes effect.
+//! This is the invariant of every failure test of the control plane: no change reported as
+//! accepted is lost, reverted or applied twice, and no change reported as refused takes
+//! effect.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,7 +13,7 @@
 
 use crate::operator::{Attempt, Operator};
 
-/// Everything that operators of a test were told; clones share it.
+/// Outcomes of changes as a test's operators received them; clones share the same data.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeOutcomes {
     shared: Arc<Mutex<Shared>>,
@@ -27,8 +27,8 @@
 }
 
 impl ChangeOutcomes {
-    /// Takes in what an operator was told about a change. What one is told later must
-    /// not contradict it.
+    /// Records the outcome of an attempt to make a change. A later outcome that contradicts an
+    /// earlier one is recorded as a violation.
     pub fn record(&self, id: ChangeId, attempt: &Attempt) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         match attempt {
@@ -38,32 +38,33 @@
         }
     }
 
-    /// How many changes somebody was told are accepted.
+    /// Number of changes that were reported as accepted.
     pub fn accepted(&self) -> usize {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         shared.accepted.len()
     }
 
-    /// The newest version that somebody was told of.
+    /// The highest version that was reported; 0 if none was.
     pub fn newest_version(&self) -> Version {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         shared.accepted.values().max().copied().unwrap_or_default()
     }
 
-    /// Holds all that was told against the table and its history.
+    /// Reads the table and its history and checks all recorded outcomes against them.
     ///
     /// # Panics
     ///
     /// Panics with every violation found.
     #[track_caller]
     pub fn check(&self, operator: &Operator) {
-        // The table first: records that come in between only add to the history.
+        // The table is read first: a change accepted between the two reads is then only in
+        // the history, which `violations` allows.
         let table = operator.table();
         let violations = self.violations(&table, &operator.history());
         assert!(violations.is_empty(), "{}", violations.join("\n"));
     }
 
-    /// All violations, for a table and the whole history up to it or beyond.
+    /// All violations, given a table and a history that reaches at least to its version.
     pub fn violations(&self, table: &TableBody, history: &[RecordBody]) -> Vec<String> {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         let mut violations = shared.violations.clone();
@@ -120,7 +121,8 @@
     }
 }
 
-/// Each version from 1 to the table's own was made by one record.
+/// Checks that the accepted records have the versions 1, 2, 3 and so on without a gap, at least
+/// up to the table's, and that no change was applied twice.
 fn check_versions(accepted: &[&RecordBody], newest: Version) -> Vec<String> {
     let mut violations = Vec::new();
     let versions = accepted.iter().filter_map(|record| record.version);
@@ -143,7 +145,8 @@
     violations
 }
 
-/// The rows are what the accepted changes up to the table's version make of nothing.
+/// Checks that applying the accepted changes up to the table's version to an empty table
+/// gives its rows.
 fn check_rows(table: &TableBody, accepted: &[&RecordBody]) -> Vec<String> {
     let mut rows: BTreeMap<RowKey, RowValues> = BTreeMap::new();
     let applied = accepted.iter().filter(|r| r.version <= Some(table.version));
--- a/crates/testing/src/runtime.rs
+++ b/crates/testing/src/runtime.rs
@@ -1,7 +1,7 @@
-//! One runtime in the background for all that the harness serves.
+//! The Tokio runtime that runs the harness's proxies, stand-ins and clients.
 //!
-//! Tests are plain functions on threads of their own; proxies, stand-ins and clients
-//! run here, so that a test may block on a condition without stopping any of them.
+//! Tests are synchronous functions on their own threads, so a test may block on a condition
+//! without stopping any of the harness's tasks.
 
 use std::future::Future;
 use std::sync::LazyLock;
@@ -20,19 +20,19 @@
         .expect("the harness needs a runtime")
 });
 
-/// The runtime that everything of the harness runs on.
+/// Handle of the harness's runtime.
 pub fn handle() -> &'static Handle {
     RUNTIME.handle()
 }
 
 /// Runs a future on the harness's runtime and blocks this thread until it ends.
 ///
-/// Unlike `Handle::block_on` it may be called from within another runtime, so that
-/// the blocking client works in tests of either kind.
+/// Unlike `Handle::block_on` it may be called from within another runtime, so the blocking
+/// client works in synchronous and asynchronous tests.
 pub fn wait<T: Send + 'static>(fut: impl Future<Output = T> + Send + 'static) -> T {
     let (tx, rx) = mpsc::sync_channel(1);
     handle().spawn(async move {
-        // The receiver below waits until this is sent, so it can't be gone.
+        // The receiver below isn't dropped before this is sent.
         let _ = tx.send(fut.await);
     });
     rx.recv().expect("a task of the harness panicked")
