--- a/crates/testing/src/cluster/builder.rs
+++ b/crates/testing/src/cluster/builder.rs
@@ -1,4 +1,4 @@
-//! Puts a system together.
+//! Writes the settings of a system and starts it.
 
 use std::net::SocketAddr;
 
@@ -58,36 +58,36 @@
         self
     }
 
-    /// Control replicas, spread over the failure domains in turn. Default 3.
+    /// Number of control replicas, distributed round-robin over the failure domains. Default 3.
     #[must_use]
     pub fn replicas(mut self, replicas: usize) -> Self {
         self.replicas = replicas;
         self
     }
 
-    /// Entries in each failure domain. Default 1.
+    /// Number of entries in each failure domain. Default 1.
     #[must_use]
     pub fn entries_each(mut self, entries: usize) -> Self {
         self.entries_each = entries;
         self
     }
 
-    /// Adds a service with so many endpoints in each failure domain.
+    /// Adds a service with `endpoints_each` endpoints in each failure domain.
     #[must_use]
     pub fn service(mut self, name: &str, endpoints_each: usize) -> Self {
         self.services.push((name.to_owned(), endpoints_each));
         self
     }
 
-    /// How all endpoints behave at the start.
+    /// Initial behaviour of all endpoints.
     #[must_use]
     pub fn script(mut self, script: Script) -> Self {
         self.script = script;
         self
     }
 
-    /// Whether entries learn of endpoints from the platform's list only, and not from
-    /// their settings. Default false.
+    /// Whether entries read endpoints from the platform's list instead of their settings.
+    /// Default false.
     #[must_use]
     pub fn platform(mut self, platform: bool) -> Self {
         self.platform = platform;
@@ -115,11 +115,11 @@
         self
     }
 
-    /// Writes all settings and starts stand-ins, but no daemon yet.
+    /// Prepares all settings and starts proxies and stand-ins, but no daemon.
     ///
     /// # Panics
     ///
-    /// Panics if a folder or port can't be had.
+    /// Panics if a folder can't be created or a port can't be bound.
     pub fn prepare(self) -> Cluster {
         let dir = tempfile::Builder::new().prefix("filberthead-").tempdir();
         let dir = dir.expect("a folder for the test");
@@ -144,11 +144,11 @@
         cluster
     }
 
-    /// Starts the whole system and waits until each daemon serves.
+    /// Starts the system and waits until each daemon is ready.
     ///
     /// # Panics
     ///
-    /// Panics if one doesn't.
+    /// Panics if one isn't within a minute.
     #[track_caller]
     pub fn start(self) -> Cluster {
         let mut cluster = self.prepare();
@@ -253,7 +253,7 @@
     }
 }
 
-/// Writes the addresses that processes find each other by.
+/// Sets the replicas' and seeds' addresses in all settings.
 fn write_peer_addresses(cluster: &mut Cluster) {
     let replicas = peers_of(&cluster.controls);
     let seeds = peers_of(&cluster.entries);
@@ -269,7 +269,7 @@
     }
 }
 
-/// Writes the addresses of all replicas but the node itself.
+/// Sets the addresses of all replicas other than the node itself.
 pub(super) fn write_replicas(node: &mut Node, replicas: &[(String, SocketAddr)]) {
     for (name, addr) in replicas {
         if name != node.name() {
--- a/crates/testing/src/cluster/endpoint.rs
+++ b/crates/testing/src/cluster/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in endpoint of the cluster with the proxy before it.
+//! A stand-in endpoint of the cluster with the proxy in front of it.
 
 use std::net::SocketAddr;
 
@@ -12,23 +12,23 @@
 pub struct Endpoint {
     /// Its name.
     pub name: String,
-    /// Service that it runs.
+    /// Its service.
     pub service: String,
-    /// Where it runs.
+    /// Its region and failure domain.
     pub place: Place,
-    /// What executes its requests.
+    /// The server that executes its requests.
     pub standin: Standin,
     /// The proxy through which entries reach it.
     pub proxy: FaultProxy,
 }
 
 impl Endpoint {
-    /// The address that entries know.
+    /// The address of its proxy, which entries use.
     pub fn addr(&self) -> SocketAddr {
         self.proxy.addr()
     }
 
-    /// Its line in the platform's list.
+    /// Its entry for the platform's list, with these limits.
     pub fn vm(&self, slots: u32, connections: u32) -> Vm {
         Vm {
             name: self.name.clone(),
--- a/crates/testing/src/cluster/ini.rs
+++ b/crates/testing/src/cluster/ini.rs
@@ -1,8 +1,8 @@
-//! Settings files as the harness writes them.
+//! Writes settings files in INI format.
 
 use std::fmt;
 
-/// Sections and keys in the order in which they were first set.
+/// A settings file; its sections are in the order in which they were first set.
 #[derive(Clone, Debug, Default)]
 pub struct Ini {
     sections: Vec<Section>,
@@ -21,7 +21,7 @@
 }
 
 impl Ini {
-    /// Sets a key, replacing its earlier value.
+    /// Sets a key, replacing an earlier value.
     pub fn set(&mut self, section: &str, key: &str, value: impl fmt::Display) -> &mut Self {
         let section = self.section(section);
         section.keys.retain(|existing| existing.name != key);
--- a/crates/testing/src/cluster/mod.rs
+++ b/crates/testing/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A whole system of real processes, each behind proxies of the test.
+//! A system of control replicas and entries as real processes, each behind proxies.
 
 mod builder;
 mod endpoint;
@@ -19,7 +19,7 @@
 use crate::proxy::{FaultProxy, Network};
 use crate::standin::Record;
 
-/// Where the programs under test lie.
+/// Paths of the programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// `filberthead-control`.
@@ -31,17 +31,17 @@
 }
 
 impl Programs {
-    /// All of them in the folder of the program that runs now, as cargo lays them out.
+    /// The programs in the folder of the current executable, where cargo puts them.
     ///
     /// # Panics
     ///
-    /// Panics if the program's own path isn't known.
+    /// Panics if the path of the current executable can't be determined.
     pub fn beside_this_one() -> Self {
         let path = std::env::current_exe().expect("the path of this program");
         Self::in_folder(path.parent().unwrap_or(Path::new(".")))
     }
 
-    /// All of them in a folder.
+    /// The programs in a folder.
     pub fn in_folder(dir: &Path) -> Self {
         Self {
             control: dir.join("filberthead-control"),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A system under test. All its processes end when it is dropped.
+/// A system under test. Its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Cluster {
     /// Control replicas.
@@ -60,18 +60,18 @@
     pub entries: Vec<Node>,
     /// Stand-in endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// The links between all of them.
+    /// The links between processes and endpoints.
     pub network: Network,
-    /// The platform's list, for a system that was built with one.
+    /// The platform's list; only a system built with [`Builder::platform`] reads it.
     pub platform: PlatformList,
-    /// The proxy before the platform's list.
+    /// The proxy in front of the platform's list.
     pub platform_proxy: FaultProxy,
     builder: Builder,
     dir: tempfile::TempDir,
 }
 
 impl Cluster {
-    /// Starts from three control replicas and two entries in two failure domains.
+    /// A builder that starts with three control replicas, two failure domains and an entry in each.
     pub fn builder(programs: Programs) -> Builder {
         Builder::new(programs)
     }
@@ -81,7 +81,7 @@
         &self.builder.programs
     }
 
-    /// Adds a control replica that the others' settings don't name; it isn't started.
+    /// Adds a control replica that isn't in the others' settings. It isn't started.
     pub fn add_control(&mut self, name: &str, place: &Place) -> &mut Node {
         let mut node = self.builder.control(self, name, place);
         builder::write_replicas(&mut node, &builder::peers_of(&self.controls));
@@ -94,12 +94,12 @@
         self.dir.path()
     }
 
-    /// The name of the cluster, in the settings of each process.
+    /// The cluster name in each process's settings.
     pub fn name(&self) -> String {
         cluster_name(self.dir())
     }
 
-    /// The control replica of a name.
+    /// The control replica with this name.
     ///
     /// # Panics
     ///
@@ -109,7 +109,7 @@
         find(&mut self.controls, name)
     }
 
-    /// The entry of a name.
+    /// The entry with this name.
     ///
     /// # Panics
     ///
@@ -119,7 +119,7 @@
         find(&mut self.entries, name)
     }
 
-    /// Names of all processes and endpoints of a failure domain, for
+    /// Names of all processes and endpoints in a failure domain, for
     /// [`Network::partition`].
     pub fn names_in(&self, failure_domain: &str) -> Vec<String> {
         let here = |place: &Place| place.failure_domain == failure_domain;
@@ -140,7 +140,7 @@
         self.entries.iter().map(|n| n.addr("caller")).collect()
     }
 
-    /// What all endpoints saw.
+    /// The merged records of all endpoints.
     pub fn record(&self) -> Record {
         let mut record = Record::default();
         for endpoint in &self.endpoints {
@@ -149,17 +149,17 @@
         record
     }
 
-    /// All endpoints as the platform's list has them.
+    /// Entries of all endpoints for the platform's list.
     pub fn vms(&self) -> Vec<Vm> {
         self.endpoints.iter().map(|end| end.vm(3, 330)).collect()
     }
 }
 
-/// A name for the cluster of a folder that no other test uses, at the same time or before.
+/// A unique cluster name, derived from the test's folder.
 ///
-/// The system gives the port of a process that has ended to the next one that asks, be
-/// it of another test, while peers of the first still connect to it. Under one name for
-/// all tests they would be taken for members.
+/// The port of a process that has ended may be reused at once by a process of another test,
+/// while peers of the first still connect to it. If all tests used one cluster name, such peers
+/// would be accepted as members.
 fn cluster_name(dir: &Path) -> String {
     let folder = dir.file_name().unwrap_or_default().to_string_lossy();
     folder.to_ascii_lowercase()
--- a/crates/testing/src/cluster/node.rs
+++ b/crates/testing/src/cluster/node.rs
@@ -1,4 +1,4 @@
-//! A daemon of the cluster with the proxies before it.
+//! A daemon under test with the proxies in front of it.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,7 +14,7 @@
 use crate::process::Process;
 use crate::proxy::{FaultProxy, Network};
 
-/// A daemon, its settings and the proxies through which all others reach it.
+/// A daemon, its settings and the proxies through which other processes reach it.
 #[derive(Debug)]
 pub struct Node {
     process: Process,
@@ -27,7 +27,7 @@
 }
 
 impl Node {
-    /// Describes a daemon with a proxy for each address that it says under `keys`.
+    /// Describes a daemon. `keys` are those addresses of its `ready` line that get a proxy.
     pub(crate) fn new(
         name: &str,
         program: &Path,
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Its name.
+    /// Name of the process.
     pub fn name(&self) -> &str {
         self.process.name()
     }
 
-    /// Where it runs.
+    /// Its region and failure domain.
     pub fn place(&self) -> &Place {
         &self.place
     }
@@ -64,27 +64,27 @@
         &self.data
     }
 
-    /// Its settings, which are written at the next start.
+    /// Its settings. They are written to its file at the next start.
     pub fn settings(&mut self) -> &mut Ini {
         &mut self.settings
     }
 
-    /// The process, to be looked at.
+    /// The process; the same as [`process_ref`](Self::process_ref).
     pub fn running(&self) -> &Process {
         &self.process
     }
 
-    /// The process itself.
+    /// The process, mutably.
     pub fn process(&mut self) -> &mut Process {
         &mut self.process
     }
 
-    /// The process itself, to look at.
+    /// The process.
     pub fn process_ref(&self) -> &Process {
         &self.process
     }
 
-    /// The proxy before the address that it says under a key.
+    /// The proxy in front of the address `key`.
     ///
     /// # Panics
     ///
@@ -95,7 +95,7 @@
         proxy.expect("a key that the daemon has a proxy for")
     }
 
-    /// The address of its proxy, as others know it.
+    /// The address of the proxy in front of the address `key`, which other processes use.
     ///
     /// # Panics
     ///
@@ -105,29 +105,29 @@
         self.proxy(key).addr()
     }
 
-    /// The address that it listens on itself.
+    /// The daemon's own listening address, without the proxy.
     ///
     /// # Panics
     ///
-    /// Panics if it said none.
+    /// Panics if its `ready` line gave none for `key`.
     #[track_caller]
     pub fn direct_addr(&self, key: &str) -> SocketAddr {
         self.process.addr(key)
     }
 
-    /// The address that it listens on itself, if it said one under this key.
+    /// The daemon's own listening address, if its `ready` line gave one for `key`.
     pub fn try_direct_addr(&self, key: &str) -> Option<SocketAddr> {
         self.process.try_addr(key)
     }
 
-    /// Version of the table that an entry acts on, unless it gives no answer.
+    /// Version of the table that an entry applies; `None` if it doesn't answer or has none.
     pub fn version_in_force(&self) -> Option<Version> {
         let answer = Call::get("/status").send(self.try_direct_addr("status")?);
         let status: serde_json::Value = serde_json::from_slice(&answer.ok()?.body).ok()?;
         status["version"].as_u64().map(Version)
     }
 
-    /// Text of its metrics; empty if it gives no answer.
+    /// Text of its metrics; empty if it doesn't answer.
     pub fn metrics(&self) -> String {
         let addr = self.try_direct_addr("status");
         let addr = addr.unwrap_or_else(|| self.direct_addr("operator"));
@@ -135,7 +135,7 @@
         answer.map(|answer| answer.text()).unwrap_or_default()
     }
 
-    /// Sum of the samples whose name and labels hold this text.
+    /// Sum of the samples whose name and labels contain `name`.
     pub fn metric(&self, name: &str) -> f64 {
         let text = self.metrics();
         let samples = text.lines().filter(|line| !line.starts_with('#'));
@@ -146,7 +146,7 @@
             .sum()
     }
 
-    /// Starts it without waiting for it.
+    /// Writes its settings and starts it without waiting for it.
     ///
     /// # Panics
     ///
@@ -158,11 +158,11 @@
         self.network.register(self.process.name(), id);
     }
 
-    /// Waits until it serves, and points its proxies to it.
+    /// Waits until it is ready, and directs its proxies to its addresses.
     ///
     /// # Panics
     ///
-    /// Panics if it ends or says nothing for a minute.
+    /// Panics if it ends or isn't ready within a minute.
     #[track_caller]
     pub fn wait_ready(&mut self) {
         self.process.wait_ready();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Starts it and waits until it serves.
+    /// Starts it and waits until it is ready.
     ///
     /// # Panics
     ///
@@ -182,7 +182,7 @@
         self.wait_ready();
     }
 
-    /// Kills it, as a power cut would.
+    /// Kills it with `SIGKILL`. Its proxies reset connections until it is started again.
     pub fn kill(&mut self) {
         self.process.kill();
         self.clear_target();
@@ -196,18 +196,18 @@
     ///
     /// # Panics
     ///
-    /// Panics if it doesn't come up again.
+    /// Panics if it isn't ready again within a minute.
     #[track_caller]
     pub fn restart(&mut self) {
         self.kill();
         self.start();
     }
 
-    /// Asks it to stop in order and waits until it has.
+    /// Requests an orderly stop and waits until it has ended.
     ///
     /// # Panics
     ///
-    /// Panics if it doesn't.
+    /// Panics if it still runs after a minute.
     #[track_caller]
     pub fn stop(&mut self) -> ExitStatus {
         self.process.terminate();
@@ -226,14 +226,14 @@
         status
     }
 
-    /// Throws its data folder away, as a new disk would. It must not run.
+    /// Deletes its data folder, which simulates the loss of its disk.
     ///
     /// # Panics
     ///
-    /// Panics if it runs.
+    /// Panics if the process runs.
     pub fn wipe(&mut self) {
         assert!(!self.process.is_running(), "{} still runs", self.name());
-        // There is none yet if it never ran.
+        // The folder doesn't exist if the process never ran.
         let _ = fs::remove_dir_all(&self.data);
     }
 }
--- a/crates/testing/src/cluster/place.rs
+++ b/crates/testing/src/cluster/place.rs
@@ -10,7 +10,7 @@
 }
 
 impl Place {
-    /// A place by its names.
+    /// The place with these names.
     pub fn new(region: &str, failure_domain: &str) -> Self {
         Self {
             region: region.to_owned(),
--- a/crates/testing/src/proxy/link.rs
+++ b/crates/testing/src/proxy/link.rs
@@ -14,11 +14,11 @@
 use super::{Direction, Flow, Rules, reset_on_drop};
 
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks on their way in one direction. A reader that doesn't drain fills them, then
-/// the sender's own window, so that back-pressure goes through the proxy.
+/// Chunks buffered in one direction. When a slow reader has filled them, the proxy stops reading
+/// and the sender's window fills, so that back-pressure passes through the proxy.
 const CHUNKS_IN_TRANSIT: usize = 8;
 
-/// What travels in one direction.
+/// An event to be forwarded in one direction.
 enum Item {
     Chunk { due: Instant, chunk: Bytes },
     Reset,
@@ -29,19 +29,19 @@
 enum End {
     /// The sender closed its side.
     Closed,
-    /// The sender reset the connection; so must the proxy.
+    /// The sender reset the connection, so the proxy resets the other side.
     Reset,
-    /// The receiver is gone.
+    /// Writing to the receiver failed.
     Gone,
 }
 
-/// The connection's view of the rules.
+/// Applies the proxy's rules to one direction of a connection.
 #[derive(Clone)]
 struct Gate {
     rules: watch::Receiver<Rules>,
     client: Option<Arc<str>>,
     direction: Direction,
-    /// Silences before this connection was made.
+    /// Value of [`Rules::silences`] when the connection was accepted.
     silences: u64,
 }
 
@@ -54,7 +54,7 @@
         rules.flows(self.client.as_deref()).get(self.direction)
     }
 
-    /// Waits until bytes may go on, and returns how.
+    /// Waits until bytes aren't held, and returns the flow that applies.
     async fn open(&mut self) -> Flow {
         loop {
             self.rules.mark_unchanged();
@@ -63,14 +63,14 @@
                 return flow;
             }
             if self.rules.changed().await.is_err() {
-                // The proxy is gone, and the connection is about to be reset.
+                // The proxy was dropped; the connection is about to be reset.
                 std::future::pending::<()>().await;
             }
         }
     }
 }
 
-/// Carries a connection until both directions have ended or it is cut.
+/// Forwards a connection until both directions have ended or it is cut.
 pub(super) async fn forward(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
     let cuts = rules.borrow().cuts;
     let refused = rules.borrow().refuse;
@@ -85,7 +85,7 @@
 }
 
 async fn cut_after(cuts: u64, mut rules: watch::Receiver<Rules>) {
-    // An error means that the proxy is gone: that ends the connection as well.
+    // An error means that the proxy was dropped, which ends the connection as well.
     let _ = rules.wait_for(|rules| rules.cuts > cuts).await;
 }
 
@@ -97,7 +97,7 @@
         rules,
         direction: Direction::ToServer,
     };
-    // A connection isn't made while its first packet couldn't arrive.
+    // While bytes to the server are held, its side of the connection isn't opened either.
     gate.clone().open().await;
     let Some(server) = connect(&gate.rules).await else {
         return;
@@ -116,7 +116,8 @@
     run_both(to_server, to_client).await;
 }
 
-/// The connecting process, if the proxy belongs to a network that tells them apart.
+/// Name of the connecting process; `None` if it can't be identified or the proxy doesn't belong
+/// to a [`Network`](super::Network).
 async fn client_name(client: &TcpStream, owners: Owners) -> Option<Arc<str>> {
     if !owners.has_any() {
         return None;
@@ -132,14 +133,14 @@
     TcpStream::connect(target).await.ok()
 }
 
-/// Waits for both directions; a reset in either ends both at once.
+/// Runs both directions to their end; a reset in either ends both at once.
 async fn run_both(
     to_server: impl Future<Output = (End, OwnedWriteHalf)>,
     to_client: impl Future<Output = (End, OwnedWriteHalf)>,
 ) {
     tokio::pin!(to_server, to_client);
-    // Each write half is kept until both directions are done: dropping it would close
-    // that side too early.
+    // Both write halves are kept until both directions have ended: dropping one earlier would
+    // close that side too soon.
     let (first, second) = tokio::select! {
         first = &mut to_server => match first.0 {
             End::Reset => return,
@@ -156,9 +157,9 @@
     }
 }
 
-/// Takes back [`reset_on_drop`], which would throw away bytes not yet delivered.
+/// Reverts [`reset_on_drop`], which would discard bytes that aren't delivered yet.
 fn clear_reset_on_drop(half: &OwnedWriteHalf) {
-    // Fails only for a connection that has ended already.
+    // Fails only for a connection that has already ended.
     let _ = socket2::SockRef::from(half.as_ref()).set_linger(None);
 }
 
@@ -219,7 +220,7 @@
             }
             Some(Item::Reset) => return End::Reset,
             None => {
-                // Fails only if the receiver is gone, which the other direction tells.
+                // Fails only if the receiver has closed, which the other direction detects.
                 let _ = to.shutdown().await;
                 return End::Closed;
             }
--- a/crates/testing/src/proxy/mod.rs
+++ b/crates/testing/src/proxy/mod.rs
@@ -1,9 +1,9 @@
 //! A TCP proxy that injects faults between real processes.
 //!
-//! It is bound to port 0 once and keeps that port for its whole life, while the process
-//! behind it may be restarted on another one. Bytes are never dropped from the middle of
-//! a connection, because no network does that to TCP: a cut link holds them back, and
-//! they come late if the link heals before either side gives up.
+//! It binds to port 0 once and keeps that port, while the process behind it may restart on
+//! another one. Bytes are never dropped from the middle of a connection, because TCP doesn't
+//! lose them either: a cut link holds them back, and they arrive late if the link heals before
+//! either side gives up.
 
 mod link;
 mod network;
@@ -22,26 +22,26 @@
 
 use crate::runtime;
 
-/// What happens to bytes that go one way.
+/// How bytes in one direction are forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They pass.
+    /// Forwarded at once.
     #[default]
     Pass,
-    /// They pass this much later.
+    /// Forwarded after this delay.
     Delay(Duration),
-    /// They are held back, ends of connections included: the other side sees silence.
+    /// Held back, along with the ends of connections: the other side receives nothing.
     Hold,
-    /// They pass at this many bytes a second.
+    /// Forwarded at this rate, in bytes per second.
     Throttle(u64),
 }
 
-/// A way through the proxy.
+/// A direction through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From the side that connected to the process behind the proxy.
+    /// From the connecting side to the process behind the proxy.
     ToServer,
-    /// Back.
+    /// From the process behind the proxy to the connecting side.
     ToClient,
 }
 
@@ -68,25 +68,25 @@
     }
 }
 
-/// What the connections of a proxy are subject to at the moment.
+/// The rules that a proxy currently applies to its connections.
 #[derive(Clone, Debug)]
 pub(crate) struct Rules {
     target: Option<SocketAddr>,
     refuse: bool,
-    /// Counts calls of [`FaultProxy::cut`]; a connection older than the last one ends.
+    /// Number of calls of [`FaultProxy::cut`]; connections older than the last call are reset.
     cuts: u64,
-    /// Counts calls of [`FaultProxy::silence`]; a connection older than the last one
-    /// carries nothing any more.
+    /// Number of calls of [`FaultProxy::silence`]; connections older than the last call forward
+    /// nothing any more.
     silences: u64,
     flows: Flows,
-    /// Flows of connections made by a process of this name; they go before `flows`.
+    /// Flows of connections from the process with this name; they take precedence over `flows`.
     links: Vec<(Arc<str>, Flows)>,
 }
 
 impl Rules {
     /// The flows of a connection made by `client`.
     ///
-    /// While links have rules, a client that can't be told is held: it may have been a
+    /// While links have rules, connections from an unidentified client are held: it may be a
     /// process that is cut off and has closed its socket since.
     pub(crate) fn flows(&self, client: Option<&str>) -> Flows {
         if self.links.is_empty() {
@@ -106,7 +106,7 @@
     }
 }
 
-/// A running proxy; it ends, and its connections are reset, when this is dropped.
+/// A running proxy; dropping it stops it and resets its connections.
 #[derive(Debug)]
 pub struct FaultProxy {
     addr: SocketAddr,
@@ -115,7 +115,7 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy on a free loopback port, with nothing behind it yet.
+    /// Starts a proxy on a free loopback port, without a target yet.
     ///
     /// # Panics
     ///
@@ -124,7 +124,7 @@
         Self::start_with(Owners::default())
     }
 
-    /// Starts a proxy before `target`.
+    /// Starts a proxy in front of `target`.
     ///
     /// # Panics
     ///
@@ -158,36 +158,36 @@
         }
     }
 
-    /// The address that the proxy takes connections on, for good.
+    /// The address that the proxy listens on; it never changes.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends connections made from now on to `target`.
+    /// Directs new connections to `target`.
     pub fn retarget(&self, target: SocketAddr) {
         self.rules.send_modify(|rules| rules.target = Some(target));
     }
 
-    /// Has nothing behind the proxy any more: connections are reset until it is
-    /// [retargeted](Self::retarget). The port of a process that has ended may belong to
-    /// a process of another test at once.
+    /// Removes the target: new connections are reset until the proxy is
+    /// [retargeted](Self::retarget). This is needed because the port of a process that has ended
+    /// may be reused at once by a process of another test.
     pub fn clear_target(&self) {
         self.rules.send_modify(|rules| rules.target = None);
     }
 
-    /// Sets what happens to bytes that go `direction`, on old and new connections.
+    /// Sets how bytes in `direction` are forwarded, on existing and new connections.
     pub fn set(&self, direction: Direction, flow: Flow) {
         self.rules
             .send_modify(|rules| rules.flows.set(direction, flow));
     }
 
-    /// Holds back all bytes in both directions: a link that is down.
+    /// Holds back all bytes in both directions, like a link that is down.
     pub fn hold(&self) {
         self.set(Direction::ToServer, Flow::Hold);
         self.set(Direction::ToClient, Flow::Hold);
     }
 
-    /// Lets bytes pass again in both directions, and connections be made.
+    /// Forwards bytes in both directions again, and accepts connections again.
     pub fn heal(&self) {
         self.rules.send_modify(|rules| {
             rules.flows = Flows::default();
@@ -195,18 +195,18 @@
         });
     }
 
-    /// Resets connections as soon as they are made, until [`heal`](Self::heal).
+    /// Resets new connections at once, until [`heal`](Self::heal).
     pub fn refuse(&self) {
         self.rules.send_modify(|rules| rules.refuse = true);
     }
 
-    /// Resets all connections made so far.
+    /// Resets all existing connections.
     pub fn cut(&self) {
         self.rules.send_modify(|rules| rules.cuts += 1);
     }
 
-    /// Holds back all bytes of the connections made so far, for good, while new ones pass:
-    /// what a device on the way does that has forgotten them.
+    /// Holds back all bytes of existing connections permanently, while new connections pass: a
+    /// middlebox that has lost its connection state does the same.
     pub fn silence(&self) {
         self.rules.send_modify(|rules| rules.silences += 1);
     }
@@ -234,9 +234,9 @@
     }
 }
 
-/// Makes the socket's end a reset: the other side learns of it at once, as from a
-/// machine that no longer knows the connection.
+/// Makes closing the socket send a reset, so that the other side detects it at once, as from a
+/// machine that has lost the connection's state.
 fn reset_on_drop(stream: &TcpStream) {
-    // Fails only for a connection that has ended already.
+    // Fails only for a connection that has already ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/testing/src/proxy/network.rs
+++ b/crates/testing/src/proxy/network.rs
@@ -1,4 +1,4 @@
-//! The links between the named processes of a test.
+//! Rules for the links between the named processes of a test.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,15 +8,15 @@
 use super::owner::Owners;
 use super::{FaultProxy, Flow, Flows, Rules};
 
-/// Name under which the test's own connections are known.
+/// Name of the test process itself, for links to and from the test's own connections.
 const TEST: &str = "test";
 
-/// All proxies of a test, each before a process of a name, and the links between those
-/// names.
+/// All proxies of a test, each in front of a named process, and the links between these
+/// processes.
 ///
-/// A link goes one way: it carries what `from` sends to `to`, whichever of the two made
-/// the connection. The test's own connections are on no link, so that it goes on
-/// reaching processes that are cut off from each other.
+/// A link has one direction: it carries the bytes that `from` sends to `to`, whichever of the
+/// two opened the connection. The test's own connections belong to no link unless a test sets
+/// one, so that it can still reach processes that are cut off from each other.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     owners: Owners,
@@ -30,14 +30,14 @@
 }
 
 impl Network {
-    /// A network whose links all pass.
+    /// A network in which all links forward bytes.
     pub fn new() -> Self {
         let network = Self::default();
         network.register(TEST, std::process::id());
         network
     }
 
-    /// Starts a proxy before a process of the name `server`.
+    /// Starts a proxy in front of the process named `server`.
     pub fn proxy(&self, server: &str) -> FaultProxy {
         let proxy = FaultProxy::start_with(self.owners.clone());
         self.update(|shared| {
@@ -47,17 +47,17 @@
         proxy
     }
 
-    /// Tells which process goes by a name, at its start and each restart.
+    /// Sets the process id of a named process, at its start and each restart.
     pub fn register(&self, name: &str, pid: u32) {
         self.owners.register(name, pid);
     }
 
-    /// Sets what happens to all that `from` sends to `to`.
+    /// Sets how all bytes that `from` sends to `to` are forwarded.
     pub fn set(&self, from: &str, to: &str, flow: Flow) {
         self.update(|shared| shared.set(from, to, flow));
     }
 
-    /// Cuts the link from `from` to `to`, and leaves the one back as it is.
+    /// Cuts the link from `from` to `to`; the opposite link stays as it is.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.set(from, to, Flow::Hold);
     }
@@ -67,7 +67,7 @@
         self.set_between(groups, Flow::Hold);
     }
 
-    /// Sets all links between processes of different groups, both ways.
+    /// Sets all links between processes of different groups, in both directions.
     pub fn set_between(&self, groups: &[&[&str]], flow: Flow) {
         self.update(|shared| {
             for (a, group) in groups.iter().enumerate() {
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Lets all links pass.
+    /// Removes the rules of all links.
     pub fn heal(&self) {
         self.update(|shared| shared.links.clear());
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What a proxy before `server` does with the connections of each other process.
+    /// Flows that the proxy in front of `server` applies, by the connecting process.
     fn links_to(&self, server: &str) -> Vec<(Arc<str>, Flows)> {
         let mut links: BTreeMap<&str, Flows> = BTreeMap::new();
         for ((from, to), &flow) in &self.links {
--- a/crates/testing/src/proxy/owner.rs
+++ b/crates/testing/src/proxy/owner.rs
@@ -1,14 +1,14 @@
-//! Which process made a connection.
+//! Identifies the process that opened a connection.
 //!
-//! All processes of a test share one loopback address, so the address of a connection
-//! doesn't tell who made it. The kernel's tables do: they name the socket of the
-//! connecting side and the process that holds it.
+//! All processes of a test share one loopback address, so a connection's address doesn't
+//! identify them. The kernel's tables do: `/proc/net/tcp` gives the inode of the client's socket
+//! and `/proc/PID/fd` the process that has it open.
 
 use std::fs;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The processes whose connections can be told apart.
+/// The registered processes, whose connections can be identified.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Owners {
     processes: Arc<Mutex<Vec<Owner>>>,
@@ -21,7 +21,7 @@
 }
 
 impl Owners {
-    /// Names a process; a later process of the same name takes the place of the first.
+    /// Registers a named process, replacing an earlier one with the same name.
     pub(crate) fn register(&self, name: &str, pid: u32) {
         let mut processes = self.lock();
         processes.retain(|owner| owner.name.as_ref() != name);
@@ -29,12 +29,13 @@
         processes.push(Owner { pid, name });
     }
 
-    /// Whether any process can be told.
+    /// Whether any process is registered.
     pub(crate) fn has_any(&self) -> bool {
         !self.lock().is_empty()
     }
 
-    /// Name of the process that made the connection from `client` to `proxy`.
+    /// Name of the process that opened the connection from `client` to `proxy`; `None` if it
+    /// isn't registered or has closed its socket.
     pub(crate) fn find(&self, client: SocketAddr, proxy: SocketAddr) -> Option<Arc<str>> {
         let link = format!("socket:[{}]", inode(client, proxy)?);
         let processes = self.lock();
@@ -61,7 +62,7 @@
         .any(|to| to.as_os_str() == link)
 }
 
-/// Columns of the kernel's table of TCP sockets.
+/// Columns of `/proc/net/tcp`.
 const LOCAL: usize = 1;
 const REMOTE: usize = 2;
 const INODE: usize = 9;
--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -18,41 +18,41 @@
 use super::Line;
 use crate::standin::{AnswerBody, Payload};
 
-/// An answer that is a short text, or as many bytes as the request names.
+/// A short text, or a payload of the length that the request asks for.
 type SiteBody = Either<Full<Bytes>, AnswerBody>;
 
-/// Length of an answer that is to break off, unless the request names one.
+/// Full length of an answer that is truncated, if the request asks for none.
 const DEFAULT_TRUNCATED_BYTES: u64 = 100;
 
-/// Lines of a request's head that it reads, far above what hyper reads by itself, so that
-/// what a gateway lets pass isn't refused here.
+/// Limit on the number of request headers. It is far above hyper's default, so that requests
+/// that a gateway accepts aren't rejected here.
 const MAX_HEADERS: usize = 1024;
 
-/// How an endpoint answers.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It runs a request and answers.
+    /// It runs the request and answers.
     #[default]
     Serves,
-    /// It says that it did not run the request.
+    /// It answers 503 with the header that says that the request did not run.
     Sheds,
     /// It runs the request and closes the connection without an answer.
     LosesAnswer,
     /// It runs the request and answers 500.
     Fails,
-    /// It runs the request and answers under another request's id.
+    /// It runs the request and answers with another request's id.
     WrongRequestId,
-    /// It takes the request and never answers.
+    /// It runs the request and never answers.
     Hangs,
-    /// It runs the request and breaks off in the middle of the answer.
+    /// It runs the request and closes the connection in the middle of the answer.
     Truncates,
-    /// It runs the request and sends its answer at so many bytes a second.
+    /// It runs the request and sends the answer at this rate, in bytes per second.
     Paced(u64),
-    /// Somebody else has its address, and answers 404 to whatever comes.
+    /// Another server has taken its address, and answers 404 to every request.
     ForeignServer,
 }
 
-/// A request that an endpoint began to run.
+/// A request that an endpoint started to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// Its id.
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct State {
     id: String,
-    /// Unix millisecond of its start.
+    /// Start time in Unix milliseconds.
     started_ms: u64,
     proxy_addr: Option<SocketAddr>,
     behaviour: Behaviour,
@@ -73,13 +73,13 @@
     gone: bool,
     cold_ms: u64,
     ran: Vec<Run>,
-    /// Time left that each request named.
+    /// The `x-deadline-ms` of each request that had one.
     deadlines: Vec<u64>,
-    /// Requests whose connection closed while they ran.
+    /// Ids of requests whose connection closed while they ran.
     dropped: Vec<String>,
 }
 
-/// An endpoint; it ends with the process.
+/// An endpoint of a [`Site`](super::Site); it runs until the process ends.
 #[derive(Clone, Debug)]
 pub struct SiteEndpoint {
     addr: SocketAddr,
@@ -114,7 +114,7 @@
         endpoint
     }
 
-    /// Its line on the list.
+    /// Its entry for the list.
     pub fn line(&self) -> Line {
         let state = self.lock();
         Line {
@@ -130,35 +130,36 @@
         }
     }
 
-    /// Changes how it answers.
+    /// Sets how it handles requests.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.lock().behaviour = behaviour;
     }
 
-    /// Changes how long a request runs.
+    /// Sets how long a request runs. Initially no time.
     pub fn set_run_time(&self, run_time: Duration) {
         self.lock().run_time = run_time;
     }
 
-    /// Says on the list that it is to go.
+    /// Marks it as draining in its list entry, from the next update of the list on.
     pub fn drain(&self) {
         self.lock().draining = true;
     }
 
-    /// Says on the list that it stays cold for so long.
+    /// Sets the remaining warm-up time in its list entry, in milliseconds.
     pub fn set_warmup_left(&self, ms: u64) {
         self.lock().cold_ms = ms;
     }
 
-    /// Begins anew under another identity, at the same address.
+    /// Continues as another instance at the same address, with a new id and start time. Open
+    /// connections stay.
     pub fn replace_instance(&self, id: &str) {
         let mut state = self.lock();
         state.id = id.to_owned();
         state.started_ms = next_start(state.started_ms);
     }
 
-    /// Begins anew under the identity that it had: requests break off, it is to stay, and is
-    /// cold for so long.
+    /// Restarts as the instance `id` at the same address: running requests are aborted, the
+    /// behaviour is reset, it is no longer draining, and its warm-up takes `cold_ms`.
     pub fn restart(&self, id: &str, cold_ms: u64) {
         self.replace_instance(id);
         let mut state = self.lock();
@@ -170,7 +171,7 @@
         self.restarted.notify_waiters();
     }
 
-    /// Leaves the list.
+    /// Leaves the list at its next update.
     pub fn leave(&self) {
         self.lock().gone = true;
     }
@@ -180,33 +181,33 @@
         self.lock().gone
     }
 
-    /// Ids of the requests that it ran, in order.
+    /// Ids of the requests that it started to run, in order.
     pub fn ran(&self) -> Vec<String> {
         let ran = &self.lock().ran;
         ran.iter().map(|run| run.id.clone()).collect()
     }
 
-    /// The requests that it ran, in order.
+    /// The requests that it started to run, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().ran.clone()
     }
 
-    /// Has the list name this address, that of a proxy before the endpoint.
+    /// Sets the address in its list entry to that of a proxy in front of it.
     pub(super) fn set_proxy_addr(&self, addr: SocketAddr) {
         self.lock().proxy_addr = Some(addr);
     }
 
-    /// Where it listens itself.
+    /// Its own listening address.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its identity.
+    /// Its instance id.
     pub fn id(&self) -> String {
         self.lock().id.clone()
     }
 
-    /// Whether the list says that it is to go.
+    /// Whether it is marked as draining.
     pub fn is_draining(&self) -> bool {
         self.lock().draining
     }
@@ -216,7 +217,7 @@
         &self.domain
     }
 
-    /// Time left that requests named, in milliseconds.
+    /// The `x-deadline-ms` of the requests that it ran, in milliseconds.
     pub fn deadlines(&self) -> Vec<u64> {
         self.lock().deadlines.clone()
     }
@@ -231,7 +232,7 @@
     }
 }
 
-/// The moment of a start that follows another one.
+/// The current Unix time in milliseconds, but later than `before`, the previous start time.
 fn next_start(before: u64) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let now = now.map_or(0, |now| u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
@@ -248,7 +249,7 @@
             let served = http1::Builder::new()
                 .max_headers(MAX_HEADERS)
                 .serve_connection(TokioIo::new(stream), service);
-            // An error is how a behaviour closes the connection.
+            // A handler returns an error to close the connection.
             tokio::select! {
                 _ = served => {}
                 () = restarted.notified() => {}
@@ -257,7 +258,7 @@
     }
 }
 
-/// Notes a request whose connection closes before it is done.
+/// Records a request as dropped if its connection closes before `done` is set.
 struct Running {
     endpoint: SiteEndpoint,
     id: String,
@@ -355,7 +356,8 @@
     Either::Left(Full::new(body))
 }
 
-/// As many bytes as the query `bytes=N` names, or a text that names the request.
+/// A payload of the length in the query `bytes=N`, or else a text that repeats the request line
+/// and the length of its body.
 fn answer_body(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
     let (method, uri) = (head.method.as_str(), head.uri.to_string());
     let bytes = requested_bytes(&uri);
@@ -377,7 +379,7 @@
     uri.split_once("?bytes=")?.1.parse().ok()
 }
 
-/// Whether this is the whole answer to a request.
+/// Whether `answer` is the complete body that an endpoint sends for this request.
 pub fn is_answer(method: &str, path: &str, body: &[u8], answer: &[u8]) -> bool {
     match requested_bytes(path) {
         Some(bytes) => {
--- a/crates/testing/src/site/list.rs
+++ b/crates/testing/src/site/list.rs
@@ -15,16 +15,16 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-/// Lines on a page: few, so that tests turn pages.
+/// Entries on a page: few, so that tests cover pagination.
 const PAGE_SIZE: usize = 2;
 
-/// A line of the list.
+/// An endpoint's entry on the list. Field names are those of the platform's JSON.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Line {
-    /// Identity of the endpoint.
+    /// Instance id of the endpoint.
     pub id: String,
-    /// Unix millisecond of its start.
+    /// Start time in Unix milliseconds.
     pub born: u64,
     /// Its service.
     pub service: String,
@@ -32,27 +32,27 @@
     pub address: SocketAddr,
     /// Its failure domain.
     pub zone: String,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// Requests that it runs at the same time.
+    /// Requests that it can run concurrently.
     pub slots: u32,
     /// `ready` or `draining`.
     pub state: String,
-    /// How much longer it is cold.
+    /// Remaining warm-up time, in milliseconds.
     pub warmup_left_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
     lines: Vec<Line>,
-    /// Entries of another writer, which may be no JSON.
+    /// Raw entries from another writer, possibly invalid JSON.
     foreign: Vec<Vec<u8>>,
     calls: u64,
     fails: bool,
     domains_read: BTreeSet<String>,
 }
 
-/// The list; it ends with the process.
+/// An HTTP server of the list; it runs until the process ends.
 #[derive(Debug)]
 pub struct SiteList {
     addr: SocketAddr,
@@ -77,32 +77,33 @@
         Self { addr, state }
     }
 
-    /// Where it is read.
+    /// Address that it serves.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Replaces its lines.
+    /// Replaces its entries.
     pub fn set(&self, lines: Vec<Line>) {
         self.lock().lines = lines;
     }
 
-    /// Replaces what another writer has put behind the first line of each page.
+    /// Replaces the raw entries that each page has after its first entry, as if another writer
+    /// had put them there.
     pub fn set_foreign(&self, entries: Vec<Vec<u8>>) {
         self.lock().foreign = entries;
     }
 
-    /// Whether it answers with an error.
+    /// Sets whether it answers 500 instead of the list.
     pub fn fail(&self, fails: bool) {
         self.lock().fails = fails;
     }
 
-    /// How often it was called.
+    /// Number of requests that it received.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Failure domains whose part was read by itself.
+    /// Failure domains that were queried with the `zone` parameter.
     pub fn domains_read(&self) -> BTreeSet<String> {
         self.lock().domains_read.clone()
     }
@@ -121,7 +122,7 @@
                 let answer = answer(&state, &req);
                 async move { Ok::<_, Infallible>(answer) }
             });
-            // An error only means that the reader is gone.
+            // An error only means that the client closed the connection.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/testing/src/site/mod.rs
+++ b/crates/testing/src/site/mod.rs
@@ -1,8 +1,8 @@
-//! A deployment on the users' platform, in small: control replicas that keep their own
-//! membership, gateways, and stand-ins for the platform's list, endpoints and operators.
+//! A small deployment on the platform: control replicas that manage their own membership,
+//! gateways, and stand-ins for the platform's list and endpoints.
 //!
-//! Every address that processes are told is that of a proxy, so that links can be cut and
-//! a replica may come back on another port.
+//! Every address in the processes' settings is that of a proxy, so that links can be cut and a
+//! replica can restart on another port.
 
 mod endpoint;
 mod list;
@@ -21,12 +21,12 @@
 use crate::wait_until;
 
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Generous: a debug build on a machine that runs other tests too.
+/// Generous, for debug builds on a machine that runs other tests too.
 const BOUND: Duration = Duration::from_secs(60);
-/// Host that requests of tests name.
+/// `host` header of the tests' requests.
 pub const HOST: &str = "shop.example";
 
-/// Where the programs under test lie.
+/// Paths of the programs under test.
 #[derive(Clone, Debug)]
 pub struct SitePrograms {
     /// `filberthead-control`.
@@ -54,20 +54,20 @@
     pub controls: Vec<Node>,
     /// Gateways.
     pub gateways: Vec<Node>,
-    /// Endpoints that are on the list or were.
+    /// All endpoints that were started, including those no longer on the list.
     pub endpoints: Vec<SiteEndpoint>,
     /// The platform's list.
     pub list: SiteList,
-    /// The links between all processes.
+    /// The links between the processes.
     pub network: Network,
-    /// Proxies before endpoints, by the endpoint's place among all.
+    /// Proxies in front of endpoints, by index into `endpoints`.
     links: BTreeMap<usize, FaultProxy>,
     builder: SiteBuilder,
     dir: tempfile::TempDir,
 }
 
 impl Site {
-    /// Three replicas and one gateway in two failure domains, one seed.
+    /// A builder that starts with three replicas, one gateway, two failure domains and one seed.
     pub fn builder(programs: SitePrograms) -> SiteBuilder {
         SiteBuilder {
             programs,
@@ -88,12 +88,12 @@
         self.dir.path()
     }
 
-    /// Keeps the folder when this is dropped.
+    /// Keeps [`dir`](Self::dir) when the site is dropped.
     pub fn keep(&mut self) {
         self.dir.disable_cleanup(true);
     }
 
-    /// The control replica of a name.
+    /// The control replica with this name.
     ///
     /// # Panics
     ///
@@ -104,8 +104,8 @@
         nodes.find(|n| n.name() == name).expect("a replica")
     }
 
-    /// Starts another control replica, at an address of its own and with an empty disk, that
-    /// is told the same seeds as the others were.
+    /// Starts another control replica with a new address, an empty data folder and the same
+    /// seeds as the others.
     ///
     /// # Panics
     ///
@@ -128,7 +128,7 @@
         &self.endpoints[number]
     }
 
-    /// Starts an endpoint that the list doesn't name yet.
+    /// Starts an endpoint that isn't on the list yet, and returns its index.
     fn new_endpoint(&mut self, service: &str, domain: &str) -> usize {
         let number = self.endpoints.len();
         let id = format!("i-{}", number + 1);
@@ -137,7 +137,8 @@
         number
     }
 
-    /// Adds an endpoint to the list under the address of a proxy before it.
+    /// Adds an endpoint to the list under the address of a proxy in front of it, and returns its
+    /// index.
     pub fn add_linked_endpoint(&mut self, service: &str, domain: &str) -> usize {
         let number = self.new_endpoint(service, domain);
         let endpoint = &self.endpoints[number];
@@ -149,19 +150,19 @@
         number
     }
 
-    /// The proxy before an endpoint that has one.
+    /// The proxy in front of an endpoint; `None` if it has none.
     pub fn link(&self, endpoint: usize) -> Option<&FaultProxy> {
         self.links.get(&endpoint)
     }
 
-    /// Puts all endpoints on the list that aren't gone.
+    /// Replaces the list by all endpoints that haven't left it.
     pub fn show_endpoints(&self) {
         let listed = self.endpoints.iter().filter(|e| !e.is_gone());
         self.list.set(listed.map(SiteEndpoint::line).collect());
     }
 
-    /// Sends an operator's call to each replica in turn, until one answers other than that
-    /// it can't tell.
+    /// Sends an operator's call to the replicas in rotation until one answers with another status
+    /// than 503.
     ///
     /// # Panics
     ///
@@ -179,7 +180,8 @@
         answer.expect("the wait ends with an answer")
     }
 
-    /// Puts routes in force: every path of [`HOST`] under `/SERVICE/` goes to that service.
+    /// Installs routes: every path of [`HOST`] under `/SERVICE/` goes to that service. `services`
+    /// are pairs of a name and the kind of its route.
     ///
     /// # Panics
     ///
@@ -190,7 +192,7 @@
         assert_eq!(answer.status, 200, "routes are accepted");
     }
 
-    /// Waits until a gateway says that callers may come.
+    /// Waits until a gateway's readiness check succeeds.
     ///
     /// # Panics
     ///
@@ -200,7 +202,7 @@
         wait_until("the gateway is ready", BOUND, || self.is_serving(gateway));
     }
 
-    /// Whether a gateway says that callers may come.
+    /// Whether a gateway's readiness check succeeds.
     pub fn is_serving(&self, gateway: usize) -> bool {
         let node = &self.gateways[gateway];
         let addr = node.try_direct_addr("readiness");
@@ -229,14 +231,14 @@
     call.bound(Duration::from_secs(2)).send(addr)
 }
 
-/// Version of the routes that a replica proves to be the newest; `None` if it can't.
+/// Version of the routes that a replica has proved to be the newest; `None` if it can't.
 pub fn proven_version(node: &Node) -> Option<u64> {
     let answer = order_at(node, "config.get", "").ok()?;
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     body["version"].as_u64()
 }
 
-/// A request of a test, as callers of the platform send it.
+/// A request with the headers that the platform's callers send.
 pub fn request(method: &str, path: &str, id: &str) -> Call {
     Call::new(method, path)
         .header("host", HOST)
@@ -244,7 +246,7 @@
         .header("x-deadline-ms", "20000")
 }
 
-/// A configuration of the platform: each service with its kind under its own prefix.
+/// Routes in the platform's JSON format: each service with its route's kind under its own prefix.
 pub fn config(version: u64, services: &[(&str, &str)]) -> String {
     let route = |(name, kind): &(&str, &str)| {
         serde_json::json!({
@@ -270,46 +272,46 @@
 }
 
 impl SiteBuilder {
-    /// Control replicas. Default 3.
+    /// Number of control replicas. Default 3.
     #[must_use]
     pub fn replicas(mut self, replicas: usize) -> Self {
         self.replicas = replicas;
         self
     }
 
-    /// Gateways, spread over the failure domains in turn. Default 1.
+    /// Number of gateways, distributed round-robin over the failure domains. Default 1.
     #[must_use]
     pub fn gateways(mut self, gateways: usize) -> Self {
         self.gateways = gateways;
         self
     }
 
-    /// How many of the replicas are seeds. Default 1.
+    /// Number of replicas that are seeds. Default 1.
     #[must_use]
     pub fn seeds(mut self, seeds: usize) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Replicas that may be lost. Default 1.
+    /// Number of replicas whose loss the group tolerates. Default 1.
     #[must_use]
     pub fn tolerate(mut self, tolerate: usize) -> Self {
         self.tolerate = tolerate;
         self
     }
 
-    /// Time from the signal of a planned stop until a gateway has ended. Default 3 s.
+    /// Time that a gateway has from the stop signal until it ends. Default 3 s.
     #[must_use]
     pub fn stop_grace(mut self, grace: Duration) -> Self {
         self.stop_grace = grace;
         self
     }
 
-    /// Starts everything and waits until each process listens.
+    /// Starts the site and waits until each process is ready.
     ///
     /// # Panics
     ///
-    /// Panics if one doesn't.
+    /// Panics if one isn't within a minute.
     #[track_caller]
     pub fn start(self) -> Site {
         let dir = tempfile::Builder::new().prefix("filberthead-").tempdir();
@@ -392,7 +394,7 @@
                 "grace",
                 format!("{}s", self.builder.stop_grace.as_secs()),
             );
-        // The seeds are whole addresses; a port is for platforms that give others.
+        // The seeds include ports, so the port setting for seeds without one is left out.
         for place in &self.builder.places {
             let section = format!("failure_domain {}", place.failure_domain);
             node.settings().set(&section, "region", &place.region);
