--- a/crates/testing/src/site/mod.rs
+++ b/crates/testing/src/site/mod.rs
@@ -394,7 +394,7 @@
                 "grace",
                 format!("{}s", self.builder.stop_grace.as_secs()),
             );
-        // The seeds include ports, so the port setting for seeds without one is left out.
+        // The seeds' own ports are right, so the `port` setting, which replaces them, is left out.
         for place in &self.builder.places {
             let section = format!("failure_domain {}", place.failure_domain);
             node.settings().set(&section, "region", &place.region);
--- a/crates/testing/src/soak/callers.rs
+++ b/crates/testing/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they look up a gateway, keep a connection to it, and use that until it ends.
+//! Callers, which look up a gateway, open a connection to it, and reuse that until it ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +16,20 @@
 use crate::client::{Answer, Call, CallError, Connection};
 use crate::site::{HOST, is_answer};
 
-/// What a request tells about the time that its caller waits.
+/// The deadline that a request carries.
 const DEADLINE_MS: u64 = 1_500;
-/// When its caller gives up: later, so that a final answer at the deadline is seen.
+/// When the caller gives up. Later than the deadline, so that an answer sent at the deadline
+/// still arrives.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two requests, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// Lengths of lessons: shorter and longer than what a gateway reads whole.
+/// Lengths of lessons: below and above the size that a gateway buffers completely.
 const LESSON_BYTES: [u64; 3] = [20_000, 300_000, 2_500_000];
-/// Objects that requests are about.
+/// Number of distinct objects, which are the affinity keys of requests.
 const OBJECTS: u32 = 40;
-/// How far back tried versions lie from the newest one.
+/// Probed versions are among this many newest ones.
 const RECENT_VERSIONS: u64 = 6;
 
 /// A connection to a gateway.
@@ -37,13 +38,13 @@
     connection: Connection,
 }
 
-/// A request to be sent.
+/// Contents of a request.
 struct RequestSpec {
     method: &'static str,
     path: String,
     body: String,
     object: u32,
-    /// Version that alone has its route.
+    /// The only version that has its route; `None` for a route that all versions have.
     probes: Option<u64>,
 }
 
@@ -122,7 +123,7 @@
     })
 }
 
-/// Sends one request and notes how it ended. Returns the connection if it can be used again.
+/// Sends one request and records its outcome. Returns the connection if it can be reused.
 async fn send(
     shared: &SharedState,
     mut connection: GatewayConnection,
@@ -159,7 +160,7 @@
             answered: Instant::now(),
         });
     }
-    // A route that one version had may be unknown to another.
+    // A probe may get 404 from a gateway with another version, which is no violation.
     if spec.probes.is_none() || !is_unknown {
         history.requests.push(CallerRequest {
             id,
@@ -172,9 +173,9 @@
     reusable.then_some(connection)
 }
 
-/// Whether an answer shows that its gateway has the request's route. `None` if it tells
-/// neither: a gateway that hasn't any routes, or whose routes lack this one and aren't proved
-/// to be the newest, says so with codes of their own.
+/// Whether an answer shows that the gateway has the request's route. `None` if it shows neither:
+/// a gateway without any routes, or one whose routes lack this one and aren't proved to be the
+/// newest, answers with a result code of its own.
 fn shows_route(answer: &Answer) -> Option<bool> {
     match answer.result().and_then(ResultCode::from_number) {
         Some(ResultCode::NotReady | ResultCode::RoutesUnproven) => None,
--- a/crates/testing/src/soak/history.rs
+++ b/crates/testing/src/soak/history.rs
@@ -1,94 +1,94 @@
-//! What callers and operators sent, and what they were told.
+//! Requests that callers and operators sent, and the answers that they received.
 
 use std::time::Instant;
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered {
         /// Its status.
         status: u16,
-        /// Whether it is, byte for byte, what an endpoint answers to this very request.
+        /// Whether it is, byte for byte, an endpoint's answer to this request.
         matches: bool,
     },
-    /// No connection could be made.
+    /// The connection could not be opened.
     ConnectFailed,
-    /// The connection ended before an answer began.
+    /// The connection failed before an answer began.
     Closed,
     /// The connection ended in the middle of an answer.
     Cut,
-    /// The caller gave up.
+    /// The caller's timeout passed.
     TimedOut,
 }
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Its id, which no other request has.
+    /// Its unique id.
     pub id: String,
     /// Its method and path.
     pub request_line: String,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Number of the gateway that got it.
+    /// Index of the gateway that it was sent to.
     pub gateway: usize,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: RequestOutcome,
 }
 
-/// Routes that a control replica showed to an operator.
+/// Routes that an operator read from a control replica.
 #[derive(Clone, Debug)]
 pub struct RoutesRead {
-    /// Number of the replica.
+    /// Index of the replica.
     pub control: usize,
-    /// When it was asked.
+    /// When the request was sent.
     pub sent: Instant,
-    /// The version.
+    /// Version of the routes.
     pub version: u64,
-    /// Whether they are, byte for byte, what was sent under that number.
+    /// Whether they are, byte for byte, what operators sent as that version.
     pub as_sent: bool,
 }
 
 /// Routes that an operator sent.
 #[derive(Clone, Debug)]
 pub struct RoutesChange {
-    /// Their version.
+    /// Version of the routes.
     pub version: u64,
     /// Whether they are valid.
     pub valid: bool,
-    /// When they were first accepted.
+    /// When an answer said that they were accepted; `None` if none did.
     pub accepted: Option<Instant>,
-    /// With which status they were first refused.
+    /// Status of the answer that refused them; `None` if none did.
     pub refused: Option<u16>,
 }
 
-/// What a gateway did with a route that only one version has.
+/// A request to a gateway on a route that only one version has.
 #[derive(Clone, Debug)]
 pub struct RouteProbe {
-    /// Number of the gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Number of its start.
+    /// Incarnation of the gateway; see `SharedState::incarnations`.
     pub incarnation: u32,
-    /// The version.
+    /// The version that has the route.
     pub version: u64,
-    /// Whether the gateway knew the route.
+    /// Whether the gateway had the route.
     pub has_route: bool,
     /// When the request was sent.
     pub sent: Instant,
-    /// When its answer was there.
+    /// When the answer was complete.
     pub answered: Instant,
 }
 
-/// All of it.
+/// All recorded requests.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests of callers.
     pub requests: Vec<CallerRequest>,
-    /// What operators read.
+    /// Routes that operators read.
     pub reads: Vec<RoutesRead>,
-    /// What operators changed.
+    /// Routes that operators sent.
     pub changes: Vec<RoutesChange>,
-    /// Routes of single versions that were tried.
+    /// Requests on routes of a single version.
     pub probes: Vec<RouteProbe>,
 }
--- a/crates/testing/src/soak/mod.rs
+++ b/crates/testing/src/soak/mod.rs
@@ -1,15 +1,16 @@
-//! A randomised soak: the real programs as processes of one machine, with callers,
-//! operators and endpoints around them, while faults are injected from outside.
+//! A randomised soak test: the real programs run as processes on one machine and serve callers,
+//! operators and endpoints, while faults are injected from outside.
 //!
-//! A [`Plan`] is drawn from a seed: what happens when. [`run_plan`] carries it out: it kills,
-//! pauses, stops and restarts processes by signals, tears and wipes their data, and
-//! delays, resets, cuts and silences their connections by the proxies before them. In the
-//! end all faults are taken back, and service has to come back too.
+//! A [`Plan`] is generated from a seed and says which step is taken when. [`run_plan`] executes
+//! it: it kills, suspends, stops and restarts processes with signals, tears and wipes their data,
+//! and delays, resets, cuts and silences their connections with the proxies in front of them. At
+//! the end it reverts all faults, and the system has to recover.
 //!
-//! What must hold is judged by what callers and operators were told and by what endpoints
-//! ran ([`History`], [`find_violations`]), never by what the processes say of themselves, but for
-//! whether a group is whole before another disk is lost. The order of events differs from
-//! run to run, since real processes race; the plan of a seed doesn't.
+//! [`find_violations`] checks the answers that callers and operators received, kept in a
+//! [`History`], against the requests that endpoints ran. It uses nothing that the processes
+//! report about themselves; only the decision whether a group is healthy enough to lose another
+//! disk does. The order of events differs between runs, since real processes race; the plan of a
+//! seed doesn't.
 
 mod callers;
 mod history;
--- a/crates/testing/src/soak/nodes.rs
+++ b/crates/testing/src/soak/nodes.rs
@@ -1,4 +1,4 @@
-//! The processes under test, and what is done to each.
+//! The processes under test and the process faults injected into them.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -13,14 +13,14 @@
 use crate::cluster::Node;
 use crate::site::{Site, proven_version};
 
-/// Time after which a process that was told to stop has to be gone: its grace, and as much
-/// again as a busy machine may take.
+/// Time in which a process that was asked to stop must end: its grace period and a generous
+/// margin for a busy machine.
 const STOP_BOUND: Duration = Duration::from_secs(30);
-/// What a write that was torn by a loss of power leaves behind the last whole record: a
-/// length, and less than that of data.
+/// What a power loss during a write leaves after the last complete record: a length, followed
+/// by fewer bytes than that.
 const TORN_RECORD: [u8; 11] = [200, 0, 0, 0, 7, 1, 2, 3, 4, 5, 6];
 
-/// What was last done to a process.
+/// State of a process after the last step on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Up,
@@ -29,7 +29,7 @@
     Stopping(Instant),
 }
 
-/// All processes.
+/// All processes and their states.
 pub(super) struct Nodes {
     pub(super) site: Site,
     shared: Arc<SharedState>,
@@ -63,7 +63,7 @@
         self.node(target).name().to_owned()
     }
 
-    /// Keys of the addresses that others reach it by.
+    /// Keys of a process's addresses that have a proxy and get connection faults.
     pub(super) fn keys(target: Target) -> &'static [&'static str] {
         match target {
             Target::Control(_) => &["peer", "orders", "lookups"],
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Asks it to stop, again if it has been asked before.
+    /// Sends the process `SIGTERM`, also if it is stopping already.
     pub(super) fn stop(&mut self, target: Target) {
         match self.state(target) {
             State::Up => {
                 self.node(target).process().terminate();
-                // It serves on, so its life goes on.
+                // The process still serves, so its incarnation stays the same.
                 self.states.insert(target, State::Stopping(Instant::now()));
             }
             State::Stopping(_) => self.node(target).process().terminate(),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Starts those again that have stopped, and looks for those that don't, or that have
-    /// ended without having been told to.
+    /// Restarts processes that have stopped. Returns violations for those that don't stop in
+    /// time and those that ended by themselves, and restarts these too.
     pub(super) fn restart_ended(&mut self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for target in self.targets() {
@@ -159,7 +159,7 @@
         violations
     }
 
-    /// Whether any process is on its way to its end.
+    /// Whether any process was asked to stop and hasn't been restarted yet.
     pub(super) fn is_any_stopping(&self) -> bool {
         let mut states = self.states.values();
         states.any(|state| matches!(state, State::Stopping(_)))
@@ -169,7 +169,8 @@
         (0..self.site.controls.len()).map(Target::Control).collect()
     }
 
-    /// Loses power with a write under way.
+    /// Simulates a power loss during a write: kills a replica, appends a torn record to its
+    /// newest log file and restarts it.
     pub(super) fn tear(&mut self, control: usize) {
         let target = Target::Control(control);
         if self.state(target) == State::Down {
@@ -190,8 +191,8 @@
         self.start(target);
     }
 
-    /// Loses a disk. Only a group that is whole bears it: each voter is up, and holds all
-    /// that was accepted. Says whether it was done.
+    /// Wipes a replica's disk and restarts it, if the group is healthy: losing a disk is only
+    /// tolerated while each voter is up and has all accepted changes. Returns whether it was done.
     pub(super) fn wipe(&mut self, control: usize) -> bool {
         let healthy = self.is_group_healthy();
         if healthy {
@@ -203,7 +204,8 @@
         healthy
     }
 
-    /// All replicas lose power at once, and one its disk as well if the group is whole.
+    /// Kills all replicas at once and restarts them; `lost` also loses its disk if the group was
+    /// healthy.
     pub(super) fn power_cut(&mut self, lost: Option<usize>) {
         let lost = lost.filter(|_| self.is_group_healthy());
         let controls = self.controls();
--- a/crates/testing/src/soak/operators.rs
+++ b/crates/testing/src/soak/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they change routes, resend what they got no clear answer to, and read.
+//! Operators, which change routes, resend changes without a conclusive answer, and read routes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 use super::shared::SharedState;
 use crate::client::{Answer, Call};
 
-/// How long an operator waits for an answer before the order goes to another replica.
+/// How long an operator waits for an answer before sending the call to another replica.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an order without a clear answer is sent again.
+/// How long a call without a conclusive answer is resent.
 const RESEND_FOR: Duration = Duration::from_secs(4);
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
 /// Pause between two changes, in milliseconds.
 const CHANGE_MS: std::ops::Range<u64> = 100..700;
 /// Pause between two reads, in milliseconds.
 const READ_MS: std::ops::Range<u64> = 30..150;
-/// Part of the changes that aren't valid.
+/// Share of the changes that are invalid.
 const INVALID: f64 = 0.15;
 
 /// Changes routes until the soak is over.
@@ -75,7 +75,8 @@
     }
 }
 
-/// Sends an order to one replica after the other until one gives a clear answer.
+/// Sends a call to random replicas until one answers without a server error. `None` if none does
+/// in time or the soak ends.
 async fn order(shared: &SharedState, call: &str, body: &str, rng: &mut StdRng) -> Option<Answer> {
     let call = Call::new("POST", &format!("/-/rpc?call={call}")).body(body.to_owned());
     let call = call.bound(ANSWER_TIMEOUT);
@@ -92,7 +93,7 @@
     None
 }
 
-/// Evacuates a failure domain. Says whether that was accepted.
+/// Evacuates a failure domain. Returns whether that was accepted.
 pub(super) async fn evacuate(shared: Arc<SharedState>, domain: &str, seed: u64) -> bool {
     let mut rng = StdRng::seed_from_u64(seed);
     let call = format!("evacuations.start&of={domain}");
@@ -100,7 +101,7 @@
     answer.is_some_and(|answer| answer.status.is_success())
 }
 
-/// Reads routes from one replica after the other until the soak is over.
+/// Reads routes from random replicas until the soak is over.
 pub(super) async fn read(shared: Arc<SharedState>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let call = Call::new("POST", "/-/rpc?call=config.get").bound(ANSWER_TIMEOUT);
@@ -121,7 +122,8 @@
     let value: Result<serde_json::Value, _> = serde_json::from_str(&text);
     let version = value.ok().and_then(|value| value["version"].as_u64());
     let version = version.unwrap_or(0);
-    // Whether they were sent at all; a soak begins with routes, so there are some.
+    // A soak starts with routes installed, so an answer without a version is a violation:
+    // version 0 never matches sent routes.
     let as_sent = shared.matches_sent(version, &text);
     shared.history().reads.push(RoutesRead {
         control,
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens when, drawn from a seed.
+//! Generates the steps of a soak and their times from a seed.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::site::Behaviour;
 
-/// Time before the first fault: callers come and objects are learned.
+/// Time before the first fault, in which callers connect and gateways learn objects.
 const INITIAL_DELAY: Duration = Duration::from_millis(800);
-/// Time between the beginnings of two faults, in milliseconds.
+/// Time between the starts of two faults, in milliseconds.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
-/// How long a fault lasts, in milliseconds: from shorter than any timeout of the system to
-/// longer than its leases.
+/// Duration of a fault, in milliseconds: from shorter than any of the system's timeouts to longer
+/// than its leases.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 200..3_500;
-/// Part of the plans in which only planned work happens, so that nothing may be cut.
+/// Share of the plans that contain only planned work, during which no request may be cut.
 const PLANNED_ONLY_PROBABILITY: f64 = 0.25;
-/// How endpoints misbehave.
+/// Behaviours that a plan gives to endpoints for a while.
 const FAULTY_BEHAVIOURS: [Behaviour; 6] = [
     Behaviour::Sheds,
     Behaviour::LosesAnswer,
@@ -26,18 +26,18 @@
     Behaviour::Truncates,
 ];
 
-/// How large a soak is.
+/// Size of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Control replicas; a minority of them may be lost.
+    /// Number of control replicas; the group tolerates the loss of a minority.
     pub controls: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
     /// Endpoints of each service in each failure domain.
     pub endpoints: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Time over which faults begin.
+    /// Time during which faults start.
     pub duration: Duration,
 }
 
@@ -62,84 +62,84 @@
     Gateway(usize),
 }
 
-/// Something that is done to the system.
+/// An action on the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// It dies at once.
+    /// The process is killed.
     Kill(Target),
-    /// It is asked to stop, and started again once it has.
+    /// The process receives `SIGTERM`, and is restarted once it has ended.
     Stop(Target),
-    /// It is told that its settings have changed.
+    /// The process receives `SIGHUP`, which makes it reload its settings.
     HangUp(Target),
-    /// It stands still.
+    /// The process is suspended.
     Freeze(Target),
-    /// It goes on.
+    /// The process is resumed.
     Resume(Target),
-    /// It is started if it is down.
+    /// The process is started if it is down.
     Start(Target),
-    /// A control replica dies and its last write is torn.
+    /// A control replica is killed, its log gets a torn record at the end, and it is restarted.
     Tear(usize),
-    /// A control replica loses its disk, if the group is whole.
+    /// A control replica loses its disk, if the group is healthy.
     Wipe(usize),
-    /// All control replicas die at the same moment, and one loses its disk if the group is
-    /// whole.
+    /// All control replicas are killed at once and restarted; the one given, if any, also loses its
+    /// disk if the group was healthy.
     PowerCut(Option<usize>),
-    /// These are cut off from all other processes.
+    /// These processes are cut off from all others.
     Partition(Vec<Target>),
-    /// What the first sends to the second doesn't arrive.
+    /// Bytes from the first process to the second are held back.
     OneWay(Target, Target),
-    /// All links between processes are slower by so many milliseconds.
+    /// All links between processes are delayed by this many milliseconds.
     Slow(u64),
-    /// All links pass again.
+    /// All links between processes work again.
     Heal,
-    /// The connections of others to it are reset.
+    /// Connections to the process are reset.
     Reset(Target),
-    /// The connections of others to it go silent for good.
+    /// Existing connections to the process forward nothing any more.
     Silence(Target),
-    /// Answers of a control replica to operators are held back.
+    /// A control replica's answers to operators are held back.
     HoldAnswers(usize),
-    /// They come again.
+    /// They are delivered again.
     ReleaseAnswers(usize),
-    /// An endpoint changes how it answers.
+    /// An endpoint changes its behaviour.
     SetBehaviour(usize, Behaviour),
-    /// The way to an endpoint carries nothing.
+    /// The link to an endpoint forwards nothing.
     CutEndpoint(usize),
-    /// The way to an endpoint carries again.
+    /// The link to an endpoint works again.
     HealEndpoint(usize),
-    /// The list says that an endpoint is to go.
+    /// An endpoint is marked as draining on the list.
     Drain(usize),
-    /// Another start of an endpoint has its address before the list says so.
+    /// Another instance takes an endpoint's address while the list still names the old one.
     ReplaceInstance(usize),
-    /// A cold endpoint comes, of the service with this number.
+    /// A cold endpoint of the service with this index is added.
     Join(usize),
     /// Operators evacuate the second failure domain.
     Evacuate,
 }
 
-/// A step and when it is taken, from the beginning of traffic.
+/// A step and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedStep {
-    /// When.
+    /// Time since traffic started.
     pub at: Duration,
-    /// What.
+    /// The step.
     pub step: Step,
 }
 
-/// All that happens in a soak.
+/// All steps of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that it was generated from.
     pub seed: u64,
-    /// How large it is.
+    /// Size of the system and duration.
     pub size: Size,
-    /// Whether only planned work happens.
+    /// Whether it contains only planned work.
     pub planned_only: bool,
-    /// The steps, in order of time.
+    /// The steps, sorted by time.
     pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed; the same seed and size give the same plan.
     pub fn new(seed: u64, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let planned_only = rng.random_bool(PLANNED_ONLY_PROBABILITY);
@@ -181,7 +181,7 @@
         self.steps.push(TimedStep { at, step });
     }
 
-    /// A step now, and another that takes it back.
+    /// Adds a step and, after a random duration, another that reverts it.
     fn push_with_undo(&mut self, at: Duration, step: Step, undo: Step) {
         let duration = Duration::from_millis(self.rng.random_range(FAULT_DURATION_MS));
         self.push(at, step);
@@ -200,7 +200,7 @@
         }
     }
 
-    /// An endpoint that is there from the beginning.
+    /// Index of an endpoint that exists from the start.
     fn endpoint(&mut self) -> usize {
         let domains_and_services = 2 * super::shared::SERVICES.len();
         self.rng
@@ -212,7 +212,7 @@
         match self.rng.random_range(0..10) {
             0..=3 => self.push(at, Step::Stop(target)),
             4 => {
-                // Signals that overlap: it is told twice, and to reload in between.
+                // Overlapping signals: two requests to stop with a reload between them.
                 self.push(at, Step::Stop(target));
                 self.push(at + Duration::from_millis(100), Step::HangUp(target));
                 self.push(at + Duration::from_millis(200), Step::Stop(target));
--- a/crates/testing/src/soak/runner.rs
+++ b/crates/testing/src/soak/runner.rs
@@ -1,4 +1,4 @@
-//! Carries out a plan and looks what came of it.
+//! Executes a plan and checks the result.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,38 +20,38 @@
 const DOMAINS: [&str; 2] = ["zagreb-a", "split-a"];
 /// Attempts that the routes of a [`Site`] allow.
 const MAX_ATTEMPTS: usize = 2;
-/// Time that a gateway has for a planned stop: it takes callers for 0.6 of it, and the rest
-/// is longer than any request's deadline, so that nothing needs to be cut.
+/// Time that a gateway has for a planned stop: it accepts callers for 0.6 of it, and the rest is
+/// longer than any request's deadline, so that no request needs to be cut.
 const STOP_GRACE: Duration = Duration::from_secs(8);
-/// Time in which everything has to be back once all faults are over: many times what it
-/// takes, since debug builds on a busy machine take long.
+/// Time in which the system must recover once all faults are over: many times what it normally
+/// takes, for debug builds on a busy machine.
 const RECOVERY_BOUND: Duration = Duration::from_secs(60);
-/// Time in which nothing more may go to what has left.
+/// Time after which draining or evacuated endpoints may get no more requests.
 const REMOVAL_BOUND: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Requests to each gateway and service after which an endpoint that gets none has left.
+/// Requests to each gateway and service in one check of whether removed endpoints get any.
 const BURST: usize = 10;
-/// How long a cold endpoint is cold, in milliseconds.
+/// Warm-up time of an added endpoint, in milliseconds.
 const COLD_MS: u64 = 2_000;
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Report {
     /// Seed of its plan.
     pub seed: u64,
-    /// Steps that were taken.
+    /// Number of steps.
     pub steps: usize,
-    /// Requests of callers.
+    /// Number of callers' requests.
     pub requests: usize,
-    /// Those that an endpoint served.
+    /// Number of those answered with 200.
     pub served: usize,
-    /// Changes of routes that were accepted.
+    /// Number of accepted changes of routes.
     pub accepted: usize,
-    /// Times that routes were shown to an operator.
+    /// Number of successful reads of routes by operators.
     pub shown: usize,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
-    /// Folder with settings, logs and data; it stays if a promise was broken.
+    /// Folder with settings, logs and data; it is kept if there are violations.
     pub dir: std::path::PathBuf,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Carries out a plan.
+/// Executes a plan and checks the result.
 ///
 /// # Panics
 ///
@@ -144,7 +144,7 @@
             let shared = Arc::clone(&self.shared);
             self.spawn(callers::call(shared, number, seed ^ (number as u64 + 1)));
         }
-        // Two operators change routes at once, and one reads.
+        // Two operators change routes concurrently, and one reads.
         for number in 100..102 {
             self.spawn(operators::change(Arc::clone(&self.shared), seed ^ number));
         }
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Steps that concern endpoints and operators.
+    /// Applies steps that concern endpoints and operators.
     fn apply_external(&mut self, step: &Step) {
         let site = &mut self.nodes.site;
         match step {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Takes back all faults, and ends traffic.
+    /// Reverts all faults, restarts all processes that are down, and ends traffic.
     fn end_faults(&mut self) {
         let site = &self.nodes.site;
         site.network.heal();
@@ -291,7 +291,8 @@
         });
     }
 
-    /// Waits until everything is back, and looks that nothing goes where it must not.
+    /// Waits until all replicas and gateways have recovered, and checks that removed endpoints
+    /// get no requests.
     fn check_recovery(&mut self) {
         let accepted = self.shared.accepted();
         let controls = self.nodes.site.controls.len();
@@ -309,8 +310,9 @@
         self.check_removed_endpoints();
     }
 
-    /// Whether a gateway serves the routes that control proves to be the newest by now. A change
-    /// whose operator got no answer may take effect after all others.
+    /// Whether a gateway serves the routes that control currently proves to be the newest. They
+    /// are read again each time, since a change whose operator got no answer may take effect
+    /// after all others.
     fn serves_newest(&mut self, gateway: usize, accepted: u64) -> bool {
         let newest = proven_version(&self.nodes.site.controls[0]);
         let Some(newest) = newest.filter(|newest| *newest >= accepted) else {
@@ -371,7 +373,7 @@
         served
     }
 
-    /// Endpoints that are to leave, or whose failure domain is evacuated for sure.
+    /// Indices of endpoints that are draining, or whose failure domain's evacuation was accepted.
     fn removed_endpoints(&mut self) -> Vec<usize> {
         let evacuated = self
             .evacuation
@@ -394,7 +396,7 @@
         self.violations.extend(violations);
     }
 
-    /// Sends some requests, and tells which of these endpoints got any.
+    /// Sends requests to all gateways, and returns which of the removed endpoints ran any.
     fn burst(&mut self, removed: &[usize]) -> Vec<usize> {
         let count =
             |runner: &Self, endpoint: usize| runner.nodes.site.endpoints[endpoint].runs().len();
@@ -455,7 +457,7 @@
     }
 }
 
-/// A path of each service, and the one that only this version has.
+/// A path on each service's route, and one on the route that only this version has.
 fn paths(version: u64) -> Vec<String> {
     let services = SERVICES.iter().map(|(name, _)| format!("/{name}/end"));
     services
--- a/crates/testing/src/soak/shared.rs
+++ b/crates/testing/src/soak/shared.rs
@@ -1,4 +1,4 @@
-//! What callers, operators and the one who injects faults share.
+//! State shared by callers, operators and the runner that injects faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 use super::history::History;
 use crate::site::{Site, config};
 
-/// Services and the kinds of their routes.
+/// Services, each with the kind of its route.
 pub(super) const SERVICES: &[(&str, &str)] = &[
     ("orders", "unsafe"),
     ("catalogue", "safe"),
     ("lessons", "download"),
 ];
 
-/// Addresses, and what was sent and told so far.
+/// Addresses of the processes, and the history so far.
 #[derive(Debug)]
 pub(super) struct SharedState {
-    /// Where gateways take callers.
+    /// Gateways' addresses for callers.
     pub(super) gateways: Vec<SocketAddr>,
-    /// Where replicas answer look-ups.
+    /// Replicas' addresses for look-ups.
     pub(super) lookups: Vec<SocketAddr>,
-    /// Where replicas take orders.
+    /// Replicas' addresses for operators' calls.
     pub(super) orders: Vec<SocketAddr>,
-    /// Counts the starts and ends of each gateway.
+    /// Number of starts and kills of each gateway: it changes whenever a gateway loses its state.
     pub(super) incarnations: Vec<AtomicU32>,
     newest: AtomicU64,
     sent_bodies: Mutex<BTreeMap<u64, String>>,
@@ -53,12 +53,12 @@
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The highest version that any operator has sent.
+    /// The highest version that was assigned to routes.
     pub(super) fn newest(&self) -> u64 {
         self.newest.load(Ordering::Relaxed)
     }
 
-    /// The highest version that was accepted.
+    /// The highest version that was accepted; 0 if none was.
     pub(super) fn accepted(&self) -> u64 {
         let history = self.history();
         let accepted = history
@@ -68,7 +68,7 @@
         accepted.map(|change| change.version).max().unwrap_or(0)
     }
 
-    /// Routes of a version that nobody has used yet: those of all services, and one that
+    /// A new version, `step` above the last, and its routes: those of all services, and one that
     /// only this version has.
     pub(super) fn next_routes(&self, step: u64) -> (u64, String) {
         let version = self.newest.fetch_add(step, Ordering::Relaxed) + step;
@@ -81,7 +81,7 @@
         (version, body)
     }
 
-    /// Whether these are the routes that were sent under the number.
+    /// Whether `body` is exactly what was generated as this version.
     pub(super) fn matches_sent(&self, version: u64, body: &str) -> bool {
         let sent_bodies = self
             .sent_bodies
--- a/crates/testing/src/soak/violations.rs
+++ b/crates/testing/src/soak/violations.rs
@@ -1,71 +1,72 @@
-//! Whether all promises were kept.
+//! Finds violations of the system's guarantees in the history of a soak.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use super::history::{CallerRequest, History, RequestOutcome};
 
-/// Statuses that promise that the request has not run and never will.
+/// Statuses that guarantee that the request has not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
-/// Statuses that a proper request may be answered with besides: an endpoint's own failure,
-/// and that it may have run.
+/// Further failures that a valid request may get: the endpoint's own, and those that say that
+/// the request may have run.
 const MAY_HAVE_RUN: [u16; 3] = [500, 502, 504];
 
 /// A request that an endpoint ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRun {
-    /// Number of the endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
     /// Id of the request.
     pub id: String,
-    /// Its method and path, as they arrived.
+    /// Its method and path, as the endpoint received them.
     pub request_line: String,
 }
 
-/// A promise that was broken.
+/// A violated guarantee. Strings are ids of requests unless noted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A request that isn't idempotent ran more than once.
     RanTwice(String),
-    /// A request ran more often than its route allows.
+    /// A request ran on more endpoints than its route allows attempts.
     TooManyAttempts(String, usize),
-    /// A request ran whose caller was told that it had not.
+    /// A request ran although its caller got a status that guarantees that it didn't.
     RefusedButRan(String, u16),
-    /// An endpoint ran what no caller had sent.
+    /// An endpoint ran a request that no caller had sent, or with another request line.
     UnknownRequest(String),
-    /// A caller was given an answer that isn't the one to its request.
+    /// A caller got a successful answer that isn't the one to its request.
     WrongAnswer(String),
-    /// A proper request was turned away, by this status.
+    /// A valid request got a status that no valid request may get.
     UnexpectedStatus(String, u16),
-    /// A request was passed on and its connection ended, with only planned work under way.
+    /// A request ran and its caller's connection ended, although the plan had only planned work.
     CutByPlannedWork(String),
-    /// A replica showed an older version than one accepted before it was asked.
+    /// A replica returned an older version than one accepted before the read was sent.
     StaleRead {
         /// The replica.
         control: usize,
-        /// What it showed.
+        /// The version that it returned.
         shown: u64,
-        /// What had been accepted.
+        /// The highest version that had been accepted.
         accepted: u64,
     },
-    /// A replica showed other routes than those sent under the number.
+    /// A replica returned other routes than those sent as this version.
     AlteredRoutes(usize, u64),
-    /// Valid routes were refused.
+    /// Valid routes of this version were refused with this status.
     ValidRefused(u64, u16),
-    /// Routes that aren't valid were accepted.
+    /// Invalid routes of this version were accepted.
     InvalidAccepted(u64),
-    /// A gateway went back to an older version within one life.
+    /// A gateway returned to an older version within one incarnation.
     VersionRegressed {
         /// The gateway.
         gateway: usize,
-        /// The version that it had served.
+        /// The version that it had served before.
         from: u64,
-        /// The older one that it served after.
+        /// The older version that it served afterwards.
         to: u64,
     },
-    /// Something didn't come back once all faults were over.
+    /// A process ended by itself or didn't stop, or the system didn't recover once all faults were
+    /// over. The string describes what was expected or seen.
     NotRecovered(String),
-    /// An endpoint got work that had left or was evacuated.
+    /// The endpoint with this index still got requests while draining or evacuated.
     SentToRemovedEndpoint(usize),
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Looks for broken promises. `max_attempts` is that of all routes.
+/// Checks the history against the runs on endpoints. `max_attempts` is the limit of all routes.
 pub fn find_violations(
     history: &History,
     runs: &[EndpointRun],
@@ -172,8 +173,8 @@
     violations
 }
 
-/// A gateway that has served by a version must not know, later in the same life, a route
-/// that only an older version has.
+/// Checks that a gateway that has served a version's own route doesn't, later in the same
+/// incarnation, serve a route that only an older version has.
 fn check_gateways(history: &History) -> Vec<Violation> {
     let mut incarnations: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for probe in &history.probes {
