--- a/crates/testing/src/bin/demo/main.rs
+++ b/crates/testing/src/bin/demo/main.rs
@@ -1,6 +1,7 @@
-//! The main job end to end, with real processes on loopback ports.
+//! `filberthead-demo`: the system's main functions end to end, with real processes on loopback
+//! ports.
 //!
-//! Prints each step with its time and result, and ends with 1 at the first that fails.
+//! Prints each step with its time and result, and exits with 1 at the first that fails.
 
 mod steps;
 mod system;
@@ -10,7 +11,7 @@
 
 use system::{StepError, System};
 
-/// A step takes the system and says what it saw.
+/// A step acts on the system and returns a description of the result.
 type Step = fn(&mut System) -> Result<String, StepError>;
 
 const STEPS: &[(&str, Step)] = &[
--- a/crates/testing/src/bin/demo/steps.rs
+++ b/crates/testing/src/bin/demo/steps.rs
@@ -1,4 +1,4 @@
-//! What the demonstration does.
+//! The steps of the demonstration.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -34,7 +34,7 @@
     in_force(system)
 }
 
-/// The table's version, once each entry acts on it.
+/// Waits until each entry applies the table's current version, and describes the result.
 fn in_force(system: &System) -> StepResult {
     let table = wait_for("the table", || system.operator.try_table())?;
     for entry in &system.cluster.entries {
@@ -114,7 +114,7 @@
     ))
 }
 
-/// An entry of each failure domain.
+/// Addresses of two entries in different failure domains.
 fn two_domains(system: &System) -> (SocketAddr, SocketAddr) {
     let addrs = system.cluster.caller_addrs();
     (addrs[0], addrs[addrs.len() - 1])
@@ -135,7 +135,7 @@
     ))
 }
 
-/// Bytes a second of the caller on a limited link.
+/// Rate of the caller's throttled link, in bytes per second.
 const THROTTLED_RATE: u64 = 400_000;
 const LESSON_BYTES: usize = 1_000_000;
 
--- a/crates/testing/src/bin/demo/system.rs
+++ b/crates/testing/src/bin/demo/system.rs
@@ -10,16 +10,16 @@
 use filberthead_testing::operator::Operator;
 use serde::Deserialize;
 
-/// How long a step waits for what must come.
+/// How long a step waits for a condition.
 const BOUND: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a step failed.
 #[derive(Debug)]
 pub(crate) enum StepError {
-    /// A request has no whole answer.
+    /// A request got no complete answer.
     Call(CallError),
-    /// Something is other than it must be.
+    /// A result differs from the expected one.
     Unexpected(String),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Fails a step unless something holds.
+/// Fails a step with the text `what` unless `holds`.
 pub(crate) fn ensure(holds: bool, what: impl FnOnce() -> String) -> Result<(), StepError> {
     if holds {
         Ok(())
@@ -47,7 +47,7 @@
     }
 }
 
-/// Waits for a value, and fails the step if there is none in time.
+/// Polls `probe` until it returns a value, and fails the step if it returns none within [`BOUND`].
 pub(crate) fn wait_for<T>(
     what: &str,
     mut probe: impl FnMut() -> Option<T>,
@@ -73,7 +73,7 @@
     pub(crate) key_prefix: String,
 }
 
-/// An entry that a look-up names.
+/// An entry in a look-up's answer.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct LookupEntry {
@@ -102,12 +102,12 @@
         Self { cluster, operator }
     }
 
-    /// Runs the command line as an operator would, and returns what it prints.
+    /// Runs the command line as an operator would, and returns its output.
     pub(crate) fn run(&self, args: &[&str]) -> Result<String, StepError> {
         self.run_at(&self.cluster.operator_addrs(), args)
     }
 
-    /// The same, towards these control replicas only.
+    /// Like [`run`](Self::run), with these control replicas only.
     pub(crate) fn run_at(
         &self,
         controls: &[SocketAddr],
@@ -128,7 +128,7 @@
         Ok(text(&output.stdout))
     }
 
-    /// Sets a row, and returns once each entry reports it as in force.
+    /// Sets a row with the option `--wait`, and returns the command's output.
     pub(crate) fn set(
         &self,
         service: &str,
@@ -162,7 +162,7 @@
         answered.then(|| answer.json())
     }
 
-    /// Sends a request until its answer isn't a refusal that nothing ran.
+    /// Sends a request until its answer is something other than "not run".
     pub(crate) fn send(&self, to: SocketAddr, call: &Call) -> Result<Answer, StepError> {
         let answer = wait_for("an answer of an endpoint", || match call.send(to) {
             Ok(answer) if answer.is_not_run() => None,
--- a/crates/testing/src/bin/soak.rs
+++ b/crates/testing/src/bin/soak.rs
@@ -1,7 +1,7 @@
-//! `filberthead-soak`: plays soaks of many seeds, one after the other.
+//! `filberthead-soak`: runs the soaks of several seeds, one after the other.
 //!
-//! Exits with 1 if any promise was broken; the folder with logs and data of that seed then
-//! stays, and is named.
+//! Exits with 1 if there is any violation; the folder with logs and data of that seed is then
+//! kept, and its path printed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
     first: u64,
     seeds: u64,
     size: Size,
-    /// Print the plans only.
+    /// Whether to print the plans instead of running them.
     show: bool,
 }
 
@@ -47,7 +47,7 @@
     Ok(options)
 }
 
-/// The programs that were built together with this one.
+/// The programs in the folder of the current executable.
 fn programs() -> std::io::Result<SitePrograms> {
     let own = std::env::current_exe()?;
     let beside = |name: &str| -> PathBuf { own.with_file_name(name) };
--- a/crates/testing/src/bin/standin.rs
+++ b/crates/testing/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint as a process: `filberthead-standin --name NAME
+//! Runs a stand-in endpoint as a process: `filberthead-standin [--name NAME]
 //! [--listen IP:PORT] [--journal FILE] [--script JSON]`.
 
 use std::error::Error;
--- a/crates/testing/src/standin/admin.rs
+++ b/crates/testing/src/standin/admin.rs
@@ -1,4 +1,4 @@
-//! What a test asks of a stand-in that is a process of its own.
+//! Requests that control a stand-in running as a separate process.
 
 use std::io;
 
@@ -11,8 +11,8 @@
 
 pub(super) const PREFIX: &str = "/_standin/";
 
-/// `GET /_standin/record` answers the record, `GET /_standin/script` the script, and
-/// `PUT /_standin/script` replaces it.
+/// `GET /_standin/record` returns the record, `GET /_standin/script` the script, and
+/// `PUT /_standin/script` replaces the script.
 pub(super) async fn handle(req: Request<Incoming>, state: &State) -> io::Result<Answer> {
     let path = &req.uri().path()[PREFIX.len()..];
     match (req.method(), path) {
--- a/crates/testing/src/standin/body.rs
+++ b/crates/testing/src/standin/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of a stand-in's answers.
+//! Bodies of a stand-in's answers, with faults.
 
 use std::io;
 use std::pin::Pin;
@@ -13,19 +13,19 @@
 use super::slot::SlotGuard;
 
 const CHUNK_BYTES: u64 = 32 * 1024;
-/// Pause that lets the server send what it has, before an answer breaks off.
+/// Pause before a truncated answer ends, in which the server sends what it has.
 const FLUSH: Duration = Duration::from_millis(10);
 
-/// Bytes of a payload, made as they are taken.
+/// A body whose bytes are generated from a payload as it is polled.
 pub(crate) struct AnswerBody {
     payload: Payload,
     at: u64,
     end: u64,
-    /// Where the answer breaks off.
+    /// Offset at which the answer is truncated; `None` for a complete answer.
     cut: Option<u64>,
     pace: Option<u64>,
     pause: Option<Pin<Box<Sleep>>>,
-    /// Holds the slot until the last byte is taken.
+    /// Slot that is held until the last byte is taken.
     slot: Option<SlotGuard>,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Breaks the answer off after so many bytes of its body.
+    /// Truncates the answer after this many bytes of its body.
     pub(crate) fn cut_after(mut self, bytes: Option<u64>) -> Self {
         self.cut = bytes.map(|bytes| self.at + bytes);
         self.pause = bytes.map(|_| Box::pin(tokio::time::sleep(FLUSH)));
--- a/crates/testing/src/standin/download.rs
+++ b/crates/testing/src/standin/download.rs
@@ -1,4 +1,4 @@
-//! Downloads with a validator and ranges.
+//! Downloads with a validator (`ETag`) and ranges.
 
 use http::{HeaderMap, HeaderValue, Response, StatusCode, Uri, header};
 use http_body_util::BodyExt;
@@ -12,11 +12,11 @@
 pub(super) const PREFIX: &str = "/download/";
 const DEFAULT_BYTES: u64 = 1024 * 1024;
 
-/// Which part of a download is asked for.
+/// The requested part of a download.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
     Whole,
-    /// From the first place to the one after the last.
+    /// From the first offset up to, but without, the second.
     Range(u64, u64),
     Unsatisfiable,
 }
--- a/crates/testing/src/standin/listen.rs
+++ b/crates/testing/src/standin/listen.rs
@@ -1,4 +1,4 @@
-//! Connections of a stand-in.
+//! Accepts and serves connections of a stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,11 +27,11 @@
     }
 }
 
-/// Serves a connection until it ends or the stand-in is down, which resets it.
+/// Serves a connection until it ends; resets it once the stand-in is down.
 async fn connection(stream: TcpStream, state: Arc<State>) {
     let mut life = state.life();
     let _ = stream.set_nodelay(true);
-    // A second handle on the socket, to be able to reset it while it is being served.
+    // A second handle on the socket, used to reset it while hyper serves the first.
     let Ok(socket) = SockRef::from(&stream).try_clone() else {
         return;
     };
@@ -52,11 +52,11 @@
 }
 
 async fn down(life: &mut watch::Receiver<Life>) {
-    // An error means that the stand-in is gone, which is down as well.
+    // An error means that the stand-in's state was dropped, which counts as down as well.
     let _ = life.wait_for(|life| *life != Life::Up).await;
 }
 
 fn reset(socket: &socket2::Socket) {
-    // Fails only for a connection that has ended already.
+    // Fails only for a connection that has already ended.
     let _ = socket.set_linger(Some(Duration::ZERO));
 }
--- a/crates/testing/src/standin/mod.rs
+++ b/crates/testing/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint: executes requests, keeps count, and fails as told.
+//! A stand-in for an endpoint: executes and records requests, and fails as its script says.
 
 mod admin;
 mod body;
@@ -21,13 +21,13 @@
 pub use script::{Fault, Rule, Script, When, WhenFull};
 use state::State;
 
-/// A stand-in that runs as a task of this process; it ends when dropped.
+/// A stand-in that runs as a task of this process; dropping it stops it.
 ///
 /// - `GET /health` answers as the script says.
-/// - `GET /download/NAME?bytes=N` answers N bytes of [`Payload::of_download`], with a
-///   validator and ranges.
-/// - Any other request is executed, and answered by `bytes` (from the query, 64 by
-///   default) bytes of [`Payload::of_answer`].
+/// - `GET /download/NAME?bytes=N` answers with N bytes of [`Payload::of_download`], and supports
+///   a validator and ranges.
+/// - Any other request is executed, and answered with as many bytes of [`Payload::of_answer`] as
+///   the query's `bytes` says, 64 by default.
 #[derive(Debug)]
 pub struct Standin {
     addr: SocketAddr,
@@ -46,8 +46,8 @@
         Self::serve(listener, State::new(name, None))
     }
 
-    /// Serves as a process of its own: crashes end the process, and events also go to
-    /// the file `journal`.
+    /// Starts a stand-in as the main job of this process: a crash aborts the process, and events
+    /// are also appended to the file `journal`.
     ///
     /// # Errors
     ///
@@ -73,12 +73,12 @@
         Self { addr, state }
     }
 
-    /// Where it listens.
+    /// Its listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Changes how it behaves.
+    /// Changes its script.
     pub fn script(&self, change: impl FnOnce(&mut Script)) {
         self.state.script(change);
     }
@@ -88,32 +88,32 @@
         self.script(|script| script.rules.push(rule));
     }
 
-    /// What it saw so far, crashes notwithstanding.
+    /// All requests since it was first started; crashes don't clear the record.
     pub fn record(&self) -> Record {
         self.state.recorder.record()
     }
 
-    /// Requests that run at the moment.
+    /// Number of requests that are running.
     pub fn running(&self) -> u32 {
         self.state.recorder.running.get()
     }
 
-    /// Connections that are open at the moment.
+    /// Number of open connections.
     pub fn connections(&self) -> u32 {
         self.state.recorder.connections.get()
     }
 
-    /// Resets all connections, and all further ones until [`restart`](Self::restart).
+    /// Resets all connections, and new ones too until [`restart`](Self::restart).
     pub fn crash(&self) {
         self.state.crash();
     }
 
-    /// Comes up again after a crash, as a new incarnation.
+    /// Serves again after a crash, as a new incarnation.
     pub fn restart(&self) {
         self.state.restart();
     }
 
-    /// Whether it has crashed and isn't up again.
+    /// Whether it has crashed and wasn't restarted.
     pub fn is_down(&self) -> bool {
         self.state.is_down()
     }
@@ -132,11 +132,12 @@
         .open(path)
 }
 
-/// Reads the journal of a stand-in process, alive or dead.
+/// Reads the journal of a stand-in process, which may be running or have ended. An incomplete
+/// last line is ignored.
 ///
 /// # Panics
 ///
-/// Panics if the file can't be read or holds a damaged line before its last one.
+/// Panics if the file can't be read or a complete line isn't valid.
 pub fn read_journal(path: &Path) -> Record {
     let text = std::fs::read_to_string(path).expect("the journal can be read");
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
--- a/crates/testing/src/standin/record.rs
+++ b/crates/testing/src/standin/record.rs
@@ -1,4 +1,4 @@
-//! What a stand-in saw.
+//! The record of requests that a stand-in received.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -8,23 +8,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How far a request got.
+/// A stage of a request's processing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Stage {
-    /// Its headers came in.
+    /// Its headers were received.
     Received,
     /// It was executed.
     Executed,
-    /// Its whole answer was handed to the connection.
+    /// Its complete answer was passed to the connection.
     Answered,
-    /// Its connection ended before that.
+    /// Its connection ended before the answer was complete.
     Cancelled,
-    /// It was refused and not executed.
+    /// It was refused with 503 and not executed.
     Shed,
 }
 
-/// A request as the stand-in saw it.
+/// A request as the stand-in received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ObservedRequest {
@@ -36,7 +36,7 @@
     pub key: String,
     /// Its `Filberthead-Request-Id`, or empty.
     pub request_id: String,
-    /// Its `Filberthead-Deadline-Ms`.
+    /// Its `Filberthead-Deadline-Ms`, if it has a valid one.
     pub deadline_ms: Option<u64>,
 }
 
@@ -50,31 +50,31 @@
     pub seen: ObservedRequest,
 }
 
-/// All that stand-ins saw, in the order of events at each of them.
+/// Events of one or several stand-ins; those of each stand-in are in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// The events.
     pub events: Vec<Event>,
-    /// Most requests that ran at the same time.
+    /// Highest number of requests that ran concurrently on one stand-in.
     pub peak_running: u32,
-    /// Most connections open at the same time.
+    /// Highest number of connections open concurrently on one stand-in.
     pub peak_connections: u32,
 }
 
 impl Record {
-    /// How many requests that fit reached a stage.
+    /// Number of times that requests matching `predicate` reached a stage.
     pub fn count(&self, stage: Stage, predicate: impl Fn(&ObservedRequest) -> bool) -> usize {
         let reached = |event: &&Event| event.stage == stage && predicate(&event.seen);
         self.events.iter().filter(reached).count()
     }
 
-    /// How often requests with an idempotency key were executed.
+    /// Number of executions of requests with an idempotency key.
     pub fn executions_of(&self, key: &str) -> usize {
         self.count(Stage::Executed, |seen| seen.key == key)
     }
 
-    /// Executions by idempotency key, of requests that have one.
+    /// Number of executions by idempotency key; requests without a key don't count.
     pub fn executions_by_key(&self) -> BTreeMap<&str, usize> {
         let mut counts = BTreeMap::new();
         for event in &self.events {
@@ -85,7 +85,7 @@
         counts
     }
 
-    /// Adds what another stand-in saw.
+    /// Adds the record of another stand-in.
     pub fn merge(&mut self, other: Self) {
         self.events.extend(other.events);
         self.peak_running = self.peak_running.max(other.peak_running);
@@ -93,12 +93,12 @@
     }
 }
 
-/// Keeps the record while the stand-in runs.
+/// Collects the record while the stand-in runs.
 #[derive(Debug, Default)]
 pub(super) struct Recorder {
     events: Mutex<Vec<Event>>,
-    /// Where events also go, so that they outlive a process that is killed: a line is in
-    /// the system's hands before the request gets any further.
+    /// File to which events are also written, so that they outlive a killed process: each line is
+    /// written to the operating system before the request is processed further.
     journal: Option<Mutex<File>>,
     pub(super) running: Gauge,
     pub(super) connections: Gauge,
@@ -137,7 +137,7 @@
     }
 }
 
-/// A number that goes up and down, and its highest value.
+/// A counter that also keeps its highest value.
 #[derive(Debug, Default)]
 pub(super) struct Gauge {
     now: AtomicU32,
@@ -150,7 +150,7 @@
         self.peak.fetch_max(now, Ordering::SeqCst);
     }
 
-    /// Goes up unless that would go over a bound.
+    /// Increments it unless it has reached `bound`. Returns whether it did.
     pub(super) fn try_increment(&self, bound: u32) -> bool {
         let step = |now| (now < bound).then_some(now + 1);
         match self
--- a/crates/testing/src/standin/script.rs
+++ b/crates/testing/src/standin/script.rs
@@ -1,53 +1,53 @@
-//! What a stand-in is told to do.
+//! The script of a stand-in: its behaviour and faults.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a stand-in does with a request when all its slots are taken.
+/// How a stand-in handles a request while all its slots are taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum WhenFull {
-    /// It answers 503 and runs nothing.
+    /// It answers 503 and doesn't execute the request.
     #[default]
     Shed,
     /// It waits for a slot.
     Wait,
 }
 
-/// How a stand-in behaves; all of it may change while it runs.
+/// Behaviour of a stand-in; every field may be changed while it runs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Script {
-    /// Whether `/health` says ready. Default true.
+    /// Whether `/health` reports ready. Default true.
     pub ready: bool,
-    /// Whether `/health` says leaving. Default false.
+    /// Whether `/health` reports leaving. Default false.
     pub leaving: bool,
-    /// Load that `/health` claims, 0 to 1. Default none: the true one.
+    /// Load that `/health` reports, 0 to 1. `None`, the default, reports the real load.
     pub load: Option<f64>,
-    /// Whether `/health` repeats its last answer whatever happens. Default false.
+    /// Whether `/health` repeats its last answer regardless of changes. Default false.
     pub frozen: bool,
     /// Whether `/health` fails with 500. Default false.
     pub health_fails: bool,
-    /// How long `/health` takes. Default no time.
+    /// Delay of `/health` answers. Default zero.
     pub health_delay: Duration,
-    /// Requests that run at the same time. Default 3.
+    /// Requests that can run concurrently. Default 3.
     pub slots: u32,
-    /// What happens to more of them. Default [`WhenFull::Shed`].
+    /// How requests above `slots` are handled. Default [`WhenFull::Shed`].
     pub when_full: WhenFull,
-    /// How long a request runs. Default no time.
+    /// How long a request runs. Default zero.
     pub service_time: Duration,
-    /// Version of all downloads; a new one changes bytes and validator. Default 1.
+    /// Version of all downloads; it determines their bytes and validator. Default 1.
     pub download_version: u64,
-    /// Bytes a second of each answer. Default none: as fast as they are taken.
+    /// Rate of each answer, in bytes per second. `None`, the default, is unlimited.
     pub pace: Option<u64>,
-    /// How long after a crash the stand-in is up again. Default none: until told. A
-    /// process that has crashed stays down.
+    /// Time from a crash to the restart. `None`, the default, waits for
+    /// [`Standin::restart`](super::Standin::restart). A crashed stand-in process stays down.
     pub restart_after: Option<Duration>,
-    /// Whether requests go on record. Default true.
+    /// Whether requests are recorded. Default true.
     pub record: bool,
-    /// Faults; the first rule that fits a request is applied.
+    /// Faults; the first rule that matches a request is applied.
     pub rules: Vec<Rule>,
 }
 
@@ -76,65 +76,65 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rule {
-    /// Which requests.
+    /// Requests that it applies to.
     pub when: When,
-    /// What happens to them.
+    /// The fault that they get.
     pub fault: Fault,
-    /// How often the rule applies; none for always.
+    /// How often the rule still applies; `None` is unlimited.
     pub times: Option<u32>,
 }
 
 impl Rule {
-    /// A rule for the next fitting request only.
+    /// A rule for the next matching request only.
     pub fn once(when: When, fault: Fault) -> Self {
         let times = Some(1);
         Self { when, fault, times }
     }
 
-    /// A rule for every fitting request.
+    /// A rule for every matching request.
     pub fn always(when: When, fault: Fault) -> Self {
         let times = None;
         Self { when, fault, times }
     }
 }
 
-/// Which requests a rule is for.
+/// Requests that a rule applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum When {
-    /// All of them.
+    /// All requests.
     Any,
-    /// Those of a method.
+    /// Requests with this method.
     Method(String),
-    /// Those whose path starts so.
+    /// Requests whose path starts with this text.
     Path(String),
-    /// Those with this idempotency key.
+    /// Requests with this idempotency key.
     Key(String),
-    /// Those whose body holds this text.
+    /// Requests whose body contains this text.
     Body(String),
 }
 
-/// What can go wrong with a request.
+/// A fault of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Fault {
-    /// The endpoint dies before it executes the request.
+    /// The endpoint crashes before it executes the request.
     CrashBefore,
-    /// The endpoint executes the request and dies before it answers.
+    /// The endpoint executes the request and crashes before it answers.
     CrashAfter,
     /// The request isn't executed; the answer is 503.
     Shed,
     /// The request isn't executed; the connection is reset.
     ResetBefore,
-    /// The request is executed; the connection is reset in place of an answer.
+    /// The request is executed; the connection is reset instead of an answer.
     ResetAfter,
-    /// The request is executed; its answer ends after so many bytes of the body.
+    /// The request is executed; the connection ends after this many bytes of the answer's body.
     Truncate(u64),
-    /// The request is executed at once; its answer comes so much later.
+    /// The request is executed at once; its answer is delayed by this time.
     Late(Duration),
-    /// The request is executed; the answer is the one to another request, its id included.
+    /// The request is executed; the answer is that of another request, with that request's id.
     Crossed,
-    /// The request is executed; no answer comes as long as the connection lasts.
+    /// The request is executed; no answer is sent while the connection lasts.
     Silent,
     /// The request is executed and fails with this status.
     Status(u16),
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of a stand-in.
+//! Handles a stand-in's requests.
 
 use std::io;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 const REQUEST_ID: &str = "filberthead-request-id";
 
-/// Answers a request, or fails to have its connection reset.
+/// Handles a request. An error resets its connection.
 pub(super) async fn handle(req: Request<Incoming>, state: Arc<State>) -> io::Result<Answer> {
     match req.uri().path() {
         "/health" => Ok(health(&state).await),
@@ -130,7 +130,7 @@
     recorded: bool,
 ) -> Option<SlotGuard> {
     loop {
-        // Registered before the try, so that a slot freed in between is not missed.
+        // Registered before the attempt, so that a slot freed in between isn't missed.
         let freed = state.freed.notified();
         let (slots, when_full) = state.read(|script| (script.slots, script.when_full));
         if let Some(slot) = SlotGuard::acquire(state, seen, slots, recorded) {
@@ -157,8 +157,8 @@
         request_id: seen.request_id.clone(),
     };
     let last = lock(&state.last_answer).replace(own.clone());
-    // A request that comes again finds its own earlier answer there. Those without an id
-    // can't be told apart.
+    // The last answer may be that to an earlier attempt of the same request. Requests without an
+    // id can't be distinguished.
     let is_other = |id: &str| id.is_empty() || id != own.request_id;
     let other = last.filter(|last| is_other(&last.request_id));
     let given = match fault {
@@ -216,7 +216,7 @@
     status(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// The number given for `name` in the query of a path.
+/// The number of the parameter `name` in the query of a path.
 pub(super) fn query(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     let value = query
--- a/crates/testing/src/standin/slot.rs
+++ b/crates/testing/src/standin/slot.rs
@@ -1,12 +1,12 @@
-//! A request in a slot.
+//! A slot taken by a running request.
 
 use std::sync::Arc;
 
 use super::record::{ObservedRequest, Stage};
 use super::state::State;
 
-/// A request that runs; it gives its slot back when dropped, and is cancelled unless it
-/// was answered before.
+/// A slot and the request that runs in it. Dropping it frees the slot, and records the request as
+/// cancelled unless it was answered before.
 #[derive(Debug)]
 pub(super) struct SlotGuard {
     state: Arc<State>,
@@ -16,7 +16,7 @@
 }
 
 impl SlotGuard {
-    /// Takes a slot if one is free.
+    /// Takes a slot; `None` if none is free.
     pub(super) fn acquire(
         state: &Arc<State>,
         seen: &Arc<ObservedRequest>,
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a stand-in share.
+//! State shared by all connections of a stand-in.
 
 use std::collections::hash_map::RandomState;
 use std::fs::File;
@@ -19,7 +19,8 @@
     Ended,
 }
 
-/// An answer that may be given to the wrong request.
+/// Content of an answer. The last one is kept, to be sent for a later request under
+/// [`Fault::Crossed`].
 #[derive(Clone, Debug)]
 pub(super) struct AnswerContent {
     pub(super) payload: Payload,
@@ -31,7 +32,7 @@
 pub(super) struct State {
     pub(super) name: String,
     pub(super) recorder: Arc<Recorder>,
-    /// Told each time a slot may have become free.
+    /// Notified each time a slot may have become free.
     pub(super) freed: Notify,
     pub(super) last_answer: Mutex<Option<AnswerContent>>,
     pub(super) last_health: Mutex<Option<String>>,
@@ -70,7 +71,7 @@
         view(&lock(&self.script))
     }
 
-    /// The fault for a request, and one use of its rule less.
+    /// The fault for a request; `None` if no rule matches. Counts as one use of the rule.
     pub(super) fn fault(&self, seen: &ObservedRequest, body: &[u8]) -> Option<Fault> {
         let mut script = lock(&self.script);
         let rules = &mut script.rules;
@@ -135,7 +136,7 @@
     }
 }
 
-/// A random number: the standard library's hash keys are drawn by the system.
+/// A random number other than zero; the standard library seeds its hash keys randomly.
 fn random_incarnation() -> u64 {
     RandomState::new().build_hasher().finish() | 1
 }
--- a/crates/testing/tests/proxy.rs
+++ b/crates/testing/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy injects what it is told to, and nothing else.
+//! The proxy injects the configured faults and no others.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -85,8 +85,8 @@
     assert_eq!(answer.header("standin"), "b");
 }
 
-/// Two processes reach the same server. One is cut off from it: its requests don't
-/// arrive, while those of the other do, through the same port.
+/// Two processes use the same server through the same port. Cutting the link of one holds only
+/// its own requests.
 #[test]
 fn tells_processes_apart() {
     let network = Network::new();
--- a/crates/testing/tests/record.rs
+++ b/crates/testing/tests/record.rs
@@ -1,4 +1,4 @@
-//! The checker finds each kind of violation, so that its silence means something.
+//! `ChangeOutcomes` finds each kind of violation, so tests can rely on it when it finds none.
 
 use filberthead_operator::{Answer, DifferenceBody, RecordBody, RowBody, TableBody};
 use filberthead_table::{Objective, Role, RowValues, Timestamp};
@@ -82,7 +82,7 @@
         told.violations(&table(2, 9), &history),
         Vec::<String>::new()
     );
-    // A change that came in after the table was read.
+    // A change that was accepted after the table was read.
     assert_eq!(
         told.violations(&table(1, 7), &history),
         Vec::<String>::new()
--- a/crates/testing/tests/soak.rs
+++ b/crates/testing/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's verdict finds each kind of broken promise, and a plan is the seed's alone.
+//! The soak's checks find each kind of violation, and a plan depends on nothing but its seed.
 
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What is found in one request that ended so and was run by these endpoints.
+/// Violations found for one request that ran on these endpoints.
 fn violations(request: CallerRequest, endpoints: &[usize], planned_only: bool) -> Vec<Violation> {
     let runs: Vec<EndpointRun> = endpoints.iter().map(|e| ran(*e, &request.id)).collect();
     let history = History {
--- a/crates/testing/tests/standin.rs
+++ b/crates/testing/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-in counts, verifies and fails as it is told.
+//! The stand-in records requests, answers them verifiably, and fails as its script says.
 
 use std::path::Path;
 use std::time::Duration;
@@ -48,9 +48,9 @@
     assert_eq!(standin.record().count(Stage::Executed, |_| true), 4);
 }
 
-/// A crossed answer is another request's. A request that comes again finds its own earlier
-/// answer to be the last one given, which is no other: an entry would be right to pass it
-/// on to its caller, and a test of crossed answers would fail by how often it asked.
+/// A crossed answer must belong to another request. If the same request is sent again, the last
+/// answer is its own: an entry would be right to forward it, and a test of crossed answers would
+/// fail depending on how often it sent the request.
 #[test]
 fn a_crossed_answer_is_never_the_requests_own() {
     const ID: &str = "000000000000000000000000000000aa";
@@ -162,8 +162,8 @@
     assert_eq!(shown().len(), 1);
 }
 
-/// A stand-in of its own process dies with a request in it; what it executed before
-/// is still known to the test.
+/// A stand-in process crashes while it handles a request; its journal still has all requests that
+/// it executed.
 #[test]
 fn journal_outlives_a_crashed_process() {
     let dir = tempfile::tempdir().expect("a folder");
