--- a/crates/testing/src/bin/soak.rs
+++ b/crates/testing/src/bin/soak.rs
@@ -87,7 +87,7 @@
         }
     }
     if broken > 0 {
-        println!("{broken} of {} seeds broke a promise", options.seeds);
+        println!("{broken} of {} seeds had violations", options.seeds);
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/testing/src/record.rs
+++ b/crates/testing/src/record.rs
@@ -80,19 +80,19 @@
 impl Shared {
     fn record_accepted(&mut self, id: ChangeId, version: Version) {
         if let Some(code) = self.refused.get(&id) {
-            let text = format!("change {id}: told {code}, then accepted as {version}");
+            let text = format!("change {id}: reported {code}, then accepted as {version}");
             self.violations.push(text);
         }
         let first = *self.accepted.entry(id).or_insert(version);
         if first != version {
-            let text = format!("change {id}: told accepted as {first}, then as {version}");
+            let text = format!("change {id}: reported accepted as {first}, then as {version}");
             self.violations.push(text);
         }
     }
 
     fn record_refused(&mut self, id: ChangeId, code: ResultCode) {
         if let Some(version) = self.accepted.get(&id) {
-            let text = format!("change {id}: told accepted as {version}, then {code}");
+            let text = format!("change {id}: reported accepted as {version}, then {code}");
             self.violations.push(text);
         }
         self.refused.insert(id, code);
@@ -105,7 +105,7 @@
             let versions: Vec<_> = records.filter_map(|record| record.version).collect();
             if versions != [*version] {
                 violations.push(format!(
-                    "change {id}: told accepted as {version}, in the history as {versions:?}"
+                    "change {id}: reported accepted as {version}, in the history as {versions:?}"
                 ));
             }
         }
@@ -116,7 +116,7 @@
         let was_accepted = |id: &ChangeId| accepted.iter().any(|record| record.id == *id);
         let contradicted = self.refused.iter().filter(|(id, _)| was_accepted(id));
         contradicted
-            .map(|(id, code)| format!("change {id}: told {code}, yet it was accepted"))
+            .map(|(id, code)| format!("change {id}: reported {code}, yet it was accepted"))
             .collect()
     }
 }
@@ -128,12 +128,15 @@
     let versions = accepted.iter().filter_map(|record| record.version);
     for (index, version) in versions.enumerate() {
         if version.0 != index as u64 + 1 {
-            violations.push(format!("version {version} stands in place {}", index + 1));
+            violations.push(format!(
+                "version {version} is accepted record number {}",
+                index + 1
+            ));
         }
     }
     if (accepted.len() as u64) < newest.0 {
-        let made = accepted.len();
-        violations.push(format!("version {newest} after {made} accepted changes"));
+        let count = accepted.len();
+        violations.push(format!("version {newest} with {count} accepted changes"));
     }
     let mut ids = BTreeMap::new();
     for record in accepted {
@@ -164,5 +167,5 @@
     if shown == rows {
         return Vec::new();
     }
-    vec![format!("rows {shown:?}, by the history {rows:?}")]
+    vec![format!("rows {shown:?}, from the history {rows:?}")]
 }
--- a/crates/testing/src/soak/runner.rs
+++ b/crates/testing/src/soak/runner.rs
@@ -59,7 +59,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "seed {}: {} steps, {} requests, {} served, {} changes accepted, {} reads, {} broken",
+            "seed {}: {} steps, {} requests, {} served, {} changes accepted, {} reads, {} violations",
             self.seed,
             self.steps,
             self.requests,
