--- a/crates/testing/src/standin/body.rs
+++ b/crates/testing/src/standin/body.rs
@@ -19,10 +19,10 @@
 /// A body whose bytes are generated from a payload as it is polled.
 pub(crate) struct AnswerBody {
     payload: Payload,
-    at: u64,
+    offset: u64,
     end: u64,
     /// Offset at which the answer is truncated; `None` for a complete answer.
-    cut: Option<u64>,
+    truncate_at: Option<u64>,
     pace: Option<u64>,
     pause: Option<Pin<Box<Sleep>>>,
     /// Slot that is held until the last byte is taken.
@@ -33,9 +33,9 @@
     pub(crate) fn new(payload: Payload, start: u64, end: u64) -> Self {
         Self {
             payload,
-            at: start,
+            offset: start,
             end,
-            cut: None,
+            truncate_at: None,
             pace: None,
             pause: None,
             slot: None,
@@ -44,7 +44,7 @@
 
     /// Truncates the answer after this many bytes of its body.
     pub(crate) fn cut_after(mut self, bytes: Option<u64>) -> Self {
-        self.cut = bytes.map(|bytes| self.at + bytes);
+        self.truncate_at = bytes.map(|bytes| self.offset + bytes);
         self.pause = bytes.map(|_| Box::pin(tokio::time::sleep(FLUSH)));
         self
     }
@@ -60,14 +60,14 @@
     }
 
     fn next_chunk(&mut self) -> Bytes {
-        let stop = self.cut.unwrap_or(u64::MAX).min(self.end);
-        let len = (stop - self.at).min(CHUNK_BYTES);
-        let chunk = self.payload.slice(self.at, len as usize);
-        self.at += len;
+        let stop = self.truncate_at.unwrap_or(u64::MAX).min(self.end);
+        let len = (stop - self.offset).min(CHUNK_BYTES);
+        let chunk = self.payload.slice(self.offset, len as usize);
+        self.offset += len;
         let pace = self.pace.map(|pace| len as f64 / pace.max(1) as f64);
         let pause = pace
             .map(Duration::from_secs_f64)
-            .or(self.cut.map(|_| FLUSH));
+            .or(self.truncate_at.map(|_| FLUSH));
         self.pause = pause.map(|pause| Box::pin(tokio::time::sleep(pause)));
         chunk
     }
@@ -91,25 +91,28 @@
             ready!(pause.as_mut().poll(cx));
             self.pause = None;
         }
-        if self.cut.is_some_and(|cut| self.at >= cut) {
+        if self
+            .truncate_at
+            .is_some_and(|truncate_at| self.offset >= truncate_at)
+        {
             return Poll::Ready(Some(Err(io::ErrorKind::BrokenPipe.into())));
         }
-        if self.at == self.end {
+        if self.offset == self.end {
             self.finish();
             return Poll::Ready(None);
         }
         let chunk = self.next_chunk();
-        if self.at == self.end {
+        if self.offset == self.end {
             self.finish();
         }
         Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.at == self.end && self.cut.is_none()
+        self.offset == self.end && self.truncate_at.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.end - self.at)
+        SizeHint::with_exact(self.end - self.offset)
     }
 }
--- a/crates/testing/src/standin/record.rs
+++ b/crates/testing/src/standin/record.rs
@@ -71,7 +71,7 @@
 
     /// Number of executions of requests with an idempotency key.
     pub fn executions_of(&self, key: &str) -> usize {
-        self.count(Stage::Executed, |seen| seen.key == key)
+        self.count(Stage::Executed, |request| request.key == key)
     }
 
     /// Number of executions by idempotency key; requests without a key don't count.
@@ -112,10 +112,10 @@
         }
     }
 
-    pub(super) fn push(&self, stage: Stage, seen: &ObservedRequest) {
+    pub(super) fn push(&self, stage: Stage, request: &ObservedRequest) {
         let event = Event {
             stage,
-            seen: seen.clone(),
+            seen: request.clone(),
         };
         if let Some(journal) = &self.journal {
             let mut line = serde_json::to_vec(&event).expect("an event is plain data");
--- a/crates/testing/src/standin/serve.rs
+++ b/crates/testing/src/standin/serve.rs
@@ -65,21 +65,21 @@
 
 async fn execute(req: Request<Incoming>, state: &Arc<State>) -> io::Result<Answer> {
     let (parts, body) = req.into_parts();
-    let seen = Arc::new(observe(&parts.method, &parts.uri, &parts.headers));
+    let request = Arc::new(observe(&parts.method, &parts.uri, &parts.headers));
     let recorded = state.read(|script| script.record);
     if recorded {
-        state.recorder.push(Stage::Received, &seen);
+        state.recorder.push(Stage::Received, &request);
     }
     let body = read_body(body).await?;
-    let fault = state.fault(&seen, &body);
+    let fault = state.fault(&request, &body);
     match fault {
         Some(Fault::CrashBefore) => return crash(state),
         Some(Fault::ResetBefore) => return Err(io::ErrorKind::ConnectionReset.into()),
-        Some(Fault::Shed) => return Ok(shed(state, &seen, recorded)),
+        Some(Fault::Shed) => return Ok(shed(state, &request, recorded)),
         _ => {}
     }
-    let Some(slot) = take_slot(state, &seen, recorded).await else {
-        return Ok(shed(state, &seen, recorded));
+    let Some(slot) = take_slot(state, &request, recorded).await else {
+        return Ok(shed(state, &request, recorded));
     };
     slot.record_executed();
     tokio::time::sleep(state.read(|script| script.service_time)).await;
@@ -100,7 +100,7 @@
             cut,
         ));
     }
-    answer(state, &seen, &body, fault, slot)
+    answer(state, &request, &body, fault, slot)
 }
 
 async fn read_body(body: Incoming) -> io::Result<Bytes> {
@@ -126,14 +126,14 @@
 
 async fn take_slot(
     state: &Arc<State>,
-    seen: &Arc<ObservedRequest>,
+    request: &Arc<ObservedRequest>,
     recorded: bool,
 ) -> Option<SlotGuard> {
     loop {
         // Registered before the attempt, so that a slot freed in between isn't missed.
         let freed = state.freed.notified();
         let (slots, when_full) = state.read(|script| (script.slots, script.when_full));
-        if let Some(slot) = SlotGuard::acquire(state, seen, slots, recorded) {
+        if let Some(slot) = SlotGuard::acquire(state, request, slots, recorded) {
             return Some(slot);
         }
         match when_full {
@@ -145,16 +145,16 @@
 
 fn answer(
     state: &Arc<State>,
-    seen: &ObservedRequest,
+    request: &ObservedRequest,
     body: &[u8],
     fault: Option<Fault>,
     slot: SlotGuard,
 ) -> io::Result<Answer> {
     let hash = Sha256::digest(body);
     let own = AnswerContent {
-        payload: Payload::of_hashed_answer(&seen.method, &seen.path, &hash),
-        bytes: query(&seen.path, "bytes").unwrap_or(DEFAULT_ANSWER_BYTES),
-        request_id: seen.request_id.clone(),
+        payload: Payload::of_hashed_answer(&request.method, &request.path, &hash),
+        bytes: query(&request.path, "bytes").unwrap_or(DEFAULT_ANSWER_BYTES),
+        request_id: request.request_id.clone(),
     };
     let last = lock(&state.last_answer).replace(own.clone());
     // The last answer may be that to an earlier attempt of the same request. Requests without an
@@ -209,9 +209,9 @@
     Err(io::ErrorKind::ConnectionAborted.into())
 }
 
-fn shed(state: &State, seen: &ObservedRequest, recorded: bool) -> Answer {
+fn shed(state: &State, request: &ObservedRequest, recorded: bool) -> Answer {
     if recorded {
-        state.recorder.push(Stage::Shed, seen);
+        state.recorder.push(Stage::Shed, request);
     }
     status(StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/testing/src/standin/slot.rs
+++ b/crates/testing/src/standin/slot.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct SlotGuard {
     state: Arc<State>,
-    seen: Arc<ObservedRequest>,
+    request: Arc<ObservedRequest>,
     recorded: bool,
     answered: bool,
 }
@@ -19,14 +19,14 @@
     /// Takes a slot; `None` if none is free.
     pub(super) fn acquire(
         state: &Arc<State>,
-        seen: &Arc<ObservedRequest>,
+        request: &Arc<ObservedRequest>,
         slots: u32,
         recorded: bool,
     ) -> Option<Self> {
         let free = state.recorder.running.try_increment(slots);
         free.then(|| Self {
             state: Arc::clone(state),
-            seen: Arc::clone(seen),
+            request: Arc::clone(request),
             recorded,
             answered: false,
         })
@@ -43,7 +43,7 @@
 
     fn push(&self, stage: Stage) {
         if self.recorded {
-            self.state.recorder.push(stage, &self.seen);
+            self.state.recorder.push(stage, &self.request);
         }
     }
 }
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -72,12 +72,12 @@
     }
 
     /// The fault for a request; `None` if no rule matches. Counts as one use of the rule.
-    pub(super) fn fault(&self, seen: &ObservedRequest, body: &[u8]) -> Option<Fault> {
+    pub(super) fn fault(&self, request: &ObservedRequest, body: &[u8]) -> Option<Fault> {
         let mut script = lock(&self.script);
         let rules = &mut script.rules;
         let index = rules
             .iter()
-            .position(|rule| rule.times != Some(0) && rule_matches(rule, seen, body))?;
+            .position(|rule| rule.times != Some(0) && rule_matches(rule, request, body))?;
         let rule = &mut rules[index];
         rule.times = rule.times.map(|times| times - 1);
         Some(rule.fault.clone())
@@ -126,12 +126,12 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn rule_matches(rule: &Rule, seen: &ObservedRequest, body: &[u8]) -> bool {
+fn rule_matches(rule: &Rule, request: &ObservedRequest, body: &[u8]) -> bool {
     match &rule.when {
         When::Any => true,
-        When::Method(method) => seen.method == *method,
-        When::Path(prefix) => seen.path.starts_with(prefix),
-        When::Key(key) => seen.key == *key,
+        When::Method(method) => request.method == *method,
+        When::Path(prefix) => request.path.starts_with(prefix),
+        When::Key(key) => request.key == *key,
         When::Body(text) => String::from_utf8_lossy(body).contains(text),
     }
 }
--- a/crates/testing/tests/proxy.rs
+++ b/crates/testing/tests/proxy.rs
@@ -88,7 +88,7 @@
 /// Two processes use the same server through the same port. Cutting the link of one holds only
 /// its own requests.
 #[test]
-fn tells_processes_apart() {
+fn cuts_links_by_process() {
     let network = Network::new();
     let standin = Standin::start("server");
     let proxy = network.proxy("server");
--- a/crates/testing/tests/record.rs
+++ b/crates/testing/tests/record.rs
@@ -58,15 +58,15 @@
     }
 }
 
-fn told(changes: &[(u32, u64)]) -> ChangeOutcomes {
-    let told = ChangeOutcomes::default();
+fn outcomes(changes: &[(u32, u64)]) -> ChangeOutcomes {
+    let outcomes = ChangeOutcomes::default();
     for (id, version) in changes {
-        told.record(
+        outcomes.record(
             ChangeId((*id).into()),
             &Attempt::Accepted(Version(*version)),
         );
     }
-    told
+    outcomes
 }
 
 fn refusal() -> Attempt {
@@ -74,49 +74,49 @@
 }
 
 #[test]
-fn finds_nothing_where_all_is_well() {
-    let told = told(&[(7, 1), (9, 2), (7, 1)]);
-    told.record(ChangeId(8), &refusal());
+fn finds_nothing_in_a_consistent_history() {
+    let outcomes = outcomes(&[(7, 1), (9, 2), (7, 1)]);
+    outcomes.record(ChangeId(8), &refusal());
     let history = [record(1, 7, 1), record(2, 9, 2)];
     assert_eq!(
-        told.violations(&table(2, 9), &history),
+        outcomes.violations(&table(2, 9), &history),
         Vec::<String>::new()
     );
     // A change that was accepted after the table was read.
     assert_eq!(
-        told.violations(&table(1, 7), &history),
+        outcomes.violations(&table(1, 7), &history),
         Vec::<String>::new()
     );
 }
 
 #[test]
-fn finds_lost_reverted_and_doubled_changes() {
+fn finds_lost_reverted_and_duplicated_changes() {
     let both = [record(1, 7, 1), record(2, 9, 2)];
     let cases: [(&str, ChangeOutcomes, TableBody, &[RecordBody]); 5] = [
-        ("lost", told(&[(7, 1), (9, 2)]), table(1, 7), &both[..1]),
-        ("reverted", told(&[(7, 1), (9, 2)]), table(2, 7), &both),
+        ("lost", outcomes(&[(7, 1), (9, 2)]), table(1, 7), &both[..1]),
+        ("reverted", outcomes(&[(7, 1), (9, 2)]), table(2, 7), &both),
         (
             "applied twice",
-            told(&[(7, 1)]),
+            outcomes(&[(7, 1)]),
             table(2, 7),
             &[record(1, 7, 1), record(2, 7, 2)],
         ),
-        ("renumbered", told(&[(9, 1)]), table(2, 9), &both),
-        ("gap", told(&[]), table(2, 9), &both[1..]),
+        ("renumbered", outcomes(&[(9, 1)]), table(2, 9), &both),
+        ("gap", outcomes(&[]), table(2, 9), &both[1..]),
     ];
-    for (what, told, table, history) in cases {
-        assert!(!told.violations(&table, history).is_empty(), "{what}");
+    for (what, outcomes, table, history) in cases {
+        assert!(!outcomes.violations(&table, history).is_empty(), "{what}");
     }
 }
 
 #[test]
-fn finds_answers_that_contradict() {
-    let one = told(&[(7, 1), (7, 2)]);
+fn finds_contradicting_answers() {
+    let one = outcomes(&[(7, 1), (7, 2)]);
     assert!(!one.violations(&table(1, 7), &[record(1, 7, 1)]).is_empty());
-    let two = told(&[(7, 1)]);
+    let two = outcomes(&[(7, 1)]);
     two.record(ChangeId(7), &refusal());
     assert!(!two.violations(&table(1, 7), &[record(1, 7, 1)]).is_empty());
-    let three = told(&[]);
+    let three = outcomes(&[]);
     three.record(ChangeId(7), &refusal());
     assert!(
         !three
--- a/crates/testing/tests/soak.rs
+++ b/crates/testing/tests/soak.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_good_history_has_nothing() {
+fn a_good_history_has_no_violations() {
     assert_eq!(
         violations(request("a", false, answered(200)), &[0], true),
         []
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_gateway_that_goes_back_within_a_life_is_found() {
+fn a_gateway_that_returns_to_an_older_version_is_found() {
     let now = Instant::now();
     let probe = |incarnation, version, after_ms| RouteProbe {
         gateway: 2,
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_plan_is_its_seeds_alone() {
+fn a_plan_depends_only_on_its_seed() {
     let plan = |seed| Plan::new(seed, Size::default());
     assert_eq!(plan(3), plan(3));
     assert_ne!(plan(3).steps, plan(4).steps);
--- a/crates/testing/tests/standin.rs
+++ b/crates/testing/tests/standin.rs
@@ -15,7 +15,7 @@
 const BOUND: Duration = Duration::from_secs(30);
 
 #[test]
-fn answers_are_the_callers_own() {
+fn answers_match_their_requests() {
     let standin = Standin::start("a");
     let one = Call::post("/orders?n=1", "k1", "magic hat").send(standin.addr());
     let two = Call::post("/orders?n=2", "k2", "magic hat").send(standin.addr());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn scripted_faults_apply_as_often_as_told() {
+fn scripted_faults_apply_the_given_number_of_times() {
     let standin = Standin::start("a");
     standin.rule(Rule::once(When::Any, Fault::Shed));
     standin.rule(Rule::once(When::Any, Fault::Truncate(10)));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn crashes_and_comes_back_as_another_incarnation() {
+fn restarts_after_a_crash_as_another_incarnation() {
     let standin = Standin::start("a");
     let health = || -> Value {
         let answer = Call::get("/health").send(standin.addr());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn health_lies_and_freezes() {
+fn health_follows_the_script() {
     let standin = Standin::start("a");
     let health = || -> Value {
         let answer = Call::get("/health").send(standin.addr());
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn slots_bound_what_runs() {
+fn slots_limit_concurrent_requests() {
     for (when_full, shed) in [(WhenFull::Shed, 1), (WhenFull::Wait, 0)] {
         let standin = Standin::start("a");
         standin.script(|script| {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn downloads_go_on_by_range_while_the_validator_holds() {
+fn downloads_resume_by_range_while_the_validator_matches() {
     let standin = Standin::start("a");
     let path = "/download/lesson?bytes=100000";
     let whole = Call::get(path).send(standin.addr()).expect("an answer");
