--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -99,7 +99,7 @@
     /// A control replica's answers to operators are held back.
     HoldAnswers(usize),
     /// They are delivered again.
-    ReleaseAnswers(usize),
+    PassAnswers(usize),
     /// An endpoint changes its behaviour.
     SetBehaviour(usize, Behaviour),
     /// The link to an endpoint forwards nothing.
@@ -278,11 +278,7 @@
         match self.rng.random_range(0..3) {
             0 => self.push(at, Step::Reset(target)),
             1 => self.push(at, Step::Silence(target)),
-            _ => self.push_with_undo(
-                at,
-                Step::HoldAnswers(control),
-                Step::ReleaseAnswers(control),
-            ),
+            _ => self.push_with_undo(at, Step::HoldAnswers(control), Step::PassAnswers(control)),
         }
     }
 
--- a/crates/testing/src/soak/runner.rs
+++ b/crates/testing/src/soak/runner.rs
@@ -192,9 +192,7 @@
                 let orders = self.nodes.site.controls[*control].proxy("orders");
                 orders.set(Direction::ToClient, Flow::Hold);
             }
-            Step::ReleaseAnswers(control) => {
-                self.nodes.site.controls[*control].proxy("orders").heal()
-            }
+            Step::PassAnswers(control) => self.nodes.site.controls[*control].proxy("orders").heal(),
             _ => self.apply_external(step),
         }
     }
@@ -203,9 +201,7 @@
     fn apply_external(&mut self, step: &Step) {
         let site = &mut self.nodes.site;
         match step {
-            Step::SetBehaviour(endpoint, behaviour) => {
-                site.endpoints[*endpoint].set_behaviour(*behaviour)
-            }
+            Step::SetBehaviour(endpoint, new) => site.endpoints[*endpoint].set_behaviour(*new),
             Step::CutEndpoint(endpoint) => {
                 site.link(*endpoint).into_iter().for_each(FaultProxy::hold);
             }
--- a/crates/testing/src/soak/violations.rs
+++ b/crates/testing/src/soak/violations.rs
@@ -145,32 +145,30 @@
 }
 
 fn check_routes(history: &History) -> Vec<Violation> {
-    let mut violations = Vec::new();
+    let mut found = Vec::new();
     for read in &history.reads {
         let before = history.changes.iter().filter(|change| change.valid);
         let before = before.filter(|change| change.accepted.is_some_and(|at| at <= read.sent));
         let accepted = before.map(|change| change.version).max().unwrap_or(0);
         if read.version < accepted {
-            violations.push(Violation::StaleRead {
+            found.push(Violation::StaleRead {
                 control: read.control,
                 shown: read.version,
                 accepted,
             });
         }
         if !read.as_sent {
-            violations.push(Violation::AlteredRoutes(read.control, read.version));
+            found.push(Violation::AlteredRoutes(read.control, read.version));
         }
     }
     for change in &history.changes {
         match (change.valid, change.accepted, change.refused) {
-            (true, _, Some(status)) => {
-                violations.push(Violation::ValidRefused(change.version, status))
-            }
-            (false, Some(_), _) => violations.push(Violation::InvalidAccepted(change.version)),
+            (true, _, Some(status)) => found.push(Violation::ValidRefused(change.version, status)),
+            (false, Some(_), _) => found.push(Violation::InvalidAccepted(change.version)),
             _ => {}
         }
     }
-    violations
+    found
 }
 
 /// Checks that a gateway that has served a version's own route doesn't, later in the same
--- a/crates/testing/src/standin/body.rs
+++ b/crates/testing/src/standin/body.rs
@@ -23,6 +23,7 @@
     end: u64,
     /// Offset at which the answer is truncated; `None` for a complete answer.
     truncate_at: Option<u64>,
+    /// Rate in bytes per second; `None` is unlimited.
     pace: Option<u64>,
     pause: Option<Pin<Box<Sleep>>>,
     /// Slot that is held until the last byte is taken.
