--- a/crates/testing/src/proxy/link.rs
+++ b/crates/testing/src/proxy/link.rs
@@ -39,6 +39,7 @@
 #[derive(Clone)]
 struct Gate {
     rules: watch::Receiver<Rules>,
+    /// Name of the connecting process, if known.
     client: Option<Arc<str>>,
     direction: Direction,
     /// Value of [`Rules::silences`] when the connection was accepted.
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -169,9 +169,11 @@
     }
 }
 
+/// Draws random steps. The order of draws determines the plan of a seed.
 struct Generator {
     rng: StdRng,
     size: Size,
+    /// Whether a step that drains an endpoint was added; a plan has at most one.
     drained: bool,
     steps: Vec<TimedStep>,
 }
@@ -207,6 +209,7 @@
             .random_range(0..self.size.endpoints * domains_and_services)
     }
 
+    /// Adds planned work: stops, reloads, and endpoints that join, drain or are evacuated.
     fn planned_step(&mut self, at: Duration) {
         let target = self.target();
         match self.rng.random_range(0..10) {
@@ -231,6 +234,7 @@
         }
     }
 
+    /// Adds planned work or a fault.
     fn any_step(&mut self, at: Duration) {
         match self.rng.random_range(0..22) {
             0..=3 => self.planned_step(at),
--- a/crates/testing/src/standin/record.rs
+++ b/crates/testing/src/standin/record.rs
@@ -121,7 +121,9 @@
             let mut line = serde_json::to_vec(&event).expect("an event is plain data");
             line.push(b'\n');
             let mut journal = journal.lock().unwrap_or_else(PoisonError::into_inner);
-            journal.write_all(&line).expect("the journal takes a line");
+            journal
+                .write_all(&line)
+                .expect("the journal can be written");
         }
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         events.push(event);
