--- a/crates/testing/src/proxy/link.rs
+++ b/crates/testing/src/proxy/link.rs
@@ -14,11 +14,11 @@
 use super::{Direction, Flow, Rules, reset_on_drop};
 
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks on their way in one direction. A reader that doesn't drain fills them, then
-/// the sender's own window, so that back-pressure goes through the proxy.
+/// Chunks buffered in one direction. When a slow reader has filled them, the proxy stops reading
+/// and the sender's window fills, so that back-pressure passes through the proxy.
 const CHUNKS_IN_TRANSIT: usize = 8;
 
-/// What travels in one direction.
+/// An event to be forwarded in one direction.
 enum Item {
     Chunk { due: Instant, chunk: Bytes },
     Reset,
@@ -29,19 +29,20 @@
 enum End {
     /// The sender closed its side.
     Closed,
-    /// The sender reset the connection; so must the proxy.
+    /// The sender reset the connection, so the proxy resets the other side.
     Reset,
-    /// The receiver is gone.
+    /// Writing to the receiver failed.
     Gone,
 }
 
-/// The connection's view of the rules.
+/// Applies the proxy's rules to one direction of a connection.
 #[derive(Clone)]
 struct Gate {
     rules: watch::Receiver<Rules>,
+    /// Name of the connecting process, if known.
     client: Option<Arc<str>>,
     direction: Direction,
-    /// Silences before this connection was made.
+    /// Value of [`Rules::silences`] when the connection was accepted.
     silences: u64,
 }
 
@@ -54,7 +55,7 @@
         rules.flows(self.client.as_deref()).get(self.direction)
     }
 
-    /// Waits until bytes may go on, and returns how.
+    /// Waits until bytes aren't held, and returns the flow that applies.
     async fn open(&mut self) -> Flow {
         loop {
             self.rules.mark_unchanged();
@@ -63,15 +64,15 @@
                 return flow;
             }
             if self.rules.changed().await.is_err() {
-                // The proxy is gone, and the connection is about to be reset.
+                // The proxy was dropped; the connection is about to be reset.
                 std::future::pending::<()>().await;
             }
         }
     }
 }
 
-/// Carries a connection until both directions have ended or it is cut.
-pub(super) async fn carry(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
+/// Forwards a connection until both directions have ended or it is cut.
+pub(super) async fn forward(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
     let cuts = rules.borrow().cuts;
     let refused = rules.borrow().refuse;
     reset_on_drop(&client);
@@ -85,19 +86,19 @@
 }
 
 async fn cut_after(cuts: u64, mut rules: watch::Receiver<Rules>) {
-    // An error means that the proxy is gone: that ends the connection as well.
+    // An error means that the proxy was dropped, which ends the connection as well.
     let _ = rules.wait_for(|rules| rules.cuts > cuts).await;
 }
 
 async fn relay(client: TcpStream, rules: watch::Receiver<Rules>, owners: Owners) {
     let silences = rules.borrow().silences;
     let gate = Gate {
-        client: name_of(&client, owners).await,
+        client: client_name(&client, owners).await,
         silences,
         rules,
         direction: Direction::ToServer,
     };
-    // A connection isn't made while its first packet couldn't arrive.
+    // While bytes to the server are held, its side of the connection isn't opened either.
     gate.clone().open().await;
     let Some(server) = connect(&gate.rules).await else {
         return;
@@ -105,20 +106,21 @@
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     reset_on_drop(&server);
-    let back = Gate {
+    let return_gate = Gate {
         direction: Direction::ToClient,
         ..gate.clone()
     };
     let (client_rx, client_tx) = client.into_split();
     let (server_rx, server_tx) = server.into_split();
-    let to_server = direction(client_rx, server_tx, gate);
-    let to_client = direction(server_rx, client_tx, back);
-    both(to_server, to_client).await;
+    let to_server = relay_direction(client_rx, server_tx, gate);
+    let to_client = relay_direction(server_rx, client_tx, return_gate);
+    run_both(to_server, to_client).await;
 }
 
-/// The connecting process, if the proxy belongs to a network that tells them apart.
-async fn name_of(client: &TcpStream, owners: Owners) -> Option<Arc<str>> {
-    if !owners.tracks() {
+/// Name of the connecting process; `None` if it can't be identified or the proxy doesn't belong
+/// to a [`Network`](super::Network).
+async fn client_name(client: &TcpStream, owners: Owners) -> Option<Arc<str>> {
+    if !owners.has_any() {
         return None;
     }
     let (peer, local) = (client.peer_addr().ok()?, client.local_addr().ok()?);
@@ -132,14 +134,14 @@
     TcpStream::connect(target).await.ok()
 }
 
-/// Waits for both directions; a reset in either ends both at once.
-async fn both(
+/// Runs both directions to their end; a reset in either ends both at once.
+async fn run_both(
     to_server: impl Future<Output = (End, OwnedWriteHalf)>,
     to_client: impl Future<Output = (End, OwnedWriteHalf)>,
 ) {
     tokio::pin!(to_server, to_client);
-    // Each write half is kept until both directions are done: dropping it would close
-    // that side too early.
+    // Both write halves are kept until both directions have ended: dropping one earlier would
+    // close that side too soon.
     let (first, second) = tokio::select! {
         first = &mut to_server => match first.0 {
             End::Reset => return,
@@ -151,18 +153,18 @@
         },
     };
     if second.0 != End::Reset {
-        end_in_order(&first.1);
-        end_in_order(&second.1);
+        clear_reset_on_drop(&first.1);
+        clear_reset_on_drop(&second.1);
     }
 }
 
-/// Takes back [`reset_on_drop`], which would throw away bytes not yet delivered.
-fn end_in_order(half: &OwnedWriteHalf) {
-    // Fails only for a connection that has ended already.
+/// Reverts [`reset_on_drop`], which would discard bytes that aren't delivered yet.
+fn clear_reset_on_drop(half: &OwnedWriteHalf) {
+    // Fails only for a connection that has already ended.
     let _ = socket2::SockRef::from(half.as_ref()).set_linger(None);
 }
 
-async fn direction(
+async fn relay_direction(
     from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     gate: Gate,
@@ -219,7 +221,7 @@
             }
             Some(Item::Reset) => return End::Reset,
             None => {
-                // Fails only if the receiver is gone, which the other direction tells.
+                // Fails only if the receiver has closed, which the other direction detects.
                 let _ = to.shutdown().await;
                 return End::Closed;
             }
--- a/crates/testing/src/record.rs
+++ b/crates/testing/src/record.rs
@@ -1,8 +1,8 @@
-//! What operators were told, held against what the table says in the end.
+//! Compares the outcomes that operators received with the final table and its history.
 //!
-//! The invariant of every failure test of the control plane: no change that somebody
-//! was told is accepted is lost, reverted or applied twice, and none that somebody was
-//! told is refused takes effect.
+//! This is the invariant of every failure test of the control plane: no change reported as
+//! accepted is lost, reverted or applied twice, and no change reported as refused takes
+//! effect.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,7 +13,7 @@
 
 use crate::operator::{Attempt, Operator};
 
-/// Everything that operators of a test were told; clones share it.
+/// Outcomes of changes as a test's operators received them; clones share the same data.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeOutcomes {
     shared: Arc<Mutex<Shared>>,
@@ -27,43 +27,44 @@
 }
 
 impl ChangeOutcomes {
-    /// Takes in what an operator was told about a change. What one is told later must
-    /// not contradict it.
+    /// Records the outcome of an attempt to make a change. A later outcome that contradicts an
+    /// earlier one is recorded as a violation.
     pub fn record(&self, id: ChangeId, attempt: &Attempt) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         match attempt {
-            Attempt::Accepted(version) => shared.accepted(id, *version),
-            Attempt::Refused(answer) => shared.refused(id, answer.code),
+            Attempt::Accepted(version) => shared.record_accepted(id, *version),
+            Attempt::Refused(answer) => shared.record_refused(id, answer.code),
             Attempt::NotRun | Attempt::Unknown => {}
         }
     }
 
-    /// How many changes somebody was told are accepted.
+    /// Number of changes that were reported as accepted.
     pub fn accepted(&self) -> usize {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         shared.accepted.len()
     }
 
-    /// The newest version that somebody was told of.
+    /// The highest version that was reported; 0 if none was.
     pub fn newest_version(&self) -> Version {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         shared.accepted.values().max().copied().unwrap_or_default()
     }
 
-    /// Holds all that was told against the table and its history.
+    /// Reads the table and its history and checks all recorded outcomes against them.
     ///
     /// # Panics
     ///
     /// Panics with every violation found.
     #[track_caller]
     pub fn check(&self, operator: &Operator) {
-        // The table first: records that come in between only add to the history.
+        // The table is read first: a change accepted between the two reads is then only in
+        // the history, which `violations` allows.
         let table = operator.table();
         let violations = self.violations(&table, &operator.history());
         assert!(violations.is_empty(), "{}", violations.join("\n"));
     }
 
-    /// All violations, for a table and the whole history up to it or beyond.
+    /// All violations, given a table and a history that reaches at least to its version.
     pub fn violations(&self, table: &TableBody, history: &[RecordBody]) -> Vec<String> {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         let mut violations = shared.violations.clone();
@@ -77,21 +78,21 @@
 }
 
 impl Shared {
-    fn accepted(&mut self, id: ChangeId, version: Version) {
+    fn record_accepted(&mut self, id: ChangeId, version: Version) {
         if let Some(code) = self.refused.get(&id) {
-            let text = format!("change {id}: told {code}, then accepted as {version}");
+            let text = format!("change {id}: reported {code}, then accepted as {version}");
             self.violations.push(text);
         }
         let first = *self.accepted.entry(id).or_insert(version);
         if first != version {
-            let text = format!("change {id}: told accepted as {first}, then as {version}");
+            let text = format!("change {id}: reported accepted as {first}, then as {version}");
             self.violations.push(text);
         }
     }
 
-    fn refused(&mut self, id: ChangeId, code: ResultCode) {
+    fn record_refused(&mut self, id: ChangeId, code: ResultCode) {
         if let Some(version) = self.accepted.get(&id) {
-            let text = format!("change {id}: told accepted as {version}, then {code}");
+            let text = format!("change {id}: reported accepted as {version}, then {code}");
             self.violations.push(text);
         }
         self.refused.insert(id, code);
@@ -100,11 +101,11 @@
     fn check_accepted(&self, accepted: &[&RecordBody]) -> Vec<String> {
         let mut violations = Vec::new();
         for (id, version) in &self.accepted {
-            let stands = accepted.iter().filter(|record| record.id == *id);
-            let versions: Vec<_> = stands.filter_map(|record| record.version).collect();
+            let records = accepted.iter().filter(|record| record.id == *id);
+            let versions: Vec<_> = records.filter_map(|record| record.version).collect();
             if versions != [*version] {
                 violations.push(format!(
-                    "change {id}: told accepted as {version}, in the history as {versions:?}"
+                    "change {id}: reported accepted as {version}, in the history as {versions:?}"
                 ));
             }
         }
@@ -112,25 +113,30 @@
     }
 
     fn check_refused(&self, accepted: &[&RecordBody]) -> Vec<String> {
-        let stands = |id: &ChangeId| accepted.iter().any(|record| record.id == *id);
-        let lies = self.refused.iter().filter(|(id, _)| stands(id));
-        lies.map(|(id, code)| format!("change {id}: told {code}, yet it was accepted"))
+        let was_accepted = |id: &ChangeId| accepted.iter().any(|record| record.id == *id);
+        let contradicted = self.refused.iter().filter(|(id, _)| was_accepted(id));
+        contradicted
+            .map(|(id, code)| format!("change {id}: reported {code}, yet it was accepted"))
             .collect()
     }
 }
 
-/// Each version from 1 to the table's own was made by one record.
+/// Checks that the accepted records have the versions 1, 2, 3 and so on without a gap, at least
+/// up to the table's, and that no change was applied twice.
 fn check_versions(accepted: &[&RecordBody], newest: Version) -> Vec<String> {
     let mut violations = Vec::new();
     let versions = accepted.iter().filter_map(|record| record.version);
-    for (place, version) in versions.enumerate() {
-        if version.0 != place as u64 + 1 {
-            violations.push(format!("version {version} stands in place {}", place + 1));
+    for (index, version) in versions.enumerate() {
+        if version.0 != index as u64 + 1 {
+            violations.push(format!(
+                "version {version} is accepted record number {}",
+                index + 1
+            ));
         }
     }
     if (accepted.len() as u64) < newest.0 {
-        let made = accepted.len();
-        violations.push(format!("version {newest} after {made} accepted changes"));
+        let count = accepted.len();
+        violations.push(format!("version {newest} with {count} accepted changes"));
     }
     let mut ids = BTreeMap::new();
     for record in accepted {
@@ -142,11 +148,12 @@
     violations
 }
 
-/// The rows are what the accepted changes up to the table's version make of nothing.
+/// Checks that applying the accepted changes up to the table's version to an empty table
+/// gives its rows.
 fn check_rows(table: &TableBody, accepted: &[&RecordBody]) -> Vec<String> {
     let mut rows: BTreeMap<RowKey, RowValues> = BTreeMap::new();
-    let made = accepted.iter().filter(|r| r.version <= Some(table.version));
-    for difference in made.flat_map(|record| &record.differences) {
+    let applied = accepted.iter().filter(|r| r.version <= Some(table.version));
+    for difference in applied.flat_map(|record| &record.differences) {
         let key = RowKey {
             service: difference.service.clone(),
             region: difference.region.clone(),
@@ -160,5 +167,5 @@
     if shown == rows {
         return Vec::new();
     }
-    vec![format!("rows {shown:?}, by the history {rows:?}")]
+    vec![format!("rows {shown:?}, from the history {rows:?}")]
 }
--- a/crates/testing/src/soak/nodes.rs
+++ b/crates/testing/src/soak/nodes.rs
@@ -1,4 +1,4 @@
-//! The processes under test, and what is done to each.
+//! The processes under test and the process faults injected into them.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -8,19 +8,19 @@
 use std::time::{Duration, Instant};
 
 use super::plan::Target;
+use super::shared::SharedState;
 use super::violations::Violation;
-use super::shared::World;
 use crate::cluster::Node;
 use crate::site::{Site, proven_version};
 
-/// Time after which a process that was told to stop has to be gone: its grace, and as much
-/// again as a busy machine may take.
+/// Time in which a process that was asked to stop must end: its grace period and a generous
+/// margin for a busy machine.
 const STOP_BOUND: Duration = Duration::from_secs(30);
-/// What a write that was torn by a loss of power leaves behind the last whole record: a
-/// length, and less than that of data.
-const TORN: [u8; 11] = [200, 0, 0, 0, 7, 1, 2, 3, 4, 5, 6];
+/// What a power loss during a write leaves after the last complete record: a length, followed
+/// by fewer bytes than that.
+const TORN_RECORD: [u8; 11] = [200, 0, 0, 0, 7, 1, 2, 3, 4, 5, 6];
 
-/// What was last done to a process.
+/// State of a process after the last step on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Up,
@@ -29,21 +29,21 @@
     Stopping(Instant),
 }
 
-/// All processes.
+/// All processes and their states.
 pub(super) struct Nodes {
     pub(super) site: Site,
-    world: Arc<World>,
+    shared: Arc<SharedState>,
     states: BTreeMap<Target, State>,
 }
 
 impl Nodes {
-    pub(super) fn new(site: Site, world: Arc<World>) -> Self {
+    pub(super) fn new(site: Site, shared: Arc<SharedState>) -> Self {
         let controls = (0..site.controls.len()).map(Target::Control);
         let gateways = (0..site.gateways.len()).map(Target::Gateway);
         let states = controls.chain(gateways).map(|t| (t, State::Up)).collect();
         Self {
             site,
-            world,
+            shared,
             states,
         }
     }
@@ -63,7 +63,7 @@
         self.node(target).name().to_owned()
     }
 
-    /// Keys of the addresses that others reach it by.
+    /// Keys of a process's addresses that have a proxy and get connection faults.
     pub(super) fn keys(target: Target) -> &'static [&'static str] {
         match target {
             Target::Control(_) => &["peer", "orders", "lookups"],
@@ -77,7 +77,7 @@
 
     fn set(&mut self, target: Target, state: State) {
         if let Target::Gateway(number) = target {
-            self.world.lives[number].fetch_add(1, Ordering::SeqCst);
+            self.shared.incarnations[number].fetch_add(1, Ordering::SeqCst);
         }
         self.states.insert(target, state);
     }
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Asks it to stop, again if it has been asked before.
+    /// Sends the process `SIGTERM`, also if it is stopping already.
     pub(super) fn stop(&mut self, target: Target) {
         match self.state(target) {
             State::Up => {
                 self.node(target).process().terminate();
-                // It serves on, so its life goes on.
+                // The process still serves, so its incarnation stays the same.
                 self.states.insert(target, State::Stopping(Instant::now()));
             }
             State::Stopping(_) => self.node(target).process().terminate(),
@@ -129,10 +129,10 @@
         }
     }
 
-    /// Starts those again that have stopped, and looks for those that don't, or that have
-    /// ended without having been told to.
-    pub(super) fn look(&mut self) -> Vec<Violation> {
-        let mut found = Vec::new();
+    /// Restarts processes that have stopped. Returns violations for those that don't stop in
+    /// time and those that ended by themselves, and restarts these too.
+    pub(super) fn restart_ended(&mut self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for target in self.targets() {
             let state = self.state(target);
             let ended = state != State::Down && self.node(target).process().try_exit().is_some();
@@ -142,22 +142,24 @@
                     self.start(target);
                 }
                 State::Stopping(since) if since.elapsed() > STOP_BOUND => {
-                    found.push(Violation::NotBack(format!("{target:?} doesn't stop")));
+                    violations.push(Violation::NotRecovered(format!("{target:?} doesn't stop")));
                     self.kill(target);
                     self.start(target);
                 }
                 State::Up | State::Frozen if ended => {
-                    found.push(Violation::NotBack(format!("{target:?} ended by itself")));
+                    violations.push(Violation::NotRecovered(format!(
+                        "{target:?} ended by itself"
+                    )));
                     self.kill(target);
                     self.start(target);
                 }
                 _ => {}
             }
         }
-        found
+        violations
     }
 
-    /// Whether any process is on its way to its end.
+    /// Whether any process was asked to stop and hasn't been restarted yet.
     pub(super) fn is_any_stopping(&self) -> bool {
         let mut states = self.states.values();
         states.any(|state| matches!(state, State::Stopping(_)))
@@ -167,7 +169,8 @@
         (0..self.site.controls.len()).map(Target::Control).collect()
     }
 
-    /// Loses power with a write under way.
+    /// Simulates a power loss during a write: kills a replica, appends a torn record to its
+    /// newest log file and restarts it.
     pub(super) fn tear(&mut self, control: usize) {
         let target = Target::Control(control);
         if self.state(target) == State::Down {
@@ -182,28 +185,29 @@
         });
         if let Some(newest) = logs.max() {
             let file = File::options().append(true).open(newest);
-            let torn = file.and_then(|mut file| file.write_all(&TORN));
+            let torn = file.and_then(|mut file| file.write_all(&TORN_RECORD));
             torn.expect("the log can be written");
         }
         self.start(target);
     }
 
-    /// Loses a disk. Only a group that is whole bears it: each voter is up, and holds all
-    /// that was accepted. Says whether it was done.
+    /// Wipes a replica's disk and restarts it, if the group is healthy: losing a disk is only
+    /// tolerated while each voter is up and has all accepted changes. Returns whether it was done.
     pub(super) fn wipe(&mut self, control: usize) -> bool {
-        let whole = self.is_whole();
-        if whole {
+        let healthy = self.is_group_healthy();
+        if healthy {
             let target = Target::Control(control);
             self.kill(target);
             self.node(target).wipe();
             self.start(target);
         }
-        whole
+        healthy
     }
 
-    /// All replicas lose power at once, and one its disk as well if the group is whole.
+    /// Kills all replicas at once and restarts them; `lost` also loses its disk if the group was
+    /// healthy.
     pub(super) fn power_cut(&mut self, lost: Option<usize>) {
-        let lost = lost.filter(|_| self.is_whole());
+        let lost = lost.filter(|_| self.is_group_healthy());
         let controls = self.controls();
         for target in &controls {
             self.kill(*target);
@@ -220,10 +224,10 @@
         }
     }
 
-    fn is_whole(&mut self) -> bool {
+    fn is_group_healthy(&mut self) -> bool {
         let controls = self.controls();
         let up = controls.iter().all(|t| self.state(*t) == State::Up);
-        let accepted = self.world.accepted();
+        let accepted = self.shared.accepted();
         let voters = controls.len() as f64;
         up && self.site.controls.iter().all(|node| {
             proven_version(node).is_some_and(|version| version >= accepted)
--- a/crates/testing/src/standin/slot.rs
+++ b/crates/testing/src/standin/slot.rs
@@ -1,59 +1,59 @@
-//! A request in a slot.
+//! A slot taken by a running request.
 
 use std::sync::Arc;
 
 use super::record::{ObservedRequest, Stage};
 use super::state::State;
 
-/// A request that runs; it gives its slot back when dropped, and is cancelled unless it
-/// was answered before.
+/// A slot and the request that runs in it. Dropping it frees the slot, and records the request as
+/// cancelled unless it was answered before.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct SlotGuard {
     state: Arc<State>,
-    seen: Arc<ObservedRequest>,
+    request: Arc<ObservedRequest>,
     recorded: bool,
     answered: bool,
 }
 
-impl Work {
-    /// Takes a slot if one is free.
-    pub(super) fn start(
+impl SlotGuard {
+    /// Takes a slot; `None` if none is free.
+    pub(super) fn acquire(
         state: &Arc<State>,
-        seen: &Arc<ObservedRequest>,
+        request: &Arc<ObservedRequest>,
         slots: u32,
         recorded: bool,
     ) -> Option<Self> {
-        let free = state.recorder.running.up_within(slots);
+        let free = state.recorder.running.try_increment(slots);
         free.then(|| Self {
             state: Arc::clone(state),
-            seen: Arc::clone(seen),
+            request: Arc::clone(request),
             recorded,
             answered: false,
         })
     }
 
-    pub(super) fn executed(&self) {
+    pub(super) fn record_executed(&self) {
         self.push(Stage::Executed);
     }
 
-    pub(super) fn answered(mut self) {
+    pub(super) fn record_answered(mut self) {
         self.answered = true;
         self.push(Stage::Answered);
     }
 
     fn push(&self, stage: Stage) {
         if self.recorded {
-            self.state.recorder.push(stage, &self.seen);
+            self.state.recorder.push(stage, &self.request);
         }
     }
 }
 
-impl Drop for Work {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.push(Stage::Cancelled);
         }
-        self.state.recorder.running.down();
+        self.state.recorder.running.decrement();
         self.state.freed.notify_waiters();
     }
 }
--- a/crates/testing/src/standin/state.rs
+++ b/crates/testing/src/standin/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a stand-in share.
+//! State shared by all connections of a stand-in.
 
 use std::collections::hash_map::RandomState;
 use std::fs::File;
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::payload::Payload;
-use super::record::{Recorder, ObservedRequest};
+use super::record::{ObservedRequest, Recorder};
 use super::script::{Fault, Rule, Script, When};
 
 /// Whether the stand-in serves.
@@ -19,9 +19,10 @@
     Ended,
 }
 
-/// An answer that may be given to the wrong request.
+/// Content of an answer. The last one is kept, to be sent for a later request under
+/// [`Fault::Crossed`].
 #[derive(Clone, Debug)]
-pub(super) struct OtherAnswer {
+pub(super) struct AnswerContent {
     pub(super) payload: Payload,
     pub(super) bytes: u64,
     pub(super) request_id: String,
@@ -31,9 +32,9 @@
 pub(super) struct State {
     pub(super) name: String,
     pub(super) recorder: Arc<Recorder>,
-    /// Told each time a slot may have become free.
+    /// Notified each time a slot may have become free.
     pub(super) freed: Notify,
-    pub(super) last_answer: Mutex<Option<OtherAnswer>>,
+    pub(super) last_answer: Mutex<Option<AnswerContent>>,
     pub(super) last_health: Mutex<Option<String>>,
     script: Mutex<Script>,
     incarnation: Mutex<u64>,
@@ -50,7 +51,7 @@
             last_answer: Mutex::default(),
             last_health: Mutex::default(),
             script: Mutex::default(),
-            incarnation: Mutex::new(draw()),
+            incarnation: Mutex::new(random_incarnation()),
             life: watch::Sender::new(Life::Up),
             ends_process: false,
         }
@@ -66,18 +67,18 @@
         self.freed.notify_waiters();
     }
 
-    pub(super) fn read<T>(&self, take: impl FnOnce(&Script) -> T) -> T {
-        take(&lock(&self.script))
+    pub(super) fn read<T>(&self, view: impl FnOnce(&Script) -> T) -> T {
+        view(&lock(&self.script))
     }
 
-    /// The fault for a request, and one use of its rule less.
-    pub(super) fn fault(&self, seen: &ObservedRequest, body: &[u8]) -> Option<Fault> {
+    /// The fault for a request; `None` if no rule matches. Counts as one use of the rule.
+    pub(super) fn fault(&self, request: &ObservedRequest, body: &[u8]) -> Option<Fault> {
         let mut script = lock(&self.script);
         let rules = &mut script.rules;
-        let place = rules
+        let index = rules
             .iter()
-            .position(|rule| rule.times != Some(0) && fits(rule, seen, body))?;
-        let rule = &mut rules[place];
+            .position(|rule| rule.times != Some(0) && rule_matches(rule, request, body))?;
+        let rule = &mut rules[index];
         rule.times = rule.times.map(|times| times - 1);
         Some(rule.fault.clone())
     }
@@ -102,7 +103,7 @@
     }
 
     pub(super) fn restart(&self) {
-        *lock(&self.incarnation) = draw();
+        *lock(&self.incarnation) = random_incarnation();
         self.set_life(Life::Up);
     }
 
@@ -125,17 +126,17 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn fits(rule: &Rule, seen: &ObservedRequest, body: &[u8]) -> bool {
+fn rule_matches(rule: &Rule, request: &ObservedRequest, body: &[u8]) -> bool {
     match &rule.when {
         When::Any => true,
-        When::Method(method) => seen.method == *method,
-        When::Path(prefix) => seen.path.starts_with(prefix),
-        When::Key(key) => seen.key == *key,
+        When::Method(method) => request.method == *method,
+        When::Path(prefix) => request.path.starts_with(prefix),
+        When::Key(key) => request.key == *key,
         When::Body(text) => String::from_utf8_lossy(body).contains(text),
     }
 }
 
-/// A random number: the standard library's hash keys are drawn by the system.
-fn draw() -> u64 {
+/// A random number other than zero; the standard library seeds its hash keys randomly.
+fn random_incarnation() -> u64 {
     RandomState::new().build_hasher().finish() | 1
 }
--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -61,7 +61,11 @@
 }
 
 impl Worker {
-    fn new(name: &str, addrs: &[SocketAddr], outcomes: &ChangeOutcomes, stop: &Arc<AtomicBool>) -> Self {
+    fn new(
+        name: &str,
+        addrs: &[SocketAddr], outcomes: &ChangeOutcomes,
+        stop: &Arc<AtomicBool>,
+    ) -> Self {
         Self {
             operator: Operator::new(name, addrs.to_vec()),
             addrs: addrs.to_vec(),
