--- a/crates/bench/src/experiment/build.rs
+++ b/crates/bench/src/experiment/build.rs
@@ -10,28 +10,28 @@
 use rand::rngs::StdRng;
 
 use super::deployment::{DOMAINS, DOMAINS_A_REGION, Deployment, REGIONS};
-use super::fake::EndpointFake;
+use super::endpoint::EndpointFake;
 use super::policy::PolicyKind;
-use super::scene::Scene;
-use super::world::{Caller, EntryFake, World};
+use super::scenario::Scene;
+use super::simulation::{Caller, EntryFake, Simulation};
 
 const CALLERS: u32 = 300;
 
-impl World {
+impl Simulation {
     /// A world at its start.
     pub(crate) fn new(kind: PolicyKind, deployment: Deployment, scene: Scene, seed: u64) -> Self {
         let view = view(&deployment, 1, |_| false);
         let arrivals = StdRng::seed_from_u64(seed);
-        let mut world = Self::empty(kind, deployment, scene, view, arrivals);
-        world.callers = (0..CALLERS).map(caller).collect();
+        let mut simulation = Self::empty(kind, deployment, scene, view, arrivals);
+        simulation.callers = (0..CALLERS).map(caller).collect();
         for domain in 0..DOMAINS {
-            world.add_domain(domain);
+            simulation.add_domain(domain);
         }
-        for entry in 0..world.entries.len() {
-            world.introduce(entry);
+        for entry in 0..simulation.entries.len() {
+            simulation.introduce(entry);
         }
-        world.announce_members();
-        world
+        simulation.announce_members();
+        simulation
     }
 
     fn add_domain(&mut self, domain: usize) {
--- a/crates/bench/src/experiment/flow.rs
+++ b/crates/bench/src/experiment/flow.rs
@@ -7,9 +7,9 @@
 use rand::Rng;
 
 use super::deployment::{DOMAINS_A_REGION, REGIONS};
-use super::fake::Arrival;
+use super::endpoint::Arrival;
 use super::metrics::End;
-use super::world::{Happening, Request, World};
+use super::simulation::{Happening, Request, Simulation};
 
 /// How long a caller or an entry waits for a connection to something that is gone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -20,7 +20,7 @@
 /// Callers of whom a surge comes.
 const SURGE_CALLERS: usize = 5;
 
-impl World {
+impl Simulation {
     /// A caller sends a request; the next one of the service follows at random.
     pub(crate) fn arrive(&mut self, service: usize) {
         let spec = &self.deployment.services[service];
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 
 use super::deployment::{DOMAINS, Deployment, REGIONS};
-use super::scene::WARM_UP;
+use super::scenario::WARM_UP;
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -10,23 +10,23 @@
 mod bound;
 mod build;
 mod deployment;
-mod fake;
+mod endpoint;
 mod flow;
 mod metrics;
 mod policy;
 mod report;
-mod scene;
+mod scenario;
+mod simulation;
 mod steps;
-mod world;
 
 pub use baseline::{Baseline, Pick};
 pub use bound::least_latency;
 pub use deployment::{Deployment, ServiceSpec, associacao, kovceg};
-pub use fake::Readings;
+pub use endpoint::Readings;
 pub use metrics::{Drain, Figures, ServiceFigures};
 pub use policy::{PolicyKind, Version};
 pub use report::{print_lines, print_table};
-pub use scene::{LENGTH, Scene, Step, scenes};
+pub use scenario::{LENGTH, Scene, Step, scenes};
 
 /// Figures of one policy in one scene of one deployment.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 
 /// Runs a scene.
 pub fn run(deployment: &Deployment, scene: &Scene, policy: PolicyKind, seed: u64) -> Run {
-    let world = world::World::new(policy, deployment.clone(), scene.clone(), seed);
+    let simulation = simulation::Simulation::new(policy, deployment.clone(), scene.clone(), seed);
     Run {
         deployment: deployment.name,
         scene: scene.name,
@@ -59,6 +59,6 @@
         bounds: (0..deployment.services.len())
             .map(|service| least_latency(deployment, service, 0.99))
             .collect(),
-        figures: world.run(),
+        figures: simulation.run(),
     }
 }
--- a/crates/bench/src/experiment/scene.rs
+++ b/crates/bench/src/experiment/scenario.rs
@@ -4,7 +4,7 @@
 
 use filberthead_types::Moment;
 
-use super::fake::Readings;
+use super::endpoint::Readings;
 
 /// Something that a scene does at a moment.
 #[derive(Clone, Copy, Debug)]
--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/simulation.rs
@@ -18,10 +18,10 @@
 use rand::rngs::StdRng;
 
 use super::deployment::{DOMAINS, Deployment, REGIONS};
-use super::fake::EndpointFake;
+use super::endpoint::EndpointFake;
 use super::metrics::{End, Figures};
 use super::policy::PolicyKind;
-use super::scene::{LENGTH, Scene};
+use super::scenario::{LENGTH, Scene};
 
 pub(crate) const TICK: Duration = Duration::from_millis(100);
 /// Where the control leader runs.
@@ -164,7 +164,7 @@
 const LONGEST_RUN: Duration = Duration::from_secs(10);
 
 /// A deployment under a policy, in a scene.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) kind: PolicyKind,
     pub(crate) deployment: Deployment,
     pub(crate) scene: Scene,
@@ -186,7 +186,7 @@
     pub(crate) figures: Figures,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn empty(
         kind: PolicyKind,
         deployment: Deployment,
--- a/crates/bench/src/experiment/steps.rs
+++ b/crates/bench/src/experiment/steps.rs
@@ -8,9 +8,9 @@
 
 use super::build::view;
 use super::deployment::DOMAINS_A_REGION;
-use super::fake::Readings;
-use super::scene::Step;
-use super::world::{Happening, World};
+use super::endpoint::Readings;
+use super::scenario::Step;
+use super::simulation::{Happening, Simulation};
 
 /// How long other entries take to notice that one is gone.
 const DETECTION: Duration = Duration::from_secs(2);
@@ -18,7 +18,7 @@
 const SPREAD: Duration = Duration::from_millis(300);
 const SLOWNESS: f64 = 8.0;
 
-impl World {
+impl Simulation {
     pub(crate) fn step(&mut self, index: usize) {
         let (_, step) = self.scene.steps[index];
         match step {
--- a/crates/bench/src/placement/mod.rs
+++ b/crates/bench/src/placement/mod.rs
@@ -14,10 +14,10 @@
 mod endpoint;
 mod figures;
 mod pattern;
+mod simulation;
 mod site;
-mod world;
 
 pub use figures::{Count, Figures};
 pub use pattern::{Pattern, patterns};
+pub use simulation::play;
 pub use site::KINDS;
-pub use world::play;
--- a/crates/bench/src/placement/world.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -65,7 +65,7 @@
     over: bool,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     rng: StdRng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
@@ -84,23 +84,23 @@
 
 /// Plays a pattern without some mechanisms, and returns what callers got.
 pub fn play(pattern: &Pattern, without: &BTreeSet<Mechanism>, seed: u64) -> Figures {
-    let mut world = World::new(pattern, without, seed);
-    for domain in 0..world.callers.domains().len() {
-        world.arrive_after(domain);
+    let mut simulation = Simulation::new(pattern, without, seed);
+    for domain in 0..simulation.callers.domains().len() {
+        simulation.arrive_after(domain);
     }
-    world.add(0, Event::Report);
+    simulation.add(0, Event::Report);
     for (at, change) in &pattern.changes {
-        world.add(*at, Event::Change(*change));
+        simulation.add(*at, Event::Change(*change));
     }
-    world.run(pattern.seconds * 1000);
-    world.figures
+    simulation.run(pattern.seconds * 1000);
+    simulation.figures
 }
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-impl World {
+impl Simulation {
     fn new(pattern: &Pattern, without: &BTreeSet<Mechanism>, seed: u64) -> Self {
         let regions = site::regions();
         let listed = site::endpoints();
@@ -113,7 +113,7 @@
         let home = |e: &filberthead_fleet::Endpoint| {
             (EndpointId::from(e.id.as_str()), regions[&e.domain].clone())
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             rng: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
@@ -128,8 +128,8 @@
             told: Vec::new(),
             figures: Figures::default(),
         };
-        world.start_gateways();
-        world
+        simulation.start_gateways();
+        simulation
     }
 
     fn start_gateways(&mut self) {
