--- a/crates/bench/src/bin/filberthead-measure-placement/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-placement/main.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::process::ExitCode;
 
-use filberthead_bench::placement::{Count, Figures, Pattern, patterns, play};
+use filberthead_bench::placement::{Count, Figures, Pattern, patterns, simulate};
 use filberthead_place::Mechanism;
 use lexopt::prelude::*;
 
@@ -71,49 +71,49 @@
     ExitCode::SUCCESS
 }
 
-fn plays(pattern: &Pattern, without: &BTreeSet<Mechanism>, seeds: u64) -> Vec<Figures> {
+fn runs(pattern: &Pattern, without: &BTreeSet<Mechanism>, seeds: u64) -> Vec<Figures> {
     (1..=seeds)
-        .map(|seed| play(pattern, without, seed))
+        .map(|seed| simulate(pattern, without, seed))
         .collect()
 }
 
-fn mean(plays: &[Figures], of: impl Fn(&Figures) -> f64) -> f64 {
-    plays.iter().map(of).sum::<f64>() / plays.len() as f64
+fn mean(runs: &[Figures], of: impl Fn(&Figures) -> f64) -> f64 {
+    runs.iter().map(of).sum::<f64>() / runs.len() as f64
 }
 
 fn print_figures(options: &Options) {
     for pattern in &options.patterns {
-        let plays = plays(pattern, &options.without, options.seeds);
+        let runs = runs(pattern, &options.without, options.seeds);
         let line = |what: &str, of: &dyn Fn(&Figures) -> f64| {
             println!(
                 "placement {} {what}: {:.3} credit",
                 pattern.name,
-                mean(&plays, of)
+                mean(&runs, of)
             );
         };
         line("all", &|f| f.all.credit());
-        for region in plays[0].regions.keys() {
+        for region in runs[0].regions.keys() {
             let of = |f: &Figures| f.regions.get(region).map_or(0.0, Count::credit);
             line(region.as_str(), &of);
         }
-        for kind in plays[0].kinds.keys() {
+        for kind in runs[0].kinds.keys() {
             line(kind, &|f| f.kinds.get(kind).map_or(0.0, Count::credit));
         }
     }
 }
 
 /// Credit of all callers and of the worst region, together.
-fn worth(plays: &[Figures]) -> f64 {
-    mean(plays, |f| (f.all.credit() + f.worst_region()) / 2.0)
+fn mean_credit(runs: &[Figures]) -> f64 {
+    mean(runs, |f| (f.all.credit() + f.worst_region()) / 2.0)
 }
 
 fn print_ablation(options: &Options) {
     for pattern in &options.patterns {
-        let whole = worth(&plays(pattern, &options.without, options.seeds));
+        let baseline = mean_credit(&runs(pattern, &options.without, options.seeds));
         for mechanism in Mechanism::ALL {
             let mut without = options.without.clone();
             without.insert(mechanism);
-            let lost = whole - worth(&plays(pattern, &without, options.seeds));
+            let lost = baseline - mean_credit(&runs(pattern, &without, options.seeds));
             let name = mechanism.name();
             println!(
                 "placement {} without {name}: {:.3} credit lost",
--- a/crates/bench/src/placement/callers.rs
+++ b/crates/bench/src/placement/callers.rs
@@ -8,11 +8,11 @@
 use super::site::{KINDS, KindOfRequest, domains, regions};
 
 /// Seconds of a wave of demand.
-const PERIOD_S: f64 = 36.0;
+const DEMAND_PERIOD_S: f64 = 36.0;
 
 /// A request as its caller has it.
 #[derive(Clone, Debug)]
-pub(super) struct Wish {
+pub(super) struct RequestSpec {
     pub(super) kind: &'static KindOfRequest,
     pub(super) region: Region,
     /// Number that endpoints know the object by.
@@ -27,12 +27,12 @@
 #[derive(Debug)]
 pub(super) struct Callers {
     domains: Vec<FailureDomain>,
-    homes: Vec<Region>,
-    per_s: f64,
-    swing: f64,
+    regions_by_domain: Vec<Region>,
+    requests_per_s: f64,
+    amplitude: f64,
     /// Gateways of each failure domain.
     pub(super) gateways: usize,
-    pub(super) rate: f64,
+    pub(super) rate_factor: f64,
     /// Where a part of a region's callers connects instead.
     pub(super) moved: Option<(Region, Region, f64)>,
 }
@@ -41,14 +41,14 @@
     pub(super) fn new(pattern: &Pattern) -> Self {
         let domains = domains();
         let regions = regions();
-        let homes = domains.iter().map(|domain| regions[domain].clone());
+        let regions_by_domain = domains.iter().map(|domain| regions[domain].clone());
         Self {
-            homes: homes.collect(),
+            regions_by_domain: regions_by_domain.collect(),
             domains,
-            per_s: pattern.per_s,
-            swing: pattern.swing,
+            requests_per_s: pattern.requests_per_s,
+            amplitude: pattern.amplitude,
             gateways: pattern.gateways,
-            rate: 1.0,
+            rate_factor: 1.0,
             moved: None,
         }
     }
@@ -59,26 +59,28 @@
     }
 
     /// Milliseconds until the next request of a failure domain comes.
-    pub(super) fn gap(&self, rng: &mut StdRng, now: u64, domain: usize) -> f64 {
+    pub(super) fn interarrival_ms(&self, rng: &mut StdRng, now: u64, domain: usize) -> f64 {
         let third = (domain / 2) as f64 / 3.0;
-        let turn = now as f64 / 1000.0 / PERIOD_S + third;
-        let wave = 1.0 + self.swing * (turn * std::f64::consts::TAU).sin();
-        let per_ms = self.per_s * self.rate * wave / 1000.0;
+        let phase = now as f64 / 1000.0 / DEMAND_PERIOD_S + third;
+        let wave = 1.0 + self.amplitude * (phase * std::f64::consts::TAU).sin();
+        let per_ms = self.requests_per_s * self.rate_factor * wave / 1000.0;
         -(1.0 - rng.random::<f64>()).ln() / per_ms
     }
 
     /// What the next caller of a failure domain wants.
-    pub(super) fn wish(&self, rng: &mut StdRng, domain: usize) -> Wish {
-        let kind = draw(rng);
+    pub(super) fn draw_request(&self, rng: &mut StdRng, domain: usize) -> RequestSpec {
+        let kind = draw_kind(rng);
         let number = rng.random_range(0..kind.objects);
-        let home = domain / 2;
-        let place = KINDS.iter().position(|each| each.name == kind.name);
-        let spread = super::site::SPREAD * (2.0 * rng.random::<f64>() - 1.0);
-        Wish {
+        let region = domain / 2;
+        let kind_index = KINDS.iter().position(|each| each.name == kind.name);
+        let spread = super::site::WORK_SPREAD * (2.0 * rng.random::<f64>() - 1.0);
+        RequestSpec {
             kind,
-            region: self.homes[domain].clone(),
-            object: (place.unwrap_or(0) as u64) << 40 | (home as u64) << 32 | u64::from(number),
-            name: format!("{home}-{number}"),
+            region: self.regions_by_domain[domain].clone(),
+            object: (kind_index.unwrap_or(0) as u64) << 40
+                | (region as u64) << 32
+                | u64::from(number),
+            name: format!("{region}-{number}"),
             gateway: self.gateway(rng, domain),
             work_ms: kind.work_ms * (1.0 + spread),
         }
@@ -87,21 +89,24 @@
     fn gateway(&self, rng: &mut StdRng, domain: usize) -> usize {
         let mut domain = domain;
         if let Some((from, to, part)) = &self.moved
-            && self.homes[domain] == *from
+            && self.regions_by_domain[domain] == *from
             && rng.random::<f64>() < *part
         {
-            let there = self.homes.iter().position(|region| region == to);
+            let there = self
+                .regions_by_domain
+                .iter()
+                .position(|region| region == to);
             domain = there.unwrap_or(domain) + rng.random_range(0..2);
         }
         domain * self.gateways + rng.random_range(0..self.gateways)
     }
 }
 
-fn draw(rng: &mut StdRng) -> &'static KindOfRequest {
-    let mut at = rng.random::<f64>();
+fn draw_kind(rng: &mut StdRng) -> &'static KindOfRequest {
+    let mut remaining = rng.random::<f64>();
     for kind in &KINDS {
-        at -= kind.part;
-        if at < 0.0 {
+        remaining -= kind.share;
+        if remaining < 0.0 {
             return kind;
         }
     }
--- a/crates/bench/src/placement/endpoint.rs
+++ b/crates/bench/src/placement/endpoint.rs
@@ -5,7 +5,7 @@
 use filberthead_place::Load;
 
 /// Requests that wait at an endpoint, as a multiple of its slots, before it refuses more.
-const QUEUE: usize = 3;
+const QUEUE_FACTOR: usize = 3;
 
 /// Work at an endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -21,42 +21,42 @@
 
 /// What an endpoint does with a request that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Taken {
+pub(super) enum Admission {
     /// It runs or waits.
-    Yes,
+    Accepted,
     /// It is refused.
     Refused,
     /// Nobody answers.
-    Silent,
+    NoAnswer,
 }
 
 #[derive(Debug)]
 pub(super) struct Endpoint {
     slots: usize,
-    remembers: usize,
-    known_part: f64,
+    cache_capacity: usize,
+    cached_work_factor: f64,
     pub(super) running: Vec<Job>,
     waiting: VecDeque<Job>,
     /// Objects, those handled last at the end.
-    known: VecDeque<u64>,
+    cached_objects: VecDeque<u64>,
     /// How much longer work takes.
-    pub(super) slow: f64,
+    pub(super) work_factor: f64,
     /// Part of requests that are refused, room or not.
-    pub(super) sheds: f64,
+    pub(super) shed_ratio: f64,
     pub(super) down: bool,
 }
 
 impl Endpoint {
-    pub(super) fn new(slots: usize, remembers: usize, known_part: f64) -> Self {
+    pub(super) fn new(slots: usize, cache_capacity: usize, cached_work_factor: f64) -> Self {
         Self {
             slots,
-            remembers,
-            known_part,
+            cache_capacity,
+            cached_work_factor,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            known: VecDeque::new(),
-            slow: 1.0,
-            sheds: 0.0,
+            cached_objects: VecDeque::new(),
+            work_factor: 1.0,
+            shed_ratio: 0.0,
             down: false,
         }
     }
@@ -69,55 +69,58 @@
     }
 
     /// Takes a request in; `draw` is between 0 and 1.
-    pub(super) fn take(&mut self, job: Job, draw: f64) -> Taken {
+    pub(super) fn admit(&mut self, job: Job, draw: f64) -> Admission {
         if self.down {
-            return Taken::Silent;
+            return Admission::NoAnswer;
         }
-        if draw < self.sheds || self.waiting.len() >= QUEUE * self.slots {
-            return Taken::Refused;
+        if draw < self.shed_ratio || self.waiting.len() >= QUEUE_FACTOR * self.slots {
+            return Admission::Refused;
         }
         self.waiting.push_back(job);
-        Taken::Yes
+        Admission::Accepted
     }
 
     /// Begins what has a slot, and returns each with the milliseconds that it takes.
-    pub(super) fn begin(&mut self) -> Vec<(Job, f64)> {
-        let mut begun = Vec::new();
+    pub(super) fn start_waiting(&mut self) -> Vec<(Job, f64)> {
+        let mut started = Vec::new();
         while self.running.len() < self.slots {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            let part = if self.learn(job.object) {
-                self.known_part
+            let cache_factor = if self.access(job.object) {
+                self.cached_work_factor
             } else {
                 1.0
             };
             self.running.push(job);
-            begun.push((job, part * job.work_ms * self.slow));
+            started.push((job, cache_factor * job.work_ms * self.work_factor));
         }
-        begun
+        started
     }
 
     /// Whether the object was known; it is from now on.
-    fn learn(&mut self, object: u64) -> bool {
-        let held = self.known.iter().position(|known| *known == object);
-        if let Some(place) = held {
-            self.known.remove(place);
+    fn access(&mut self, object: u64) -> bool {
+        let position = self
+            .cached_objects
+            .iter()
+            .position(|cached| *cached == object);
+        if let Some(index) = position {
+            self.cached_objects.remove(index);
         }
-        self.known.push_back(object);
-        if self.known.len() > self.remembers {
-            self.known.pop_front();
+        self.cached_objects.push_back(object);
+        if self.cached_objects.len() > self.cache_capacity {
+            self.cached_objects.pop_front();
         }
-        held.is_some()
+        position.is_some()
     }
 
     /// Ends a request, whether it is over or its caller has left. Returns whether it was
     /// there.
-    pub(super) fn end(&mut self, request: usize, attempt: u32) -> bool {
-        let is = |job: &Job| job.request == request && job.attempt == attempt;
+    pub(super) fn remove(&mut self, request: usize, attempt: u32) -> bool {
+        let matches = |job: &Job| job.request == request && job.attempt == attempt;
         let before = self.running.len() + self.waiting.len();
-        self.running.retain(|job| !is(job));
-        self.waiting.retain(|job| !is(job));
+        self.running.retain(|job| !matches(job));
+        self.waiting.retain(|job| !matches(job));
         self.running.len() + self.waiting.len() < before
     }
 
@@ -125,6 +128,6 @@
     pub(super) fn restart(&mut self) {
         self.running.clear();
         self.waiting.clear();
-        self.known.clear();
+        self.cached_objects.clear();
     }
 }
--- a/crates/bench/src/placement/figures.rs
+++ b/crates/bench/src/placement/figures.rs
@@ -5,13 +5,13 @@
 use filberthead_types::Region;
 
 /// Credit of an answer that comes after its objective.
-const LATE: f64 = 0.2;
+const LATE_CREDIT: f64 = 0.2;
 
 /// Requests and how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// All that came.
-    pub asked: u32,
+    pub requests: u32,
     /// Answered within their objective.
     pub in_time: u32,
     /// Answered later.
@@ -24,14 +24,14 @@
     /// Credit earned, as a part of what was asked for: all of it for an answer in time, a
     /// fifth for a late one.
     pub fn credit(&self) -> f64 {
-        let earned = f64::from(self.in_time) + LATE * f64::from(self.late);
-        earned / f64::from(self.asked.max(1))
+        let earned = f64::from(self.in_time) + LATE_CREDIT * f64::from(self.late);
+        earned / f64::from(self.requests.max(1))
     }
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum RequestEnd {
     InTime,
     Late,
     Refused,
@@ -52,19 +52,25 @@
 }
 
 impl Figures {
-    pub(super) fn note(&mut self, region: &Region, kind: &'static str, second: usize, end: End) {
+    pub(super) fn record(
+        &mut self,
+        region: &Region,
+        kind: &'static str,
+        second: usize,
+        end: RequestEnd,
+    ) {
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, Count::default());
         }
         let region = self.regions.entry(region.clone()).or_default();
         let kind = self.kinds.entry(kind).or_default();
         for count in [&mut self.all, region, kind, &mut self.seconds[second]] {
-            count.asked += 1;
+            count.requests += 1;
             match end {
-                End::InTime => count.in_time += 1,
-                End::Late => count.late += 1,
-                End::Refused => count.refused += 1,
-                End::Lost => {}
+                RequestEnd::InTime => count.in_time += 1,
+                RequestEnd::Late => count.late += 1,
+                RequestEnd::Refused => count.refused += 1,
+                RequestEnd::Lost => {}
             }
         }
     }
@@ -85,7 +91,7 @@
     pub fn credit_between(&self, from: usize, to: usize) -> f64 {
         let mut sum = Count::default();
         for count in self.seconds.iter().take(to).skip(from) {
-            sum.asked += count.asked;
+            sum.requests += count.requests;
             sum.in_time += count.in_time;
             sum.late += count.late;
         }
--- a/crates/bench/src/placement/mod.rs
+++ b/crates/bench/src/placement/mod.rs
@@ -19,5 +19,5 @@
 
 pub use figures::{Count, Figures};
 pub use pattern::{Pattern, patterns};
-pub use simulation::play;
+pub use simulation::simulate;
 pub use site::KINDS;
--- a/crates/bench/src/placement/pattern.rs
+++ b/crates/bench/src/placement/pattern.rs
@@ -6,9 +6,9 @@
     /// Requests a second, as a multiple of the usual.
     Rate(f64),
     /// A part of the callers of a region connects to gateways of another one.
-    Move(&'static str, &'static str, f64),
+    MoveCallers(&'static str, &'static str, f64),
     /// All callers are back at their own gateways.
-    MoveBack,
+    RestoreCallers,
     /// Work at each n-th endpoint takes so much longer.
     Slow(usize, f64),
     /// Each n-th endpoint of a service refuses a part of what it gets, with slots free.
@@ -18,13 +18,13 @@
     /// The endpoints of a failure domain fall silent.
     DomainDown(&'static str),
     /// All that are silent answer again.
-    Up,
+    Recover,
     /// Nothing is to be sent to the endpoints of a failure domain.
     Evacuate(&'static str),
     /// It may be sent again.
-    TakeBack,
+    EndEvacuation,
     /// All gateways start anew, and have forgotten everything.
-    Restart,
+    RestartGateways,
 }
 
 /// A load pattern.
@@ -33,10 +33,10 @@
     /// Its name in reports and options.
     pub name: &'static str,
     /// Requests a second of each failure domain's callers.
-    pub(super) per_s: f64,
+    pub(super) requests_per_s: f64,
     /// How far demand of a region swings around its mean, a third of a period apart from
     /// one region to the next.
-    pub(super) swing: f64,
+    pub(super) amplitude: f64,
     pub(super) seconds: u64,
     /// Gateways of each failure domain.
     pub(super) gateways: usize,
@@ -45,23 +45,23 @@
 }
 
 impl Pattern {
-    fn new(name: &'static str, per_s: f64, changes: &[(u64, Change)]) -> Self {
+    fn new(name: &'static str, requests_per_s: f64, changes: &[(u64, Change)]) -> Self {
         Self {
             name,
-            per_s,
-            swing: 0.3,
+            requests_per_s,
+            amplitude: 0.3,
             seconds: 30,
-            gateways: GATEWAYS,
+            gateways: DEFAULT_GATEWAYS,
             changes: changes.to_vec(),
         }
     }
 
-    fn swinging(mut self, swing: f64) -> Self {
-        self.swing = swing;
+    fn with_amplitude(mut self, amplitude: f64) -> Self {
+        self.amplitude = amplitude;
         self
     }
 
-    fn over(mut self, gateways: usize) -> Self {
+    fn with_gateways(mut self, gateways: usize) -> Self {
         self.gateways = gateways;
         self
     }
@@ -73,45 +73,50 @@
 }
 
 /// Gateways of each failure domain, where a pattern names no other number.
-const GATEWAYS: usize = 2;
+const DEFAULT_GATEWAYS: usize = 2;
 /// Gateways of each failure domain where there are hundreds of them: each sees an object
 /// about once in a minute.
 const MANY_GATEWAYS: usize = 40;
 /// Requests a second of a failure domain on a usual day, in the busiest hour, and when more
 /// is asked for than there are slots.
-const USUAL: f64 = 29.0;
-const BUSY: f64 = 45.0;
-const TOO_MUCH: f64 = 90.0;
+const USUAL_RATE: f64 = 29.0;
+const BUSY_RATE: f64 = 45.0;
+const OVERLOAD_RATE: f64 = 90.0;
 
 /// All patterns.
 pub fn patterns() -> Vec<Pattern> {
     use Change::{
-        DomainDown, Down, Evacuate, Move, MoveBack, Rate, Restart, Shed, Slow, TakeBack, Up,
+        DomainDown, Down, EndEvacuation, Evacuate, MoveCallers, Rate, Recover, RestartGateways,
+        RestoreCallers, Shed, Slow,
     };
     vec![
-        Pattern::new("usual", USUAL, &[]),
-        Pattern::new("busy", BUSY, &[]),
-        Pattern::new("waves", USUAL, &[]).swinging(0.55),
-        Pattern::new("overload", TOO_MUCH, &[]),
-        Pattern::new("burst", BUSY, &[(10_000, Rate(1.7)), (15_000, Rate(1.0))]),
+        Pattern::new("usual", USUAL_RATE, &[]),
+        Pattern::new("busy", BUSY_RATE, &[]),
+        Pattern::new("waves", USUAL_RATE, &[]).with_amplitude(0.55),
+        Pattern::new("overload", OVERLOAD_RATE, &[]),
+        Pattern::new(
+            "burst",
+            BUSY_RATE,
+            &[(10_000, Rate(1.7)), (15_000, Rate(1.0))],
+        ),
         Pattern::new(
             "callers-come-back",
-            USUAL,
+            USUAL_RATE,
             &[
-                (5000, Move("middle", "south", 0.8)),
-                (12_000, MoveBack),
-                (18_000, Move("middle", "south", 0.8)),
-                (25_000, MoveBack),
+                (5000, MoveCallers("middle", "south", 0.8)),
+                (12_000, RestoreCallers),
+                (18_000, MoveCallers("middle", "south", 0.8)),
+                (25_000, RestoreCallers),
             ],
         ),
         Pattern::new(
             "slow-endpoints",
-            BUSY,
+            BUSY_RATE,
             &[(10_000, Slow(6, 5.0)), (17_000, Slow(1, 1.0))],
         ),
         Pattern::new(
             "all-refuse",
-            BUSY,
+            BUSY_RATE,
             &[
                 (10_000, Shed("desk", 1, 0.5)),
                 (18_000, Shed("desk", 1, 0.0)),
@@ -119,25 +124,29 @@
         ),
         Pattern::new(
             "some-refuse",
-            BUSY,
+            BUSY_RATE,
             &[
                 (10_000, Shed("desk", 6, 0.5)),
                 (18_000, Shed("desk", 6, 0.0)),
             ],
         ),
-        Pattern::new("silent-endpoints", BUSY, &[(10_000, Down(6)), (15_000, Up)]),
+        Pattern::new(
+            "silent-endpoints",
+            BUSY_RATE,
+            &[(10_000, Down(6)), (15_000, Recover)],
+        ),
         Pattern::new(
             "domain-lost",
-            BUSY,
-            &[(10_000, DomainDown("south-2")), (16_000, Up)],
+            BUSY_RATE,
+            &[(10_000, DomainDown("south-2")), (16_000, Recover)],
         ),
         Pattern::new(
             "evacuation",
-            BUSY,
-            &[(8000, Evacuate("north-2")), (18_000, TakeBack)],
+            BUSY_RATE,
+            &[(8000, Evacuate("north-2")), (18_000, EndEvacuation)],
         ),
-        Pattern::new("gateways-restart", BUSY, &[(12_000, Restart)]),
-        Pattern::new("many-gateways", USUAL, &[]).over(MANY_GATEWAYS),
-        Pattern::new("many-gateways-overload", TOO_MUCH, &[]).over(MANY_GATEWAYS),
+        Pattern::new("gateways-restart", BUSY_RATE, &[(12_000, RestartGateways)]),
+        Pattern::new("many-gateways", USUAL_RATE, &[]).with_gateways(MANY_GATEWAYS),
+        Pattern::new("many-gateways-overload", OVERLOAD_RATE, &[]).with_gateways(MANY_GATEWAYS),
     ]
 }
--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -18,7 +18,7 @@
     pub name: &'static str,
     pub(super) service: &'static str,
     /// Part of all requests.
-    pub(super) part: f64,
+    pub(super) share: f64,
     /// Milliseconds that work takes where the object is unknown.
     pub(super) work_ms: f64,
     pub(super) objective_ms: u64,
@@ -36,11 +36,11 @@
 ];
 
 /// Part of its work that a request takes where its object is known.
-pub(super) const KNOWN: f64 = 0.3;
+pub(super) const CACHED_WORK_FACTOR: f64 = 0.3;
 /// Spread of work around its mean.
-pub(super) const SPREAD: f64 = 0.15;
+pub(super) const WORK_SPREAD: f64 = 0.15;
 /// Milliseconds to another region and back.
-pub(super) const FAR_MS: u64 = 24;
+pub(super) const INTER_REGION_RTT_MS: u64 = 24;
 
 /// Failure domains, with their region and endpoints of each service.
 const DOMAINS: [(&str, &str, u32, u32); 6] = [
@@ -55,7 +55,7 @@
 const fn kind(
     name: &'static str,
     service: &'static str,
-    part: f64,
+    share: f64,
     work_ms: f64,
     (objective_ms, timeout_ms): (u64, u64),
     objects: u32,
@@ -63,7 +63,7 @@
     KindOfRequest {
         name,
         service,
-        part,
+        share,
         work_ms,
         objective_ms,
         timeout_ms,
@@ -99,7 +99,7 @@
 }
 
 /// Objects that an endpoint remembers.
-pub(super) fn remembers(service: &str) -> usize {
+pub(super) fn cache_capacity(service: &str) -> usize {
     if service == "desk" { 30 } else { 50 }
 }
 
--- a/crates/bench/tests/all/placement.rs
+++ b/crates/bench/tests/all/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::process::Command;
 
-use filberthead_bench::placement::{Figures, Pattern, patterns, play};
+use filberthead_bench::placement::{Figures, Pattern, patterns, simulate};
 use filberthead_place::Mechanism;
 
 const SEEDS: u64 = 3;
@@ -21,17 +21,17 @@
 ) -> (f64, f64) {
     let pattern = pattern(name);
     let mean = |without: &BTreeSet<Mechanism>| {
-        let plays = (1..=SEEDS).map(|seed| figure(&play(&pattern, without, seed)));
-        plays.sum::<f64>() / SEEDS as f64
+        let runs = (1..=SEEDS).map(|seed| figure(&simulate(&pattern, without, seed)));
+        runs.sum::<f64>() / SEEDS as f64
     };
     (mean(&BTreeSet::new()), mean(&[mechanism].into()))
 }
 
 #[test]
 fn a_seed_gives_the_same_figures_every_time() {
-    let figures = || play(&pattern("burst"), &BTreeSet::new(), 7);
+    let figures = || simulate(&pattern("burst"), &BTreeSet::new(), 7);
     assert_eq!(figures(), figures());
-    assert_ne!(figures(), play(&pattern("burst"), &BTreeSet::new(), 8));
+    assert_ne!(figures(), simulate(&pattern("burst"), &BTreeSet::new(), 8));
 }
 
 /// Demand comes in waves, and one region has a third of the callers and a twelfth of the
