--- a/crates/bench/src/placement/simulation.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -57,7 +57,7 @@
     arrived: u64,
     is_retry: bool,
     /// When it came, or came back.
-    at_gateway: u64,
+    gateway_arrival: u64,
     sent: u64,
     attempt: u32,
     attempts: Attempts,
@@ -201,7 +201,7 @@
             spec,
             arrived: self.now,
             is_retry: false,
-            at_gateway: self.now,
+            gateway_arrival: self.now,
             sent: self.now,
             attempt: 0,
             attempts: Attempts::new(2),
@@ -225,7 +225,7 @@
         let kind = state.spec.kind;
         let service = kind.service();
         let prefix = kind.prefix();
-        let remaining_ms = (state.at_gateway + kind.timeout_ms)
+        let remaining_ms = (state.gateway_arrival + kind.timeout_ms)
             .min(state.arrived + CALLER_DEADLINE_FACTOR * kind.timeout_ms)
             .saturating_sub(now);
         let request_info = Request {
@@ -379,7 +379,7 @@
             return;
         }
         state.is_retry = true;
-        state.at_gateway = at;
+        state.gateway_arrival = at;
         state.attempts = Attempts::new(2);
         self.add(at, Event::AtGateway(request));
     }
@@ -433,13 +433,13 @@
                 self.callers.moved = Some((region(from), region(to), part));
             }
             Change::RestoreCallers => self.callers.moved = None,
-            Change::Slow(nth, times) => self.change_endpoints(nth, "", |e| e.work_factor = times),
+            Change::Slow(nth, times) => self.update_each(nth, "", |e| e.work_factor = times),
             Change::Shed(service, nth, part) => {
-                self.change_endpoints(nth, service, |e| e.shed_ratio = part)
+                self.update_each(nth, service, |e| e.shed_ratio = part)
             }
-            Change::Down(nth) => self.change_endpoints(nth, "", |e| e.down = true),
-            Change::DomainDown(domain) => self.change_endpoints(1, domain, |e| e.down = true),
-            Change::Recover => self.change_endpoints(1, "", |e| {
+            Change::Down(nth) => self.update_each(nth, "", |e| e.down = true),
+            Change::DomainDown(domain) => self.update_each(1, domain, |e| e.down = true),
+            Change::Recover => self.update_each(1, "", |e| {
                 if std::mem::take(&mut e.down) {
                     e.restart();
                 }
@@ -460,7 +460,7 @@
     }
 
     /// Changes each n-th endpoint whose identity holds a text.
-    fn change_endpoints(&mut self, nth: usize, id_part: &str, change: impl Fn(&mut Endpoint)) {
+    fn update_each(&mut self, nth: usize, id_part: &str, change: impl Fn(&mut Endpoint)) {
         let named = self
             .endpoints
             .iter_mut()
