--- a/crates/bench/src/bin/steering.rs
+++ b/crates/bench/src/bin/steering.rs
@@ -6,13 +6,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use filberthead_bench::experiment::{
-    Deployment, PolicyKind, Run, Scene, associacao, kovceg, print_lines, print_table, run, scenes,
+    Deployment, PolicyKind, Run, Scenario, associacao, kovceg, print_lines, print_table, run,
+    scenarios,
 };
 use lexopt::prelude::*;
 
 struct Options {
     table: bool,
-    scene: Option<String>,
+    scenario: Option<String>,
     deployment: Option<String>,
     policy: Option<String>,
     seed: u64,
@@ -22,7 +23,7 @@
 fn options() -> Result<Options, lexopt::Error> {
     let mut options = Options {
         table: false,
-        scene: None,
+        scenario: None,
         deployment: None,
         policy: None,
         seed: 1,
@@ -32,7 +33,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("table") => options.table = true,
-            Long("scene") => options.scene = Some(parser.value()?.string()?),
+            Long("scene") => options.scenario = Some(parser.value()?.string()?),
             Long("deployment") => options.deployment = Some(parser.value()?.string()?),
             Long("policy") => options.policy = Some(parser.value()?.string()?),
             Long("seed") => options.seed = parser.value()?.parse()?,
@@ -56,19 +57,19 @@
     }
 }
 
-type Job = (Deployment, Scene, PolicyKind);
+type Job = (Deployment, Scenario, PolicyKind);
 
 fn jobs(options: &Options) -> Vec<Job> {
     let wanted = |filter: &Option<String>, name: &str| filter.as_deref().is_none_or(|f| f == name);
     let mut jobs = Vec::new();
     for deployment in [kovceg(), associacao()] {
-        for scene in scenes() {
+        for scenario in scenarios() {
             for policy in PolicyKind::ALL {
                 let chosen = wanted(&options.deployment, deployment.name)
-                    && wanted(&options.scene, scene.name)
+                    && wanted(&options.scenario, scenario.name)
                     && wanted(&options.policy, policy.name());
                 if chosen {
-                    jobs.push((deployment.clone(), scene.clone(), policy));
+                    jobs.push((deployment.clone(), scenario.clone(), policy));
                 }
             }
         }
@@ -83,8 +84,8 @@
     std::thread::scope(|scope| {
         for _ in 0..options.threads.max(1) {
             scope.spawn(|| {
-                while let Some((index, (deployment, scene, policy))) = take(&jobs, &next) {
-                    let run = run(deployment, scene, *policy, options.seed);
+                while let Some((index, (deployment, scenario, policy))) = next_job(&jobs, &next) {
+                    let run = run(deployment, scenario, *policy, options.seed);
                     if let Ok(mut done) = done.lock() {
                         done.push((index, run));
                     }
@@ -98,7 +99,7 @@
     print(options, &runs);
 }
 
-fn take<'a>(jobs: &'a [Job], next: &AtomicUsize) -> Option<(usize, &'a Job)> {
+fn next_job<'a>(jobs: &'a [Job], next: &AtomicUsize) -> Option<(usize, &'a Job)> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     Some((index, jobs.get(index)?))
 }
@@ -107,7 +108,7 @@
     if !options.table {
         runs.iter().for_each(print_lines);
     }
-    for scene in runs.chunk_by(|a, b| (a.deployment, a.scene) == (b.deployment, b.scene)) {
-        print_table(scene);
+    for scenario in runs.chunk_by(|a, b| (a.deployment, a.scenario) == (b.deployment, b.scenario)) {
+        print_table(scenario);
     }
 }
--- a/crates/bench/src/experiment/baseline.rs
+++ b/crates/bench/src/experiment/baseline.rs
@@ -15,7 +15,7 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-const PROBE_EVERY: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a baseline chooses.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct EndpointState {
     info: Arc<EndpointInfo>,
     load: f64,
     ready: bool,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Baseline {
     pick: Pick,
-    endpoints: Vec<Known>,
+    endpoints: Vec<EndpointState>,
     entries: Vec<EntryInfo>,
     view: Option<Arc<View>>,
     running: HashMap<RequestId, NodeName>,
@@ -67,11 +67,11 @@
         }
     }
 
-    fn usable(&self, known: &Known, req: &RequestInfo) -> bool {
-        known.info.service == req.service
-            && !known.listed_leaving
-            && !req.tried.contains(&known.info.name)
-            && (self.pick == Pick::RoundRobin || known.ready)
+    fn usable(&self, state: &EndpointState, req: &RequestInfo) -> bool {
+        state.info.service == req.service
+            && !state.listed_leaving
+            && !req.tried.contains(&state.info.name)
+            && (self.pick == Pick::RoundRobin || state.ready)
     }
 
     fn choose(&mut self, req: &RequestInfo) -> Option<usize> {
@@ -107,33 +107,33 @@
 
     fn draw_region(&mut self, service: &ServiceName) -> Option<Region> {
         let view = self.view.as_ref()?;
-        let live = |region: &Region| self.entries.iter().any(|entry| entry.region == *region);
+        let has_entry = |region: &Region| self.entries.iter().any(|entry| entry.region == *region);
         let rows: Vec<_> = view
             .rows
             .iter()
-            .filter(|(key, _)| key.service == *service && live(&key.region))
+            .filter(|(key, _)| key.service == *service && has_entry(&key.region))
             .collect();
         let sum: u32 = rows.iter().map(|(_, row)| row.values.weight).sum();
-        let mut left = self.rng.random_range(0..sum.max(1));
+        let mut remaining = self.rng.random_range(0..sum.max(1));
         for (key, row) in rows {
-            if left < row.values.weight {
+            if remaining < row.values.weight {
                 return Some(key.region.clone());
             }
-            left -= row.values.weight;
+            remaining -= row.values.weight;
         }
         None
     }
 
-    fn find(&mut self, name: &NodeName) -> Option<&mut Known> {
+    fn find(&mut self, name: &NodeName) -> Option<&mut EndpointState> {
         self.endpoints
             .iter_mut()
-            .find(|known| known.info.name == *name)
+            .find(|state| state.info.name == *name)
     }
 
     fn set_endpoints(&mut self, infos: Vec<EndpointInfo>) {
         self.endpoints = infos
             .into_iter()
-            .map(|info| Known {
+            .map(|info| EndpointState {
                 info: Arc::new(info),
                 load: 0.0,
                 ready: true,
@@ -147,11 +147,11 @@
         if self.pick == Pick::RoundRobin || now < self.next_probe {
             return Vec::new();
         }
-        self.next_probe = now + PROBE_EVERY;
+        self.next_probe = now + PROBE_INTERVAL;
         self.endpoints
             .iter()
-            .map(|known| Action::Probe {
-                endpoint: Arc::clone(&known.info),
+            .map(|state| Action::Probe {
+                endpoint: Arc::clone(&state.info),
             })
             .collect()
     }
@@ -165,10 +165,10 @@
                 retry_after: RETRY_AFTER,
             };
         };
-        let known = &mut self.endpoints[index];
-        known.running += 1;
-        self.running.insert(req.id, known.info.name.clone());
-        Decision::Endpoint(Arc::clone(&known.info))
+        let state = &mut self.endpoints[index];
+        state.running += 1;
+        self.running.insert(req.id, state.info.name.clone());
+        Decision::Endpoint(Arc::clone(&state.info))
     }
 
     fn look_up(
@@ -196,26 +196,26 @@
             Event::Endpoints(infos) => self.set_endpoints(infos),
             Event::Entries(entries) => self.entries = entries,
             Event::Leaving(names) => {
-                for known in &mut self.endpoints {
-                    known.listed_leaving = names.contains(&known.info.name);
+                for state in &mut self.endpoints {
+                    state.listed_leaving = names.contains(&state.info.name);
                 }
             }
             Event::Reading { endpoint, reading } => {
-                if let Some(known) = self.find(&endpoint) {
-                    known.load = reading.load;
-                    known.ready = reading.ready && !reading.leaving;
+                if let Some(state) = self.find(&endpoint) {
+                    state.load = reading.load;
+                    state.ready = reading.ready && !reading.leaving;
                 }
             }
             Event::ProbeFailed { endpoint } => {
-                if let Some(known) = self.find(&endpoint) {
-                    known.ready = false;
+                if let Some(state) = self.find(&endpoint) {
+                    state.ready = false;
                 }
             }
             Event::Finished { id, .. } => {
                 if let Some(name) = self.running.remove(&id)
-                    && let Some(known) = self.find(&name)
+                    && let Some(state) = self.find(&name)
                 {
-                    known.running -= 1;
+                    state.running -= 1;
                 }
             }
             _ => {}
--- a/crates/bench/src/experiment/bound.rs
+++ b/crates/bench/src/experiment/bound.rs
@@ -12,7 +12,7 @@
 
 /// Least time that the given part of a service's answers can keep to.
 pub fn least_latency(deployment: &Deployment, service: usize, quantile: f64) -> Duration {
-    let hold = deployment.services[service].hold;
+    let service_time = deployment.services[service].service_time;
     let tail = -(1.0 - quantile).ln();
-    2 * (deployment.caller + deployment.near) + hold.mul_f64(0.5 + 0.5 * tail)
+    2 * (deployment.caller_delay + deployment.domain_delay) + service_time.mul_f64(0.5 + 0.5 * tail)
 }
--- a/crates/bench/src/experiment/build.rs
+++ b/crates/bench/src/experiment/build.rs
@@ -9,28 +9,33 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::deployment::{DOMAINS, DOMAINS_A_REGION, Deployment, REGIONS};
-use super::endpoint::EndpointFake;
+use super::deployment::{DOMAINS, DOMAINS_PER_REGION, Deployment, REGIONS};
+use super::endpoint::SimulatedEndpoint;
 use super::policy::PolicyKind;
-use super::scenario::Scene;
-use super::simulation::{Caller, EntryFake, Simulation};
+use super::scenario::Scenario;
+use super::simulation::{Caller, SimulatedEntry, Simulation};
 
 const CALLERS: u32 = 300;
 
 impl Simulation {
     /// A world at its start.
-    pub(crate) fn new(kind: PolicyKind, deployment: Deployment, scene: Scene, seed: u64) -> Self {
+    pub(crate) fn new(
+        kind: PolicyKind,
+        deployment: Deployment,
+        scenario: Scenario,
+        seed: u64,
+    ) -> Self {
         let view = view(&deployment, 1, |_| false);
         let arrivals = StdRng::seed_from_u64(seed);
-        let mut simulation = Self::empty(kind, deployment, scene, view, arrivals);
+        let mut simulation = Self::empty(kind, deployment, scenario, view, arrivals);
         simulation.callers = (0..CALLERS).map(caller).collect();
         for domain in 0..DOMAINS {
             simulation.add_domain(domain);
         }
         for entry in 0..simulation.entries.len() {
-            simulation.introduce(entry);
+            simulation.send_initial_state(entry);
         }
-        simulation.announce_members();
+        simulation.send_members();
         simulation
     }
 
@@ -39,9 +44,9 @@
             for number in 0..self.deployment.services[service].endpoints[domain] {
                 let info = endpoint_info(&self.deployment, service, domain, number);
                 let name = info.name.clone();
-                self.by_name.insert(name, self.endpoints.len());
-                let fake = EndpointFake::new(info, service, domain);
-                self.endpoints.push(fake);
+                self.endpoint_by_name.insert(name, self.endpoints.len());
+                let endpoint = SimulatedEndpoint::new(info, service, domain);
+                self.endpoints.push(endpoint);
             }
         }
         for number in 0..self.deployment.entries[domain] {
@@ -49,12 +54,12 @@
             let index = self.entries.len();
             self.entry_by_name.insert(info.name.clone(), index);
             let policy = self.build_policy(&info);
-            self.entries.push(EntryFake {
+            self.entries.push(SimulatedEntry {
                 info,
                 domain,
                 policy,
                 up: true,
-                cut: false,
+                isolated: false,
             });
         }
     }
@@ -65,14 +70,14 @@
     }
 
     /// Tells an entry what it learns at its start.
-    pub(crate) fn introduce(&mut self, entry: usize) {
+    pub(crate) fn send_initial_state(&mut self, entry: usize) {
         let domain = self.entries[entry].domain;
-        let region = domain / DOMAINS_A_REGION;
-        let whole_region = self.kind.reaches_region();
-        let seen = |e: &&EndpointFake| {
-            e.domain == domain || (whole_region && e.domain / DOMAINS_A_REGION == region)
+        let region = domain / DOMAINS_PER_REGION;
+        let region_wide = self.kind.sends_to_whole_region();
+        let is_reachable = |e: &&SimulatedEndpoint| {
+            e.domain == domain || (region_wide && e.domain / DOMAINS_PER_REGION == region)
         };
-        let infos = self.endpoints.iter().filter(seen);
+        let infos = self.endpoints.iter().filter(is_reachable);
         let infos = infos.map(|e| (*e.info).clone()).collect();
         let view = std::sync::Arc::clone(&self.view);
         self.observe(entry, Event::Table(view));
@@ -80,11 +85,11 @@
     }
 
     /// Tells every entry which entries it can reach.
-    pub(crate) fn announce_members(&mut self) {
+    pub(crate) fn send_members(&mut self) {
         for entry in 0..self.entries.len() {
-            let reached = (0..self.entries.len())
-                .filter(|&other| other == entry || self.linked(entry, other));
-            let infos = reached
+            let reachable = (0..self.entries.len())
+                .filter(|&other| other == entry || self.are_connected(entry, other));
+            let infos = reachable
                 .map(|other| self.entries[other].info.clone())
                 .collect();
             self.observe(entry, Event::Entries(infos));
@@ -118,8 +123,8 @@
 fn caller(number: u32) -> Caller {
     Caller {
         addr: IpAddr::V4(Ipv4Addr::from(0x0a00_0000 + number * 257)),
-        answers: HashMap::new(),
-        avoided: HashMap::new(),
+        cached_lookups: HashMap::new(),
+        avoided_until: HashMap::new(),
         home: None,
     }
 }
@@ -131,23 +136,23 @@
     number: usize,
 ) -> EndpointInfo {
     let spec = &deployment.services[service];
-    let place = deployment.domain_name(domain);
+    let domain_name = deployment.domain_name(domain);
     EndpointInfo {
-        name: parse(&format!("{}-{place}-{number}", spec.name)),
+        name: parse(&format!("{}-{domain_name}-{number}", spec.name)),
         service: parse(spec.name),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-        region: parse(deployment.regions[domain / DOMAINS_A_REGION]),
-        failure_domain: parse(&place),
+        region: parse(deployment.regions[domain / DOMAINS_PER_REGION]),
+        failure_domain: parse(&domain_name),
         slots: spec.slots,
         connections: spec.connections,
     }
 }
 
 fn entry_info(deployment: &Deployment, domain: usize, number: usize) -> EntryInfo {
-    let place = deployment.domain_name(domain);
-    let name: NodeName = parse(&format!("entry-{place}-{number}"));
-    let region: Region = parse(deployment.regions[domain / DOMAINS_A_REGION]);
-    let failure_domain: FailureDomain = parse(&place);
+    let domain_name = deployment.domain_name(domain);
+    let name: NodeName = parse(&format!("entry-{domain_name}-{number}"));
+    let region: Region = parse(deployment.regions[domain / DOMAINS_PER_REGION]);
+    let failure_domain: FailureDomain = parse(&domain_name);
     EntryInfo {
         name,
         incarnation: Incarnation(1),
--- a/crates/bench/src/experiment/deployment.rs
+++ b/crates/bench/src/experiment/deployment.rs
@@ -16,9 +16,9 @@
     /// Connections of an endpoint.
     pub connections: u32,
     /// Mean time for which a request holds a slot of a warm endpoint.
-    pub hold: Duration,
+    pub service_time: Duration,
     /// Time after which a caller gives up.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
     /// Part of all slots that the steady load fills.
     pub load: f64,
 }
@@ -26,9 +26,9 @@
 /// Failure domains in a deployment.
 pub(crate) const DOMAINS: usize = 6;
 /// Failure domains in a region.
-pub(crate) const DOMAINS_A_REGION: usize = 2;
+pub(crate) const DOMAINS_PER_REGION: usize = 2;
 /// Regions in a deployment.
-pub(crate) const REGIONS: usize = DOMAINS / DOMAINS_A_REGION;
+pub(crate) const REGIONS: usize = DOMAINS / DOMAINS_PER_REGION;
 
 /// One user's system.
 #[derive(Clone, Debug)]
@@ -40,17 +40,17 @@
     /// Entries in each failure domain.
     pub entries: [usize; DOMAINS],
     /// One-way delay within a failure domain.
-    pub near: Duration,
+    pub domain_delay: Duration,
     /// One-way delay between the failure domains of a region.
-    pub region: Duration,
+    pub region_delay: Duration,
     /// One-way delay between regions.
-    pub far: Duration,
+    pub inter_region_delay: Duration,
     /// One-way delay between callers and entries.
-    pub caller: Duration,
+    pub caller_delay: Duration,
     /// Time for a new connection.
     pub connect: Duration,
     /// Time for a probe.
-    pub probe: Duration,
+    pub probe_delay: Duration,
     /// What its rows favour.
     pub objective: Objective,
     /// Its services; the first one is the one that counts most.
@@ -64,16 +64,16 @@
 fn service(
     name: &'static str,
     endpoints: [usize; DOMAINS],
-    hold: u64,
-    patience: u64,
+    service_time: u64,
+    caller_timeout: u64,
 ) -> ServiceSpec {
     ServiceSpec {
         name,
         endpoints,
         slots: 3,
         connections: 330,
-        hold: ms(hold),
-        patience: ms(patience),
+        service_time: ms(service_time),
+        caller_timeout: ms(caller_timeout),
         load: 0.55,
     }
 }
@@ -84,12 +84,12 @@
         name: "kovceg",
         regions: ["zagreb", "split", "osijek"],
         entries: [2, 2, 2, 2, 2, 1],
-        near: Duration::from_micros(200),
-        region: Duration::from_micros(1500),
-        far: ms(35),
-        caller: ms(3),
+        domain_delay: Duration::from_micros(200),
+        region_delay: Duration::from_micros(1500),
+        inter_region_delay: ms(35),
+        caller_delay: ms(3),
         connect: ms(1),
-        probe: ms(6),
+        probe_delay: ms(6),
         objective: Objective::Latency,
         services: vec![
             service("catalogue", [3, 3, 3, 3, 2, 2], 20, 1000),
@@ -113,12 +113,12 @@
         name: "associacao",
         regions: ["norte", "sul", "ilhas"],
         entries: [2, 1, 2, 1, 1, 1],
-        near: Duration::from_micros(200),
-        region: Duration::from_micros(500),
-        far: ms(35),
-        caller: ms(3),
+        domain_delay: Duration::from_micros(200),
+        region_delay: Duration::from_micros(500),
+        inter_region_delay: ms(35),
+        caller_delay: ms(3),
         connect: ms(1),
-        probe: ms(6),
+        probe_delay: ms(6),
         objective: Objective::Headroom,
         services,
     }
@@ -128,8 +128,10 @@
     /// Slots of a service in a region.
     pub fn region_slots(&self, service: usize, region: usize) -> u32 {
         let spec = &self.services[service];
-        let first = region * DOMAINS_A_REGION;
-        let endpoints: usize = spec.endpoints[first..first + DOMAINS_A_REGION].iter().sum();
+        let first = region * DOMAINS_PER_REGION;
+        let endpoints: usize = spec.endpoints[first..first + DOMAINS_PER_REGION]
+            .iter()
+            .sum();
         endpoints as u32 * spec.slots
     }
 
@@ -152,16 +154,16 @@
 
     /// Requests a second that fill the given part of a service's slots.
     pub fn rate(&self, service: usize, load: f64) -> f64 {
-        f64::from(self.slots(service)) * load / self.services[service].hold.as_secs_f64()
+        f64::from(self.slots(service)) * load / self.services[service].service_time.as_secs_f64()
     }
 
     /// Name of a failure domain.
     pub fn domain_name(&self, domain: usize) -> String {
-        let letter = if domain.is_multiple_of(DOMAINS_A_REGION) {
+        let letter = if domain.is_multiple_of(DOMAINS_PER_REGION) {
             'a'
         } else {
             'b'
         };
-        format!("{}-{letter}", self.regions[domain / DOMAINS_A_REGION])
+        format!("{}-{letter}", self.regions[domain / DOMAINS_PER_REGION])
     }
 }
--- a/crates/bench/src/experiment/endpoint.rs
+++ b/crates/bench/src/experiment/endpoint.rs
@@ -12,40 +12,40 @@
 /// How much longer a request runs on an endpoint with an empty cache.
 const COLD_FACTOR: f64 = 3.0;
 /// Part of the missing warmth that each request brings.
-const WARMING: f64 = 0.02;
+const WARMING_RATE: f64 = 0.02;
 
 /// How an endpoint's word on itself differs from the truth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Readings {
+pub enum ReadingMode {
     /// It doesn't.
     #[default]
-    True,
+    Accurate,
     /// Probes get no answer.
     Missing,
     /// The state of so long ago is reported.
-    Late(Duration),
+    Delayed(Duration),
     /// The state of one moment is reported for good.
     Frozen(f64),
     /// It says that it is idle.
-    Idle,
+    AlwaysIdle,
 }
 
 /// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Arrival {
     /// Runs it at once.
-    Starts,
+    Started,
     /// Has every slot filled and lets it wait.
-    Waits,
+    Queued,
     /// Refuses it.
-    Sheds,
+    Shed,
     /// Isn't there; the connection fails after a while.
-    Absent,
+    Unreachable,
 }
 
 /// An endpoint.
 #[derive(Debug)]
-pub(crate) struct EndpointFake {
+pub(crate) struct SimulatedEndpoint {
     /// As the policy knows it.
     pub(crate) info: Arc<EndpointInfo>,
     /// Index of its service.
@@ -67,13 +67,13 @@
     /// 0 with an empty cache, 1 when warm.
     pub(crate) warmth: f64,
     /// What probes get.
-    pub(crate) readings: Readings,
+    pub(crate) readings: ReadingMode,
     /// Start number.
     pub(crate) incarnation: u64,
-    history: VecDeque<(Moment, f64)>,
+    load_history: VecDeque<(Moment, f64)>,
 }
 
-impl EndpointFake {
+impl SimulatedEndpoint {
     /// A warm, idle endpoint.
     pub(crate) fn new(info: EndpointInfo, service: usize, domain: usize) -> Self {
         Self {
@@ -87,9 +87,9 @@
             shedding: false,
             slowness: 1.0,
             warmth: 1.0,
-            readings: Readings::True,
+            readings: ReadingMode::Accurate,
             incarnation: 1,
-            history: VecDeque::new(),
+            load_history: VecDeque::new(),
         }
     }
 
@@ -101,32 +101,32 @@
     /// Takes a request.
     pub(crate) fn arrive(&mut self, req: usize) -> Arrival {
         if !self.up {
-            Arrival::Absent
+            Arrival::Unreachable
         } else if self.shedding {
-            Arrival::Sheds
+            Arrival::Shed
         } else if self.running.len() < self.info.slots as usize {
             self.running.push(req);
-            Arrival::Starts
+            Arrival::Started
         } else if self.backlog.len() < BACKLOG {
             self.backlog.push_back(req);
-            Arrival::Waits
+            Arrival::Queued
         } else {
-            Arrival::Sheds
+            Arrival::Shed
         }
     }
 
     /// Time for which a request of this plain length runs here now.
-    pub(crate) fn hold(&mut self, plain: Duration) -> Duration {
+    pub(crate) fn service_time(&mut self, warm_time: Duration) -> Duration {
         let cold = 1.0 + (COLD_FACTOR - 1.0) * (1.0 - self.warmth);
-        self.warmth += (1.0 - self.warmth) * WARMING;
-        plain.mul_f64(cold * self.slowness)
+        self.warmth += (1.0 - self.warmth) * WARMING_RATE;
+        warm_time.mul_f64(cold * self.slowness)
     }
 
     /// Drops a request, done or given up, and names the one that starts in its place.
-    pub(crate) fn leave(&mut self, req: usize) -> Option<usize> {
+    pub(crate) fn remove(&mut self, req: usize) -> Option<usize> {
         self.backlog.retain(|waiting| *waiting != req);
-        let place = self.running.iter().position(|running| *running == req)?;
-        self.running.swap_remove(place);
+        let index = self.running.iter().position(|running| *running == req)?;
+        self.running.swap_remove(index);
         let next = self.backlog.pop_front()?;
         self.running.push(next);
         Some(next)
@@ -148,10 +148,10 @@
     }
 
     /// Notes its state for readings that come late.
-    pub(crate) fn note(&mut self, now: Moment) {
-        self.history.push_back((now, self.load()));
-        if self.history.len() > 100 {
-            self.history.pop_front();
+    pub(crate) fn record_load(&mut self, now: Moment) {
+        self.load_history.push_back((now, self.load()));
+        if self.load_history.len() > 100 {
+            self.load_history.pop_front();
         }
     }
 
@@ -160,16 +160,16 @@
     }
 
     /// The answer to a probe, if there is one.
-    pub(crate) fn read(&self, now: Moment) -> Option<Reading> {
+    pub(crate) fn probe(&self, now: Moment) -> Option<Reading> {
         if !self.up {
             return None;
         }
         let load = match self.readings {
-            Readings::True => self.load(),
-            Readings::Missing => return None,
-            Readings::Late(by) => self.load_at(now.saturating_sub(by)),
-            Readings::Frozen(load) => load,
-            Readings::Idle => 0.0,
+            ReadingMode::Accurate => self.load(),
+            ReadingMode::Missing => return None,
+            ReadingMode::Delayed(by) => self.load_at(now.saturating_sub(by)),
+            ReadingMode::Frozen(load) => load,
+            ReadingMode::AlwaysIdle => 0.0,
         };
         Some(Reading {
             asked: now,
@@ -181,7 +181,7 @@
     }
 
     fn load_at(&self, then: Moment) -> f64 {
-        let before = self.history.iter().rev().find(|(at, _)| *at <= then);
+        let before = self.load_history.iter().rev().find(|(at, _)| *at <= then);
         before.map_or(0.0, |(_, load)| *load)
     }
 }
--- a/crates/bench/src/experiment/flow.rs
+++ b/crates/bench/src/experiment/flow.rs
@@ -6,15 +6,15 @@
 use filberthead_types::{NodeName, RequestId, ResultCode};
 use rand::Rng;
 
-use super::deployment::{DOMAINS_A_REGION, REGIONS};
+use super::deployment::{DOMAINS_PER_REGION, REGIONS};
 use super::endpoint::Arrival;
-use super::metrics::End;
-use super::simulation::{Happening, Request, Simulation};
+use super::metrics::RequestEnd;
+use super::simulation::{Request, SimEvent, Simulation};
 
 /// How long a caller or an entry waits for a connection to something that is gone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a caller passes over an entry that it couldn't reach.
-const AVOID: Duration = Duration::from_secs(5);
+const AVOID_DURATION: Duration = Duration::from_secs(5);
 /// Attempts of one entry for a request.
 const MAX_ATTEMPTS: u32 = 3;
 /// Callers of whom a surge comes.
@@ -24,60 +24,60 @@
     /// A caller sends a request; the next one of the service follows at random.
     pub(crate) fn arrive(&mut self, service: usize) {
         let spec = &self.deployment.services[service];
-        let patience = spec.patience;
+        let caller_timeout = spec.caller_timeout;
         // Half of the time is fixed, half has a long tail.
         let tail = -self.arrivals.random::<f64>().max(1e-9).ln();
-        let hold = spec.hold.mul_f64(0.5 + 0.5 * tail);
+        let service_time = spec.service_time.mul_f64(0.5 + 0.5 * tail);
         let surge = if service == 0 { self.surge } else { 0.0 };
         let load = spec.load + surge;
         let rate = self.deployment.rate(service, load);
         let gap = -self.arrivals.random::<f64>().max(1e-9).ln() / rate;
-        let by_surge = self.arrivals.random::<f64>() < surge / load;
+        let is_surge = self.arrivals.random::<f64>() < surge / load;
         let drawn = self.arrivals.random_range(0..self.callers.len());
-        let caller = if by_surge {
+        let caller = if is_surge {
             drawn % SURGE_CALLERS
         } else {
             drawn
         };
-        let entries = self.answer(caller, service);
+        let entries = self.lookup(caller, service);
         let req = self.requests.len();
         self.requests.push(Request {
             service,
             caller,
-            born: self.now,
-            hold,
+            created: self.now,
+            service_time,
             entries,
             tried: Vec::new(),
             attempts: 0,
             counted_by: Vec::new(),
             endpoint: None,
             sent: self.now,
-            settled: false,
+            finished: false,
         });
-        self.after(patience, Happening::Deadline { req });
+        self.after(caller_timeout, SimEvent::Deadline { req });
         self.try_next_entry(req);
-        self.after(Duration::from_secs_f64(gap), Happening::Arrival { service });
+        self.after(Duration::from_secs_f64(gap), SimEvent::Arrival { service });
     }
 
     /// The entries that the caller knows for the service, the first one last.
-    fn answer(&mut self, caller: usize, service: usize) -> Vec<usize> {
-        let known = self.callers[caller].answers.get(&service);
-        if let Some((entries, until)) = known
+    fn lookup(&mut self, caller: usize, service: usize) -> Vec<usize> {
+        let cached = self.callers[caller].cached_lookups.get(&service);
+        if let Some((entries, until)) = cached
             && *until > self.now
         {
             return entries.clone();
         }
         let count = self.entries.len();
-        let asked = (0..count)
+        let answering = (0..count)
             .map(|offset| (caller + offset) % count)
-            .find(|&entry| self.answers_look_ups(caller, entry));
-        let Some(asked) = asked else {
+            .find(|&entry| self.can_answer_lookup(caller, entry));
+        let Some(answering) = answering else {
             return Vec::new();
         };
         let name = self.deployment.services[service].name;
         let name = name.parse().unwrap_or_else(|e| unreachable!("{e}"));
         let addr = self.callers[caller].addr;
-        let names = self.entries[asked]
+        let names = self.entries[answering]
             .policy
             .look_up(self.now, &name, Some(addr));
         let mut entries: Vec<_> = names.iter().map(|name| self.entry_by_name[name]).collect();
@@ -87,40 +87,40 @@
         }
         entries.reverse();
         // The first answers lapse at different times, as if callers had been there long.
-        let first = !self.callers[caller].answers.contains_key(&service);
+        let first = !self.callers[caller].cached_lookups.contains_key(&service);
         let part = if first {
             f64::from((caller as u32 * 37) % 100) / 100.0
         } else {
             1.0
         };
-        let until = self.now + self.scene.lookup_ttl.mul_f64(part);
-        let answers = &mut self.callers[caller].answers;
-        answers.insert(service, (entries.clone(), until));
+        let until = self.now + self.scenario.lookup_ttl.mul_f64(part);
+        let cached_lookups = &mut self.callers[caller].cached_lookups;
+        cached_lookups.insert(service, (entries.clone(), until));
         entries
     }
 
-    fn answers_look_ups(&self, caller: usize, entry: usize) -> bool {
-        let avoided = self.callers[caller].avoided.get(&entry);
-        let avoided = avoided.is_some_and(|until| *until > self.now);
-        let fake = &self.entries[entry];
-        fake.up && !fake.info.leaving && !avoided
+    fn can_answer_lookup(&self, caller: usize, entry: usize) -> bool {
+        let avoided_until = self.callers[caller].avoided_until.get(&entry);
+        let is_avoided = avoided_until.is_some_and(|until| *until > self.now);
+        let candidate = &self.entries[entry];
+        candidate.up && !candidate.info.leaving && !is_avoided
     }
 
     fn region_of(&self, entry: usize) -> usize {
-        self.entries[entry].domain / DOMAINS_A_REGION
+        self.entries[entry].domain / DOMAINS_PER_REGION
     }
 
     fn try_next_entry(&mut self, req: usize) {
         let caller = self.requests[req].caller;
         while let Some(entry) = self.requests[req].entries.pop() {
-            let avoided = self.callers[caller].avoided.get(&entry);
-            if avoided.is_some_and(|until| *until > self.now) {
+            let avoided_until = self.callers[caller].avoided_until.get(&entry);
+            if avoided_until.is_some_and(|until| *until > self.now) {
                 continue;
             }
-            let delay = self.deployment.caller;
+            let delay = self.deployment.caller_delay;
             self.after(
                 delay,
-                Happening::AtEntry {
+                SimEvent::AtEntry {
                     req,
                     entry,
                     via: None,
@@ -130,16 +130,16 @@
         }
         // None of its answer is left: it asks anew next time.
         let service = self.requests[req].service;
-        self.callers[caller].answers.remove(&service);
-        self.settle(req, End::Refused);
+        self.callers[caller].cached_lookups.remove(&service);
+        self.finish(req, RequestEnd::Refused);
     }
 
     pub(crate) fn at_entry(&mut self, req: usize, entry: usize, via: Option<usize>) {
-        if self.requests[req].settled {
+        if self.requests[req].finished {
             return;
         }
         if let Some(origin) = via
-            && !self.linked(origin, entry)
+            && !self.are_connected(origin, entry)
         {
             let kind = FinishKind::ConnectFailed;
             self.requests[req]
@@ -147,7 +147,7 @@
                 .push(self.entries[entry].info.name.clone());
             self.after(
                 CONNECT_TIMEOUT,
-                Happening::Back {
+                SimEvent::AttemptEnded {
                     req,
                     entry: origin,
                     kind,
@@ -160,9 +160,9 @@
             // The wait for the connection is the caller's loss of time.
             self.after(
                 CONNECT_TIMEOUT,
-                Happening::AtCaller {
+                SimEvent::AtCaller {
                     req,
-                    end: End::Lost,
+                    end: RequestEnd::Lost,
                 },
             );
             return;
@@ -172,8 +172,8 @@
 
     fn avoid(&mut self, req: usize, entry: usize) {
         let caller = self.requests[req].caller;
-        let until = self.now + AVOID;
-        self.callers[caller].avoided.insert(entry, until);
+        let until = self.now + AVOID_DURATION;
+        self.callers[caller].avoided_until.insert(entry, until);
     }
 
     fn place(&mut self, req: usize, entry: usize, via: Option<usize>) {
@@ -182,7 +182,7 @@
             self.requests[req].counted_by.push(entry);
         }
         let decision = self.entries[entry].policy.place(self.now, &info);
-        self.placed(req, entry, decision);
+        self.apply_decision(req, entry, decision);
     }
 
     fn info(&self, req: usize, via: Option<usize>) -> RequestInfo {
@@ -192,22 +192,22 @@
             id: RequestId(req as u128),
             service: spec.name.parse().unwrap_or_else(|e| unreachable!("{e}")),
             idempotent: true,
-            deadline: request.born + spec.patience,
+            deadline: request.created + spec.caller_timeout,
             caller: Some(self.callers[request.caller].addr),
             tried: request.tried.clone(),
             forwarded_by: via.map(|via| self.entries[via].info.name.clone()),
         }
     }
 
-    pub(crate) fn placed(&mut self, req: usize, entry: usize, decision: Decision) {
+    pub(crate) fn apply_decision(&mut self, req: usize, entry: usize, decision: Decision) {
         match decision {
             Decision::Endpoint(info) => {
                 self.requests[req].sent = self.now;
-                let endpoint = self.by_name[&info.name];
+                let endpoint = self.endpoint_by_name[&info.name];
                 let delay = self.delay(self.entries[entry].domain, self.endpoints[endpoint].domain);
                 self.after(
                     delay,
-                    Happening::AtEndpoint {
+                    SimEvent::AtEndpoint {
                         req,
                         endpoint,
                         entry,
@@ -220,7 +220,7 @@
                 let via = Some(entry);
                 self.after(
                     delay,
-                    Happening::AtEntry {
+                    SimEvent::AtEntry {
                         req,
                         entry: to,
                         via,
@@ -231,42 +231,42 @@
             Decision::Refuse {
                 code: ResultCode::NoEndpoint,
                 ..
-            } => self.answered(req, entry, End::Elsewhere),
-            Decision::Refuse { .. } => self.answered(req, entry, End::Refused),
+            } => self.answered(req, entry, RequestEnd::NoEndpoint),
+            Decision::Refuse { .. } => self.answered(req, entry, RequestEnd::Refused),
         }
     }
 
     pub(crate) fn at_endpoint(&mut self, req: usize, endpoint: usize, entry: usize) {
-        if self.requests[req].settled {
+        if self.requests[req].finished {
             return;
         }
-        let fake = &mut self.endpoints[endpoint];
-        let leaving = fake.leaving;
+        let target = &mut self.endpoints[endpoint];
+        let leaving = target.leaving;
         let delay = self.delay(self.entries[entry].domain, self.endpoints[endpoint].domain);
         match self.endpoints[endpoint].arrive(req) {
-            Arrival::Starts => self.start(req, endpoint),
-            Arrival::Waits => self.figures.overfilled += 1,
-            Arrival::Sheds => {
+            Arrival::Started => self.start(req, endpoint),
+            Arrival::Queued => self.figures.overfilled += 1,
+            Arrival::Shed => {
                 self.figures.overfilled += u64::from(!self.endpoints[endpoint].shedding);
                 let kind = FinishKind::Shed;
-                self.turned_down(req, endpoint, entry, delay, kind);
+                self.endpoint_rejected(req, endpoint, entry, delay, kind);
                 return;
             }
-            Arrival::Absent => {
+            Arrival::Unreachable => {
                 let kind = FinishKind::ConnectFailed;
-                self.turned_down(req, endpoint, entry, CONNECT_TIMEOUT, kind);
+                self.endpoint_rejected(req, endpoint, entry, CONNECT_TIMEOUT, kind);
                 return;
             }
         }
         if leaving {
-            self.figures.started_on_leaving(self.now);
+            self.figures.record_start_on_leaving(self.now);
         }
         self.requests[req].endpoint = Some(endpoint);
-        self.changed(endpoint);
+        self.record_request_count(endpoint);
         self.check_shift(req);
     }
 
-    fn turned_down(
+    fn endpoint_rejected(
         &mut self,
         req: usize,
         endpoint: usize,
@@ -276,13 +276,13 @@
     ) {
         let name = self.endpoints[endpoint].info.name.clone();
         self.requests[req].tried.push(name);
-        self.after(delay, Happening::Back { req, entry, kind });
+        self.after(delay, SimEvent::AttemptEnded { req, entry, kind });
     }
 
     fn start(&mut self, req: usize, endpoint: usize) {
-        let hold = self.requests[req].hold;
-        let hold = self.endpoints[endpoint].hold(hold);
-        self.after(hold, Happening::Done { req, endpoint });
+        let service_time = self.requests[req].service_time;
+        let service_time = self.endpoints[endpoint].service_time(service_time);
+        self.after(service_time, SimEvent::Completed { req, endpoint });
     }
 
     /// Compares the shifted requests of the first service in this request's region with
@@ -291,14 +291,14 @@
         let Some(endpoint) = self.requests[req].endpoint else {
             return;
         };
-        if self.requests[req].service != 0 || !self.kind.has_homes() {
+        if self.requests[req].service != 0 || !self.kind.has_home_regions() {
             return;
         }
-        let region = self.endpoints[endpoint].domain / DOMAINS_A_REGION;
+        let region = self.endpoints[endpoint].domain / DOMAINS_PER_REGION;
         let here = self
             .endpoints
             .iter()
-            .filter(|e| e.service == 0 && e.domain / DOMAINS_A_REGION == region);
+            .filter(|e| e.service == 0 && e.domain / DOMAINS_PER_REGION == region);
         let shifted = here
             .flat_map(|e| e.running.iter().chain(&e.backlog))
             .filter(|&&running| {
@@ -307,44 +307,44 @@
             })
             .count();
         let cap = self.deployment.row(0, region).shift_cap;
-        self.figures.shifted(shifted as u32, cap);
+        self.figures.record_shifted(shifted as u32, cap);
     }
 
-    pub(crate) fn done(&mut self, req: usize, endpoint: usize) {
+    pub(crate) fn completed(&mut self, req: usize, endpoint: usize) {
         if !self.endpoints[endpoint].running.contains(&req) {
             return;
         }
-        self.free(req, endpoint);
+        self.release_slot(req, endpoint);
         let Some(&entry) = self.requests[req].counted_by.last() else {
             return;
         };
         let delay = self.delay(self.entries[entry].domain, self.endpoints[endpoint].domain);
         let kind = FinishKind::Answered;
-        self.after(delay, Happening::Back { req, entry, kind });
+        self.after(delay, SimEvent::AttemptEnded { req, entry, kind });
     }
 
-    fn free(&mut self, req: usize, endpoint: usize) {
-        if let Some(next) = self.endpoints[endpoint].leave(req) {
+    fn release_slot(&mut self, req: usize, endpoint: usize) {
+        if let Some(next) = self.endpoints[endpoint].remove(req) {
             self.start(next, endpoint);
         }
         if self.endpoints[endpoint].leaving {
-            self.figures.ended_on_leaving(self.now);
+            self.figures.record_end_on_leaving(self.now);
         }
         self.requests[req].endpoint = None;
-        self.changed(endpoint);
+        self.record_request_count(endpoint);
     }
 
     /// An attempt's end reaches the entry that made it.
-    pub(crate) fn back(&mut self, req: usize, entry: usize, kind: FinishKind) {
-        if self.requests[req].settled {
+    pub(crate) fn attempt_ended(&mut self, req: usize, entry: usize, kind: FinishKind) {
+        if self.requests[req].finished {
             return;
         }
-        self.finished(req, entry, kind);
+        self.report_finished(req, entry, kind);
         if !self.entries[entry].up {
             return;
         }
         if kind == FinishKind::Answered {
-            self.answered(req, entry, End::Answered);
+            self.answered(req, entry, RequestEnd::Answered);
             return;
         }
         self.try_again(req, entry);
@@ -353,7 +353,7 @@
     fn try_again(&mut self, req: usize, entry: usize) {
         self.requests[req].attempts += 1;
         if self.requests[req].attempts >= MAX_ATTEMPTS {
-            self.answered(req, entry, End::Refused);
+            self.answered(req, entry, RequestEnd::Refused);
             return;
         }
         let first = self.requests[req].counted_by.first().copied();
@@ -361,7 +361,7 @@
         self.place(req, entry, via);
     }
 
-    fn finished(&mut self, req: usize, entry: usize, kind: FinishKind) {
+    fn report_finished(&mut self, req: usize, entry: usize, kind: FinishKind) {
         let first_byte = self.now.saturating_sub(self.requests[req].sent);
         let id = RequestId(req as u128);
         self.observe(
@@ -375,75 +375,76 @@
     }
 
     /// An entry has an end for the request and passes it back.
-    fn answered(&mut self, req: usize, entry: usize, end: End) {
+    fn answered(&mut self, req: usize, entry: usize, end: RequestEnd) {
         let counted_by = &mut self.requests[req].counted_by;
         counted_by.retain(|&counting| counting != entry);
         match counted_by.first().copied() {
             Some(origin) => {
                 let delay = self.delay(self.entries[entry].domain, self.entries[origin].domain);
-                if end != End::Answered {
+                if end != RequestEnd::Answered {
                     let name = self.entries[entry].info.name.clone();
                     self.requests[req].tried.push(name);
                 }
-                self.after(delay, Happening::Relayed { req, origin, end });
+                self.after(delay, SimEvent::ForwardEnded { req, origin, end });
             }
             None => {
-                let delay = self.deployment.caller;
-                if end == End::Elsewhere {
+                let delay = self.deployment.caller_delay;
+                if end == RequestEnd::NoEndpoint {
                     self.avoid(req, entry);
                 }
-                self.after(delay, Happening::AtCaller { req, end });
+                self.after(delay, SimEvent::AtCaller { req, end });
             }
         }
     }
 
-    pub(crate) fn relayed(&mut self, req: usize, origin: usize, end: End) {
-        if self.requests[req].settled || !self.entries[origin].up {
+    pub(crate) fn forward_ended(&mut self, req: usize, origin: usize, end: RequestEnd) {
+        if self.requests[req].finished || !self.entries[origin].up {
             return;
         }
         match end {
-            End::Answered => {
-                self.finished(req, origin, FinishKind::Answered);
+            RequestEnd::Answered => {
+                self.report_finished(req, origin, FinishKind::Answered);
                 self.answered(req, origin, end);
             }
-            End::Refused | End::Lost | End::Elsewhere => {
-                self.finished(req, origin, FinishKind::Shed);
+            RequestEnd::Refused | RequestEnd::Lost | RequestEnd::NoEndpoint => {
+                self.report_finished(req, origin, FinishKind::Shed);
                 self.try_again(req, origin);
             }
         }
     }
 
-    pub(crate) fn at_caller(&mut self, req: usize, end: End) {
-        if self.requests[req].settled {
+    pub(crate) fn at_caller(&mut self, req: usize, end: RequestEnd) {
+        if self.requests[req].finished {
             return;
         }
-        if matches!(end, End::Lost | End::Elsewhere) {
+        if matches!(end, RequestEnd::Lost | RequestEnd::NoEndpoint) {
             self.try_next_entry(req);
             return;
         }
-        self.settle(req, end);
+        self.finish(req, end);
     }
 
     /// The caller gives up; everything that the request holds is freed.
     pub(crate) fn deadline(&mut self, req: usize) {
-        if self.requests[req].settled {
+        if self.requests[req].finished {
             return;
         }
-        self.settle(req, End::Lost);
+        self.finish(req, RequestEnd::Lost);
         if let Some(endpoint) = self.requests[req].endpoint {
-            self.free(req, endpoint);
+            self.release_slot(req, endpoint);
         }
         for entry in std::mem::take(&mut self.requests[req].counted_by) {
-            self.finished(req, entry, FinishKind::Cancelled);
+            self.report_finished(req, entry, FinishKind::Cancelled);
         }
     }
 
-    fn settle(&mut self, req: usize, end: End) {
-        self.requests[req].settled = true;
+    fn finish(&mut self, req: usize, end: RequestEnd) {
+        self.requests[req].finished = true;
         let request = &self.requests[req];
-        let patience = self.deployment.services[request.service].patience;
-        let (service, born) = (request.service, request.born);
-        self.figures.end(service, born, self.now, end, patience);
+        let caller_timeout = self.deployment.services[request.service].caller_timeout;
+        let (service, created) = (request.service, request.created);
+        self.figures
+            .record_end(service, created, self.now, end, caller_timeout);
     }
 
     /// Names of endpoints for which the predicate holds.
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -10,7 +10,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     /// With its answer.
     Answered,
     /// With a refusal.
@@ -18,7 +18,7 @@
     /// Not before the caller gave up.
     Lost,
     /// With the word that this entry has no endpoint; the caller tries the next one.
-    Elsewhere,
+    NoEndpoint,
 }
 
 /// Figures of one service.
@@ -36,7 +36,7 @@
 
 /// Slot time used in one failure domain by one service.
 #[derive(Clone, Copy, Debug, Default)]
-struct Area {
+struct SlotUsage {
     running: u32,
     since: Moment,
     slot_seconds: f64,
@@ -58,7 +58,7 @@
     /// Time from the start of a drain to the last request that started on a leaving
     /// endpoint, and to the last that ran there.
     pub drain: Option<Drain>,
-    areas: [Area; DOMAINS],
+    usage_by_domain: [SlotUsage; DOMAINS],
 }
 
 /// Times of a planned drain.
@@ -104,50 +104,52 @@
             shift_excess: 0,
             headroom: 1.0,
             drain: None,
-            areas: [Area::default(); DOMAINS],
+            usage_by_domain: [SlotUsage::default(); DOMAINS],
         }
     }
 
-    pub(crate) fn end(
+    pub(crate) fn record_end(
         &mut self,
         service: usize,
-        born: Moment,
+        created: Moment,
         now: Moment,
-        end: End,
-        patience: Duration,
+        end: RequestEnd,
+        caller_timeout: Duration,
     ) {
-        if born < WARM_UP {
+        if created < WARM_UP {
             return;
         }
         let figures = &mut self.services[service];
-        let taken = now.saturating_sub(born).as_micros() as u64;
+        let taken = now.saturating_sub(created).as_micros() as u64;
         let charged = match end {
-            End::Answered => taken,
-            End::Refused | End::Lost | End::Elsewhere => patience.as_micros() as u64,
+            RequestEnd::Answered => taken,
+            RequestEnd::Refused | RequestEnd::Lost | RequestEnd::NoEndpoint => {
+                caller_timeout.as_micros() as u64
+            }
         };
         figures.charged.saturating_record(charged);
         match end {
-            End::Answered => figures.answered.saturating_record(taken),
-            End::Refused | End::Elsewhere => figures.refused += 1,
-            End::Lost => figures.lost += 1,
+            RequestEnd::Answered => figures.answered.saturating_record(taken),
+            RequestEnd::Refused | RequestEnd::NoEndpoint => figures.refused += 1,
+            RequestEnd::Lost => figures.lost += 1,
         }
     }
 
     /// The number of the first service's requests that run in a failure domain changed.
-    pub(crate) fn running(&mut self, now: Moment, domain: usize, running: u32) {
-        let area = &mut self.areas[domain];
-        let span = now.saturating_sub(area.since).as_secs_f64();
-        area.slot_seconds += span * f64::from(area.running);
-        area.since = now;
-        area.running = running;
+    pub(crate) fn set_running(&mut self, now: Moment, domain: usize, running: u32) {
+        let usage = &mut self.usage_by_domain[domain];
+        let span = now.saturating_sub(usage.since).as_secs_f64();
+        usage.slot_seconds += span * f64::from(usage.running);
+        usage.since = now;
+        usage.running = running;
     }
 
     /// Ends a window of headroom; `slots` are those in service in each failure domain.
     pub(crate) fn sample(&mut self, now: Moment, window: Duration, slots: [u32; DOMAINS]) {
         for (domain, slots) in slots.into_iter().enumerate() {
-            let running = self.areas[domain].running;
-            self.running(now, domain, running);
-            let used = std::mem::take(&mut self.areas[domain].slot_seconds);
+            let running = self.usage_by_domain[domain].running;
+            self.set_running(now, domain, running);
+            let used = std::mem::take(&mut self.usage_by_domain[domain].slot_seconds);
             if slots > 0 && now > WARM_UP {
                 let free = 1.0 - used / (f64::from(slots) * window.as_secs_f64());
                 self.headroom = self.headroom.min(free.max(0.0));
@@ -155,7 +157,7 @@
         }
     }
 
-    pub(crate) fn drain_started(&mut self, now: Moment) {
+    pub(crate) fn record_drain_start(&mut self, now: Moment) {
         self.drain = Some(Drain {
             started: now,
             last_start: now,
@@ -163,25 +165,25 @@
         });
     }
 
-    pub(crate) fn started_on_leaving(&mut self, now: Moment) {
+    pub(crate) fn record_start_on_leaving(&mut self, now: Moment) {
         if let Some(drain) = &mut self.drain {
             drain.last_start = now;
         }
     }
 
-    pub(crate) fn ended_on_leaving(&mut self, now: Moment) {
+    pub(crate) fn record_end_on_leaving(&mut self, now: Moment) {
         if let Some(drain) = &mut self.drain {
             drain.last_end = now;
         }
     }
 
-    pub(crate) fn in_progress(&mut self, by_region: [u32; REGIONS], limits: [u32; REGIONS]) {
+    pub(crate) fn record_in_progress(&mut self, by_region: [u32; REGIONS], limits: [u32; REGIONS]) {
         for (running, limit) in by_region.into_iter().zip(limits) {
             self.limit_excess = self.limit_excess.max(running.saturating_sub(limit));
         }
     }
 
-    pub(crate) fn shifted(&mut self, running: u32, cap: u32) {
+    pub(crate) fn record_shifted(&mut self, running: u32, cap: u32) {
         self.shift_excess = self.shift_excess.max(running.saturating_sub(cap));
     }
 }
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -22,11 +22,11 @@
 pub use baseline::{Baseline, Pick};
 pub use bound::least_latency;
 pub use deployment::{Deployment, ServiceSpec, associacao, kovceg};
-pub use endpoint::Readings;
+pub use endpoint::ReadingMode;
 pub use metrics::{Drain, Figures, ServiceFigures};
 pub use policy::{PolicyKind, Version};
 pub use report::{print_lines, print_table};
-pub use scenario::{LENGTH, Scene, Step, scenes};
+pub use scenario::{LENGTH, Scenario, Step, scenarios};
 
 /// Figures of one policy in one scene of one deployment.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// The deployment's name.
     pub deployment: &'static str,
     /// The scene's name.
-    pub scene: &'static str,
+    pub scenario: &'static str,
     /// Whether the scene is an uneven one.
     pub skewed: bool,
     /// The policy.
@@ -48,12 +48,13 @@
 }
 
 /// Runs a scene.
-pub fn run(deployment: &Deployment, scene: &Scene, policy: PolicyKind, seed: u64) -> Run {
-    let simulation = simulation::Simulation::new(policy, deployment.clone(), scene.clone(), seed);
+pub fn run(deployment: &Deployment, scenario: &Scenario, policy: PolicyKind, seed: u64) -> Run {
+    let simulation =
+        simulation::Simulation::new(policy, deployment.clone(), scenario.clone(), seed);
     Run {
         deployment: deployment.name,
-        scene: scene.name,
-        skewed: scene.skewed,
+        scenario: scenario.name,
+        skewed: scenario.skewed,
         policy,
         services: deployment.services.iter().map(|s| s.name).collect(),
         bounds: (0..deployment.services.len())
--- a/crates/bench/src/experiment/policy.rs
+++ b/crates/bench/src/experiment/policy.rs
@@ -69,12 +69,12 @@
 
     /// Whether callers have homes under this policy, so that shifted requests can be
     /// told from others.
-    pub fn has_homes(self) -> bool {
+    pub fn has_home_regions(self) -> bool {
         matches!(self, Self::Ours(_))
     }
 
     /// Whether an entry sends to the endpoints of its whole region directly.
-    pub fn reaches_region(self) -> bool {
+    pub fn sends_to_whole_region(self) -> bool {
         matches!(self, Self::Baseline(_))
     }
 
@@ -90,14 +90,14 @@
             Self::Baseline(pick) => return Box::new(Baseline::new(pick, seed)),
             Self::Ours(version) => version,
         };
-        let place = (info.region.clone(), info.failure_domain.clone());
-        let cfg = Config::new(info.name.clone(), place.0, place.1)
+        let location = (info.region.clone(), info.failure_domain.clone());
+        let cfg = Config::new(info.name.clone(), location.0, location.1)
             .incarnation(info.incarnation)
             .seed(seed)
             .round_trips(
-                2 * deployment.near,
-                2 * deployment.region,
-                2 * deployment.far,
+                2 * deployment.domain_delay,
+                2 * deployment.region_delay,
+                2 * deployment.inter_region_delay,
             );
         Box::new(filberthead_steer::Policy::new(now, version.configure(cfg)))
     }
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -10,7 +10,7 @@
 
 /// Prints every figure of a run as `name: value unit`.
 pub fn print_lines(run: &Run) {
-    let prefix = format!("{}.{}.{}", run.deployment, run.scene, run.policy.name());
+    let prefix = format!("{}.{}.{}", run.deployment, run.scenario, run.policy.name());
     let line = |name: &str, value: String, unit: &str| println!("{prefix}.{name}: {value} {unit}");
     for (name, service) in run.services.iter().zip(&run.figures.services) {
         for (label, quantile) in [("p50", 0.50), ("p99", 0.99), ("p99.9", 0.999)] {
@@ -50,7 +50,7 @@
     );
     line("overfilled", figures.overfilled.to_string(), "requests");
     line("limit-excess", figures.limit_excess.to_string(), "requests");
-    if run.policy.has_homes() {
+    if run.policy.has_home_regions() {
         line("shift-excess", figures.shift_excess.to_string(), "requests");
     }
     if let Some(drain) = figures.drain {
@@ -65,7 +65,7 @@
     let Some(first) = runs.first() else { return };
     println!(
         "\n{} / {} / {}",
-        first.deployment, first.scene, first.services[0]
+        first.deployment, first.scenario, first.services[0]
     );
     println!(
         "no plan's p99 is under {:.1} ms",
@@ -99,7 +99,7 @@
         Some(span) => format!("{:.2}", span.as_secs_f64()),
         None => "-".to_owned(),
     };
-    let shift = if run.policy.has_homes() {
+    let shift = if run.policy.has_home_regions() {
         run.figures.shift_excess.to_string()
     } else {
         "-".to_owned()
--- a/crates/bench/src/experiment/scenario.rs
+++ b/crates/bench/src/experiment/scenario.rs
@@ -4,7 +4,7 @@
 
 use filberthead_types::Moment;
 
-use super::endpoint::Readings;
+use super::endpoint::ReadingMode;
 
 /// Something that a scene does at a moment.
 #[derive(Clone, Copy, Debug)]
@@ -13,33 +13,33 @@
     Surge(f64),
     /// The endpoints of a failure domain say that they are leaving, its entries start
     /// their planned stop, and the platform's list shows it only much later.
-    Leave(usize),
+    DrainDomain(usize),
     /// The endpoints of a failure domain stop, done or not.
     StopEndpoints(usize),
     /// The platform's list shows the endpoints of a failure domain as leaving.
     ListLeaving(usize),
     /// A region falls silent; what runs there is lost.
-    Lose(usize),
+    LoseRegion(usize),
     /// It starts anew with empty caches.
-    Return(usize),
+    RestoreRegion(usize),
     /// What all probes get from now on.
-    Readings(Readings),
+    SetReadings(ReadingMode),
     /// Messages between entries get lost, or get through again.
-    Reports(bool),
+    DeliverReports(bool),
     /// The first endpoint of the first service refuses everything and the second one
     /// turns slow; both say that they are idle.
-    Lie,
+    MisreportLoad,
     /// An entry loses its peers and control, or has them back.
-    CutEntry(usize, bool),
+    IsolateEntry(usize, bool),
     /// Control is out of everybody's reach, or back.
-    CutControl(bool),
+    IsolateControl(bool),
     /// The first region's weights are set to nought.
     DrainRegion,
 }
 
 /// A scene.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// Its name, as in the figures.
     pub name: &'static str,
     /// Whether load or trouble is uneven between endpoints.
@@ -60,8 +60,8 @@
     (Duration::from_secs(seconds), step)
 }
 
-fn scene(name: &'static str, skewed: bool, steps: Vec<(Moment, Step)>) -> Scene {
-    Scene {
+fn scenario(name: &'static str, skewed: bool, steps: Vec<(Moment, Step)>) -> Scenario {
+    Scenario {
         name,
         skewed,
         lookup_ttl: LOOKUP_TTL,
@@ -71,74 +71,74 @@
 
 fn drain_steps() -> Vec<(Moment, Step)> {
     vec![
-        at(10, Step::Leave(0)),
+        at(10, Step::DrainDomain(0)),
         at(20, Step::ListLeaving(0)),
         at(24, Step::StopEndpoints(0)),
     ]
 }
 
 /// All scenes.
-pub fn scenes() -> Vec<Scene> {
-    let late = Readings::Late(Duration::from_secs(3));
+pub fn scenarios() -> Vec<Scenario> {
+    let late = ReadingMode::Delayed(Duration::from_secs(3));
     let mut drain_and_surge = drain_steps();
     drain_and_surge.push(at(11, Step::Surge(0.15)));
     drain_and_surge.push(at(21, Step::Surge(0.0)));
-    let mut cached = scene("cached-answers", true, vec![at(8, Step::DrainRegion)]);
+    let mut cached = scenario("cached-answers", true, vec![at(8, Step::DrainRegion)]);
     cached.lookup_ttl = Duration::from_secs(15);
     vec![
-        scene("steady", false, vec![]),
-        scene(
+        scenario("steady", false, vec![]),
+        scenario(
             "storm",
             true,
             vec![at(10, Step::Surge(0.30)), at(20, Step::Surge(0.0))],
         ),
-        scene("drain", true, drain_steps()),
-        scene(
+        scenario("drain", true, drain_steps()),
+        scenario(
             "region-lost",
             true,
-            vec![at(10, Step::Lose(0)), at(18, Step::Return(0))],
+            vec![at(10, Step::LoseRegion(0)), at(18, Step::RestoreRegion(0))],
         ),
-        scene("readings-late", false, vec![at(2, Step::Readings(late))]),
-        scene(
+        scenario("readings-late", false, vec![at(2, Step::SetReadings(late))]),
+        scenario(
             "readings-frozen",
             false,
-            vec![at(8, Step::Readings(Readings::Frozen(0.3)))],
+            vec![at(8, Step::SetReadings(ReadingMode::Frozen(0.3)))],
         ),
-        scene("readings-lie", true, vec![at(8, Step::Lie)]),
-        scene(
+        scenario("readings-lie", true, vec![at(8, Step::MisreportLoad)]),
+        scenario(
             "measurements-stop",
             false,
             vec![
-                at(8, Step::Readings(Readings::Missing)),
-                at(8, Step::Reports(false)),
+                at(8, Step::SetReadings(ReadingMode::Missing)),
+                at(8, Step::DeliverReports(false)),
             ],
         ),
-        scene(
+        scenario(
             "entry-cut-off",
             true,
             vec![
-                at(10, Step::CutEntry(0, true)),
-                at(22, Step::CutEntry(0, false)),
+                at(10, Step::IsolateEntry(0, true)),
+                at(22, Step::IsolateEntry(0, false)),
             ],
         ),
-        scene(
+        scenario(
             "control-cut-off",
             false,
             vec![
-                at(8, Step::CutControl(true)),
-                at(22, Step::CutControl(false)),
+                at(8, Step::IsolateControl(true)),
+                at(22, Step::IsolateControl(false)),
             ],
         ),
         cached,
-        scene(
+        scenario(
             "lost-and-frozen",
             true,
             vec![
-                at(8, Step::Readings(Readings::Frozen(0.3))),
-                at(10, Step::Lose(0)),
-                at(18, Step::Return(0)),
+                at(8, Step::SetReadings(ReadingMode::Frozen(0.3))),
+                at(10, Step::LoseRegion(0)),
+                at(18, Step::RestoreRegion(0)),
             ],
         ),
-        scene("drain-and-storm", true, drain_and_surge),
+        scenario("drain-and-storm", true, drain_and_surge),
     ]
 }
--- a/crates/bench/src/experiment/simulation.rs
+++ b/crates/bench/src/experiment/simulation.rs
@@ -18,10 +18,10 @@
 use rand::rngs::StdRng;
 
 use super::deployment::{DOMAINS, Deployment, REGIONS};
-use super::endpoint::EndpointFake;
-use super::metrics::{End, Figures};
+use super::endpoint::SimulatedEndpoint;
+use super::metrics::{Figures, RequestEnd};
 use super::policy::PolicyKind;
-use super::scenario::{LENGTH, Scene};
+use super::scenario::{LENGTH, Scenario};
 
 pub(crate) const TICK: Duration = Duration::from_millis(100);
 /// Where the control leader runs.
@@ -30,7 +30,7 @@
 
 /// What happens next.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     Arrival {
         service: usize,
     },
@@ -44,23 +44,23 @@
         endpoint: usize,
         entry: usize,
     },
-    Done {
+    Completed {
         req: usize,
         endpoint: usize,
     },
-    Back {
+    AttemptEnded {
         req: usize,
         entry: usize,
         kind: filberthead_steer::FinishKind,
     },
-    Relayed {
+    ForwardEnded {
         req: usize,
         origin: usize,
-        end: End,
+        end: RequestEnd,
     },
     AtCaller {
         req: usize,
-        end: End,
+        end: RequestEnd,
     },
     Deadline {
         req: usize,
@@ -82,7 +82,7 @@
         from: usize,
         message: Message,
     },
-    Members,
+    MembersChanged,
     Sample,
     Step(usize),
 }
@@ -91,7 +91,7 @@
 struct Timed {
     at: Moment,
     order: u64,
-    what: Happening,
+    event: SimEvent,
 }
 
 impl PartialEq for Timed {
@@ -119,8 +119,8 @@
 pub(crate) struct Request {
     pub(crate) service: usize,
     pub(crate) caller: usize,
-    pub(crate) born: Moment,
-    pub(crate) hold: Duration,
+    pub(crate) created: Moment,
+    pub(crate) service_time: Duration,
     /// Entries of the caller's answer, the next one last.
     pub(crate) entries: Vec<usize>,
     pub(crate) tried: Vec<NodeName>,
@@ -130,58 +130,58 @@
     pub(crate) endpoint: Option<usize>,
     /// When its latest attempt set out for an endpoint.
     pub(crate) sent: Moment,
-    pub(crate) settled: bool,
+    pub(crate) finished: bool,
 }
 
 /// An entry with its policy.
-pub(crate) struct EntryFake {
+pub(crate) struct SimulatedEntry {
     pub(crate) info: EntryInfo,
     pub(crate) domain: usize,
     pub(crate) policy: Box<dyn Steering>,
     pub(crate) up: bool,
     /// Cut off from peers and control.
-    pub(crate) cut: bool,
+    pub(crate) isolated: bool,
 }
 
 /// A caller with the answers that it keeps.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub(crate) addr: IpAddr,
-    pub(crate) answers: HashMap<usize, (Vec<usize>, Moment)>,
+    pub(crate) cached_lookups: HashMap<usize, (Vec<usize>, Moment)>,
     /// Entries that it couldn't reach, and until when it passes them over.
-    pub(crate) avoided: HashMap<usize, Moment>,
+    pub(crate) avoided_until: HashMap<usize, Moment>,
     /// Region of its first answer for the first service.
     pub(crate) home: Option<usize>,
 }
 
-fn control(view: &Arc<View>) -> Lessor {
-    let mut keeper = Lessor::new(Moment::ZERO, Epoch(1), LONGEST_RUN);
-    keeper.set_table(Arc::clone(view));
-    keeper
+fn lessor(view: &Arc<View>) -> Lessor {
+    let mut lessor = Lessor::new(Moment::ZERO, Epoch(1), MAX_REQUEST_DURATION);
+    lessor.set_table(Arc::clone(view));
+    lessor
 }
 
 /// Longest deadline of a request.
-const LONGEST_RUN: Duration = Duration::from_secs(10);
+const MAX_REQUEST_DURATION: Duration = Duration::from_secs(10);
 
 /// A deployment under a policy, in a scene.
 pub(crate) struct Simulation {
     pub(crate) kind: PolicyKind,
     pub(crate) deployment: Deployment,
-    pub(crate) scene: Scene,
+    pub(crate) scenario: Scenario,
     pub(crate) now: Moment,
     queue: BinaryHeap<Reverse<Timed>>,
     order: u64,
-    pub(crate) entries: Vec<EntryFake>,
-    pub(crate) endpoints: Vec<EndpointFake>,
-    pub(crate) by_name: BTreeMap<NodeName, usize>,
+    pub(crate) entries: Vec<SimulatedEntry>,
+    pub(crate) endpoints: Vec<SimulatedEndpoint>,
+    pub(crate) endpoint_by_name: BTreeMap<NodeName, usize>,
     pub(crate) entry_by_name: BTreeMap<NodeName, usize>,
     pub(crate) callers: Vec<Caller>,
     pub(crate) requests: Vec<Request>,
     pub(crate) view: Arc<View>,
     pub(crate) surge: f64,
-    pub(crate) reports: bool,
+    pub(crate) reports_delivered: bool,
     pub(crate) control: Lessor,
-    pub(crate) control_cut: bool,
+    pub(crate) control_isolated: bool,
     pub(crate) arrivals: StdRng,
     pub(crate) figures: Figures,
 }
@@ -190,7 +190,7 @@
     pub(crate) fn empty(
         kind: PolicyKind,
         deployment: Deployment,
-        scene: Scene,
+        scenario: Scenario,
         view: View,
         arrivals: StdRng,
     ) -> Self {
@@ -199,20 +199,20 @@
             kind,
             figures: Figures::new(&deployment),
             deployment,
-            scene,
+            scenario,
             now: Moment::ZERO,
             queue: BinaryHeap::new(),
             order: 0,
             entries: Vec::new(),
             endpoints: Vec::new(),
-            by_name: BTreeMap::new(),
+            endpoint_by_name: BTreeMap::new(),
             entry_by_name: BTreeMap::new(),
             callers: Vec::new(),
             requests: Vec::new(),
             surge: 0.0,
-            reports: true,
-            control: control(&view),
-            control_cut: false,
+            reports_delivered: true,
+            control: lessor(&view),
+            control_isolated: false,
             view,
             arrivals,
         }
@@ -226,71 +226,71 @@
                 break;
             }
             self.now = timed.at;
-            self.happen(timed.what);
+            self.handle(timed.event);
         }
         self.figures
     }
 
     fn schedule_start(&mut self) {
         for service in 0..self.deployment.services.len() {
-            self.after(Duration::ZERO, Happening::Arrival { service });
+            self.after(Duration::ZERO, SimEvent::Arrival { service });
         }
         for entry in 0..self.entries.len() {
             // Entries don't tick in step.
             let offset = TICK * entry as u32 / self.entries.len() as u32;
-            self.after(offset, Happening::Tick { entry });
+            self.after(offset, SimEvent::Tick { entry });
         }
-        self.after(SAMPLE, Happening::Sample);
-        for index in 0..self.scene.steps.len() {
-            let (at, _) = self.scene.steps[index];
-            self.after(at, Happening::Step(index));
+        self.after(SAMPLE, SimEvent::Sample);
+        for index in 0..self.scenario.steps.len() {
+            let (at, _) = self.scenario.steps[index];
+            self.after(at, SimEvent::Step(index));
         }
     }
 
-    pub(crate) fn after(&mut self, delay: Duration, what: Happening) {
+    pub(crate) fn after(&mut self, delay: Duration, event: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse(Timed {
             at: self.now + delay,
             order: self.order,
-            what,
+            event,
         }));
     }
 
-    fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Arrival { service } => self.arrive(service),
-            Happening::AtEntry { req, entry, via } => self.at_entry(req, entry, via),
-            Happening::AtEndpoint {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival { service } => self.arrive(service),
+            SimEvent::AtEntry { req, entry, via } => self.at_entry(req, entry, via),
+            SimEvent::AtEndpoint {
                 req,
                 endpoint,
                 entry,
             } => self.at_endpoint(req, endpoint, entry),
-            Happening::Done { req, endpoint } => self.done(req, endpoint),
-            Happening::Back { req, entry, kind } => self.back(req, entry, kind),
-            Happening::Relayed { req, origin, end } => self.relayed(req, origin, end),
-            Happening::AtCaller { req, end } => self.at_caller(req, end),
-            Happening::Deadline { req } => self.deadline(req),
-            Happening::Tick { entry } => self.tick(entry),
-            Happening::Probed {
+            SimEvent::Completed { req, endpoint } => self.completed(req, endpoint),
+            SimEvent::AttemptEnded { req, entry, kind } => self.attempt_ended(req, entry, kind),
+            SimEvent::ForwardEnded { req, origin, end } => self.forward_ended(req, origin, end),
+            SimEvent::AtCaller { req, end } => self.at_caller(req, end),
+            SimEvent::Deadline { req } => self.deadline(req),
+            SimEvent::Tick { entry } => self.tick(entry),
+            SimEvent::Probed {
                 entry,
                 endpoint,
                 reading,
             } => self.probed(entry, endpoint, reading),
-            Happening::Delivered { to, from, message } => {
+            SimEvent::Delivered { to, from, message } => {
                 self.observe(to, Event::Received { from, message });
             }
-            Happening::AtControl { from, message } => self.at_control(from, &message),
-            Happening::Members => self.announce_members(),
-            Happening::Sample => self.sample(),
-            Happening::Step(index) => self.step(index),
+            SimEvent::AtControl { from, message } => self.at_control(from, &message),
+            SimEvent::MembersChanged => self.send_members(),
+            SimEvent::Sample => self.sample(),
+            SimEvent::Step(index) => self.step(index),
         }
     }
 
     fn tick(&mut self, entry: usize) {
-        self.after(TICK, Happening::Tick { entry });
+        self.after(TICK, SimEvent::Tick { entry });
         if entry == 0 {
             for endpoint in &mut self.endpoints {
-                endpoint.note(self.now);
+                endpoint.record_load(self.now);
             }
         }
         self.observe(entry, Event::Tick);
@@ -303,13 +303,13 @@
         }
         let actions = self.entries[entry].policy.observe(self.now, event);
         for action in actions {
-            self.act(entry, action);
+            self.perform(entry, action);
         }
     }
 
-    fn act(&mut self, entry: usize, action: Action) {
+    fn perform(&mut self, entry: usize, action: Action) {
         match action {
-            Action::Place { id, decision } => self.placed(id.0 as usize, entry, decision),
+            Action::Place { id, decision } => self.apply_decision(id.0 as usize, entry, decision),
             Action::Probe { endpoint } => self.probe(entry, &endpoint),
             Action::Send { to, message } => self.send(entry, &to, message),
             Action::SendControl(message) => self.send_control(entry, message),
@@ -317,12 +317,12 @@
     }
 
     fn probe(&mut self, entry: usize, info: &EndpointInfo) {
-        let endpoint = self.by_name[&info.name];
-        let delay = self.deployment.probe;
-        let reading = self.endpoints[endpoint].read(self.now);
+        let endpoint = self.endpoint_by_name[&info.name];
+        let delay = self.deployment.probe_delay;
+        let reading = self.endpoints[endpoint].probe(self.now);
         self.after(
             delay,
-            Happening::Probed {
+            SimEvent::Probed {
                 entry,
                 endpoint,
                 reading,
@@ -341,12 +341,12 @@
 
     fn send(&mut self, from: usize, to: &NodeName, message: Message) {
         let to = self.entry_by_name[to];
-        if !self.reports || !self.linked(from, to) {
+        if !self.reports_delivered || !self.are_connected(from, to) {
             return;
         }
         let from_name = self.entries[from].info.name.clone();
         let delay = self.delay(self.entries[from].domain, self.entries[to].domain);
-        let delivered = Happening::Delivered {
+        let delivered = SimEvent::Delivered {
             to,
             from: from_name,
             message,
@@ -355,15 +355,15 @@
     }
 
     fn send_control(&mut self, from: usize, message: Message) {
-        if self.control_reached(from) {
+        if self.reaches_control(from) {
             let delay = self.delay(self.entries[from].domain, CONTROL_DOMAIN);
-            self.after(delay, Happening::AtControl { from, message });
+            self.after(delay, SimEvent::AtControl { from, message });
         }
     }
 
-    fn control_reached(&self, entry: usize) -> bool {
+    fn reaches_control(&self, entry: usize) -> bool {
         let entry = &self.entries[entry];
-        entry.up && !entry.cut && !self.control_cut
+        entry.up && !entry.isolated && !self.control_isolated
     }
 
     fn at_control(&mut self, from: usize, message: &Message) {
@@ -372,9 +372,9 @@
         };
         let name = &self.entries[from].info.name;
         let grant = self.control.renew(self.now, name, renew);
-        if self.control_reached(from) {
+        if self.reaches_control(from) {
             let delay = self.delay(self.entries[from].domain, CONTROL_DOMAIN);
-            let granted = Happening::Delivered {
+            let granted = SimEvent::Delivered {
                 to: from,
                 from: super::build::parse("control"),
                 message: Message::Grant(grant),
@@ -384,25 +384,25 @@
     }
 
     /// Whether two entries reach each other.
-    pub(crate) fn linked(&self, one: usize, two: usize) -> bool {
+    pub(crate) fn are_connected(&self, one: usize, two: usize) -> bool {
         let (one, two) = (&self.entries[one], &self.entries[two]);
-        one.up && two.up && !one.cut && !two.cut
+        one.up && two.up && !one.isolated && !two.isolated
     }
 
     /// One-way delay between two failure domains.
     pub(crate) fn delay(&self, one: usize, two: usize) -> Duration {
-        let region = |domain| domain / super::deployment::DOMAINS_A_REGION;
+        let region = |domain| domain / super::deployment::DOMAINS_PER_REGION;
         if one == two {
-            self.deployment.near
+            self.deployment.domain_delay
         } else if region(one) == region(two) {
-            self.deployment.region
+            self.deployment.region_delay
         } else {
-            self.deployment.far
+            self.deployment.inter_region_delay
         }
     }
 
     fn sample(&mut self) {
-        self.after(SAMPLE, Happening::Sample);
+        self.after(SAMPLE, SimEvent::Sample);
         let mut slots = [0; DOMAINS];
         for endpoint in &self.endpoints {
             if endpoint.service == 0 && endpoint.up && !endpoint.leaving {
@@ -413,7 +413,7 @@
     }
 
     /// Takes stock after the number of requests at an endpoint has changed.
-    pub(crate) fn changed(&mut self, endpoint: usize) {
+    pub(crate) fn record_request_count(&mut self, endpoint: usize) {
         let service = self.endpoints[endpoint].service;
         if service == 0 {
             let domain = self.endpoints[endpoint].domain;
@@ -422,7 +422,7 @@
                 .iter()
                 .filter(|e| e.service == 0 && e.domain == domain);
             let running = at_domain.map(|e| e.running.len() as u32).sum();
-            self.figures.running(self.now, domain, running);
+            self.figures.set_running(self.now, domain, running);
         }
         self.check_limits(service);
     }
@@ -430,10 +430,10 @@
     fn check_limits(&mut self, service: usize) {
         let mut running = [0; REGIONS];
         for endpoint in self.endpoints.iter().filter(|e| e.service == service) {
-            let region = endpoint.domain / super::deployment::DOMAINS_A_REGION;
+            let region = endpoint.domain / super::deployment::DOMAINS_PER_REGION;
             running[region] += endpoint.in_progress();
         }
         let limits = std::array::from_fn(|region| self.deployment.row(service, region).limit);
-        self.figures.in_progress(running, limits);
+        self.figures.record_in_progress(running, limits);
     }
 }
--- a/crates/bench/src/experiment/steps.rs
+++ b/crates/bench/src/experiment/steps.rs
@@ -7,42 +7,42 @@
 use filberthead_types::Incarnation;
 
 use super::build::view;
-use super::deployment::DOMAINS_A_REGION;
-use super::endpoint::Readings;
+use super::deployment::DOMAINS_PER_REGION;
+use super::endpoint::ReadingMode;
 use super::scenario::Step;
-use super::simulation::{Happening, Simulation};
+use super::simulation::{SimEvent, Simulation};
 
 /// How long other entries take to notice that one is gone.
-const DETECTION: Duration = Duration::from_secs(2);
+const FAILURE_DETECTION: Duration = Duration::from_secs(2);
 /// How long they take to learn of a planned stop.
-const SPREAD: Duration = Duration::from_millis(300);
+const STOP_PROPAGATION: Duration = Duration::from_millis(300);
 const SLOWNESS: f64 = 8.0;
 
 impl Simulation {
     pub(crate) fn step(&mut self, index: usize) {
-        let (_, step) = self.scene.steps[index];
+        let (_, step) = self.scenario.steps[index];
         match step {
             Step::Surge(part) => self.surge = part,
-            Step::Leave(domain) => self.leave(domain),
+            Step::DrainDomain(domain) => self.drain_domain(domain),
             Step::StopEndpoints(domain) => {
                 self.crash_endpoints(|place| place == domain);
             }
             Step::ListLeaving(domain) => self.list_leaving(domain),
-            Step::Lose(region) => self.lose(region),
-            Step::Return(region) => self.restore(region),
-            Step::Readings(readings) => self.set_readings(readings),
-            Step::Reports(through) => self.reports = through,
-            Step::Lie => self.lie(),
-            Step::CutEntry(entry, cut) => {
-                self.entries[entry].cut = cut;
-                self.after(DETECTION, Happening::Members);
+            Step::LoseRegion(region) => self.lose_region(region),
+            Step::RestoreRegion(region) => self.restore_region(region),
+            Step::SetReadings(readings) => self.set_readings(readings),
+            Step::DeliverReports(delivered) => self.reports_delivered = delivered,
+            Step::MisreportLoad => self.misreport_load(),
+            Step::IsolateEntry(entry, isolated) => {
+                self.entries[entry].isolated = isolated;
+                self.after(FAILURE_DETECTION, SimEvent::MembersChanged);
             }
-            Step::CutControl(cut) => self.control_cut = cut,
+            Step::IsolateControl(isolated) => self.control_isolated = isolated,
             Step::DrainRegion => self.drain_region(),
         }
     }
 
-    fn leave(&mut self, domain: usize) {
+    fn drain_domain(&mut self, domain: usize) {
         for endpoint in self.endpoints.iter_mut().filter(|e| e.domain == domain) {
             endpoint.leaving = true;
         }
@@ -52,8 +52,8 @@
                 self.observe(entry, Event::Stop);
             }
         }
-        self.figures.drain_started(self.now);
-        self.after(SPREAD, Happening::Members);
+        self.figures.record_drain_start(self.now);
+        self.after(STOP_PROPAGATION, SimEvent::MembersChanged);
     }
 
     fn list_leaving(&mut self, domain: usize) {
@@ -67,61 +67,61 @@
         for index in 0..self.endpoints.len() {
             if f(self.endpoints[index].domain) {
                 self.endpoints[index].crash();
-                self.changed(index);
+                self.record_request_count(index);
             }
         }
     }
 
-    fn lose(&mut self, region: usize) {
-        self.crash_endpoints(|domain| domain / DOMAINS_A_REGION == region);
+    fn lose_region(&mut self, region: usize) {
+        self.crash_endpoints(|domain| domain / DOMAINS_PER_REGION == region);
         for entry in &mut self.entries {
-            if entry.domain / DOMAINS_A_REGION == region {
+            if entry.domain / DOMAINS_PER_REGION == region {
                 entry.up = false;
             }
         }
-        self.after(DETECTION, Happening::Members);
+        self.after(FAILURE_DETECTION, SimEvent::MembersChanged);
     }
 
-    fn restore(&mut self, region: usize) {
+    fn restore_region(&mut self, region: usize) {
         for endpoint in &mut self.endpoints {
-            if endpoint.domain / DOMAINS_A_REGION == region {
+            if endpoint.domain / DOMAINS_PER_REGION == region {
                 endpoint.restart();
             }
         }
         for entry in 0..self.entries.len() {
-            if self.entries[entry].domain / DOMAINS_A_REGION == region {
+            if self.entries[entry].domain / DOMAINS_PER_REGION == region {
                 self.restart_entry(entry);
             }
         }
-        self.after(SPREAD, Happening::Members);
+        self.after(STOP_PROPAGATION, SimEvent::MembersChanged);
     }
 
     fn restart_entry(&mut self, entry: usize) {
         let mut info = self.entries[entry].info.clone();
         info.incarnation = Incarnation(info.incarnation.0 + 1);
         let policy = self.build_policy(&info);
-        let fake = &mut self.entries[entry];
-        fake.info = info;
-        fake.policy = policy;
-        fake.up = true;
-        self.introduce(entry);
+        let restarted = &mut self.entries[entry];
+        restarted.info = info;
+        restarted.policy = policy;
+        restarted.up = true;
+        self.send_initial_state(entry);
     }
 
-    fn set_readings(&mut self, readings: Readings) {
+    fn set_readings(&mut self, readings: ReadingMode) {
         for endpoint in &mut self.endpoints {
             endpoint.readings = readings;
         }
     }
 
-    fn lie(&mut self) {
+    fn misreport_load(&mut self) {
         let mut first_service = self.endpoints.iter_mut().filter(|e| e.service == 0);
         if let Some(shedding) = first_service.next() {
             shedding.shedding = true;
-            shedding.readings = Readings::Idle;
+            shedding.readings = ReadingMode::AlwaysIdle;
         }
         if let Some(slow) = first_service.next() {
             slow.slowness = SLOWNESS;
-            slow.readings = Readings::Idle;
+            slow.readings = ReadingMode::AlwaysIdle;
         }
     }
 
--- a/crates/bench/src/placement/simulation.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -433,13 +433,11 @@
                 self.callers.moved = Some((region(from), region(to), part));
             }
             Change::RestoreCallers => self.callers.moved = None,
-            Change::Slow(nth, times) => self.update_each(nth, "", |e| e.work_factor = times),
-            Change::Shed(service, nth, part) => {
-                self.update_each(nth, service, |e| e.shed_ratio = part)
-            }
-            Change::Down(nth) => self.update_each(nth, "", |e| e.down = true),
-            Change::DomainDown(domain) => self.update_each(1, domain, |e| e.down = true),
-            Change::Recover => self.update_each(1, "", |e| {
+            Change::Slow(nth, times) => self.update(nth, "", |e| e.work_factor = times),
+            Change::Shed(service, nth, part) => self.update(nth, service, |e| e.shed_ratio = part),
+            Change::Down(nth) => self.update(nth, "", |e| e.down = true),
+            Change::DomainDown(domain) => self.update(1, domain, |e| e.down = true),
+            Change::Recover => self.update(1, "", |e| {
                 if std::mem::take(&mut e.down) {
                     e.restart();
                 }
@@ -460,7 +458,7 @@
     }
 
     /// Changes each n-th endpoint whose identity holds a text.
-    fn update_each(&mut self, nth: usize, id_part: &str, change: impl Fn(&mut Endpoint)) {
+    fn update(&mut self, nth: usize, id_part: &str, change: impl Fn(&mut Endpoint)) {
         let named = self
             .endpoints
             .iter_mut()
--- a/crates/bench/tests/all/experiment.rs
+++ b/crates/bench/tests/all/experiment.rs
@@ -1,9 +1,9 @@
 //! The experiment itself: same figures every time, and a measure that can fail.
 
-use filberthead_bench::experiment::{Pick, PolicyKind, Run, kovceg, run, scenes};
+use filberthead_bench::experiment::{Pick, PolicyKind, Run, kovceg, run, scenarios};
 
 fn steady(policy: PolicyKind) -> Run {
-    run(&kovceg(), &scenes()[0], policy, 1)
+    run(&kovceg(), &scenarios()[0], policy, 1)
 }
 
 #[test]
