--- a/crates/bench/src/bin/filberthead-measure-control/changes.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/changes.rs
@@ -19,7 +19,7 @@
 
 /// A version that an entry was seen to act on.
 #[derive(Debug)]
-struct Seen {
+struct ObservedVersion {
     entry: usize,
     version: Version,
     at: Instant,
@@ -38,18 +38,18 @@
         .collect();
     let leader = system.leader_addr();
     let operator = Operator::new("bench", vec![leader]);
-    let mut seen = system.operator.table().version;
+    let mut table_version = system.operator.table().version;
     let mut accepted = Times::new();
     let mut everywhere = Times::new();
     for weight in 1..=CHANGES {
-        let change = set_weight("orders", "zagreb", Revision(seen.0), weight);
+        let change = set_weight("orders", "zagreb", Revision(table_version.0), weight);
         let sent = Instant::now();
         let Attempt::Accepted(version) = operator.attempt(leader, &change) else {
             panic!("the leader doesn't accept a change");
         };
         accepted.add(sent.elapsed());
-        everywhere.add(last_seen(&mut rx, entries.len(), version) - sent);
-        seen = version;
+        everywhere.add(last_observed(&mut rx, entries.len(), version) - sent);
+        table_version = version;
         std::thread::sleep(PAUSE);
     }
     watchers.iter().for_each(|watcher| watcher.abort());
@@ -58,12 +58,16 @@
 }
 
 /// When the last of so many entries was first seen to act on a version.
-fn last_seen(rx: &mut mpsc::UnboundedReceiver<Seen>, entries: usize, version: Version) -> Instant {
+fn last_observed(
+    rx: &mut mpsc::UnboundedReceiver<ObservedVersion>,
+    entries: usize,
+    version: Version,
+) -> Instant {
     let mut first: Vec<Option<Instant>> = vec![None; entries];
     while first.iter().any(Option::is_none) {
-        let seen = rx.blocking_recv().expect("the watchers run");
-        if seen.version >= version {
-            first[seen.entry].get_or_insert(seen.at);
+        let observed = rx.blocking_recv().expect("the watchers run");
+        if observed.version >= version {
+            first[observed.entry].get_or_insert(observed.at);
         }
     }
     let last = first.into_iter().flatten().max();
@@ -71,18 +75,18 @@
 }
 
 /// Tells each change of the version that an entry acts on.
-async fn watch(entry: usize, addr: SocketAddr, tx: mpsc::UnboundedSender<Seen>) {
+async fn watch(entry: usize, addr: SocketAddr, tx: mpsc::UnboundedSender<ObservedVersion>) {
     let mut connection = Connection::open(addr).await.expect("the entry runs");
     let call = Call::get("/status");
-    let mut shown = None;
+    let mut last = None;
     loop {
         let answer = connection.send(&call).await.expect("the entry answers");
         let at = Instant::now();
         let status: serde_json::Value = answer.json();
         let version = status["version"].as_u64().map(Version);
-        if let Some(version) = version.filter(|_| version != shown) {
-            shown = Some(version);
-            if tx.send(Seen { entry, version, at }).is_err() {
+        if let Some(version) = version.filter(|_| version != last) {
+            last = Some(version);
+            if tx.send(ObservedVersion { entry, version, at }).is_err() {
                 return;
             }
         }
--- a/crates/bench/src/bin/filberthead-measure-control/failover.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/failover.rs
@@ -16,27 +16,27 @@
 pub(crate) fn leader_killed(system: &mut System) {
     let mut gaps = Times::new();
     for _ in 0..KILLS {
-        wait_all_voting(system);
-        gaps.add(gap(system));
+        wait_all_in_sync(system);
+        gaps.add(time_without_leader(system));
     }
     gaps.print("no_leader_after_kill");
 }
 
 /// Kills the leader and returns the time until another replica accepts a change.
-fn gap(system: &mut System) -> Duration {
+fn time_without_leader(system: &mut System) -> Duration {
     let leader = system.operator.wait_leader();
     let name = leader.node.as_str();
-    let seen = system.operator.table().version;
-    let change = set_weight("orders", "zagreb", Revision(seen.0), 7);
+    let version = system.operator.table().version;
+    let change = set_weight("orders", "zagreb", Revision(version.0), 7);
     let others = system.cluster.controls.iter().filter(|n| n.name() != name);
     let others: Vec<_> = others.map(|node| node.direct_addr("operator")).collect();
     let operator = Operator::new("bench", others.clone());
     system.cluster.control(name).kill();
     let killed = Instant::now();
-    let mut turns = others.iter().cycle();
+    let mut next_replica = others.iter().cycle();
     let gap = eventually("a change accepted by another leader", BOUND, || {
         std::thread::sleep(PAUSE);
-        let attempt = operator.attempt(*turns.next()?, &change);
+        let attempt = operator.attempt(*next_replica.next()?, &change);
         matches!(attempt, Attempt::Accepted(_)).then(|| killed.elapsed())
     });
     system.cluster.control(name).start();
@@ -44,15 +44,15 @@
 }
 
 /// Waits until each replica has applied what the leader has.
-fn wait_all_voting(system: &System) {
-    wait_until("all replicas agree", BOUND, || {
+fn wait_all_in_sync(system: &System) {
+    wait_until("all replicas have the table of the leader", BOUND, || {
         let Some(leader) = system.operator.leader() else {
             return false;
         };
-        let agrees = |node: &Node| {
+        let has_same_version = |node: &Node| {
             let status = system.operator.status_of(node.addr("operator"));
             status.is_some_and(|status| status.version == leader.version)
         };
-        system.cluster.controls.iter().all(agrees)
+        system.cluster.controls.iter().all(has_same_version)
     });
 }
--- a/crates/bench/src/bin/filberthead-measure-control/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/load.rs
@@ -18,12 +18,12 @@
 
 /// What a process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct Usage {
     cpu_seconds: f64,
     bytes: f64,
 }
 
-impl Used {
+impl Usage {
     fn of(node: &Node) -> Self {
         let process: &Process = node.running();
         Self {
@@ -43,22 +43,22 @@
 /// What all processes have used over a while.
 struct Window {
     seconds: f64,
-    leader: Used,
-    entries: Vec<Used>,
+    leader: Usage,
+    entries: Vec<Usage>,
 }
 
 impl Window {
-    fn over(system: &System, work: impl FnOnce()) -> Self {
+    fn measure(system: &System, work: impl FnOnce()) -> Self {
         let leader = system.operator.wait_leader();
         let mut controls = system.cluster.controls.iter();
         let leader = controls.find(|node| node.name() == leader.node.as_str());
         let leader = leader.expect("the leader is one of them");
-        let entries = || system.cluster.entries.iter().map(Used::of).collect();
-        let before: (Used, Vec<Used>) = (Used::of(leader), entries());
+        let entries = || system.cluster.entries.iter().map(Usage::of).collect();
+        let before: (Usage, Vec<Usage>) = (Usage::of(leader), entries());
         let start = Instant::now();
         work();
         let seconds = start.elapsed().as_secs_f64();
-        let after: (Used, Vec<Used>) = (Used::of(leader), entries());
+        let after: (Usage, Vec<Usage>) = (Usage::of(leader), entries());
         let pairs = after.1.iter().zip(before.1);
         Self {
             seconds,
@@ -68,21 +68,21 @@
     }
 
     fn mean_bytes(&self) -> f64 {
-        let total: f64 = self.entries.iter().map(|used| used.bytes).sum();
+        let total: f64 = self.entries.iter().map(|usage| usage.bytes).sum();
         total / self.entries.len() as f64
     }
 
-    fn most(&self, take: impl Fn(&Used) -> f64) -> f64 {
-        self.entries.iter().map(take).fold(0.0, f64::max)
+    fn most(&self, value: impl Fn(&Usage) -> f64) -> f64 {
+        self.entries.iter().map(value).fold(0.0, f64::max)
     }
 
     fn print(&self, phase: &str) {
         let rate = |value: f64| value / self.seconds;
         let name = |what| format!("{phase}_{what}");
         print(&name("entry_bytes_mean"), rate(self.mean_bytes()), "B/s");
-        let most = self.most(|used| used.bytes);
+        let most = self.most(|usage| usage.bytes);
         print(&name("entry_bytes_most"), rate(most), "B/s");
-        let most = self.most(|used| used.cpu_seconds);
+        let most = self.most(|usage| usage.cpu_seconds);
         print(&name("entry_cpu_most"), 100.0 * rate(most), "% of a core");
         print(&name("leader_bytes"), rate(self.leader.bytes), "B/s");
         let cpu = 100.0 * rate(self.leader.cpu_seconds);
@@ -93,7 +93,7 @@
 pub(crate) fn idle(system: &System) {
     std::thread::sleep(SETTLE);
     let before = sent_by_protocol(system);
-    let window = Window::over(system, || std::thread::sleep(WINDOW));
+    let window = Window::measure(system, || std::thread::sleep(WINDOW));
     window.print("idle");
     let pairs = sent_by_protocol(system).into_iter().zip(before);
     let entries = system.cluster.entries.len() as f64;
@@ -119,7 +119,7 @@
 
 /// The day's changes, speeded up.
 pub(crate) fn changing(system: &System) {
-    let window = Window::over(system, || {
+    let window = Window::measure(system, || {
         system.change_often(CHANGES, CHANGES_PAUSE);
     });
     let per_second = f64::from(CHANGES) / window.seconds;
--- a/crates/bench/src/bin/filberthead-measure-control/restart.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/restart.rs
@@ -13,8 +13,8 @@
 const RESTARTS: usize = 3;
 
 pub(crate) fn after_missed_changes(system: &mut System) {
-    let mut proven = Times::new();
-    let mut serving = Times::new();
+    let mut in_force_times = Times::new();
+    let mut serving_times = Times::new();
     for _ in 0..RESTARTS {
         system.cluster.entries[0].kill();
         let newest = system.change_often(MISSED, Duration::ZERO);
@@ -32,9 +32,9 @@
             let answer = look_up.send(entry.direct_addr("caller")).ok()?;
             answer.status.is_success().then(|| start.elapsed())
         });
-        proven.add(in_force);
-        serving.add(answered.max(in_force));
+        in_force_times.add(in_force);
+        serving_times.add(answered.max(in_force));
     }
-    proven.print("restart_to_newest_table_after_300_changes");
-    serving.print("restart_to_serving_after_300_changes");
+    in_force_times.print("restart_to_newest_table_after_300_changes");
+    serving_times.print("restart_to_serving_after_300_changes");
 }
--- a/crates/bench/src/bin/filberthead-measure-control/system.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/system.rs
@@ -57,19 +57,19 @@
     }
 
     /// Changes the only row, which has the revision `seen`.
-    pub(crate) fn change(&self, seen: Version, weight: u32) -> Version {
-        let change = set_weight(SERVICE, REGION, Revision(seen.0), weight);
+    pub(crate) fn change(&self, current: Version, weight: u32) -> Version {
+        let change = set_weight(SERVICE, REGION, Revision(current.0), weight);
         self.operator.accept(&change)
     }
 
     /// Changes the row so many times, with a pause after each.
     pub(crate) fn change_often(&self, times: u32, pause: Duration) -> Version {
-        let mut seen = self.operator.table().version;
+        let mut current = self.operator.table().version;
         for weight in 1..=times {
-            seen = self.change(seen, weight);
+            current = self.change(current, weight);
             std::thread::sleep(pause);
         }
-        seen
+        current
     }
 
     pub(crate) fn wait_in_force(&self, version: Version) {
--- a/crates/bench/src/bin/filberthead-measure-requests/drain.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/drain.rs
@@ -10,9 +10,9 @@
 
 use crate::print;
 
-const BOUND: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 /// Longer than a drain of an endpoint may take.
-const WATCH: Duration = Duration::from_secs(5);
+const WATCH_DURATION: Duration = Duration::from_secs(5);
 const READERS: usize = 8;
 
 fn start() -> Cluster {
@@ -23,7 +23,7 @@
         .prepare();
     cluster.entries[0].start();
     let entry = cluster.entries[0].addr("caller");
-    wait_until("the endpoints are used", BOUND, || {
+    wait_until("the entry sends to the endpoints", TIMEOUT, || {
         let answer = read("warm-up").send(entry);
         answer.is_ok_and(|answer| answer.status == 200)
     });
@@ -44,19 +44,19 @@
             .script(|script| script.pace = Some(200_000));
     }
     let entry = cluster.entries[0].addr("caller");
-    let (drained, whole) = std::thread::scope(|scope| {
-        let lesson = scope.spawn(|| read("download/lesson?bytes=1000000").send(entry));
-        wait_until("the download has begun", BOUND, || {
+    let (drained, complete) = std::thread::scope(|scope| {
+        let download = scope.spawn(|| read("download/lesson?bytes=1000000").send(entry));
+        wait_until("the download has begun", TIMEOUT, || {
             let record = cluster.record();
-            record.count(Stage::Executed, |seen| seen.path.contains("lesson")) > 0
+            record.count(Stage::Executed, |event| event.path.contains("lesson")) > 0
         });
-        let begin = Instant::now();
+        let start_time = Instant::now();
         cluster.entries[0].stop();
-        let drained = begin.elapsed();
-        (drained, lesson.join().is_ok_and(|answer| answer.is_ok()))
+        let drained = start_time.elapsed();
+        (drained, download.join().is_ok_and(|answer| answer.is_ok()))
     });
     print("entry_drain", drained.as_secs_f64(), "s");
-    print("entry_drain_cut", f64::from(u8::from(!whole)), "count");
+    print("entry_drain_cut", f64::from(u8::from(!complete)), "count");
 }
 
 /// Time from an endpoint's first word of leaving to the last new request that it got,
@@ -66,7 +66,7 @@
     let entry = cluster.entries[0].addr("caller");
     let stop = AtomicBool::new(false);
     let leaving = &cluster.endpoints[0].standin;
-    let last = std::thread::scope(|scope| {
+    let last_new = std::thread::scope(|scope| {
         for _ in 0..READERS {
             scope.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
@@ -75,20 +75,20 @@
                 }
             });
         }
-        let works = || leaving.record().count(Stage::Received, |_| true);
-        wait_until("it gets requests", BOUND, || works() > 0);
+        let received = || leaving.record().count(Stage::Received, |_| true);
+        wait_until("the endpoint receives requests", TIMEOUT, || received() > 0);
         leaving.script(|script| script.leaving = true);
-        let begin = Instant::now();
-        let (mut seen, mut last) = (works(), Duration::ZERO);
-        while begin.elapsed() < WATCH {
-            let now = works();
-            if now != seen {
-                (seen, last) = (now, begin.elapsed());
+        let start_time = Instant::now();
+        let (mut count, mut last_new) = (received(), Duration::ZERO);
+        while start_time.elapsed() < WATCH_DURATION {
+            let now = received();
+            if now != count {
+                (count, last_new) = (now, start_time.elapsed());
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         stop.store(true, Ordering::Relaxed);
-        last
+        last_new
     });
-    print("endpoint_drain", last.as_secs_f64(), "s");
+    print("endpoint_drain", last_new.as_secs_f64(), "s");
 }
--- a/crates/bench/src/bin/filberthead-measure-requests/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/load.rs
@@ -27,7 +27,7 @@
 /// Numbers that make each request's idempotency key its own.
 static NEXT_KEY: AtomicU64 = AtomicU64::new(0);
 /// Where the number goes in a request; of fixed width, so that all have one length.
-const KEY_PLACE: &[u8] = b"############";
+const KEY_PLACEHOLDER: &[u8] = b"############";
 
 /// What a load measured.
 #[derive(Clone, Debug)]
@@ -84,9 +84,9 @@
 
     /// An order with a body, each under a key of its own.
     pub(crate) fn order(addr: SocketAddr, path: &str, key_prefix: &str) -> Self {
-        let place = String::from_utf8_lossy(KEY_PLACE);
+        let placeholder = String::from_utf8_lossy(KEY_PLACEHOLDER);
         let head = format!(
-            "POST {path} HTTP/1.1\r\nhost: {addr}\r\nidempotency-key: {key_prefix}{place}\r\n\
+            "POST {path} HTTP/1.1\r\nhost: {addr}\r\nidempotency-key: {key_prefix}{placeholder}\r\n\
              content-length: {}\r\n\r\n{ORDER}",
             ORDER.len()
         );
@@ -117,16 +117,16 @@
         let threads = THREADS.min(self.connections);
         let mut sample = Sample::default();
         let before = processor();
-        let begin = Instant::now();
+        let start = Instant::now();
         std::thread::scope(|scope| {
             let running: Vec<_> = (0..threads)
-                .map(|_| scope.spawn(|| self.run_thread(self.connections / threads, begin + time)))
+                .map(|_| scope.spawn(|| self.run_thread(self.connections / threads, start + time)))
                 .collect();
             for thread in running {
                 sample.nanos += thread.join().expect("the load runs to its end");
             }
         });
-        sample.took = begin.elapsed();
+        sample.took = start.elapsed();
         sample.processor = processor() - before;
         sample
     }
@@ -157,48 +157,48 @@
     stream.set_nodelay(true).expect("a socket option");
     let mut buf = vec![0; 64 * 1024];
     let key = request
-        .windows(KEY_PLACE.len())
-        .position(|w| w == KEY_PLACE);
-    renew(&mut request, key);
+        .windows(KEY_PLACEHOLDER.len())
+        .position(|w| w == KEY_PLACEHOLDER);
+    set_unique_key(&mut request, key);
     stream.write_all(&request).await.expect("a sent request");
-    let len = first_answer(&mut stream, &mut buf).await;
+    let len = read_first_response(&mut stream, &mut buf).await;
     while Instant::now() < end {
-        renew(&mut request, key);
-        let begin = Instant::now();
+        set_unique_key(&mut request, key);
+        let start = Instant::now();
         stream.write_all(&request).await.expect("a sent request");
         stream
             .read_exact(&mut buf[..len])
             .await
             .expect("a whole answer");
         assert!(buf.starts_with(b"HTTP/1.1 200"), "an answer other than 200");
-        let took = begin.elapsed().as_nanos() as u64;
+        let took = start.elapsed().as_nanos() as u64;
         nanos.record(took).expect("a histogram that grows");
     }
     nanos
 }
 
 /// Gives the request a key that no other has.
-fn renew(request: &mut [u8], key: Option<usize>) {
+fn set_unique_key(request: &mut [u8], key: Option<usize>) {
     if let Some(key) = key {
         let number = NEXT_KEY.fetch_add(1, Ordering::Relaxed);
-        let text = format!("{number:0width$}", width = KEY_PLACE.len());
-        request[key..key + KEY_PLACE.len()].copy_from_slice(text.as_bytes());
+        let text = format!("{number:0width$}", width = KEY_PLACEHOLDER.len());
+        request[key..key + KEY_PLACEHOLDER.len()].copy_from_slice(text.as_bytes());
     }
 }
 
-async fn first_answer(stream: &mut TcpStream, buf: &mut [u8]) -> usize {
-    let mut have = 0;
+async fn read_first_response(stream: &mut TcpStream, buf: &mut [u8]) -> usize {
+    let mut received = 0;
     loop {
-        have += stream.read(&mut buf[have..]).await.expect("an answer");
-        if let Some(len) = whole_len(&buf[..have])
-            && have >= len
+        received += stream.read(&mut buf[received..]).await.expect("an answer");
+        if let Some(len) = response_len(&buf[..received])
+            && received >= len
         {
             return len;
         }
     }
 }
 
-fn whole_len(buf: &[u8]) -> Option<usize> {
+fn response_len(buf: &[u8]) -> Option<usize> {
     let head = buf.windows(HEAD_END.len()).position(|w| w == HEAD_END)?;
     let text = std::str::from_utf8(&buf[..head]).ok()?;
     let value = text.lines().find_map(|line| {
--- a/crates/bench/src/bin/filberthead-measure-requests/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/main.rs
@@ -21,13 +21,13 @@
 use system::System;
 
 /// How long each turn of a comparison takes.
-const TURN: Duration = Duration::from_secs(1);
-const TURNS: usize = 3;
-const BOUND: Duration = Duration::from_secs(60);
-const SERVED: &[u8; 12] = b"HTTP/1.1 200";
+const RUN_DURATION: Duration = Duration::from_secs(1);
+const ROUNDS: usize = 3;
+const TIMEOUT: Duration = Duration::from_secs(60);
+const STATUS_OK: &[u8; 12] = b"HTTP/1.1 200";
 const SLOW_READERS: usize = 1000;
 /// Change of memory within a turn that counts as none.
-const SETTLED: u64 = 1_000_000;
+const MAX_MEMORY_CHANGE: u64 = 1_000_000;
 
 fn main() -> ExitCode {
     let system = System::start();
@@ -47,9 +47,9 @@
 /// Takes turns between two loads and returns the samples of each.
 fn compare(a: &Load, b: &Load) -> (Sample, Sample) {
     let mut samples = (Sample::default(), Sample::default());
-    for _ in 0..TURNS {
-        samples.0.add(a.run(TURN));
-        samples.1.add(b.run(TURN));
+    for _ in 0..ROUNDS {
+        samples.0.add(a.run(RUN_DURATION));
+        samples.1.add(b.run(RUN_DURATION));
     }
     samples
 }
@@ -122,15 +122,15 @@
     let readers: Vec<_> = (0..SLOW_READERS)
         .map(|number| slow_reader(system.entry(), number))
         .collect();
-    wait_until("all downloads run", BOUND, || {
+    wait_until("all downloads run", TIMEOUT, || {
         system.running() as usize == SLOW_READERS
     });
     // Until every buffer on the way is full and nothing moves any more.
     let mut last = 0;
-    wait_until("the memory settles", BOUND, || {
-        std::thread::sleep(TURN);
+    wait_until("the memory settles", TIMEOUT, || {
+        std::thread::sleep(RUN_DURATION);
         let now = system.resident_bytes();
-        let settled = now.abs_diff(last) < SETTLED;
+        let settled = now.abs_diff(last) < MAX_MEMORY_CHANGE;
         last = now;
         settled
     });
@@ -147,11 +147,11 @@
 /// Begins a download and reads no more than the first bytes of its answer.
 fn slow_reader(entry: SocketAddr, number: usize) -> TcpStream {
     let path = format!("/v1/services/catalogue/download/{number}?bytes=1000000000");
-    eventually("the download begins", BOUND, || {
+    eventually("the download begins", TIMEOUT, || {
         let mut reader = TcpStream::connect(entry).ok()?;
         write!(reader, "GET {path} HTTP/1.1\r\nhost: {entry}\r\n\r\n").ok()?;
-        let mut status = [0; SERVED.len()];
+        let mut status = [0; STATUS_OK.len()];
         reader.read_exact(&mut status).ok()?;
-        (status == *SERVED).then_some(reader)
+        (status == *STATUS_OK).then_some(reader)
     })
 }
--- a/crates/bench/src/bin/filberthead-measure-requests/process.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/process.rs
@@ -13,7 +13,7 @@
 impl Thread {
     /// The thread that calls.
     pub(crate) fn current() -> Self {
-        let folder = fs::read_link("/proc/thread-self").expect("a thread knows itself");
+        let folder = fs::read_link("/proc/thread-self").expect("/proc/thread-self can be read");
         Self {
             folder: PathBuf::from("/proc").join(folder),
         }
--- a/crates/bench/src/bin/filberthead-measure-requests/system.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/system.rs
@@ -12,7 +12,7 @@
 use crate::process::Thread;
 use crate::responder::Responder;
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Enough that no request waits for a slot.
 const SLOTS: u32 = 1000;
 /// What the stand-in answers by default; the quick endpoint answers as much.
@@ -61,7 +61,7 @@
         };
         for service in ["catalogue", "quick"] {
             let call = Call::get(&format!("/v1/services/{service}/warm-up"));
-            wait_until("the endpoint is used", BOUND, || {
+            wait_until("the endpoint is used", TIMEOUT, || {
                 let answer = call.send(system.entry());
                 answer.is_ok_and(|answer| answer.status == 200)
             });
@@ -76,7 +76,7 @@
 
     /// What callers put before their keys.
     pub(crate) fn key_prefix(&self) -> String {
-        eventually("the entry hands out a prefix", BOUND, || {
+        eventually("the entry hands out a prefix", TIMEOUT, || {
             let body: serde_json::Value = serde_json::from_slice(&self.lookup_answer()).ok()?;
             let prefix = body["key_prefix"].as_str()?;
             Some(prefix.to_owned()).filter(|prefix| !prefix.is_empty())
--- a/crates/bench/src/bin/fleet/args.rs
+++ b/crates/bench/src/bin/fleet/args.rs
@@ -10,7 +10,7 @@
 
 /// What is to be measured.
 #[derive(Clone, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct Options {
     /// Folder of `filberthead-control`.
     pub(crate) programs: PathBuf,
     pub(crate) nodes: usize,
@@ -30,8 +30,8 @@
     pub(crate) prefix: String,
 }
 
-pub(crate) fn parse() -> Result<Plan, lexopt::Error> {
-    let mut plan = Plan {
+pub(crate) fn parse() -> Result<Options, lexopt::Error> {
+    let mut options = Options {
         programs: PathBuf::new(),
         nodes: 11,
         domains: 6,
@@ -46,22 +46,22 @@
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("programs") => plan.programs = parser.value()?.into(),
-            Long("nodes") => plan.nodes = parser.value()?.parse()?,
-            Long("domains") => plan.domains = parser.value()?.parse()?,
-            Long("replicas") => plan.replicas = parser.value()?.parse()?,
-            Long("rows") => plan.rows = parser.value()?.parse()?,
-            Long("changes") => plan.changes = parser.value()?.parse()?,
-            Long("gap-ms") => plan.gap = Duration::from_millis(parser.value()?.parse()?),
-            Long("idle-s") => plan.idle = Duration::from_secs(parser.value()?.parse()?),
-            Long("consensus") => plan.consensus.push(parser.value()?.string()?),
-            Long("prefix") => plan.prefix = parser.value()?.string()?,
+            Long("programs") => options.programs = parser.value()?.into(),
+            Long("nodes") => options.nodes = parser.value()?.parse()?,
+            Long("domains") => options.domains = parser.value()?.parse()?,
+            Long("replicas") => options.replicas = parser.value()?.parse()?,
+            Long("rows") => options.rows = parser.value()?.parse()?,
+            Long("changes") => options.changes = parser.value()?.parse()?,
+            Long("gap-ms") => options.gap = Duration::from_millis(parser.value()?.parse()?),
+            Long("idle-s") => options.idle = Duration::from_secs(parser.value()?.parse()?),
+            Long("consensus") => options.consensus.push(parser.value()?.string()?),
+            Long("prefix") => options.prefix = parser.value()?.string()?,
             Long("help") => return Err(USAGE.into()),
             _ => return Err(arg.unexpected()),
         }
     }
-    if plan.programs.as_os_str().is_empty() || plan.nodes == 0 || plan.domains == 0 {
+    if options.programs.as_os_str().is_empty() || options.nodes == 0 || options.domains == 0 {
         return Err(USAGE.into());
     }
-    Ok(plan)
+    Ok(options)
 }
--- a/crates/bench/src/bin/fleet/control.rs
+++ b/crates/bench/src/bin/fleet/control.rs
@@ -11,7 +11,7 @@
 use filberthead_types::{ChangeId, Region, ResultCode, Revision, ServiceName};
 use serde::Serialize;
 
-use crate::args::Plan;
+use crate::args::Options;
 
 const PAUSE: Duration = Duration::from_millis(50);
 const REGIONS: usize = 9;
@@ -24,28 +24,30 @@
 
 impl Control {
     /// Starts the processes and joins them into one group.
-    pub(crate) async fn start(plan: &Plan, dir: &Path) -> Self {
-        let mut replicas: Vec<_> = (0..plan.replicas).map(|i| process(plan, dir, i)).collect();
+    pub(crate) async fn start(options: &Options, dir: &Path) -> Self {
+        let mut replicas: Vec<_> = (0..options.replicas)
+            .map(|i| process(options, dir, i))
+            .collect();
         replicas.iter_mut().for_each(Process::start);
         let addrs = replicas.iter().map(|process| process.addr("operator"));
         let client = Client::builder(addrs).build();
         let control = Self { replicas, client };
-        control.join().await;
+        control.form_group().await;
         control
     }
 
-    async fn join(&self) {
+    async fn form_group(&self) {
         let statuses = self.statuses().await;
         let first = &statuses[0];
         let body = ReplicaBody {
-            id: draw(),
+            id: random_id(),
             replica: first.replica,
         };
-        let alone = Client::builder([first.operator_addr]).build();
-        post(&alone, "/v1/control/initialise", &body).await;
+        let first_client = Client::builder([first.operator_addr]).build();
+        post(&first_client, "/v1/control/initialise", &body).await;
         for status in &statuses[1..] {
             let body = AddReplicaBody {
-                id: draw(),
+                id: random_id(),
                 replica: status.replica,
                 name: status.node.clone(),
                 peer_addr: status.peer_addr,
@@ -53,7 +55,7 @@
             };
             post(&self.client, "/v1/control/add", &body).await;
             let body = ReplicaBody {
-                id: draw(),
+                id: random_id(),
                 replica: status.replica,
             };
             post(&self.client, "/v1/control/promote", &body).await;
@@ -66,7 +68,7 @@
         for process in &self.replicas {
             let addr = process.addr("operator");
             let reply = self.client.get_from(addr, "/v1/status").await;
-            let reply = reply.expect("a running replica tells its status");
+            let reply = reply.expect("a running replica returns its status");
             statuses.push(reply.json().expect("a status"));
         }
         statuses
@@ -77,8 +79,8 @@
         loop {
             let statuses = self.statuses().await;
             let leads = |status: &Status| status.role == ReplicaRole::Leader && status.holds_lease;
-            if let Some(place) = statuses.iter().position(leads) {
-                return place;
+            if let Some(index) = statuses.iter().position(leads) {
+                return index;
             }
             tokio::time::sleep(PAUSE).await;
         }
@@ -91,19 +93,19 @@
     }
 
     /// Puts `rows` rows into the table, in one change, and returns its version.
-    pub(crate) async fn fill(&self, rows: usize) -> u64 {
+    pub(crate) async fn insert_rows(&self, rows: usize) -> u64 {
         let edits = (0..rows).map(|i| edit(i, Revision(0), 10)).collect();
         self.change(edits).await
     }
 
     /// Changes the weight of row `i`, and returns the version.
-    pub(crate) async fn touch(&self, i: usize, seen: Revision, weight: u32) -> u64 {
-        self.change(vec![edit(i, seen, weight)]).await
+    pub(crate) async fn set_weight(&self, i: usize, expected: Revision, weight: u32) -> u64 {
+        self.change(vec![edit(i, expected, weight)]).await
     }
 
     async fn change(&self, edits: Vec<EditBody>) -> u64 {
         let body = ChangeBody {
-            id: draw(),
+            id: random_id(),
             note: "measurement".to_owned(),
             edits,
             allow: Default::default(),
@@ -122,20 +124,20 @@
 
 async fn post(client: &Client, path: &str, body: &impl Serialize) -> Answer {
     let answer = client.post(path, body).await;
-    answer.expect("a group that runs answers")
+    answer.expect("a running group answers")
 }
 
-fn draw() -> ChangeId {
+fn random_id() -> ChangeId {
     ChangeId(rand::random())
 }
 
-fn edit(i: usize, seen: Revision, weight: u32) -> EditBody {
+fn edit(i: usize, expected: Revision, weight: u32) -> EditBody {
     let service = format!("service-{}", i / REGIONS);
     let region = format!("region-{}", i % REGIONS);
     EditBody {
         service: service.parse::<ServiceName>().expect("a valid name"),
         region: region.parse::<Region>().expect("a valid name"),
-        revision: seen,
+        revision: expected,
         set: Some(RowValues {
             weight,
             limit: 100,
@@ -146,7 +148,7 @@
     }
 }
 
-fn process(plan: &Plan, dir: &Path, i: usize) -> Process {
+fn process(options: &Options, dir: &Path, i: usize) -> Process {
     let name = format!("control-{i}");
     let ini = dir.join(format!("{name}.ini"));
     let data = dir.join(&name);
@@ -155,10 +157,10 @@
          failure_domain = domain-{i}\n[peers]\nlisten = 127.0.0.1:0\n\
          [operators]\nlisten = 127.0.0.1:0\n[storage]\ndata = {}\n[consensus]\n{}\n",
         data.display(),
-        plan.consensus.join("\n")
+        options.consensus.join("\n")
     );
     std::fs::write(&ini, text).expect("the scratch folder can be written");
-    let program = plan.programs.join("filberthead-control");
+    let program = options.programs.join("filberthead-control");
     let log = dir.join(format!("{name}.log"));
     Process::new(&name, &program, &[&ini], &log)
 }
--- a/crates/bench/src/bin/fleet/figures.rs
+++ b/crates/bench/src/bin/fleet/figures.rs
@@ -71,7 +71,7 @@
 pub(crate) async fn control_traffic(process: &Process) -> Traffic {
     let client = filberthead_operator::Client::builder([process.addr("operator")]).build();
     let reply = client.get_from(process.addr("operator"), "/metrics").await;
-    let reply = reply.expect("a running replica shows its metrics");
+    let reply = reply.expect("a running replica returns its metrics");
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     let read = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name));
@@ -88,10 +88,10 @@
 
 /// Processor time of this process so far.
 pub(crate) fn own_cpu() -> Duration {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("the system tells");
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("/proc/self/stat can be read");
     let (_, fields) = stat.rsplit_once(')').expect("a name in parentheses");
-    let ticks = |place: usize| -> u64 {
-        let field = fields.split_whitespace().nth(place);
+    let ticks = |index: usize| -> u64 {
+        let field = fields.split_whitespace().nth(index);
         field.and_then(|text| text.parse().ok()).expect("a number")
     };
     // User and system time, in hundredths of a second on every Linux that runs here.
--- a/crates/bench/src/bin/fleet/main.rs
+++ b/crates/bench/src/bin/fleet/main.rs
@@ -15,13 +15,13 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let plan = match args::parse() {
-        Ok(plan) => plan,
+    let options = match args::parse() {
+        Ok(options) => options,
         Err(e) => {
             eprintln!("fleet: {e}");
             return ExitCode::from(2);
         }
     };
-    run::run(&plan);
+    run::run(&options);
     ExitCode::SUCCESS
 }
--- a/crates/bench/src/bin/fleet/nodes.rs
+++ b/crates/bench/src/bin/fleet/nodes.rs
@@ -13,12 +13,12 @@
 use filberthead_spread::{Config, MemberInfo, Message, Sender as From};
 use filberthead_types::{Incarnation, Moment};
 
-use crate::args::Plan;
+use crate::args::Options;
 
 const DRIVERS: usize = 4;
 const TICK: Duration = Duration::from_millis(100);
 /// Messages that wait for a driver thread; further ones are lost, as on a network.
-const INBOX: usize = 65_536;
+const QUEUE_CAPACITY: usize = 65_536;
 
 /// First moment at which each node had a version in force, by version.
 pub(crate) type InForce = BTreeMap<u64, Vec<Instant>>;
@@ -26,7 +26,7 @@
 /// The nodes, running.
 pub(crate) struct Nodes {
     stop: Arc<AtomicBool>,
-    drivers: Vec<JoinHandle<Vec<Ended>>>,
+    drivers: Vec<JoinHandle<Vec<NodeResult>>>,
     /// When versions came into force.
     pub(crate) in_force: Arc<Mutex<InForce>>,
     /// Counters of each node's transport.
@@ -34,29 +34,29 @@
 }
 
 /// A node at its end.
-pub(crate) struct Ended {
+pub(crate) struct NodeResult {
     /// Place in [`Nodes::counters`].
-    pub(crate) place: usize,
+    pub(crate) index: usize,
     /// Whether it reported to control for its failure domain.
     pub(crate) relay: bool,
 }
 
-type Inbox = Sender<(usize, Origin, Body)>;
+type MessageSender = Sender<(usize, Origin, Body)>;
 
-struct ToDriver {
-    place: usize,
-    tx: Inbox,
+struct DriverQueue {
+    index: usize,
+    tx: MessageSender,
 }
 
-impl Deliver for ToDriver {
+impl Deliver for DriverQueue {
     fn deliver(&mut self, origin: Origin, body: Body) {
         // Lost messages are repeated by the protocol.
-        let _ = self.tx.push((self.place, origin, body));
+        let _ = self.tx.push((self.index, origin, body));
     }
 }
 
-struct Driven {
-    place: usize,
+struct DrivenNode {
+    index: usize,
     node: Node,
     outbox: Outbox,
     _transport: Transport,
@@ -64,25 +64,25 @@
 
 impl Nodes {
     /// Starts all nodes.
-    pub(crate) fn start(plan: &Plan, controls: &[SocketAddr]) -> Self {
+    pub(crate) fn start(options: &Options, controls: &[SocketAddr]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let in_force = Arc::new(Mutex::new(InForce::new()));
         let mut counters = Vec::new();
         let mut drivers = Vec::new();
-        let share = plan.nodes.div_ceil(DRIVERS);
-        for first in (0..plan.nodes).step_by(share) {
-            let (tx, rx) = ring(INBOX);
-            let places = first..plan.nodes.min(first + share);
-            let driven: Vec<_> = places
-                .map(|place| driven(plan, place, controls, tx.clone()))
+        let share = options.nodes.div_ceil(DRIVERS);
+        for first in (0..options.nodes).step_by(share) {
+            let (tx, rx) = ring(QUEUE_CAPACITY);
+            let indices = first..options.nodes.min(first + share);
+            let driven: Vec<_> = indices
+                .map(|index| start_node(options, index, controls, tx.clone()))
                 .collect();
-            let count = |node: &Driven| node._transport.counters();
+            let count = |node: &DrivenNode| node._transport.counters();
             counters.extend(driven.iter().map(count));
             let driver = Driver {
                 nodes: driven,
                 first,
                 rx,
-                begun: Instant::now(),
+                started: Instant::now(),
                 in_force: Arc::clone(&in_force),
             };
             let stop = Arc::clone(&stop);
@@ -97,7 +97,7 @@
     }
 
     /// How many nodes have had `version` in force.
-    pub(crate) fn having(&self, version: u64) -> usize {
+    pub(crate) fn count_in_force(&self, version: u64) -> usize {
         let in_force = self
             .in_force
             .lock()
@@ -106,22 +106,28 @@
     }
 
     /// Ends all nodes.
-    pub(crate) fn stop(self) -> Vec<Ended> {
+    pub(crate) fn stop(self) -> Vec<NodeResult> {
         self.stop.store(true, Ordering::Release);
-        let join = |driver: JoinHandle<Vec<Ended>>| driver.join().expect("a driver doesn't panic");
+        let join =
+            |driver: JoinHandle<Vec<NodeResult>>| driver.join().expect("a driver doesn't panic");
         self.drivers.into_iter().flat_map(join).collect()
     }
 }
 
-fn driven(plan: &Plan, place: usize, controls: &[SocketAddr], tx: Inbox) -> Driven {
+fn start_node(
+    options: &Options,
+    index: usize,
+    controls: &[SocketAddr],
+    tx: MessageSender,
+) -> DrivenNode {
     let cluster = cluster_id("fleet");
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let transport = Transport::listen(listen, cluster, ToDriver { place, tx })
-        .expect("the loopback has a free port");
-    let domain = place % plan.domains;
+    let transport = Transport::listen(listen, cluster, DriverQueue { index, tx })
+        .expect("a free port on the loopback interface");
+    let domain = index % options.domains;
     let name = |text: String| text.parse().expect("a valid name");
     let member = MemberInfo {
-        name: format!("entry-{place:03}").parse().expect("a valid name"),
+        name: format!("entry-{index:03}").parse().expect("a valid name"),
         incarnation: Incarnation(rand::random()),
         peer_addr: transport.addr(),
         caller_addr: transport.addr(),
@@ -139,9 +145,9 @@
         controls: controls.to_vec(),
         seeds: Vec::new(),
     };
-    let cfg = Config::builder().seed(place as u64).build();
-    Driven {
-        place,
+    let cfg = Config::builder().seed(index as u64).build();
+    DrivenNode {
+        index,
         node: Node::new(cfg, member, contacts),
         outbox: transport.outbox(cluster, origin),
         _transport: transport,
@@ -149,45 +155,45 @@
 }
 
 struct Driver {
-    nodes: Vec<Driven>,
+    nodes: Vec<DrivenNode>,
     first: usize,
     rx: Receiver<(usize, Origin, Body)>,
-    begun: Instant,
+    started: Instant,
     in_force: Arc<Mutex<InForce>>,
 }
 
 impl Driver {
-    fn run(mut self, stop: &AtomicBool) -> Vec<Ended> {
+    fn run(mut self, stop: &AtomicBool) -> Vec<NodeResult> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
-            .expect("a runtime can be had");
+            .expect("a runtime can be started");
         runtime.block_on(self.drive(stop));
-        self.nodes.iter().map(ended).collect()
+        self.nodes.iter().map(node_result).collect()
     }
 
     async fn drive(&mut self, stop: &AtomicBool) {
         let mut ticks = tokio::time::interval(TICK / 10);
-        let mut turn = 0;
+        let mut group = 0;
         while !stop.load(Ordering::Acquire) {
             tokio::select! {
                 _ = ticks.tick() => {
                     // A tenth of the nodes each time: real entries don't tick at once.
-                    self.tick(turn);
-                    turn = (turn + 1) % 10;
+                    self.tick(group);
+                    group = (group + 1) % 10;
                 }
-                Some((place, origin, body)) = self.rx.recv() => self.take(place, origin, body),
+                Some((index, origin, body)) = self.rx.recv() => self.receive(index, origin, body),
             }
         }
     }
 
-    fn tick(&mut self, turn: usize) {
-        for i in (turn..self.nodes.len()).step_by(10) {
-            self.step(i, Event::Tick);
+    fn tick(&mut self, group: usize) {
+        for i in (group..self.nodes.len()).step_by(10) {
+            self.step_node(i, Event::Tick);
         }
     }
 
-    fn take(&mut self, place: usize, origin: Origin, body: Body) {
+    fn receive(&mut self, index: usize, origin: Origin, body: Body) {
         let Body::Spread(message) = body else {
             return;
         };
@@ -196,15 +202,15 @@
             incarnation: origin.incarnation,
             addr: origin.addr,
         };
-        self.step(place - self.first, Event::Received { from, message });
+        self.step_node(index - self.first, Event::Received { from, message });
     }
 
-    fn step(&mut self, i: usize, event: Event) {
-        let now: Moment = self.begun.elapsed();
+    fn step_node(&mut self, i: usize, event: Event) {
+        let now: Moment = self.started.elapsed();
         for action in self.nodes[i].node.step(now, event) {
             match action {
                 Action::Send { to, message } => self.send(i, to, message),
-                Action::InForce(view) => self.note(view.version.0),
+                Action::InForce(view) => self.record_in_force(view.version.0),
                 Action::Entries(_) | Action::Readiness(_) | Action::Diverged => {}
             }
         }
@@ -214,7 +220,7 @@
         self.nodes[i].outbox.send(to, Body::Spread(message));
     }
 
-    fn note(&self, version: u64) {
+    fn record_in_force(&self, version: u64) {
         let mut in_force = self
             .in_force
             .lock()
@@ -223,9 +229,9 @@
     }
 }
 
-fn ended(driven: &Driven) -> Ended {
-    Ended {
-        place: driven.place,
-        relay: driven.node.status().relay.is_none(),
+fn node_result(node: &DrivenNode) -> NodeResult {
+    NodeResult {
+        index: node.index,
+        relay: node.node.status().relay.is_none(),
     }
 }
--- a/crates/bench/src/bin/fleet/run.rs
+++ b/crates/bench/src/bin/fleet/run.rs
@@ -4,14 +4,14 @@
 
 use filberthead_types::Revision;
 
-use crate::args::Plan;
+use crate::args::Options;
 use crate::control::Control;
 use crate::figures::{Printer, Traffic, control_traffic, own_cpu};
 use crate::nodes::Nodes;
 
 const PAUSE: Duration = Duration::from_millis(2);
 /// A change that isn't in force everywhere by then counts as lost.
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for directories and rosters to settle before anything is measured.
 const SETTLE: Duration = Duration::from_secs(6);
 
@@ -24,43 +24,51 @@
     own_cpu: Duration,
 }
 
-pub(crate) fn run(plan: &Plan) {
+pub(crate) fn run(options: &Options) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime can be had");
-    runtime.block_on(measure(plan));
+        .expect("a runtime can be started");
+    runtime.block_on(measure(options));
 }
 
-async fn measure(plan: &Plan) {
+async fn measure(options: &Options) {
     let dir = tempfile::tempdir().expect("a scratch folder can be made");
-    let control = Control::start(plan, dir.path()).await;
-    let nodes = Nodes::start(plan, &control.peer_addrs());
-    let version = control.fill(plan.rows).await;
-    wait_in_force(&nodes, plan, version).await;
+    let control = Control::start(options, dir.path()).await;
+    let nodes = Nodes::start(options, &control.peer_addrs());
+    let version = control.insert_rows(options.rows).await;
+    wait_in_force(&nodes, options, version).await;
     tokio::time::sleep(SETTLE).await;
     let leader = control.leader().await;
 
     let before = sample(&control, leader, &nodes).await;
-    tokio::time::sleep(plan.idle).await;
+    tokio::time::sleep(options.idle).await;
     let idle = sample(&control, leader, &nodes).await;
-    let (accepted, in_force) = changes(plan, &control, &nodes).await;
+    let (accepted, in_force) = changes(options, &control, &nodes).await;
     let busy = sample(&control, leader, &nodes).await;
     let resident = control.replicas[leader].resident_bytes();
     assert_eq!(control.leader().await, leader, "the leader stayed the same");
 
-    let ended = nodes.stop();
-    let relays: Vec<_> = ended.iter().filter(|e| e.relay).map(|e| e.place).collect();
-    let members: Vec<_> = ended.iter().filter(|e| !e.relay).map(|e| e.place).collect();
+    let results = nodes.stop();
+    let relays: Vec<_> = results
+        .iter()
+        .filter(|result| result.relay)
+        .map(|result| result.index)
+        .collect();
+    let members: Vec<_> = results
+        .iter()
+        .filter(|result| !result.relay)
+        .map(|result| result.index)
+        .collect();
     let out = Printer {
-        prefix: &plan.prefix,
+        prefix: &options.prefix,
     };
-    out.print("nodes", plan.nodes as f64, "nodes");
-    out.print("domains", plan.domains as f64, "failure domains");
+    out.print("nodes", options.nodes as f64, "nodes");
+    out.print("domains", options.domains as f64, "failure domains");
     out.print("relays", relays.len() as f64, "nodes");
     print_rates(&out, "idle", &before, &idle, &relays, &members);
     print_rates(&out, "changing", &idle, &busy, &relays, &members);
-    let rate = plan.changes as f64 / (busy.at - idle.at).as_secs_f64();
+    let rate = options.changes as f64 / (busy.at - idle.at).as_secs_f64();
     out.print("changes_per_second", rate, "1/s");
     out.print("leader_resident", resident as f64 / 1e6, "MB");
     out.print_times("change_accepted", &accepted);
@@ -80,13 +88,13 @@
     }
 }
 
-async fn wait_in_force(nodes: &Nodes, plan: &Plan, version: u64) {
-    let end = Instant::now() + BOUND;
-    while nodes.having(version) < plan.nodes {
-        let have = nodes.having(version);
+async fn wait_in_force(nodes: &Nodes, options: &Options, version: u64) {
+    let end = Instant::now() + TIMEOUT;
+    while nodes.count_in_force(version) < options.nodes {
+        let count = nodes.count_in_force(version);
         assert!(
             Instant::now() < end,
-            "version {version} is in force at {have} nodes only"
+            "version {version} is in force at {count} nodes only"
         );
         tokio::time::sleep(PAUSE).await;
     }
@@ -94,19 +102,23 @@
 
 /// Sends the changes one after the other; returns the times until the operator was
 /// told, and until the last node had the version in force.
-async fn changes(plan: &Plan, control: &Control, nodes: &Nodes) -> (Vec<Duration>, Vec<Duration>) {
+async fn changes(
+    options: &Options,
+    control: &Control,
+    nodes: &Nodes,
+) -> (Vec<Duration>, Vec<Duration>) {
     let mut accepted = Vec::new();
     let mut in_force = Vec::new();
-    let mut seen = vec![Revision(1); plan.rows];
-    for i in 0..plan.changes {
-        let row = i % plan.rows;
-        let begun = Instant::now();
-        let version = control.touch(row, seen[row], 20 + i as u32).await;
-        accepted.push(begun.elapsed());
-        seen[row] = Revision(version);
-        wait_in_force(nodes, plan, version).await;
-        in_force.push(last_in_force(nodes, version) - begun);
-        tokio::time::sleep(plan.gap.saturating_sub(begun.elapsed())).await;
+    let mut revisions = vec![Revision(1); options.rows];
+    for i in 0..options.changes {
+        let row = i % options.rows;
+        let started = Instant::now();
+        let version = control.set_weight(row, revisions[row], 20 + i as u32).await;
+        accepted.push(started.elapsed());
+        revisions[row] = Revision(version);
+        wait_in_force(nodes, options, version).await;
+        in_force.push(last_in_force(nodes, version) - started);
+        tokio::time::sleep(options.gap.saturating_sub(started.elapsed())).await;
     }
     (accepted, in_force)
 }
@@ -130,8 +142,10 @@
 ) {
     let seconds = (to.at - from.at).as_secs_f64();
     let rate = |bytes: u64| bytes as f64 / seconds;
-    for (role, places) in [("relay", relays), ("member", members)] {
-        let traffic = places.iter().map(|p| to.nodes[*p].since(from.nodes[*p]));
+    for (role, indices) in [("relay", relays), ("member", members)] {
+        let traffic = indices
+            .iter()
+            .map(|index| to.nodes[*index].since(from.nodes[*index]));
         let total = |traffic: Traffic| rate(traffic.sent + traffic.received);
         let rates: Vec<_> = traffic.map(total).collect();
         let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
