--- a/crates/bench/tests/all/experiment.rs
+++ b/crates/bench/tests/all/experiment.rs
@@ -24,18 +24,18 @@
         let service = &run.figures.services[0];
         service.answered.len() + service.refused + service.lost
     };
-    let ours = answered(PolicyKind::LATEST);
-    let theirs = answered(PolicyKind::Baseline(Pick::RoundRobin));
-    assert!(ours > 10_000);
+    let latest = answered(PolicyKind::LATEST);
+    let round_robin = answered(PolicyKind::Baseline(Pick::RoundRobin));
+    assert!(latest > 10_000);
     // A request that is still on its way at the end of the scene is in no count.
-    assert!(ours.abs_diff(theirs) < 50, "{ours} {theirs}");
+    assert!(latest.abs_diff(round_robin) < 50, "{latest} {round_robin}");
 }
 
 #[test]
-fn the_measure_sees_overfilled_endpoints() {
-    let blind = steady(PolicyKind::Baseline(Pick::RoundRobin));
-    assert!(blind.figures.overfilled > 0);
-    assert!(blind.figures.limit_excess > 0);
-    let counting = steady(PolicyKind::LATEST);
-    assert_eq!(counting.figures.overfilled, 0);
+fn overfilled_endpoints_are_counted() {
+    let round_robin = steady(PolicyKind::Baseline(Pick::RoundRobin));
+    assert!(round_robin.figures.overfilled > 0);
+    assert!(round_robin.figures.limit_excess > 0);
+    let latest = steady(PolicyKind::LATEST);
+    assert_eq!(latest.figures.overfilled, 0);
 }
--- a/crates/bench/tests/all/placement.rs
+++ b/crates/bench/tests/all/placement.rs
@@ -47,7 +47,7 @@
 /// Most callers of the region short of slots connect elsewhere for some seconds and come back
 /// at once. If their requests have come home meanwhile, the region's endpoints are full.
 #[test]
-fn callers_that_come_back_find_room() {
+fn returning_callers_find_free_slots() {
     let name = "callers-come-back";
     let (with, without) = with_and_without(name, Mechanism::SlowReturn, Figures::worst_region);
     assert!(with > without, "{with}, at the same pace {without}");
@@ -65,7 +65,7 @@
 /// More is asked for than there are slots. Objects that move to wherever a slot is free have
 /// to be learned there, which takes three times as long, and the overload feeds itself.
 #[test]
-fn an_overload_does_not_feed_itself() {
+fn an_overload_does_not_amplify_itself() {
     let all = |figures: &Figures| figures.all.credit();
     let (with, without) = with_and_without("overload", Mechanism::Pressure, all);
     assert!(with > without + 0.2, "{with}, without pressure {without}");
@@ -75,7 +75,7 @@
 /// that has run some of the longer ones must not be taken for slow: its objects would move,
 /// and have to be learned elsewhere.
 #[test]
-fn nobody_is_taken_for_slow_where_nobody_is() {
+fn equal_endpoints_are_not_judged_slow() {
     let (with, without) = with_and_without("busy", Mechanism::Slowness, Figures::worst_region);
     assert!(
         with >= without - 0.001,
@@ -86,8 +86,8 @@
 /// An operator misspells a pattern or a mechanism, or asks for no plays at all. The program
 /// must say what is wrong, and measure nothing.
 #[test]
-fn bad_arguments_are_told() {
-    for (args, told) in [
+fn invalid_arguments_are_rejected() {
+    for (args, message) in [
         (["--pattern", "lunch"], "`lunch` is no pattern"),
         (["--without", "luck"], "`luck` is no mechanism"),
         (["--seeds", "0"], "a count from 1 on"),
@@ -98,6 +98,6 @@
         let out = Command::new(program).args(args).output().expect("a run");
         let err = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success() && out.stdout.is_empty(), "{args:?}");
-        assert!(err.contains(told), "{args:?}: {err}");
+        assert!(err.contains(message), "{args:?}: {err}");
     }
 }
