--- a/crates/bench/src/bin/filberthead-measure-placement/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-placement/main.rs
@@ -1,6 +1,6 @@
-//! Prints what callers get under each load pattern, by region and kind of request:
-//! `filberthead-measure-placement [--pattern NAME] [--without MECHANISM]... [--seeds N]
-//! [--ablation]`.
+//! Prints the mean credit of callers' requests under each load pattern, by region and kind
+//! of request: `filberthead-measure-placement [--pattern NAME] [--without MECHANISM]...
+//! [--seeds N] [--ablation]`.
 //!
 //! `--ablation` prints, for each mechanism, the credit that is lost without it.
 
@@ -11,7 +11,7 @@
 use filberthead_place::Mechanism;
 use lexopt::prelude::*;
 
-/// Seeds that figures are means of, unless `--seeds` names another count.
+/// Number of seeds that figures are averaged over, unless `--seeds` is given.
 const SEEDS: u64 = 3;
 
 struct Options {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Credit of all callers and of the worst region, together.
+/// Mean of the credit of all callers and that of the worst region.
 fn mean_credit(runs: &[Figures]) -> f64 {
     mean(runs, |f| (f.all.credit() + f.worst_region()) / 2.0)
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load tools and experiments.
+//! Simulations of the placement and steering algorithms. The load generators are in
+//! `src/bin`.
 
 pub mod experiment;
 pub mod placement;
--- a/crates/bench/src/placement/callers.rs
+++ b/crates/bench/src/placement/callers.rs
@@ -1,4 +1,5 @@
-//! Callers of the model: when requests come, for which objects, and at which gateway.
+//! Callers of the simulation: when requests arrive, for which objects, and at which
+//! gateway.
 
 use filberthead_types::{FailureDomain, Region};
 use rand::Rng;
@@ -7,33 +8,40 @@
 use super::pattern::Pattern;
 use super::site::{KINDS, KindOfRequest, domains, regions};
 
-/// Seconds of a wave of demand.
+/// Period of the sine wave that a region's demand follows, in seconds.
 const DEMAND_PERIOD_S: f64 = 36.0;
 
-/// A request as its caller has it.
+/// What a caller requests, and of which gateway.
 #[derive(Clone, Debug)]
 pub(super) struct RequestSpec {
     pub(super) kind: &'static KindOfRequest,
+    /// Region of the caller.
     pub(super) region: Region,
-    /// Number that endpoints know the object by.
+    /// Identifies the object at endpoints, unique over all regions and kinds.
     pub(super) object: u64,
-    /// Name that callers give it: the same for different objects on different routes.
+    /// Object name in the request. Equal for the objects of the same number on different
+    /// routes.
     pub(super) name: String,
-    /// The gateway that it comes to.
+    /// Index of the gateway that receives it.
     pub(super) gateway: usize,
+    /// Service time where the object isn't cached, in milliseconds.
     pub(super) work_ms: f64,
 }
 
+/// Draws requests for every failure domain.
 #[derive(Debug)]
 pub(super) struct Callers {
     domains: Vec<FailureDomain>,
+    /// Region of each failure domain, by its index.
     regions_by_domain: Vec<Region>,
     requests_per_s: f64,
     amplitude: f64,
-    /// Gateways of each failure domain.
+    /// Gateways in each failure domain.
     pub(super) gateways: usize,
+    /// Factor on `requests_per_s`, set by [`Change::Rate`](super::pattern::Change::Rate).
     pub(super) rate_factor: f64,
-    /// Where a part of a region's callers connects instead.
+    /// Home region, other region, and the share of the home region's callers that connect
+    /// to gateways of the other one.
     pub(super) moved: Option<(Region, Region, f64)>,
 }
 
@@ -53,12 +61,13 @@
         }
     }
 
-    /// Failure domains, by number.
+    /// Failure domains, by index.
     pub(super) fn domains(&self) -> &[FailureDomain] {
         &self.domains
     }
 
-    /// Milliseconds until the next request of a failure domain comes.
+    /// Draws the milliseconds until the next request of a failure domain's callers,
+    /// exponentially distributed.
     pub(super) fn interarrival_ms(&self, rng: &mut StdRng, now: u64, domain: usize) -> f64 {
         let third = (domain / 2) as f64 / 3.0;
         let phase = now as f64 / 1000.0 / DEMAND_PERIOD_S + third;
@@ -67,7 +76,7 @@
         -(1.0 - rng.random::<f64>()).ln() / per_ms
     }
 
-    /// What the next caller of a failure domain wants.
+    /// Draws the next request of a failure domain's callers.
     pub(super) fn draw_request(&self, rng: &mut StdRng, domain: usize) -> RequestSpec {
         let kind = draw_kind(rng);
         let number = rng.random_range(0..kind.objects);
--- a/crates/bench/src/placement/endpoint.rs
+++ b/crates/bench/src/placement/endpoint.rs
@@ -1,47 +1,49 @@
-//! An endpoint of the model: slots, a queue, and objects that it knows.
+//! A simulated endpoint: slots, a queue, and a least-recently-used cache of objects.
 
 use std::collections::VecDeque;
 
 use filberthead_place::Load;
 
-/// Requests that wait at an endpoint, as a multiple of its slots, before it refuses more.
+/// Length of an endpoint's queue as a multiple of its slots; further requests are refused.
 const QUEUE_FACTOR: usize = 3;
 
-/// Work at an endpoint.
+/// One attempt of a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Job {
-    /// Which request, of those that have come.
+    /// Index of the request in the simulation.
     pub(super) request: usize,
-    /// Which of its attempts.
+    /// Number of the attempt within its request, from 1.
     pub(super) attempt: u32,
     pub(super) object: u64,
-    /// Milliseconds that it takes where the object is unknown.
+    /// Service time where the object isn't cached, in milliseconds.
     pub(super) work_ms: f64,
 }
 
-/// What an endpoint does with a request that reaches it.
+/// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It runs or waits.
+    /// Runs or queues it.
     Accepted,
-    /// It is refused.
+    /// Refuses it: the queue is full, or the endpoint sheds.
     Refused,
-    /// Nobody answers.
+    /// Doesn't answer, because it is down.
     NoAnswer,
 }
 
 #[derive(Debug)]
 pub(super) struct Endpoint {
     slots: usize,
+    /// Objects that the cache holds.
     cache_capacity: usize,
+    /// Factor on the service time where the object is cached.
     cached_work_factor: f64,
     pub(super) running: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Objects, those handled last at the end.
+    /// Cached objects, the most recently used one last.
     cached_objects: VecDeque<u64>,
-    /// How much longer work takes.
+    /// Factor on every service time.
     pub(super) work_factor: f64,
-    /// Part of requests that are refused, room or not.
+    /// Share of requests that are refused regardless of free slots.
     pub(super) shed_ratio: f64,
     pub(super) down: bool,
 }
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Takes a request in; `draw` is between 0 and 1.
+    /// Queues or refuses a request. `draw` is a uniform sample from 0 to 1 that is compared
+    /// with `shed_ratio`.
     pub(super) fn admit(&mut self, job: Job, draw: f64) -> Admission {
         if self.down {
             return Admission::NoAnswer;
@@ -80,7 +83,8 @@
         Admission::Accepted
     }
 
-    /// Begins what has a slot, and returns each with the milliseconds that it takes.
+    /// Starts waiting requests while slots are free, and returns each with its service time
+    /// in milliseconds.
     pub(super) fn start_waiting(&mut self) -> Vec<(Job, f64)> {
         let mut started = Vec::new();
         while self.running.len() < self.slots {
@@ -98,7 +102,7 @@
         started
     }
 
-    /// Whether the object was known; it is from now on.
+    /// Marks the object as the most recently used one, and returns whether it was cached.
     fn access(&mut self, object: u64) -> bool {
         let position = self
             .cached_objects
@@ -114,8 +118,8 @@
         position.is_some()
     }
 
-    /// Ends a request, whether it is over or its caller has left. Returns whether it was
-    /// there.
+    /// Removes an attempt that has completed or timed out. Returns whether it was running
+    /// or waiting.
     pub(super) fn remove(&mut self, request: usize, attempt: u32) -> bool {
         let matches = |job: &Job| job.request == request && job.attempt == attempt;
         let before = self.running.len() + self.waiting.len();
@@ -124,7 +128,7 @@
         self.running.len() + self.waiting.len() < before
     }
 
-    /// It starts anew and knows nothing; whatever it had is lost.
+    /// Restarts the endpoint: drops all requests and empties its cache.
     pub(super) fn restart(&mut self) {
         self.running.clear();
         self.waiting.clear();
--- a/crates/bench/src/placement/figures.rs
+++ b/crates/bench/src/placement/figures.rs
@@ -1,28 +1,28 @@
-//! What callers got.
+//! Counts of how requests ended for their callers.
 
 use std::collections::BTreeMap;
 
 use filberthead_types::Region;
 
-/// Credit of an answer that comes after its objective.
+/// Credit for an answer later than the route's objective; an answer in time has 1.
 const LATE_CREDIT: f64 = 0.2;
 
 /// Requests and how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// All that came.
+    /// All requests.
     pub requests: u32,
-    /// Answered within their objective.
+    /// Answered within the route's objective.
     pub in_time: u32,
-    /// Answered later.
+    /// Answered after the objective.
     pub late: u32,
-    /// Refused for good.
+    /// Refused, and not retried by the caller.
     pub refused: u32,
 }
 
 impl Count {
-    /// Credit earned, as a part of what was asked for: all of it for an answer in time, a
-    /// fifth for a late one.
+    /// Mean credit of a request, from 0 to 1: 1 for an answer in time, a fifth for a late
+    /// one, none otherwise.
     pub fn credit(&self) -> f64 {
         let earned = f64::from(self.in_time) + LATE_CREDIT * f64::from(self.late);
         earned / f64::from(self.requests.max(1))
@@ -35,10 +35,11 @@
     InTime,
     Late,
     Refused,
+    /// Timed out, or lost when its gateway restarted.
     Lost,
 }
 
-/// Figures of one play.
+/// Figures of one simulation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
     /// All requests.
@@ -47,7 +48,7 @@
     pub regions: BTreeMap<Region, Count>,
     /// By kind of request.
     pub kinds: BTreeMap<&'static str, Count>,
-    /// By the second in which they came.
+    /// By the second in which they arrived.
     pub seconds: Vec<Count>,
 }
 
@@ -75,19 +76,19 @@
         }
     }
 
-    /// Credit of the region that got least.
+    /// Lowest credit of a region.
     pub fn worst_region(&self) -> f64 {
         let credits = self.regions.values().map(Count::credit);
         credits.fold(1.0, f64::min)
     }
 
-    /// Credit of the kind that got least.
+    /// Lowest credit of a kind of request.
     pub fn worst_kind(&self) -> f64 {
         let credits = self.kinds.values().map(Count::credit);
         credits.fold(1.0, f64::min)
     }
 
-    /// Credit over some seconds.
+    /// Credit of the requests that arrived from second `from` up to but not including `to`.
     pub fn credit_between(&self, from: usize, to: usize) -> f64 {
         let mut sum = Count::default();
         for count in self.seconds.iter().take(to).skip(from) {
--- a/crates/bench/src/placement/mod.rs
+++ b/crates/bench/src/placement/mod.rs
@@ -1,14 +1,14 @@
-//! A model of endpoints and callers around the decisions of gateways.
+//! A simulation of endpoints and callers that drives the placers of several gateways.
 //!
-//! It plays a load pattern against the placers of several gateways and tells what callers
-//! got: by region, by kind of request, by second. Nothing runs but the step functions of
-//! `filberthead-place`; time is counted in milliseconds, and a seed gives the same figures
-//! every time. What is modelled is what the decisions depend on: endpoints with slots and a
-//! queue that know the objects they have handled lately, ways between regions, control that
-//! sums up demand and tells it late, and callers that come back once.
+//! It runs a load pattern and counts how callers' requests ended: by region, by kind of
+//! request, by second. Only the step functions of `filberthead-place` are real code; time
+//! is counted in milliseconds, and a seed gives the same figures every time. The simulation
+//! covers what placement decisions depend on: endpoints with slots, a queue and a cache of
+//! recently used objects, round trips between regions, control that returns the gateways'
+//! demand one report interval late, and callers that retry once.
 //!
-//! Tests replay a pattern with and without a mechanism; `filberthead-measure-placement`
-//! prints the figures of all patterns.
+//! Tests run a pattern with and without a mechanism; `filberthead-measure-placement` prints
+//! the figures of all patterns.
 
 mod callers;
 mod endpoint;
--- a/crates/bench/src/placement/pattern.rs
+++ b/crates/bench/src/placement/pattern.rs
@@ -1,46 +1,49 @@
 //! The load patterns.
 
-/// Something that changes while a pattern is played.
+/// A change of load or of the system while a pattern runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Change {
-    /// Requests a second, as a multiple of the usual.
+    /// Sets the request rate, as a multiple of the pattern's own.
     Rate(f64),
-    /// A part of the callers of a region connects to gateways of another one.
+    /// This share of the callers of the first region connects to gateways of the second
+    /// one.
     MoveCallers(&'static str, &'static str, f64),
-    /// All callers are back at their own gateways.
+    /// All callers connect to gateways of their own region again.
     RestoreCallers,
-    /// Work at each n-th endpoint takes so much longer.
+    /// Multiplies the service time at each n-th endpoint.
     Slow(usize, f64),
-    /// Each n-th endpoint of a service refuses a part of what it gets, with slots free.
+    /// Each n-th endpoint of a service refuses this share of its requests, even with free
+    /// slots.
     Shed(&'static str, usize, f64),
-    /// Each n-th endpoint falls silent, and has forgotten everything when it is back.
+    /// Each n-th endpoint stops answering, and restarts with an empty cache at
+    /// [`Change::Recover`].
     Down(usize),
-    /// The endpoints of a failure domain fall silent.
+    /// The endpoints of a failure domain stop answering.
     DomainDown(&'static str),
-    /// All that are silent answer again.
+    /// All endpoints that are down restart.
     Recover,
-    /// Nothing is to be sent to the endpoints of a failure domain.
+    /// The endpoints of a failure domain are evacuated: gateways send them no new requests.
     Evacuate(&'static str),
-    /// It may be sent again.
+    /// No failure domain is evacuated any more.
     EndEvacuation,
-    /// All gateways start anew, and have forgotten everything.
+    /// All gateways restart without their state. Requests that they had sent are lost.
     RestartGateways,
 }
 
 /// A load pattern.
 #[derive(Clone, Debug)]
 pub struct Pattern {
-    /// Its name in reports and options.
+    /// Name in printed figures and in `--pattern`.
     pub name: &'static str,
-    /// Requests a second of each failure domain's callers.
+    /// Mean request rate of each failure domain's callers.
     pub(super) requests_per_s: f64,
-    /// How far demand of a region swings around its mean, a third of a period apart from
-    /// one region to the next.
+    /// Amplitude of a region's demand as a share of its mean. The regions' waves are a
+    /// third of a period apart.
     pub(super) amplitude: f64,
     pub(super) seconds: u64,
-    /// Gateways of each failure domain.
+    /// Gateways in each failure domain.
     pub(super) gateways: usize,
-    /// Changes, by the millisecond in which they come.
+    /// Changes, each with its time in milliseconds since the start.
     pub(super) changes: Vec<(u64, Change)>,
 }
 
@@ -66,19 +69,19 @@
         self
     }
 
-    /// How long it is played.
+    /// Length of the simulation in seconds.
     pub fn seconds(&self) -> usize {
         self.seconds as usize
     }
 }
 
-/// Gateways of each failure domain, where a pattern names no other number.
+/// Gateways in each failure domain, unless a pattern sets another number.
 const DEFAULT_GATEWAYS: usize = 2;
-/// Gateways of each failure domain where there are hundreds of them: each sees an object
-/// about once in a minute.
+/// Gateways in each failure domain in the patterns with hundreds of gateways: there, a
+/// gateway sees an object about once a minute.
 const MANY_GATEWAYS: usize = 40;
-/// Requests a second of a failure domain on a usual day, in the busiest hour, and when more
-/// is asked for than there are slots.
+/// Requests a second from a failure domain's callers: on a usual day, in the busiest hour,
+/// and when demand exceeds the slots.
 const USUAL_RATE: f64 = 29.0;
 const BUSY_RATE: f64 = 45.0;
 const OVERLOAD_RATE: f64 = 90.0;
--- a/crates/bench/src/placement/simulation.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a pattern: what happens, in its order.
+//! Runs a pattern as a discrete-event simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -18,71 +18,84 @@
 use super::pattern::{Change, Pattern};
 use super::site::{self, CACHED_WORK_FACTOR, INTER_REGION_RTT_MS};
 
-/// Milliseconds between reports to control; what it tells of them is one such time old.
+/// Milliseconds between the gateways' reports to control. The demand that control returns
+/// is one interval old.
 const REPORT_MS: u64 = 500;
-/// Milliseconds between a caller and its gateway, there and back.
+/// Round trip between a caller and its gateway, in milliseconds.
 const CALLER_RTT_MS: u64 = 16;
-/// Milliseconds to an endpoint of the same region and back.
+/// Round trip to an endpoint of the same region, in milliseconds.
 const INTRA_REGION_RTT_MS: u64 = 2;
-/// When a caller may come back whose request an endpoint refused.
+/// Retry-after that a caller receives when an endpoint refused its request.
 const REFUSAL_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Time that a caller has, as a multiple of its route's.
+/// A caller's deadline, its retry included, as a multiple of the route's timeout.
 const CALLER_DEADLINE_FACTOR: u64 = 2;
 
-/// What happens next.
+/// A scheduled event. `usize` values are request indices unless said otherwise, `u32`
+/// attempt numbers.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A caller of this failure domain asks for something.
+    /// A caller of the failure domain with this index sends a request.
     NextCaller(usize),
-    /// A request has come back to its gateway.
+    /// A caller's retry arrives at its gateway.
     AtGateway(usize),
     /// An attempt reaches its endpoint.
     AtEndpoint(EndpointId, Job),
-    /// An endpoint is done with an attempt.
+    /// An endpoint completes an attempt.
     Completed(EndpointId, Job),
-    /// Its answer has come.
+    /// An endpoint's answer arrives at the gateway, with the endpoint's load.
     Answer(usize, u32, Load),
-    /// Its refusal has come.
+    /// An endpoint's refusal arrives at the gateway, with the endpoint's load.
     Refusal(usize, u32, Load),
-    /// The route's time is up.
+    /// The request's timeout expires.
     Timeout(usize, u32),
-    /// Gateways report, and are told.
+    /// Gateways send their demand to control and receive the demand of the previous
+    /// reports.
     Report,
-    /// The pattern changes something.
+    /// A change that the pattern has scheduled.
     Change(Change),
 }
 
+/// A request and its current attempt. Times are in milliseconds since the start.
 struct RequestState {
     spec: RequestSpec,
+    /// When its caller first sent it.
     arrived: u64,
+    /// Whether the caller has retried it.
     is_retry: bool,
-    /// When it came, or came back.
+    /// When it arrived at the gateway; for a retry, when the retry did.
     gateway_arrival: u64,
+    /// When the latest attempt was sent.
     sent: u64,
     attempt: u32,
     attempts: Attempts,
+    /// Target of the open attempt; `None` when no attempt is open.
     target: Option<Target>,
+    /// Whether its caller has the final result.
     finished: bool,
 }
 
 struct Simulation {
     now: u64,
     rng: StdRng,
+    /// Time and number of each scheduled event; equal times run in the order of scheduling.
     events: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events, by number.
     pending: HashMap<u64, Event>,
+    /// Number of the event that was scheduled last.
     last_event: u64,
+    /// Mechanisms that the placers run without.
     disabled: BTreeSet<Mechanism>,
     gateways: Vec<Placer>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     endpoint_regions: HashMap<EndpointId, Region>,
     callers: Callers,
     requests: Vec<RequestState>,
-    /// Demand as gateways told it last, by their region.
+    /// Demand from the gateways' last reports, each with the gateway's region.
     reported_demand: Vec<(Region, ServiceName, u32)>,
     figures: Figures,
 }
 
-/// Plays a pattern without some mechanisms, and returns what callers got.
+/// Runs a pattern with some mechanisms disabled, and returns how requests ended.
 pub fn simulate(pattern: &Pattern, disabled: &BTreeSet<Mechanism>, seed: u64) -> Figures {
     let mut simulation = Simulation::new(pattern, disabled, seed);
     for domain in 0..simulation.callers.domains().len() {
@@ -152,6 +165,7 @@
         }
     }
 
+    /// Schedules an event at a time in milliseconds.
     fn add(&mut self, at: u64, event: Event) {
         self.last_event += 1;
         self.events.push(Reverse((at, self.last_event)));
@@ -211,7 +225,7 @@
         self.at_gateway(self.requests.len() - 1);
     }
 
-    /// A request comes to its gateway.
+    /// A request, or its caller's retry, arrives at the gateway.
     fn at_gateway(&mut self, request: usize) {
         let state = &self.requests[request];
         let service = state.spec.kind.service();
@@ -268,7 +282,7 @@
         );
     }
 
-    /// Milliseconds from the request's gateway to an endpoint and back.
+    /// Round trip from the request's gateway to an endpoint, in milliseconds.
     fn rtt_ms(&self, request: usize, id: &EndpointId) -> u64 {
         let gateway = self.requests[request].spec.gateway;
         let domain = &self.callers.domains()[gateway / self.callers.gateways];
@@ -319,7 +333,7 @@
         self.start_waiting(id);
     }
 
-    /// The target of an attempt that nobody has ended yet.
+    /// Takes the target of an attempt, or returns `None` if the attempt has already ended.
     fn take_target(&mut self, request: usize, attempt: u32) -> Option<Target> {
         let state = &mut self.requests[request];
         if state.finished || state.attempt != attempt {
@@ -368,7 +382,8 @@
         }
     }
 
-    /// A caller is told to come back, and does so once.
+    /// Rejects a request with a retry-after. The caller retries once, if its deadline
+    /// allows.
     fn reject(&mut self, request: usize, after: Duration) {
         let state = &mut self.requests[request];
         let at = self.now + CALLER_RTT_MS + after.as_millis() as u64;
@@ -457,7 +472,7 @@
         }
     }
 
-    /// Changes each n-th endpoint whose identity holds a text.
+    /// Applies a change to each n-th endpoint whose identity contains `id_part`.
     fn update(&mut self, nth: usize, id_part: &str, change: impl Fn(&mut Endpoint)) {
         let named = self
             .endpoints
@@ -468,6 +483,7 @@
         }
     }
 
+    /// Replaces all gateways by new ones. Attempts that are open are lost.
     fn restart_gateways(&mut self) {
         for request in 0..self.requests.len() {
             let state = &mut self.requests[request];
--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -1,5 +1,5 @@
-//! The deployment that patterns are played on: three regions, one of them with a third of
-//! the callers and a twelfth of the slots.
+//! The deployment that patterns run on: three regions, one of which (`middle`) has a third
+//! of the callers and a twelfth of the slots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 /// A kind of request.
 #[derive(Clone, Copy, Debug)]
 pub struct KindOfRequest {
-    /// Its name, also of its route.
+    /// Name, also of its route.
     pub name: &'static str,
     pub(super) service: &'static str,
-    /// Part of all requests.
+    /// Share of all requests.
     pub(super) share: f64,
-    /// Milliseconds that work takes where the object is unknown.
+    /// Mean service time where the object isn't cached, in milliseconds.
     pub(super) work_ms: f64,
     pub(super) objective_ms: u64,
     pub(super) timeout_ms: u64,
-    /// Objects of each region.
+    /// Number of objects that the callers of each region use.
     pub(super) objects: u32,
 }
 
-/// The kinds of request, with two services of two kinds each.
+/// The kinds of request: two for each of the two services.
 pub const KINDS: [KindOfRequest; 4] = [
     kind("view", "desk", 0.55, 880.0, (600, 2000), 35),
     kind("upload", "desk", 0.20, 1160.0, (800, 2500), 24),
@@ -35,14 +35,14 @@
     kind("close", "lock", 0.07, 720.0, (500, 2000), 24),
 ];
 
-/// Part of its work that a request takes where its object is known.
+/// Factor on a request's service time where its object is cached.
 pub(super) const CACHED_WORK_FACTOR: f64 = 0.3;
-/// Spread of work around its mean.
+/// Service times vary uniformly by up to this share of their mean.
 pub(super) const WORK_SPREAD: f64 = 0.15;
-/// Milliseconds to another region and back.
+/// Round trip to another region, in milliseconds.
 pub(super) const INTER_REGION_RTT_MS: u64 = 24;
 
-/// Failure domains, with their region and endpoints of each service.
+/// Failure domains: name, region, endpoints of `desk`, endpoints of `lock`.
 const DOMAINS: [(&str, &str, u32, u32); 6] = [
     ("north-1", "north", 6, 3),
     ("north-2", "north", 6, 3),
@@ -98,7 +98,7 @@
     if service == "desk" { 6 } else { 3 }
 }
 
-/// Objects that an endpoint remembers.
+/// Objects that an endpoint's cache holds.
 pub(super) fn cache_capacity(service: &str) -> usize {
     if service == "desk" { 30 } else { 50 }
 }
@@ -125,7 +125,7 @@
     all
 }
 
-/// The routes, one for each kind of request.
+/// The route table, with a route for each kind of request.
 pub(super) fn table() -> Table {
     let route = |kind: &KindOfRequest| Route {
         name: kind.name.to_owned(),
@@ -157,7 +157,7 @@
     }
 }
 
-/// What a gateway of a failure domain starts with.
+/// Settings of a gateway in a failure domain; `number` makes its name unique.
 pub(super) fn config(number: usize, domain: &FailureDomain) -> Config {
     let regions = regions();
     Config {
--- a/crates/bench/tests/all/experiment.rs
+++ b/crates/bench/tests/all/experiment.rs
@@ -1,4 +1,5 @@
-//! The experiment itself: same figures every time, and a measure that can fail.
+//! The steering experiment is deterministic, gives every policy the same requests, and
+//! detects policies that overfill endpoints.
 
 use filberthead_bench::experiment::{Pick, PolicyKind, Run, kovceg, run, scenarios};
 
@@ -27,7 +28,7 @@
     let latest = answered(PolicyKind::LATEST);
     let round_robin = answered(PolicyKind::Baseline(Pick::RoundRobin));
     assert!(latest > 10_000);
-    // A request that is still on its way at the end of the scene is in no count.
+    // Requests still in flight at the end of the scenario are counted nowhere.
     assert!(latest.abs_diff(round_robin) < 50, "{latest} {round_robin}");
 }
 
--- a/crates/bench/tests/all/main.rs
+++ b/crates/bench/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the bench.
+//! Tests of the simulations and of `filberthead-measure-placement`.
 
 mod experiment;
 mod placement;
--- a/crates/bench/tests/all/placement.rs
+++ b/crates/bench/tests/all/placement.rs
@@ -1,4 +1,5 @@
-//! What the decisions of gateways are worth to callers, under load patterns that were met.
+//! Effects of the placement mechanisms under load patterns. Each test compares simulations
+//! with all mechanisms to those with one of them disabled.
 
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -13,7 +14,7 @@
     all.into_iter().find(|p| p.name == name).expect("a pattern")
 }
 
-/// Mean of a figure over some seeds, with everything and without one mechanism.
+/// Means of a figure over all seeds: with all mechanisms, and with one disabled.
 fn with_and_without(
     name: &str,
     mechanism: Mechanism,
@@ -34,9 +35,9 @@
     assert_ne!(figures(), simulate(&pattern("burst"), &BTreeSet::new(), 8));
 }
 
-/// Demand comes in waves, and one region has a third of the callers and a twelfth of the
-/// slots. Its callers must be served nearly as well as others', and not as they are if it
-/// keeps them all.
+/// Demand follows a wave, and one region has a third of the callers and a twelfth of the
+/// slots. Its callers must be served nearly as well as those of other regions, and much
+/// better than if all their requests stayed in the region.
 #[test]
 fn a_region_short_of_slots_is_served_like_others() {
     let (with, without) = with_and_without("waves", Mechanism::Plan, Figures::worst_region);
@@ -44,8 +45,9 @@
     assert!(with > without + 0.2, "{with}, without a plan {without}");
 }
 
-/// Most callers of the region short of slots connect elsewhere for some seconds and come back
-/// at once. If their requests have come home meanwhile, the region's endpoints are full.
+/// Most callers of the region that is short of slots connect to another region for some
+/// seconds and return all at once. If spilled requests have been moved back to the region's
+/// endpoints meanwhile, these are full.
 #[test]
 fn returning_callers_find_free_slots() {
     let name = "callers-come-back";
@@ -53,8 +55,9 @@
     assert!(with > without, "{with}, at the same pace {without}");
 }
 
-/// All endpoints of a service refuse half of what they get for eight seconds. Requests that
-/// go on to endpoints that don't know their objects make it worse for everybody.
+/// All endpoints of a service refuse half of their requests for eight seconds. Retries at
+/// endpoints that don't have the object cached take longer and make the overload worse for
+/// all callers.
 #[test]
 fn callers_are_served_while_all_endpoints_refuse_half() {
     let during = |figures: &Figures| figures.credit_between(10, 18);
@@ -62,8 +65,9 @@
     assert!(with > without, "{with}, at another endpoint {without}");
 }
 
-/// More is asked for than there are slots. Objects that move to wherever a slot is free have
-/// to be learned there, which takes three times as long, and the overload feeds itself.
+/// Demand exceeds the slots. An object that moves to whichever endpoint has a free slot
+/// isn't cached there, its requests take three times as long, and the overload amplifies
+/// itself.
 #[test]
 fn an_overload_does_not_amplify_itself() {
     let all = |figures: &Figures| figures.all.credit();
@@ -71,9 +75,9 @@
     assert!(with > without + 0.2, "{with}, without pressure {without}");
 }
 
-/// Nobody is slow, but the kinds of requests of a service take different times. An endpoint
-/// that has run some of the longer ones must not be taken for slow: its objects would move,
-/// and have to be learned elsewhere.
+/// No endpoint is slow, but the kinds of request of a service take different times. An
+/// endpoint that has run some of the longer ones must not be judged slow: its objects would
+/// move to endpoints that don't have them cached.
 #[test]
 fn equal_endpoints_are_not_judged_slow() {
     let (with, without) = with_and_without("busy", Mechanism::Slowness, Figures::worst_region);
@@ -83,8 +87,8 @@
     );
 }
 
-/// An operator misspells a pattern or a mechanism, or asks for no plays at all. The program
-/// must say what is wrong, and measure nothing.
+/// A misspelt pattern or mechanism, or zero seeds: the program must say what is wrong and
+/// print no figures.
 #[test]
 fn invalid_arguments_are_rejected() {
     for (args, message) in [
