--- a/crates/bench/src/bin/steering.rs
+++ b/crates/bench/src/bin/steering.rs
@@ -1,5 +1,6 @@
-//! Runs the steering experiment: `steering [--table] [--scene NAME] [--deployment NAME]
-//! [--policy NAME] [--seed N] [--threads N]`.
+//! Runs the steering experiment and prints its figures: `steering [--table] [--scene NAME]
+//! [--deployment NAME] [--policy NAME] [--seed N] [--threads N]`. `--table` prints tables
+//! only.
 
 use std::process::ExitCode;
 use std::sync::Mutex;
--- a/crates/bench/src/experiment/baseline.rs
+++ b/crates/bench/src/experiment/baseline.rs
@@ -1,7 +1,7 @@
-//! Baselines: what an entry would do with none of our counting.
+//! Baseline policies: load balancing without counted slots or leases.
 //!
-//! They get more to see than our policy does: every entry may send to each endpoint of
-//! its region directly, and the two that use readings ask for them more often.
+//! They have more information than our policy: every entry may send to each endpoint of its
+//! region directly, and the two that use readings probe more often.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -18,24 +18,30 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a baseline chooses.
+/// How a baseline selects an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// In turn; knows only the platform's list.
+    /// Round robin over the endpoints that the platform's list doesn't show as leaving.
     RoundRobin,
-    /// The least load by the endpoints' last readings.
+    /// The endpoint with the lowest load in its last reading. Endpoints whose reading says
+    /// not ready or leaving are excluded.
     LeastReported,
-    /// The one with fewer requests from here of two drawn at random; leaves out those
-    /// whose reading says not ready or leaving.
+    /// Of two endpoints drawn at random, the one with fewer requests from this entry.
+    /// Endpoints whose reading says not ready or leaving are excluded.
     TwoChoices,
 }
 
+/// An endpoint as the baseline sees it.
 #[derive(Debug)]
 struct EndpointState {
     info: Arc<EndpointInfo>,
+    /// From the last reading.
     load: f64,
+    /// Whether the last probe showed it as ready and not leaving.
     ready: bool,
+    /// Whether the platform's list shows it as leaving.
     listed_leaving: bool,
+    /// Requests from this entry that are in progress.
     running: u32,
 }
 
@@ -53,7 +59,7 @@
 }
 
 impl Baseline {
-    /// A baseline that knows nothing yet.
+    /// A baseline without endpoints, entries or a table.
     pub fn new(pick: Pick, seed: u64) -> Self {
         Self {
             pick,
@@ -105,6 +111,8 @@
         }
     }
 
+    /// Draws a region by the weights of the service's rows, among the regions that have
+    /// entries.
     fn draw_region(&mut self, service: &ServiceName) -> Option<Region> {
         let view = self.view.as_ref()?;
         let has_entry = |region: &Region| self.entries.iter().any(|entry| entry.region == *region);
--- a/crates/bench/src/experiment/build.rs
+++ b/crates/bench/src/experiment/build.rs
@@ -1,4 +1,4 @@
-//! Puts a world together from a deployment.
+//! Builds a simulation from a deployment.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,7 +18,8 @@
 const CALLERS: u32 = 300;
 
 impl Simulation {
-    /// A world at its start.
+    /// A simulation at its start, with all entries informed of table, endpoints and
+    /// members.
     pub(crate) fn new(
         kind: PolicyKind,
         deployment: Deployment,
@@ -64,12 +65,12 @@
         }
     }
 
-    /// The policy of an entry at this start.
+    /// A new policy for an entry; its seed depends on the incarnation in `info`.
     pub(crate) fn build_policy(&self, info: &EntryInfo) -> Box<dyn Steering> {
         self.kind.build(self.now, &self.deployment, info)
     }
 
-    /// Tells an entry what it learns at its start.
+    /// Passes an entry's policy the table and the endpoints that it may send to.
     pub(crate) fn send_initial_state(&mut self, entry: usize) {
         let domain = self.entries[entry].domain;
         let region = domain / DOMAINS_PER_REGION;
@@ -84,7 +85,7 @@
         self.observe(entry, Event::Endpoints(infos));
     }
 
-    /// Tells every entry which entries it can reach.
+    /// Passes every entry's policy the entries that it can reach.
     pub(crate) fn send_members(&mut self) {
         for entry in 0..self.entries.len() {
             let reachable = (0..self.entries.len())
@@ -97,7 +98,7 @@
     }
 }
 
-/// The table, with weight 0 for the regions that `drained` names.
+/// The table, with weight 0 in the regions for which `drained` holds.
 pub(crate) fn view(deployment: &Deployment, version: u64, drained: impl Fn(usize) -> bool) -> View {
     let mut view = View {
         version: Version(version),
@@ -163,7 +164,7 @@
     }
 }
 
-/// A name made by this package, which is valid by construction.
+/// Parses a name made by this package, which is valid by construction.
 pub(crate) fn parse<T>(text: &str) -> T
 where
     T: std::str::FromStr,
--- a/crates/bench/src/experiment/deployment.rs
+++ b/crates/bench/src/experiment/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments that the figures are for.
+//! The two simulated deployments.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// A service with its endpoints and its load.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name, as in the figures.
     pub name: &'static str,
     /// Endpoints in each failure domain.
     pub endpoints: [usize; DOMAINS],
@@ -15,11 +15,11 @@
     pub slots: u32,
     /// Connections of an endpoint.
     pub connections: u32,
-    /// Mean time for which a request holds a slot of a warm endpoint.
+    /// Mean service time at a warm endpoint.
     pub service_time: Duration,
-    /// Time after which a caller gives up.
+    /// Time after which a caller cancels a request.
     pub caller_timeout: Duration,
-    /// Part of all slots that the steady load fills.
+    /// Utilisation of all slots under the base load, from 0 to 1.
     pub load: f64,
 }
 
@@ -30,10 +30,10 @@
 /// Regions in a deployment.
 pub(crate) const REGIONS: usize = DOMAINS / DOMAINS_PER_REGION;
 
-/// One user's system.
+/// The deployment of one user.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// Name, as in the figures.
     pub name: &'static str,
     /// Names of its regions.
     pub regions: [&'static str; REGIONS],
@@ -47,13 +47,14 @@
     pub inter_region_delay: Duration,
     /// One-way delay between callers and entries.
     pub caller_delay: Duration,
-    /// Time for a new connection.
+    /// Time to open a connection. Not used by the simulation.
     pub connect: Duration,
-    /// Time for a probe.
+    /// Time from a probe to its result.
     pub probe_delay: Duration,
-    /// What its rows favour.
+    /// Objective of all its rows.
     pub objective: Objective,
-    /// Its services; the first one is the one that counts most.
+    /// Its services. Headroom, shift excess and `p99-to-bound` are measured for the first
+    /// one only.
     pub services: Vec<ServiceSpec>,
 }
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// The franchise of magic shops.
+/// Deployment of a franchise of magic shops.
 pub fn kovceg() -> Deployment {
     Deployment {
         name: "kovceg",
@@ -99,7 +100,7 @@
     }
 }
 
-/// The network of weather stations.
+/// Deployment of a network of weather stations.
 pub fn associacao() -> Deployment {
     let mut services = vec![
         service("readings", [3; DOMAINS], 15, 1000),
@@ -135,13 +136,13 @@
         endpoints as u32 * spec.slots
     }
 
-    /// Slots of a service.
+    /// Slots of a service in all regions.
     pub fn slots(&self, service: usize) -> u32 {
         (0..REGIONS).map(|r| self.region_slots(service, r)).sum()
     }
 
-    /// The row of a service in a region: weight and limit by slots, and a shift cap of
-    /// half of them.
+    /// The table row of a service in a region: weight and limit equal the slots, the shift
+    /// cap is half of them.
     pub fn row(&self, service: usize, region: usize) -> RowValues {
         let slots = self.region_slots(service, region);
         RowValues {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Requests a second that fill the given part of a service's slots.
+    /// Requests a second that give a service's slots the utilisation `load`.
     pub fn rate(&self, service: usize, load: f64) -> f64 {
         f64::from(self.slots(service)) * load / self.services[service].service_time.as_secs_f64()
     }
--- a/crates/bench/src/experiment/endpoint.rs
+++ b/crates/bench/src/experiment/endpoint.rs
@@ -1,4 +1,4 @@
-//! Fakes at the policy's border: endpoints that run, queue and shed requests.
+//! Simulated endpoints that run, queue and shed requests and answer probes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 use filberthead_steer::{EndpointInfo, Reading};
 use filberthead_types::{Incarnation, Moment};
 
-/// Requests that wait at an endpoint itself before it sheds.
+/// Requests that an endpoint queues when its slots are filled; further ones are shed.
 const BACKLOG: usize = 12;
-/// How much longer a request runs on an endpoint with an empty cache.
+/// Factor on the service time at an endpoint with an empty cache.
 const COLD_FACTOR: f64 = 3.0;
-/// Part of the missing warmth that each request brings.
+/// Share of the missing warmth that each request adds.
 const WARMING_RATE: f64 = 0.02;
 
-/// How an endpoint's word on itself differs from the truth.
+/// How the load that an endpoint reports differs from its actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ReadingMode {
-    /// It doesn't.
+    /// Not at all.
     #[default]
     Accurate,
-    /// Probes get no answer.
+    /// Probes fail.
     Missing,
-    /// The state of so long ago is reported.
+    /// The load of this long ago is reported.
     Delayed(Duration),
-    /// The state of one moment is reported for good.
+    /// This load is reported always.
     Frozen(f64),
-    /// It says that it is idle.
+    /// Load 0 is reported always.
     AlwaysIdle,
 }
 
@@ -35,40 +35,40 @@
 pub(crate) enum Arrival {
     /// Runs it at once.
     Started,
-    /// Has every slot filled and lets it wait.
+    /// Queues it, because all slots are filled.
     Queued,
     /// Refuses it.
     Shed,
-    /// Isn't there; the connection fails after a while.
+    /// Is down; the connection attempt times out.
     Unreachable,
 }
 
-/// An endpoint.
+/// A simulated endpoint. Requests are indices in the simulation.
 #[derive(Debug)]
 pub(crate) struct SimulatedEndpoint {
-    /// As the policy knows it.
+    /// Description that policies receive.
     pub(crate) info: Arc<EndpointInfo>,
     /// Index of its service.
     pub(crate) service: usize,
     /// Index of its failure domain.
     pub(crate) domain: usize,
-    /// Requests that run.
+    /// Requests that hold a slot.
     pub(crate) running: Vec<usize>,
-    /// Requests that wait.
+    /// Requests that wait for a slot.
     pub(crate) backlog: VecDeque<usize>,
     /// Whether it answers at all.
     pub(crate) up: bool,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub(crate) leaving: bool,
     /// Whether it refuses everything.
     pub(crate) shedding: bool,
-    /// Factor on the time of each request.
+    /// Factor on every service time.
     pub(crate) slowness: f64,
-    /// 0 with an empty cache, 1 when warm.
+    /// Cache warmth, from 0 (empty) to 1.
     pub(crate) warmth: f64,
-    /// What probes get.
+    /// How it answers probes.
     pub(crate) readings: ReadingMode,
-    /// Start number.
+    /// Number of its starts.
     pub(crate) incarnation: u64,
     load_history: VecDeque<(Moment, f64)>,
 }
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     pub(crate) fn in_progress(&self) -> u32 {
         (self.running.len() + self.backlog.len()) as u32
     }
 
-    /// Takes a request.
+    /// Runs, queues or refuses a request.
     pub(crate) fn arrive(&mut self, req: usize) -> Arrival {
         if !self.up {
             Arrival::Unreachable
@@ -115,14 +115,16 @@
         }
     }
 
-    /// Time for which a request of this plain length runs here now.
+    /// Service time here of a request that takes `warm_time` at a warm endpoint; also warms
+    /// the cache.
     pub(crate) fn service_time(&mut self, warm_time: Duration) -> Duration {
         let cold = 1.0 + (COLD_FACTOR - 1.0) * (1.0 - self.warmth);
         self.warmth += (1.0 - self.warmth) * WARMING_RATE;
         warm_time.mul_f64(cold * self.slowness)
     }
 
-    /// Drops a request, done or given up, and names the one that starts in its place.
+    /// Removes a request that is completed or cancelled, and returns the queued one that
+    /// gets its slot.
     pub(crate) fn remove(&mut self, req: usize) -> Option<usize> {
         self.backlog.retain(|waiting| *waiting != req);
         let index = self.running.iter().position(|running| *running == req)?;
@@ -132,14 +134,14 @@
         Some(next)
     }
 
-    /// Stops at once; what ran is lost.
+    /// Stops at once; its requests are lost.
     pub(crate) fn crash(&mut self) {
         self.up = false;
         self.running.clear();
         self.backlog.clear();
     }
 
-    /// Starts anew with an empty cache.
+    /// Restarts with an empty cache.
     pub(crate) fn restart(&mut self) {
         self.up = true;
         self.leaving = false;
@@ -147,7 +149,7 @@
         self.incarnation += 1;
     }
 
-    /// Notes its state for readings that come late.
+    /// Records its load for delayed readings.
     pub(crate) fn record_load(&mut self, now: Moment) {
         self.load_history.push_back((now, self.load()));
         if self.load_history.len() > 100 {
@@ -159,7 +161,7 @@
         self.running.len() as f64 / f64::from(self.info.slots)
     }
 
-    /// The answer to a probe, if there is one.
+    /// The answer to a probe; `None` if the probe fails.
     pub(crate) fn probe(&self, now: Moment) -> Option<Reading> {
         if !self.up {
             return None;
--- a/crates/bench/src/experiment/flow.rs
+++ b/crates/bench/src/experiment/flow.rs
@@ -1,4 +1,5 @@
-//! A request's way: caller, entry, perhaps a second entry, endpoint, and back.
+//! The course of a request: from the caller to an entry, perhaps a second entry, an
+//! endpoint, and back.
 
 use std::time::Duration;
 
@@ -11,21 +12,22 @@
 use super::metrics::RequestEnd;
 use super::simulation::{Request, SimEvent, Simulation};
 
-/// How long a caller or an entry waits for a connection to something that is gone.
+/// Time after which a connection attempt to a stopped entry or endpoint fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a caller passes over an entry that it couldn't reach.
+/// Time for which a caller avoids an entry that it couldn't reach or that had no endpoint.
 const AVOID_DURATION: Duration = Duration::from_secs(5);
-/// Attempts of one entry for a request.
+/// Attempts for a request, over all entries.
 const MAX_ATTEMPTS: u32 = 3;
-/// Callers of whom a surge comes.
+/// Number of callers that send a surge's requests.
 const SURGE_CALLERS: usize = 5;
 
 impl Simulation {
-    /// A caller sends a request; the next one of the service follows at random.
+    /// A caller sends a request; the service's next arrival is scheduled after a random
+    /// interval.
     pub(crate) fn arrive(&mut self, service: usize) {
         let spec = &self.deployment.services[service];
         let caller_timeout = spec.caller_timeout;
-        // Half of the time is fixed, half has a long tail.
+        // Half of the service time is fixed, half is exponentially distributed.
         let tail = -self.arrivals.random::<f64>().max(1e-9).ln();
         let service_time = spec.service_time.mul_f64(0.5 + 0.5 * tail);
         let surge = if service == 0 { self.surge } else { 0.0 };
@@ -59,7 +61,8 @@
         self.after(Duration::from_secs_f64(gap), SimEvent::Arrival { service });
     }
 
-    /// The entries that the caller knows for the service, the first one last.
+    /// Entries for the service, from the caller's cached look-up or a new one; the first to
+    /// try comes last. Empty if no entry answers look-ups.
     fn lookup(&mut self, caller: usize, service: usize) -> Vec<usize> {
         let cached = self.callers[caller].cached_lookups.get(&service);
         if let Some((entries, until)) = cached
@@ -86,7 +89,8 @@
             self.callers[caller].home = home;
         }
         entries.reverse();
-        // The first answers lapse at different times, as if callers had been there long.
+        // The first look-ups expire at different times, as if callers had been running for
+        // long.
         let first = !self.callers[caller].cached_lookups.contains_key(&service);
         let part = if first {
             f64::from((caller as u32 * 37) % 100) / 100.0
@@ -128,7 +132,7 @@
             );
             return;
         }
-        // None of its answer is left: it asks anew next time.
+        // No entry of the look-up is left: the next request makes a new look-up.
         let service = self.requests[req].service;
         self.callers[caller].cached_lookups.remove(&service);
         self.finish(req, RequestEnd::Refused);
@@ -157,7 +161,7 @@
         }
         if !self.entries[entry].up {
             self.avoid(req, entry);
-            // The wait for the connection is the caller's loss of time.
+            // The caller loses the time until its connection attempt fails.
             self.after(
                 CONNECT_TIMEOUT,
                 SimEvent::AtCaller {
@@ -266,6 +270,8 @@
         self.check_shift(req);
     }
 
+    /// Returns an attempt that the endpoint has refused, or that couldn't connect, to its
+    /// entry.
     fn endpoint_rejected(
         &mut self,
         req: usize,
@@ -285,8 +291,8 @@
         self.after(service_time, SimEvent::Completed { req, endpoint });
     }
 
-    /// Compares the shifted requests of the first service in this request's region with
-    /// the row's cap.
+    /// Records by how much the requests of the first service that run in this request's
+    /// region, but whose callers have another home region, exceed the row's shift cap.
     fn check_shift(&mut self, req: usize) {
         let Some(endpoint) = self.requests[req].endpoint else {
             return;
@@ -334,7 +340,7 @@
         self.record_request_count(endpoint);
     }
 
-    /// An attempt's end reaches the entry that made it.
+    /// The result of an attempt arrives at the entry that made it.
     pub(crate) fn attempt_ended(&mut self, req: usize, entry: usize, kind: FinishKind) {
         if self.requests[req].finished {
             return;
@@ -374,7 +380,8 @@
         );
     }
 
-    /// An entry has an end for the request and passes it back.
+    /// An entry has a final result and returns it to the entry that forwarded the request,
+    /// or to the caller.
     fn answered(&mut self, req: usize, entry: usize, end: RequestEnd) {
         let counted_by = &mut self.requests[req].counted_by;
         counted_by.retain(|&counting| counting != entry);
@@ -397,6 +404,7 @@
         }
     }
 
+    /// The result of a forwarded request arrives at the entry that forwarded it.
     pub(crate) fn forward_ended(&mut self, req: usize, origin: usize, end: RequestEnd) {
         if self.requests[req].finished || !self.entries[origin].up {
             return;
@@ -413,6 +421,8 @@
         }
     }
 
+    /// A result arrives at the caller, which tries its next entry if this one was down or
+    /// had no endpoint.
     pub(crate) fn at_caller(&mut self, req: usize, end: RequestEnd) {
         if self.requests[req].finished {
             return;
@@ -424,7 +434,8 @@
         self.finish(req, end);
     }
 
-    /// The caller gives up; everything that the request holds is freed.
+    /// The caller's timeout has expired: it cancels the request, which frees its slot and
+    /// counts.
     pub(crate) fn deadline(&mut self, req: usize) {
         if self.requests[req].finished {
             return;
@@ -447,7 +458,7 @@
             .record_end(service, created, self.now, end, caller_timeout);
     }
 
-    /// Names of endpoints for which the predicate holds.
+    /// Names of the endpoints for whose index the predicate holds.
     pub(crate) fn endpoint_names(&self, f: impl Fn(usize) -> bool) -> Vec<NodeName> {
         let chosen = (0..self.endpoints.len()).filter(|&index| f(index));
         chosen
--- a/crates/bench/src/experiment/metrics.rs
+++ b/crates/bench/src/experiment/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run is judged by.
+//! The figures of a run.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEnd {
-    /// With its answer.
+    /// With an answer.
     Answered,
     /// With a refusal.
     Refused,
-    /// Not before the caller gave up.
+    /// The caller's timeout expired, or, for one attempt, the entry was down.
     Lost,
-    /// With the word that this entry has no endpoint; the caller tries the next one.
+    /// The entry has no endpoint for the service; the caller tries its next entry.
     NoEndpoint,
 }
 
@@ -26,7 +26,8 @@
 pub struct ServiceFigures {
     /// Latencies of answers, in microseconds.
     pub answered: Histogram<u64>,
-    /// The same, with refused and lost requests counted as the caller's patience.
+    /// Latencies of all requests, in microseconds; refused and lost ones count as the
+    /// caller's timeout.
     pub charged: Histogram<u64>,
     /// Requests refused.
     pub refused: u64,
@@ -34,9 +35,11 @@
     pub lost: u64,
 }
 
-/// Slot time used in one failure domain by one service.
+/// Slot time that the first service's requests have used in a failure domain in this
+/// window.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlotUsage {
+    /// Requests that run since `since`.
     running: u32,
     since: Moment,
     slot_seconds: f64,
@@ -47,16 +50,16 @@
 pub struct Figures {
     /// By service.
     pub services: Vec<ServiceFigures>,
-    /// Requests that reached an endpoint whose slots were all filled.
+    /// Requests that reached an endpoint when all its slots were filled.
     pub overfilled: u64,
-    /// Most by which a region's limit was exceeded.
+    /// Largest excess over a region's limit.
     pub limit_excess: u32,
-    /// Most by which a region's shift cap was exceeded.
+    /// Largest excess over a region's shift cap, first service.
     pub shift_excess: u32,
-    /// Lowest free part of a failure domain's slots over a second, first service.
+    /// Lowest share of a failure domain's slots that was free, averaged over a window;
+    /// first service.
     pub headroom: f64,
-    /// Time from the start of a drain to the last request that started on a leaving
-    /// endpoint, and to the last that ran there.
+    /// Times of the scenario's drain; `None` if it has none.
     pub drain: Option<Drain>,
     usage_by_domain: [SlotUsage; DOMAINS],
 }
@@ -70,12 +73,13 @@
 }
 
 impl Drain {
-    /// Time until no new work came.
+    /// Time from the start of the drain to the last request that started on a leaving
+    /// endpoint.
     pub fn new_work(&self) -> Duration {
         self.last_start.saturating_sub(self.started)
     }
 
-    /// Time until nothing ran.
+    /// Time from the start of the drain to the last end of a request on a leaving endpoint.
     pub fn empty(&self) -> Duration {
         self.last_end.saturating_sub(self.started)
     }
@@ -89,7 +93,7 @@
 }
 
 impl Figures {
-    /// Nothing measured yet.
+    /// Figures before anything is measured.
     pub fn new(deployment: &Deployment) -> Self {
         let service = |_| ServiceFigures {
             answered: histogram(),
@@ -108,6 +112,7 @@
         }
     }
 
+    /// Records the end of a request that its caller sent at `created`.
     pub(crate) fn record_end(
         &mut self,
         service: usize,
@@ -135,7 +140,7 @@
         }
     }
 
-    /// The number of the first service's requests that run in a failure domain changed.
+    /// Sets the number of the first service's requests that run in a failure domain.
     pub(crate) fn set_running(&mut self, now: Moment, domain: usize, running: u32) {
         let usage = &mut self.usage_by_domain[domain];
         let span = now.saturating_sub(usage.since).as_secs_f64();
@@ -144,7 +149,8 @@
         usage.running = running;
     }
 
-    /// Ends a window of headroom; `slots` are those in service in each failure domain.
+    /// Ends a window over which headroom is measured; `slots` are those available in each
+    /// failure domain.
     pub(crate) fn sample(&mut self, now: Moment, window: Duration, slots: [u32; DOMAINS]) {
         for (domain, slots) in slots.into_iter().enumerate() {
             let running = self.usage_by_domain[domain].running;
@@ -177,12 +183,14 @@
         }
     }
 
+    /// Compares a service's requests in progress in each region with the regions' limits.
     pub(crate) fn record_in_progress(&mut self, by_region: [u32; REGIONS], limits: [u32; REGIONS]) {
         for (running, limit) in by_region.into_iter().zip(limits) {
             self.limit_excess = self.limit_excess.max(running.saturating_sub(limit));
         }
     }
 
+    /// Compares a region's shifted requests with its shift cap.
     pub(crate) fn record_shifted(&mut self, running: u32, cap: u32) {
         self.shift_excess = self.shift_excess.max(running.saturating_sub(cap));
     }
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,10 +1,10 @@
-//! Steering against baselines, on the two deployments that it is built for.
+//! Simulated comparison of our steering policy with baseline policies, on two deployments.
 //!
-//! Small fakes stand at the policy's border: endpoints with slots, a backlog, caches
-//! that can be cold, and readings that lag or lie; callers that keep the answers to
-//! look-ups; a platform's list that lags. The policies are the ones that the daemon
-//! runs, driven by a plain event loop over [`Moment`](filberthead_types::Moment), so a
-//! run of a scene takes a fraction of a second and gives the same figures every time.
+//! Simulated are endpoints with slots, a backlog, caches that can be cold, and load
+//! readings that can be late or wrong; callers that cache look-up results; and a platform's
+//! endpoint list that lags. The policies are the ones that the daemon runs, driven by an
+//! event loop over [`Moment`](filberthead_types::Moment), so a scenario runs in a fraction
+//! of a second and gives the same figures every time.
 
 mod baseline;
 mod bound;
@@ -28,26 +28,26 @@
 pub use report::{print_lines, print_table};
 pub use scenario::{LENGTH, Scenario, Step, scenarios};
 
-/// Figures of one policy in one scene of one deployment.
+/// Figures of one policy in one scenario of one deployment.
 #[derive(Debug)]
 pub struct Run {
     /// The deployment's name.
     pub deployment: &'static str,
-    /// The scene's name.
+    /// The scenario's name.
     pub scenario: &'static str,
-    /// Whether the scene is an uneven one.
+    /// Whether load or faults are uneven between endpoints in the scenario.
     pub skewed: bool,
     /// The policy.
     pub policy: PolicyKind,
-    /// Names of the services, as in the figures.
+    /// Names of the services, in the order of [`Figures::services`].
     pub services: Vec<&'static str>,
-    /// Least p99 that any plan could reach, by service.
+    /// Lower bound on the p99 latency of each service; see [`least_latency`].
     pub bounds: Vec<std::time::Duration>,
     /// What was measured.
     pub figures: Figures,
 }
 
-/// Runs a scene.
+/// Runs a scenario under a policy.
 pub fn run(deployment: &Deployment, scenario: &Scenario, policy: PolicyKind, seed: u64) -> Run {
     let simulation =
         simulation::Simulation::new(policy, deployment.clone(), scenario.clone(), seed);
--- a/crates/bench/src/experiment/policy.rs
+++ b/crates/bench/src/experiment/policy.rs
@@ -13,30 +13,31 @@
 pub enum PolicyKind {
     /// A baseline.
     Baseline(Pick),
-    /// Ours, in one of its versions.
+    /// Our policy, in one of its versions.
     Ours(Version),
 }
 
-/// A version of our policy. Earlier ones are kept, so that each step can be measured.
+/// A version of our policy. Earlier ones are kept so that the effect of each step can be
+/// measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// Counts at its own endpoints; no spill-over.
+    /// Counts requests at the endpoints of its failure domain; no spillover.
     Counted,
-    /// The same, with each endpoint's slots split between the entries.
+    /// As `Counted`, with each endpoint's slots split between the entries.
     Split,
-    /// The same, the better of two endpoints drawn at random.
+    /// As `Counted`, with the better of two endpoints drawn at random.
     CountedTwoChoices,
-    /// With spill-over to other entries.
+    /// As `Counted`, with spillover to other entries.
     Spill,
-    /// With endpoints, limits and shift caps held by leases, and one owner for all of a
+    /// With leases for endpoints, limits and shift caps, and a single owner for all of a
     /// service's endpoints in a failure domain.
     Leased,
-    /// The same, with look-ups that relieve full regions.
+    /// As `Leased`, with look-ups that send callers away from full regions.
     Relief,
 }
 
 impl PolicyKind {
-    /// All that are compared.
+    /// All policies that are compared.
     pub const ALL: [Self; 9] = [
         Self::Baseline(Pick::RoundRobin),
         Self::Baseline(Pick::LeastReported),
@@ -49,10 +50,10 @@
         Self::Ours(Version::Relief),
     ];
 
-    /// The version that stands for us.
+    /// The current version of our policy.
     pub const LATEST: Self = Self::Ours(Version::Relief);
 
-    /// Its name, as in the figures.
+    /// Name, as in the figures and in `--policy`.
     pub fn name(self) -> &'static str {
         match self {
             Self::Baseline(Pick::RoundRobin) => "round-robin",
@@ -67,18 +68,19 @@
         }
     }
 
-    /// Whether callers have homes under this policy, so that shifted requests can be
+    /// Whether callers have home regions under this policy, so that shifted requests can be
     /// told from others.
     pub fn has_home_regions(self) -> bool {
         matches!(self, Self::Ours(_))
     }
 
-    /// Whether an entry sends to the endpoints of its whole region directly.
+    /// Whether an entry sends directly to all endpoints of its region, not only to those of
+    /// its failure domain.
     pub fn sends_to_whole_region(self) -> bool {
         matches!(self, Self::Baseline(_))
     }
 
-    /// The policy of one entry.
+    /// Builds the policy of an entry.
     pub fn build(
         self,
         now: Moment,
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! Prints figures: a line each for machines, a table for people.
+//! Prints figures: one per line for scripts, and as a table for people.
 
 use hdrhistogram::Histogram;
 
@@ -60,7 +60,8 @@
     }
 }
 
-/// Prints the runs of one scene as a table, first service only.
+/// Prints the runs of one scenario as a table, with the latencies and counts of the first
+/// service.
 pub fn print_table(runs: &[Run]) {
     let Some(first) = runs.first() else { return };
     println!(
--- a/crates/bench/src/experiment/scenario.rs
+++ b/crates/bench/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenes: what happens to a deployment, and when.
+//! Scenarios: load changes and faults, and when they occur.
 
 use std::time::Duration;
 
@@ -6,53 +6,55 @@
 
 use super::endpoint::ReadingMode;
 
-/// Something that a scene does at a moment.
+/// A change that a scenario makes.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A few callers add this part of the first service's slots to its load.
+    /// A few callers add load worth this share of the first service's slots.
     Surge(f64),
-    /// The endpoints of a failure domain say that they are leaving, its entries start
-    /// their planned stop, and the platform's list shows it only much later.
+    /// The endpoints of a failure domain report that they are leaving, and its entries
+    /// start their planned stop. The platform's list shows it only later, with
+    /// [`Step::ListLeaving`].
     DrainDomain(usize),
-    /// The endpoints of a failure domain stop, done or not.
+    /// The endpoints of a failure domain stop; requests in progress are lost.
     StopEndpoints(usize),
     /// The platform's list shows the endpoints of a failure domain as leaving.
     ListLeaving(usize),
-    /// A region falls silent; what runs there is lost.
+    /// The endpoints and entries of a region stop; requests in progress are lost.
     LoseRegion(usize),
-    /// It starts anew with empty caches.
+    /// The endpoints and entries of a region restart, the endpoints with empty caches.
     RestoreRegion(usize),
-    /// What all probes get from now on.
+    /// Sets how all endpoints answer probes.
     SetReadings(ReadingMode),
-    /// Messages between entries get lost, or get through again.
+    /// Whether messages between entries are delivered.
     DeliverReports(bool),
     /// The first endpoint of the first service refuses everything and the second one
-    /// turns slow; both say that they are idle.
+    /// becomes slow; both report that they are idle.
     MisreportLoad,
-    /// An entry loses its peers and control, or has them back.
+    /// Whether an entry is cut off from its peers and control.
     IsolateEntry(usize, bool),
-    /// Control is out of everybody's reach, or back.
+    /// Whether control is cut off from all entries.
     IsolateControl(bool),
-    /// The first region's weights are set to nought.
+    /// Sets the weights of the first region to 0.
     DrainRegion,
 }
 
-/// A scene.
+/// A scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name, as in the figures.
+    /// Name, as in the figures.
     pub name: &'static str,
-    /// Whether load or trouble is uneven between endpoints.
+    /// Whether load or faults are uneven between endpoints.
     pub skewed: bool,
-    /// How long callers keep the answer to a look-up.
+    /// How long callers cache a look-up result.
     pub lookup_ttl: Duration,
-    /// What happens.
+    /// What changes, and when.
     pub steps: Vec<(Moment, Step)>,
 }
 
-/// Length of every scene.
+/// Length of every scenario.
 pub const LENGTH: Duration = Duration::from_secs(30);
-/// Requests born before this moment aren't measured: counts and estimates settle.
+/// Requests that callers sent before this moment aren't measured, so that counts and
+/// estimates can settle.
 pub(crate) const WARM_UP: Duration = Duration::from_secs(6);
 const LOOKUP_TTL: Duration = Duration::from_secs(10);
 
@@ -77,7 +79,7 @@
     ]
 }
 
-/// All scenes.
+/// All scenarios.
 pub fn scenarios() -> Vec<Scenario> {
     let late = ReadingMode::Delayed(Duration::from_secs(3));
     let mut drain_and_surge = drain_steps();
--- a/crates/bench/src/experiment/simulation.rs
+++ b/crates/bench/src/experiment/simulation.rs
@@ -1,7 +1,7 @@
 //! The event loop that drives the policies of all entries of a deployment.
 //!
-//! It knows nothing of a policy but the [`Steering`] border. Arrivals and the plain
-//! length of each request are drawn from a source of their own, so that every policy
+//! It uses policies only through the [`Steering`] trait. Arrivals and the warm service time
+//! of each request are drawn from a random generator of their own, so that every policy
 //! gets the same requests at the same moments.
 
 use std::cmp::{Ordering, Reverse};
@@ -24,66 +24,66 @@
 use super::scenario::{LENGTH, Scenario};
 
 pub(crate) const TICK: Duration = Duration::from_millis(100);
-/// Where the control leader runs.
+/// Failure domain of the control leader.
 const CONTROL_DOMAIN: usize = 2;
 const SAMPLE: Duration = Duration::from_secs(1);
 
-/// What happens next.
+/// A scheduled event. Numbers are indices of requests, endpoints, entries and services.
 #[derive(Debug)]
 pub(crate) enum SimEvent {
-    Arrival {
-        service: usize,
-    },
+    /// A caller sends a request to a service.
+    Arrival { service: usize },
+    /// A request arrives at an entry, forwarded by `via` if that is set.
     AtEntry {
         req: usize,
         entry: usize,
         via: Option<usize>,
     },
+    /// A request arrives at an endpoint, sent by `entry`.
     AtEndpoint {
         req: usize,
         endpoint: usize,
         entry: usize,
     },
-    Completed {
-        req: usize,
-        endpoint: usize,
-    },
+    /// An endpoint completes a request.
+    Completed { req: usize, endpoint: usize },
+    /// The result of an attempt arrives at the entry that made it.
     AttemptEnded {
         req: usize,
         entry: usize,
         kind: filberthead_steer::FinishKind,
     },
+    /// The result of a forwarded request arrives at the entry that forwarded it.
     ForwardEnded {
         req: usize,
         origin: usize,
         end: RequestEnd,
     },
-    AtCaller {
-        req: usize,
-        end: RequestEnd,
-    },
-    Deadline {
-        req: usize,
-    },
-    Tick {
-        entry: usize,
-    },
+    /// A result arrives at the caller.
+    AtCaller { req: usize, end: RequestEnd },
+    /// The caller's timeout expires.
+    Deadline { req: usize },
+    /// An entry's policy gets its periodic tick.
+    Tick { entry: usize },
+    /// The result of a probe arrives at the entry; `None` means that the probe failed.
     Probed {
         entry: usize,
         endpoint: usize,
         reading: Option<Reading>,
     },
+    /// A message from another entry or control arrives at the entry `to`.
     Delivered {
         to: usize,
         from: NodeName,
         message: Message,
     },
-    AtControl {
-        from: usize,
-        message: Message,
-    },
+    /// A message from an entry arrives at control.
+    AtControl { from: usize, message: Message },
+    /// Entries learn which other entries they can reach.
     MembersChanged,
+    /// The end of a window over which headroom is measured.
     Sample,
+    /// The scenario's step with this index.
     Step(usize),
 }
 
@@ -114,43 +114,52 @@
     }
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) service: usize,
     pub(crate) caller: usize,
     pub(crate) created: Moment,
+    /// Time that it takes at a warm endpoint.
     pub(crate) service_time: Duration,
-    /// Entries of the caller's answer, the next one last.
+    /// Entries from the caller's look-up that it hasn't tried yet, the next one last.
     pub(crate) entries: Vec<usize>,
+    /// Endpoints and entries at which an attempt has failed.
     pub(crate) tried: Vec<NodeName>,
     pub(crate) attempts: u32,
-    /// Entries whose policy counts it, the first one in front.
+    /// Entries whose policy counts it as in progress; the first one received it from the
+    /// caller.
     pub(crate) counted_by: Vec<usize>,
+    /// Endpoint at which it runs or waits.
     pub(crate) endpoint: Option<usize>,
-    /// When its latest attempt set out for an endpoint.
+    /// When its latest attempt was sent to an endpoint.
     pub(crate) sent: Moment,
+    /// Whether the caller has a result or has given up.
     pub(crate) finished: bool,
 }
 
-/// An entry with its policy.
+/// A simulated entry with its policy.
 pub(crate) struct SimulatedEntry {
     pub(crate) info: EntryInfo,
     pub(crate) domain: usize,
     pub(crate) policy: Box<dyn Steering>,
     pub(crate) up: bool,
-    /// Cut off from peers and control.
+    /// Whether it is cut off from peers and control.
     pub(crate) isolated: bool,
 }
 
-/// A caller with the answers that it keeps.
+/// A caller with its cached look-ups.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub(crate) addr: IpAddr,
+    /// Entries from its last look-up of each service, the first one last, and when they
+    /// expire.
     pub(crate) cached_lookups: HashMap<usize, (Vec<usize>, Moment)>,
-    /// Entries that it couldn't reach, and until when it passes them over.
+    /// Entries that it couldn't reach or that had no endpoint, and until when it avoids
+    /// each.
     pub(crate) avoided_until: HashMap<usize, Moment>,
-    /// Region of its first answer for the first service.
+    /// Home region: that of the first entry in its first look-up of the first service.
+    /// `None` before that.
     pub(crate) home: Option<usize>,
 }
 
@@ -160,10 +169,10 @@
     lessor
 }
 
-/// Longest deadline of a request.
+/// Longest timeout of a caller, for the lessor.
 const MAX_REQUEST_DURATION: Duration = Duration::from_secs(10);
 
-/// A deployment under a policy, in a scene.
+/// A deployment under a policy, in a scenario.
 pub(crate) struct Simulation {
     pub(crate) kind: PolicyKind,
     pub(crate) deployment: Deployment,
@@ -178,10 +187,15 @@
     pub(crate) callers: Vec<Caller>,
     pub(crate) requests: Vec<Request>,
     pub(crate) view: Arc<View>,
+    /// Load that a surge adds to the first service, as a share of its slots.
     pub(crate) surge: f64,
+    /// Whether messages between entries are delivered.
     pub(crate) reports_delivered: bool,
+    /// Grants leases to entries, as the control leader does.
     pub(crate) control: Lessor,
+    /// Whether control is cut off from all entries.
     pub(crate) control_isolated: bool,
+    /// Generator for arrivals and service times; policies have their own.
     pub(crate) arrivals: StdRng,
     pub(crate) figures: Figures,
 }
@@ -218,7 +232,7 @@
         }
     }
 
-    /// Runs the scene to its end.
+    /// Runs the scenario to its end.
     pub(crate) fn run(mut self) -> Figures {
         self.schedule_start();
         while let Some(Reverse(timed)) = self.queue.pop() {
@@ -236,7 +250,7 @@
             self.after(Duration::ZERO, SimEvent::Arrival { service });
         }
         for entry in 0..self.entries.len() {
-            // Entries don't tick in step.
+            // Ticks of the entries are spread over the interval.
             let offset = TICK * entry as u32 / self.entries.len() as u32;
             self.after(offset, SimEvent::Tick { entry });
         }
@@ -296,7 +310,7 @@
         self.observe(entry, Event::Tick);
     }
 
-    /// Hands an event to an entry's policy and does what it asks for.
+    /// Passes an event to an entry's policy and performs the actions that it returns.
     pub(crate) fn observe(&mut self, entry: usize, event: Event) {
         if !self.entries[entry].up {
             return;
@@ -383,7 +397,7 @@
         }
     }
 
-    /// Whether two entries reach each other.
+    /// Whether two entries can exchange messages.
     pub(crate) fn are_connected(&self, one: usize, two: usize) -> bool {
         let (one, two) = (&self.entries[one], &self.entries[two]);
         one.up && two.up && !one.isolated && !two.isolated
@@ -412,7 +426,7 @@
         self.figures.sample(self.now, SAMPLE, slots);
     }
 
-    /// Takes stock after the number of requests at an endpoint has changed.
+    /// Updates the figures after the number of requests at an endpoint has changed.
     pub(crate) fn record_request_count(&mut self, endpoint: usize) {
         let service = self.endpoints[endpoint].service;
         if service == 0 {
--- a/crates/bench/src/experiment/steps.rs
+++ b/crates/bench/src/experiment/steps.rs
@@ -1,4 +1,4 @@
-//! What scenes do to a world.
+//! Applies a scenario's steps to the simulation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,11 @@
 use super::scenario::Step;
 use super::simulation::{SimEvent, Simulation};
 
-/// How long other entries take to notice that one is gone.
+/// Time until other entries detect that an entry is gone or back.
 const FAILURE_DETECTION: Duration = Duration::from_secs(2);
-/// How long they take to learn of a planned stop.
+/// Time until other entries learn of a planned stop or a restart.
 const STOP_PROPAGATION: Duration = Duration::from_millis(300);
+/// Factor on the service time of the endpoint that [`Step::MisreportLoad`] slows down.
 const SLOWNESS: f64 = 8.0;
 
 impl Simulation {
