--- a/crates/bench/src/bin/filberthead-measure-control/changes.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/changes.rs
@@ -1,4 +1,5 @@
-//! From an operator's request to the change in force at every entry.
+//! Measures the time from an operator's request until the change is in force at every
+//! entry.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,10 +15,11 @@
 
 const CHANGES: u32 = 300;
 const PAUSE: Duration = Duration::from_millis(20);
-/// How often each entry is asked; times are as exact as that.
+/// Interval at which each entry's status is polled, which limits the precision of the
+/// times.
 const POLL: Duration = Duration::from_millis(1);
 
-/// A version that an entry was seen to act on.
+/// A table version that an entry's status showed as in force.
 #[derive(Debug)]
 struct ObservedVersion {
     entry: usize,
@@ -57,7 +59,8 @@
     everywhere.print("change_in_force_11_entries");
 }
 
-/// When the last of so many entries was first seen to act on a version.
+/// Waits until each of `entries` entries has shown `version` or a later one, and returns
+/// when the last one first did.
 fn last_observed(
     rx: &mut mpsc::UnboundedReceiver<ObservedVersion>,
     entries: usize,
@@ -74,7 +77,7 @@
     last.expect("there is an entry")
 }
 
-/// Tells each change of the version that an entry acts on.
+/// Polls an entry's status and sends each new version that it shows.
 async fn watch(entry: usize, addr: SocketAddr, tx: mpsc::UnboundedSender<ObservedVersion>) {
     let mut connection = Connection::open(addr).await.expect("the entry runs");
     let call = Call::get("/status");
--- a/crates/bench/src/bin/filberthead-measure-control/failover.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/failover.rs
@@ -1,4 +1,4 @@
-//! How long nothing is accepted after the leader has been killed.
+//! Measures for how long no change is accepted after the leader has been killed.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,8 @@
     gaps.print("no_leader_after_kill");
 }
 
-/// Kills the leader and returns the time until another replica accepts a change.
+/// Kills the leader, returns the time until another replica accepts a change, and restarts
+/// the killed one.
 fn time_without_leader(system: &mut System) -> Duration {
     let leader = system.operator.wait_leader();
     let name = leader.node.as_str();
@@ -43,7 +44,7 @@
     gap
 }
 
-/// Waits until each replica has applied what the leader has.
+/// Waits until each replica has the table version of the leader.
 fn wait_all_in_sync(system: &System) {
     wait_until("all replicas have the table of the leader", BOUND, || {
         let Some(leader) = system.operator.leader() else {
--- a/crates/bench/src/bin/filberthead-measure-control/figures.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/figures.rs
@@ -4,15 +4,15 @@
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart from longer ones, in microseconds.
+/// Longest time that is recorded as it is; longer ones count as this, in microseconds.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// Prints one figure.
+/// Prints a figure with the prefix `control_`.
 pub(crate) fn print(name: &str, value: f64, unit: &str) {
     println!("control_{name}: {value:.3} {unit}");
 }
 
-/// Times of one kind.
+/// A distribution of times.
 #[derive(Debug)]
 pub(crate) struct Times {
     histogram: Histogram<u64>,
--- a/crates/bench/src/bin/filberthead-measure-control/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/load.rs
@@ -1,4 +1,5 @@
-//! What control costs each process, idle and under changes.
+//! Measures the traffic, processor time and memory that control costs each process, idle
+//! and under changes.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +17,7 @@
 const PROTOCOLS: &[&str] = &["spread", "ledger", "quarantine", "steer", "samples"];
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What a process has used since its start.
+/// Processor time and peer traffic of a process since its start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     cpu_seconds: f64,
@@ -40,7 +41,7 @@
     }
 }
 
-/// What all processes have used over a while.
+/// Usage of the control leader and all entries over a period.
 struct Window {
     seconds: f64,
     leader: Usage,
@@ -48,6 +49,7 @@
 }
 
 impl Window {
+    /// Runs `work` and returns what the processes used meanwhile.
     fn measure(system: &System, work: impl FnOnce()) -> Self {
         let leader = system.operator.wait_leader();
         let mut controls = system.cluster.controls.iter();
@@ -107,7 +109,7 @@
     print("entry_resident_most", megabytes, "MB");
 }
 
-/// Bytes that all entries have sent since their start, for each of [`PROTOCOLS`].
+/// Bytes that all entries together have sent since their start, for each of [`PROTOCOLS`].
 fn sent_by_protocol(system: &System) -> Vec<f64> {
     let entries = &system.cluster.entries;
     let sent = |protocol: &&str| {
@@ -117,7 +119,7 @@
     PROTOCOLS.iter().map(sent).collect()
 }
 
-/// The day's changes, speeded up.
+/// Measures usage while changes arrive faster than the 1300 a day that are expected.
 pub(crate) fn changing(system: &System) {
     let window = Window::measure(system, || {
         system.change_often(CHANGES, CHANGES_PAUSE);
--- a/crates/bench/src/bin/filberthead-measure-control/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/main.rs
@@ -1,8 +1,8 @@
 //! Measures the control plane with real processes: three control replicas and eleven
-//! entries in six failure domains, as the larger of today's users has them.
+//! entries in six failure domains.
 //!
-//! Every process is behind a proxy of this one, as in the tests, so that replicas keep
-//! their addresses over a restart; times include the proxies' share.
+//! Every process is behind a proxy in this process, so that replicas keep their addresses
+//! over a restart; times include the proxies' share.
 
 mod changes;
 mod failover;
--- a/crates/bench/src/bin/filberthead-measure-control/restart.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/restart.rs
@@ -1,4 +1,4 @@
-//! How soon an entry that was away acts on the newest table.
+//! Measures how soon a restarted entry has the newest table in force and serves callers.
 
 use std::time::{Duration, Instant};
 
--- a/crates/bench/src/bin/filberthead-measure-control/system.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/system.rs
@@ -1,4 +1,4 @@
-//! The processes that are measured.
+//! The measured processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const SERVICE: &str = "orders";
 const REGION: &str = "zagreb";
 
-/// A running system and somebody who changes its table.
+/// A running cluster and an operator who changes its table.
 #[derive(Debug)]
 pub(crate) struct System {
     pub(crate) cluster: Cluster,
@@ -56,13 +56,15 @@
             .direct_addr("operator")
     }
 
-    /// Changes the only row, which has the revision `seen`.
+    /// Sets the weight of the only row, whose revision is `current`, and returns the new
+    /// version.
     pub(crate) fn change(&self, current: Version, weight: u32) -> Version {
         let change = set_weight(SERVICE, REGION, Revision(current.0), weight);
         self.operator.accept(&change)
     }
 
-    /// Changes the row so many times, with a pause after each.
+    /// Changes the row `times` times, with a pause after each, and returns the last
+    /// version.
     pub(crate) fn change_often(&self, times: u32, pause: Duration) -> Version {
         let mut current = self.operator.table().version;
         for weight in 1..=times {
@@ -72,6 +74,7 @@
         current
     }
 
+    /// Waits until the version or a later one is in force at every entry.
     pub(crate) fn wait_in_force(&self, version: Version) {
         for node in &self.cluster.entries {
             eventually("a version in force at every entry", BOUND, || {
--- a/crates/bench/src/bin/filberthead-measure-requests/drain.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/drain.rs
@@ -1,4 +1,4 @@
-//! How long planned stops and drains take.
+//! Measures how long planned stops and drains take.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use crate::print;
 
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// Longer than a drain of an endpoint may take.
+/// Longer than an endpoint's drain may take.
 const WATCH_DURATION: Duration = Duration::from_secs(5);
 const READERS: usize = 8;
 
@@ -34,8 +34,8 @@
     Call::get(&format!("/v1/services/catalogue/{path}"))
 }
 
-/// Time from SIGTERM to the end of an entry, with look-ups kept for 1 s and a download
-/// that needs 5 s more.
+/// Time from SIGTERM to the exit of an entry, while callers cache look-ups for 1 s and a
+/// download needs 5 s more.
 pub(crate) fn entry() {
     let mut cluster = start();
     for endpoint in &cluster.endpoints {
@@ -59,8 +59,8 @@
     print("entry_drain_cut", f64::from(u8::from(!complete)), "count");
 }
 
-/// Time from an endpoint's first word of leaving to the last new request that it got,
-/// under load.
+/// Time from when an endpoint reports that it is leaving to the last new request that it
+/// receives under load.
 pub(crate) fn endpoint() {
     let cluster = start();
     let entry = cluster.entries[0].addr("caller");
@@ -70,7 +70,7 @@
         for _ in 0..READERS {
             scope.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    // A refusal while all slots are taken is part of the load.
+                    // Refusals while all slots are filled are part of the load.
                     let _ = read("page").send(entry);
                 }
             });
--- a/crates/bench/src/bin/filberthead-measure-requests/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/load.rs
@@ -1,4 +1,4 @@
-//! A load of one request, again and again over kept connections.
+//! A load generator that repeats one request over persistent connections.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 const ORDER: &str = "three rabbits";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What to send, where, and whose processor time to count.
+/// What to send where, and whose processor time to measure.
 #[derive(Clone, Debug)]
 pub(crate) struct Load {
     addr: SocketAddr,
@@ -24,16 +24,19 @@
     thread: Option<Thread>,
 }
 
-/// Numbers that make each request's idempotency key its own.
+/// Number in the next idempotency key, so that all keys differ.
 static NEXT_KEY: AtomicU64 = AtomicU64::new(0);
-/// Where the number goes in a request; of fixed width, so that all have one length.
+/// Stands where the number goes in a request. Its width is fixed, so that all requests have
+/// the same length.
 const KEY_PLACEHOLDER: &[u8] = b"############";
 
-/// What a load measured.
+/// Measurements of a load.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
+    /// Time to each answer, in nanoseconds.
     nanos: Histogram<u64>,
     took: Duration,
+    /// Processor time that the serving thread used.
     processor: Duration,
 }
 
@@ -48,31 +51,31 @@
 }
 
 impl Sample {
-    /// Joins what another run measured.
+    /// Adds the measurements of another run.
     pub(crate) fn add(&mut self, other: Self) {
         self.nanos += other.nanos;
         self.took += other.took;
         self.processor += other.processor;
     }
 
-    /// Answers a second.
+    /// Answers per second.
     pub(crate) fn rate(&self) -> f64 {
         self.nanos.len() as f64 / self.took.as_secs_f64()
     }
 
-    /// Answers a second of processor time of the serving thread.
+    /// Answers per second of processor time of the serving thread.
     pub(crate) fn rate_per_core(&self) -> f64 {
         self.nanos.len() as f64 / self.processor.as_secs_f64()
     }
 
-    /// A quantile of the time to an answer.
+    /// A quantile of the time to an answer, in microseconds.
     pub(crate) fn micros(&self, quantile: f64) -> f64 {
         self.nanos.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
 impl Load {
-    /// The request without body to `path`, over 32 connections.
+    /// A request without a body to `path`, over 32 connections.
     pub(crate) fn new(addr: SocketAddr, method: &str, path: &str) -> Self {
         Self {
             addr,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// An order with a body, each under a key of its own.
+    /// An order with a body, with a different idempotency key in each request.
     pub(crate) fn order(addr: SocketAddr, path: &str, key_prefix: &str) -> Self {
         let placeholder = String::from_utf8_lossy(KEY_PLACEHOLDER);
         let head = format!(
@@ -96,19 +99,19 @@
         }
     }
 
-    /// Counts the processor time of this thread.
+    /// Measures the processor time of this thread.
     pub(crate) fn thread(mut self, thread: Thread) -> Self {
         self.thread = Some(thread);
         self
     }
 
-    /// Sends over so many connections.
+    /// Sets the number of connections.
     pub(crate) fn connections(mut self, connections: usize) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Sends for a time.
+    /// Runs the load for this long.
     pub(crate) fn run(&self, time: Duration) -> Sample {
         let processor = || {
             let thread = self.thread.as_ref();
@@ -149,8 +152,8 @@
     }
 }
 
-/// Sends and reads until `end`. Every answer has the length of the first one, which
-/// spares the load the parsing that would slow it down.
+/// Sends requests and reads answers until `end`. Every answer must have the length of the
+/// first one, which saves the parsing that would slow the load down.
 async fn exchange(addr: SocketAddr, mut request: Vec<u8>, end: Instant) -> Histogram<u64> {
     let mut nanos = Sample::default().nanos;
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
@@ -177,7 +180,7 @@
     nanos
 }
 
-/// Gives the request a key that no other has.
+/// Puts a unique number into the idempotency key; `key` is its offset in the request.
 fn set_unique_key(request: &mut [u8], key: Option<usize>) {
     if let Some(key) = key {
         let number = NEXT_KEY.fetch_add(1, Ordering::Relaxed);
@@ -198,6 +201,7 @@
     }
 }
 
+/// Length of head and body, or `None` if the head isn't complete.
 fn response_len(buf: &[u8]) -> Option<usize> {
     let head = buf.windows(HEAD_END.len()).position(|w| w == HEAD_END)?;
     let text = std::str::from_utf8(&buf[..head]).ok()?;
--- a/crates/bench/src/bin/filberthead-measure-requests/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/main.rs
@@ -1,8 +1,8 @@
-//! Measures look-ups and requests through a real entry against what they cost without.
+//! Measures look-ups and requests through a real entry, each against a direct counterpart.
 //!
-//! Each figure and its counterpart come from the same run, in turns, because other work
-//! on the machine moves both. Rates are also given a second of processor time of the
-//! thread that serves, which other work moves less.
+//! The loads of a comparison alternate within one run, because other work on the machine
+//! affects both. Rates are also printed per second of processor time of the serving thread,
+//! which other work affects less.
 
 mod drain;
 mod load;
@@ -20,13 +20,14 @@
 use load::{Load, Sample};
 use system::System;
 
-/// How long each turn of a comparison takes.
+/// Duration of each load in a round of a comparison.
 const RUN_DURATION: Duration = Duration::from_secs(1);
 const ROUNDS: usize = 3;
 const TIMEOUT: Duration = Duration::from_secs(60);
 const STATUS_OK: &[u8; 12] = b"HTTP/1.1 200";
 const SLOW_READERS: usize = 1000;
-/// Change of memory within a turn that counts as none.
+/// Change of resident memory within `RUN_DURATION`, in bytes, below which it counts as
+/// settled.
 const MAX_MEMORY_CHANGE: u64 = 1_000_000;
 
 fn main() -> ExitCode {
@@ -44,7 +45,7 @@
     println!("{name}: {value:.3} {unit}");
 }
 
-/// Takes turns between two loads and returns the samples of each.
+/// Alternates between two loads and returns the samples of each.
 fn compare(a: &Load, b: &Load) -> (Sample, Sample) {
     let mut samples = (Sample::default(), Sample::default());
     for _ in 0..ROUNDS {
@@ -116,7 +117,7 @@
     print("order_added_to_read_p50", added, "us");
 }
 
-/// Downloads whose readers have stopped reading.
+/// Measures the entry's memory for downloads whose readers have stopped reading.
 fn downloads(system: &System) {
     let before = system.resident_bytes();
     let readers: Vec<_> = (0..SLOW_READERS)
@@ -125,7 +126,7 @@
     wait_until("all downloads run", TIMEOUT, || {
         system.running() as usize == SLOW_READERS
     });
-    // Until every buffer on the way is full and nothing moves any more.
+    // The memory settles when all buffers between endpoint and reader are full.
     let mut last = 0;
     wait_until("the memory settles", TIMEOUT, || {
         std::thread::sleep(RUN_DURATION);
@@ -144,7 +145,7 @@
     );
 }
 
-/// Begins a download and reads no more than the first bytes of its answer.
+/// Starts a download and reads only the first bytes of its response.
 fn slow_reader(entry: SocketAddr, number: usize) -> TcpStream {
     let path = format!("/v1/services/catalogue/download/{number}?bytes=1000000000");
     eventually("the download begins", TIMEOUT, || {
--- a/crates/bench/src/bin/filberthead-measure-requests/process.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/process.rs
@@ -1,4 +1,4 @@
-//! Processor time of threads, as the system counts it.
+//! Processor time of threads, from `/proc`.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,11 +7,12 @@
 /// A thread of this or another process.
 #[derive(Clone, Debug)]
 pub(crate) struct Thread {
+    /// Its folder in `/proc`.
     folder: PathBuf,
 }
 
 impl Thread {
-    /// The thread that calls.
+    /// The calling thread.
     pub(crate) fn current() -> Self {
         let folder = fs::read_link("/proc/thread-self").expect("/proc/thread-self can be read");
         Self {
@@ -19,7 +20,7 @@
         }
     }
 
-    /// The thread of a process that goes by a name.
+    /// The thread with this name in another process.
     pub(crate) fn of_process(id: u32, name: &str) -> Self {
         let threads = fs::read_dir(format!("/proc/{id}/task")).expect("a running process");
         let is_named = |folder: &PathBuf| {
@@ -33,7 +34,7 @@
         Self { folder }
     }
 
-    /// Processor time that it has used.
+    /// Processor time that the thread has used; 0 if it has ended.
     pub(crate) fn processor_time(&self) -> Duration {
         let text = fs::read_to_string(self.folder.join("schedstat")).unwrap_or_default();
         let nanos = text.split_whitespace().next().and_then(|n| n.parse().ok());
--- a/crates/bench/src/bin/filberthead-measure-requests/responder.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/responder.rs
@@ -1,5 +1,5 @@
-//! A bare hyper responder on one thread: what a look-up costs at the least, and the
-//! quickest endpoint that there can be.
+//! A bare hyper server on one thread: a lower bound on the cost of a look-up, and the
+//! fastest possible endpoint.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 use crate::process::Thread;
 
-/// What it says as an endpoint.
+/// Health answer, for use as an endpoint.
 const HEALTH: &[u8] = br#"{"ready":true,"leaving":false,"load":0.0,"incarnation":1}"#;
 
 /// A running responder.
@@ -29,7 +29,7 @@
 }
 
 impl Responder {
-    /// Starts one that answers every request with `body`.
+    /// Starts a responder that answers every request except the health check with `body`.
     pub(crate) fn start(body: Bytes) -> Self {
         let (tx, rx) = mpsc::channel();
         std::thread::spawn(move || {
@@ -74,7 +74,7 @@
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::task::spawn_local(async move {
-            // The load closes its connections at the end of each turn.
+            // The load closes its connections at the end of each run.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/bench/src/bin/filberthead-measure-requests/system.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/system.rs
@@ -1,4 +1,4 @@
-//! The system that is measured: one entry, stand-in endpoints behind no proxy.
+//! The measured system: one entry and two endpoints that it reaches without a proxy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,13 @@
 use crate::responder::Responder;
 
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Enough that no request waits for a slot.
+/// Slots of an endpoint: enough that no request waits for one.
 const SLOTS: u32 = 1000;
-/// What the stand-in answers by default; the quick endpoint answers as much.
+/// Size of the stand-in's default answer; the endpoint `quick` answers with as many bytes.
 const ANSWER_BYTES: usize = 64;
 
-/// A running entry and its endpoint.
+/// A running entry with the endpoints `measured` (a stand-in) and `quick` (a
+/// [`Responder`]).
 #[derive(Debug)]
 pub(crate) struct System {
     cluster: Cluster,
@@ -28,7 +29,7 @@
 }
 
 impl System {
-    /// Starts it and waits until the entry uses its endpoint.
+    /// Starts the system and waits until the entry sends to both endpoints.
     pub(crate) fn start() -> Self {
         let standin = Standin::start("measured");
         standin.script(|script| {
@@ -69,12 +70,12 @@
         system
     }
 
-    /// Where the entry serves callers, without a proxy.
+    /// Address at which the entry serves callers, without a proxy.
     pub(crate) fn entry(&self) -> SocketAddr {
         self.cluster.entries[0].direct_addr("caller")
     }
 
-    /// What callers put before their keys.
+    /// Prefix for idempotency keys, as returned by a look-up.
     pub(crate) fn key_prefix(&self) -> String {
         eventually("the entry hands out a prefix", TIMEOUT, || {
             let body: serde_json::Value = serde_json::from_slice(&self.lookup_answer()).ok()?;
@@ -83,32 +84,32 @@
         })
     }
 
-    /// Requests that the endpoint runs at the moment.
+    /// Requests that run at the endpoint `measured`.
     pub(crate) fn running(&self) -> u32 {
         self.standin.running()
     }
 
-    /// Memory of the entry.
+    /// Resident memory of the entry, in bytes.
     pub(crate) fn resident_bytes(&self) -> u64 {
         self.cluster.entries[0].process_ref().resident_bytes()
     }
 
-    /// Where the endpoint listens.
+    /// Address of the endpoint `measured`.
     pub(crate) fn endpoint(&self) -> SocketAddr {
         self.standin.addr()
     }
 
-    /// Where the quick endpoint listens.
+    /// Address of the endpoint `quick`.
     pub(crate) fn responder(&self) -> SocketAddr {
         self.responder.addr()
     }
 
-    /// A thread of the entry.
+    /// The entry's thread with this name.
     pub(crate) fn thread(&self, name: &str) -> Thread {
         Thread::of_process(self.process_id, name)
     }
 
-    /// The answer to a look-up, as it stands now.
+    /// Body of the current answer to a look-up.
     pub(crate) fn lookup_answer(&self) -> Bytes {
         let call = Call::get("/v1/lookup?service=catalogue");
         call.send(self.entry()).expect("an answer").body
--- a/crates/bench/src/bin/fleet/args.rs
+++ b/crates/bench/src/bin/fleet/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 const USAGE: &str = "usage: fleet --programs FOLDER [--nodes N] [--domains N] [--replicas N] \
                      [--rows N] [--changes N] [--gap-ms N] [--idle-s N] [--consensus KEY=VALUE]... [--prefix TEXT]";
 
-/// What is to be measured.
+/// What to measure.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Folder of `filberthead-control`.
+    /// Folder that contains `filberthead-control`.
     pub(crate) programs: PathBuf,
     pub(crate) nodes: usize,
     pub(crate) domains: usize,
     pub(crate) replicas: usize,
     /// Rows of the table.
     pub(crate) rows: usize,
-    /// Changes sent, each to one row.
+    /// Number of changes, each to one row.
     pub(crate) changes: usize,
-    /// Time between a change and the next.
+    /// Time from the start of a change to that of the next.
     pub(crate) gap: Duration,
-    /// How long to watch without a change.
+    /// How long to measure without changes.
     pub(crate) idle: Duration,
-    /// Lines of the section `[consensus]` of each replica.
+    /// Lines for the section `[consensus]` in each replica's settings.
     pub(crate) consensus: Vec<String>,
-    /// Stands before the name of each figure.
+    /// Prefix of each figure's name.
     pub(crate) prefix: String,
 }
 
--- a/crates/bench/src/bin/fleet/control.rs
+++ b/crates/bench/src/bin/fleet/control.rs
@@ -1,4 +1,4 @@
-//! The control replicas, as processes, and the operator who changes the table.
+//! The control replicas as processes, and the operator's calls that change the table.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -23,7 +23,7 @@
 }
 
 impl Control {
-    /// Starts the processes and joins them into one group.
+    /// Starts the processes and forms a group of them.
     pub(crate) async fn start(options: &Options, dir: &Path) -> Self {
         let mut replicas: Vec<_> = (0..options.replicas)
             .map(|i| process(options, dir, i))
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What each replica says of itself.
+    /// The status of each replica.
     pub(crate) async fn statuses(&self) -> Vec<Status> {
         let mut statuses = Vec::new();
         for process in &self.replicas {
@@ -74,7 +74,7 @@
         statuses
     }
 
-    /// Place of the leader among the replicas.
+    /// Index of the leader among the replicas; waits until one holds the lease.
     pub(crate) async fn leader(&self) -> usize {
         loop {
             let statuses = self.statuses().await;
@@ -86,19 +86,20 @@
         }
     }
 
-    /// Where the replicas take messages of other processes.
+    /// The replicas' addresses for messages of other processes.
     pub(crate) fn peer_addrs(&self) -> Vec<SocketAddr> {
         let addr = |process: &Process| process.addr("peer");
         self.replicas.iter().map(addr).collect()
     }
 
-    /// Puts `rows` rows into the table, in one change, and returns its version.
+    /// Adds `rows` rows to the table in one change, and returns its version.
     pub(crate) async fn insert_rows(&self, rows: usize) -> u64 {
         let edits = (0..rows).map(|i| edit(i, Revision(0), 10)).collect();
         self.change(edits).await
     }
 
-    /// Changes the weight of row `i`, and returns the version.
+    /// Sets the weight of row `i`, whose revision is `expected`, and returns the new
+    /// version.
     pub(crate) async fn set_weight(&self, i: usize, expected: Revision, weight: u32) -> u64 {
         self.change(vec![edit(i, expected, weight)]).await
     }
--- a/crates/bench/src/bin/fleet/figures.rs
+++ b/crates/bench/src/bin/fleet/figures.rs
@@ -8,10 +8,10 @@
 use filberthead_testing::process::Process;
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart from longer ones, in microseconds.
+/// Longest time that is recorded as it is; longer ones count as this, in microseconds.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// Prints figures under names that begin alike.
+/// Prints figures with a common prefix.
 pub(crate) struct Printer<'a> {
     pub(crate) prefix: &'a str,
 }
@@ -24,8 +24,8 @@
 
     /// Prints median, 99th percentile and maximum of times.
     pub(crate) fn print_times(&self, name: &str, times: &[Duration]) {
-        // Bounds are given because a histogram that resizes itself doesn't do so for
-        // saturating records: it would show every time as two microseconds.
+        // The bounds are explicit because an auto-resizing histogram doesn't grow for
+        // saturating records: it would record every time as two microseconds.
         let mut histogram =
             Histogram::<u64>::new_with_max(MAX_MICROS, 3).expect("the bounds are possible");
         for time in times {
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a node's transport has carried.
+/// Bytes sent and received by a transport, and messages in both directions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) sent: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Bytes that a control replica has sent and received since its start, from its metrics.
+/// Traffic of a control replica since its start, from its metrics.
 pub(crate) async fn control_traffic(process: &Process) -> Traffic {
     let client = filberthead_operator::Client::builder([process.addr("operator")]).build();
     let reply = client.get_from(process.addr("operator"), "/metrics").await;
@@ -94,6 +94,6 @@
         let field = fields.split_whitespace().nth(index);
         field.and_then(|text| text.parse().ok()).expect("a number")
     };
-    // User and system time, in hundredths of a second on every Linux that runs here.
+    // User and system time, in ticks of 10 ms as on every Linux that this runs on.
     Duration::from_millis((ticks(11) + ticks(12)) * 10)
 }
--- a/crates/bench/src/bin/fleet/main.rs
+++ b/crates/bench/src/bin/fleet/main.rs
@@ -1,10 +1,10 @@
-//! Measures spreading at the size it is meant for: real control replicas as processes,
-//! and hundreds of nodes that each run the entry's real spreading step function over a
-//! transport of their own.
+//! Measures the distribution of tables to hundreds of nodes: real control replicas as
+//! processes, and nodes that each run the entry's real `filberthead-spread` step function
+//! over a transport of their own.
 //!
-//! What it leaves out is the rest of an entry, so its figures for a node are those of
-//! control alone, which is what the budget for control counts. All nodes share this
-//! process; a node's processor time is this process's time divided by the nodes.
+//! The rest of an entry is left out, so the figures of a node are those of control alone,
+//! which is what the budget for control counts. All nodes share this process; a node's
+//! processor time is that of this process divided by the number of nodes.
 
 mod args;
 mod control;
--- a/crates/bench/src/bin/fleet/nodes.rs
+++ b/crates/bench/src/bin/fleet/nodes.rs
@@ -1,4 +1,4 @@
-//! Hundreds of nodes in this process, each with a transport of its own.
+//! Hundreds of nodes in this process, each with its own transport.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 
 const DRIVERS: usize = 4;
 const TICK: Duration = Duration::from_millis(100);
-/// Messages that wait for a driver thread; further ones are lost, as on a network.
+/// Messages that are queued for a driver thread; further ones are dropped, as on a network.
 const QUEUE_CAPACITY: usize = 65_536;
 
-/// First moment at which each node had a version in force, by version.
+/// By version: when each node that has had it in force first did.
 pub(crate) type InForce = BTreeMap<u64, Vec<Instant>>;
 
-/// The nodes, running.
+/// The running nodes and the threads that drive them.
 pub(crate) struct Nodes {
     stop: Arc<AtomicBool>,
     drivers: Vec<JoinHandle<Vec<NodeResult>>>,
@@ -33,9 +33,9 @@
     pub(crate) counters: Vec<Arc<Counters>>,
 }
 
-/// A node at its end.
+/// State of a node when it was stopped.
 pub(crate) struct NodeResult {
-    /// Place in [`Nodes::counters`].
+    /// Index in [`Nodes::counters`].
     pub(crate) index: usize,
     /// Whether it reported to control for its failure domain.
     pub(crate) relay: bool,
@@ -43,6 +43,7 @@
 
 type MessageSender = Sender<(usize, Origin, Body)>;
 
+/// Passes messages for the node `index` to its driver.
 struct DriverQueue {
     index: usize,
     tx: MessageSender,
@@ -50,7 +51,7 @@
 
 impl Deliver for DriverQueue {
     fn deliver(&mut self, origin: Origin, body: Body) {
-        // Lost messages are repeated by the protocol.
+        // The protocol repeats dropped messages.
         let _ = self.tx.push((self.index, origin, body));
     }
 }
@@ -105,7 +106,7 @@
         in_force.get(&version).map_or(0, Vec::len)
     }
 
-    /// Ends all nodes.
+    /// Stops all nodes.
     pub(crate) fn stop(self) -> Vec<NodeResult> {
         self.stop.store(true, Ordering::Release);
         let join =
@@ -154,6 +155,7 @@
     }
 }
 
+/// A thread that runs the nodes from index `first` on.
 struct Driver {
     nodes: Vec<DrivenNode>,
     first: usize,
@@ -178,7 +180,8 @@
         while !stop.load(Ordering::Acquire) {
             tokio::select! {
                 _ = ticks.tick() => {
-                    // A tenth of the nodes each time: real entries don't tick at once.
+                    // Each interval ticks a tenth of the nodes, because real entries don't
+                    // tick at the same time.
                     self.tick(group);
                     group = (group + 1) % 10;
                 }
--- a/crates/bench/src/bin/fleet/run.rs
+++ b/crates/bench/src/bin/fleet/run.rs
@@ -1,4 +1,4 @@
-//! The course of a measurement.
+//! Runs the measurement and prints its figures.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 use crate::nodes::Nodes;
 
 const PAUSE: Duration = Duration::from_millis(2);
-/// A change that isn't in force everywhere by then counts as lost.
+/// Longest time until a change must be in force everywhere.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for directories and rosters to settle before anything is measured.
+/// Time for address records and membership to settle before the measurement.
 const SETTLE: Duration = Duration::from_secs(6);
 
-/// One look at all counters.
+/// A snapshot of all counters.
 struct Sample {
     at: Instant,
     nodes: Vec<Traffic>,
@@ -77,7 +77,7 @@
 
 async fn sample(control: &Control, leader: usize, nodes: &Nodes) -> Sample {
     let process = &control.replicas[leader];
-    // The replica brings its counters up to date once a second.
+    // The replica updates its metrics once a second.
     let leader = control_traffic(process).await;
     Sample {
         at: Instant::now(),
@@ -100,8 +100,8 @@
     }
 }
 
-/// Sends the changes one after the other; returns the times until the operator was
-/// told, and until the last node had the version in force.
+/// Sends the changes one after the other. Returns the times until each was accepted, and
+/// until it was in force at the last node.
 async fn changes(
     options: &Options,
     control: &Control,
