--- a/crates/bench/src/bin/filberthead-measure-placement/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-placement/main.rs
@@ -77,24 +77,24 @@
         .collect()
 }
 
-fn mean(runs: &[Figures], of: impl Fn(&Figures) -> f64) -> f64 {
-    runs.iter().map(of).sum::<f64>() / runs.len() as f64
+fn mean(runs: &[Figures], figure: impl Fn(&Figures) -> f64) -> f64 {
+    runs.iter().map(figure).sum::<f64>() / runs.len() as f64
 }
 
 fn print_figures(options: &Options) {
     for pattern in &options.patterns {
         let runs = runs(pattern, &options.without, options.seeds);
-        let line = |what: &str, of: &dyn Fn(&Figures) -> f64| {
+        let line = |name: &str, figure: &dyn Fn(&Figures) -> f64| {
             println!(
-                "placement {} {what}: {:.3} credit",
+                "placement {} {name}: {:.3} credit",
                 pattern.name,
-                mean(&runs, of)
+                mean(&runs, figure)
             );
         };
         line("all", &|f| f.all.credit());
         for region in runs[0].regions.keys() {
-            let of = |f: &Figures| f.regions.get(region).map_or(0.0, Count::credit);
-            line(region.as_str(), &of);
+            let credit = |f: &Figures| f.regions.get(region).map_or(0.0, Count::credit);
+            line(region.as_str(), &credit);
         }
         for kind in runs[0].kinds.keys() {
             line(kind, &|f| f.kinds.get(kind).map_or(0.0, Count::credit));
--- a/crates/bench/src/bin/filberthead-measure-requests/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/main.rs
@@ -84,7 +84,7 @@
 
 fn compare_reads(name: &str, through: Load, direct: Load) {
     let (through_busy, direct_busy) = compare(&through, &direct);
-    let print = |what: &str, value, unit| print(&format!("{name}{what}"), value, unit);
+    let print = |suffix: &str, value, unit| print(&format!("{name}{suffix}"), value, unit);
     print("s", through_busy.rate(), "1/s");
     print("s_direct", direct_busy.rate(), "1/s");
     let ratio = through_busy.rate() / direct_busy.rate();
--- a/crates/bench/src/experiment/endpoint.rs
+++ b/crates/bench/src/experiment/endpoint.rs
@@ -70,6 +70,7 @@
     pub(crate) readings: ReadingMode,
     /// Number of its starts.
     pub(crate) incarnation: u64,
+    /// Load at the latest ticks, for [`ReadingMode::Delayed`].
     load_history: VecDeque<(Moment, f64)>,
 }
 
--- a/crates/bench/src/experiment/steps.rs
+++ b/crates/bench/src/experiment/steps.rs
@@ -26,7 +26,7 @@
             Step::Surge(part) => self.surge = part,
             Step::DrainDomain(domain) => self.drain_domain(domain),
             Step::StopEndpoints(domain) => {
-                self.crash_endpoints(|place| place == domain);
+                self.crash_endpoints(|other| other == domain);
             }
             Step::ListLeaving(domain) => self.list_leaving(domain),
             Step::LoseRegion(region) => self.lose_region(region),
--- a/crates/bench/src/placement/callers.rs
+++ b/crates/bench/src/placement/callers.rs
@@ -69,8 +69,8 @@
     /// Draws the milliseconds until the next request of a failure domain's callers,
     /// exponentially distributed.
     pub(super) fn interarrival_ms(&self, rng: &mut StdRng, now: u64, domain: usize) -> f64 {
-        let third = (domain / 2) as f64 / 3.0;
-        let phase = now as f64 / 1000.0 / DEMAND_PERIOD_S + third;
+        let region_phase = (domain / 2) as f64 / 3.0;
+        let phase = now as f64 / 1000.0 / DEMAND_PERIOD_S + region_phase;
         let wave = 1.0 + self.amplitude * (phase * std::f64::consts::TAU).sin();
         let per_ms = self.requests_per_s * self.rate_factor * wave / 1000.0;
         -(1.0 - rng.random::<f64>()).ln() / per_ms
@@ -101,11 +101,11 @@
             && self.regions_by_domain[domain] == *from
             && rng.random::<f64>() < *part
         {
-            let there = self
+            let first_domain = self
                 .regions_by_domain
                 .iter()
                 .position(|region| region == to);
-            domain = there.unwrap_or(domain) + rng.random_range(0..2);
+            domain = first_domain.unwrap_or(domain) + rng.random_range(0..2);
         }
         domain * self.gateways + rng.random_range(0..self.gateways)
     }
--- a/crates/bench/src/placement/simulation.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -441,7 +441,7 @@
     }
 
     fn change(&mut self, change: Change) {
-        let region = |name: &str| -> Region { name.parse().expect("a name") };
+        let region = |name: &str| -> Region { name.parse().expect("a valid name") };
         match change {
             Change::Rate(rate) => self.callers.rate_factor = rate,
             Change::MoveCallers(from, to, part) => {
@@ -458,7 +458,7 @@
                 }
             }),
             Change::Evacuate(domain) => {
-                let domains: BTreeSet<_> = [domain.parse().expect("a name")].into();
+                let domains: BTreeSet<_> = [domain.parse().expect("a valid name")].into();
                 for placer in &mut self.gateways {
                     placer.set_evacuated(ms(self.now), domains.clone());
                 }
--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -73,7 +73,7 @@
 
 impl KindOfRequest {
     pub(super) fn service(&self) -> ServiceName {
-        self.service.parse().expect("a name")
+        self.service.parse().expect("a valid name")
     }
 
     pub(super) fn prefix(&self) -> String {
@@ -82,16 +82,16 @@
 }
 
 pub(super) fn domains() -> Vec<FailureDomain> {
-    let name = |(name, ..): &(&str, &str, u32, u32)| name.parse().expect("a name");
+    let name = |(name, ..): &(&str, &str, u32, u32)| name.parse().expect("a valid name");
     DOMAINS.iter().map(name).collect()
 }
 
 pub(super) fn regions() -> BTreeMap<FailureDomain, Region> {
-    let of = |(name, region, ..): &(&str, &str, u32, u32)| {
-        let region = region.parse().expect("a name");
-        (name.parse().expect("a name"), region)
+    let name_and_region = |(name, region, ..): &(&str, &str, u32, u32)| {
+        let region = region.parse().expect("a valid name");
+        (name.parse().expect("a valid name"), region)
     };
-    DOMAINS.iter().map(of).collect()
+    DOMAINS.iter().map(name_and_region).collect()
 }
 
 pub(super) fn slots(service: &str) -> u32 {
@@ -112,9 +112,9 @@
                 all.push(Endpoint {
                     id: format!("{service}-{domain}-{number}"),
                     incarnation: None,
-                    service: service.parse().expect("a name"),
+                    service: service.parse().expect("a valid name"),
                     addr: SocketAddr::from(([127, 0, 0, 1], 80)),
-                    domain: domain.parse().expect("a name"),
+                    domain: domain.parse().expect("a valid name"),
                     slots: slots(service),
                     state: EndpointState::Ready,
                     cold_left: Duration::ZERO,
@@ -144,7 +144,7 @@
         regions: Vec::new(),
     };
     let service = |name: &str| Service {
-        name: name.parse().expect("a name"),
+        name: name.parse().expect("a valid name"),
         health_path: "/health".to_owned(),
         max_connections: 360,
         cold_for: Duration::from_secs(3),
@@ -161,7 +161,7 @@
 pub(super) fn config(number: usize, domain: &FailureDomain) -> Config {
     let regions = regions();
     Config {
-        gateway: format!("gateway-{number}").parse().expect("a name"),
+        gateway: format!("gateway-{number}").parse().expect("a valid name"),
         region: regions[domain].clone(),
         domain: domain.clone(),
         regions,
--- a/crates/peer/examples/cost.rs
+++ b/crates/peer/examples/cost.rs
@@ -14,12 +14,12 @@
 }
 
 fn domain(number: usize) -> FailureDomain {
-    format!("domain-{number:02}").parse().expect("a name")
+    format!("domain-{number:02}").parse().expect("a valid name")
 }
 
-fn size(message: Message) -> usize {
+fn encoded_size(message: Message) -> usize {
     let origin = Origin {
-        name: "edge-domain-01-1".parse().expect("a name"),
+        name: "edge-domain-01-1".parse().expect("a valid name"),
         incarnation: Incarnation(u64::MAX),
         addr: addr(7540),
         replica: None,
@@ -37,7 +37,7 @@
 }
 
 fn service(number: usize) -> ServiceName {
-    format!("service-{number}").parse().expect("a name")
+    format!("service-{number}").parse().expect("a valid name")
 }
 
 fn report() -> Message {
@@ -47,8 +47,8 @@
     };
     Message::Report(Report {
         gateway: GatewayInfo {
-            name: "edge-domain-01-1".parse().expect("a name"),
-            region: "region-1".parse().expect("a name"),
+            name: "edge-domain-01-1".parse().expect("a valid name"),
+            region: "region-1".parse().expect("a valid name"),
             domain: domain(1),
             caller_addr: addr(8548),
         },
@@ -73,7 +73,7 @@
 
 fn notice(replicas: u16, domains: usize, regions: usize) -> Message {
     let regions =
-        (0..regions).map(|n| -> Region { format!("region-{n}").parse().expect("a name") });
+        (0..regions).map(|n| -> Region { format!("region-{n}").parse().expect("a valid name") });
     let demand = regions.flat_map(|r| (0..3).map(move |n| (r.clone(), service(n), 12_345)));
     Message::Notice {
         revisions: revisions(),
@@ -107,17 +107,23 @@
 }
 
 fn main() {
-    let report = size(report());
-    let small = size(notice(6, 6, 3));
-    let target = size(notice(7, 22, 9));
+    let report = encoded_size(report());
+    let notice_6_domains = encoded_size(notice(6, 6, 3));
+    let notice_22_domains = encoded_size(notice(7, 22, 9));
     println!("fleet-report: {report} B");
-    println!("fleet-notice-6-domains: {small} B");
-    println!("fleet-notice-22-domains: {target} B");
+    println!("fleet-notice-6-domains: {notice_6_domains} B");
+    println!("fleet-notice-22-domains: {notice_22_domains} B");
     println!(
         "fleet-endpoint: {} B",
-        (size(endpoints(1000)) - size(endpoints(0))) / 1000
+        (encoded_size(endpoints(1000)) - encoded_size(endpoints(0))) / 1000
     );
     // A gateway sends two reports a second to each of seven replicas, each answered by a notice.
-    println!("fleet-gateway-22-domains: {} B/s", 14 * (report + target));
-    println!("fleet-replica-a-gateway: {} B/s", 2 * (report + target));
+    println!(
+        "fleet-gateway-22-domains: {} B/s",
+        14 * (report + notice_22_domains)
+    );
+    println!(
+        "fleet-replica-a-gateway: {} B/s",
+        2 * (report + notice_22_domains)
+    );
 }
