--- a/crates/bench/src/experiment/baseline.rs
+++ b/crates/bench/src/experiment/baseline.rs
@@ -52,7 +52,9 @@
     endpoints: Vec<EndpointState>,
     entries: Vec<EntryInfo>,
     view: Option<Arc<View>>,
+    /// Endpoint of each request in progress.
     running: HashMap<RequestId, NodeName>,
+    /// Position of the round robin, which also breaks ties.
     next: usize,
     next_probe: Moment,
     rng: StdRng,
--- a/crates/bench/src/experiment/endpoint.rs
+++ b/crates/bench/src/experiment/endpoint.rs
@@ -14,19 +14,19 @@
 /// Share of the missing warmth that each request adds.
 const WARMING_RATE: f64 = 0.02;
 
-/// How the load that an endpoint reports differs from its actual load.
+/// How an endpoint answers probes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ReadingMode {
-    /// Not at all.
+    /// Reports its actual load.
     #[default]
     Accurate,
     /// Probes fail.
     Missing,
-    /// The load of this long ago is reported.
+    /// Reports its load of this long ago.
     Delayed(Duration),
-    /// This load is reported always.
+    /// Always reports this load.
     Frozen(f64),
-    /// Load 0 is reported always.
+    /// Always reports load 0.
     AlwaysIdle,
 }
 
--- a/crates/bench/src/experiment/flow.rs
+++ b/crates/bench/src/experiment/flow.rs
@@ -291,8 +291,9 @@
         self.after(service_time, SimEvent::Completed { req, endpoint });
     }
 
-    /// Records by how much the requests of the first service that run in this request's
-    /// region, but whose callers have another home region, exceed the row's shift cap.
+    /// Records by how much the requests of the first service that run or wait in this
+    /// request's region, but whose callers have another home region, exceed the row's shift
+    /// cap.
     fn check_shift(&mut self, req: usize) {
         let Some(endpoint) = self.requests[req].endpoint else {
             return;
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,6 +1,6 @@
 //! Simulated comparison of our steering policy with baseline policies, on two deployments.
 //!
-//! Simulated are endpoints with slots, a backlog, caches that can be cold, and load
+//! The simulation has endpoints with slots, a backlog, caches that can be cold, and load
 //! readings that can be late or wrong; callers that cache look-up results; and a platform's
 //! endpoint list that lags. The policies are the ones that the daemon runs, driven by an
 //! event loop over [`Moment`](filberthead_types::Moment), so a scenario runs in a fraction
--- a/crates/bench/src/experiment/policy.rs
+++ b/crates/bench/src/experiment/policy.rs
@@ -21,7 +21,7 @@
 /// measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// Counts requests at the endpoints of its failure domain; no spillover.
+    /// Counts requests at the endpoints that the entry owns; no spillover.
     Counted,
     /// As `Counted`, with each endpoint's slots split between the entries.
     Split,
--- a/crates/bench/src/experiment/simulation.rs
+++ b/crates/bench/src/experiment/simulation.rs
@@ -87,6 +87,8 @@
     Step(usize),
 }
 
+/// A scheduled event. Events of the same moment run in the order in which they were
+/// scheduled.
 #[derive(Debug)]
 struct Timed {
     at: Moment,
@@ -130,7 +132,7 @@
     /// Entries whose policy counts it as in progress; the first one received it from the
     /// caller.
     pub(crate) counted_by: Vec<usize>,
-    /// Endpoint at which it runs or waits.
+    /// Endpoint at which it runs or waits; `None` when it is at none.
     pub(crate) endpoint: Option<usize>,
     /// When its latest attempt was sent to an endpoint.
     pub(crate) sent: Moment,
--- a/crates/bench/src/placement/callers.rs
+++ b/crates/bench/src/placement/callers.rs
@@ -95,6 +95,7 @@
         }
     }
 
+    /// Draws the gateway that a caller of a failure domain connects to.
     fn gateway(&self, rng: &mut StdRng, domain: usize) -> usize {
         let mut domain = domain;
         if let Some((from, to, part)) = &self.moved
--- a/crates/bench/src/placement/simulation.rs
+++ b/crates/bench/src/placement/simulation.rs
@@ -66,6 +66,7 @@
     gateway_arrival: u64,
     /// When the latest attempt was sent.
     sent: u64,
+    /// Number of the latest attempt; 0 before the first one.
     attempt: u32,
     attempts: Attempts,
     /// Target of the open attempt; `None` when no attempt is open.
