--- a/crates/bench/src/bin/filberthead-measure-control/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/load.rs
@@ -80,7 +80,7 @@
 
     fn print(&self, phase: &str) {
         let rate = |value: f64| value / self.seconds;
-        let name = |what| format!("{phase}_{what}");
+        let name = |suffix| format!("{phase}_{suffix}");
         print(&name("entry_bytes_mean"), rate(self.mean_bytes()), "B/s");
         let most = self.most(|usage| usage.bytes);
         print(&name("entry_bytes_most"), rate(most), "B/s");
--- a/crates/bench/src/bin/filberthead-measure-requests/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/load.rs
@@ -172,7 +172,7 @@
         stream
             .read_exact(&mut buf[..len])
             .await
-            .expect("a whole answer");
+            .expect("a complete answer");
         assert!(buf.starts_with(b"HTTP/1.1 200"), "an answer other than 200");
         let took = start.elapsed().as_nanos() as u64;
         nanos.record(took).expect("a histogram that grows");
