--- a/crates/bench/src/bin/filberthead-measure-control/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/load.rs
@@ -14,6 +14,7 @@
 const CHANGES: u32 = 200;
 const CHANGES_PAUSE: Duration = Duration::from_millis(80);
 const CHANGES_PER_DAY: f64 = 1_300.0;
+/// Peer protocols whose traffic is printed one by one.
 const PROTOCOLS: &[&str] = &["spread", "ledger", "quarantine", "steer", "samples"];
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
@@ -119,7 +120,7 @@
     PROTOCOLS.iter().map(sent).collect()
 }
 
-/// Measures usage while changes arrive faster than the 1300 a day that are expected.
+/// Measures usage while changes arrive faster than at 1300 a day.
 pub(crate) fn changing(system: &System) {
     let window = Window::measure(system, || {
         system.change_often(CHANGES, CHANGES_PAUSE);
--- a/crates/bench/src/bin/filberthead-measure-requests/drain.rs
+++ b/crates/bench/src/bin/filberthead-measure-requests/drain.rs
@@ -34,8 +34,8 @@
     Call::get(&format!("/v1/services/catalogue/{path}"))
 }
 
-/// Time from SIGTERM to the exit of an entry, while callers cache look-ups for 1 s and a
-/// download needs 5 s more.
+/// Measures the time from SIGTERM to the exit of an entry, while callers cache look-ups for
+/// 1 s and a download needs 5 s more.
 pub(crate) fn entry() {
     let mut cluster = start();
     for endpoint in &cluster.endpoints {
@@ -59,8 +59,8 @@
     print("entry_drain_cut", f64::from(u8::from(!complete)), "count");
 }
 
-/// Time from when an endpoint reports that it is leaving to the last new request that it
-/// receives under load.
+/// Measures the time from when an endpoint reports that it is leaving to the last new
+/// request that it receives under load.
 pub(crate) fn endpoint() {
     let cluster = start();
     let entry = cluster.entries[0].addr("caller");
--- a/crates/bench/src/bin/fleet/nodes.rs
+++ b/crates/bench/src/bin/fleet/nodes.rs
@@ -20,7 +20,7 @@
 /// Messages that are queued for a driver thread; further ones are dropped, as on a network.
 const QUEUE_CAPACITY: usize = 65_536;
 
-/// By version: when each node that has had it in force first did.
+/// For each version, when each node first had it in force.
 pub(crate) type InForce = BTreeMap<u64, Vec<Instant>>;
 
 /// The running nodes and the threads that drive them.
@@ -56,6 +56,7 @@
     }
 }
 
+/// A node and its transport, which must stay open while the node runs.
 struct DrivenNode {
     index: usize,
     node: Node,
