--- a/crates/bench/src/experiment/baseline.rs
+++ b/crates/bench/src/experiment/baseline.rs
@@ -1,7 +1,7 @@
-//! Baselines: what an entry would do with none of our counting.
+//! Baseline policies: load balancing without counted slots or leases.
 //!
-//! They get more to see than our policy does: every entry may send to each endpoint of
-//! its region directly, and the two that use readings ask for them more often.
+//! They have more information than our policy: every entry may send to each endpoint of its
+//! region directly, and the two that use readings probe more often.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,27 +15,33 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-const PROBE_EVERY: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a baseline chooses.
+/// How a baseline selects an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// In turn; knows only the platform's list.
+    /// Round robin over the endpoints that the platform's list doesn't show as leaving.
     RoundRobin,
-    /// The least load by the endpoints' last readings.
+    /// The endpoint with the lowest load in its last reading. Endpoints whose reading says
+    /// not ready or leaving are excluded.
     LeastReported,
-    /// The one with fewer requests from here of two drawn at random; leaves out those
-    /// whose reading says not ready or leaving.
+    /// Of two endpoints drawn at random, the one with fewer requests from this entry.
+    /// Endpoints whose reading says not ready or leaving are excluded.
     TwoChoices,
 }
 
+/// An endpoint as the baseline sees it.
 #[derive(Debug)]
-struct Known {
+struct EndpointState {
     info: Arc<EndpointInfo>,
+    /// From the last reading.
     load: f64,
+    /// Whether the last probe showed it as ready and not leaving.
     ready: bool,
+    /// Whether the platform's list shows it as leaving.
     listed_leaving: bool,
+    /// Requests from this entry that are in progress.
     running: u32,
 }
 
@@ -43,17 +49,19 @@
 #[derive(Debug)]
 pub struct Baseline {
     pick: Pick,
-    endpoints: Vec<Known>,
+    endpoints: Vec<EndpointState>,
     entries: Vec<EntryInfo>,
     view: Option<Arc<View>>,
+    /// Endpoint of each request in progress.
     running: HashMap<RequestId, NodeName>,
+    /// Position of the round robin, which also breaks ties.
     next: usize,
     next_probe: Moment,
     rng: StdRng,
 }
 
 impl Baseline {
-    /// A baseline that knows nothing yet.
+    /// A baseline without endpoints, entries or a table.
     pub fn new(pick: Pick, seed: u64) -> Self {
         Self {
             pick,
@@ -67,11 +75,11 @@
         }
     }
 
-    fn usable(&self, known: &Known, req: &RequestInfo) -> bool {
-        known.info.service == req.service
-            && !known.listed_leaving
-            && !req.tried.contains(&known.info.name)
-            && (self.pick == Pick::RoundRobin || known.ready)
+    fn usable(&self, state: &EndpointState, req: &RequestInfo) -> bool {
+        state.info.service == req.service
+            && !state.listed_leaving
+            && !req.tried.contains(&state.info.name)
+            && (self.pick == Pick::RoundRobin || state.ready)
     }
 
     fn choose(&mut self, req: &RequestInfo) -> Option<usize> {
@@ -105,35 +113,37 @@
         }
     }
 
+    /// Draws a region by the weights of the service's rows, among the regions that have
+    /// entries.
     fn draw_region(&mut self, service: &ServiceName) -> Option<Region> {
         let view = self.view.as_ref()?;
-        let live = |region: &Region| self.entries.iter().any(|entry| entry.region == *region);
+        let has_entry = |region: &Region| self.entries.iter().any(|entry| entry.region == *region);
         let rows: Vec<_> = view
             .rows
             .iter()
-            .filter(|(key, _)| key.service == *service && live(&key.region))
+            .filter(|(key, _)| key.service == *service && has_entry(&key.region))
             .collect();
         let sum: u32 = rows.iter().map(|(_, row)| row.values.weight).sum();
-        let mut left = self.rng.random_range(0..sum.max(1));
+        let mut remaining = self.rng.random_range(0..sum.max(1));
         for (key, row) in rows {
-            if left < row.values.weight {
+            if remaining < row.values.weight {
                 return Some(key.region.clone());
             }
-            left -= row.values.weight;
+            remaining -= row.values.weight;
         }
         None
     }
 
-    fn find(&mut self, name: &NodeName) -> Option<&mut Known> {
+    fn find(&mut self, name: &NodeName) -> Option<&mut EndpointState> {
         self.endpoints
             .iter_mut()
-            .find(|known| known.info.name == *name)
+            .find(|state| state.info.name == *name)
     }
 
     fn set_endpoints(&mut self, infos: Vec<EndpointInfo>) {
         self.endpoints = infos
             .into_iter()
-            .map(|info| Known {
+            .map(|info| EndpointState {
                 info: Arc::new(info),
                 load: 0.0,
                 ready: true,
@@ -147,11 +157,11 @@
         if self.pick == Pick::RoundRobin || now < self.next_probe {
             return Vec::new();
         }
-        self.next_probe = now + PROBE_EVERY;
+        self.next_probe = now + PROBE_INTERVAL;
         self.endpoints
             .iter()
-            .map(|known| Action::Probe {
-                endpoint: Arc::clone(&known.info),
+            .map(|state| Action::Probe {
+                endpoint: Arc::clone(&state.info),
             })
             .collect()
     }
@@ -165,10 +175,10 @@
                 retry_after: RETRY_AFTER,
             };
         };
-        let known = &mut self.endpoints[index];
-        known.running += 1;
-        self.running.insert(req.id, known.info.name.clone());
-        Decision::Endpoint(Arc::clone(&known.info))
+        let state = &mut self.endpoints[index];
+        state.running += 1;
+        self.running.insert(req.id, state.info.name.clone());
+        Decision::Endpoint(Arc::clone(&state.info))
     }
 
     fn look_up(
@@ -196,26 +206,26 @@
             Event::Endpoints(infos) => self.set_endpoints(infos),
             Event::Entries(entries) => self.entries = entries,
             Event::Leaving(names) => {
-                for known in &mut self.endpoints {
-                    known.listed_leaving = names.contains(&known.info.name);
+                for state in &mut self.endpoints {
+                    state.listed_leaving = names.contains(&state.info.name);
                 }
             }
             Event::Reading { endpoint, reading } => {
-                if let Some(known) = self.find(&endpoint) {
-                    known.load = reading.load;
-                    known.ready = reading.ready && !reading.leaving;
+                if let Some(state) = self.find(&endpoint) {
+                    state.load = reading.load;
+                    state.ready = reading.ready && !reading.leaving;
                 }
             }
             Event::ProbeFailed { endpoint } => {
-                if let Some(known) = self.find(&endpoint) {
-                    known.ready = false;
+                if let Some(state) = self.find(&endpoint) {
+                    state.ready = false;
                 }
             }
             Event::Finished { id, .. } => {
                 if let Some(name) = self.running.remove(&id)
-                    && let Some(known) = self.find(&name)
+                    && let Some(state) = self.find(&name)
                 {
-                    known.running -= 1;
+                    state.running -= 1;
                 }
             }
             _ => {}
--- a/crates/bench/src/experiment/endpoint.rs
+++ b/crates/bench/src/experiment/endpoint.rs
@@ -1,4 +1,4 @@
-//! Fakes at the policy's border: endpoints that run, queue and shed requests.
+//! Simulated endpoints that run, queue and shed requests and answer probes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,73 +7,74 @@
 use filberthead_steer::{EndpointInfo, Reading};
 use filberthead_types::{Incarnation, Moment};
 
-/// Requests that wait at an endpoint itself before it sheds.
+/// Requests that an endpoint queues when its slots are filled; further ones are shed.
 const BACKLOG: usize = 12;
-/// How much longer a request runs on an endpoint with an empty cache.
+/// Factor on the service time at an endpoint with an empty cache.
 const COLD_FACTOR: f64 = 3.0;
-/// Part of the missing warmth that each request brings.
-const WARMING: f64 = 0.02;
+/// Share of the missing warmth that each request adds.
+const WARMING_RATE: f64 = 0.02;
 
-/// How an endpoint's word on itself differs from the truth.
+/// How an endpoint answers probes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Readings {
-    /// It doesn't.
+pub enum ReadingMode {
+    /// Reports its actual load.
     #[default]
-    True,
-    /// Probes get no answer.
+    Accurate,
+    /// Probes fail.
     Missing,
-    /// The state of so long ago is reported.
-    Late(Duration),
-    /// The state of one moment is reported for good.
+    /// Reports its load of this long ago.
+    Delayed(Duration),
+    /// Always reports this load.
     Frozen(f64),
-    /// It says that it is idle.
-    Idle,
+    /// Always reports load 0.
+    AlwaysIdle,
 }
 
 /// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Arrival {
     /// Runs it at once.
-    Starts,
-    /// Has every slot filled and lets it wait.
-    Waits,
+    Started,
+    /// Queues it, because all slots are filled.
+    Queued,
     /// Refuses it.
-    Sheds,
-    /// Isn't there; the connection fails after a while.
-    Absent,
+    Shed,
+    /// Is down; the connection attempt times out.
+    Unreachable,
 }
 
-/// An endpoint.
+/// A simulated endpoint. Requests are indices in the simulation.
 #[derive(Debug)]
-pub(crate) struct EndpointFake {
-    /// As the policy knows it.
+pub(crate) struct SimulatedEndpoint {
+    /// Description that policies receive.
     pub(crate) info: Arc<EndpointInfo>,
     /// Index of its service.
     pub(crate) service: usize,
     /// Index of its failure domain.
     pub(crate) domain: usize,
-    /// Requests that run.
+    /// Requests that hold a slot.
     pub(crate) running: Vec<usize>,
-    /// Requests that wait.
+    /// Requests that wait for a slot.
     pub(crate) backlog: VecDeque<usize>,
     /// Whether it answers at all.
     pub(crate) up: bool,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub(crate) leaving: bool,
     /// Whether it refuses everything.
     pub(crate) shedding: bool,
-    /// Factor on the time of each request.
+    /// Factor on every service time.
     pub(crate) slowness: f64,
-    /// 0 with an empty cache, 1 when warm.
+    /// Cache warmth, from 0 (empty) to 1.
     pub(crate) warmth: f64,
-    /// What probes get.
-    pub(crate) readings: Readings,
-    /// Start number.
+    /// How it answers probes.
+    pub(crate) readings: ReadingMode,
+    /// Number of its starts.
     pub(crate) incarnation: u64,
-    history: VecDeque<(Moment, f64)>,
+    /// Load at the latest ticks, for [`ReadingMode::Delayed`].
+    load_history: VecDeque<(Moment, f64)>,
 }
 
-impl EndpointFake {
+impl SimulatedEndpoint {
     /// A warm, idle endpoint.
     pub(crate) fn new(info: EndpointInfo, service: usize, domain: usize) -> Self {
         Self {
@@ -87,59 +88,61 @@
             shedding: false,
             slowness: 1.0,
             warmth: 1.0,
-            readings: Readings::True,
+            readings: ReadingMode::Accurate,
             incarnation: 1,
-            history: VecDeque::new(),
+            load_history: VecDeque::new(),
         }
     }
 
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     pub(crate) fn in_progress(&self) -> u32 {
         (self.running.len() + self.backlog.len()) as u32
     }
 
-    /// Takes a request.
+    /// Runs, queues or refuses a request.
     pub(crate) fn arrive(&mut self, req: usize) -> Arrival {
         if !self.up {
-            Arrival::Absent
+            Arrival::Unreachable
         } else if self.shedding {
-            Arrival::Sheds
+            Arrival::Shed
         } else if self.running.len() < self.info.slots as usize {
             self.running.push(req);
-            Arrival::Starts
+            Arrival::Started
         } else if self.backlog.len() < BACKLOG {
             self.backlog.push_back(req);
-            Arrival::Waits
+            Arrival::Queued
         } else {
-            Arrival::Sheds
+            Arrival::Shed
         }
     }
 
-    /// Time for which a request of this plain length runs here now.
-    pub(crate) fn hold(&mut self, plain: Duration) -> Duration {
+    /// Service time here of a request that takes `warm_time` at a warm endpoint; also warms
+    /// the cache.
+    pub(crate) fn service_time(&mut self, warm_time: Duration) -> Duration {
         let cold = 1.0 + (COLD_FACTOR - 1.0) * (1.0 - self.warmth);
-        self.warmth += (1.0 - self.warmth) * WARMING;
-        plain.mul_f64(cold * self.slowness)
+        self.warmth += (1.0 - self.warmth) * WARMING_RATE;
+        warm_time.mul_f64(cold * self.slowness)
     }
 
-    /// Drops a request, done or given up, and names the one that starts in its place.
-    pub(crate) fn leave(&mut self, req: usize) -> Option<usize> {
+    /// Removes a request that is completed or cancelled, and returns the queued one that
+    /// gets its slot.
+    pub(crate) fn remove(&mut self, req: usize) -> Option<usize> {
         self.backlog.retain(|waiting| *waiting != req);
-        let place = self.running.iter().position(|running| *running == req)?;
-        self.running.swap_remove(place);
+        let index = self.running.iter().position(|running| *running == req)?;
+        self.running.swap_remove(index);
         let next = self.backlog.pop_front()?;
         self.running.push(next);
         Some(next)
     }
 
-    /// Stops at once; what ran is lost.
+    /// Stops at once; its requests are lost.
     pub(crate) fn crash(&mut self) {
         self.up = false;
         self.running.clear();
         self.backlog.clear();
     }
 
-    /// Starts anew with an empty cache.
+    /// Restarts with an empty cache.
     pub(crate) fn restart(&mut self) {
         self.up = true;
         self.leaving = false;
@@ -147,11 +150,11 @@
         self.incarnation += 1;
     }
 
-    /// Notes its state for readings that come late.
-    pub(crate) fn note(&mut self, now: Moment) {
-        self.history.push_back((now, self.load()));
-        if self.history.len() > 100 {
-            self.history.pop_front();
+    /// Records its load for delayed readings.
+    pub(crate) fn record_load(&mut self, now: Moment) {
+        self.load_history.push_back((now, self.load()));
+        if self.load_history.len() > 100 {
+            self.load_history.pop_front();
         }
     }
 
@@ -159,17 +162,17 @@
         self.running.len() as f64 / f64::from(self.info.slots)
     }
 
-    /// The answer to a probe, if there is one.
-    pub(crate) fn read(&self, now: Moment) -> Option<Reading> {
+    /// The answer to a probe; `None` if the probe fails.
+    pub(crate) fn probe(&self, now: Moment) -> Option<Reading> {
         if !self.up {
             return None;
         }
         let load = match self.readings {
-            Readings::True => self.load(),
-            Readings::Missing => return None,
-            Readings::Late(by) => self.load_at(now.saturating_sub(by)),
-            Readings::Frozen(load) => load,
-            Readings::Idle => 0.0,
+            ReadingMode::Accurate => self.load(),
+            ReadingMode::Missing => return None,
+            ReadingMode::Delayed(by) => self.load_at(now.saturating_sub(by)),
+            ReadingMode::Frozen(load) => load,
+            ReadingMode::AlwaysIdle => 0.0,
         };
         Some(Reading {
             asked: now,
@@ -181,7 +184,7 @@
     }
 
     fn load_at(&self, then: Moment) -> f64 {
-        let before = self.history.iter().rev().find(|(at, _)| *at <= then);
+        let before = self.load_history.iter().rev().find(|(at, _)| *at <= then);
         before.map_or(0.0, |(_, load)| *load)
     }
 }
