--- a/tests/all/control/writers.rs
+++ b/tests/all/control/writers.rs
@@ -63,7 +63,8 @@
 impl Worker {
     fn new(
         name: &str,
-        addrs: &[SocketAddr], outcomes: &ChangeOutcomes,
+        addrs: &[SocketAddr],
+        outcomes: &ChangeOutcomes,
         stop: &Arc<AtomicBool>,
     ) -> Self {
         Self {
