--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_request_comes_back_with_its_endpoints_answer() {
+fn a_request_returns_its_endpoints_answer() {
     let site = start("catalogue", 1);
     let answer = send_until(&site, "GET", "/catalogue/cards?page=2", 200);
     assert_eq!(answer.text(), "GET /catalogue/cards?page=2 0");
@@ -88,7 +88,7 @@
 /// An endpoint answers with the id of another request, as one does whose answer came too
 /// late for its own. No caller may get that answer.
 #[test]
-fn an_answer_to_somebody_else_is_given_to_nobody() {
+fn an_answer_to_another_request_reaches_no_caller() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
     site.endpoints[0].manner(Manner::Crosses);
@@ -101,7 +101,7 @@
 /// fast as it can. No endpoint answers without the request's id, so that 404 comes from
 /// none: callers got it as the endpoint's answer and didn't retry.
 #[test]
-fn an_answer_without_the_requests_id_is_given_to_nobody() {
+fn an_answer_without_the_requests_id_reaches_no_caller() {
     let site = start("catalogue", 2);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     site.endpoints[0].manner(Manner::Strays);
@@ -116,7 +116,7 @@
 /// Every endpoint is full and sheds. The caller gets an answer that nothing ran and when
 /// to retry, and nothing runs afterwards.
 #[test]
-fn an_order_that_all_refuse_is_refused_truthfully() {
+fn an_order_that_all_endpoints_shed_never_runs() {
     let site = start("orders", 2);
     send_until(&site, "POST", "/orders/warm-up", 200);
     for endpoint in &site.endpoints {
@@ -132,7 +132,7 @@
 /// One of two endpoints fails what it runs. A read may run again, so its caller gets the
 /// other one's answer; an order may not, so its caller gets the failure.
 #[test]
-fn only_idempotent_requests_are_tried_again() {
+fn only_idempotent_requests_are_retried() {
     let mut site = start("catalogue", 1);
     site.add_endpoint("catalogue", "zagreb-a");
     send_until(&site, "GET", "/catalogue/warm-up", 200);
@@ -160,7 +160,7 @@
 /// An endpoint ends and its address goes to another service's, before the list shows it.
 /// No request may run there.
 #[test]
-fn an_address_that_has_changed_hands_runs_nothing() {
+fn an_address_reused_by_another_instance_runs_nothing() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
     site.endpoints[0].reborn("i-somebody-else");
@@ -172,7 +172,7 @@
 /// The list shows an endpoint as draining, and an operator evacuates a failure domain.
 /// Neither may get new requests from then on; they return when the evacuation ends.
 #[test]
-fn what_leaves_or_is_evacuated_gets_nothing_new() {
+fn draining_and_evacuated_endpoints_get_no_new_requests() {
     let mut site = start("catalogue", 1);
     site.add_endpoint("catalogue", "split-a");
     site.add_endpoint("catalogue", "zagreb-a");
@@ -202,7 +202,7 @@
 /// A caller disconnects while its request runs. The endpoint must learn of it, so that it
 /// stops useless work.
 #[test]
-fn work_ends_when_its_caller_leaves() {
+fn a_disconnecting_caller_cancels_its_request() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     site.endpoints[0].manner(Manner::Hangs);
@@ -215,7 +215,7 @@
 
 /// An endpoint never answers. The caller gets a final answer at its deadline.
 #[test]
-fn a_request_that_hangs_is_answered_when_its_time_is_up() {
+fn a_hanging_request_is_answered_at_its_deadline() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     site.endpoints[0].manner(Manner::Hangs);
@@ -251,7 +251,7 @@
 /// A process gets a hang-up signal, because its settings changed or its console closed.
 /// That may not end it.
 #[test]
-fn a_process_that_is_asked_to_reload_goes_on() {
+fn a_reload_signal_ends_no_process() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     for node in site.gateways.iter().chain(&site.controls) {
@@ -271,7 +271,7 @@
 /// A gateway is killed. Look-ups must not return its address any more, and must return it
 /// again once it has restarted.
 #[test]
-fn callers_are_sent_to_live_gateways_only() {
+fn look_ups_return_live_gateways_only() {
     let mut site = site().replicas(1).tolerate(0).gateways(2).start();
     site.put_routes(1, SERVICES);
     site.wait_serving(0);
@@ -313,7 +313,7 @@
 /// force. Gateways had no routes, because a replica that starts can't tell how much of
 /// its log is committed before there is a leader.
 #[test]
-fn a_gateway_serves_by_one_control_vm_that_was_left_by_a_power_cut() {
+fn a_gateway_serves_when_one_control_vm_restarts_after_a_power_cut() {
     let mut site = site().start();
     site.add_endpoint("catalogue", "zagreb-a");
     site.put_routes(1, SERVICES);
@@ -375,7 +375,7 @@
 /// read it whole first, it was delayed by its transfer time on a small VM's link. What is
 /// missing at the deadline is useless, and the part that was sent must not look complete.
 #[test]
-fn a_download_goes_on_while_it_comes() {
+fn a_download_is_streamed_to_the_caller() {
     let site = start("lessons", 1);
     send_until(&site, "GET", "/lessons/warm-up", 200);
     site.endpoints[0].manner(Manner::Paced(200_000));
@@ -422,7 +422,7 @@
 /// never finished. It starts again under its identity, cold. It must get requests again,
 /// also from a gateway that has seen it gone, and no more than its cold rate.
 #[test]
-fn an_endpoint_that_starts_again_under_its_identity_is_used_again() {
+fn an_endpoint_restarted_under_its_identity_is_used_again() {
     // As in `config` of `filberthead_testing::site`.
     const COLD_PER_S: f64 = 9.4;
     let site = start("catalogue", 1);
@@ -463,7 +463,7 @@
 /// other endpoints serve, a draining one gets no new requests, and the log has a line for
 /// each invalid entry.
 #[test]
-fn entries_of_another_writer_change_nothing_for_endpoints() {
+fn list_entries_of_another_program_do_not_affect_endpoints() {
     let mut site = start("catalogue", 1);
     let foreign: [&[u8]; 5] = [
         br#"{"id":"x-1","service":"catalogue","slots":"many"}"#,
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -42,7 +42,7 @@
 /// accepted and no route served again. They used the seeds alone, since addresses in the
 /// log count as unknown until a leader says that they are committed.
 #[test]
-fn a_majority_without_the_seed_goes_on_after_a_power_cut() {
+fn a_majority_without_the_seed_recovers_after_a_power_cut() {
     let mut site = site().start();
     site.put_routes(7, SERVICES);
     site.controls.iter().for_each(|node| wait_version(node, 7));
@@ -56,7 +56,7 @@
 /// A control VM restarts with an empty disk. It is a new replica then and must be added
 /// automatically, and the old one removed, or a second loss leaves no majority.
 #[test]
-fn a_replica_with_an_empty_disk_takes_the_place_of_the_old_one() {
+fn a_replica_with_an_empty_disk_replaces_the_old_one() {
     let mut site = site().start();
     site.put_routes(7, SERVICES);
     let lost = replica_id(&site.controls[1]);
@@ -183,7 +183,7 @@
 /// further lost disks no majority was left, no replica led for good, and gateways went on
 /// with the last noted routes.
 #[test]
-fn a_newcomer_is_taken_in_by_a_leader_that_is_none_of_its_seeds() {
+fn a_new_replica_is_added_by_a_leader_outside_its_seeds() {
     let mut site = site().start();
     site.put_routes(7, SERVICES);
     site.controls.iter().for_each(|node| wait_version(node, 7));
@@ -238,7 +238,7 @@
 /// The replica never received from a leader again, and took itself for partitioned until
 /// it was restarted.
 #[test]
-fn a_replica_is_heard_again_after_its_connections_have_gone_silent() {
+fn a_replica_reconnects_after_its_connections_stall() {
     let site = site().start();
     site.put_routes(7, SERVICES);
     site.controls.iter().for_each(|node| wait_version(node, 7));
@@ -271,7 +271,7 @@
 /// the connection. It got the answer that the configuration is too large, which is final,
 /// although the same order was valid. Nothing was ordered, so it may be sent again.
 #[test]
-fn a_configuration_that_breaks_off_may_be_sent_again() {
+fn a_truncated_configuration_may_be_sent_again() {
     let site = site().replicas(1).tolerate(0).start();
     site.put_routes(1, SERVICES);
     let text = config(2, SERVICES);
@@ -297,7 +297,7 @@
 /// A configuration above the longest that replicas can send each other is refused with
 /// 413.
 #[test]
-fn a_configuration_that_is_too_large_is_refused_as_such() {
+fn a_too_large_configuration_is_refused_with_413() {
     let site = site().replicas(1).tolerate(0).start();
     site.put_routes(1, SERVICES);
     let text = config(2, SERVICES) + &" ".repeat(1024 * 1024);
