--- a/tests/all/explained.rs
+++ b/tests/all/explained.rs
@@ -117,8 +117,8 @@
     assert!(explain(&site, "nobody-1").contains("no line names nobody-1"));
 }
 
-/// A request reached an endpoint of another identity than the listed one: the log names
-/// it.
+/// A request reached an endpoint of another identity than the listed one: the log names the
+/// listed one and that it is gone.
 #[test]
 fn a_request_to_an_endpoint_that_had_left_is_explained() {
     let site = start();
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -97,9 +97,9 @@
     assert_eq!(answer.text(), "");
 }
 
-/// Behind the address of a listed endpoint something else answers 404 to everything, as
-/// fast as it can. No endpoint answers without the request's id, so that 404 comes from
-/// none: callers got it as the endpoint's answer and didn't retry.
+/// Behind the address of a listed endpoint another server answers 404 to everything, as
+/// fast as it can. Endpoints always return the request's id and that server doesn't, so its
+/// 404 is no endpoint's; but callers got it as the endpoint's answer and didn't retry.
 #[test]
 fn an_answer_without_the_requests_id_reaches_no_caller() {
     let site = start("catalogue", 2);
@@ -157,8 +157,8 @@
     assert_eq!(runs(&orders.endpoints, "order-1"), 1);
 }
 
-/// An endpoint ends and its address goes to another service's, before the list shows it.
-/// No request may run there.
+/// An endpoint ends, and an endpoint of another service gets its address before the list
+/// shows that. No request may run there.
 #[test]
 fn an_address_reused_by_another_instance_runs_nothing() {
     let site = start("orders", 1);
@@ -418,9 +418,9 @@
     assert!(site.gateways[0].wait_exit().success());
 }
 
-/// An endpoint's address goes to another, then it drains and ends, with a request that
-/// never finished. It starts again under its identity, cold. It must get requests again,
-/// also from a gateway that has seen it gone, and no more than its cold rate.
+/// Another endpoint gets an endpoint's address, which is then listed as draining, with a
+/// request that never finished. It starts again under its identity, cold. It must get
+/// requests again, also from a gateway that has seen it gone, and no more than its cold rate.
 #[test]
 fn an_endpoint_restarted_under_its_identity_is_used_again() {
     // As in `config` of `filberthead_testing::site`.
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -178,10 +178,10 @@
 }
 
 /// A control VM is replaced at another address while the leader is not among the seeds of
-/// the new replica. The new one sent its hello to its seeds, which weren't leading, and
-/// no replica forwarded either's address to the other, so it was never added. After two
-/// further lost disks no majority was left, no replica led for good, and gateways went on
-/// with the last noted routes.
+/// the new replica. The new one sent its hello to its seeds, which weren't leading. They
+/// neither returned the leader's address nor forwarded the hello, so it was never added.
+/// After two further lost disks there was no majority and never again a leader, and
+/// gateways went on with the last noted routes.
 #[test]
 fn a_new_replica_is_added_by_a_leader_outside_its_seeds() {
     let mut site = site().start();
@@ -269,7 +269,8 @@
 
 /// An operator's tool breaks off in the middle of a configuration and closes its side of
 /// the connection. It got the answer that the configuration is too large, which is final,
-/// although the same order was valid. Nothing was ordered, so it may be sent again.
+/// although only its end was missing and the complete one is valid. Nothing was ordered, so
+/// it may be sent again.
 #[test]
 fn a_truncated_configuration_may_be_sent_again() {
     let site = site().replicas(1).tolerate(0).start();
--- a/tests/all/outdated.rs
+++ b/tests/all/outdated.rs
@@ -101,10 +101,10 @@
     wait_served(&site, "lessons");
 }
 
-/// All VMs lose power, and of control only the one restarts whose note of the routes in
-/// force is older than the last change, which it had missed. There is no leader, so it is
-/// not known what is the newest. The gateway served by the old note, and answered 404 on
-/// the new route.
+/// All VMs lose power, and at first only one control VM restarts. It had missed the last
+/// change, so its note of the routes in force is outdated. Without a leader it can't be
+/// determined which routes are the newest. The gateway served by the old note, and answered
+/// 404 on the new route.
 #[test]
 fn a_gateway_that_starts_from_an_old_note_denies_no_route() {
     let mut site = start();
