--- a/crates/observe/src/burn/html.rs
+++ b/crates/observe/src/burn/html.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Escapes text for HTML. Names contain no special characters, but paths may contain any character.
+/// Escapes text for HTML. Names contain no special characters, but paths may contain any.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/observe/src/samples/sparse_histogram.rs
+++ b/crates/observe/src/samples/sparse_histogram.rs
@@ -45,8 +45,8 @@
         above.map(|(_, count)| u64::from(*count)).sum()
     }
 
-    /// The smallest value that a share of all recorded ones, 0 to 1, doesn't exceed; `None`
-    /// if nothing was recorded.
+    /// The smallest value that at least `share`, 0 to 1, of all recorded values don't exceed;
+    /// `None` if nothing was recorded.
     pub fn quantile(&self, share: f64) -> Option<u32> {
         let rank = (self.total() as f64 * share).ceil().max(1.0) as u64;
         let mut cumulative = 0;
