--- a/tests/all/measures.rs
+++ b/tests/all/measures.rs
@@ -83,7 +83,7 @@
         value(status, &drains) == 1.0
     });
     assert_eq!(value(status, &slots), 1.0);
-    // It is still leaving, which stays one drain.
+    // It is still leaving, and that counts as the same drain.
     reads(entry);
     assert_eq!(value(status, &drains), 1.0);
 }
--- a/tests/all/operators/group.rs
+++ b/tests/all/operators/group.rs
@@ -9,7 +9,7 @@
 use crate::support::programs;
 
 /// A VM is lost for good. One command, which may be repeated, replaces its replica by a
-/// fourth one; then a second replica is lost, and no accepted change is.
+/// fourth one. Then a second replica is lost; no accepted change may be lost with it.
 #[test]
 fn a_replaced_replica_survives_a_second_loss_without_losing_changes() {
     let mut session = Session::with_cluster(Cluster::builder(programs()).replicas(4).prepare());
--- a/tests/all/operators/shifts.rs
+++ b/tests/all/operators/shifts.rs
@@ -65,9 +65,9 @@
     assert_eq!(accepted["differences"][0]["after"]["weight"], 20);
 }
 
-/// Another shift changes the same row between export and proposal. The proposal is
-/// refused with both values; for a proposal that is open already, acceptance is. It can
-/// be proposed again on the current rows.
+/// Another shift changes the same row between export and proposal. A proposal made after
+/// that is refused and shows both values; one that was open before is refused when it is to
+/// be accepted, and can be proposed again on the current rows.
 #[test]
 fn a_conflict_shows_both_values_and_can_be_rebased() {
     let session = Session::start(1);
