--- a/crates/observe/src/samples/store.rs
+++ b/crates/observe/src/samples/store.rs
@@ -150,7 +150,7 @@
     Ok(damage)
 }
 
-/// Writes samples. A folder may have only one at a time, that of its control replica.
+/// Writes samples. Only one store may use a folder at a time, that of its control replica.
 #[derive(Debug)]
 pub struct SampleStore {
     dir: PathBuf,
