--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -111,13 +111,13 @@
     pub replicas: Vec<ReplicaSettings>,
     /// Automatic discovery of the group; with `None` operators manage membership.
     pub group: Option<GroupSettings>,
-    /// Listening address for operators' routes and evacuations.
+    /// Listening address for operators' routes and evacuations; `None` to accept none.
     pub orders_listen: Option<SocketAddr>,
-    /// Listening address for callers' look-ups of gateways.
+    /// Listening address for callers' look-ups of gateways; `None` to serve none.
     pub lookups_listen: Option<SocketAddr>,
     /// How long callers may cache the answer to a look-up.
     pub lookups_ttl: Duration,
-    /// The platform's list of endpoints.
+    /// The platform's list of endpoints; `None` to poll none.
     pub platform_list: Option<PlatformListSettings>,
     /// Time between a leader's heartbeats.
     pub heartbeat: Duration,
