--- a/crates/bench/src/bin/filberthead-measure-control/main.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/main.rs
@@ -1,5 +1,5 @@
 //! Measures the control plane with real processes: three control replicas and eleven
-//! entries in six failure domains.
+//! entries in six failure domains, the size of the larger user's deployment.
 //!
 //! Every process is behind a proxy in this process, so that replicas keep their addresses
 //! over a restart; times include the proxies' share.
--- a/crates/bench/src/placement/figures.rs
+++ b/crates/bench/src/placement/figures.rs
@@ -16,7 +16,7 @@
     pub in_time: u32,
     /// Answered after the objective.
     pub late: u32,
-    /// Refused, and not retried by the caller.
+    /// Refused for good: the caller's only retry was refused too, or its deadline allowed none.
     pub refused: u32,
 }
 
--- a/crates/bench/src/placement/site.rs
+++ b/crates/bench/src/placement/site.rs
@@ -1,5 +1,5 @@
 //! The deployment that patterns run on: three regions, one of which (`middle`) has a third
-//! of the callers and a twelfth of the slots.
+//! of the callers and a tenth of the slots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/bench/tests/all/placement.rs
+++ b/crates/bench/tests/all/placement.rs
@@ -35,7 +35,7 @@
     assert_ne!(figures(), simulate(&pattern("burst"), &BTreeSet::new(), 8));
 }
 
-/// Demand follows a wave, and one region has a third of the callers and a twelfth of the
+/// Demand follows a wave, and one region has a third of the callers and a tenth of the
 /// slots. Its callers must be served nearly as well as those of other regions, and much
 /// better than if all their requests stayed in the region.
 #[test]
--- a/crates/testing/src/operator.rs
+++ b/crates/testing/src/operator.rs
@@ -41,7 +41,7 @@
 }
 
 impl Operator {
-    /// An operator with this name, which is sent with each call.
+    /// An operator with this name, which is sent with each `POST`.
     pub fn new(name: &str, addrs: Vec<SocketAddr>) -> Self {
         let name = name.to_owned();
         Self { addrs, name }
@@ -106,12 +106,13 @@
         }
     }
 
-    /// The table from the first replica that returns it.
+    /// The table from the first replica that returns it, which has to prove that it leads.
     pub fn try_table(&self) -> Option<TableBody> {
         self.addrs.iter().find_map(|addr| self.table_of(*addr))
     }
 
-    /// The table from one replica; `None` if it refuses or doesn't answer.
+    /// The table from one replica; `None` if it can't prove that it leads, refuses for another
+    /// reason or doesn't answer.
     pub fn table_of(&self, addr: SocketAddr) -> Option<TableBody> {
         let answer = Call::get("/v1/table")
             .bound(ATTEMPT_TIMEOUT)
--- a/crates/testing/src/proxy/link.rs
+++ b/crates/testing/src/proxy/link.rs
@@ -98,7 +98,8 @@
         rules,
         direction: Direction::ToServer,
     };
-    // While bytes to the server are held, its side of the connection isn't opened either.
+    // While bytes to the server are held, its side of the connection isn't opened either: on a
+    // real link the first packet of the handshake wouldn't arrive.
     gate.clone().open().await;
     let Some(server) = connect(&gate.rules).await else {
         return;
--- a/crates/testing/src/site/list.rs
+++ b/crates/testing/src/site/list.rs
@@ -77,7 +77,7 @@
         Self { addr, state }
     }
 
-    /// Address that it serves.
+    /// Where it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -7,7 +7,8 @@
 
 use crate::site::Behaviour;
 
-/// Time before the first fault, in which callers connect and gateways learn objects.
+/// Time before the first fault, in which callers connect and gateways learn the affinity of
+/// objects.
 const INITIAL_DELAY: Duration = Duration::from_millis(800);
 /// Time between the starts of two faults, in milliseconds.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
@@ -98,7 +99,7 @@
     Silence(Target),
     /// A control replica's answers to operators are held back.
     HoldAnswers(usize),
-    /// They are delivered again.
+    /// A control replica's held answers and all later ones are delivered.
     PassAnswers(usize),
     /// An endpoint changes its behaviour.
     SetBehaviour(usize, Behaviour),
--- a/crates/testing/src/soak/violations.rs
+++ b/crates/testing/src/soak/violations.rs
@@ -76,7 +76,8 @@
     }
 }
 
-/// Checks the history against the runs on endpoints. `max_attempts` is the limit of all routes.
+/// Checks the history against the runs on endpoints. `max_attempts` is the number of
+/// attempts that every route allows.
 pub fn find_violations(
     history: &History,
     runs: &[EndpointRun],
--- a/crates/testing/src/standin/mod.rs
+++ b/crates/testing/src/standin/mod.rs
@@ -141,7 +141,7 @@
 pub fn read_journal(path: &Path) -> Record {
     let text = std::fs::read_to_string(path).expect("the journal can be read");
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-    let parse = |line| serde_json::from_str(line).expect("a line of the journal is whole");
+    let parse = |line| serde_json::from_str(line).expect("a complete line of the journal is valid");
     Record {
         events: whole.lines().map(parse).collect(),
         ..Record::default()
