--- a/crates/testing/src/bin/demo/system.rs
+++ b/crates/testing/src/bin/demo/system.rs
@@ -128,7 +128,8 @@
         Ok(text(&output.stdout))
     }
 
-    /// Sets a row with the option `--wait`, and returns the command's output.
+    /// Sets a row, waits (`--wait`) until every entry reports the change as in force, and returns
+    /// the command's output.
     pub(crate) fn set(
         &self,
         service: &str,
