--- a/crates/place/src/decide.rs
+++ b/crates/place/src/decide.rs
@@ -18,8 +18,8 @@
 /// Cost in seconds of sending a large response to another failure domain: the time that has to
 /// be saved before a download leaves its failure domain.
 const LARGE_CROSSING_COST: f64 = 0.05;
-/// Assumed round trip to another failure domain of the region, in seconds. It is short, and
-/// isn't measured.
+/// Assumed round trip to another failure domain of the region, in seconds. It is short, so
+/// observations don't replace it.
 const INTRA_REGION_RTT: f64 = 0.003;
 /// Round trip to another region in seconds until it was observed: a usual distance on a
 /// continent.
