--- a/specs/check.sh
+++ b/specs/check.sh
@@ -2,10 +2,10 @@
 # Checks every specification in this folder.
 #
 # A specification lists its checks in its opening comment, a line each:
-#   CHECK holds                  nothing may break
-#   CHECK fails NAME,BOUND=2 why the twin compiled with these macros must break
-# Bounds: SECONDS_EACH of time and MEGABYTES of memory for each check. One that ends
-# for any other reason than a whole search or a broken rule is a surprise.
+#   CHECK holds                  no assertion may fail
+#   CHECK fails NAME,BOUND=2 why the variant compiled with these macros must fail
+# Bounds: SECONDS_EACH of time and MEGABYTES of memory for each check. A check that ends
+# otherwise than by a complete search or a failed assertion counts as failed.
 set -u
 cd "$(dirname "$0")"
 
--- a/specs/handover.pml
+++ b/specs/handover.pml
@@ -1,20 +1,20 @@
 /* Hand-over of a failure domain's endpoints from one entry to another, with time in
  * whole units.
  *
- * Entry A owns the endpoints; B is the other member of the roster; control keeps the
- * roster. A is in force while control's lease or B's promise holds. Questions and
- * answers are late or lost, in any order; A may be silent for as long as it likes, and
- * may start a planned stop at any moment.
+ * Entry A owns the endpoints; B is the other member of the roster; control stores the
+ * roster. A is in force, and may admit requests, while control's lease or B's promise is
+ * valid. Requests and replies are delayed or lost, in any order; A may send nothing for
+ * any time, and may start a planned stop at any moment.
  *
  * Holds: B never owns the endpoints while A is in force.
  *
- * Each twin takes a rule away and must fail:
+ * Each variant disables one rule and must fail:
  *
  * CHECK holds
- * CHECK fails LEASE_FROM_ANSWER   A counts its lease from the answer's arrival
- * CHECK fails NO_CONFIRMATION     control removes A on its own lapsed lease alone
- * CHECK fails REFUSE_EARLY        B confirms while its promise may still hold
- * CHECK fails GAIN_BEFORE_ACK     B follows the new roster before a leaving A does
+ * CHECK fails LEASE_FROM_ANSWER   A counts its lease from the reply's arrival
+ * CHECK fails NO_CONFIRMATION     control removes A once its own lease has expired
+ * CHECK fails REFUSE_EARLY        B confirms while its promise may still be valid
+ * CHECK fails GAIN_BEFORE_ACK     B applies the new roster before a stopping A does
  * CHECK fails PROMISE_AFTER       B promises again after it has confirmed
  */
 
@@ -24,21 +24,21 @@
 
 byte now;
 
-/* What A holds: the moments until which it is in force. */
+/* A is in force until the later of these moments. */
 byte leased_until;
 byte promised_until;
-bool a_follows;             /* the roster without A */
+bool a_follows;             /* A applies the roster without A */
 
-/* What the grantors have given. */
-byte control_bound;         /* control's lease to A holds until then */
-byte b_bound;               /* B's promise to A holds until then */
+/* What control and B have granted. */
+byte control_bound;         /* control's lease to A expires then */
+byte b_bound;               /* B's promise to A expires then */
 bool confirmed;             /* B gives no more promises to A */
 bool confirmation_sent;
 bool leaving;
-bool removed;               /* control's roster is without A */
+bool removed;               /* control's roster no longer lists A */
 bool b_owns;
 
-/* One question and one answer under way on each link: the moment of asking. */
+/* At most one request and one reply in transit on each link: the time of the request. */
 byte ask_control = NONE;
 byte ask_b = NONE;
 byte answer_control = NONE;
@@ -68,7 +68,7 @@
     :: atomic { answer_b != NONE ->
         later(promised_until, COUNTED(answer_b)); answer_b = NONE }
     :: atomic { !leaving -> leaving = true }
-    /* Told of the new roster; from then on it admits nothing. */
+    /* A receives the new roster; from then on it admits nothing. */
     :: atomic { removed && !a_follows -> a_follows = true }
     od
 }
@@ -77,16 +77,16 @@
     do
     :: atomic { ask_control != NONE && !removed ->
         answer_control = ask_control; ask_control = NONE; control_bound = now + LEASE }
-    /* A planned stop: A loses first. */
+    /* A planned stop: A loses the endpoints before B gains them. */
     :: atomic { leaving && !removed -> removed = true }
-    /* A silent A: its lease has lapsed here, and B's word says that its promise has. */
+    /* A is silent: control's lease has expired, and B has confirmed that its promise has. */
 #ifdef NO_CONFIRMATION
     :: atomic { !removed && !leaving && now >= control_bound -> removed = true; b_owns = true }
 #else
     :: atomic { !removed && !leaving && now >= control_bound && confirmation_sent ->
         removed = true; b_owns = true }
 #endif
-    /* B follows a leaving A. */
+    /* After a planned stop B gains the endpoints. */
 #ifdef GAIN_BEFORE_ACK
     :: atomic { removed && leaving && !b_owns -> b_owns = true }
 #else
--- a/specs/lease.pml
+++ b/specs/lease.pml
@@ -1,16 +1,16 @@
 /* Elections and the leader's lease, with time in whole units.
  *
- * Three replicas; answers are late, crossed or lost; replicas crash and come back
- * without what they had only in memory. Terms and votes are on disk. A heartbeat
- * arrives at once or never: a late one binds its receiver for longer and so is safer.
+ * Three replicas; replies are delayed, reordered or lost; replicas crash and restart
+ * without what they had only in memory. Terms and votes are on disk. A heartbeat arrives
+ * at once or never: a late one keeps its receiver from voting for longer, so is safer.
  *
  * Holds: at no moment do two replicas have a valid lease; no two lead in one term.
  *
- * Each twin takes a rule away and must fail:
+ * Each variant disables one rule and must fail:
  *
  * CHECK holds
- * CHECK fails LEASE_FROM_ANSWER   the lease counts from the answer's arrival
- * CHECK fails VOTE_WHILE_LED      a replica votes although it has just heard a leader
+ * CHECK fails LEASE_FROM_ANSWER   the lease counts from the reply's arrival
+ * CHECK fails VOTE_WHILE_LED      a replica votes although it has just had a heartbeat
  * CHECK fails VOTE_AFTER_RESTART  a replica votes at once after a restart
  * CHECK fails LEASE_TOO_LONG      the lease outlasts the election timeout
  * CHECK fails VOTE_NOT_SYNCED     a crash loses the vote
@@ -31,13 +31,13 @@
 typedef Replica {
     byte term;
     byte vote;          /* candidate of this term, N if none */
-    byte bound_until;   /* no vote before */
+    byte bound_until;   /* gives no vote before */
     byte votes;         /* bit of each voter, for a candidate */
     bool leads;
     byte sent[N];       /* newest heartbeat that each replica answered; NEVER if none */
 }
 
-/* One message under way on each link; a later one replaces it. */
+/* One message in transit on each link; a later one replaces it. */
 typedef Link {
     byte term;
     byte sent;          /* NEVER if the link is empty */
@@ -163,7 +163,7 @@
 #define CAN_GRANT(v, x) (MAY_VOTE(v) && (r[x].term > r[v].term || \
     (r[x].term == r[v].term && (r[v].vote == N || r[v].vote == x))))
 
-/* Replicas are alike, so the first to campaign may as well be 0. */
+/* Replicas are interchangeable, so 0 is the first to campaign. */
 #define BEGUN (r[0].term + r[1].term + r[2].term > 0)
 #define CAMPAIGNS(x) (!r[x].leads && now >= r[x].bound_until && r[x].term < TERMS && \
     (BEGUN || x == 0))
--- a/specs/replacement.pml
+++ b/specs/replacement.pml
@@ -1,23 +1,23 @@
 /* The log, and the replacement of a replica whose disk was lost.
  *
- * Replicas 0, 1 and 2 begin; the disk of 2 is wiped at any moment, and the VM comes back
- * under a new identity, 3, with an empty log. It learns, is promoted, and 2 is removed.
- * Right after that one more replica is lost for good. Replicas may be slow for as long
- * as they like, so messages need no model of their own.
+ * Replicas 0, 1 and 2 are the first voters; the disk of 2 is wiped at any moment, and its
+ * VM restarts under a new identity, 3, with an empty log. 3 joins as a learner, is
+ * promoted, and 2 is removed. Right after that one more replica is lost for good. Replicas
+ * may be slow for any time, so messages aren't modelled separately.
  *
  * Holds: at most one leader a term; no committed entry is changed; every leader has all
  * that is committed.
  *
- * Each twin takes a rule away and must fail:
+ * Each variant disables one rule and must fail:
  *
  * CHECK holds
  * CHECK holds TERMS=4,PLACES=2,NO_WIPE
  * CHECK fails NEVER_REPAIRED     claims that no run gets as far as the second loss
- * CHECK fails IDENTITY_REUSED    the wiped replica comes back as 2
+ * CHECK fails IDENTITY_REUSED    the wiped replica restarts as 2
  * CHECK fails LEARNER_COUNTS     the learner counts as a voter before its promotion
  * CHECK fails OLD_TERM_COMMIT,TERMS=4,PLACES=2,NO_WIPE   entries of earlier terms are committed by counting
  * CHECK fails OLD_LOG_ELECTED    votes go to candidates whose log is older
- * CHECK fails MINORITY_COMMITS   the leader commits what it alone has
+ * CHECK fails MINORITY_COMMITS   the leader commits entries that only it has
  */
 
 #define N 4
@@ -188,7 +188,7 @@
     r[me].length++;
 }
 
-/* Commits the first entry that is not, if `upto` entries are on a majority. */
+/* Commits the first `upto` entries if a majority has them. */
 inline commit_upto(me, upto) {
     find_voters(me);
     count = 0;
@@ -243,7 +243,7 @@
 #endif
 }
 
-/* 0 and 1 are alike, so 1 is not the first to campaign. */
+/* 0 and 1 are interchangeable, so 1 is not the first to campaign. */
 #define MAY_ASK(x) (!dead[x] && r[x].term < TERMS && (x != 1 || BEGUN))
 #define BEGUN (r[0].term + r[1].term + r[2].term + led > 0)
 #define ASKS(x) (!dead[x] && r[x].votes != 0)
