--- a/ci/measure.sh
+++ b/ci/measure.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs every program of figures and prints `name: value unit`, a line each.
+# Runs every program that measures figures and prints `name: value unit`, a line each.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 cargo build --release --quiet --workspace --bins --examples || exit 1
@@ -13,8 +13,8 @@
     cargo run --release --quiet -p "$package" --example cost || failed=1
 done
 
-# The figures of whole systems of real processes. Programs that measure are named so;
-# `fleet` runs hundreds of nodes.
+# The figures of whole systems of real processes. Their names begin with
+# filberthead-measure-; `fleet` runs hundreds of nodes.
 bin="${CARGO_TARGET_DIR:-target}/release"
 for program in "$bin"/filberthead-measure-* "$bin"/fleet; do
     if [[ -x $program && $program != *.d ]]; then
--- a/ci/test.sh
+++ b/ci/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Every check and test. Exits 0 only if all of them pass, but for the tests that
+# Runs every check and test. Exits 0 only if all of them pass, except for the tests that
 # KNOWN-RED.txt names.
 set -uo pipefail
 cd "$(dirname "$0")/.."
--- a/ci/walk.sh
+++ b/ci/walk.sh
@@ -3,13 +3,13 @@
 # new operator would, and checks what the comment before the block says:
 #
 #   walk: runs           each command exits with 0
-#   walk: shows REGEX    so, and the last command's output matches, within a minute
-#   walk: hides REGEX    so, and the last command's output stops matching
+#   walk: shows REGEX    the same, and the last command's output matches, within a minute
+#   walk: hides REGEX    the same, and the last command's output stops matching
 #   walk: refused        the block ends with another code than 0
 #   walk: skip           not run here
 #
 # Needs a build and `curl`. Uses the addresses that the page uses, and data/kovceg, which
-# must not be there.
+# must not exist.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 page=docs/getting-started.md
@@ -28,8 +28,8 @@
 }
 trap cleanup EXIT
 
-# Runs commands with the variables that earlier blocks have exported. A shell of its own,
-# since `set -e` means nothing in a function whose exit code is looked at.
+# Runs commands with the variables that earlier blocks have exported. A separate shell,
+# since `set -e` has no effect in a function whose exit code is tested.
 run() {
     touch "$state/env"
     {
--- a/config/local.sh
+++ b/config/local.sh
@@ -11,7 +11,7 @@
 cd "$(dirname "$0")/.."
 bin="${FILBERTHEAD_BIN:-${CARGO_TARGET_DIR:-target}/release}"
 
-# Starts a program in the background and notes its process id under a name.
+# Starts a program in the background and writes its process id to NAME.pid.
 launch() {
     local dir="$1" name="$2"
     shift 2
@@ -46,8 +46,8 @@
     done
 }
 
-# Asks all of them to stop, and waits: entries serve until the last look-up that names
-# them has lapsed.
+# Asks all of them to stop, and waits: entries serve until the last look-up result that
+# names them has expired.
 stop() {
     local file
     for file in "data/$1"/*.pid; do
