--- a/crates/bench/src/bin/filberthead-measure-control/load.rs
+++ b/crates/bench/src/bin/filberthead-measure-control/load.rs
@@ -1,4 +1,5 @@
-//! What control costs each process, idle and under changes.
+//! Measures the traffic, processor time and memory that control costs each process, idle
+//! and under changes.
 
 use std::time::{Duration, Instant};
 
@@ -13,17 +14,18 @@
 const CHANGES: u32 = 200;
 const CHANGES_PAUSE: Duration = Duration::from_millis(80);
 const CHANGES_PER_DAY: f64 = 1_300.0;
+/// Peer protocols whose traffic is printed one by one.
 const PROTOCOLS: &[&str] = &["spread", "ledger", "quarantine", "steer", "samples"];
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What a process has used since its start.
+/// Processor time and peer traffic of a process since its start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct Usage {
     cpu_seconds: f64,
     bytes: f64,
 }
 
-impl Used {
+impl Usage {
     fn of(node: &Node) -> Self {
         let process: &Process = node.running();
         Self {
@@ -40,25 +42,26 @@
     }
 }
 
-/// What all processes have used over a while.
+/// Usage of the control leader and all entries over a period.
 struct Window {
     seconds: f64,
-    leader: Used,
-    entries: Vec<Used>,
+    leader: Usage,
+    entries: Vec<Usage>,
 }
 
 impl Window {
-    fn over(system: &System, work: impl FnOnce()) -> Self {
+    /// Runs `work` and returns what the processes used meanwhile.
+    fn measure(system: &System, work: impl FnOnce()) -> Self {
         let leader = system.operator.wait_leader();
         let mut controls = system.cluster.controls.iter();
         let leader = controls.find(|node| node.name() == leader.node.as_str());
         let leader = leader.expect("the leader is one of them");
-        let entries = || system.cluster.entries.iter().map(Used::of).collect();
-        let before: (Used, Vec<Used>) = (Used::of(leader), entries());
+        let entries = || system.cluster.entries.iter().map(Usage::of).collect();
+        let before: (Usage, Vec<Usage>) = (Usage::of(leader), entries());
         let start = Instant::now();
         work();
         let seconds = start.elapsed().as_secs_f64();
-        let after: (Used, Vec<Used>) = (Used::of(leader), entries());
+        let after: (Usage, Vec<Usage>) = (Usage::of(leader), entries());
         let pairs = after.1.iter().zip(before.1);
         Self {
             seconds,
@@ -68,21 +71,21 @@
     }
 
     fn mean_bytes(&self) -> f64 {
-        let total: f64 = self.entries.iter().map(|used| used.bytes).sum();
+        let total: f64 = self.entries.iter().map(|usage| usage.bytes).sum();
         total / self.entries.len() as f64
     }
 
-    fn most(&self, take: impl Fn(&Used) -> f64) -> f64 {
-        self.entries.iter().map(take).fold(0.0, f64::max)
+    fn most(&self, value: impl Fn(&Usage) -> f64) -> f64 {
+        self.entries.iter().map(value).fold(0.0, f64::max)
     }
 
     fn print(&self, phase: &str) {
         let rate = |value: f64| value / self.seconds;
-        let name = |what| format!("{phase}_{what}");
+        let name = |suffix| format!("{phase}_{suffix}");
         print(&name("entry_bytes_mean"), rate(self.mean_bytes()), "B/s");
-        let most = self.most(|used| used.bytes);
+        let most = self.most(|usage| usage.bytes);
         print(&name("entry_bytes_most"), rate(most), "B/s");
-        let most = self.most(|used| used.cpu_seconds);
+        let most = self.most(|usage| usage.cpu_seconds);
         print(&name("entry_cpu_most"), 100.0 * rate(most), "% of a core");
         print(&name("leader_bytes"), rate(self.leader.bytes), "B/s");
         let cpu = 100.0 * rate(self.leader.cpu_seconds);
@@ -93,7 +96,7 @@
 pub(crate) fn idle(system: &System) {
     std::thread::sleep(SETTLE);
     let before = sent_by_protocol(system);
-    let window = Window::over(system, || std::thread::sleep(WINDOW));
+    let window = Window::measure(system, || std::thread::sleep(WINDOW));
     window.print("idle");
     let pairs = sent_by_protocol(system).into_iter().zip(before);
     let entries = system.cluster.entries.len() as f64;
@@ -107,7 +110,7 @@
     print("entry_resident_most", megabytes, "MB");
 }
 
-/// Bytes that all entries have sent since their start, for each of [`PROTOCOLS`].
+/// Bytes that all entries together have sent since their start, for each of [`PROTOCOLS`].
 fn sent_by_protocol(system: &System) -> Vec<f64> {
     let entries = &system.cluster.entries;
     let sent = |protocol: &&str| {
@@ -117,9 +120,9 @@
     PROTOCOLS.iter().map(sent).collect()
 }
 
-/// The day's changes, speeded up.
+/// Measures usage while changes arrive faster than at 1300 a day.
 pub(crate) fn changing(system: &System) {
-    let window = Window::over(system, || {
+    let window = Window::measure(system, || {
         system.change_often(CHANGES, CHANGES_PAUSE);
     });
     let per_second = f64::from(CHANGES) / window.seconds;
--- a/crates/bench/src/experiment/deployment.rs
+++ b/crates/bench/src/experiment/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments that the figures are for.
+//! The two simulated deployments.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// A service with its endpoints and its load.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name, as in the figures.
     pub name: &'static str,
     /// Endpoints in each failure domain.
     pub endpoints: [usize; DOMAINS],
@@ -15,45 +15,46 @@
     pub slots: u32,
     /// Connections of an endpoint.
     pub connections: u32,
-    /// Mean time for which a request holds a slot of a warm endpoint.
-    pub hold: Duration,
-    /// Time after which a caller gives up.
-    pub patience: Duration,
-    /// Part of all slots that the steady load fills.
+    /// Mean service time at a warm endpoint.
+    pub service_time: Duration,
+    /// Time after which a caller cancels a request.
+    pub caller_timeout: Duration,
+    /// Utilisation of all slots under the base load, from 0 to 1.
     pub load: f64,
 }
 
 /// Failure domains in a deployment.
 pub(crate) const DOMAINS: usize = 6;
 /// Failure domains in a region.
-pub(crate) const DOMAINS_A_REGION: usize = 2;
+pub(crate) const DOMAINS_PER_REGION: usize = 2;
 /// Regions in a deployment.
-pub(crate) const REGIONS: usize = DOMAINS / DOMAINS_A_REGION;
+pub(crate) const REGIONS: usize = DOMAINS / DOMAINS_PER_REGION;
 
-/// One user's system.
+/// The deployment of one user.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// Name, as in the figures.
     pub name: &'static str,
     /// Names of its regions.
     pub regions: [&'static str; REGIONS],
     /// Entries in each failure domain.
     pub entries: [usize; DOMAINS],
     /// One-way delay within a failure domain.
-    pub near: Duration,
+    pub domain_delay: Duration,
     /// One-way delay between the failure domains of a region.
-    pub region: Duration,
+    pub region_delay: Duration,
     /// One-way delay between regions.
-    pub far: Duration,
+    pub inter_region_delay: Duration,
     /// One-way delay between callers and entries.
-    pub caller: Duration,
-    /// Time for a new connection.
+    pub caller_delay: Duration,
+    /// Time to open a connection. Not used by the simulation.
     pub connect: Duration,
-    /// Time for a probe.
-    pub probe: Duration,
-    /// What its rows favour.
+    /// Time from a probe to its result.
+    pub probe_delay: Duration,
+    /// Objective of all its rows.
     pub objective: Objective,
-    /// Its services; the first one is the one that counts most.
+    /// Its services. Headroom, shift excess and `p99-to-bound` are measured for the first
+    /// one only.
     pub services: Vec<ServiceSpec>,
 }
 
@@ -64,32 +65,32 @@
 fn service(
     name: &'static str,
     endpoints: [usize; DOMAINS],
-    hold: u64,
-    patience: u64,
+    service_time: u64,
+    caller_timeout: u64,
 ) -> ServiceSpec {
     ServiceSpec {
         name,
         endpoints,
         slots: 3,
         connections: 330,
-        hold: ms(hold),
-        patience: ms(patience),
+        service_time: ms(service_time),
+        caller_timeout: ms(caller_timeout),
         load: 0.55,
     }
 }
 
-/// The franchise of magic shops.
+/// Deployment of a franchise of magic shops.
 pub fn kovceg() -> Deployment {
     Deployment {
         name: "kovceg",
         regions: ["zagreb", "split", "osijek"],
         entries: [2, 2, 2, 2, 2, 1],
-        near: Duration::from_micros(200),
-        region: Duration::from_micros(1500),
-        far: ms(35),
-        caller: ms(3),
+        domain_delay: Duration::from_micros(200),
+        region_delay: Duration::from_micros(1500),
+        inter_region_delay: ms(35),
+        caller_delay: ms(3),
         connect: ms(1),
-        probe: ms(6),
+        probe_delay: ms(6),
         objective: Objective::Latency,
         services: vec![
             service("catalogue", [3, 3, 3, 3, 2, 2], 20, 1000),
@@ -99,7 +100,7 @@
     }
 }
 
-/// The network of weather stations.
+/// Deployment of a network of weather stations.
 pub fn associacao() -> Deployment {
     let mut services = vec![
         service("readings", [3; DOMAINS], 15, 1000),
@@ -113,12 +114,12 @@
         name: "associacao",
         regions: ["norte", "sul", "ilhas"],
         entries: [2, 1, 2, 1, 1, 1],
-        near: Duration::from_micros(200),
-        region: Duration::from_micros(500),
-        far: ms(35),
-        caller: ms(3),
+        domain_delay: Duration::from_micros(200),
+        region_delay: Duration::from_micros(500),
+        inter_region_delay: ms(35),
+        caller_delay: ms(3),
         connect: ms(1),
-        probe: ms(6),
+        probe_delay: ms(6),
         objective: Objective::Headroom,
         services,
     }
@@ -128,18 +129,20 @@
     /// Slots of a service in a region.
     pub fn region_slots(&self, service: usize, region: usize) -> u32 {
         let spec = &self.services[service];
-        let first = region * DOMAINS_A_REGION;
-        let endpoints: usize = spec.endpoints[first..first + DOMAINS_A_REGION].iter().sum();
+        let first = region * DOMAINS_PER_REGION;
+        let endpoints: usize = spec.endpoints[first..first + DOMAINS_PER_REGION]
+            .iter()
+            .sum();
         endpoints as u32 * spec.slots
     }
 
-    /// Slots of a service.
+    /// Slots of a service in all regions.
     pub fn slots(&self, service: usize) -> u32 {
         (0..REGIONS).map(|r| self.region_slots(service, r)).sum()
     }
 
-    /// The row of a service in a region: weight and limit by slots, and a shift cap of
-    /// half of them.
+    /// The table row of a service in a region: weight and limit equal the slots, the shift
+    /// cap is half of them.
     pub fn row(&self, service: usize, region: usize) -> RowValues {
         let slots = self.region_slots(service, region);
         RowValues {
@@ -150,18 +153,18 @@
         }
     }
 
-    /// Requests a second that fill the given part of a service's slots.
+    /// Requests a second that give a service's slots the utilisation `load`.
     pub fn rate(&self, service: usize, load: f64) -> f64 {
-        f64::from(self.slots(service)) * load / self.services[service].hold.as_secs_f64()
+        f64::from(self.slots(service)) * load / self.services[service].service_time.as_secs_f64()
     }
 
     /// Name of a failure domain.
     pub fn domain_name(&self, domain: usize) -> String {
-        let letter = if domain.is_multiple_of(DOMAINS_A_REGION) {
+        let letter = if domain.is_multiple_of(DOMAINS_PER_REGION) {
             'a'
         } else {
             'b'
         };
-        format!("{}-{letter}", self.regions[domain / DOMAINS_A_REGION])
+        format!("{}-{letter}", self.regions[domain / DOMAINS_PER_REGION])
     }
 }
--- a/crates/bench/src/placement/endpoint.rs
+++ b/crates/bench/src/placement/endpoint.rs
@@ -1,62 +1,64 @@
-//! An endpoint of the model: slots, a queue, and objects that it knows.
+//! A simulated endpoint: slots, a queue, and a least-recently-used cache of objects.
 
 use std::collections::VecDeque;
 
 use filberthead_place::Load;
 
-/// Requests that wait at an endpoint, as a multiple of its slots, before it refuses more.
-const QUEUE: usize = 3;
+/// Length of an endpoint's queue as a multiple of its slots; further requests are refused.
+const QUEUE_FACTOR: usize = 3;
 
-/// Work at an endpoint.
+/// One attempt of a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Job {
-    /// Which request, of those that have come.
+    /// Index of the request in the simulation.
     pub(super) request: usize,
-    /// Which of its attempts.
+    /// Number of the attempt within its request, from 1.
     pub(super) attempt: u32,
     pub(super) object: u64,
-    /// Milliseconds that it takes where the object is unknown.
+    /// Service time where the object isn't cached, in milliseconds.
     pub(super) work_ms: f64,
 }
 
-/// What an endpoint does with a request that reaches it.
+/// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Taken {
-    /// It runs or waits.
-    Yes,
-    /// It is refused.
+pub(super) enum Admission {
+    /// Runs or queues it.
+    Accepted,
+    /// Refuses it: the queue is full, or the endpoint sheds.
     Refused,
-    /// Nobody answers.
-    Silent,
+    /// Doesn't answer, because it is down.
+    NoAnswer,
 }
 
 #[derive(Debug)]
 pub(super) struct Endpoint {
     slots: usize,
-    remembers: usize,
-    known_part: f64,
+    /// Objects that the cache holds.
+    cache_capacity: usize,
+    /// Factor on the service time where the object is cached.
+    cached_work_factor: f64,
     pub(super) running: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Objects, those handled last at the end.
-    known: VecDeque<u64>,
-    /// How much longer work takes.
-    pub(super) slow: f64,
-    /// Part of requests that are refused, room or not.
-    pub(super) sheds: f64,
+    /// Cached objects, the most recently used one last.
+    cached_objects: VecDeque<u64>,
+    /// Factor on every service time.
+    pub(super) work_factor: f64,
+    /// Share of requests that are refused regardless of free slots.
+    pub(super) shed_ratio: f64,
     pub(super) down: bool,
 }
 
 impl Endpoint {
-    pub(super) fn new(slots: usize, remembers: usize, known_part: f64) -> Self {
+    pub(super) fn new(slots: usize, cache_capacity: usize, cached_work_factor: f64) -> Self {
         Self {
             slots,
-            remembers,
-            known_part,
+            cache_capacity,
+            cached_work_factor,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            known: VecDeque::new(),
-            slow: 1.0,
-            sheds: 0.0,
+            cached_objects: VecDeque::new(),
+            work_factor: 1.0,
+            shed_ratio: 0.0,
             down: false,
         }
     }
@@ -68,63 +70,68 @@
         }
     }
 
-    /// Takes a request in; `draw` is between 0 and 1.
-    pub(super) fn take(&mut self, job: Job, draw: f64) -> Taken {
+    /// Queues or refuses a request. `draw` is a uniform sample from 0 to 1 that is compared
+    /// with `shed_ratio`.
+    pub(super) fn admit(&mut self, job: Job, draw: f64) -> Admission {
         if self.down {
-            return Taken::Silent;
+            return Admission::NoAnswer;
         }
-        if draw < self.sheds || self.waiting.len() >= QUEUE * self.slots {
-            return Taken::Refused;
+        if draw < self.shed_ratio || self.waiting.len() >= QUEUE_FACTOR * self.slots {
+            return Admission::Refused;
         }
         self.waiting.push_back(job);
-        Taken::Yes
+        Admission::Accepted
     }
 
-    /// Begins what has a slot, and returns each with the milliseconds that it takes.
-    pub(super) fn begin(&mut self) -> Vec<(Job, f64)> {
-        let mut begun = Vec::new();
+    /// Starts waiting requests while slots are free, and returns each with its service time
+    /// in milliseconds.
+    pub(super) fn start_waiting(&mut self) -> Vec<(Job, f64)> {
+        let mut started = Vec::new();
         while self.running.len() < self.slots {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            let part = if self.learn(job.object) {
-                self.known_part
+            let cache_factor = if self.access(job.object) {
+                self.cached_work_factor
             } else {
                 1.0
             };
             self.running.push(job);
-            begun.push((job, part * job.work_ms * self.slow));
+            started.push((job, cache_factor * job.work_ms * self.work_factor));
         }
-        begun
+        started
     }
 
-    /// Whether the object was known; it is from now on.
-    fn learn(&mut self, object: u64) -> bool {
-        let held = self.known.iter().position(|known| *known == object);
-        if let Some(place) = held {
-            self.known.remove(place);
+    /// Marks the object as the most recently used one, and returns whether it was cached.
+    fn access(&mut self, object: u64) -> bool {
+        let position = self
+            .cached_objects
+            .iter()
+            .position(|cached| *cached == object);
+        if let Some(index) = position {
+            self.cached_objects.remove(index);
         }
-        self.known.push_back(object);
-        if self.known.len() > self.remembers {
-            self.known.pop_front();
+        self.cached_objects.push_back(object);
+        if self.cached_objects.len() > self.cache_capacity {
+            self.cached_objects.pop_front();
         }
-        held.is_some()
+        position.is_some()
     }
 
-    /// Ends a request, whether it is over or its caller has left. Returns whether it was
-    /// there.
-    pub(super) fn end(&mut self, request: usize, attempt: u32) -> bool {
-        let is = |job: &Job| job.request == request && job.attempt == attempt;
+    /// Removes an attempt that has completed or timed out. Returns whether it was running
+    /// or waiting.
+    pub(super) fn remove(&mut self, request: usize, attempt: u32) -> bool {
+        let matches = |job: &Job| job.request == request && job.attempt == attempt;
         let before = self.running.len() + self.waiting.len();
-        self.running.retain(|job| !is(job));
-        self.waiting.retain(|job| !is(job));
+        self.running.retain(|job| !matches(job));
+        self.waiting.retain(|job| !matches(job));
         self.running.len() + self.waiting.len() < before
     }
 
-    /// It starts anew and knows nothing; whatever it had is lost.
+    /// Restarts the endpoint: drops all requests and empties its cache.
     pub(super) fn restart(&mut self) {
         self.running.clear();
         self.waiting.clear();
-        self.known.clear();
+        self.cached_objects.clear();
     }
 }
--- a/crates/filberthead/src/control/machine.rs
+++ b/crates/filberthead/src/control/machine.rs
@@ -1,10 +1,10 @@
-//! The replicated state machine: the operators' table, verdicts on homes of idempotency keys,
-//! routes, evacuations and replica addresses.
+//! The replicated state machine: the operators' table, results of claims on homes of idempotency
+//! keys, routes, evacuations and replica addresses.
 //!
 //! All share the log because all need the same guarantee: what is committed is never undone.
-//! Verdicts are separate from the table since they have no version and aren't distributed: only
-//! the two entries concerned need them. The revision of routes and evacuations is the index of
-//! the entry that last changed them, which is the same on every replica.
+//! Claim results are separate from the table since they have no version and aren't distributed:
+//! only the two entries concerned need them. The revision of routes and evacuations is the index
+//! of the log entry that last changed them, which is the same on every replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -53,8 +53,8 @@
 pub(crate) struct Machine {
     /// The table, shared with its readers.
     pub(crate) table: Arc<Table>,
-    /// Which entry continued, by home and config.
-    pub(crate) verdicts: ClaimResults,
+    /// Which entry continued, by home and its epoch.
+    pub(crate) claim_results: ClaimResults,
     /// The routes in force.
     pub(crate) routes: LatestChange,
     /// Index of the entry that put them in force; 0 for none.
@@ -75,7 +75,7 @@
                 let outcome = Arc::make_mut(&mut self.table).apply(command);
                 Applied::Table(outcome)
             }
-            Entry::Claim(claim) => Applied::Claim(self.verdicts.apply(claim)),
+            Entry::Claim(claim) => Applied::Claim(self.claim_results.apply(claim)),
             Entry::Order(order) => {
                 self.apply_order(index, order);
                 Applied::NoOutcome
--- a/crates/filberthead/src/entry/ledger/duty.rs
+++ b/crates/filberthead/src/entry/ledger/duty.rs
@@ -60,8 +60,8 @@
     Duty::spawn("ledger", move || run(duty, stop))
 }
 
-/// A pass that the ledger hasn't answered yet.
-struct WaitingPass {
+/// A request to run that the ledger hasn't decided on yet.
+struct PendingBegin {
     admission: OwnedSemaphorePermit,
     reply: oneshot::Sender<Reply>,
 }
@@ -76,7 +76,7 @@
     journal: Sender<JournalWrite>,
     /// Writes that didn't fit into the journal's ring, in order.
     unwritten: VecDeque<JournalWrite>,
-    waiting: HashMap<Token, WaitingPass>,
+    waiting: HashMap<Token, PendingBegin>,
     next_token: u64,
 }
 
@@ -187,7 +187,7 @@
     fn begin(&mut self, begin: BeginCommand) {
         let token = Token(self.next_token);
         self.next_token += 1;
-        let waiting = WaitingPass {
+        let waiting = PendingBegin {
             admission: begin.admission,
             reply: begin.reply,
         };
@@ -224,9 +224,9 @@
         self.step(Event::Members(members));
     }
 
-    /// Cancels the passes whose request no longer waits for the reply.
+    /// Cancels the requests whose task no longer waits for the reply.
     fn cancel_abandoned(&mut self) {
-        let abandoned = |(token, waiting): (&Token, &WaitingPass)| {
+        let abandoned = |(token, waiting): (&Token, &PendingBegin)| {
             let closed = waiting.reply.is_closed();
             closed.then_some(*token)
         };
@@ -268,7 +268,7 @@
             }),
             Action::Claim(claim) => {
                 // The leader may be unknown or outdated: a claim is resent until its
-                // verdict arrives.
+                // result arrives.
                 if let Some(to) = self.cluster.control {
                     let body = Body::Ledger(Message::Claim(claim));
                     let _ = self.out.push(Outgoing { to, body });
@@ -304,7 +304,7 @@
 
     fn reply_decision(&mut self, token: Token, decision: Decision) {
         let Some(waiting) = self.waiting.remove(&token) else {
-            warn!(pass = token.0; "the ledger answered a pass that isn't waiting");
+            warn!(pass = token.0; "the ledger decided on a request that isn't waiting");
             return;
         };
         let reply = match decision {
--- a/crates/spread/src/node/mod.rs
+++ b/crates/spread/src/node/mod.rs
@@ -216,9 +216,9 @@
         self.leader
     }
 
-    /// Whether the view held is the newest, up to the time after which a leader counts as
-    /// silent: the view is proven, and the leader, which announces its own version, is live.
-    /// Only then may the node answer that something missing from the view doesn't exist.
+    /// Whether the view held is the newest, but for changes after the leader was last seen:
+    /// the view is proven, and the leader, which announces its own version, isn't silent. Only
+    /// then may the node answer that something missing from the view doesn't exist.
     ///
     /// A node that is cut off stays [`Readiness::Proven`]: it may act on the view it holds.
     pub fn is_current(&self, now: Moment) -> bool {
--- a/crates/testing/src/bin/demo/system.rs
+++ b/crates/testing/src/bin/demo/system.rs
@@ -10,16 +10,16 @@
 use filberthead_testing::operator::Operator;
 use serde::Deserialize;
 
-/// How long a step waits for what must come.
+/// How long a step waits for a condition.
 const BOUND: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a step failed.
 #[derive(Debug)]
 pub(crate) enum StepError {
-    /// A request has no whole answer.
+    /// A request got no complete answer.
     Call(CallError),
-    /// Something is other than it must be.
+    /// A result differs from the expected one.
     Unexpected(String),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Fails a step unless something holds.
+/// Fails a step with the text `what` unless `holds`.
 pub(crate) fn ensure(holds: bool, what: impl FnOnce() -> String) -> Result<(), StepError> {
     if holds {
         Ok(())
@@ -47,7 +47,7 @@
     }
 }
 
-/// Waits for a value, and fails the step if there is none in time.
+/// Polls `probe` until it returns a value, and fails the step if it returns none within [`BOUND`].
 pub(crate) fn wait_for<T>(
     what: &str,
     mut probe: impl FnMut() -> Option<T>,
@@ -60,7 +60,7 @@
         ensure(std::time::Instant::now() < deadline, || {
             format!("not within {BOUND:?}: {what}")
         })?;
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -73,7 +73,7 @@
     pub(crate) key_prefix: String,
 }
 
-/// An entry that a look-up names.
+/// An entry in a look-up's answer.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct LookupEntry {
@@ -102,20 +102,20 @@
         Self { cluster, operator }
     }
 
-    /// Runs the command line as an operator would, and returns what it prints.
-    pub(crate) fn run(&self, words: &[&str]) -> Result<String, StepError> {
-        self.run_at(&self.cluster.operator_addrs(), words)
+    /// Runs the command line as an operator would, and returns its output.
+    pub(crate) fn run(&self, args: &[&str]) -> Result<String, StepError> {
+        self.run_at(&self.cluster.operator_addrs(), args)
     }
 
-    /// The same, towards these control replicas only.
+    /// Like [`run`](Self::run), with these control replicas only.
     pub(crate) fn run_at(
         &self,
         controls: &[SocketAddr],
-        words: &[&str],
+        args: &[&str],
     ) -> Result<String, StepError> {
         let controls: Vec<_> = controls.iter().map(ToString::to_string).collect();
         let output = Command::new(&self.cluster.programs().cli)
-            .args(words)
+            .args(args)
             .args(["--as", "demo", "--timeout", "60"])
             .env("FILBERTHEAD_CONTROL", controls.join(","))
             .output()
@@ -123,19 +123,20 @@
         let text = |bytes| String::from_utf8_lossy(bytes).trim().to_owned();
         ensure(output.status.success(), || {
             let error = text(&output.stderr);
-            format!("filberthead {}: {error}", words.join(" "))
+            format!("filberthead {}: {error}", args.join(" "))
         })?;
         Ok(text(&output.stdout))
     }
 
-    /// Sets a row, and returns once each entry reports it as in force.
+    /// Sets a row, waits (`--wait`) until every entry reports the change as in force, and returns
+    /// the command's output.
     pub(crate) fn set(
         &self,
         service: &str,
         region: &str,
         weight: &str,
     ) -> Result<String, StepError> {
-        let words = [
+        let args = [
             "table",
             "set",
             service,
@@ -152,7 +153,7 @@
             "demo",
             "--wait",
         ];
-        self.run(&words)
+        self.run(&args)
     }
 
     pub(crate) fn look_up(&self, entry: SocketAddr, service: &str) -> Option<Lookup> {
@@ -162,7 +163,7 @@
         answered.then(|| answer.json())
     }
 
-    /// Sends a request until its answer isn't a refusal that nothing ran.
+    /// Sends a request until its answer is something other than "not run".
     pub(crate) fn send(&self, to: SocketAddr, call: &Call) -> Result<Answer, StepError> {
         let answer = wait_for("an answer of an endpoint", || match call.send(to) {
             Ok(answer) if answer.is_not_run() => None,
--- a/crates/testing/src/bin/soak.rs
+++ b/crates/testing/src/bin/soak.rs
@@ -1,14 +1,14 @@
-//! `filberthead-soak`: plays soaks of many seeds, one after the other.
+//! `filberthead-soak`: runs the soaks of several seeds, one after the other.
 //!
-//! Exits with 1 if any promise was broken; the folder with logs and data of that seed then
-//! stays, and is named.
+//! Exits with 1 if there is any violation; the folder with logs and data of that seed is then
+//! kept, and its path printed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use filberthead_testing::site::SitePrograms;
-use filberthead_testing::soak::{Plan, Size, play};
+use filberthead_testing::soak::{Plan, Size, run_plan};
 use lexopt::{Arg, ValueExt};
 
 const USAGE: &str = "usage: filberthead-soak [--seed FIRST] [--seeds COUNT] [--controls N] \
@@ -18,7 +18,7 @@
     first: u64,
     seeds: u64,
     size: Size,
-    /// Print the plans only.
+    /// Whether to print the plans instead of running them.
     show: bool,
 }
 
@@ -38,7 +38,7 @@
             Arg::Long("gateways") => options.size.gateways = parser.value()?.parse()?,
             Arg::Long("callers") => options.size.callers = parser.value()?.parse()?,
             Arg::Long("seconds") => {
-                options.size.lasts = Duration::from_secs(parser.value()?.parse()?);
+                options.size.duration = Duration::from_secs(parser.value()?.parse()?);
             }
             Arg::Long("show") => options.show = true,
             _ => return Err(arg.unexpected()),
@@ -47,7 +47,7 @@
     Ok(options)
 }
 
-/// The programs that were built together with this one.
+/// The programs in the folder of the current executable.
 fn programs() -> std::io::Result<SitePrograms> {
     let own = std::env::current_exe()?;
     let beside = |name: &str| -> PathBuf { own.with_file_name(name) };
@@ -79,7 +79,7 @@
             println!("{plan:#?}");
             continue;
         }
-        let report = play(programs.clone(), &plan);
+        let report = run_plan(programs.clone(), &plan);
         println!("{report}");
         if !report.violations.is_empty() {
             println!("  logs: {}", report.dir.display());
@@ -87,7 +87,7 @@
         }
     }
     if broken > 0 {
-        println!("{broken} of {} seeds broke a promise", options.seeds);
+        println!("{broken} of {} seeds had violations", options.seeds);
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/testing/src/site/endpoint.rs
+++ b/crates/testing/src/site/endpoint.rs
@@ -18,68 +18,68 @@
 use super::Line;
 use crate::standin::{AnswerBody, Payload};
 
-/// An answer that is a short text, or as many bytes as the request names.
+/// A short text, or a payload of the length that the request asks for.
 type SiteBody = Either<Full<Bytes>, AnswerBody>;
 
-/// Length of an answer that is to break off, unless the request names one.
-const CUT_BYTES: u64 = 100;
+/// Full length of an answer that is truncated, if the request asks for none.
+const DEFAULT_TRUNCATED_BYTES: u64 = 100;
 
-/// Lines of a request's head that it reads, far above what hyper takes by itself, so that
-/// what a gateway lets pass isn't refused here.
-const MAX_LINES: usize = 1024;
+/// Limit on the number of request headers. It is far above hyper's default, so that requests
+/// that a gateway accepts aren't rejected here.
+const MAX_HEADERS: usize = 1024;
 
-/// How an endpoint answers.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
-    /// It runs a request and answers.
+pub enum Behaviour {
+    /// It runs the request and answers.
     #[default]
     Serves,
-    /// It says that it did not run the request.
+    /// It answers 503 with the header that says that the request did not run.
     Sheds,
     /// It runs the request and closes the connection without an answer.
     LosesAnswer,
     /// It runs the request and answers 500.
     Fails,
-    /// It runs the request and answers under another request's id.
-    Crosses,
-    /// It takes the request and never answers.
+    /// It runs the request and answers with another request's id.
+    WrongRequestId,
+    /// It runs the request and never answers.
     Hangs,
-    /// It runs the request and breaks off in the middle of the answer.
-    Cuts,
-    /// It runs the request and sends its answer at so many bytes a second.
+    /// It runs the request and closes the connection in the middle of the answer.
+    Truncates,
+    /// It runs the request and sends the answer at this rate, in bytes per second.
     Paced(u64),
-    /// Somebody else has its address, and answers 404 to whatever comes.
-    Strays,
+    /// Another server has taken its address, and answers 404 to every request.
+    ForeignServer,
 }
 
-/// A request that an endpoint began to run.
+/// A request that an endpoint started to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// Its id.
     pub id: String,
     /// Its method and path.
-    pub what: String,
+    pub request_line: String,
 }
 
 #[derive(Debug, Default)]
 struct State {
     id: String,
-    /// Unix millisecond of its start.
-    born: u64,
-    shown_at: Option<SocketAddr>,
-    manner: Manner,
-    takes: Duration,
+    /// Start time in Unix milliseconds.
+    started_ms: u64,
+    proxy_addr: Option<SocketAddr>,
+    behaviour: Behaviour,
+    run_time: Duration,
     draining: bool,
     gone: bool,
     cold_ms: u64,
     ran: Vec<Run>,
-    /// Time left that each request named.
+    /// The `x-deadline-ms` of each request that had one.
     deadlines: Vec<u64>,
-    /// Requests whose connection closed while they ran.
+    /// Ids of requests whose connection closed while they ran.
     dropped: Vec<String>,
 }
 
-/// An endpoint; it ends with the process.
+/// An endpoint of a [`Site`](super::Site); it runs until the process ends.
 #[derive(Clone, Debug)]
 pub struct SiteEndpoint {
     addr: SocketAddr,
@@ -104,7 +104,7 @@
             domain: domain.to_owned(),
             state: Arc::new(Mutex::new(State {
                 id: id.to_owned(),
-                born: next_start(0),
+                started_ms: next_start(0),
                 ..State::default()
             })),
             closed: Arc::new(Notify::new()),
@@ -114,14 +114,14 @@
         endpoint
     }
 
-    /// Its line on the list.
+    /// Its entry for the list.
     pub fn line(&self) -> Line {
         let state = self.lock();
         Line {
             id: state.id.clone(),
-            born: state.born,
+            born: state.started_ms,
             service: self.service.clone(),
-            address: state.shown_at.unwrap_or(self.addr),
+            address: state.proxy_addr.unwrap_or(self.addr),
             zone: self.domain.clone(),
             version: "v1".to_owned(),
             slots: 3,
@@ -130,39 +130,40 @@
         }
     }
 
-    /// Changes how it answers.
-    pub fn manner(&self, manner: Manner) {
-        self.lock().manner = manner;
+    /// Sets how it handles requests.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.lock().behaviour = behaviour;
     }
 
-    /// Changes how long a request runs.
-    pub fn takes(&self, takes: Duration) {
-        self.lock().takes = takes;
+    /// Sets how long a request runs. Initially no time.
+    pub fn set_run_time(&self, run_time: Duration) {
+        self.lock().run_time = run_time;
     }
 
-    /// Says on the list that it is to go.
+    /// Marks it as draining in its list entry, from the next update of the list on.
     pub fn drain(&self) {
         self.lock().draining = true;
     }
 
-    /// Says on the list that it stays cold for so long.
-    pub fn cool(&self, ms: u64) {
+    /// Sets the remaining warm-up time in its list entry, in milliseconds.
+    pub fn set_warmup_left(&self, ms: u64) {
         self.lock().cold_ms = ms;
     }
 
-    /// Begins anew under another identity, at the same address.
-    pub fn reborn(&self, id: &str) {
+    /// Continues as another instance at the same address, with a new id and start time. Open
+    /// connections stay.
+    pub fn replace_instance(&self, id: &str) {
         let mut state = self.lock();
         state.id = id.to_owned();
-        state.born = next_start(state.born);
+        state.started_ms = next_start(state.started_ms);
     }
 
-    /// Begins anew under the identity that it had: requests break off, it is to stay, and is
-    /// cold for so long.
+    /// Restarts as the instance `id` at the same address: running requests are aborted, the
+    /// behaviour is reset, it is no longer draining, and its warm-up takes `cold_ms`.
     pub fn restart(&self, id: &str, cold_ms: u64) {
-        self.reborn(id);
+        self.replace_instance(id);
         let mut state = self.lock();
-        state.manner = Manner::default();
+        state.behaviour = Behaviour::default();
         state.draining = false;
         state.gone = false;
         state.cold_ms = cold_ms;
@@ -170,7 +171,7 @@
         self.restarted.notify_waiters();
     }
 
-    /// Leaves the list.
+    /// Leaves the list at its next update.
     pub fn leave(&self) {
         self.lock().gone = true;
     }
@@ -180,33 +181,33 @@
         self.lock().gone
     }
 
-    /// Ids of the requests that it ran, in order.
+    /// Ids of the requests that it started to run, in order.
     pub fn ran(&self) -> Vec<String> {
         let ran = &self.lock().ran;
         ran.iter().map(|run| run.id.clone()).collect()
     }
 
-    /// The requests that it ran, in order.
+    /// The requests that it started to run, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().ran.clone()
     }
 
-    /// Has the list name this address, that of a proxy before the endpoint.
-    pub(super) fn show_at(&self, addr: SocketAddr) {
-        self.lock().shown_at = Some(addr);
+    /// Sets the address in its list entry to that of a proxy in front of it.
+    pub(super) fn set_proxy_addr(&self, addr: SocketAddr) {
+        self.lock().proxy_addr = Some(addr);
     }
 
-    /// Where it listens itself.
+    /// Its own listening address.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its identity.
+    /// Its instance id.
     pub fn id(&self) -> String {
         self.lock().id.clone()
     }
 
-    /// Whether the list says that it is to go.
+    /// Whether it is marked as draining.
     pub fn is_draining(&self) -> bool {
         self.lock().draining
     }
@@ -216,7 +217,7 @@
         &self.domain
     }
 
-    /// Time left that requests named, in milliseconds.
+    /// The `x-deadline-ms` of the requests that it ran, in milliseconds.
     pub fn deadlines(&self) -> Vec<u64> {
         self.lock().deadlines.clone()
     }
@@ -231,7 +232,7 @@
     }
 }
 
-/// The moment of a start that follows another one.
+/// The current Unix time in milliseconds, but later than `before`, the previous start time.
 fn next_start(before: u64) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let now = now.map_or(0, |now| u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
@@ -246,9 +247,9 @@
             let restarted = Arc::clone(&endpoint.restarted);
             let service = service_fn(move |req| handle(endpoint.clone(), req));
             let served = http1::Builder::new()
-                .max_headers(MAX_LINES)
+                .max_headers(MAX_HEADERS)
                 .serve_connection(TokioIo::new(stream), service);
-            // An error is how a manner closes the connection.
+            // A handler returns an error to close the connection.
             tokio::select! {
                 _ = served => {}
                 () = restarted.notified() => {}
@@ -257,7 +258,7 @@
     }
 }
 
-/// Notes a request whose connection closes before it is done.
+/// Records a request as dropped if its connection closes before `done` is set.
 struct Running {
     endpoint: SiteEndpoint,
     id: String,
@@ -281,28 +282,28 @@
     };
     let id = text(&head.headers, "x-request-id");
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let (own, manner, takes) = {
+    let (instance_id, behaviour, run_time) = {
         let state = endpoint.lock();
-        (state.id.clone(), state.manner, state.takes)
+        (state.id.clone(), state.behaviour, state.run_time)
     };
     let answer = |status: StatusCode, body: SiteBody| {
         Response::builder()
             .status(status)
             .header("x-request-id", &id)
-            .header("x-instance-id", &own)
+            .header("x-instance-id", &instance_id)
             .header("x-server-load", "0,0,3")
             .body(body)
             .map_err(io::Error::other)
     };
-    if manner == Manner::Strays {
+    if behaviour == Behaviour::ForeignServer {
         let mut answer = Response::new(short(Bytes::new()));
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return Ok(answer);
     }
-    if text(&head.headers, "x-target-instance") != own {
+    if text(&head.headers, "x-target-instance") != instance_id {
         return answer(StatusCode::MISDIRECTED_REQUEST, short(Bytes::new()));
     }
-    if manner == Manner::Sheds {
+    if behaviour == Behaviour::Sheds {
         let mut answer = answer(StatusCode::SERVICE_UNAVAILABLE, short(Bytes::new()))?;
         answer
             .headers_mut()
@@ -313,38 +314,38 @@
         let mut state = endpoint.lock();
         state.ran.push(Run {
             id: id.clone(),
-            what: format!("{} {}", head.method, head.uri),
+            request_line: format!("{} {}", head.method, head.uri),
         });
-        let left = text(&head.headers, "x-deadline-ms").parse::<u64>();
-        state.deadlines.extend(left);
+        let deadline_ms = text(&head.headers, "x-deadline-ms").parse::<u64>();
+        state.deadlines.extend(deadline_ms);
     }
     let mut running = Running {
         endpoint: endpoint.clone(),
         id: id.clone(),
         done: false,
     };
-    tokio::time::sleep(takes).await;
-    match manner {
-        Manner::Hangs => std::future::pending().await,
-        Manner::LosesAnswer => {
+    tokio::time::sleep(run_time).await;
+    match behaviour {
+        Behaviour::Hangs => std::future::pending().await,
+        Behaviour::LosesAnswer => {
             running.done = true;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         _ => {}
     }
     running.done = true;
-    let whole = whole_answer(&head, &body, manner);
-    let status = match manner {
-        Manner::Fails => StatusCode::INTERNAL_SERVER_ERROR,
+    let body = answer_body(&head, &body, behaviour);
+    let status = match behaviour {
+        Behaviour::Fails => StatusCode::INTERNAL_SERVER_ERROR,
         _ => StatusCode::OK,
     };
-    let mut answer = answer(status, whole)?;
+    let mut answer = answer(status, body)?;
     let headers = answer.headers_mut();
     headers.insert(
         "x-response-signature",
         http::HeaderValue::from_static("signed"),
     );
-    if manner == Manner::Crosses {
+    if behaviour == Behaviour::WrongRequestId {
         let other = http::HeaderValue::from_static("somebody-elses");
         headers.insert("x-request-id", other);
     }
@@ -355,31 +356,32 @@
     Either::Left(Full::new(body))
 }
 
-/// As many bytes as the query `bytes=N` names, or a text that names the request.
-fn whole_answer(head: &http::request::Parts, body: &[u8], manner: Manner) -> SiteBody {
+/// A payload of the length in the query `bytes=N`, or else a text that repeats the request line
+/// and the length of its body.
+fn answer_body(head: &http::request::Parts, body: &[u8], behaviour: Behaviour) -> SiteBody {
     let (method, uri) = (head.method.as_str(), head.uri.to_string());
-    let bytes = named_bytes(&uri);
-    if bytes.is_none() && manner != Manner::Cuts {
+    let bytes = requested_bytes(&uri);
+    if bytes.is_none() && behaviour != Behaviour::Truncates {
         return short(Bytes::from(format!("{method} {uri} {}", body.len())));
     }
-    let bytes = bytes.unwrap_or(CUT_BYTES);
+    let bytes = bytes.unwrap_or(DEFAULT_TRUNCATED_BYTES);
     let payload = Payload::of_answer(method, &uri, body);
-    let cut = (manner == Manner::Cuts).then_some(bytes / 2);
-    let pace = match manner {
-        Manner::Paced(pace) => Some(pace),
+    let cut = (behaviour == Behaviour::Truncates).then_some(bytes / 2);
+    let pace = match behaviour {
+        Behaviour::Paced(pace) => Some(pace),
         _ => None,
     };
     let body = AnswerBody::new(payload, 0, bytes).cut_after(cut).pace(pace);
     Either::Right(body)
 }
 
-fn named_bytes(uri: &str) -> Option<u64> {
+fn requested_bytes(uri: &str) -> Option<u64> {
     uri.split_once("?bytes=")?.1.parse().ok()
 }
 
-/// Whether this is the whole answer to a request.
+/// Whether `answer` is the complete body that an endpoint sends for this request.
 pub fn is_answer(method: &str, path: &str, body: &[u8], answer: &[u8]) -> bool {
-    match named_bytes(path) {
+    match requested_bytes(path) {
         Some(bytes) => {
             answer.len() as u64 == bytes
                 && Payload::of_answer(method, path, body).matches(0, answer)
--- a/crates/testing/src/soak/plan.rs
+++ b/crates/testing/src/soak/plan.rs
@@ -1,44 +1,45 @@
-//! What happens when, drawn from a seed.
+//! Generates the steps of a soak and their times from a seed.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::site::Manner;
+use crate::site::Behaviour;
 
-/// Time before the first fault: callers come and objects are learned.
-const CALM: Duration = Duration::from_millis(800);
-/// Time between the beginnings of two faults, in milliseconds.
-const BETWEEN_MS: std::ops::Range<u64> = 150..900;
-/// How long a fault lasts, in milliseconds: from shorter than any timeout of the system to
-/// longer than its leases.
-const LASTS_MS: std::ops::Range<u64> = 200..3_500;
-/// Part of the plans in which only planned work happens, so that nothing may be cut.
-const PLANNED_ONLY: f64 = 0.25;
-/// How endpoints misbehave.
-const MANNERS: [Manner; 6] = [
-    Manner::Sheds,
-    Manner::LosesAnswer,
-    Manner::Fails,
-    Manner::Crosses,
-    Manner::Hangs,
-    Manner::Cuts,
+/// Time before the first fault, in which callers connect and gateways learn the affinity of
+/// objects.
+const INITIAL_DELAY: Duration = Duration::from_millis(800);
+/// Time between the starts of two faults, in milliseconds.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
+/// Duration of a fault, in milliseconds: from shorter than any of the system's timeouts to longer
+/// than its leases.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..3_500;
+/// Share of the plans that contain only planned work, during which no request may be cut.
+const PLANNED_ONLY_PROBABILITY: f64 = 0.25;
+/// Behaviours that a plan gives to endpoints for a while.
+const FAULTY_BEHAVIOURS: [Behaviour; 6] = [
+    Behaviour::Sheds,
+    Behaviour::LosesAnswer,
+    Behaviour::Fails,
+    Behaviour::WrongRequestId,
+    Behaviour::Hangs,
+    Behaviour::Truncates,
 ];
 
-/// How large a soak is.
+/// Size of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Control replicas; a minority of them may be lost.
+    /// Number of control replicas; the group tolerates the loss of a minority.
     pub controls: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
     /// Endpoints of each service in each failure domain.
     pub endpoints: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Time over which faults begin.
-    pub lasts: Duration,
+    /// Time during which faults start.
+    pub duration: Duration,
 }
 
 impl Default for Size {
@@ -48,7 +49,7 @@
             gateways: 3,
             endpoints: 2,
             callers: 8,
-            lasts: Duration::from_secs(9),
+            duration: Duration::from_secs(9),
         }
     }
 }
@@ -62,103 +63,103 @@
     Gateway(usize),
 }
 
-/// Something that is done to the system.
+/// An action on the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// It dies at once.
+    /// The process is killed.
     Kill(Target),
-    /// It is asked to stop, and started again once it has.
+    /// The process receives `SIGTERM`, and is restarted once it has ended.
     Stop(Target),
-    /// It is told that its settings have changed.
+    /// The process receives `SIGHUP`, which makes it reload its settings.
     HangUp(Target),
-    /// It stands still.
+    /// The process is suspended.
     Freeze(Target),
-    /// It goes on.
+    /// The process is resumed.
     Resume(Target),
-    /// It is started if it is down.
+    /// The process is started if it is down.
     Start(Target),
-    /// A control replica dies and its last write is torn.
+    /// A control replica is killed, its log gets a torn record at the end, and it is restarted.
     Tear(usize),
-    /// A control replica loses its disk, if the group is whole.
+    /// A control replica loses its disk, if the group is healthy.
     Wipe(usize),
-    /// All control replicas die at the same moment, and one loses its disk if the group is
-    /// whole.
+    /// All control replicas are killed at once and restarted; the one given, if any, also loses its
+    /// disk if the group was healthy.
     PowerCut(Option<usize>),
-    /// These are cut off from all other processes.
+    /// These processes are cut off from all others.
     Partition(Vec<Target>),
-    /// What the first sends to the second doesn't arrive.
+    /// Bytes from the first process to the second are held back.
     OneWay(Target, Target),
-    /// All links between processes are slower by so many milliseconds.
+    /// All links between processes are delayed by this many milliseconds.
     Slow(u64),
-    /// All links pass again.
+    /// All links between processes work again.
     Heal,
-    /// The connections of others to it are reset.
+    /// Connections to the process are reset.
     Reset(Target),
-    /// The connections of others to it go silent for good.
+    /// Existing connections to the process forward nothing any more.
     Silence(Target),
-    /// Answers of a control replica to operators are held back.
-    LoseAcks(usize),
-    /// They come again.
-    KeepAcks(usize),
-    /// An endpoint changes how it answers.
-    Manner(usize, Manner),
-    /// The way to an endpoint carries nothing.
+    /// A control replica's answers to operators are held back.
+    HoldAnswers(usize),
+    /// A control replica's held answers and all later ones are delivered.
+    PassAnswers(usize),
+    /// An endpoint changes its behaviour.
+    SetBehaviour(usize, Behaviour),
+    /// The link to an endpoint forwards nothing.
     CutEndpoint(usize),
-    /// The way to an endpoint carries again.
+    /// The link to an endpoint works again.
     HealEndpoint(usize),
-    /// The list says that an endpoint is to go.
+    /// An endpoint is marked as draining on the list.
     Drain(usize),
-    /// Another start of an endpoint has its address before the list says so.
-    Reborn(usize),
-    /// A cold endpoint comes, of the service with this number.
+    /// Another instance takes an endpoint's address while the list still names the old one.
+    ReplaceInstance(usize),
+    /// A cold endpoint of the service with this index is added.
     Join(usize),
     /// Operators evacuate the second failure domain.
     Evacuate,
 }
 
-/// A step and when it is taken, from the beginning of traffic.
+/// A step and its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Timed {
-    /// When.
+pub struct TimedStep {
+    /// Time since traffic started.
     pub at: Duration,
-    /// What.
+    /// The step.
     pub step: Step,
 }
 
-/// All that happens in a soak.
+/// All steps of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that it was generated from.
     pub seed: u64,
-    /// How large it is.
+    /// Size of the system and duration.
     pub size: Size,
-    /// Whether only planned work happens.
+    /// Whether it contains only planned work.
     pub planned_only: bool,
-    /// The steps, in order of time.
-    pub steps: Vec<Timed>,
+    /// The steps, sorted by time.
+    pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed; the same seed and size give the same plan.
     pub fn new(seed: u64, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let planned_only = rng.random_bool(PLANNED_ONLY);
-        let mut draw = Draw {
+        let planned_only = rng.random_bool(PLANNED_ONLY_PROBABILITY);
+        let mut generator = Generator {
             rng,
             size,
             drained: false,
             steps: Vec::new(),
         };
-        let mut at = CALM;
-        while at < size.lasts {
+        let mut at = INITIAL_DELAY;
+        while at < size.duration {
             if planned_only {
-                draw.planned(at);
+                generator.planned_step(at);
             } else {
-                draw.any(at);
+                generator.any_step(at);
             }
-            at += Duration::from_millis(draw.rng.random_range(BETWEEN_MS));
+            at += Duration::from_millis(generator.rng.random_range(FAULT_INTERVAL_MS));
         }
-        let mut steps = draw.steps;
+        let mut steps = generator.steps;
         steps.sort_by_key(|timed| timed.at);
         Self {
             seed,
@@ -169,23 +170,25 @@
     }
 }
 
-struct Draw {
+/// Draws random steps. The order of draws determines the plan of a seed.
+struct Generator {
     rng: StdRng,
     size: Size,
+    /// Whether a step that drains an endpoint was added; a plan has at most one.
     drained: bool,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
 }
 
-impl Draw {
+impl Generator {
     fn push(&mut self, at: Duration, step: Step) {
-        self.steps.push(Timed { at, step });
+        self.steps.push(TimedStep { at, step });
     }
 
-    /// A step now, and another that takes it back.
-    fn for_a_while(&mut self, at: Duration, step: Step, back: Step) {
-        let lasts = Duration::from_millis(self.rng.random_range(LASTS_MS));
+    /// Adds a step and, after a random duration, another that reverts it.
+    fn push_with_undo(&mut self, at: Duration, step: Step, undo: Step) {
+        let duration = Duration::from_millis(self.rng.random_range(FAULT_DURATION_MS));
         self.push(at, step);
-        self.push(at + lasts, back);
+        self.push(at + duration, undo);
     }
 
     fn control(&mut self) -> usize {
@@ -200,26 +203,27 @@
         }
     }
 
-    /// An endpoint that is there from the beginning.
+    /// Index of an endpoint that exists from the start.
     fn endpoint(&mut self) -> usize {
-        let domains_and_services = 2 * super::world::SERVICES.len();
+        let domains_and_services = 2 * super::shared::SERVICES.len();
         self.rng
             .random_range(0..self.size.endpoints * domains_and_services)
     }
 
-    fn planned(&mut self, at: Duration) {
+    /// Adds planned work: stops, reloads, and endpoints that join, drain or are evacuated.
+    fn planned_step(&mut self, at: Duration) {
         let target = self.target();
         match self.rng.random_range(0..10) {
             0..=3 => self.push(at, Step::Stop(target)),
             4 => {
-                // Signals that overlap: it is told twice, and to reload in between.
+                // Overlapping signals: two requests to stop with a reload between them.
                 self.push(at, Step::Stop(target));
                 self.push(at + Duration::from_millis(100), Step::HangUp(target));
                 self.push(at + Duration::from_millis(200), Step::Stop(target));
             }
             5 | 6 => self.push(at, Step::HangUp(target)),
             7 => {
-                let service = self.rng.random_range(0..super::world::SERVICES.len());
+                let service = self.rng.random_range(0..super::shared::SERVICES.len());
                 self.push(at, Step::Join(service));
             }
             8 if !self.drained => {
@@ -231,27 +235,28 @@
         }
     }
 
-    fn any(&mut self, at: Duration) {
+    /// Adds planned work or a fault.
+    fn any_step(&mut self, at: Duration) {
         match self.rng.random_range(0..22) {
-            0..=3 => self.planned(at),
-            4..=7 => self.process(at),
-            8..=10 => self.disk(at),
-            11..=14 => self.links(at),
-            15 | 16 => self.connections(at),
-            _ => self.endpoints(at),
+            0..=3 => self.planned_step(at),
+            4..=7 => self.process_fault(at),
+            8..=10 => self.disk_fault(at),
+            11..=14 => self.link_fault(at),
+            15 | 16 => self.connection_fault(at),
+            _ => self.endpoint_fault(at),
         }
     }
 
-    fn process(&mut self, at: Duration) {
+    fn process_fault(&mut self, at: Duration) {
         let target = self.target();
         if self.rng.random_bool(0.5) {
-            self.for_a_while(at, Step::Kill(target), Step::Start(target));
+            self.push_with_undo(at, Step::Kill(target), Step::Start(target));
         } else {
-            self.for_a_while(at, Step::Freeze(target), Step::Resume(target));
+            self.push_with_undo(at, Step::Freeze(target), Step::Resume(target));
         }
     }
 
-    fn disk(&mut self, at: Duration) {
+    fn disk_fault(&mut self, at: Duration) {
         let control = self.control();
         let lost = self.rng.random_bool(0.4).then_some(control);
         match self.rng.random_range(0..3) {
@@ -261,7 +266,7 @@
         }
     }
 
-    fn links(&mut self, at: Duration) {
+    fn link_fault(&mut self, at: Duration) {
         let (from, to) = (self.target(), self.target());
         let step = match self.rng.random_range(0..4) {
             0 => Step::Partition(vec![from]),
@@ -269,31 +274,32 @@
             2 => Step::OneWay(from, to),
             _ => Step::Slow(self.rng.random_range(5..150)),
         };
-        self.for_a_while(at, step, Step::Heal);
+        self.push_with_undo(at, step, Step::Heal);
     }
 
-    fn connections(&mut self, at: Duration) {
+    fn connection_fault(&mut self, at: Duration) {
         let target = self.target();
         let control = self.control();
         match self.rng.random_range(0..3) {
             0 => self.push(at, Step::Reset(target)),
             1 => self.push(at, Step::Silence(target)),
-            _ => self.for_a_while(at, Step::LoseAcks(control), Step::KeepAcks(control)),
+            _ => self.push_with_undo(at, Step::HoldAnswers(control), Step::PassAnswers(control)),
         }
     }
 
-    fn endpoints(&mut self, at: Duration) {
+    fn endpoint_fault(&mut self, at: Duration) {
         let endpoint = self.endpoint();
         match self.rng.random_range(0..8) {
-            0 => self.push(at, Step::Reborn(endpoint)),
+            0 => self.push(at, Step::ReplaceInstance(endpoint)),
             1 => {
                 let (cut, heal) = (Step::CutEndpoint(endpoint), Step::HealEndpoint(endpoint));
-                self.for_a_while(at, cut, heal);
+                self.push_with_undo(at, cut, heal);
             }
             _ => {
-                let manner = MANNERS[self.rng.random_range(0..MANNERS.len())];
-                let back = Step::Manner(endpoint, Manner::Serves);
-                self.for_a_while(at, Step::Manner(endpoint, manner), back);
+                let behaviour =
+                    FAULTY_BEHAVIOURS[self.rng.random_range(0..FAULTY_BEHAVIOURS.len())];
+                let undo = Step::SetBehaviour(endpoint, Behaviour::Serves);
+                self.push_with_undo(at, Step::SetBehaviour(endpoint, behaviour), undo);
             }
         }
     }
--- /dev/null
+++ b/crates/testing/src/soak/violations.rs
@@ -0,0 +1,196 @@
+//! Finds violations of the system's guarantees in the history of a soak.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+
+use super::history::{CallerRequest, History, RequestOutcome};
+
+/// Statuses that guarantee that the request has not run and never will.
+const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Further failures that a valid request may get: the endpoint's own, and those that say that
+/// the request may have run.
+const MAY_HAVE_RUN: [u16; 3] = [500, 502, 504];
+
+/// A request that an endpoint ran.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EndpointRun {
+    /// Index of the endpoint.
+    pub endpoint: usize,
+    /// Id of the request.
+    pub id: String,
+    /// Its method and path, as the endpoint received them.
+    pub request_line: String,
+}
+
+/// A violated guarantee. Strings are ids of requests unless noted.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Violation {
+    /// A request that isn't idempotent ran more than once.
+    RanTwice(String),
+    /// A request ran on more endpoints than its route allows attempts.
+    TooManyAttempts(String, usize),
+    /// A request ran although its caller got a status that guarantees that it didn't.
+    RefusedButRan(String, u16),
+    /// An endpoint ran a request that no caller had sent, or with another request line.
+    UnknownRequest(String),
+    /// A caller got a successful answer that isn't the one to its request.
+    WrongAnswer(String),
+    /// A valid request got a status that no valid request may get.
+    UnexpectedStatus(String, u16),
+    /// A request ran and its caller's connection ended, although the plan had only planned work.
+    CutByPlannedWork(String),
+    /// A replica returned an older version than one accepted before the read was sent.
+    StaleRead {
+        /// The replica.
+        control: usize,
+        /// The version that it returned.
+        shown: u64,
+        /// The highest version that had been accepted.
+        accepted: u64,
+    },
+    /// A replica returned other routes than those sent as this version.
+    AlteredRoutes(usize, u64),
+    /// Valid routes of this version were refused with this status.
+    ValidRefused(u64, u16),
+    /// Invalid routes of this version were accepted.
+    InvalidAccepted(u64),
+    /// A gateway returned to an older version within one incarnation.
+    VersionRegressed {
+        /// The gateway.
+        gateway: usize,
+        /// The version that it had served before.
+        from: u64,
+        /// The older version that it served afterwards.
+        to: u64,
+    },
+    /// A process ended by itself or didn't stop, or the system didn't recover once all faults were
+    /// over. The string describes what was expected or seen.
+    NotRecovered(String),
+    /// The endpoint with this index still got requests while draining or evacuated.
+    SentToRemovedEndpoint(usize),
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{self:?}")
+    }
+}
+
+/// Checks the history against the runs on endpoints. `max_attempts` is the number of
+/// attempts that every route allows.
+pub fn find_violations(
+    history: &History,
+    runs: &[EndpointRun],
+    max_attempts: usize,
+    planned_only: bool,
+) -> Vec<Violation> {
+    let mut runs_by_id: BTreeMap<&str, Vec<&EndpointRun>> = BTreeMap::new();
+    for run in runs {
+        runs_by_id.entry(&run.id).or_default().push(run);
+    }
+    let mut violations = Vec::new();
+    for request in &history.requests {
+        let runs = runs_by_id.remove(request.id.as_str()).unwrap_or_default();
+        violations.extend(check_runs(request, &runs, max_attempts));
+        violations.extend(check_outcome(request, !runs.is_empty(), planned_only));
+    }
+    violations.extend(
+        runs_by_id
+            .into_keys()
+            .map(|id| Violation::UnknownRequest(id.to_owned())),
+    );
+    violations.extend(check_routes(history));
+    violations.extend(check_gateways(history));
+    violations
+}
+
+fn check_runs(
+    request: &CallerRequest,
+    runs: &[&EndpointRun],
+    max_attempts: usize,
+) -> Vec<Violation> {
+    let id = || request.id.clone();
+    let mut violations = Vec::new();
+    if !request.idempotent && runs.len() > 1 {
+        violations.push(Violation::RanTwice(id()));
+    }
+    let endpoints: BTreeSet<_> = runs.iter().map(|run| run.endpoint).collect();
+    if endpoints.len() > max_attempts {
+        violations.push(Violation::TooManyAttempts(id(), endpoints.len()));
+    }
+    if runs
+        .iter()
+        .any(|run| run.request_line != request.request_line)
+    {
+        violations.push(Violation::UnknownRequest(id()));
+    }
+    violations
+}
+
+fn check_outcome(request: &CallerRequest, has_run: bool, planned_only: bool) -> Option<Violation> {
+    let id = request.id.clone();
+    match request.outcome {
+        RequestOutcome::Answered { status, .. } if NOT_RUN.contains(&status) => {
+            has_run.then_some(Violation::RefusedButRan(id, status))
+        }
+        RequestOutcome::Answered { status, matches } if (200..300).contains(&status) => {
+            (!matches).then_some(Violation::WrongAnswer(id))
+        }
+        RequestOutcome::Answered { status, .. } if MAY_HAVE_RUN.contains(&status) => None,
+        RequestOutcome::Answered { status, .. } => Some(Violation::UnexpectedStatus(id, status)),
+        RequestOutcome::Closed | RequestOutcome::Cut => {
+            (planned_only && has_run).then_some(Violation::CutByPlannedWork(id))
+        }
+        RequestOutcome::ConnectFailed | RequestOutcome::TimedOut => None,
+    }
+}
+
+fn check_routes(history: &History) -> Vec<Violation> {
+    let mut found = Vec::new();
+    for read in &history.reads {
+        let before = history.changes.iter().filter(|change| change.valid);
+        let before = before.filter(|change| change.accepted.is_some_and(|at| at <= read.sent));
+        let accepted = before.map(|change| change.version).max().unwrap_or(0);
+        if read.version < accepted {
+            found.push(Violation::StaleRead {
+                control: read.control,
+                shown: read.version,
+                accepted,
+            });
+        }
+        if !read.as_sent {
+            found.push(Violation::AlteredRoutes(read.control, read.version));
+        }
+    }
+    for change in &history.changes {
+        match (change.valid, change.accepted, change.refused) {
+            (true, _, Some(status)) => found.push(Violation::ValidRefused(change.version, status)),
+            (false, Some(_), _) => found.push(Violation::InvalidAccepted(change.version)),
+            _ => {}
+        }
+    }
+    found
+}
+
+/// Checks that a gateway that has served a version's own route doesn't, later in the same
+/// incarnation, serve a route that only an older version has.
+fn check_gateways(history: &History) -> Vec<Violation> {
+    let mut incarnations: BTreeMap<_, Vec<_>> = BTreeMap::new();
+    for probe in &history.probes {
+        let incarnation = (probe.gateway, probe.incarnation);
+        incarnations.entry(incarnation).or_default().push(probe);
+    }
+    let mut violations = Vec::new();
+    for ((gateway, _), probes) in incarnations {
+        for earlier in probes.iter().filter(|p| p.has_route) {
+            let later = probes.iter().filter(|p| p.sent > earlier.answered);
+            let back = later.filter(|p| p.has_route && p.version < earlier.version);
+            violations.extend(back.map(|p| Violation::VersionRegressed {
+                gateway,
+                from: earlier.version,
+                to: p.version,
+            }));
+        }
+    }
+    violations
+}
--- a/tests/all/gateways.rs
+++ b/tests/all/gateways.rs
@@ -1,10 +1,10 @@
-//! Requests through gateways: what may run, how often, and what callers are told.
+//! Requests through gateways: what may run, how often, and what callers get.
 
 use std::time::{Duration, Instant};
 
 use filberthead_testing::client::{Answer, Call, CallError};
 use filberthead_testing::cluster::Node;
-use filberthead_testing::site::{Manner, Site, SiteEndpoint, order_at, request};
+use filberthead_testing::site::{Behaviour, Site, SiteEndpoint, order_at, request};
 use filberthead_testing::standin::Payload;
 use filberthead_testing::{eventually, wait_until};
 
@@ -34,8 +34,8 @@
     answer.expect("the gateway answers")
 }
 
-/// Sends requests until one is answered as wanted: what a gateway knows comes to it in
-/// its own time.
+/// Sends requests until one gets this status: routes and endpoint lists reach the gateway
+/// with some delay.
 #[track_caller]
 fn send_until(site: &Site, method: &str, path: &str, status: u16) -> Answer {
     let mut number = 0;
@@ -46,20 +46,24 @@
     })
 }
 
+/// How often endpoints ran a request.
 fn runs(endpoints: &[SiteEndpoint], id: &str) -> usize {
     let all = endpoints.iter().flat_map(SiteEndpoint::ran);
     all.filter(|ran| ran == id).count()
 }
 
 #[test]
-fn a_request_comes_back_with_its_endpoints_answer() {
+fn a_request_returns_its_endpoints_answer() {
     let site = start("catalogue", 1);
     let answer = send_until(&site, "GET", "/catalogue/cards?page=2", 200);
     assert_eq!(answer.text(), "GET /catalogue/cards?page=2 0");
     assert_eq!(answer.header("x-response-signature"), "signed");
-    let left = site.endpoints[0].deadlines()[0];
-    assert!((10_000..=20_000).contains(&left), "{left} ms left");
-    // For good only once control has proved the routes; until then it may come back.
+    let remaining = site.endpoints[0].deadlines()[0];
+    assert!(
+        (10_000..=20_000).contains(&remaining),
+        "{remaining} ms left"
+    );
+    // 404 only once control has proved the routes; until then 503.
     let denied = eventually("a final answer", BOUND, || {
         let answer = send(&site, "GET", "/nowhere/", "x");
         (answer.status != 503).then_some(answer)
@@ -67,56 +71,56 @@
     assert_eq!(denied.status, 404);
 }
 
-/// A shop's order reaches an endpoint whose answer is lost. The shop must neither be told
-/// that the order did not run nor have it run again at another endpoint.
+/// An order reaches an endpoint whose answer is lost. The caller must not get the answer
+/// that the order did not run, and the order must not run again at another endpoint.
 #[test]
 fn an_order_whose_answer_is_lost_runs_once() {
     let site = start("orders", 3);
     send_until(&site, "POST", "/orders/warm-up", 200);
     for endpoint in &site.endpoints {
-        endpoint.manner(Manner::LosesAnswer);
+        endpoint.set_behaviour(Behaviour::LosesAnswer);
     }
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 502);
     assert_eq!(runs(&site.endpoints, "order-1"), 1);
 }
 
-/// An endpoint answers under the id of another request, as one does whose answer came too
-/// late for its own. Nobody may be given it as the answer to their order.
+/// An endpoint answers with the id of another request, as one does whose answer came too
+/// late for its own. No caller may get that answer.
 #[test]
-fn an_answer_to_somebody_else_is_given_to_nobody() {
+fn an_answer_to_another_request_reaches_no_caller() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
-    site.endpoints[0].manner(Manner::Crosses);
+    site.endpoints[0].set_behaviour(Behaviour::WrongRequestId);
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 502);
     assert_eq!(answer.text(), "");
 }
 
-/// The list leads to an address behind which something else answers 404 to everything, as fast
-/// as it can. No endpoint answers without the request's id, so that 404 is nobody's word on the
-/// request: its caller got it as the endpoint's, and didn't come back.
+/// Behind the address of a listed endpoint another server answers 404 to everything, as
+/// fast as it can. Endpoints always return the request's id and that server doesn't, so its
+/// 404 is no endpoint's; but callers got it as the endpoint's answer and didn't retry.
 #[test]
-fn an_answer_without_the_requests_id_is_given_to_nobody() {
+fn an_answer_without_the_requests_id_reaches_no_caller() {
     let site = start("catalogue", 2);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Strays);
+    site.endpoints[0].set_behaviour(Behaviour::ForeignServer);
     for number in 0..20 {
         let answer = send(&site, "GET", "/catalogue/one", &format!("read-{number}"));
         assert_eq!(answer.status, 200, "the other endpoint serves");
     }
-    site.endpoints[1].manner(Manner::Strays);
+    site.endpoints[1].set_behaviour(Behaviour::ForeignServer);
     assert_eq!(send(&site, "GET", "/catalogue/one", "read-x").status, 502);
 }
 
-/// Every endpoint is full and says so. The caller is told that nothing ran, and when to
-/// come back; and nothing runs afterwards.
+/// Every endpoint is full and sheds. The caller gets an answer that nothing ran and when
+/// to retry, and nothing runs afterwards.
 #[test]
-fn an_order_that_all_refuse_is_refused_truthfully() {
+fn an_order_that_all_endpoints_shed_never_runs() {
     let site = start("orders", 2);
     send_until(&site, "POST", "/orders/warm-up", 200);
     for endpoint in &site.endpoints {
-        endpoint.manner(Manner::Sheds);
+        endpoint.set_behaviour(Behaviour::Sheds);
     }
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 503);
@@ -125,20 +129,20 @@
     assert_eq!(runs(&site.endpoints, "order-1"), 0);
 }
 
-/// One of two endpoints fails what it runs. A reading may run again, so its caller gets
-/// the other one's answer; an order may not, so its caller gets the failure.
+/// One of two endpoints fails what it runs. A read may run again, so its caller gets the
+/// other one's answer; an order may not, so its caller gets the failure.
 #[test]
-fn only_idempotent_requests_are_tried_again() {
+fn only_idempotent_requests_are_retried() {
     let mut site = start("catalogue", 1);
     site.add_endpoint("catalogue", "zagreb-a");
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Fails);
-    site.endpoints[1].manner(Manner::Fails);
+    site.endpoints[0].set_behaviour(Behaviour::Fails);
+    site.endpoints[1].set_behaviour(Behaviour::Fails);
     let failed = send(&site, "GET", "/catalogue/one", "read-1");
     assert_eq!(failed.status, 500);
     // Either has failed once or twice by now; one of them serves again.
-    site.endpoints[1].manner(Manner::Serves);
-    wait_until("a reading that the other one served", BOUND, || {
+    site.endpoints[1].set_behaviour(Behaviour::Serves);
+    wait_until("a read that the other endpoint served", BOUND, || {
         let answer = send(&site, "GET", "/catalogue/two", "read-2");
         answer.status == 200 && runs(&site.endpoints[..1], "read-2") > 0
     });
@@ -147,28 +151,28 @@
     orders
         .endpoints
         .iter()
-        .for_each(|e| e.manner(Manner::Fails));
+        .for_each(|e| e.set_behaviour(Behaviour::Fails));
     let answer = send(&orders, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 500);
     assert_eq!(runs(&orders.endpoints, "order-1"), 1);
 }
 
-/// An endpoint ends and another service's has its address, before the list shows it. No
-/// request may run there.
+/// An endpoint ends, and an endpoint of another service gets its address before the list
+/// shows that. No request may run there.
 #[test]
-fn an_address_that_has_changed_hands_runs_nothing() {
+fn an_address_reused_by_another_instance_runs_nothing() {
     let site = start("orders", 1);
     send_until(&site, "POST", "/orders/warm-up", 200);
-    site.endpoints[0].reborn("i-somebody-else");
+    site.endpoints[0].replace_instance("i-somebody-else");
     let answer = send(&site, "POST", "/orders/one", "order-1");
     assert_eq!(answer.status, 503);
     assert_eq!(runs(&site.endpoints, "order-1"), 0);
 }
 
-/// The list says that an endpoint is to go, and an operator evacuates a failure domain.
-/// Neither may get new work from then on; work comes back when the evacuation ends.
+/// The list shows an endpoint as draining, and an operator evacuates a failure domain.
+/// Neither may get new requests from then on; they return when the evacuation ends.
 #[test]
-fn what_leaves_or_is_evacuated_gets_nothing_new() {
+fn draining_and_evacuated_endpoints_get_no_new_requests() {
     let mut site = start("catalogue", 1);
     site.add_endpoint("catalogue", "split-a");
     site.add_endpoint("catalogue", "zagreb-a");
@@ -176,7 +180,7 @@
     site.endpoints[0].drain();
     site.show_endpoints();
     assert_eq!(site.order("evacuations.start&of=split-a", "").status, 200);
-    let rest = |site: &Site| {
+    let new_runs = |site: &Site| {
         let before: Vec<_> = site.endpoints.iter().map(|e| e.ran().len()).collect();
         (0..20).for_each(|n| {
             send(site, "GET", &format!("/catalogue/{n}"), &format!("r-{n}"));
@@ -185,34 +189,36 @@
         after.zip(before).map(|(a, b)| a - b).collect::<Vec<_>>()
     };
     wait_until("only the third one runs requests", BOUND, || {
-        rest(&site) == [0, 0, 20]
+        new_runs(&site) == [0, 0, 20]
     });
     assert_eq!(site.order("evacuations.end&of=split-a", "").status, 200);
     site.endpoints[2].leave();
     site.show_endpoints();
-    wait_until("the second one is back", BOUND, || rest(&site)[1] > 0);
+    wait_until("the second one gets requests again", BOUND, || {
+        new_runs(&site)[1] > 0
+    });
 }
 
-/// A caller leaves while its request runs. The endpoint must be told, so that it doesn't
-/// work for nobody.
+/// A caller disconnects while its request runs. The endpoint must learn of it, so that it
+/// stops useless work.
 #[test]
-fn work_ends_when_its_caller_leaves() {
+fn a_disconnecting_caller_cancels_its_request() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Hangs);
+    site.endpoints[0].set_behaviour(Behaviour::Hangs);
     let call = request("GET", "/catalogue/one", "read-1").bound(Duration::from_millis(500));
     assert!(site.request(0, &call).is_err());
-    wait_until("the endpoint knows", BOUND, || {
+    wait_until("the endpoint has dropped the request", BOUND, || {
         site.endpoints[0].dropped().contains(&"read-1".to_owned())
     });
 }
 
-/// An endpoint never answers. The caller gets its final answer when its time is up.
+/// An endpoint never answers. The caller gets a final answer at its deadline.
 #[test]
-fn a_request_that_hangs_is_answered_when_its_time_is_up() {
+fn a_hanging_request_is_answered_at_its_deadline() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].manner(Manner::Hangs);
+    site.endpoints[0].set_behaviour(Behaviour::Hangs);
     let call = Call::new("GET", "/catalogue/one")
         .header("host", filberthead_testing::site::HOST)
         .header("x-request-id", "read-1")
@@ -221,29 +227,31 @@
     assert_eq!(answer.status, 504);
 }
 
-/// A gateway is stopped with a request running. It says at once that it leaves, finishes
-/// the request, and ends by itself in time.
+/// A gateway is stopped with a request running. It reports at once that it is stopping,
+/// finishes the request, and exits in time.
 #[test]
 fn a_planned_stop_cuts_nothing() {
     let mut site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    site.endpoints[0].takes(Duration::from_millis(800));
+    site.endpoints[0].set_run_time(Duration::from_millis(800));
     let addr = site.gateways[0].addr("caller");
     let running = std::thread::spawn(move || request("GET", "/catalogue/one", "read-1").send(addr));
     wait_until("the request runs", BOUND, || {
         site.endpoints[0].ran().contains(&"read-1".to_owned())
     });
     site.gateways[0].process().terminate();
-    wait_until("it says that it leaves", BOUND, || !site.is_serving(0));
+    wait_until("it reports that it is stopping", BOUND, || {
+        !site.is_serving(0)
+    });
     let answer = running.join().expect("the caller").expect("an answer");
     assert_eq!(answer.status, 200);
     assert!(site.gateways[0].wait_exit().success());
 }
 
-/// The settings of a running process change and it is told so, or its console goes away.
-/// Neither may end it.
+/// A process gets a hang-up signal, because its settings changed or its console closed.
+/// That may not end it.
 #[test]
-fn a_process_that_is_asked_to_reload_goes_on() {
+fn a_reload_signal_ends_no_process() {
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     for node in site.gateways.iter().chain(&site.controls) {
@@ -260,10 +268,10 @@
     order_at(node, "config.get", "").is_ok_and(|answer| answer.status == 200)
 }
 
-/// A gateway is killed, or told to stop. Callers who ask where to go must not be sent to
-/// it any more, and must be sent to it again when it is back.
+/// A gateway is killed. Look-ups must not return its address any more, and must return it
+/// again once it has restarted.
 #[test]
-fn callers_are_sent_to_live_gateways_only() {
+fn look_ups_return_live_gateways_only() {
     let mut site = site().replicas(1).tolerate(0).gateways(2).start();
     site.put_routes(1, SERVICES);
     site.wait_serving(0);
@@ -282,34 +290,40 @@
     };
     let addr = |site: &Site, n: usize| vec![site.gateways[n].addr("caller").to_string()];
     let (first, second) = (addr(&site, 0), addr(&site, 1));
-    wait_until("each is found by its neighbours", BOUND, || {
-        found(&site, "zagreb-a").as_ref() == Some(&first)
-            && found(&site, "split-a").as_ref() == Some(&second)
-    });
+    wait_until(
+        "look-ups return the gateway of their failure domain",
+        BOUND,
+        || {
+            found(&site, "zagreb-a").as_ref() == Some(&first)
+                && found(&site, "split-a").as_ref() == Some(&second)
+        },
+    );
     site.gateways[0].kill();
-    wait_until("the killed one is named to nobody", BOUND, || {
+    wait_until("no look-up returns the killed gateway", BOUND, || {
         found(&site, "zagreb-a").as_ref() == Some(&second)
     });
     site.gateways[0].start();
-    wait_until("it is named again", BOUND, || {
+    wait_until("it is returned again", BOUND, || {
         found(&site, "zagreb-a").as_ref() == Some(&first)
     });
 }
 
-/// A power cut takes everything, and only one of three control VMs comes back. There is no
-/// majority, so no order can be accepted and nothing proved; but callers are to be served
-/// by what was last in force. Gateways had nothing to go by, because a replica that starts
-/// doesn't know how much of its log is committed before there is a leader.
+/// After a power cut only one of three control VMs restarts. Without a majority no order
+/// is accepted and nothing proved; but callers must be served by the last routes in
+/// force. Gateways had no routes, because a replica that starts can't tell how much of
+/// its log is committed before there is a leader.
 #[test]
-fn a_gateway_serves_by_one_control_vm_that_was_left_by_a_power_cut() {
+fn a_gateway_serves_when_one_control_vm_restarts_after_a_power_cut() {
     let mut site = site().start();
     site.add_endpoint("catalogue", "zagreb-a");
     site.put_routes(1, SERVICES);
     site.wait_serving(0);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
-    // The note of what is in force is kept a moment after the order is accepted.
+    // The note of the routes in force is written a moment after the order is accepted.
     for node in &site.controls {
-        wait_until("it is noted", BOUND, || node.data().join("note").exists());
+        wait_until("the note is written", BOUND, || {
+            node.data().join("note").exists()
+        });
     }
     site.gateways[0].kill();
     site.controls.iter_mut().for_each(Node::kill);
@@ -324,9 +338,9 @@
     assert_eq!(answer.status, 503, "nothing is proved");
 }
 
-/// The list has many pages, of which each names only the next. Read one after the other from
-/// another region, an endpoint that drained got new work for over three seconds. The parts
-/// of all failure domains are read at once, and no endpoint may be lost on the way.
+/// The list has many pages, each of which names only the next. Read one after the other
+/// from another region, a draining endpoint got new requests for over three seconds. The
+/// parts of all failure domains are read concurrently, and no endpoint may be missed.
 #[test]
 fn a_list_of_many_pages_is_read_by_failure_domain() {
     let mut site = start("catalogue", 5);
@@ -343,12 +357,12 @@
         let near = site.endpoints.iter().filter(|e| e.domain() == "zagreb-a");
         near.into_iter().all(|e| !e.ran().is_empty())
     });
-    wait_until("both parts are read by themselves", BOUND, || {
+    wait_until("both failure domains are read separately", BOUND, || {
         site.list.domains_read().len() == 2
     });
     site.endpoints[3].drain();
     site.show_endpoints();
-    wait_until("the one that drains is left alone", BOUND, || {
+    wait_until("the draining endpoint gets no new requests", BOUND, || {
         let before = site.endpoints[3].ran().len();
         (0..40).for_each(|n| {
             send(&site, "GET", &format!("/catalogue/{n}"), &format!("s-{n}"));
@@ -357,15 +371,14 @@
     });
 }
 
-/// A performer's lesson is long and comes slowly. It must reach the performer while it
-/// comes: read whole by the gateway first, each lesson came later by the time that it needs
-/// on a small VM's link. What is missing at the deadline is of no use to anybody, and what
-/// there is must not look whole.
+/// A long download arrives slowly. It must be streamed to the caller: when the gateway
+/// read it whole first, it was delayed by its transfer time on a small VM's link. What is
+/// missing at the deadline is useless, and the part that was sent must not look complete.
 #[test]
-fn a_download_goes_on_while_it_comes() {
+fn a_download_is_streamed_to_the_caller() {
     let site = start("lessons", 1);
     send_until(&site, "GET", "/lessons/warm-up", 200);
-    site.endpoints[0].manner(Manner::Paced(200_000));
+    site.endpoints[0].set_behaviour(Behaviour::Paced(200_000));
     let path = "/lessons/1?bytes=20000000";
     let call = Call::new("GET", path)
         .header("host", filberthead_testing::site::HOST)
@@ -379,9 +392,9 @@
     assert!(Payload::of_answer("GET", path, b"").matches(0, &got));
 }
 
-/// A gateway is stopped while a lesson comes that is still under way when it takes no more
-/// callers. The lesson's head had been answered, so nothing counted as running, and the
-/// process ended in the middle of it.
+/// A gateway is stopped during a download that outlasts the time in which it still
+/// accepts callers. The download's head had been answered, so it didn't count as running,
+/// and the process exited in the middle of it.
 #[test]
 fn a_planned_stop_cuts_no_download() {
     const PACE: u64 = 200_000;
@@ -391,7 +404,7 @@
     site.gateways[0].restart();
     site.wait_serving(0);
     send_until(&site, "GET", "/lessons/warm-up", 200);
-    site.endpoints[0].manner(Manner::Paced(PACE));
+    site.endpoints[0].set_behaviour(Behaviour::Paced(PACE));
     let path = format!("/lessons/1?bytes={}", PACE * LASTS_S);
     let addr = site.gateways[0].addr("caller");
     let call = request("GET", &path, "lesson-1");
@@ -405,24 +418,24 @@
     assert!(site.gateways[0].wait_exit().success());
 }
 
-/// An endpoint hands its address over, drains and ends, with a request running that never
-/// came to its end. It starts again under its identity, cold. It must get requests again,
-/// also from a gateway that has heard that it is gone, and no more than it bears.
+/// Another endpoint gets an endpoint's address, which is then listed as draining, with a
+/// request that never finished. It starts again under its identity, cold. It must get
+/// requests again, also from a gateway that has seen it gone, and no more than its cold rate.
 #[test]
-fn an_endpoint_that_starts_again_under_its_identity_is_used_again() {
-    // As `config` of the stand-ins has it.
+fn an_endpoint_restarted_under_its_identity_is_used_again() {
+    // As in `config` of `filberthead_testing::site`.
     const COLD_PER_S: f64 = 9.4;
     let site = start("catalogue", 1);
     send_until(&site, "GET", "/catalogue/warm-up", 200);
     let endpoint = &site.endpoints[0];
     let id = endpoint.id();
-    endpoint.manner(Manner::Hangs);
+    endpoint.set_behaviour(Behaviour::Hangs);
     let addr = site.gateways[0].addr("caller");
     let hanging = std::thread::spawn(move || request("GET", "/catalogue/one", "read-1").send(addr));
     wait_until("the request runs", BOUND, || {
         endpoint.ran().contains(&"read-1".to_owned())
     });
-    endpoint.reborn("i-somebody-else");
+    endpoint.replace_instance("i-somebody-else");
     assert_eq!(send(&site, "GET", "/catalogue/two", "read-2").status, 503);
     endpoint.drain();
     site.show_endpoints();
@@ -431,25 +444,26 @@
     hanging.join().expect("the caller").expect("an answer");
     send_until(&site, "GET", "/catalogue/three", 200);
     let before = endpoint.ran().len();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < Duration::from_secs(2) {
+    while started.elapsed() < Duration::from_secs(2) {
         number += 1;
         send(&site, "GET", "/catalogue/four", &format!("press-{number}"));
     }
-    let got = (endpoint.ran().len() - before) as f64;
-    let bears = COLD_PER_S * begun.elapsed().as_secs_f64();
+    let received = (endpoint.ran().len() - before) as f64;
+    let capacity = COLD_PER_S * started.elapsed().as_secs_f64();
     assert!(
-        got >= 1.0 && got <= bears,
-        "{got} of {number} pressed, {bears} are borne"
+        received >= 1.0 && received <= capacity,
+        "{received} of {number} requests reached the endpoint, {capacity} at most allowed"
     );
 }
 
-/// Another program writes into the platform's list: entries that lack fields or hold odd
-/// ones, one with the identity of an endpoint, and bytes that aren't text. The endpoints
-/// around them serve, one that drains is left alone, and the log has a line for each.
+/// Another program writes into the platform's list: entries that lack fields or hold
+/// invalid ones, one with the identity of an endpoint, and bytes that aren't text. The
+/// other endpoints serve, a draining one gets no new requests, and the log has a line for
+/// each invalid entry.
 #[test]
-fn entries_of_another_writer_change_nothing_for_endpoints() {
+fn list_entries_of_another_program_do_not_affect_endpoints() {
     let mut site = start("catalogue", 1);
     let foreign: [&[u8]; 5] = [
         br#"{"id":"x-1","service":"catalogue","slots":"many"}"#,
@@ -477,7 +491,9 @@
     assert!(serves(&site, 0));
     site.endpoints[0].drain();
     site.show_endpoints();
-    wait_until("the other one is left alone", BOUND, || !serves(&site, 0));
+    wait_until("the draining one gets no new requests", BOUND, || {
+        !serves(&site, 0)
+    });
     let calls = site.list.calls();
     wait_until("the list is read some more", BOUND, || {
         site.list.calls() > calls + 10
--- a/tests/all/homes.rs
+++ b/tests/all/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of idempotency keys: several entries, killed, stopped and cut off.
+//! Homes of idempotency keys: several entries, killed, stopped and partitioned.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -6,17 +6,18 @@
 
 use filberthead_testing::client::{Answer, Call};
 use filberthead_testing::cluster::{Cluster, Node};
-use filberthead_testing::standin::{Fault, Rule, Seen, Stage, When};
+use filberthead_testing::standin::{Fault, ObservedRequest, Rule, Stage, When};
 use filberthead_testing::{eventually, wait_until};
 use serde::Deserialize;
 
 use crate::support::{init, programs};
 
 const BOUND: Duration = Duration::from_secs(120);
-/// Holds the homes of most tests, has the backup in the next one.
-const HOLDER: &str = "entry-zagreb-a-1";
+/// Primary of the homes in most tests; its backup is [`BACKUP`].
+const PRIMARY: &str = "entry-zagreb-a-1";
 const BACKUP: &str = "entry-zagreb-a-2";
-const ELSEWHERE: &str = "entry-split-a-1";
+/// An entry of the other failure domain.
+const REMOTE: &str = "entry-split-a-1";
 
 const REPLAYED: Option<u16> = Some(1001);
 const HOME_UNREACHABLE: Option<u16> = Some(1204);
@@ -48,25 +49,25 @@
         cluster.entries.iter_mut().for_each(Node::spawn);
         cluster.entries.iter_mut().for_each(Node::wait_ready);
         let mut site = Self { cluster };
-        site.settle();
+        site.wait_settled();
         site
     }
 
-    /// Waits until each entry hands out a prefix and passes orders on to the holder.
-    fn settle(&mut self) {
-        for name in [HOLDER, BACKUP, ELSEWHERE] {
+    /// Waits until each entry returns a key prefix and forwards orders to the primary.
+    fn wait_settled(&mut self) {
+        for name in [PRIMARY, BACKUP, REMOTE] {
             let addr = self.addr(name);
-            wait_until("the entry hands out a prefix", BOUND, || {
+            wait_until("the entry returns a prefix", BOUND, || {
                 look_up(addr).is_some_and(|lookup| !lookup.key_prefix.is_empty())
             });
         }
-        for name in [HOLDER, BACKUP, ELSEWHERE] {
+        for name in [PRIMARY, BACKUP, REMOTE] {
             let addr = self.addr(name);
-            let holder = self.addr(HOLDER);
+            let primary = self.addr(PRIMARY);
             let mut sent = 0;
-            wait_until("orders reach the holder", BOUND, || {
-                let prefix = look_up(holder).expect("a look-up").key_prefix;
-                // While nobody has slots an order is refused, for good under its key.
+            wait_until("orders reach the primary", BOUND, || {
+                let prefix = look_up(primary).expect("a look-up").key_prefix;
+                // Without free slots an order is refused, permanently under its key.
                 sent += 1;
                 let key = format!("{prefix}{name}-{sent}");
                 let warm_up = Call::post("/v1/services/orders/warm-up", &key, "");
@@ -80,10 +81,10 @@
         self.cluster.entry(entry).addr("caller")
     }
 
-    /// A key whose home is held by an entry.
-    fn key(&mut self, entry: &str, rest: &str) -> String {
+    /// A key whose home is the one that this entry's look-up returns.
+    fn key(&mut self, entry: &str, suffix: &str) -> String {
         let lookup = look_up(self.addr(entry)).expect("a look-up");
-        format!("{}{rest}", lookup.key_prefix)
+        format!("{}{suffix}", lookup.key_prefix)
     }
 
     fn send(&mut self, entry: &str, key: &str) -> Answer {
@@ -91,10 +92,10 @@
         order(key).send(addr).expect("an answer")
     }
 
-    /// Resends until the answer has this code. What comes before must not say "not run".
+    /// Resends until the answer has this code. No earlier answer may say "not run".
     fn resend_until(&mut self, entry: &str, key: &str, code: Option<u16>) -> Answer {
         let addr = self.addr(entry);
-        eventually("the resend has its answer", BOUND, || {
+        eventually("the resend gets the expected code", BOUND, || {
             let answer = order(key).send(addr).ok()?;
             assert!(!answer.is_not_run(), "{}", answer.text());
             (answer.result() == code).then_some(answer)
@@ -102,10 +103,12 @@
     }
 
     /// Makes all endpoints answer orders late.
-    fn slow(&self, late: Duration) {
+    fn delay_orders(&self, delay: Duration) {
         for endpoint in &self.cluster.endpoints {
             let when = When::Path("/place".to_owned());
-            endpoint.standin.rule(Rule::always(when, Fault::Late(late)));
+            endpoint
+                .standin
+                .rule(Rule::always(when, Fault::Late(delay)));
         }
     }
 
@@ -113,17 +116,17 @@
         self.cluster.record().executions_of(key)
     }
 
-    /// Starts an order, whose answer nobody reads, and waits until an endpoint runs it.
-    fn running(&mut self, entry: &str, key: &str) -> TcpStream {
-        let mut till = TcpStream::connect(self.addr(entry)).expect("a connection");
+    /// Sends an order without reading its answer, and waits until an endpoint runs it.
+    fn start_order(&mut self, entry: &str, key: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.addr(entry)).expect("a connection");
         let head = "POST /v1/services/orders/place HTTP/1.1\r\nhost: a\r\ncontent-length: 13";
         write!(
-            till,
+            stream,
             "{head}\r\nidempotency-key: {key}\r\n\r\nthree rabbits"
         )
         .expect("sent");
         wait_until("the order runs", BOUND, || self.executions(key) == 1);
-        till
+        stream
     }
 }
 
@@ -136,119 +139,121 @@
     Call::post("/v1/services/orders/place", key, "three rabbits")
 }
 
-/// A shop owner's answer is lost. Her till resends at another entry, in another failure
+/// A caller's answer is lost. It resends to another entry, also in another failure
 /// domain, and gets the first run's answer, byte for byte.
 #[test]
 fn a_resend_at_another_entry_gets_the_first_answer() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    for entry in [BACKUP, ELSEWHERE] {
-        let again = site.send(entry, &key);
-        assert_eq!(again.result(), REPLAYED, "{}", again.text());
-        assert_eq!(again.body, first.body);
+    for entry in [BACKUP, REMOTE] {
+        let resent = site.send(entry, &key);
+        assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
+        assert_eq!(resent.body, first.body);
     }
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry loses its power after an order was answered. The till, which lost the answer,
-/// resends at once elsewhere, and gets it from the backup once that has taken over.
+/// An entry loses power after an order was answered. The caller, which lost the answer,
+/// resends at once to another entry, and gets it from the backup once that has taken
+/// over.
 #[test]
 fn a_finished_order_survives_its_entry() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    // The answer is copied after it was told; a resend through the backup shows it there.
+    // The answer is copied after it was sent; a resend through the backup shows that it is there.
     let copied = site.send(BACKUP, &key);
     assert_eq!(copied.result(), REPLAYED);
-    site.cluster.entry(HOLDER).kill();
-    let again = site.resend_until(ELSEWHERE, &key, REPLAYED);
-    assert_eq!(again.body, first.body);
+    site.cluster.entry(PRIMARY).kill();
+    let resent = site.resend_until(REMOTE, &key, REPLAYED);
+    assert_eq!(resent.body, first.body);
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry loses its power while an order runs. The backup can't know whether it was
-/// placed; it says so, and neither places it again nor says that it was not.
+/// An entry loses power while an order runs. The backup can't tell whether it was placed;
+/// it answers so, and neither places it again nor answers "not run".
 #[test]
 fn a_running_order_is_not_placed_again_when_its_entry_dies() {
     let mut site = Site::start();
-    site.slow(Duration::from_secs(20));
-    let key = site.key(HOLDER, "a");
-    let till = site.running(HOLDER, &key);
-    site.cluster.entry(HOLDER).kill();
-    drop(till);
-    site.resend_until(ELSEWHERE, &key, OUTCOME_UNKNOWN);
+    site.delay_orders(Duration::from_secs(20));
+    let key = site.key(PRIMARY, "a");
+    let stream = site.start_order(PRIMARY, &key);
+    site.cluster.entry(PRIMARY).kill();
+    drop(stream);
+    site.resend_until(REMOTE, &key, OUTCOME_UNKNOWN);
     site.resend_until(BACKUP, &key, OUTCOME_UNKNOWN);
     assert_eq!(site.executions(&key), 1);
 }
 
-/// An entry is stopped in order while an order runs and a till holds a cached prefix.
-/// The running order is answered, the till's order is placed elsewhere, the resend gets
-/// its answer from the successor, and nobody notices.
+/// An entry is stopped while an order runs and a caller holds a cached prefix. The
+/// running order is answered, the order under the cached prefix is placed through another
+/// entry, and the resend gets its answer from the successor; no caller is affected.
 #[test]
 fn a_planned_stop_hands_the_home_over() {
     let mut site = Site::start();
-    let running = site.key(HOLDER, "running");
-    let cached = site.key(HOLDER, "cached");
-    site.slow(Duration::from_secs(2));
-    let till = site.running(HOLDER, &running);
-    site.cluster.entry(HOLDER).process().terminate();
-    let placed = site.send(ELSEWHERE, &cached);
+    let running = site.key(PRIMARY, "running");
+    let cached = site.key(PRIMARY, "cached");
+    site.delay_orders(Duration::from_secs(2));
+    let stream = site.start_order(PRIMARY, &running);
+    site.cluster.entry(PRIMARY).process().terminate();
+    let placed = site.send(REMOTE, &cached);
     assert!(
         matches!(placed.result(), Some(1000 | 1001)),
         "{}",
         placed.text()
     );
-    let status = site.cluster.entry(HOLDER).process().wait_exit();
+    let status = site.cluster.entry(PRIMARY).process().wait_exit();
     assert!(status.success(), "{status:?}");
-    drop(till);
-    let again = site.send(ELSEWHERE, &running);
-    assert_eq!(again.result(), REPLAYED, "{}", again.text());
+    drop(stream);
+    let resent = site.send(REMOTE, &running);
+    assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
     assert_eq!(site.executions(&running), 1);
     assert_eq!(site.executions(&cached), 1);
 }
 
-/// A failure domain is cut off from all others and from control. Orders made there go on
-/// there. The same order sent elsewhere is refused without the word "not run".
+/// A failure domain is partitioned from all others and from control. Orders sent to it
+/// still run there. The same order sent to another domain is refused as "may-have-run",
+/// not "not-run".
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_its_own_keys() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let inside: &[&str] = &[HOLDER, BACKUP];
-    let outside: &[&str] = &[ELSEWHERE, "entry-split-a-2", "control-1"];
+    let key = site.key(PRIMARY, "a");
+    let inside: &[&str] = &[PRIMARY, BACKUP];
+    let outside: &[&str] = &[REMOTE, "entry-split-a-2", "control-1"];
     site.cluster.network.partition(&[inside, outside]);
-    let refused = site.resend_until(ELSEWHERE, &key, HOME_UNREACHABLE);
+    let refused = site.resend_until(REMOTE, &key, HOME_UNREACHABLE);
     assert_eq!(refused.header("filberthead-meaning"), "may-have-run");
     assert_eq!(site.executions(&key), 0);
     let first = site.send(BACKUP, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
     site.cluster.network.heal();
-    let again = site.resend_until(ELSEWHERE, &key, REPLAYED);
-    assert_eq!(again.body, first.body);
+    let resent = site.resend_until(REMOTE, &key, REPLAYED);
+    assert_eq!(resent.body, first.body);
     assert_eq!(site.executions(&key), 1);
 }
 
-/// Both entries of a failure domain lose their power and come back without any record.
-/// The resend of an order from before gets the only true answer.
+/// Both entries of a failure domain lose power and restart without any record. The resend
+/// of an earlier order is answered that the records are lost.
 #[test]
 fn a_home_that_lost_its_records_places_nothing() {
     let mut site = Site::start();
-    let key = site.key(HOLDER, "a");
-    let first = site.send(HOLDER, &key);
+    let key = site.key(PRIMARY, "a");
+    let first = site.send(PRIMARY, &key);
     assert_eq!(first.result(), Some(1000), "{}", first.text());
-    for entry in [HOLDER, BACKUP] {
+    for entry in [PRIMARY, BACKUP] {
         site.cluster.entry(entry).kill();
     }
-    for entry in [HOLDER, BACKUP] {
+    for entry in [PRIMARY, BACKUP] {
         site.cluster.entry(entry).start();
     }
-    for entry in [HOLDER, ELSEWHERE] {
+    for entry in [PRIMARY, REMOTE] {
         site.resend_until(entry, &key, HOME_LOST_RECORDS);
     }
-    let fresh = site.key(HOLDER, "fresh");
+    let fresh = site.key(PRIMARY, "fresh");
     assert_ne!(fresh, key);
-    let placed = |seen: &Seen| seen.path == "/place";
+    let placed = |seen: &ObservedRequest| seen.path == "/place";
     assert_eq!(site.cluster.record().count(Stage::Executed, placed), 1);
 }
--- a/tests/all/journals.rs
+++ b/tests/all/journals.rs
@@ -1,4 +1,4 @@
-//! The only entry of a failure domain, with a data folder, killed and started again.
+//! The only entry of a failure domain, with a data folder, killed and restarted.
 
 use std::fs;
 use std::io::Write;
@@ -23,15 +23,16 @@
     key_prefix: String,
 }
 
-struct Shop {
+/// A cluster with a single entry, an order that it has answered, and that order's key.
+struct SingleEntry {
     cluster: Cluster,
     key: String,
     first: Answer,
 }
 
-impl Shop {
+impl SingleEntry {
     /// An entry at which an order was placed and answered.
-    fn with_an_order() -> Self {
+    fn with_finished_order() -> Self {
         let mut cluster = Cluster::builder(programs())
             .places(&[("zagreb", "zagreb-a")])
             .service("orders", 2)
@@ -44,8 +45,8 @@
             let answer = order(&key).send(entry).ok()?;
             (answer.result() == Some(1000)).then_some((key, answer))
         });
-        // A resend is answered from the record, so the outcome is at the ledger; it is on
-        // disk once a further start is, for writes keep their order.
+        // A resend is answered from the record, so the outcome is in the ledger; it is on
+        // disk once the start of a later order is, since writes keep their order.
         eventually("another order is placed", BOUND, || {
             let key = format!("{}b", prefix(entry)?);
             let answer = order(&key).send(entry).ok()?;
@@ -67,7 +68,7 @@
         eventually("the entry answers", BOUND, || {
             let answer = order(&self.key).send(self.entry()).ok()?;
             assert!(!answer.is_not_run(), "{}", answer.text());
-            // Starting, it may refuse before it asks the ledger.
+            // While it starts, it may refuse before it consults the ledger.
             (answer.result() != Some(1307)).then_some(answer)
         })
     }
@@ -80,7 +81,7 @@
         self.cluster.entries[0].start();
     }
 
-    /// The journal of the home; it must not be open.
+    /// The journal file of the home; the entry must not be running.
     fn journal(&self) -> PathBuf {
         let folder = self.cluster.entries[0].data().join("ledger");
         let mut files = fs::read_dir(folder).expect("a folder of journals");
@@ -99,61 +100,61 @@
     Call::post("/v1/services/orders/place", key, "three rabbits")
 }
 
-/// The only entry of a shop's failure domain loses its power after an order. The till
-/// resends it when the entry is back, and gets the answer that it had lost.
+/// The only entry of a failure domain loses power after an order. The caller resends it
+/// when the entry is back, and gets the lost answer.
 #[test]
 fn an_answer_survives_the_only_entry() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), REPLAYED, "{}", again.text());
-    assert_eq!(again.body, shop.first.body);
-    let record = shop.cluster.record();
-    assert_eq!(record.executions_of(&shop.key), 1);
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), REPLAYED, "{}", resent.text());
+    assert_eq!(resent.body, site.first.body);
+    let record = site.cluster.record();
+    assert_eq!(record.executions_of(&site.key), 1);
 }
 
-/// Power was lost in the middle of a write, so the journal ends in half a step. That step
-/// was told to nobody; all before it counts.
+/// Power failed in the middle of a write, so the journal ends in a partial step. That
+/// step was never acknowledged; all before it counts.
 #[test]
 fn a_torn_journal_keeps_what_was_synced() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    let journal = fs::OpenOptions::new().append(true).open(shop.journal());
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    let journal = fs::OpenOptions::new().append(true).open(site.journal());
     let torn = [0x40, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7];
     journal
         .and_then(|mut f| f.write_all(&torn))
         .expect("a torn write");
-    shop.start();
-    assert_eq!(shop.resend().result(), REPLAYED);
+    site.start();
+    assert_eq!(site.resend().result(), REPLAYED);
 }
 
-/// A bit of the journal has flipped on the disk. A start may be missing from what can be
-/// read, so the entry must not go on from it; it says what is true, "may have run".
+/// A bit of the journal has flipped on the disk. An order's start may be missing from
+/// what can be read, so the entry must not continue from it; it answers "may have run".
 #[test]
 fn a_damaged_journal_loses_the_home() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    let path = shop.journal();
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    let path = site.journal();
     let mut content = fs::read(&path).expect("a journal");
     let middle = content.len() / 2;
     content[middle] ^= 0x10;
     fs::write(&path, content).expect("a damaged journal");
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), HOME_LOST_RECORDS, "{}", again.text());
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
 }
 
-/// The entry comes back with a new disk.
+/// The entry restarts with an empty disk.
 #[test]
 fn a_wiped_disk_loses_the_home() {
-    let mut shop = Shop::with_an_order();
-    shop.kill();
-    shop.cluster.entries[0].wipe();
-    shop.start();
-    let again = shop.resend();
-    assert_eq!(again.result(), HOME_LOST_RECORDS, "{}", again.text());
-    wait_until("new orders are taken", BOUND, || {
-        prefix(shop.entry()).is_some()
+    let mut site = SingleEntry::with_finished_order();
+    site.kill();
+    site.cluster.entries[0].wipe();
+    site.start();
+    let resent = site.resend();
+    assert_eq!(resent.result(), HOME_LOST_RECORDS, "{}", resent.text());
+    wait_until("new orders are accepted", BOUND, || {
+        prefix(site.entry()).is_some()
     });
 }
--- a/tests/all/operators/desk.rs
+++ b/tests/all/operators/session.rs
@@ -1,4 +1,4 @@
-//! An operator's desk, and the control replicas that it talks to.
+//! Operators' commands against a cluster of control replicas.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,27 +10,28 @@
 
 use crate::support::programs;
 
-/// Time for a command that has to get through, however busy the machine is.
-const PATIENCE_SECS: &str = "120";
+/// Timeout for a command that has to succeed, however busy the machine is.
+const TIMEOUT_SECS: &str = "120";
 
-fn timeout_for(words: &[&str]) -> &'static [&'static str] {
-    let is_local = matches!(words.first(), Some(&"token" | &"check") | None);
-    if is_local || words.contains(&"--timeout") {
+/// The timeout to add to a command that reaches the replicas and sets none.
+fn timeout_args(args: &[&str]) -> &'static [&'static str] {
+    let is_local = matches!(args.first(), Some(&"token" | &"check") | None);
+    if is_local || args.contains(&"--timeout") {
         &[]
     } else {
-        &["--timeout", PATIENCE_SECS]
+        &["--timeout", TIMEOUT_SECS]
     }
 }
 
-/// How a command ended.
+/// Exit code and output of a command.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct CliResult {
     pub(super) exit: i32,
     pub(super) out: String,
     pub(super) err: String,
 }
 
-impl Ended {
+impl CliResult {
     fn new(output: &Output) -> Self {
         Self {
             exit: output
@@ -42,6 +43,7 @@
         }
     }
 
+    /// Fails unless the command ended with this exit code.
     #[track_caller]
     pub(super) fn expect(self, exit: i32) -> Self {
         assert_eq!(self.exit, exit, "{self:?}");
@@ -54,30 +56,32 @@
     }
 }
 
-/// A system of control replicas only, and a folder for sheets.
-pub(super) struct Desk {
+/// A system of control replicas without entries, and the folder in which an operator's
+/// commands run.
+pub(super) struct Session {
     pub(super) cluster: Cluster,
     controls: Vec<SocketAddr>,
 }
 
-impl Desk {
-    /// Starts so many replicas and makes a group of them by the command line.
+impl Session {
+    /// Starts this many replicas and forms a group of them with the command line.
     pub(super) fn start(replicas: usize) -> Self {
-        let mut desk = Self::with(Cluster::builder(programs()).replicas(replicas).prepare());
-        desk.join(replicas);
-        desk
+        let mut session =
+            Self::with_cluster(Cluster::builder(programs()).replicas(replicas).prepare());
+        session.form_group(replicas);
+        session
     }
 
-    /// A desk before replicas that run and form no group yet.
-    pub(super) fn with(mut cluster: Cluster) -> Self {
+    /// Starts the replicas of a prepared cluster, without forming a group.
+    pub(super) fn with_cluster(mut cluster: Cluster) -> Self {
         cluster.controls.iter_mut().for_each(Node::spawn);
         cluster.controls.iter_mut().for_each(Node::wait_ready);
         let controls = cluster.operator_addrs();
         Self { cluster, controls }
     }
 
-    /// Makes a group of the first so many replicas.
-    pub(super) fn join(&mut self, replicas: usize) {
+    /// Forms a group of the first `replicas` replicas.
+    pub(super) fn form_group(&mut self, replicas: usize) {
         let addrs = self.cluster.operator_addrs();
         self.run_at(&addrs[..1], "ana", &["control", "init"])
             .expect(0);
@@ -94,45 +98,47 @@
         self.cluster.dir().join(file)
     }
 
-    pub(super) fn run(&self, who: &str, words: &[&str]) -> Ended {
-        self.run_at(&self.controls, who, words)
+    /// Runs a command as `user`, with the addresses of all replicas.
+    pub(super) fn run(&self, user: &str, args: &[&str]) -> CliResult {
+        self.run_at(&self.controls, user, args)
     }
 
-    pub(super) fn run_at(&self, controls: &[SocketAddr], who: &str, words: &[&str]) -> Ended {
-        let output = self.command(controls, who, words).output();
-        Ended::new(&output.expect("the command line starts"))
+    /// Runs a command as `user`, with these replica addresses.
+    pub(super) fn run_at(&self, controls: &[SocketAddr], user: &str, args: &[&str]) -> CliResult {
+        let output = self.command(controls, user, args).output();
+        CliResult::new(&output.expect("the command line starts"))
     }
 
-    /// Starts a command, to be waited for by [`Desk::wait`].
-    pub(super) fn spawn(&self, who: &str, words: &[&str]) -> Child {
-        let child = self.command(&self.controls, who, words).spawn();
+    /// Starts a command; [`Session::wait`] waits for its end.
+    pub(super) fn spawn(&self, user: &str, args: &[&str]) -> Child {
+        let child = self.command(&self.controls, user, args).spawn();
         child.expect("the command line starts")
     }
 
-    pub(super) fn wait(child: Child) -> Ended {
-        Ended::new(&child.wait_with_output().expect("the command line ends"))
+    pub(super) fn wait(child: Child) -> CliResult {
+        CliResult::new(&child.wait_with_output().expect("the command line ends"))
     }
 
-    fn command(&self, controls: &[SocketAddr], who: &str, words: &[&str]) -> Command {
+    fn command(&self, controls: &[SocketAddr], user: &str, args: &[&str]) -> Command {
         let list: Vec<_> = controls.iter().map(ToString::to_string).collect();
         let mut command = Command::new(&self.cluster.programs().cli);
         command
-            .args(words)
-            .args(timeout_for(words))
+            .args(args)
+            .args(timeout_args(args))
             .current_dir(self.cluster.dir())
             .env_clear()
             .env("FILBERTHEAD_CONTROL", list.join(","))
-            .env("USER", who)
+            .env("USER", user)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped());
         command
     }
 
-    /// Makes two regions of one service, as `ana`: versions 1 and 2.
-    pub(super) fn fill(&self) {
+    /// Adds two regions of one service, as `ana`: versions 1 and 2.
+    pub(super) fn add_rows(&self) {
         for region in ["zagreb", "split"] {
-            let words = [
+            let args = [
                 "table",
                 "set",
                 "orders",
@@ -146,16 +152,16 @@
                 "--note",
                 "first rows",
             ];
-            self.run("ana", &words).expect(0);
+            self.run("ana", &args).expect(0);
         }
     }
 
-    pub(super) fn set(&self, who: &str, region: &str, weight: &str, more: &[&str]) -> Ended {
-        let mut words = vec![
+    pub(super) fn set(&self, user: &str, region: &str, weight: &str, more: &[&str]) -> CliResult {
+        let mut args = vec![
             "table", "set", "orders", region, "--weight", weight, "--note", "a note",
         ];
-        words.extend(more);
-        self.run(who, &words)
+        args.extend(more);
+        self.run(user, &args)
     }
 
     pub(super) fn table(&self) -> Value {
@@ -174,7 +180,7 @@
         row.expect("the row")["weight"].as_u64().expect("a weight")
     }
 
-    /// Rewrites a sheet as an operator would.
+    /// Replaces text in a CSV file, as an operator's edit would.
     pub(super) fn edit_sheet(&self, file: &str, from: &str, to: &str) {
         let path = self.path(file);
         let text = fs::read_to_string(&path).expect("the sheet");
